--- a/node/src/main/java/ferngrade/net/Admin.java
+++ b/node/src/main/java/ferngrade/net/Admin.java
@@ -2,6 +2,7 @@
 
 import ferngrade.config.MaintenanceCodec;
 import ferngrade.config.MemberReader;
+import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Figures;
 import ferngrade.node.Log;
 import ferngrade.node.News;
@@ -14,7 +15,6 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpServerCodec;
 import java.net.InetSocketAddress;
@@ -69,8 +69,8 @@
     }
 
     /** Begins to listen at {@code address}. */
-    ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
-        return new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
+    ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, ChannelProvider channels) {
+        return new ServerBootstrap().group(group).channelFactory(() -> channels.listener(Purpose.ADMIN, null))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -5,6 +5,7 @@
 import ferngrade.Dispatcher.News;
 import ferngrade.config.MemberReader;
 import ferngrade.config.MemberReader.MemberList;
+import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Log;
 import ferngrade.node.Node;
 import ferngrade.node.Timers;
@@ -18,7 +19,6 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.LineBasedFrameDecoder;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -91,7 +91,7 @@
      * has told a whole list for the first time.
      */
     DiscoveryWatch(EventLoopGroup group, InetSocketAddress discovery, MemberReader reader, Node node, Timers timers,
-            Log log, double retryMost, Runnable whenListed) {
+            Log log, double retryMost, Runnable whenListed, ChannelProvider channels) {
         this.retryMost = retryMost;
         this.discovery = discovery;
         this.reader = reader;
@@ -99,7 +99,8 @@
         this.timers = timers;
         this.log = log;
         this.whenListed = whenListed;
-        this.bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
+        this.bootstrap = new Bootstrap().group(group)
+                .channelFactory(() -> channels.connection(Purpose.DISCOVERY))
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT)
                 .handler(new ChannelInitializer<Channel>() {
--- a/node/src/main/java/ferngrade/net/Front.java
+++ b/node/src/main/java/ferngrade/net/Front.java
@@ -1,5 +1,6 @@
 package ferngrade.net;
 
+import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Clock;
 import ferngrade.node.Log;
 import ferngrade.node.Node;
@@ -12,7 +13,6 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.handler.codec.http.HttpServerCodec;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -43,6 +43,7 @@
 
     private final Bounds bounds;
     private final Sibling sibling;
+    private final ChannelProvider channels;
     private final Clock clock;
     private final Arrivals arrivals;
     private final Timers timers;
@@ -69,8 +70,10 @@
      */
     private enum Stage { SERVING, DRAINING, FINISHING, LINGERING, ENDED }
 
-    Front(Bounds bounds, Clock clock, Arrivals arrivals, Timers timers, Sibling sibling) {
+    Front(Bounds bounds, Clock clock, Arrivals arrivals, Timers timers, Sibling sibling,
+            ChannelProvider channels) {
         this.sibling = sibling;
+        this.channels = channels;
         this.bounds = bounds;
         this.clock = clock;
         this.arrivals = arrivals;
@@ -83,12 +86,10 @@
      */
     ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, ServerSocketChannel taken, Node node,
             RequestReader reader, Log log) {
-        ServerBootstrap bootstrap = new ServerBootstrap().group(group);
-        if (taken != null) {
-            bootstrap.channelFactory(() -> new NioServerSocketChannel(taken));
-        } else {
-            bootstrap.channel(NioServerSocketChannel.class)
-                    .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true);
+        ServerBootstrap bootstrap = new ServerBootstrap().group(group)
+                .channelFactory(() -> channels.listener(Purpose.CLIENTS, taken));
+        if (taken == null) {
+            bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true);
         }
         inherited = taken != null;
         bootstrap.handler(new ChannelInboundHandlerAdapter() {
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -48,6 +48,7 @@
 
     private final NodeConfig config;
     private final Platform platform;
+    private final ChannelProvider channels;
     private final Clock clock;
     private final Log log;
     private final Decisions decisions;
@@ -74,7 +75,9 @@
         public static final Platform NONE = new Platform(null, null);
     }
 
-    private NodeServer(NodeConfig config, Platform platform, Clock clock, Log log, Decisions decisions) {
+    private NodeServer(NodeConfig config, Platform platform, Clock clock, Log log, Decisions decisions,
+            ChannelProvider channels) {
+        this.channels = channels;
         this.decisions = decisions;
         this.platform = platform;
         this.config = config;
@@ -89,8 +92,8 @@
         }, (long) Math.ceil(millis * 1000), TimeUnit.MICROSECONDS));
         this.bounds = Bounds.within(config.sockets(), config.memoryMb());
         // Only a process on a handed socket can have another beside it.
-        this.sibling = platform.accepted() == null ? null : new Sibling(group, timers, log, null);
-        this.front = new Front(bounds, clock, arrivals, timers, sibling);
+        this.sibling = platform.accepted() == null ? null : new Sibling(group, timers, log, null, channels);
+        this.front = new Front(bounds, clock, arrivals, timers, sibling, channels);
     }
 
     /** Starts the decisions of a node, which ask for what they want done by these actions. */
@@ -107,18 +110,24 @@
 
     /** Starts a node with what the platform hands over. */
     public static NodeServer start(NodeConfig config, Platform platform, Clock clock, Log log) throws Exception {
+        return start(config, platform, clock, log, ChannelProvider.SOCKETS);
+    }
+
+    /** Starts a node on channels of the caller's making. */
+    static NodeServer start(NodeConfig config, Platform platform, Clock clock, Log log, ChannelProvider channels)
+            throws Exception {
         return start(config, platform, clock, log,
-                (told, now, actions) -> new Choice(told.settings(), told.seed(), now, actions));
+                (told, now, actions) -> new Choice(told.settings(), told.seed(), now, actions), channels);
     }
 
     /** Starts a node round other decisions than the module's, for those that hold the two against each other. */
     public static NodeServer start(NodeConfig config, Clock clock, Log log, Decisions decisions) throws Exception {
-        return start(config, Platform.NONE, clock, log, decisions);
+        return start(config, Platform.NONE, clock, log, decisions, ChannelProvider.SOCKETS);
     }
 
     private static NodeServer start(NodeConfig config, Platform platform, Clock clock, Log log,
-            Decisions decisions) throws Exception {
-        NodeServer server = new NodeServer(config, platform, clock, log, decisions);
+            Decisions decisions, ChannelProvider channels) throws Exception {
+        NodeServer server = new NodeServer(config, platform, clock, log, decisions, channels);
         try {
             for (ChannelFuture bound : server.loop.submit(server::assemble).get()) {
                 bound.get();
@@ -140,8 +149,9 @@
 
     private List<ChannelFuture> assemble() {
         ConnectionPool pool = new ConnectionPool(clock, timers, config.connectionIdle(), bounds.workers());
-        WorkerClient workers = new WorkerClient(group, clock, timers, pool, config.connectTimeout(), log);
-        UdpPeers peers = new UdpPeers(config.peers(), config.peersAll(), log);
+        WorkerClient workers = new WorkerClient(group, clock, timers, pool, config.connectTimeout(), log,
+                channels);
+        UdpPeers peers = new UdpPeers(config.peers(), config.peersAll(), log, channels);
         Node node = new Node(new Node.Surroundings(clock, timers, loop, workers, peers, log), room(),
                 actions -> decisions.start(config, clock.now(), actions));
         StateFile state = platform.state() == null ? null : new StateFile(platform.state().resolve(MAINTENANCE_FILE));
@@ -160,7 +170,7 @@
             Admin admin = new Admin(new Admin.Parts(node, front, sibling, classes, state, () -> reloadsOk,
                     () -> reloadsFailed),
                     loop, timers, log, CALLERS);
-            ChannelFuture listening = admin.listen(group, config.admin());
+            ChannelFuture listening = admin.listen(group, config.admin(), channels);
             adminChannel = listening.channel();
             bound.add(listening);
             if (platform.state() != null && sibling != null) {
@@ -177,7 +187,8 @@
         }
         double pause = config.settings().asks() ? DiscoveryWatch.ASKED_MOST : DiscoveryWatch.PUSHED_MOST;
         discovery = new Discovery((address, whenListed) ->
-                new DiscoveryWatch(group, address, config.memberReader(), node, timers, log, pause, whenListed));
+                new DiscoveryWatch(group, address, config.memberReader(), node, timers, log, pause, whenListed,
+                        channels));
         discovery.watch(config.discovery());
         return bound;
     }
--- a/node/src/main/java/ferngrade/net/Sibling.java
+++ b/node/src/main/java/ferngrade/net/Sibling.java
@@ -1,5 +1,6 @@
 package ferngrade.net;
 
+import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Log;
 import ferngrade.node.Timers;
 import io.netty.bootstrap.Bootstrap;
@@ -11,7 +12,6 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -39,9 +39,12 @@
     private final EventLoopGroup group;
     private final Timers timers;
     private final Log log;
+    private final ChannelProvider channels;
     private InetSocketAddress address;
 
-    Sibling(EventLoopGroup group, Timers timers, Log log, InetSocketAddress address) {
+    Sibling(EventLoopGroup group, Timers timers, Log log, InetSocketAddress address,
+            ChannelProvider channels) {
+        this.channels = channels;
         this.group = group;
         this.timers = timers;
         this.log = log;
@@ -84,7 +87,8 @@
                 status.accept(code);
             }
         };
-        ChannelFuture connected = new Bootstrap().group(group).channel(NioSocketChannel.class)
+        ChannelFuture connected = new Bootstrap().group(group)
+                .channelFactory(() -> channels.connection(Purpose.HANDOVER))
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) PATIENCE)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
--- a/node/src/main/java/ferngrade/net/UdpPeers.java
+++ b/node/src/main/java/ferngrade/net/UdpPeers.java
@@ -12,7 +12,6 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
-import io.netty.channel.socket.nio.NioDatagramChannel;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.List;
@@ -27,10 +26,12 @@
     private final List<InetSocketAddress> addresses;
     private final InetSocketAddress all;
     private final Log log;
+    private final ChannelProvider channels;
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
     private Channel channel;
 
-    UdpPeers(List<InetSocketAddress> addresses, InetSocketAddress all, Log log) {
+    UdpPeers(List<InetSocketAddress> addresses, InetSocketAddress all, Log log, ChannelProvider channels) {
+        this.channels = channels;
         this.addresses = addresses;
         this.all = all;
         this.log = log;
@@ -43,7 +44,7 @@
     ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, BiConsumer<Integer, byte[]> hearer) {
         // Shared for a while with the next process of this node, which an upgrade starts beside this one: both send
         // from the address that the peers know.
-        ChannelFuture bound = new Bootstrap().group(group).channel(NioDatagramChannel.class)
+        ChannelFuture bound = new Bootstrap().group(group).channelFactory(channels::datagrams)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -2,6 +2,7 @@
 
 import ferngrade.Dispatcher.Outcome;
 import ferngrade.Dispatcher.Report;
+import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Call;
 import ferngrade.node.Clock;
 import ferngrade.node.Log;
@@ -14,7 +15,6 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -40,12 +40,13 @@
     private final Bootstrap bootstrap;
 
     WorkerClient(EventLoopGroup group, Clock clock, Timers timers, ConnectionPool pool, double connectTimeout,
-            Log log) {
+            Log log, ChannelProvider channels) {
         this.clock = clock;
         this.timers = timers;
         this.pool = pool;
         this.log = log;
-        this.bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
+        this.bootstrap = new Bootstrap().group(group)
+                .channelFactory(() -> channels.connection(Purpose.WORKERS))
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(connectTimeout))
                 .handler(new ChannelInitializer<Channel>() {
--- a/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
@@ -263,7 +263,7 @@
         Node node = new Node(new Node.Surroundings(() -> now, timers, loop, null, (peer, message) -> { }, log),
                 new Node.Room(1, 1, 0), actions -> new Choice(settings.build(), 7, now, actions));
         new DiscoveryWatch(group, discovery, new MemberReader(List.of(), List.of()), node, timers, log,
-                DiscoveryWatch.PUSHED_MOST, () -> { })
+                DiscoveryWatch.PUSHED_MOST, () -> { }, ChannelProvider.SOCKETS)
                 .start();
         return node;
     }
--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -21,6 +21,8 @@
     /** Discovery's end of the node's watch, where the node was started with a list. */
     RawHttp watch;
     NodeServer node;
+    /** What the node's channels are made by; a story that makes them fail sets it before the start. */
+    ChannelProvider channels = ChannelProvider.SOCKETS;
 
     @BeforeMethod
     public void listen() throws IOException {
@@ -70,7 +72,7 @@
     }
 
     void start(NodeConfig config, Clock clock) throws Exception {
-        node = NodeServer.start(config, clock, new Log(clock, line -> { }));
+        node = NodeServer.start(config, NodeServer.Platform.NONE, clock, new Log(clock, line -> { }), channels);
     }
 
     /**
--- a/node/src/test/java/ferngrade/net/UdpPeersTest.java
+++ b/node/src/test/java/ferngrade/net/UdpPeersTest.java
@@ -25,7 +25,8 @@
         InetAddress here = InetAddress.getLoopbackAddress();
         try (DatagramSocket peer = new DatagramSocket(0, here); DatagramSocket stranger = new DatagramSocket(0, here)) {
             List<InetSocketAddress> peers = List.of((InetSocketAddress) peer.getLocalSocketAddress());
-            UdpPeers udp = new UdpPeers(peers, null, new Log(() -> 0, line -> told.add("logged")));
+            UdpPeers udp = new UdpPeers(peers, null, new Log(() -> 0, line -> told.add("logged")),
+                    ChannelProvider.SOCKETS);
             InetSocketAddress own = (InetSocketAddress) udp.listen(group, new InetSocketAddress(here, 0),
                     (from, body) -> told.add(from + ":" + body.length)).sync().channel().localAddress();
             stranger.send(new DatagramPacket(new byte[7], 7, own));
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -54,7 +54,7 @@
             timers = new Timers(() -> now, (millis, run) -> { });
             pool = new ConnectionPool(() -> now, timers, 60_000, 2);
             client = new WorkerClient(group, () -> now, timers, pool, 100,
-                    new Log(() -> now, line -> { }));
+                    new Log(() -> now, line -> { }), ChannelProvider.SOCKETS);
         }).get();
     }
 
