--- a/node/src/main/java/ferngrade/net/Admin.java
+++ b/node/src/main/java/ferngrade/net/Admin.java
@@ -72,6 +72,7 @@
     ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, ChannelProvider channels) {
         return new ServerBootstrap().group(group).channelFactory(() -> channels.listener(Purpose.ADMIN, null))
                 .option(ChannelOption.SO_REUSEADDR, true)
+                .handler(new AcceptSwitch(timers))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
--- a/node/src/main/java/ferngrade/net/Front.java
+++ b/node/src/main/java/ferngrade/net/Front.java
@@ -1,5 +1,6 @@
 package ferngrade.net;
 
+import ferngrade.net.AcceptSwitch.Reason;
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Clock;
 import ferngrade.node.Log;
@@ -51,6 +52,7 @@
     private final Set<FrontHandler> idle = new LinkedHashSet<>();
     /** What owes something, and since when; the oldest comes first. */
     private final Map<FrontHandler, Double> owing = new LinkedHashMap<>();
+    private final AcceptSwitch acceptSwitch;
     private Channel listener;
     private boolean inherited;
     private Stage stage = Stage.SERVING;
@@ -78,6 +80,7 @@
         this.clock = clock;
         this.arrivals = arrivals;
         this.timers = timers;
+        this.acceptSwitch = new AcceptSwitch(timers);
     }
 
     /**
@@ -92,20 +95,10 @@
             bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true);
         }
         inherited = taken != null;
-        bootstrap.handler(new ChannelInboundHandlerAdapter() {
+        bootstrap.handler(new ChannelInitializer<Channel>() {
             @Override
-            public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-                if (accepts++ == 0 && !more) {
-                    waiting = arrivals.since();
-                }
-                ctx.fireChannelRead(accepted);
-            }
-
-            @Override
-            public void channelReadComplete(ChannelHandlerContext ctx) {
-                more = accepts >= ACCEPTS;
-                accepts = 0;
-                ctx.fireChannelReadComplete();
+            protected void initChannel(Channel channel) {
+                channel.pipeline().addLast(arrivalCounter(), acceptSwitch);
             }
         });
         bootstrap.childOption(ChannelOption.TCP_NODELAY, true)
@@ -124,6 +117,26 @@
         return bound;
     }
 
+    /** Notes since when the connections accepted in one turn may have waited. */
+    private ChannelInboundHandlerAdapter arrivalCounter() {
+        return new ChannelInboundHandlerAdapter() {
+            @Override
+            public void channelRead(ChannelHandlerContext ctx, Object accepted) {
+                if (accepts++ == 0 && !more) {
+                    waiting = arrivals.since();
+                }
+                ctx.fireChannelRead(accepted);
+            }
+
+            @Override
+            public void channelReadComplete(ChannelHandlerContext ctx) {
+                more = accepts >= ACCEPTS;
+                accepts = 0;
+                ctx.fireChannelReadComplete();
+            }
+        };
+    }
+
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
@@ -152,7 +165,7 @@
             stage = Stage.DRAINING;
         }
         if (inherited) {
-            listener.config().setAutoRead(false);
+            acceptSwitch.pause(Reason.HANDED_OVER, true);
         }
     }
 
@@ -275,7 +288,7 @@
                 end(first.iterator().next());
             }
         }
-        listener.config().setAutoRead(open.size() < bounds.front());
+        acceptSwitch.pause(Reason.FULL, open.size() >= bounds.front());
     }
 
     private void end(FrontHandler connection) {
--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -92,7 +92,7 @@
     }
 
     static NodeConfig config(int discoveryPort, String known, String mode) throws Exception {
-        String config = "{'name':'n0','listen':'127.0.0.1:0','discovery':'127.0.0.1:" + discoveryPort
+        String config = "{'name':'n0','listen':'127.0.0.1:0','admin':'127.0.0.1:0','discovery':'127.0.0.1:" + discoveryPort
                 + "','seed':'7','limits':{'sockets':64},'settings':{'Discovery':'" + mode + "','Zones':['z'],'Kinds':['k'],'Tenants':[{'Name':'t','Share':1}],"
                 + "'Extra':{'TellsStart':true},'Ceilings':{'MostTries':5,'ConnectTimeout':5000,'RetryAfter':true,'MaxRetryAfter':2000},"
                 + "'Classes':[{'Name':'order','Effect':'at_most_once','Deadline':9000.0},"
