--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -8,12 +8,9 @@
 import ferngrade.node.Log;
 import ferngrade.node.Timers;
 import ferngrade.node.Workers;
-import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -37,7 +34,7 @@
     private final Timers timers;
     private final ConnectionPool pool;
     private final Log log;
-    private final Bootstrap bootstrap;
+    private final Dialer dialer;
 
     WorkerClient(EventLoopGroup group, Clock clock, Timers timers, ConnectionPool pool, double connectTimeout,
             Log log, ChannelProvider channels) {
@@ -45,11 +42,8 @@
         this.timers = timers;
         this.pool = pool;
         this.log = log;
-        this.bootstrap = new Bootstrap().group(group)
-                .channelFactory(() -> channels.connection(Purpose.WORKERS))
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(connectTimeout))
-                .handler(new ChannelInitializer<Channel>() {
+        this.dialer = new Dialer(group, timers, channels, Purpose.WORKERS, (int) Math.ceil(connectTimeout),
+                new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         new WorkerConnection(pool).addTo(channel.pipeline());
@@ -67,7 +61,7 @@
     @Override
     public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
         Check check = new Check(worker, listener);
-        check.patience = timers.after(CHECK_PATIENCE, () -> check.finish(Outcome.TIMEOUT, Report.NONE));
+        check.patienceTimer = timers.after(CHECK_PATIENCE, check::unanswered);
         start(worker, check);
     }
 
@@ -85,17 +79,42 @@
             log.line("no connection", "no connection left for " + worker);
             transfer.notConnected(Outcome.NEVER_SENT);
         } else {
-            bootstrap.connect(worker).addListener((ChannelFuture connected) -> {
-                if (connected.isSuccess()) {
-                    WorkerConnection fresh = connected.channel().pipeline().get(WorkerConnection.class);
-                    fresh.opened(worker);
-                    fresh.begin(transfer);
-                } else {
-                    pool.unreserve();
-                    log.line("unreachable", "worker cannot be reached: " + connected.cause().getMessage());
-                    transfer.notConnected(Outcome.CONNECT_FAILED);
-                }
-            });
+            dialer.dial(worker, transfer.patience(), new TransferDial(worker, transfer));
+        }
+    }
+
+    /** Dials for a transfer, in the place of the pool that is reserved for it. */
+    private final class TransferDial implements Dialer.Listener {
+        private final InetSocketAddress worker;
+        private final Transfer transfer;
+
+        TransferDial(InetSocketAddress worker, Transfer transfer) {
+            this.worker = worker;
+            this.transfer = transfer;
+        }
+
+        @Override
+        public boolean wanted() {
+            return transfer.wanted();
+        }
+
+        @Override
+        public void delayed() {
+            transfer.delayedLocally = true;
+        }
+
+        @Override
+        public void connected(Channel channel) {
+            WorkerConnection fresh = channel.pipeline().get(WorkerConnection.class);
+            fresh.opened(worker);
+            fresh.begin(transfer);
+        }
+
+        @Override
+        public void failed(FaultOrigin origin, Throwable cause) {
+            pool.unreserve();
+            log.line("unreachable", "worker cannot be reached: " + cause.getMessage());
+            transfer.notConnected(origin == FaultOrigin.LOCAL ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
         }
     }
 
@@ -108,6 +127,15 @@
 
     /** One request to a worker and its answer. */
     abstract static class Transfer {
+        /** It waits, or has waited, for what this machine lacks: not to have got through is not the worker's fault. */
+        boolean delayedLocally;
+
+        /** For how many ms to dial again where this machine fails the dial. */
+        abstract double patience();
+
+        /** False if there is nothing to write any more. */
+        abstract boolean wanted();
+
         /** The request to write; null if there is nothing to write any more. */
         abstract FullHttpRequest request();
 
@@ -118,8 +146,8 @@
 
         abstract void answered(FullHttpResponse response);
 
-        /** The connection ended before the answer. */
-        abstract void broken();
+        /** The connection ended before the answer; LOCAL: by a lack of this machine. */
+        abstract void broken(FaultOrigin origin);
 
         abstract void notConnected(Outcome outcome);
     }
@@ -140,6 +168,21 @@
             this.listener = listener;
         }
 
+        @Override
+        double patience() {
+            return until - clock.now();
+        }
+
+        @Override
+        boolean wanted() {
+            return stage != Stage.OVER && listener.mayStart();
+        }
+
+        @Override
+        public boolean delayedLocally() {
+            return delayedLocally;
+        }
+
         @Override
         FullHttpRequest request() {
             if (stage == Stage.OVER) {
@@ -195,10 +238,27 @@
         }
 
         @Override
-        void broken() {
+        void broken(FaultOrigin origin) {
             carrier = null;
             // Before the last byte the worker cannot have begun; from then on nobody knows.
-            end(stage == Stage.WRITTEN ? Outcome.RESET : Outcome.CONNECT_FAILED, Report.NONE);
+            boolean mayRun = stage == Stage.WRITTEN;
+            if (origin != FaultOrigin.LOCAL) {
+                end(mayRun ? Outcome.RESET : Outcome.CONNECT_FAILED, Report.NONE);
+            } else if (mayRun) {
+                end(Outcome.CANCELLED, Report.NONE);
+            } else if (stage == Stage.WRITING) {
+                stage = Stage.DIALLED;
+                delayedLocally = true;
+                timers.after(Dialer.BACKOFF, this::startAgain);
+            }
+        }
+
+        private void startAgain() {
+            if (wanted()) {
+                start(worker, this);
+            } else {
+                end(Outcome.NEVER_SENT, Report.NONE);
+            }
         }
 
         @Override
@@ -241,7 +301,7 @@
         private final String id;
         private final Runnable told;
         private WorkerConnection carrier;
-        private Timers.Timer patience;
+        private Timers.Timer patienceTimer;
         private boolean again = true;
         private boolean said;
 
@@ -251,6 +311,16 @@
             this.told = told;
         }
 
+        @Override
+        double patience() {
+            return CANCEL_PATIENCE;
+        }
+
+        @Override
+        boolean wanted() {
+            return true;
+        }
+
         @Override
         FullHttpRequest request() {
             return WorkerClient.request(HttpMethod.DELETE, "/jobs/" + id, worker, new byte[0]);
@@ -259,7 +329,7 @@
         @Override
         void carriedBy(WorkerConnection connection) {
             carrier = connection;
-            patience = timers.after(CANCEL_PATIENCE, connection::close);
+            patienceTimer = timers.after(CANCEL_PATIENCE, connection::close);
         }
 
         @Override
@@ -269,14 +339,14 @@
 
         @Override
         void answered(FullHttpResponse response) {
-            patience.cancel();
+            patienceTimer.cancel();
         }
 
         /** An idle connection may have been closed under the word; it harms nobody said twice. */
         @Override
-        void broken() {
-            patience.cancel();
-            if (again && carrier.reusedAfter >= 0) {
+        void broken(FaultOrigin origin) {
+            patienceTimer.cancel();
+            if (again && (carrier.reusedAfter >= 0 || origin == FaultOrigin.LOCAL)) {
                 again = false;
                 dial(worker, this);
             } else {
@@ -302,7 +372,7 @@
         private final InetSocketAddress worker;
         private final BiConsumer<Outcome, Report> listener;
         private WorkerConnection carrier;
-        private Timers.Timer patience;
+        private Timers.Timer patienceTimer;
         private boolean finished;
 
         Check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
@@ -310,6 +380,20 @@
             this.listener = listener;
         }
 
+        @Override
+        double patience() {
+            return CHECK_PATIENCE;
+        }
+
+        @Override
+        boolean wanted() {
+            return !finished;
+        }
+
+        void unanswered() {
+            finish(delayedLocally ? Outcome.NEVER_SENT : Outcome.TIMEOUT, Report.NONE);
+        }
+
         @Override
         FullHttpRequest request() {
             return finished ? null : WorkerClient.request(HttpMethod.GET, "/-/load", worker, new byte[0]);
@@ -329,9 +413,9 @@
         }
 
         @Override
-        void broken() {
+        void broken(FaultOrigin origin) {
             carrier = null;
-            finish(Outcome.RESET, Report.NONE);
+            finish(origin == FaultOrigin.LOCAL ? Outcome.NEVER_SENT : Outcome.RESET, Report.NONE);
         }
 
         @Override
@@ -342,7 +426,7 @@
         private void finish(Outcome outcome, Report report) {
             if (!finished) {
                 finished = true;
-                patience.cancel();
+                patienceTimer.cancel();
                 if (carrier != null) {
                     carrier.close();
                 }
--- a/node/src/main/java/ferngrade/net/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/net/WorkerConnection.java
@@ -33,6 +33,8 @@
     /** How long it stood idle before its present transfer, ms; negative if that is its first. */
     double reusedAfter = -1;
     private boolean endedHere;
+    /** What broke the connection, where the system has said so. */
+    private Throwable fault;
 
     /** Knows whether more has come than the answer that it has just passed on. */
     private static final class AnswerDecoder extends HttpResponseDecoder {
@@ -95,6 +97,7 @@
             if (written.isSuccess() && transfer == next) {
                 next.written();
             } else if (!written.isSuccess()) {
+                fault = written.cause();
                 close();
             }
         });
@@ -122,6 +125,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        fault = cause;
         ctx.close();
     }
 
@@ -141,7 +145,8 @@
         Transfer broken = transfer;
         transfer = null;
         if (broken != null) {
-            broken.broken();
+            // Netty closes the channel first and fails the write that broke it behind that: its cause counts here.
+            context.executor().execute(() -> broken.broken(FaultOrigin.of(fault)));
         }
     }
 }
--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/Node.java
@@ -350,20 +350,28 @@
             offer(() -> {
                 if (!attempt.ended) {
                     attempt.sending.giveUp(() -> { });
-                    end(attempt, attempt.written ? ifWritten : ifNot, Report.NONE);
+                    end(attempt, attempt.written ? ifWritten : unwritten(attempt, ifNot), Report.NONE);
                 }
             });
         }
     }
 
+    /** How an attempt ends that was not written: a worker is not to blame for what this machine lacked. */
+    private static Outcome unwritten(Attempt attempt, Outcome otherwise) {
+        return attempt.sending.delayedLocally() ? Outcome.NEVER_SENT : otherwise;
+    }
+
     /**
      * The worker has not taken the job, and its client still waits: another attempt may follow. That must not
      * overtake the word to this worker, whose 202 may be under way.
      */
     private void notAccepted(Attempt attempt) {
-        if (!attempt.ended && !attempt.calledBack) {
+        if (!attempt.ended && !attempt.written && attempt.sending.delayedLocally()) {
+            attempt.acceptance = timers.after(ACCEPTANCE, () -> notAccepted(attempt));
+        } else if (!attempt.ended && !attempt.calledBack) {
             attempt.sending.giveUp(() -> offer(() ->
-                    end(attempt, attempt.written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED, Report.NONE)));
+                    end(attempt, attempt.written ? Outcome.TIMEOUT : unwritten(attempt, Outcome.CONNECT_FAILED),
+                            Report.NONE)));
         }
     }
 
--- a/node/src/main/java/ferngrade/node/Workers.java
+++ b/node/src/main/java/ferngrade/node/Workers.java
@@ -23,6 +23,11 @@
          * worker has been told so or cannot be; at once if it cannot have begun.
          */
         void giveUp(Runnable told);
+
+        /** True if it has waited for what this machine lacks, so that it was late by no fault of the worker. */
+        default boolean delayedLocally() {
+            return false;
+        }
     }
 
     /** Hears of one call on its way. */
--- a/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
@@ -22,9 +22,15 @@
     private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
     private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
+    /** How long a fault lasts that lasts, ms on the node's clock, and how soon after it service has to be back. */
+    private static final double OUTAGE = 2000;
+    private static final double SERVICE_BACK = 100;
     /** Accepts that fail in a row where the fault lasts: Netty would pause for a second after each. */
     private static final int FAILED_ACCEPTS = 5;
 
+    private static final List<Errno> LOCAL = List.of(Errno.EADDRNOTAVAIL, Errno.ENOBUFS, Errno.EMFILE, Errno.ENFILE,
+            Errno.ENOMEM, Errno.ENETUNREACH);
+
     private FaultInjectingChannels faults;
 
     private enum Pattern { ONCE, FOR_A_WHILE, EVERY_SECOND_CALL }
@@ -68,13 +74,50 @@
         assertTrue(millis < 900, "no pause of a second: " + millis + " ms");
     }
 
-    /** Brings one job, which the worker gets once. */
-    private void serve(String id) throws Exception {
+    @DataProvider
+    public Object[][] sendFaults() {
+        List<Object[]> all = new ArrayList<>();
+        for (SystemCall call : List.of(SystemCall.SOCKET, SystemCall.CONNECT, SystemCall.WRITE)) {
+            for (Errno errno : LOCAL) {
+                for (Pattern pattern : Pattern.values()) {
+                    all.add(new Object[] {call, errno, pattern});
+                }
+            }
+        }
+        return all.toArray(Object[][]::new);
+    }
+
+    @Test(dataProvider = "sendFaults")
+    public void sendThatThisMachineFailsIsMadeAgainAndNoWorkerIsEjected(SystemCall call, Errno errno, Pattern pattern)
+            throws Exception {
+        start(list(1, "active"), () -> now);
+        double end = now + OUTAGE;
+        faults.fail(Purpose.WORKERS, call, errno, switch (pattern) {
+            case ONCE -> FaultInjectingChannels.once();
+            case FOR_A_WHILE -> () -> now < end;
+            case EVERY_SECOND_CALL -> FaultInjectingChannels.everySecondCall();
+        });
+        for (String id : List.of("a", "b", "c")) {
+            serve(id, pattern == Pattern.FOR_A_WHILE ? end : now);
+            assertNoWorkerEjected();
+        }
+        assertTrue(faults.raised.get() > 0, "the call has failed");
+    }
+
+    /** Brings one job, which the worker gets once, within 100 ms of the end of the fault. */
+    private void serve(String id, double faultEnds) throws Exception {
         try (RawHttp client = RawHttp.to(node.address())) {
+            int raised = faults.raised.get();
             client.write(RawHttp.message(job("POST /api", id, "order"), ""));
-            try (RawHttp worked = new RawHttp(worker.accept())) {
-                Message job = worked.read();
-                assertEquals(job.headers().get("Req-Id"), id);
+            settled();
+            while (now < faultEnds) {
+                now += SERVICE_BACK;
+                settled();
+            }
+            if (faults.raised.get() > raised) {
+                now += SERVICE_BACK;
+            }
+            try (RawHttp worked = connectionWith(id)) {
                 worked.write(TAKEN);
                 settled();
                 assertEquals(callBack(id, DONE), 204);
@@ -85,11 +128,32 @@
         }
     }
 
+    /** The node's connection that brings this job; on those before it, a write has failed. */
+    private RawHttp connectionWith(String id) throws Exception {
+        while (true) {
+            RawHttp accepted = new RawHttp(worker.accept());
+            Message job = accepted.read();
+            if (job != null) {
+                assertEquals(job.headers().get("Req-Id"), id);
+                return accepted;
+            }
+            accepted.close();
+        }
+    }
+
+    private void assertNoWorkerEjected() throws Exception {
+        try (RawHttp operator = RawHttp.to(node.adminAddress())) {
+            String metrics = operator.write("GET /-/metrics HTTP/1.1\r\n\r\n").read().body();
+            assertTrue(metrics.contains("menu_workers_excluded=0\n"), metrics);
+            assertTrue(metrics.contains("failed.order=0\n"), metrics);
+        }
+    }
+
     @Test
     public void readsAndWritesOfOneByteEachCarryWholeRequests() throws Exception {
         faults.oneByte = true;
         start(list(1, "active"), () -> now);
-        serve("a");
-        serve("b");
+        serve("a", now);
+        serve("b", now);
     }
 }
