--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -9,14 +9,11 @@
 import ferngrade.node.Log;
 import ferngrade.node.Node;
 import ferngrade.node.Timers;
-import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.LineBasedFrameDecoder;
@@ -64,6 +61,11 @@
     static final double PUSHED_MOST = 100;
     static final double ASKED_MOST = 500;
     private static final int CONNECT_TIMEOUT = 1000;
+    /**
+     * How long a lack of this machine says nothing of discovery, ms; each {@link Dialer#BACKOFF} another try is made
+     * meanwhile. Only then does the list count as one that cannot be had.
+     */
+    private static final double LOCAL_PATIENCE = 2500;
     /** The longest line, in bytes: a whole list of some thousand workers. */
     private static final int LONGEST_LINE = 1 << 20;
 
@@ -74,7 +76,7 @@
     private final Log log;
     private final double retryMost;
     private final Runnable whenListed;
-    private final Bootstrap bootstrap;
+    private final Dialer dialer;
     /** The connection whose word counts, null while there is none. */
     private Channel channel;
     private ObjectLines lines;
@@ -99,11 +101,8 @@
         this.timers = timers;
         this.log = log;
         this.whenListed = whenListed;
-        this.bootstrap = new Bootstrap().group(group)
-                .channelFactory(() -> channels.connection(Purpose.DISCOVERY))
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT)
-                .handler(new ChannelInitializer<Channel>() {
+        this.dialer = new Dialer(group, timers, channels, Purpose.DISCOVERY, CONNECT_TIMEOUT,
+                new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(), new BodyHandler(),
@@ -128,18 +127,31 @@
 
     /** Opens the watch; it keeps itself open from here on. */
     void start() {
-        if (stopped) {
-            return;
+        if (!stopped) {
+            dialer.dial(discovery, LOCAL_PATIENCE, new WatchDial());
+        }
+    }
+
+    /** Dials for the watch. */
+    private final class WatchDial implements Dialer.Listener {
+        @Override
+        public boolean wanted() {
+            return !stopped;
         }
-        bootstrap.connect(discovery).addListener((ChannelFuture connected) -> {
+
+        @Override
+        public void connected(Channel opened) {
             if (stopped) {
-                connected.channel().close();
-            } else if (connected.isSuccess()) {
-                watch(connected.channel());
+                opened.close();
             } else {
-                again("cannot be reached: " + connected.cause().getMessage());
+                watch(opened);
             }
-        });
+        }
+
+        @Override
+        public void failed(FaultOrigin origin, Throwable cause) {
+            again("cannot be reached: " + cause.getMessage());
+        }
     }
 
     private void watch(Channel opened) {
--- a/node/src/main/java/ferngrade/net/Sibling.java
+++ b/node/src/main/java/ferngrade/net/Sibling.java
@@ -3,13 +3,11 @@
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Log;
 import ferngrade.node.Timers;
-import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -35,6 +33,11 @@
 final class Sibling {
     /** How long a hand-over may take, ms: the worker waits for its answer meanwhile. */
     private static final double PATIENCE = 500;
+    /** How long to try to say where this process is, ms, where this machine fails it. */
+    private static final double ANNOUNCE_PATIENCE = 5000;
+    private static final int CONNECT_TIMEOUT = 500;
+    /** What stands for the other process's answer where there was none. */
+    private static final int NO_ANSWER = -1;
 
     private final EventLoopGroup group;
     private final Timers timers;
@@ -67,67 +70,98 @@
     /** Tells the other process where this one takes calls. */
     void announce(InetSocketAddress own) {
         if (address != null) {
-            call("/-/sibling", own.getHostString() + ":" + own.getPort(), status -> { });
+            call("/-/sibling", own.getHostString() + ":" + own.getPort(), ANNOUNCE_PATIENCE, status -> { });
         }
     }
 
     /** Hands a call-back on; {@code status} gets the other's answer, or -1 where it could not be had. */
     void relay(String news, IntConsumer status) {
         if (address == null) {
-            status.accept(-1);
+            status.accept(NO_ANSWER);
             return;
         }
-        call("/-/news", news, status);
+        call("/-/news", news, PATIENCE, status);
     }
 
-    private void call(String path, String body, IntConsumer status) {
-        int[] once = {0};
-        IntConsumer answer = code -> {
-            if (once[0]++ == 0) {
-                status.accept(code);
-            }
-        };
-        ChannelFuture connected = new Bootstrap().group(group)
-                .channelFactory(() -> channels.connection(Purpose.HANDOVER))
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) PATIENCE)
-                .handler(new ChannelInitializer<Channel>() {
+    private void call(String path, String body, double patience, IntConsumer status) {
+        Relay relay = new Relay(path, body, status);
+        timers.after(patience, () -> relay.end(NO_ANSWER));
+        Dialer dialer = new Dialer(group, timers, channels, Purpose.HANDOVER, CONNECT_TIMEOUT,
+                new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Admin.MOST_CALL),
-                                new SimpleChannelInboundHandler<FullHttpResponse>() {
-                                    @Override
-                                    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse got) {
-                                        answer.accept(got.status().code());
-                                        ctx.close();
-                                    }
-
-                                    @Override
-                                    public void channelInactive(ChannelHandlerContext ctx) {
-                                        answer.accept(-1);
-                                    }
-
-                                    @Override
-                                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                                        ctx.close();
-                                    }
-                                });
+                                relay);
                     }
-                }).connect(address);
-        Channel channel = connected.channel();
-        connected.addListener(done -> {
-            if (!done.isSuccess()) {
-                answer.accept(-1);
+                });
+        dialer.dial(address, patience, relay);
+    }
+
+    /**
+     * One call to the other process; {@code status} gets its answer, or the lack of one, once. Each try of its dial has
+     * a channel of its own, hence sharable; at most one of them comes up.
+     */
+    @ChannelHandler.Sharable
+    private static final class Relay extends SimpleChannelInboundHandler<FullHttpResponse> implements Dialer.Listener {
+        private final String path;
+        private final String body;
+        private final IntConsumer status;
+        private Channel channel;
+        private boolean ended;
+
+        Relay(String path, String body, IntConsumer status) {
+            this.path = path;
+            this.body = body;
+            this.status = status;
+        }
+
+        @Override
+        public boolean wanted() {
+            return !ended;
+        }
+
+        @Override
+        public void connected(Channel opened) {
+            if (ended) {
+                opened.close();
                 return;
             }
+            channel = opened;
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path,
                     Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
             HttpUtil.setContentLength(request, request.content().readableBytes());
             request.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            channel.writeAndFlush(request);
-        });
-        timers.after(PATIENCE, () -> {
-            answer.accept(-1);
-            channel.close();
-        });
+            opened.writeAndFlush(request);
+        }
+
+        @Override
+        public void failed(FaultOrigin origin, Throwable cause) {
+            end(NO_ANSWER);
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
+            end(answer.status().code());
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            end(NO_ANSWER);
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            end(NO_ANSWER);
+        }
+
+        private void end(int answer) {
+            if (!ended) {
+                ended = true;
+                if (channel != null) {
+                    channel.close();
+                }
+                status.accept(answer);
+            }
+        }
     }
 }
--- a/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
@@ -8,7 +8,13 @@
 import ferngrade.net.FaultInjectingChannels.SystemCall;
 import ferngrade.net.RawHttp.Message;
 import ferngrade.node.Clock;
+import ferngrade.node.Log;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -76,8 +82,17 @@
 
     @DataProvider
     public Object[][] sendFaults() {
+        return localFaults(SystemCall.SOCKET, SystemCall.CONNECT, SystemCall.WRITE);
+    }
+
+    @DataProvider
+    public Object[][] dialFaults() {
+        return localFaults(SystemCall.SOCKET, SystemCall.CONNECT);
+    }
+
+    private static Object[][] localFaults(SystemCall... calls) {
         List<Object[]> all = new ArrayList<>();
-        for (SystemCall call : List.of(SystemCall.SOCKET, SystemCall.CONNECT, SystemCall.WRITE)) {
+        for (SystemCall call : calls) {
             for (Errno errno : LOCAL) {
                 for (Pattern pattern : Pattern.values()) {
                     all.add(new Object[] {call, errno, pattern});
@@ -87,35 +102,113 @@
         return all.toArray(Object[][]::new);
     }
 
-    @Test(dataProvider = "sendFaults")
-    public void sendThatThisMachineFailsIsMadeAgainAndNoWorkerIsEjected(SystemCall call, Errno errno, Pattern pattern)
-            throws Exception {
-        start(list(1, "active"), () -> now);
-        double end = now + OUTAGE;
-        faults.fail(Purpose.WORKERS, call, errno, switch (pattern) {
+    /** Has the call fail in this pattern, and says when that is over. */
+    private double fail(Purpose purpose, SystemCall call, Errno errno, Pattern pattern) {
+        double end = pattern == Pattern.FOR_A_WHILE ? now + OUTAGE : now;
+        faults.fail(purpose, call, errno, switch (pattern) {
             case ONCE -> FaultInjectingChannels.once();
             case FOR_A_WHILE -> () -> now < end;
             case EVERY_SECOND_CALL -> FaultInjectingChannels.everySecondCall();
         });
+        return end;
+    }
+
+    /** Returns once the outage is over and the node has had the time in which service has to be back. */
+    private void passOutage(double faultEnds) throws Exception {
+        settled();
+        while (now < faultEnds) {
+            now += SERVICE_BACK;
+            settled();
+        }
+        now += SERVICE_BACK;
+    }
+
+    @Test(dataProvider = "sendFaults")
+    public void sendThatThisMachineFailsIsMadeAgainAndNoWorkerIsEjected(SystemCall call, Errno errno, Pattern pattern)
+            throws Exception {
+        start(list(1, "active"), () -> now);
+        double end = fail(Purpose.WORKERS, call, errno, pattern);
         for (String id : List.of("a", "b", "c")) {
-            serve(id, pattern == Pattern.FOR_A_WHILE ? end : now);
+            serve(id, end);
             assertNoWorkerEjected();
         }
         assertTrue(faults.raised.get() > 0, "the call has failed");
     }
 
+    @Test(dataProvider = "dialFaults")
+    public void dialOfDiscoveryThatThisMachineFailsDoesNotMakeAnOldListCount(SystemCall call, Errno errno,
+            Pattern pattern) throws Exception {
+        double end = fail(Purpose.DISCOVERY, call, errno, pattern);
+        start(config(discovery.getLocalPort(), list(1, "active")), () -> now);
+        settled();
+        try (RawHttp client = RawHttp.to(node.address())) {
+            assertEquals(client.write(READY).read().status(), 503, "the old list does not count");
+        }
+        passOutage(end);
+        watch = new RawHttp(discovery.accept());
+        watch.read();
+        watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(2, "active") + "\n"));
+        try (RawHttp client = RawHttp.to(node.address())) {
+            awaitReadiness(client, 200);
+        }
+        assertTrue(faults.raised.get() > 0, "the call has failed");
+    }
+
+    @Test(dataProvider = "dialFaults")
+    public void processOnASocketHandedOverTellsTheOtherOneWhereItIs(SystemCall call, Errno errno, Pattern pattern)
+            throws Exception {
+        double end = fail(Purpose.HANDOVER, call, errno, pattern);
+        try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+                RawHttp client = startBeside(other)) {
+            other.setSoTimeout(5_000);
+            client.write(READY).read();
+            passOutage(end);
+            try (RawHttp told = new RawHttp(other.accept())) {
+                Message message = told.read();
+                assertEquals(message.start(), "POST /-/sibling HTTP/1.1");
+                assertTrue(message.body().endsWith(":" + node.adminAddress().getPort()), message.body());
+            }
+        }
+    }
+
+    @Test(dataProvider = "dialFaults")
+    public void callBackForTheOtherProcessIsHandedOn(SystemCall call, Errno errno, Pattern pattern) throws Exception {
+        try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
+                RawHttp caller = startBeside(other)) {
+            other.setSoTimeout(5_000);
+            other.accept().close();
+            double end = fail(Purpose.HANDOVER, call, errno, pattern == Pattern.FOR_A_WHILE ? Pattern.ONCE : pattern);
+            String news = "{\"id\":\"a\",\"from\":\"s-1\"," + DONE + "}";
+            caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", news));
+            passOutage(end);
+            try (RawHttp relayed = new RawHttp(other.accept())) {
+                assertEquals(relayed.read().body(), news);
+                relayed.write("HTTP/1.1 204 No Content\r\n\r\n");
+            }
+            assertEquals(caller.read().status(), 204);
+            assertTrue(faults.raised.get() > 0, "the call has failed");
+        }
+    }
+
+    /** Starts the node on a socket handed over, beside an earlier process at this address; opens a connection to it. */
+    private RawHttp startBeside(ServerSocket other) throws Exception {
+        Path folder = Files.createTempDirectory("handover");
+        Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + other.getLocalPort());
+        ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
+                InetAddress.getLoopbackAddress(), 0));
+        node = NodeServer.start(config(discovery.getLocalPort(), null), new NodeServer.Platform(clients, folder),
+                () -> now, new Log(() -> now, line -> { }), channels);
+        return RawHttp.to(node.address());
+    }
+
     /** Brings one job, which the worker gets once, within 100 ms of the end of the fault. */
     private void serve(String id, double faultEnds) throws Exception {
         try (RawHttp client = RawHttp.to(node.address())) {
             int raised = faults.raised.get();
             client.write(RawHttp.message(job("POST /api", id, "order"), ""));
             settled();
-            while (now < faultEnds) {
-                now += SERVICE_BACK;
-                settled();
-            }
             if (faults.raised.get() > raised) {
-                now += SERVICE_BACK;
+                passOutage(faultEnds);
             }
             try (RawHttp worked = connectionWith(id)) {
                 worked.write(TAKEN);
