--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -2,9 +2,12 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
+import static org.testng.Assert.assertTrue;
 
 import ferngrade.Dispatcher.Outcome;
 import ferngrade.Dispatcher.Report;
+import ferngrade.net.ChannelProvider.Purpose;
+import ferngrade.net.FaultInjectingChannels.SystemCall;
 import ferngrade.net.RawHttp.Message;
 import ferngrade.node.Call;
 import ferngrade.node.Log;
@@ -24,6 +27,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** Attempts on their way to a scripted worker, on a clock that the story sets. */
@@ -40,10 +44,12 @@
     private Timers timers;
     private ConnectionPool pool;
     private WorkerClient client;
+    private FaultInjectingChannels faults;
 
     @BeforeMethod
     public void start() throws Exception {
         told = new LinkedBlockingQueue<>();
+        faults = new FaultInjectingChannels();
         group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         loop = group.next();
         now = 0;
@@ -54,7 +60,7 @@
             timers = new Timers(() -> now, (millis, run) -> { });
             pool = new ConnectionPool(() -> now, timers, 60_000, 2);
             client = new WorkerClient(group, () -> now, timers, pool, 100,
-                    new Log(() -> now, line -> { }), ChannelProvider.SOCKETS);
+                    new Log(() -> now, line -> { }), faults);
         }).get();
     }
 
@@ -173,6 +179,79 @@
         assertEquals(told.take(), "written");
     }
 
+    @DataProvider
+    public Object[][] transferFaults() {
+        return new Object[][] {
+            {SystemCall.READ, Errno.ETIMEDOUT, List.of("written", "RESET")},
+            {SystemCall.READ, Errno.EHOSTUNREACH, List.of("written", "RESET")},
+            {SystemCall.READ, Errno.ECONNRESET, List.of("written", "RESET")},
+            // It may have run, but the worker is not to blame.
+            {SystemCall.READ, Errno.ENOMEM, List.of("written", "CANCELLED")},
+            {SystemCall.READ, Errno.ENOBUFS, List.of("written", "CANCELLED")},
+            {SystemCall.WRITE, Errno.ETIMEDOUT, List.of("CONNECT_FAILED")},
+            {SystemCall.WRITE, Errno.EHOSTUNREACH, List.of("CONNECT_FAILED")},
+        };
+    }
+
+    @Test(dataProvider = "transferFaults")
+    public void connectionThatASystemCallBreaksEndsItsAttempt(SystemCall call, Errno errno, List<String> heard)
+            throws Exception {
+        faults.fail(Purpose.WORKERS, call, errno, FaultInjectingChannels.once());
+        send("a");
+        RawHttp first = new RawHttp(worker.accept());
+        if (call == SystemCall.READ) {
+            first.read();
+            first.write(TAKEN);
+        }
+        for (String each : heard) {
+            assertEquals(told.take(), each);
+        }
+    }
+
+    @DataProvider
+    public Object[][] dialCalls() {
+        return new Object[][] {{SystemCall.SOCKET}, {SystemCall.CONNECT}};
+    }
+
+    @Test(dataProvider = "dialCalls")
+    public void checkThatThisMachineFailsSaysNothingOfTheWorker(SystemCall call) throws Exception {
+        faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
+        InetSocketAddress address = new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
+        loop.submit(() -> client.check(address, (outcome, report) -> told.add(outcome.name()))).get();
+        passUntilTold();
+        assertEquals(told.take(), "NEVER_SENT");
+    }
+
+    @Test(dataProvider = "dialCalls")
+    public void attemptThatThisMachineFailsToItsEndIsNeverSent(SystemCall call) throws Exception {
+        faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
+        Workers.Sending sending = send("a");
+        passUntilTold();
+        assertEquals(told.take(), "NEVER_SENT");
+        assertTrue(sending.delayedLocally());
+        assertTrue(faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF, "tries in its 1000 ms: " + faults.raised);
+    }
+
+    @Test
+    public void attemptNotWantedAnyMoreIsNotDialledAgain() throws Exception {
+        faults.fail(Purpose.WORKERS, SystemCall.CONNECT, Errno.ENOBUFS, FaultInjectingChannels.once());
+        wanted = false;
+        send("a");
+        passUntilTold();
+        assertEquals(told.take(), "NEVER_SENT");
+        assertEquals(faults.raised.get(), 1);
+    }
+
+    /** Lets the time of the node pass, a backoff at a time, until an end is told. */
+    private void passUntilTold() throws Exception {
+        while (told.isEmpty()) {
+            loop.submit(() -> {
+                now += Dialer.BACKOFF;
+                timers.run();
+            }).get();
+        }
+    }
+
     private Workers.Sending send(String id) throws Exception {
         return loop.submit(() -> begin(id)).get();
     }
