--- a/node/src/main/java/ferngrade/net/FaultOrigin.java
+++ b/node/src/main/java/ferngrade/net/FaultOrigin.java
@@ -38,6 +38,16 @@
         return UNKNOWN;
     }
 
+    /** True if a lack of this machine may be over in a moment; an address in use, or not permitted, is no such lack. */
+    static boolean isPassingLack(Throwable error) {
+        for (Throwable each = error; each != null; each = each.getCause()) {
+            if (lacks(each)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
     private static boolean lacks(Throwable error) {
         String text = error instanceof IOException ? error.getMessage() : null;
         return text != null && LOCAL_TEXTS.stream().anyMatch(text::contains);
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -34,6 +34,9 @@
 public final class NodeServer {
     /** How long new connections are accepted after the word to stop, ms. */
     private static final double GRACE = 700;
+    /** How often a start is tried again that fails for a lack of this machine, and the pause between, ms. */
+    private static final int START_RETRIES = 100;
+    private static final long START_BACKOFF = 20;
     /** What a client is told to wait that finds no room, ms. */
     private static final double FULL_RETRY = 1000;
     /** Requests held for each MB of the limit: with their attempts and timers some KB each, a sixteenth of it. */
@@ -125,8 +128,27 @@
         return start(config, Platform.NONE, clock, log, decisions, ChannelProvider.SOCKETS);
     }
 
+    /**
+     * Starts a node, again and again for a while where the machine lacks what it needs. Not on a socket handed over: a
+     * start that fails closes it.
+     */
     private static NodeServer start(NodeConfig config, Platform platform, Clock clock, Log log,
             Decisions decisions, ChannelProvider channels) throws Exception {
+        for (int retries = platform.accepted() == null ? START_RETRIES : 0;; retries--) {
+            try {
+                return startOnce(config, platform, clock, log, decisions, channels);
+            } catch (Exception failed) {
+                if (retries == 0 || !FaultOrigin.isPassingLack(failed)) {
+                    throw failed;
+                }
+                log.line("start failed for a lack of this machine, tried again: " + failed.getMessage());
+                Thread.sleep(START_BACKOFF);
+            }
+        }
+    }
+
+    private static NodeServer startOnce(NodeConfig config, Platform platform, Clock clock, Log log,
+            Decisions decisions, ChannelProvider channels) throws Exception {
         NodeServer server = new NodeServer(config, platform, clock, log, decisions, channels);
         try {
             for (ChannelFuture bound : server.loop.submit(server::assemble).get()) {
@@ -136,7 +158,7 @@
                     + (config.admin() != null ? "; operators' calls at " + config.admin() : ""));
             return server;
         } catch (Exception failed) {
-            server.group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
+            server.group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).await(START_RETRIES * START_BACKOFF);
             throw failed;
         }
     }
--- a/node/src/test/java/ferngrade/net/FaultInjectingChannels.java
+++ b/node/src/test/java/ferngrade/net/FaultInjectingChannels.java
@@ -68,15 +68,20 @@
 
     @Override
     public ServerChannel listener(Purpose purpose, ServerSocketChannel inherited) {
+        failSocket(purpose);
         return inherited == null ? new Listener(purpose) : new Listener(purpose, inherited);
     }
 
     @Override
     public Channel connection(Purpose purpose) {
+        failSocket(purpose);
+        return new Connection(purpose);
+    }
+
+    private void failSocket(Purpose purpose) {
         if (strikes(purpose, SystemCall.SOCKET)) {
             throw new ChannelException("Failed to open a socket.", fault.errno().ofConnect());
         }
-        return new Connection(purpose);
     }
 
     @Override
--- a/node/src/test/java/ferngrade/net/FaultOriginTest.java
+++ b/node/src/test/java/ferngrade/net/FaultOriginTest.java
@@ -1,12 +1,16 @@
 package ferngrade.net;
 
 import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
 
 import io.netty.channel.ChannelException;
 import io.netty.channel.ConnectTimeoutException;
 import java.io.IOException;
+import java.net.BindException;
 import java.net.ConnectException;
 import java.net.SocketException;
+import java.util.concurrent.ExecutionException;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -40,4 +44,10 @@
     public void errorIsSortedByItsTypeAndText(Throwable error, FaultOrigin origin) {
         assertEquals(FaultOrigin.of(error), origin);
     }
+
+    @Test
+    public void addressInUseIsNoPassingLack() {
+        assertFalse(FaultOrigin.isPassingLack(new ExecutionException(new BindException("Address already in use"))));
+        assertTrue(FaultOrigin.isPassingLack(new ExecutionException(Errno.EMFILE.ofConnect())));
+    }
 }
--- a/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
@@ -18,6 +18,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -80,6 +81,24 @@
         assertTrue(millis < 900, "no pause of a second: " + millis + " ms");
     }
 
+    @DataProvider
+    public Object[][] listenerFaults() {
+        return Stream.of(Purpose.CLIENTS, Purpose.ADMIN)
+                .flatMap(listener -> Stream.of(Errno.EMFILE, Errno.ENFILE, Errno.ENOBUFS, Errno.ENOMEM)
+                        .map(errno -> new Object[] {listener, errno}))
+                .toArray(Object[][]::new);
+    }
+
+    @Test(dataProvider = "listenerFaults")
+    public void nodeWhoseListenersCannotBeOpenedForAMomentStarts(Purpose listener, Errno errno) throws Exception {
+        faults.fail(listener, SystemCall.SOCKET, errno, FaultInjectingChannels.once());
+        start(config(discovery.getLocalPort(), list(1, "active")), Clock.system());
+        try (RawHttp client = RawHttp.to(node.address())) {
+            assertNotNull(client.write(READY).read());
+        }
+        assertEquals(faults.raised.get(), 1);
+    }
+
     @DataProvider
     public Object[][] sendFaults() {
         return localFaults(SystemCall.SOCKET, SystemCall.CONNECT, SystemCall.WRITE);
@@ -248,5 +267,6 @@
         start(list(1, "active"), () -> now);
         serve("a", now);
         serve("b", now);
+        assertNoWorkerEjected();
     }
 }
