--- a/node/src/main/java/ferngrade/net/Front.java
+++ b/node/src/main/java/ferngrade/net/Front.java
@@ -35,7 +35,7 @@
     /** How long a connection may owe something, ms: with an answer on top it is over well within 3 s. */
     private static final double PATIENCE = 1500;
     private static final double SWEEP = 250;
-    /** How long a node whose last job has its answer waits for clients to read theirs and end, ms. */
+    /** How long a node whose last job has its answer waits for clients to read theirs and end, ms; less if time is up. */
     private static final double LINGER = 1000;
     private static final int BACKLOG = 1024;
     /** Connections that the listener accepts in one turn, as Netty has it; after so many, more may wait. */
@@ -54,6 +54,8 @@
     private boolean inherited;
     private Stage stage = Stage.SERVING;
     private boolean drained;
+    /** The times of the shutdown; null while none has been asked for. */
+    private ShutdownBudget budget;
     private Runnable whenDone;
     private int jobs;
     /** Bytes of the bodies that wait behind requests in work, on all connections. */
@@ -143,16 +145,19 @@
     }
 
     /**
-     * From here on every answer ends its connection. New ones are still accepted on a socket of its own; on one
+     * From here on every answer ends its connection, and all fit into the budget, which is that of the first call and
+     * is returned. New ones are still accepted on a socket of its own; on one
      * handed over, the next process has said yes and the platform holds the socket, so this one takes none.
      */
-    void drain() {
+    ShutdownBudget drain(ShutdownBudget shutdown) {
         if (stage == Stage.SERVING) {
             stage = Stage.DRAINING;
+            budget = shutdown;
         }
         if (inherited) {
             listener.config().setAutoRead(false);
         }
+        return budget;
     }
 
     /**
@@ -179,6 +184,8 @@
             stage = Stage.FINISHING;
             whenDone = done;
             new ArrayList<>(idle).forEach(FrontHandler::shut);
+            at(budget.unfinishedUntil(), this::refuseUnfinished);
+            at(budget.end(), this::ended);
             checkDone();
         }
     }
@@ -188,6 +195,11 @@
         return stage.compareTo(Stage.FINISHING) >= 0;
     }
 
+    /** The budget of the shutdown under way; null if there is none. */
+    ShutdownBudget budget() {
+        return budget;
+    }
+
     /** True if so many jobs are in work that the connections left are for call-backs. */
     boolean crowded() {
         return jobs >= bounds.jobs();
@@ -299,20 +311,39 @@
     /** The one place where the front ends: once its last job, then its last connection has, or clients' time is up. */
     private void checkDone() {
         if (stage == Stage.FINISHING && jobs == 0) {
-            stage = Stage.LINGERING;
-            listener.close();
-            new ArrayList<>(open).stream().filter(FrontHandler::resting).forEach(FrontHandler::shut);
-            timers.after(LINGER, this::ended);
+            linger();
+            at(clock.now() + LINGER - ShutdownBudget.READING_REFUSALS, this::refuseUnfinished);
+            at(clock.now() + LINGER, this::ended);
         }
         if (stage == Stage.LINGERING && open.isEmpty()) {
             ended();
         }
     }
 
+    /** No answer is awaited any more: no one new is let in, and what is between two requests ends. */
+    private void linger() {
+        stage = Stage.LINGERING;
+        listener.close();
+        new ArrayList<>(open).stream().filter(FrontHandler::resting).forEach(FrontHandler::shut);
+    }
+
+    /** Time is up for requests that have come in part: each is refused, so that nothing that was read goes unanswered. */
+    private void refuseUnfinished() {
+        if (stage == Stage.FINISHING) {
+            linger();
+        }
+        new ArrayList<>(open).forEach(FrontHandler::refuseUnfinished);
+    }
+
     private void ended() {
-        if (stage == Stage.LINGERING) {
+        if (stage != Stage.ENDED) {
             stage = Stage.ENDED;
+            listener.close();
             whenDone.run();
         }
     }
+
+    private void at(double instant, Runnable task) {
+        timers.after(instant - clock.now(), task);
+    }
 }
--- a/node/src/main/java/ferngrade/net/FrontHandler.java
+++ b/node/src/main/java/ferngrade/net/FrontHandler.java
@@ -204,9 +204,13 @@
 
     private void job(FullHttpRequest request, double since) throws BadRequestException {
         Job job = reader.job(request, since);
-        if (front.finishing()) {
-            node.refuse(job, new HttpReply(), 0);
-            return;
+        ShutdownBudget budget = front.budget();
+        if (budget != null) {
+            if (front.finishing() || budget.tooLittleFor(job.due(), clock.now())) {
+                node.refuse(job, new HttpReply(), 0);
+                return;
+            }
+            job = budget.capped(job);
         }
         if (front.crowded()) {
             node.refuseForRoom(job, new HttpReply());
@@ -303,6 +307,15 @@
         }
     }
 
+    /** The process ends: a request that has come in part is refused. */
+    void refuseUnfinished() {
+        if (state == State.RESTING && received) {
+            state = State.BUSY;
+            front.busy(this);
+            error(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+        }
+    }
+
     /** Ends a connection that has nothing in work, for its room. */
     void close() {
         context.close();
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -32,8 +32,6 @@
 
 /** A node on sockets: puts the parts together on one event loop, and takes them down in order. */
 public final class NodeServer {
-    /** How long new connections are accepted after the word to stop, ms. */
-    private static final double GRACE = 700;
     /** What a client is told to wait that finds no room, ms. */
     private static final double FULL_RETRY = 1000;
     /** Requests held for each MB of the limit: with their attempts and timers some KB each, a sixteenth of it. */
@@ -58,6 +56,7 @@
     private final Bounds bounds;
     private final Front front;
     private final Sibling sibling;
+    private Node node;
     private Discovery discovery;
     private final CountDownLatch finished = new CountDownLatch(1);
     private io.netty.channel.Channel adminChannel;
@@ -142,7 +141,7 @@
         ConnectionPool pool = new ConnectionPool(clock, timers, config.connectionIdle(), bounds.workers());
         WorkerClient workers = new WorkerClient(group, clock, timers, pool, config.connectTimeout(), log);
         UdpPeers peers = new UdpPeers(config.peers(), config.peersAll(), log);
-        Node node = new Node(new Node.Surroundings(clock, timers, loop, workers, peers, log), room(),
+        node = new Node(new Node.Surroundings(clock, timers, loop, workers, peers, log), room(),
                 actions -> decisions.start(config, clock.now(), actions));
         StateFile state = platform.state() == null ? null : new StateFile(platform.state().resolve(MAINTENANCE_FILE));
         restore(node, state);
@@ -277,23 +276,32 @@
 
     /**
      * Stops in order: for a moment still accepts, ends each connection with its next answer, and finishes
-     * everything that was taken. Returns when all is done.
+     * everything that was taken. Returns when all is done, at the latest at the end of the {@link ShutdownBudget}.
      */
     public void stop() throws InterruptedException {
-        stop(GRACE);
+        stop(Double.POSITIVE_INFINITY);
     }
 
+    /** Stops and takes jobs for at most this long, ms. */
     void stop(double grace) throws InterruptedException {
         if (loop.isShuttingDown()) {
             return;
         }
-        loop.execute(() -> {
-            log.line("stopping");
-            front.drain();
-            timers.after(grace, () -> front.finish(finished::countDown));
-        });
+        // Counted from the call: the loop may come to it late.
+        double asked = clock.now();
+        loop.execute(() -> stopFrom(asked, grace));
         finished.await();
         log.line("everything taken has its answer");
         group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
     }
+
+    private void stopFrom(double asked, double grace) {
+        log.line("stopping");
+        ShutdownBudget budget = front.drain(ShutdownBudget.of(asked, config.settings()));
+        node.answerAllBy(budget.answersBy());
+        timers.after(Math.min(asked + grace, budget.acceptUntil()) - clock.now(), () -> {
+            log.line("no more jobs are taken");
+            front.finish(finished::countDown);
+        });
+    }
 }
--- a/node/src/main/java/ferngrade/node/Attempt.java
+++ b/node/src/main/java/ferngrade/node/Attempt.java
@@ -19,6 +19,8 @@
     boolean calledBack;
     /** It ended without the worker's word, so that the worker may run it yet. */
     private boolean doubtful;
+    /** Its end has proven that the worker did not run it. */
+    private boolean neverRan;
 
     Attempt(Exchange exchange, long worker, Member member, double sentAt) {
         this.exchange = exchange;
@@ -31,6 +33,7 @@
     /** The attempt has ended; nothing that was to end it runs any more. */
     void ended(Outcome outcome) {
         ended = true;
+        neverRan = outcome.neverRan;
         doubtful = written && (outcome == Outcome.TIMEOUT || outcome == Outcome.CANCELLED || outcome == Outcome.RESET);
         if (timeout != null) {
             timeout.cancel();
@@ -51,4 +54,9 @@
     boolean running() {
         return written && !ended;
     }
+
+    /** True unless it is known that the worker has not run the job by this attempt. */
+    boolean mayHaveRun() {
+        return written && !neverRan;
+    }
 }
--- a/node/src/main/java/ferngrade/node/Exchange.java
+++ b/node/src/main/java/ferngrade/node/Exchange.java
@@ -58,6 +58,15 @@
         return first;
     }
 
+    /** The final answer to a request that is given up, by what its attempts may have done. */
+    void givenUp() {
+        if (attempts.stream().anyMatch(Attempt::mayHaveRun)) {
+            failed();
+        } else {
+            refused(0);
+        }
+    }
+
     /** The client has gone; there is nobody to answer. */
     void abandoned() {
         over = true;
--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/Node.java
@@ -51,6 +51,8 @@
     private List<Runnable> ready = new ArrayList<>();
     private List<Runnable> asked = new ArrayList<>();
     private boolean scheduled;
+    /** The process ends: {@link #answerAllBy} has been called. */
+    private boolean ending;
 
     /** The parties around a node. {@code loop} runs tasks later, in order, on the node's thread. */
     public record Surroundings(Clock clock, Timers timers, Executor loop, Workers workers, Peers peers,
@@ -116,6 +118,18 @@
         reply.refused(retryAfter);
     }
 
+    /**
+     * The process ends: each request that is held has its final answer at {@code end} on the clock, though its client
+     * would wait longer.
+     */
+    public void answerAllBy(double end) {
+        ending = true;
+        double left = end - clock.now();
+        exchanges.values().stream().filter(each -> !each.over() && each.job.due() > end).forEach(each -> {
+            each.guard.cancel();
+            each.guard = timers.after(left, () -> overdue(each));
+        });
+    }
 
     /** The client of this request has gone. */
     public void clientGone(String id) {
@@ -283,7 +297,10 @@
     }
 
     private void overdue(Exchange exchange) {
-        if (exchange.failed()) {
+        if (ending) {
+            // A process that ends may be held up just then: its attempts have run out of time in this turn, too.
+            offer(() -> cutShort(exchange));
+        } else if (exchange.failed()) {
             log.line("request " + exchange.job.id() + " had no answer at its end");
             offer(() -> {
                 module.abandoned(clock.now(), exchange.job.id());
@@ -292,6 +309,20 @@
         }
     }
 
+    /** Gives the request up with all its attempts, and answers it by what they may have done. */
+    private void cutShort(Exchange exchange) {
+        if (exchange.over()) {
+            return;
+        }
+        List<Attempt> running = exchange.attempts.stream().filter(each -> !each.ended && each.sending != null).toList();
+        // None is begun or written to its end from here on; only then is it known which have been.
+        running.forEach(each -> each.sending.giveUp(() -> { }));
+        exchange.givenUp();
+        module.abandoned(clock.now(), exchange.job.id());
+        running.forEach(each -> end(each, each.written ? Outcome.CANCELLED : Outcome.NEVER_SENT, Report.NONE));
+        release(exchange);
+    }
+
     private void release(Exchange exchange) {
         if (exchange.over() && exchange.out == 0 && exchanges.remove(exchange.job.id(), exchange)) {
             exchange.guard.cancel();
--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -8,6 +8,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
+import java.util.function.Consumer;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
@@ -58,7 +59,12 @@
     }
 
     void start(String list, Clock clock) throws Exception {
-        start(config(discovery.getLocalPort(), null), clock);
+        start(list, config(discovery.getLocalPort(), null), clock, line -> { });
+    }
+
+    /** Starts a node with this configuration, whose log goes to {@code log}; see {@link #start(String)}. */
+    void start(String list, NodeConfig config, Clock clock, Consumer<String> log) throws Exception {
+        node = NodeServer.start(config, clock, new Log(clock, log::accept));
         if (list != null) {
             watch = new RawHttp(discovery.accept());
             watch.read();
@@ -70,7 +76,7 @@
     }
 
     void start(NodeConfig config, Clock clock) throws Exception {
-        node = NodeServer.start(config, clock, new Log(clock, line -> { }));
+        start(null, config, clock, line -> { });
     }
 
     /**
@@ -90,12 +96,16 @@
     }
 
     static NodeConfig config(int discoveryPort, String known, String mode) throws Exception {
+        return config(discoveryPort, known, mode, 9000);
+    }
+
+    static NodeConfig config(int discoveryPort, String known, String mode, double deadline) throws Exception {
         String config = "{'name':'n0','listen':'127.0.0.1:0','discovery':'127.0.0.1:" + discoveryPort
                 + "','seed':'7','limits':{'sockets':64},'settings':{'Discovery':'" + mode + "','Zones':['z'],'Kinds':['k'],'Tenants':[{'Name':'t','Share':1}],"
                 + "'Extra':{'TellsStart':true},'Ceilings':{'MostTries':5,'ConnectTimeout':5000,'RetryAfter':true,'MaxRetryAfter':2000},"
-                + "'Classes':[{'Name':'order','Effect':'at_most_once','Deadline':9000.0},"
-                + "{'Name':'plan','Effect':'deduplicated','KeyScope':'all'},"
-                + "{'Name':'draft','Effect':'idempotent','Deadline':9000.0}]}}";
+                + "'Classes':[{'Name':'order','Effect':'at_most_once','Deadline':" + deadline + "},"
+                + "{'Name':'plan','Effect':'deduplicated','KeyScope':'all','Deadline':" + deadline + "},"
+                + "{'Name':'draft','Effect':'idempotent','Deadline':" + deadline + "}]}}";
         var json = Json.parse(config.replace('\'', '"')).asObject();
         if (known != null) {
             json.set("known", Json.parse(known));
