--- a/node/src/main/java/ferngrade/net/FrontHandler.java
+++ b/node/src/main/java/ferngrade/net/FrontHandler.java
@@ -239,7 +239,8 @@
     private void respond(FullHttpResponse response) {
         boolean wasJob = taken != null;
         taken = null;
-        boolean keep = keepAlive && !front.draining() && !(overrun && waiting.isEmpty());
+        // What has been read is answered, also by a process that ends.
+        boolean keep = keepAlive && !((front.draining() || overrun) && waiting.isEmpty());
         if (!response.status().equals(HttpResponseStatus.NO_CONTENT)) {
             HttpUtil.setContentLength(response, response.content().readableBytes());
         }
--- a/node/src/test/java/ferngrade/net/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/net/ShutdownTest.java
@@ -218,6 +218,28 @@
         }
     }
 
+    @Test
+    public void requestsThatWaitBehindAnotherOneAreAllAnsweredThoughTheNodeStops() throws Exception {
+        start(9000);
+        RawHttp client = connect();
+        client.write(request("a", "order", 9000) + request("b", "draft", 9000) + request("c", "order", 9000));
+        readJob(TAKEN);
+        settled();
+        Hold accepted = hold(ACCEPTED_ALL);
+        CompletableFuture<Void> stopped = stopInBackground(0, 0);
+        accepted.reached.await();
+        accepted.released.countDown();
+        callBack("a", DONE);
+        assertEquals(client.read().body(), "soup");
+        assertEquals(client.read().status(), REFUSED);
+        RawHttp.Message last = client.read();
+        assertEquals(last.status(), REFUSED);
+        assertEquals(last.headers().get("Connection"), "close");
+        assertNull(client.read());
+        now += 4000;
+        over(stopped);
+    }
+
     @Test
     public void requestThatHasComeInPartIsRefusedBeforeTheProcessEnds() throws Exception {
         start(150);
