--- a/node/src/main/java/ferngrade/cli/Serve.java
+++ b/node/src/main/java/ferngrade/cli/Serve.java
@@ -67,8 +67,7 @@
     /** Runs as the answer to SIGTERM. The halt gives the exit code 0: left alone, the runtime ends with 143. */
     private static void stop(NodeServer server) {
         try {
-            server.stop();
-            Runtime.getRuntime().halt(0);
+            server.stopAndExit(() -> Runtime.getRuntime().halt(0));
         } catch (InterruptedException interrupted) {
             Runtime.getRuntime().halt(1);
         }
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -284,24 +284,38 @@
 
     /** Stops and takes jobs for at most this long, ms. */
     void stop(double grace) throws InterruptedException {
-        if (loop.isShuttingDown()) {
-            return;
+        if (!loop.isShuttingDown()) {
+            finish(grace, () -> { });
+            group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
         }
+    }
+
+    /**
+     * Stops for the end of the process, which {@code exit} brings about on the event loop when all is done. The runtime
+     * waits up to 0.3 s for threads that are in a system call, as the loop is when any other thread ends the process.
+     */
+    public void stopAndExit(Runnable exit) throws InterruptedException {
+        finish(Double.POSITIVE_INFINITY, exit);
+    }
+
+    private void finish(double grace, Runnable whenDone) throws InterruptedException {
         // Counted from the call: the loop may come to it late.
         double asked = clock.now();
-        loop.execute(() -> stopFrom(asked, grace));
+        loop.execute(() -> stopFrom(asked, grace, whenDone));
         finished.await();
-        log.line("everything taken has its answer");
-        group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
     }
 
-    private void stopFrom(double asked, double grace) {
+    private void stopFrom(double asked, double grace, Runnable whenDone) {
         log.line("stopping");
         ShutdownBudget budget = front.drain(ShutdownBudget.of(asked, config.settings()));
         node.answerAllBy(budget.answersBy());
         timers.after(Math.min(asked + grace, budget.acceptUntil()) - clock.now(), () -> {
             log.line("no more jobs are taken");
-            front.finish(finished::countDown);
+            front.finish(() -> {
+                log.line("everything taken has its answer");
+                whenDone.run();
+                finished.countDown();
+            });
         });
     }
 }
--- a/node/src/test/java/ferngrade/net/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/net/ShutdownTest.java
@@ -2,6 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
+import static org.testng.Assert.assertSame;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
@@ -17,6 +18,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.Stream;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.DataProvider;
@@ -43,7 +45,7 @@
     private final List<RawHttp> connections = new ArrayList<>();
 
     /** Keeps the event loop busy at a line of the log, until the test lets it go on. */
-    private record Hold(CountDownLatch reached, CountDownLatch released) { }
+    private record Hold(Runnable atReached, CountDownLatch reached, CountDownLatch released) { }
 
     /** What the worker does with the jobs, and the answer that their clients are owed for it. */
     private enum Worker {
@@ -57,7 +59,11 @@
     }
 
     private Hold hold(String line) {
-        Hold hold = new Hold(new CountDownLatch(1), new CountDownLatch(1));
+        return hold(line, () -> { });
+    }
+
+    private Hold hold(String line, Runnable atReached) {
+        Hold hold = new Hold(atReached, new CountDownLatch(1), new CountDownLatch(1));
         holds.put(line, hold);
         return hold;
     }
@@ -65,6 +71,7 @@
     private void logged(String line) {
         Hold hold = holds.remove(line);
         if (hold != null) {
+            hold.atReached.run();
             hold.reached.countDown();
             try {
                 hold.released.await();
@@ -116,16 +123,26 @@
         return client;
     }
 
-    /** Stops the node, and returns once it has heard of it; meanwhile it may be held up. */
-    private CompletableFuture<Void> stopInBackground(double grace, double heldUp) throws InterruptedException {
-        Hold stopping = hold(STOPPING);
-        CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
+    /** Something that may be interrupted. */
+    @FunctionalInterface
+    private interface Waiting {
+        void run() throws InterruptedException;
+    }
+
+    private static CompletableFuture<Void> inBackground(Waiting task) {
+        return CompletableFuture.runAsync(() -> {
             try {
-                node.stop(grace);
+                task.run();
             } catch (InterruptedException interrupted) {
                 throw new IllegalStateException(interrupted);
             }
         });
+    }
+
+    /** Stops the node, and returns once it has heard of it; meanwhile it may be held up. */
+    private CompletableFuture<Void> stopInBackground(double grace, double heldUp) throws InterruptedException {
+        Hold stopping = hold(STOPPING);
+        CompletableFuture<Void> stopped = inBackground(() -> node.stop(grace));
         stopping.reached.await();
         now += heldUp;
         stopping.released.countDown();
@@ -253,4 +270,18 @@
         assertNull(half.read(), "an end");
         over(stopped);
     }
+
+    @Test
+    public void processIsEndedByTheEventLoopItself() throws Exception {
+        start(9000);
+        AtomicReference<Thread> loop = new AtomicReference<>();
+        Hold stopping = hold(STOPPING, () -> loop.set(Thread.currentThread()));
+        stopping.released.countDown();
+        AtomicReference<Thread> exiting = new AtomicReference<>();
+        CompletableFuture<Void> stopped = inBackground(() -> node.stopAndExit(() -> exiting.set(Thread.currentThread())));
+        stopping.reached.await();
+        now += 4000;
+        over(stopped);
+        assertSame(exiting.get(), loop.get(), "no thread but this one is in a system call");
+    }
 }
