--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -32,8 +32,6 @@
 
 /** A node on sockets: puts the parts together on one event loop, and takes them down in order. */
 public final class NodeServer {
-    /** How long new connections are accepted after the word to stop, ms. */
-    private static final double GRACE = 700;
     /** How often a start is tried again that fails for a lack of this machine, and the pause between, ms. */
     private static final int START_RETRIES = 100;
     private static final long START_BACKOFF = 20;
@@ -62,6 +60,7 @@
     private final Bounds bounds;
     private final Front front;
     private final Sibling sibling;
+    private Node node;
     private Discovery discovery;
     private final CountDownLatch finished = new CountDownLatch(1);
     private io.netty.channel.Channel adminChannel;
@@ -174,7 +173,7 @@
         WorkerClient workers = new WorkerClient(group, clock, timers, pool, config.connectTimeout(), log,
                 channels);
         UdpPeers peers = new UdpPeers(config.peers(), config.peersAll(), log, channels);
-        Node node = new Node(new Node.Surroundings(clock, timers, loop, workers, peers, log), room(),
+        node = new Node(new Node.Surroundings(clock, timers, loop, workers, peers, log), room(),
                 actions -> decisions.start(config, clock.now(), actions));
         StateFile state = platform.state() == null ? null : new StateFile(platform.state().resolve(MAINTENANCE_FILE));
         restore(node, state);
@@ -310,23 +309,46 @@
 
     /**
      * Stops in order: for a moment still accepts, ends each connection with its next answer, and finishes
-     * everything that was taken. Returns when all is done.
+     * everything that was taken. Returns when all is done, at the latest at the end of the {@link ShutdownBudget}.
      */
     public void stop() throws InterruptedException {
-        stop(GRACE);
+        stop(Double.POSITIVE_INFINITY);
     }
 
+    /** Stops and takes jobs for at most this long, ms. */
     void stop(double grace) throws InterruptedException {
-        if (loop.isShuttingDown()) {
-            return;
+        if (!loop.isShuttingDown()) {
+            finish(grace, () -> { });
+            group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
         }
-        loop.execute(() -> {
-            log.line("stopping");
-            front.drain();
-            timers.after(grace, () -> front.finish(finished::countDown));
-        });
+    }
+
+    /**
+     * Stops for the end of the process, which {@code exit} brings about on the event loop when all is done. The runtime
+     * waits up to 0.3 s for threads that are in a system call, as the loop is when any other thread ends the process.
+     */
+    public void stopAndExit(Runnable exit) throws InterruptedException {
+        finish(Double.POSITIVE_INFINITY, exit);
+    }
+
+    private void finish(double grace, Runnable whenDone) throws InterruptedException {
+        // Counted from the call: the loop may come to it late.
+        double asked = clock.now();
+        loop.execute(() -> stopFrom(asked, grace, whenDone));
         finished.await();
-        log.line("everything taken has its answer");
-        group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
+    }
+
+    private void stopFrom(double asked, double grace, Runnable whenDone) {
+        log.line("stopping");
+        ShutdownBudget budget = front.drain(ShutdownBudget.of(asked, config.settings()));
+        node.answerAllBy(budget.answersBy());
+        timers.after(Math.min(asked + grace, budget.acceptUntil()) - clock.now(), () -> {
+            log.line("no more jobs are taken");
+            front.finish(() -> {
+                log.line("everything taken has its answer");
+                whenDone.run();
+                finished.countDown();
+            });
+        });
     }
 }
