--- a/durable/src/main/java/ferngrade/durable/FaultyDisk.java
+++ b/durable/src/main/java/ferngrade/durable/FaultyDisk.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -12,6 +13,10 @@
  * A folder in memory that loses power after so many writes, syncs and changes of names. What was not synced may then be
  * there, be gone, be torn, or be there with what was written before it gone; names that were not synced may be as they
  * were. With lies, a sync now and then returns with nothing synced.
+ *
+ * <p>Operations also fail as scripted with {@link #fail}. A file whose sync has failed is read as it was written, and no
+ * later sync of it makes anything last, though it returns: so does a kernel that drops the pages it could not write. The
+ * same holds for names that were changed before a failed sync of the folder.
  */
 public final class FaultyDisk implements Disk {
     /** The power has gone. */
@@ -19,7 +24,68 @@
         private static final long serialVersionUID = 1L;
     }
 
+    /** What can be told to fail. */
+    public enum Operation { CREATE, WRITE, SYNC, RENAME, DELETE, SYNC_NAMES }
+
+    /** The errors of the operating system that a failing operation reports. */
+    public enum Errno {
+        /** The file system is full. */
+        ENOSPC("No space left on device"),
+        /** The device failed. */
+        EIO("Input/output error");
+
+        private final String message;
+
+        Errno(String message) {
+            this.message = message;
+        }
+    }
+
+    /** An operation that failed as scripted. */
+    public static final class DiskFault extends IOException {
+        private static final long serialVersionUID = 1L;
+
+        private final Operation operation;
+        private final Errno errno;
+
+        DiskFault(Operation operation, Errno errno) {
+            super(errno.message);
+            this.operation = operation;
+            this.errno = errno;
+        }
+
+        public Operation operation() {
+            return operation;
+        }
+
+        public Errno errno() {
+            return errno;
+        }
+    }
+
+    /** The operations of one kind that fail: after so many that work, so many. */
+    private static final class Script {
+        private final Errno errno;
+        private long working;
+        private long failing;
+
+        Script(Errno errno, long working, long failing) {
+            this.errno = errno;
+            this.working = working;
+            this.failing = failing;
+        }
+
+        boolean failsNow() {
+            if (working > 0) {
+                working--;
+                return false;
+            }
+            return failing-- > 0;
+        }
+    }
+
     private static final class Content {
+        boolean syncFailed;
         byte[] synced = new byte[0];
         final List<byte[]> unsynced = new ArrayList<>();
 
@@ -35,10 +101,16 @@
         }
     }
 
+    private static final int HALF = -1;
+
     private final SplittableRandom chance;
     private final double lies;
     private final Map<String, Content> names = new TreeMap<>();
     private Map<String, Content> syncedNames = new TreeMap<>();
+    /** Names as they were changed before a sync of them failed. */
+    private final Map<String, Content> unsyncableNames = new TreeMap<>();
+    private final Map<Operation, Script> scripts = new EnumMap<>(Operation.class);
+    private int tornWrite = HALF;
     private long left;
     private long steps;
     private boolean full;
@@ -61,6 +133,22 @@
         full = nowFull;
     }
 
+    /** Of this kind, {@code working} more operations work, and then {@code failing} fail. */
+    public synchronized void fail(Operation operation, Errno errno, long working, long failing) {
+        scripts.put(operation, new Script(errno, working, failing));
+    }
+
+    /** Nothing fails from here on as scripted. */
+    public synchronized void heal() {
+        scripts.clear();
+        full = false;
+    }
+
+    /** Of a write that fails as scripted, this many bytes are written; half of it if this is never called. */
+    public synchronized void tearWritesAt(int bytes) {
+        tornWrite = bytes;
+    }
+
     /** The writes, syncs and changes of names so far. */
     public long steps() {
         return steps;
@@ -78,13 +166,29 @@
         }
     }
 
+    private boolean failsNow(Operation operation) {
+        Script script = scripts.get(operation);
+        return script != null && script.failsNow();
+    }
+
+    private DiskFault fault(Operation operation) {
+        return new DiskFault(operation, scripts.get(operation).errno);
+    }
+
+    private void attempt(Operation operation) throws IOException {
+        step();
+        if (failsNow(operation)) {
+            throw fault(operation);
+        }
+    }
+
     /** Power is back: what a machine finds then. */
-    public void powerUp() {
+    public synchronized void powerUp() {
         left = Long.MAX_VALUE;
         Map<String, Content> found = new TreeMap<>(syncedNames);
         // Changes of names since the last sync of them: each has come to last or not.
         for (String name : names.keySet()) {
-            if (!syncedNames.containsKey(name) && chance.nextBoolean()) {
+            if (syncedNames.get(name) != names.get(name) && chance.nextBoolean()) {
                 found.put(name, names.get(name));
             }
         }
@@ -92,6 +196,7 @@
         names.clear();
         names.putAll(found);
         syncedNames = new TreeMap<>(found);
+        unsyncableNames.clear();
         names.values().forEach(this::settle);
     }
 
@@ -113,6 +218,12 @@
         }
         content.synced = all;
         content.unsynced.clear();
+        content.syncFailed = false;
+    }
+
+    /** The process was killed and is started again: the system still has all that was written. */
+    public synchronized void restartProcess() {
+        left = Long.MAX_VALUE;
     }
 
     /** Turns one bit over in what was synced; false if there is nothing. */
@@ -138,7 +249,7 @@
 
     @Override
     public synchronized Appender create(String name) throws IOException {
-        step();
+        attempt(Operation.CREATE);
         Content content = new Content();
         if (names.putIfAbsent(name, content) != null) {
             throw new IOException("exists: " + name);
@@ -146,24 +257,12 @@
         return new Appender() {
             @Override
             public void append(byte[] bytes, int length) throws IOException {
-                if (full) {
-                    content.unsynced.add(Arrays.copyOf(bytes, length / 2));
-                    throw new IOException("No space left on device");
-                }
-                // Power may go in the middle of a write, with a part of it done.
-                content.unsynced.add(Arrays.copyOf(bytes, length));
-                step();
+                write(content, bytes, length);
             }
 
             @Override
             public void sync() throws IOException {
-                step();
-                if (lies > 0 && chance.nextDouble() < lies) {
-                    lied++;
-                    return;
-                }
-                content.synced = content.now();
-                content.unsynced.clear();
+                FaultyDisk.this.sync(content);
             }
 
             @Override
@@ -171,29 +270,69 @@
         };
     }
 
-    @Override
-    public synchronized void truncate(String name, long length) throws IOException {
+    private synchronized void write(Content content, byte[] bytes, int length) throws IOException {
+        if (full) {
+            content.unsynced.add(Arrays.copyOf(bytes, length / 2));
+            throw new DiskFault(Operation.WRITE, Errno.ENOSPC);
+        }
+        if (failsNow(Operation.WRITE)) {
+            content.unsynced.add(Arrays.copyOf(bytes, tornWrite == HALF ? length / 2 : Math.min(tornWrite, length)));
+            step();
+            throw fault(Operation.WRITE);
+        }
+        // Power may go in the middle of a write, with a part of it done.
+        content.unsynced.add(Arrays.copyOf(bytes, length));
         step();
-        Content content = names.get(name);
-        content.synced = Arrays.copyOf(content.now(), (int) length);
-        content.unsynced.clear();
+    }
+
+    private synchronized void sync(Content content) throws IOException {
+        step();
+        if (failsNow(Operation.SYNC)) {
+            content.syncFailed = true;
+            throw fault(Operation.SYNC);
+        }
+        if (lies > 0 && chance.nextDouble() < lies) {
+            lied++;
+            return;
+        }
+        if (!content.syncFailed) {
+            content.synced = content.now();
+            content.unsynced.clear();
+        }
     }
 
     @Override
     public synchronized void rename(String from, String to) throws IOException {
-        step();
+        attempt(Operation.RENAME);
         names.put(to, names.remove(from));
     }
 
     @Override
     public synchronized void delete(String name) throws IOException {
-        step();
+        attempt(Operation.DELETE);
         names.remove(name);
     }
 
     @Override
     public synchronized void syncNames() throws IOException {
         step();
-        syncedNames = new TreeMap<>(names);
+        if (failsNow(Operation.SYNC_NAMES)) {
+            names.forEach((name, content) -> {
+                if (syncedNames.get(name) != content) {
+                    unsyncableNames.put(name, content);
+                }
+            });
+            throw fault(Operation.SYNC_NAMES);
+        }
+        Map<String, Content> lasting = new TreeMap<>(names);
+        unsyncableNames.forEach((name, content) -> {
+            if (lasting.get(name) == content) {
+                lasting.remove(name);
+                if (syncedNames.containsKey(name)) {
+                    lasting.put(name, syncedNames.get(name));
+                }
+            }
+        });
+        syncedNames = lasting;
     }
 }
--- a/durable/src/main/java/ferngrade/durable/FolderDisk.java
+++ b/durable/src/main/java/ferngrade/durable/FolderDisk.java
@@ -89,14 +89,6 @@
         };
     }
 
-    @Override
-    public void truncate(String name, long length) throws IOException {
-        try (FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.WRITE)) {
-            channel.truncate(length);
-            channel.force(true);
-        }
-    }
-
     @Override
     public void rename(String from, String to) throws IOException {
         Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
--- a/durable/src/main/java/ferngrade/durable/Journal.java
+++ b/durable/src/main/java/ferngrade/durable/Journal.java
@@ -6,7 +6,6 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 
 /**
@@ -18,16 +17,17 @@
  * cannot be read is a torn tail if nothing readable follows it, and is cut; if something does, what was synced has been
  * damaged, and that is an error with file and offset.
  *
- * <p>One thread at a time commits; {@link #compact} may run on another. After a failed write or sync it refuses everything: what a disk holds then, nobody
- * knows before a recovery.
+ * <p>One thread at a time commits; {@link #compact} may run on another. A log whose write or sync has failed is neither
+ * written nor synced again, since nobody knows what the disk holds of its end: the batch is written anew as the first of the
+ * next log, under its old number, and a recovery drops what the abandoned log holds of that number, torn or not.
  */
 public final class Journal implements AutoCloseable {
     static final int HEADER = 16;
-    private static final long MAGIC = 0x464e47_4c4f47_0001L;
+    static final long MAGIC = 0x464e47_4c4f47_0001L;
     private static final int PIECE = 256 << 10;
-    private static final String LOG = "log-";
-    private static final String SNAPSHOT = "snap-";
-    private static final String UNFINISHED = ".tmp";
+    static final String LOG = "log-";
+    static final String SNAPSHOT = "snap-";
+    static final String UNFINISHED = ".tmp";
 
     /** Terms matter to changes alone; reading makes none. */
     static final Ledger.Terms READING = new Ledger.Terms(1, 0, 0, 1, 0, 0);
@@ -35,11 +35,11 @@
     private final Disk disk;
     private final long logBytes;
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(1 << 16);
+    /** Null after a failure: the next commit begins the next log. */
     private Disk.Appender log;
     private volatile long logNumber;
     private long written;
     private long batch;
-    private volatile boolean failed;
     private long batches;
     private long entries;
     private long bytes;
@@ -62,150 +62,49 @@
      */
     public static Journal open(Disk disk, long logBytes, Consumer<Entry> replay, Consumer<Recovery> found)
             throws IOException {
-        Reader reader = new Reader(disk, replay);
+        JournalReader reader = new JournalReader(disk, replay);
         reader.readAll(Long.MAX_VALUE);
-        if (reader.cut > 0 || reader.emptyLast) {
-            if (reader.emptyLast) {
-                disk.delete(reader.cutFile);
-                disk.syncNames();
-            } else {
-                disk.truncate(reader.cutFile, reader.cutAt);
-            }
-        }
-        for (String name : reader.leftOver) {
+        // What the snapshot stands for goes with the next one: the name of this one may not last if its sync has failed.
+        for (String name : reader.unfinished()) {
             disk.delete(name);
         }
-        found.accept(new Recovery(reader.entries, reader.batches, reader.bytes, reader.cut, reader.cutFile));
-        Journal journal = new Journal(disk, logBytes, reader.lastLog, reader.batch);
+        if (reader.emptyLast()) {
+            disk.delete(reader.cutFile());
+            disk.syncNames();
+        }
+        writeAnew(disk, reader);
+        found.accept(reader.recovery());
+        Journal journal = new Journal(disk, logBytes, reader.lastLog(), reader.batch());
         journal.nextLog();
         return journal;
     }
 
-    /** Reads a store without changing it, also one that somebody else has open. */
-    public static Recovery inspect(Disk disk, Consumer<Entry> replay) throws IOException {
-        Reader reader = new Reader(disk, replay);
-        reader.readAll(Long.MAX_VALUE);
-        return new Recovery(reader.entries, reader.batches, reader.bytes, reader.cut, reader.cutFile);
-    }
-
-    private static final class Reader {
-        private final Disk disk;
-        private final Consumer<Entry> replay;
-        private final List<String> leftOver = new ArrayList<>();
-        private long lastLog;
-        private long batch;
-        private long entries;
-        private long batches;
-        private long bytes;
-        private long cut;
-        private long cutAt;
-        private String cutFile = "";
-        private boolean emptyLast;
-
-        Reader(Disk disk, Consumer<Entry> replay) {
-            this.disk = disk;
-            this.replay = replay;
+    /**
+     * Puts a copy in place of the last log, without its torn tail. Its last sync may have failed before this process was
+     * started, and then what is read from it may be in the system's memory alone, where no sync finds it again.
+     */
+    private static void writeAnew(Disk disk, JournalReader reader) throws IOException {
+        byte[] readable = reader.lastContent();
+        if (readable.length == 0) {
+            return;
         }
-
-        /** Reads the snapshot and the logs after it whose numbers are below this; the last of all may end torn. */
-        void readAll(long before) throws IOException {
-            TreeMap<Long, String> logs = new TreeMap<>();
-            TreeMap<Long, String> snapshots = new TreeMap<>();
-            for (String name : disk.list()) {
-                if (name.endsWith(UNFINISHED)) {
-                    leftOver.add(name);
-                } else if (name.startsWith(LOG)) {
-                    logs.put(number(name, LOG), name);
-                } else if (name.startsWith(SNAPSHOT)) {
-                    snapshots.put(number(name, SNAPSHOT), name);
-                }
-            }
-            boolean all = before == Long.MAX_VALUE;
-            logs.tailMap(before).clear();
-            long first = logs.isEmpty() ? 1 : logs.firstKey();
-            if (!snapshots.isEmpty()) {
-                first = snapshots.lastKey();
-                snapshots.headMap(first).values().forEach(leftOver::add);
-                logs.headMap(first).values().forEach(leftOver::add);
-                logs.headMap(first).clear();
-                read(snapshots.get(first), first, false, true);
-            } else if (first != 1) {
-                throw new DamagedException(name(LOG, 1), 0, "is missing, and no snapshot stands for it");
-            }
-            lastLog = first - 1;
-            long expected = first;
-            for (long number : logs.keySet()) {
-                if (number != expected++) {
-                    throw new DamagedException(name(LOG, expected - 1), 0, "is missing between others");
-                }
-                read(logs.get(number), number, all && number == logs.lastKey(), false);
-                lastLog = emptyLast ? number - 1 : number;
-            }
-            if (all && !snapshots.isEmpty() && logs.isEmpty()) {
-                throw new DamagedException(name(LOG, first), 0, "is missing after its snapshot");
-            }
-        }
-
-        private void read(String name, long number, boolean last, boolean whole) throws IOException {
-            byte[] content = disk.read(name);
-            ByteBuffer in = ByteBuffer.wrap(content);
-            if (content.length < HEADER || in.getLong(0) != MAGIC || in.getLong(8) != number) {
-                if (last && content.length <= HEADER) {
-                    emptyLast = true;
-                    cutFile = name;
-                    return;
-                }
-                throw new DamagedException(name, 0, "is no file of this store");
-            }
-            int at = HEADER;
-            boolean ended = false;
-            while (at < content.length) {
-                int length = Batch.lengthAt(in, at);
-                if (length < 0) {
-                    if (whole || !last || Batch.followed(in, at, batch)) {
-                        throw new DamagedException(name, at, "a batch cannot be read, and others follow it");
-                    }
-                    cut = content.length - at;
-                    cutAt = at;
-                    cutFile = name;
-                    return;
-                }
-                long its = Batch.numberAt(in, at);
-                if (whole ? its < batch : its <= batch) {
-                    throw new DamagedException(name, at, "batch " + its + " comes after " + batch);
-                }
-                if (!whole && its != batch + 1) {
-                    throw new DamagedException(name, at, "batch " + (batch + 1) + " is missing before " + its);
-                }
-                batch = its;
-                ended = length == 0;
-                replay(name, content, at + Batch.HEADER, length);
-                batches++;
-                bytes += length;
-                at += Batch.HEADER + length;
-            }
-            if (whole && !ended) {
-                throw new DamagedException(name, content.length, "the snapshot has no end");
-            }
+        String name = name(LOG, reader.lastLog());
+        try (Disk.Appender copy = disk.create(name + UNFINISHED)) {
+            copy.append(readable, readable.length);
+            copy.sync();
         }
+        disk.rename(name + UNFINISHED, name);
+        disk.syncNames();
+    }
 
-        private void replay(String name, byte[] content, int from, int length) throws IOException {
-            ByteBuffer in = ByteBuffer.wrap(content, from, length);
-            while (in.hasRemaining()) {
-                int size = in.getInt();
-                int at = in.position();
-                try {
-                    replay.accept(EntryCodec.read(content, at, size));
-                } catch (IOException | IllegalStateException wrong) {
-                    throw new DamagedException(name, at, wrong.getMessage());
-                }
-                entries++;
-                in.position(at + size);
-            }
-        }
+    /** Reads a store without changing it, also one that somebody else has open. */
+    public static Recovery inspect(Disk disk, Consumer<Entry> replay) throws IOException {
+        JournalReader reader = new JournalReader(disk, replay);
+        reader.readAll(Long.MAX_VALUE);
+        return reader.recovery();
     }
 
-    private static long number(String name, String prefix) throws IOException {
+    static long number(String name, String prefix) throws IOException {
         try {
             return Long.parseLong(name.substring(prefix.length()));
         } catch (NumberFormatException foreign) {
@@ -219,29 +118,83 @@
 
     // ---- Writing ----
 
-    /** Appends these as one batch and returns once they last. */
+    /**
+     * Appends these as one batch and returns once they last. An {@link IOException} says that nobody knows whether they
+     * do; the log has no place for anything else until they were committed again, which goes into a new file.
+     */
     public void commit(List<Entry> batchEntries) throws IOException {
-        usable();
+        byte[] batchBytes = encode(batchEntries, batch + 1, buffer);
+        if (log == null) {
+            continueInNextLog(batchBytes);
+        } else {
+            append(batchBytes);
+        }
+        batch++;
+        written += batchBytes.length;
+        batches++;
+        entries += batchEntries.size();
+        bytes += batchBytes.length;
+        if (written >= logBytes) {
+            roll();
+        }
+    }
+
+    private void append(byte[] batchBytes) throws IOException {
         try {
-            byte[] batchBytes = encode(batchEntries, ++batch, buffer);
             log.append(batchBytes, batchBytes.length);
             log.sync();
-            written += batchBytes.length;
-            batches++;
-            entries += batchEntries.size();
-            bytes += batchBytes.length;
-            if (written >= logBytes) {
-                nextLog();
-            }
         } catch (IOException | RuntimeException broken) {
-            failed = true;
+            abandon();
             throw broken;
         }
     }
 
-    private void usable() throws IOException {
-        if (failed) {
-            throw new IOException("the store has failed; nothing more is written before a recovery");
+    /** Leaves the present log for good: after a failed write or sync nobody knows what the disk holds of its end. */
+    private void abandon() {
+        closeQuietly(log);
+        log = null;
+    }
+
+    private static void closeQuietly(Disk.Appender file) {
+        try {
+            file.close();
+        } catch (IOException nothingNew) {
+            // What the file holds is either synced or not counted on.
+        }
+    }
+
+    /**
+     * Begins the next log with this batch. It gets its name once the batch lasts: so a log that repeats the number of the
+     * batch before it tells a recovery that the end of the one before was abandoned. A name that an earlier attempt left
+     * is taken over.
+     */
+    private void continueInNextLog(byte[] batchBytes) throws IOException {
+        long next = logNumber + 1;
+        String name = name(LOG, next);
+        if (disk.list().contains(name + UNFINISHED)) {
+            disk.delete(name + UNFINISHED);
+        }
+        Disk.Appender file = begin(disk, name + UNFINISHED, next);
+        try {
+            file.append(batchBytes, batchBytes.length);
+            file.sync();
+            disk.rename(name + UNFINISHED, name);
+            disk.syncNames();
+        } catch (IOException | RuntimeException broken) {
+            closeQuietly(file);
+            throw broken;
+        }
+        log = file;
+        logNumber = next;
+        written = 0;
+    }
+
+    /** Begins the next log after a commit; if that fails, the commit after it does so. */
+    private void roll() {
+        try {
+            nextLog();
+        } catch (IOException notYet) {
+            log = null;
         }
     }
 
@@ -263,9 +216,15 @@
             log.close();
         }
         long next = logNumber + 1;
-        log = begin(disk, name(LOG, next), next);
-        log.sync();
-        disk.syncNames();
+        Disk.Appender file = begin(disk, name(LOG, next), next);
+        try {
+            file.sync();
+            disk.syncNames();
+        } catch (IOException | RuntimeException broken) {
+            closeQuietly(file);
+            throw broken;
+        }
+        log = file;
         // Only now is the one before it closed for good.
         logNumber = next;
         written = 0;
@@ -273,7 +232,12 @@
 
     private static Disk.Appender begin(Disk disk, String name, long number) throws IOException {
         Disk.Appender file = disk.create(name);
-        file.append(ByteBuffer.allocate(HEADER).putLong(MAGIC).putLong(number).array(), HEADER);
+        try {
+            file.append(ByteBuffer.allocate(HEADER).putLong(MAGIC).putLong(number).array(), HEADER);
+        } catch (IOException | RuntimeException broken) {
+            closeQuietly(file);
+            throw broken;
+        }
         return file;
     }
 
@@ -292,12 +256,10 @@
             return false;
         }
         Ledger state = new Ledger(READING);
-        Reader reader = new Reader(disk, state::replay);
+        JournalReader reader = new JournalReader(disk, state::replay);
         reader.readAll(before);
         String name = name(SNAPSHOT, before);
-        if (disk.list().contains(name + UNFINISHED)) {
-            disk.delete(name + UNFINISHED);
-        }
+        deleteUnfinishedSnapshots(disk);
         try (Disk.Appender file = begin(disk, name + UNFINISHED, before)) {
             Iterator<Entry> entries = state.snapshot().iterator();
             List<Entry> piece = new ArrayList<>();
@@ -310,7 +272,7 @@
                     size += entry instanceof Entry.Accepted accepted ? 64 + accepted.payload().length : 64;
                 }
                 // The empty batch is the end.
-                byte[] bytes = encode(piece, reader.batch, new ByteArrayOutputStream(PIECE));
+                byte[] bytes = encode(piece, reader.batch(), new ByteArrayOutputStream(PIECE));
                 file.append(bytes, bytes.length);
             } while (!piece.isEmpty());
             file.sync();
@@ -323,6 +285,15 @@
         return true;
     }
 
+    /** Frees what an attempt that failed has left. */
+    private static void deleteUnfinishedSnapshots(Disk disk) throws IOException {
+        for (String each : disk.list()) {
+            if (each.startsWith(SNAPSHOT) && each.endsWith(UNFINISHED)) {
+                disk.delete(each);
+            }
+        }
+    }
+
     private static List<String> older(Disk disk, long before) throws IOException {
         List<String> old = new ArrayList<>();
         for (String name : disk.list()) {
