--- a/durable/src/main/java/ferngrade/durable/Store.java
+++ b/durable/src/main/java/ferngrade/durable/Store.java
@@ -1,29 +1,39 @@
 package ferngrade.durable;
 
+import ferngrade.Dispatcher.Effect;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.Executor;
 import java.util.concurrent.LinkedBlockingQueue;
-import java.util.function.Consumer;
+import java.util.concurrent.Semaphore;
 
 /**
  * A ledger and its log, with a thread for the disk: the owner's thread makes changes, and hears when they last. Whatever
  * waits when a sync returns goes into the next batch, so many changes share a sync under load and a single one waits for
  * its own alone (group commit).
  *
- * <p>All methods belong to the owner's thread, the one on which {@code owner} runs its tasks.
+ * <p>While the disk fails, whoever waits is told nothing, new jobs are refused, and the changes are tried again with
+ * backoff, each time in a new file, until they last.
+ *
+ * <p>All methods belong to the owner's thread, the one on which {@code owner} and {@code timer} run their tasks.
  */
 public final class Store implements AutoCloseable {
     /** Entries in a batch at most, so that its buffer stays bounded. */
     private static final int MOST_BATCH = 8192;
+    /** Ms until a failing disk is tried again: at first, and at the most. */
+    private static final double RETRY_FIRST = 20;
+    private static final double RETRY_MAX = 1_000;
 
     private final Disk disk;
     private final Ledger ledger;
     private final Journal journal;
     private final Executor owner;
+    private final RetryTimer timer;
     private final int mostWaiting;
+    private final Backoff backoff = new Backoff(RETRY_FIRST, RETRY_MAX);
+    private final Semaphore retries = new Semaphore(0);
     private final BlockingQueue<Waiting> queue = new LinkedBlockingQueue<>();
     private final Thread diskThread = new Thread(this::write, "store");
     private final Journal.Recovery recovery;
@@ -33,17 +43,22 @@
     /** Belongs to the disk's thread. */
     private long compactedBefore = 1;
     private int waiting;
-    private boolean failed;
+    /** Why the disk does not take what is on its way; null while it does. */
+    private IOException fault;
+    private volatile boolean closing;
+    /** Why the last try before the end failed; null if everything was stored. */
+    private volatile IOException unstored;
 
-    private record Waiting(List<Entry> entries, Runnable stored, Consumer<IOException> refused) { }
+    private record Waiting(List<Entry> entries, Runnable stored) { }
 
     private Store(Disk disk, Ledger ledger, Journal journal, Journal.Recovery recovery, Executor owner,
-            int mostWaiting) {
+            RetryTimer timer, int mostWaiting) {
         this.disk = disk;
         this.ledger = ledger;
         this.journal = journal;
         this.recovery = recovery;
         this.owner = owner;
+        this.timer = timer;
         this.mostWaiting = mostWaiting;
     }
 
@@ -52,12 +67,12 @@
      * log is begun after {@code logBytes}; beyond {@code mostWaiting} changes on their way to the disk it is crowded.
      */
     public static Store open(Disk disk, Ledger.Terms terms, long logBytes, int mostWaiting, double monotonic,
-            Executor owner) throws IOException {
+            Executor owner, RetryTimer timer) throws IOException {
         Ledger ledger = new Ledger(terms);
         Journal.Recovery[] recovery = new Journal.Recovery[1];
         Journal journal = Journal.open(disk, logBytes, ledger::replay, found -> recovery[0] = found);
         ledger.recovered(monotonic);
-        Store store = new Store(disk, ledger, journal, recovery[0], owner, mostWaiting);
+        Store store = new Store(disk, ledger, journal, recovery[0], owner, timer, mostWaiting);
         store.diskThread.setDaemon(true);
         store.diskThread.start();
         return store;
@@ -73,14 +88,31 @@
         return recovery;
     }
 
-    /** True if nothing new should be taken: the disk is behind, or has failed. What was taken may still be ended. */
+    /** True if nothing new should be taken: the disk is behind, or fails. What was taken may still be ended. */
     public boolean crowded() {
-        return failed || waiting >= mostWaiting;
+        return fault != null || waiting >= mostWaiting;
+    }
+
+    /** Why the disk fails at present; null if it does not. */
+    public IOException fault() {
+        return fault;
     }
 
-    /** True once the disk has failed: nothing is stored any more before the store is opened anew. */
-    public boolean failed() {
-        return failed;
+    /**
+     * Takes a client's job as {@link Ledger#accept} does and stores it; {@code stored} is called once the client may be
+     * told, also of a refusal by the ledger.
+     */
+    public Ledger.Change accept(String id, Effect effect, String key, double window, byte[] payload, double at,
+            Runnable stored) throws StoreUnavailableException {
+        if (fault != null) {
+            throw new StoreUnavailableException(StoreUnavailableException.Reason.DISK_FAULT);
+        }
+        if (crowded()) {
+            throw new StoreUnavailableException(StoreUnavailableException.Reason.OVERLOADED);
+        }
+        Ledger.Change change = ledger.accept(id, effect, key, window, payload, at);
+        commit(change, stored);
+        return change;
     }
 
     /** The syncs so far. */
@@ -89,22 +121,21 @@
     }
 
     /**
-     * Stores what a change brought. {@code stored} is called once it lasts, {@code refused} if the disk has failed and
-     * it may be gone; a change without entries lasts at once.
+     * Stores what a change brought. {@code stored} is called once, when it lasts, however long the disk fails before; a
+     * change without entries lasts when all before it does.
      */
-    public void commit(Ledger.Change change, Runnable stored, Consumer<IOException> refused) {
+    public void commit(Ledger.Change change, Runnable stored) {
         if (change.entries().isEmpty() && waiting == 0) {
             stored.run();
             return;
         }
         waiting++;
-        queue.add(new Waiting(change.entries(), stored, refused));
+        queue.add(new Waiting(change.entries(), stored));
     }
 
     private void write() {
         List<Waiting> batch = new ArrayList<>();
         List<Entry> entries = new ArrayList<>();
-        IOException failure = null;
         try {
             while (true) {
                 batch.clear();
@@ -113,10 +144,10 @@
                 queue.drainTo(batch, MOST_BATCH - 1);
                 boolean last = batch.removeIf(each -> each.entries() == null);
                 batch.forEach(each -> entries.addAll(each.entries()));
-                if (failure == null && !entries.isEmpty()) {
-                    failure = commit(entries);
+                if (!entries.isEmpty() && !persist(entries)) {
+                    break;
                 }
-                tell(List.copyOf(batch), failure);
+                tell(List.copyOf(batch));
                 if (last) {
                     break;
                 }
@@ -127,27 +158,38 @@
         }
     }
 
-    private IOException commit(List<Entry> entries) {
-        try {
-            journal.commit(entries);
-            syncs = syncs + 1;
-            return null;
-        } catch (IOException | RuntimeException broken) {
-            return broken instanceof IOException io ? io : new IOException(broken);
+    /** Tries until these last; false if the store was closed before, and the last try failed as well. */
+    private boolean persist(List<Entry> entries) throws InterruptedException {
+        boolean lastTry = false;
+        while (true) {
+            try {
+                journal.commit(entries);
+                syncs = syncs + 1;
+                return true;
+            } catch (IOException | RuntimeException broken) {
+                IOException failure = broken instanceof IOException io ? io : new IOException(broken);
+                if (lastTry) {
+                    unstored = failure;
+                    return false;
+                }
+                owner.execute(() -> failed(failure));
+                retries.acquire();
+                lastTry = closing;
+            }
         }
     }
 
-    private void tell(List<Waiting> batch, IOException failure) {
+    private void failed(IOException failure) {
+        fault = failure;
+        timer.after(backoff.next(), retries::release);
+    }
+
+    private void tell(List<Waiting> batch) {
         owner.execute(() -> {
             waiting -= batch.size();
-            failed |= failure != null;
-            for (Waiting each : batch) {
-                if (failure == null) {
-                    each.stored().run();
-                } else {
-                    each.refused().accept(failure);
-                }
-            }
+            fault = null;
+            backoff.reset();
+            batch.forEach(each -> each.stored().run());
         });
     }
 
@@ -176,10 +218,15 @@
         return compactionFailure;
     }
 
-    /** Stores what is on its way and ends the threads. */
+    /**
+     * Stores what is on its way and ends the threads. An {@link IOException} says that the disk did not take all of it:
+     * who still waits is not told, and a recovery decides.
+     */
     @Override
     public void close() throws IOException {
-        queue.add(new Waiting(null, null, null));
+        closing = true;
+        queue.add(new Waiting(null, null));
+        retries.release();
         try {
             diskThread.join();
             Thread running = compactor;
@@ -190,5 +237,8 @@
             Thread.currentThread().interrupt();
         }
         journal.close();
+        if (unstored != null) {
+            throw new IOException("changes on their way were not stored", unstored);
+        }
     }
 }
--- a/lab/src/main/java/ferngrade/lab/StoreCommand.java
+++ b/lab/src/main/java/ferngrade/lab/StoreCommand.java
@@ -15,9 +15,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
+import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
@@ -86,12 +86,13 @@
 
     /** So many clients, each with one job on its way: the next is handed in when the last is stored. */
     private void load(int count, double raw) throws Exception {
-        ExecutorService owner = Executors.newSingleThreadExecutor();
+        ScheduledExecutorService owner = Executors.newSingleThreadScheduledExecutor();
         Histogram latency = new Histogram(60_000_000L, 3);
         long[] jobs = {0};
         boolean[] over = {false};
         try (FolderDisk disk = FolderDisk.hold(folder);
-                Store store = Store.open(disk, TERMS, 256 << 20, 1 << 20, 0, owner)) {
+                Store store = Store.open(disk, TERMS, 256 << 20, 1 << 20, 0, owner,
+                        (millis, run) -> owner.schedule(run, (long) (millis * 1000), TimeUnit.MICROSECONDS))) {
             Callable<Void> begin = () -> {
                 for (int i = 0; i < count; i++) {
                     hand(store, latency, jobs, over);
@@ -124,7 +125,7 @@
             if (!over[0]) {
                 hand(store, latency, jobs, over);
             }
-        }, refused -> over[0] = true);
+        });
     }
 
     private void restart() throws IOException {
