--- a/agreement/src/main/java/ferngrade/agreement/VoterLog.java
+++ b/agreement/src/main/java/ferngrade/agreement/VoterLog.java
@@ -26,7 +26,8 @@
 /**
  * What a voter must not forget: who it is, its term and vote, the log and the last snapshot, on a {@link Disk}. Each
  * flush is one batch and one sync. A torn tail is cut; what was synced and cannot be read is an error with file and
- * offset. After a failed write nothing more is written: what the disk holds then, nobody knows before a recovery.
+ * offset. A file whose write or sync has failed is neither written nor synced again, since nobody knows what the disk holds
+ * of its end: everything is refused until {@link #continueInNewFile} has written all that counts into the next file.
  *
  * <p>The file is written anew, with a number one higher, once it has grown beyond its bound and a snapshot stands for the
  * log's beginning. Belongs to the voter's thread.
@@ -70,8 +71,8 @@
     }
 
     /**
-     * Opens the log of a folder and recovers what it holds; {@code failed} is told of the first write that fails, after
-     * which the voter must take no part any more.
+     * Opens the log of a folder and recovers what it holds; {@code failed} is told of a write that fails, after which the
+     * voter must take no part until {@link #continueInNewFile} has returned.
      */
     public static VoterLog open(Disk disk, Codec codec, long fileBytes, Consumer<IOException> failed)
             throws IOException {
@@ -83,25 +84,16 @@
     // ---- Recovery ----
 
     private void recover() throws IOException {
-        TreeMap<Long, String> files = new TreeMap<>();
-        List<String> leftOver = new ArrayList<>();
         for (String name : disk.list()) {
-            if (name.endsWith(UNFINISHED)) {
-                leftOver.add(name);
-            } else if (name.startsWith(PREFIX)) {
-                files.put(Long.parseLong(name.substring(PREFIX.length())), name);
+            if (name.startsWith(PREFIX) && !name.endsWith(UNFINISHED)) {
+                fileNumber = Math.max(fileNumber, Long.parseLong(name.substring(PREFIX.length())));
             }
         }
-        if (!files.isEmpty()) {
-            fileNumber = files.lastKey();
-            replay(files.remove(fileNumber));
-            leftOver.addAll(files.values());
+        if (fileNumber > 0) {
+            replay(name(fileNumber));
         }
         // A file is never gone on with: what its end is like after a crash need not be known.
         rewrite();
-        for (String name : leftOver) {
-            disk.delete(name);
-        }
     }
 
     private void replay(String name) throws IOException {
@@ -255,6 +247,18 @@
         }
     }
 
+    /**
+     * After a failure, writes all that counts into the next file, with what the failed flush was to write; nothing of that
+     * was acknowledged. An {@link IOException} says that the disk still fails.
+     */
+    public void continueInNewFile() throws IOException {
+        if (broken != null) {
+            rewrite();
+            unwritten.clear();
+            broken = null;
+        }
+    }
+
     private void write(Disk.Appender to, List<Object> items) throws IOException {
         byte[] content = codec.write(items);
         byte[] all = new byte[Batch.HEADER + content.length];
@@ -265,7 +269,7 @@
         written += all.length;
     }
 
-    /** Writes all that counts into a file with the next number; the one before it goes once the new name lasts. */
+    /** Writes all that counts into a file with the next number; those before it go once the new name lasts. */
     private void rewrite() throws IOException {
         List<Object> all = new ArrayList<>();
         if (endpoint != null) {
@@ -279,25 +283,48 @@
         }
         chunks.values().forEach(each -> all.addAll(each.values()));
         all.addAll(entries.values());
-        String before = name(fileNumber);
         String next = name(fileNumber + 1);
         if (disk.list().contains(next + UNFINISHED)) {
             disk.delete(next + UNFINISHED);
         }
         Disk.Appender begun = disk.create(next + UNFINISHED);
-        written = 0;
-        write(begun, all);
+        try {
+            written = 0;
+            write(begun, all);
+            disk.rename(next + UNFINISHED, next);
+            disk.syncNames();
+        } catch (IOException | RuntimeException failure) {
+            closeQuietly(begun);
+            throw failure;
+        }
         begunWith = written;
-        disk.rename(next + UNFINISHED, next);
-        disk.syncNames();
         if (file != null) {
-            file.close();
+            closeQuietly(file);
         }
         file = begun;
-        if (disk.list().contains(before)) {
-            disk.delete(before);
-        }
         fileNumber++;
+        deleteOthers();
+    }
+
+    /** Removes files that the present one stands for; what cannot be removed goes with the next one. */
+    private void deleteOthers() {
+        try {
+            for (String each : disk.list()) {
+                if (each.startsWith(PREFIX) && !each.equals(name(fileNumber))) {
+                    disk.delete(each);
+                }
+            }
+        } catch (IOException later) {
+            // A recovery reads the file with the highest number alone.
+        }
+    }
+
+    private static void closeQuietly(Disk.Appender file) {
+        try {
+            file.close();
+        } catch (IOException nothingNew) {
+            // What the file holds is either synced or not counted on.
+        }
     }
 
     private static String name(long number) {
--- a/agreement/src/test/java/ferngrade/agreement/VoterLogTest.java
+++ b/agreement/src/test/java/ferngrade/agreement/VoterLogTest.java
@@ -8,6 +8,9 @@
 import ferngrade.codec.Codec;
 import ferngrade.durable.DamagedException;
 import ferngrade.durable.FaultyDisk;
+import ferngrade.durable.FaultyDisk.DiskFault;
+import ferngrade.durable.FaultyDisk.Errno;
+import ferngrade.durable.FaultyDisk.Operation;
 import io.microraft.model.impl.log.DefaultLogEntryOrBuilder;
 import io.microraft.model.impl.log.DefaultRaftGroupMembersViewOrBuilder;
 import io.microraft.model.impl.log.DefaultSnapshotChunkOrBuilder;
@@ -18,9 +21,12 @@
 import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
 
 /** What a voter must not forget, on a disk that loses power, fills and rots. */
 class VoterLogTest {
@@ -148,6 +154,124 @@
         assertEquals(0, open(disk).restored().getTermPersistentState().getTerm());
     }
 
+    /** Tries until the log is usable again; says how often that failed. */
+    private static int continueAfterFault(VoterLog log) throws IOException {
+        for (int failures = 0; ; failures++) {
+            try {
+                log.continueInNewFile();
+                return failures;
+            } catch (DiskFault stillFailing) {
+                assertThrows(IOException.class, log::flush, "nothing is written before a new file is begun");
+                assertTrue(failures < 100, "never again");
+            }
+        }
+    }
+
+    /** Appends entries up to this index with a flush and a vote each, while the disk may fail. */
+    private static void append(VoterLog log, int from, int until) throws IOException {
+        for (int i = from; i <= until; i++) {
+            try {
+                log.persistLogEntries(List.of(entry(i, "entry " + i)));
+                log.flush();
+            } catch (DiskFault failed) {
+                continueAfterFault(log);
+            }
+            try {
+                vote(log, i, "b");
+            } catch (DiskFault failed) {
+                continueAfterFault(log);
+            }
+        }
+    }
+
+    private void assertHolds(FaultyDisk disk, int entries, String when) throws IOException {
+        RestoredRaftState found = open(disk).restored();
+        assertEquals(entries, found.getTermPersistentState().getTerm(), when);
+        assertEquals(entries, found.getLogEntries().size(), when);
+        for (int i = 0; i < entries; i++) {
+            assertEquals(i + 1, found.getLogEntries().get(i).getIndex(), when);
+        }
+    }
+
+    @ParameterizedTest
+    @EnumSource(Operation.class)
+    void everyOperationMayFailForAWhileAndTheLogGoesOnInANewFile(Operation operation) throws IOException {
+        for (Errno errno : Errno.values()) {
+            for (int run = 0; run < 200; run++) {
+                FaultyDisk disk = new FaultyDisk(run, 0);
+                VoterLog log = VoterLog.open(disk, LogFormat.codec(List.of()), 300, failures::add);
+                begin(log);
+                log.persistSnapshotChunk(new DefaultSnapshotChunkOrBuilder().setIndex(0).setTerm(1)
+                        .setSnapshotChunkIndex(0).setSnapshotChunkCount(1).setGroupMembersView(MEMBERS)
+                        .setOperation("nothing").build());
+                log.flush();
+                disk.fail(operation, errno, run / 8, 1 + run % 8);
+                append(log, 1, 12);
+                disk.heal();
+                String when = operation + " " + errno + " run " + run;
+                if (run % 2 == 0) {
+                    disk.powerUp();
+                }
+                assertHolds(disk, 12, when);
+                disk.powerUp();
+                assertHolds(disk, 12, when + ", later");
+            }
+        }
+        // Removing old files may fail unseen; the others fail wherever a file is written or begun.
+        assertTrue(operation == Operation.DELETE || failures.size() > 20, operation + ": " + failures.size());
+    }
+
+    @Test
+    void powerMayGoAtAnyStepWhileSyncsFail() throws IOException {
+        for (int step = 0; step < 120; step++) {
+            FaultyDisk disk = new FaultyDisk(step, 0);
+            VoterLog log = open(disk);
+            begin(log);
+            disk.fail(Operation.SYNC, Errno.EIO, step % 7, 1 + step % 3);
+            disk.losePowerAfter(step);
+            int flushed = 0;
+            try {
+                while (flushed < 10) {
+                    append(log, flushed + 1, flushed + 1);
+                    flushed++;
+                }
+            } catch (FaultyDisk.PowerLost lost) {
+                assertTrue(flushed < 10, "all was flushed before");
+            }
+            disk.heal();
+            disk.powerUp();
+            RestoredRaftState found = open(disk).restored();
+            int entries = found.getLogEntries().size();
+            int term = found.getTermPersistentState().getTerm();
+            assertTrue(entries == flushed || entries == flushed + 1, step + ": " + entries + " of " + flushed);
+            assertTrue(term == flushed || term == flushed + 1, step + ": term " + term + " of " + flushed);
+        }
+    }
+
+    @Test
+    void aWriteThatIsTornAtAnyByteIsWrittenAnewOrCut() throws IOException {
+        for (int torn = 0; torn <= 60; torn++) {
+            FaultyDisk disk = new FaultyDisk(torn, 0);
+            VoterLog log = open(disk);
+            begin(log);
+            append(log, 1, 2);
+            disk.tearWritesAt(torn);
+            disk.fail(Operation.WRITE, Errno.ENOSPC, 0, 2);
+            if (torn % 2 == 0) {
+                append(log, 3, 3);
+                assertHolds(disk, 3, "torn at " + torn);
+            } else {
+                assertThrows(DiskFault.class, () -> vote(log, 3, "b"));
+                disk.heal();
+                disk.restartProcess();
+                int term = open(disk).restored().getTermPersistentState().getTerm();
+                assertTrue(term == 2 || term == 3, torn + ": " + term);
+                disk.powerUp();
+                assertEquals(term, open(disk).restored().getTermPersistentState().getTerm(), "as it was read before");
+            }
+        }
+    }
+
     @Test
     void aBitTurnedOverInWhatWasSyncedIsSaidWithFileAndOffset() throws IOException {
         int said = 0;
@@ -170,6 +294,26 @@
         assertTrue(said > 20, "places tried: " + said);
     }
 
+    /** A voter's file as it was written before a log could go on after a fault. */
+    private static final String WRITTEN = "00000002a3bdd4de00000000000000010b01000000096b3c48c400000000000000020b827d00006682610100000016ee32da"
+            + "5200000000000000030b82700000000b836600826182620b836600826182620000000911613da800000000000000040b827e"
+            + "0000066682620000000ab06ae33800000000000000050b826f00000203827802000000052dba26d600000000000000060b82"
+            + "680002";
+
+    @Test
+    void filesAreByteForByteAsBefore() throws IOException {
+        FaultyDisk disk = new FaultyDisk(6, 0);
+        VoterLog log = open(disk);
+        begin(log);
+        vote(log, 3, "b");
+        log.persistLogEntries(List.of(entry(1, "x")));
+        log.flush();
+        log.truncateLogEntriesFrom(1);
+        log.flush();
+        assertEquals(List.of("voter-0000000000000001"), disk.list());
+        assertEquals(WRITTEN, HexFormat.of().formatHex(disk.read(disk.list().get(0))));
+    }
+
     @Test
     void bytesOfStrangersAreNoValues() {
         Codec codec = LogFormat.codec(List.of());
