--- a/agreement/src/main/java/ferngrade/agreement/Voter.java
+++ b/agreement/src/main/java/ferngrade/agreement/Voter.java
@@ -55,6 +55,9 @@
     private static final double SPREAD_FIRST = 2;
     private static final double SPREAD_MOST = 16;
 
+    /** Why a proposal comes back as unknown while the disk fails. */
+    static final String DISK_FAILS = "this member's disk fails";
+
     private final Endpoint self;
     private final String name;
     private final String fleet;
@@ -66,6 +69,7 @@
     private final Map<Long, Waiting> waiting = new HashMap<>();
     private final Clock clock;
     private final Terms terms;
+    private final DiskSuspension suspension;
     private long lastId;
     private double leaderHeard;
     private double campaigned;
@@ -140,6 +144,7 @@
         this.timers = around.timers();
         this.clock = around.clock();
         this.terms = terms;
+        this.suspension = new DiskSuspension(around.timers(), around.loop());
         this.codec = codec;
         this.links = links;
         double scale = terms.heartbeat() / 1000;
@@ -176,6 +181,23 @@
         }
     }
 
+    /**
+     * Takes no part from here on until the log can be used again, as though the process stood still: it neither hears nor
+     * sends messages, and proposals come back as unknown. Called when a write of {@code log} has failed; {@code over} is
+     * called when the disk works again.
+     */
+    public void suspend(VoterLog log, Runnable over) {
+        suspension.begin(log::continueInNewFile, () -> {
+            leaderHeard = clock.now();
+            over.run();
+        });
+    }
+
+    /** Whether this member takes no part because its disk fails. */
+    public boolean suspended() {
+        return suspension.active();
+    }
+
     /** Asks all others to be taken in, for as long as the log does not have this endpoint with all that it should be. */
     private void askIn() {
         if (!takenIn(self)) {
@@ -225,7 +247,7 @@
     private void watch() {
         double patience = STUCK * SILENT_BEATS * terms.heartbeat();
         View view = view();
-        if (node.getEffectiveMembers().getVotingMembers().contains(self) && !leads()
+        if (!suspended() && node.getEffectiveMembers().getVotingMembers().contains(self) && !leads()
                 && clock.now() - Math.max(leaderHeard, campaigned) > patience) {
             leaderHeard = clock.now();
             moveTo(view.term() + 1, node.getEffectiveMembers().getVotingMembers().stream()
@@ -258,16 +280,19 @@
     /** What this member knows of the leader. */
     public View view() {
         RaftTerm term = node.getTerm();
-        RaftEndpoint leader = term.getLeaderEndpoint();
+        RaftEndpoint leader = suspended() ? null : term.getLeaderEndpoint();
         return new View(term.getTerm(), leader == null ? null : ((Endpoint) leader).member());
     }
 
     private boolean leads() {
-        return self.equals(node.getTerm().getLeaderEndpoint());
+        return !suspended() && self.equals(node.getTerm().getLeaderEndpoint());
     }
 
     /** Takes a message in; one that cannot be read, or is another fleet's, is dropped. */
     public void handle(String from, byte[] message) {
+        if (suspended()) {
+            return;
+        }
         Object read;
         try {
             read = codec.read(message, 0, message.length);
@@ -329,7 +354,7 @@
             once.timer = timers.after(patience, () -> once.unknown("no majority has answered in time"));
             replicate(command, once);
         } else if (leader == null) {
-            timers.after(0, () -> outcome.unknown("no leader is known"));
+            timers.after(0, () -> outcome.unknown(suspended() ? DISK_FAILS : "no leader is known"));
         } else {
             long id = ++lastId;
             Timers.Timer timer = timers.after(patience, () -> {
@@ -399,12 +424,12 @@
 
         @Override
         public void execute(Runnable task) {
-            around.loop().execute(task);
+            around.loop().execute(() -> suspension.run(task));
         }
 
         @Override
         public void submit(Runnable task) {
-            around.loop().execute(task);
+            execute(task);
         }
 
         @Override
@@ -416,13 +441,16 @@
                 // It waits for votes until then: not stuck.
                 campaigned = clock.now() + millis;
             }
-            around.timers().after(millis, task);
+            around.timers().after(millis, () -> suspension.run(task));
         }
     }
 
     private final class Messages implements Transport {
         @Override
         public void send(RaftEndpoint target, RaftMessage message) {
+            if (suspended()) {
+                return;
+            }
             if (message instanceof PreVoteRequest || message instanceof VoteRequest) {
                 campaigned = clock.now();
             }
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -64,6 +64,7 @@
     private final Map<Shard, Performer> performers = new HashMap<>();
     private final FolderDisk disk;
     private final Links links;
+    private final VoterLog voterLog;
     private final Voter voter;
     private final Holder holder;
     private final Membership membership;
@@ -102,8 +103,8 @@
                 TimeUnit.MICROSECONDS));
         this.disk = FolderDisk.hold(start.data());
         Codec codec = LogFormat.codec(Command.CLASSES);
-        VoterLog kept = VoterLog.open(start.disk().apply(disk), codec, FILE_BYTES, this::diskFailed);
-        RestoredRaftState restored = kept.restored();
+        this.voterLog = VoterLog.open(start.disk().apply(disk), codec, FILE_BYTES, this::diskFailed);
+        RestoredRaftState restored = voterLog.restored();
         if (restored == null && file.member(name).voter() && start.empty() == Empty.STOP) {
             disk.close();
             throw new IOException(start.data() + " holds nothing of this fleet: a voter without its disk must not vote."
@@ -117,7 +118,7 @@
         this.links = new Links(new Seal(file.name() + " links", file.keys(), seed | 1), name, others,
                 (from, message) -> loop.execute(() -> guarded(() -> received(from, message))));
         this.voter = new Voter(name, new Voter.Group(file.name(), names(false), names(true)), table,
-                new Voter.Kept(kept, restored, start.empty() == Empty.REJOIN ? Long.toHexString(seed) : null), new Voter.Surroundings(clock, timers,
+                new Voter.Kept(voterLog, restored, start.empty() == Empty.REJOIN ? Long.toHexString(seed) : null), new Voter.Surroundings(clock, timers,
                         task -> loop.execute(() -> guarded(task)), seed), codec,
                 (to, message) -> links.send(to, marked(VOTER, message)), new Voter.Terms(file.heartbeat(), SNAPSHOT_EVERY));
         this.holder = new Holder(name, Long.toHexString(seed), file.shards(), file.terms(), this::propose);
@@ -198,8 +199,8 @@
     }
 
     private void diskFailed(IOException failure) {
-        log.accept("disk failed, leaving at once: " + failure.getMessage());
-        ended.complete(1);
+        log.accept("disk failed, taking no part until it works again: " + failure.getMessage());
+        voter.suspend(voterLog, () -> log.accept("disk works again"));
     }
 
     // ---- Duties ----
--- a/trials/src/main/java/ferngrade/trials/VirtualFleet.java
+++ b/trials/src/main/java/ferngrade/trials/VirtualFleet.java
@@ -107,7 +107,7 @@
         for (String name : names) {
             VirtualMember member = members.get(name);
             member.pause(false);
-            disks.get(name).fill(false);
+            disks.get(name).heal();
             if (!member.alive() || drained.contains(name)) {
                 member.die();
                 start(name);
@@ -215,8 +215,8 @@
     private void rarer(String one, double length) {
         switch (chance.nextInt(3)) {
             case 0 -> {
-                disks.get(one).fill(true);
-                time.after(length, () -> disks.get(one).fill(false));
+                failDisk(disks.get(one), (long) length % 2 == 0);
+                time.after(length, () -> disks.get(one).heal());
             }
             case 1 -> lose(one, length);
             default -> {
@@ -228,6 +228,18 @@
         }
     }
 
+    /** Has a disk be full, or fail in its syncs and changes of names. */
+    private static void failDisk(FaultyDisk disk, boolean full) {
+        if (full) {
+            disk.fill(true);
+            return;
+        }
+        for (FaultyDisk.Operation each : List.of(FaultyDisk.Operation.SYNC, FaultyDisk.Operation.RENAME,
+                FaultyDisk.Operation.SYNC_NAMES)) {
+            disk.fail(each, FaultyDisk.Errno.EIO, 0, Long.MAX_VALUE);
+        }
+    }
+
     /** At most one disk is lost in a run: more are more than a majority's disks can make up for. */
     private void lose(String one, double down) {
         if (lost.isEmpty()) {
--- a/trials/src/main/java/ferngrade/trials/VirtualMember.java
+++ b/trials/src/main/java/ferngrade/trials/VirtualMember.java
@@ -35,6 +35,7 @@
     private final double began;
     private final DutyTable table = new DutyTable();
     private final Holder holder;
+    private final VoterLog log;
     private final Voter voter;
     private final Timers timers;
     private final Standstill process = new Standstill();
@@ -52,7 +53,8 @@
                 // A little late: rounded down, the clock would not be there yet when it wakes, for ever.
                 (millis, run) -> fleet.time.after(millis / rate + 1e-6, () -> enter(run)));
         Codec codec = LogFormat.codec(Command.CLASSES);
-        VoterLog log = VoterLog.open(disk, codec, 1 << 16, failure -> die());
+        VoterLog log = VoterLog.open(disk, codec, 1 << 16, failure -> diskFailed());
+        this.log = log;
         RaftStore store = fleet.mutant == Mutant.UNSYNCED_VOTE ? unsyncedVotes(log) : log;
         this.voter = new Voter(name, new Voter.Group("trial", fleet.names, fleet.names), watched(),
                 new Voter.Kept(store, log.restored(), anew ? Long.toHexString(seed) : null),
@@ -66,6 +68,10 @@
         act();
     }
 
+    private void diskFailed() {
+        voter.suspend(log, () -> { });
+    }
+
     /** The log writes the term and the vote, and syncs them with whatever comes later. */
     private static RaftStore unsyncedVotes(VoterLog log) {
         RaftTermPersistentState[] late = new RaftTermPersistentState[1];
@@ -118,7 +124,7 @@
             try {
                 run.run();
             } catch (RuntimeException | AssertionError fault) {
-                // A disk that has failed has ended the process; anything else must not happen.
+                // A process that has ended may fail in anything; else it must not happen.
                 if (alive()) {
                     fleet.fault(name, fault);
                     die();
