--- a/durable/src/main/java/ferngrade/durable/Disk.java
+++ b/durable/src/main/java/ferngrade/durable/Disk.java
@@ -14,7 +14,10 @@
     /** Creates an empty file, which must not exist, to be appended to. */
     Appender create(String name) throws IOException;
 
-    /** Gives a file another name in one step, in the place of any file of that name; the name lasts once {@link #syncNames} has returned. */
+    /**
+     * Gives a file another name in one step, in the place of any file of that name; the name lasts once {@link #syncNames}
+     * has returned.
+     */
     void rename(String from, String to) throws IOException;
 
     /** Removes a file. */
--- a/durable/src/main/java/ferngrade/durable/Journal.java
+++ b/durable/src/main/java/ferngrade/durable/Journal.java
@@ -120,7 +120,8 @@
 
     /**
      * Appends these as one batch and returns once they last. An {@link IOException} says that nobody knows whether they
-     * do; the log has no place for anything else until they were committed again, which goes into a new file.
+     * do: a recovery may find them, unless another commit comes before. That goes into a new file and takes their place, so
+     * whoever still owes them commits them again first.
      */
     public void commit(List<Entry> batchEntries) throws IOException {
         byte[] batchBytes = encode(batchEntries, batch + 1, buffer);
