--- a/node/src/main/java/ferngrade/net/Admin.java
+++ b/node/src/main/java/ferngrade/net/Admin.java
@@ -34,6 +34,11 @@
 final class Admin {
     /** How long a caller may take to bring a whole call, ms; callers wait 1 s for the answer. */
     static final double PATIENCE = 1000;
+    /**
+     * How long a change of maintenance waits to be stored before its caller hears that it is not yet, ms. A caller
+     * waits 1 s, and the node may be held up for 150 ms in between.
+     */
+    static final double STORE_TIMEOUT = 700;
     /** The largest call, in bytes: calls carry no bodies worth the name. */
     static final int MOST_CALL = 4096;
 
@@ -134,26 +139,35 @@
         front.resume();
     }
 
+    /** What became of a call that takes a worker out or back. */
+    enum MaintenanceOutcome {
+        /** Nobody has that name; nothing has changed. */
+        UNKNOWN_WORKER,
+        /** The change holds, and outlives this process. */
+        STORED,
+        /** The change holds in this process, but could not be stored in time; attempts to store it go on. */
+        NOT_STORED_YET
+    }
+
     /**
-     * Takes a worker out, or back; {@code answer} gets false at once for a name that nobody has, and true once
-     * the change would outlive this process.
+     * Takes a worker out, or back; {@code answer} gets the outcome after {@link #STORE_TIMEOUT} at most. A change that
+     * is stored later than that is told so then; the first outcome is the one that counts.
      */
-    void maintain(String worker, boolean out, Consumer<Boolean> answer) {
+    void maintain(String worker, boolean out, Consumer<MaintenanceOutcome> answer) {
         boolean known = out ? node.takeOut(worker) : node.giveBack(worker);
         if (!known) {
-            answer.accept(false);
+            answer.accept(MaintenanceOutcome.UNKNOWN_WORKER);
             return;
         }
         log.line("menu worker " + worker + (out ? " taken out by operators" : " taken back by operators"));
         if (state == null) {
-            answer.accept(true);
+            answer.accept(MaintenanceOutcome.STORED);
             return;
         }
-        state.write(MaintenanceCodec.write(node.maintenanceSaved()), failed -> loop.execute(() -> {
-            if (failed != null) {
-                log.line("maintenance not saved for a later process: " + failed.getMessage());
-            }
-            answer.accept(true);
+        Timers.Timer timeout = timers.after(STORE_TIMEOUT, () -> answer.accept(MaintenanceOutcome.NOT_STORED_YET));
+        state.write(MaintenanceCodec.write(node.maintenanceSaved()), () -> loop.execute(() -> {
+            timeout.cancel();
+            answer.accept(MaintenanceOutcome.STORED);
         }));
     }
 
--- a/node/src/main/java/ferngrade/net/AdminHandler.java
+++ b/node/src/main/java/ferngrade/net/AdminHandler.java
@@ -22,6 +22,8 @@
 
     private final Admin admin;
     private boolean answered;
+    /** A call that takes a worker out or back waits for its outcome; what comes behind it is not read. */
+    private boolean maintenancePending;
 
     AdminHandler(Admin admin) {
         this.admin = admin;
@@ -40,7 +42,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-        if (answered) {
+        if (answered || maintenancePending) {
             return;
         }
         if (call.decoderResult().isFailure()) {
@@ -111,13 +113,15 @@
             return;
         }
         String worker = QueryStringDecoder.decodeComponent(path.substring(WORKERS.length(), slash));
-        answered = true;
-        admin.maintain(worker, out, known -> {
-            answered = false;
-            if (known) {
-                answer(ctx, HttpResponseStatus.OK, (out ? "taken out: " : "taken back: ") + worker + "\n");
-            } else {
-                answer(ctx, HttpResponseStatus.NOT_FOUND, "no menu worker " + worker + "\n");
+        maintenancePending = true;
+        String change = (out ? "taken out: " : "taken back: ") + worker;
+        admin.maintain(worker, out, outcome -> {
+            maintenancePending = false;
+            switch (outcome) {
+                case STORED -> answer(ctx, HttpResponseStatus.OK, change + "\n");
+                case NOT_STORED_YET -> answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, change
+                        + ", in this process only: not stored yet, a later process may not know of it\n");
+                case UNKNOWN_WORKER -> answer(ctx, HttpResponseStatus.NOT_FOUND, "no menu worker " + worker + "\n");
             }
         });
     }
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -9,10 +9,12 @@
 import ferngrade.config.MemberReader;
 import ferngrade.config.NodeConfig;
 import ferngrade.node.Clock;
+import ferngrade.node.FileOperations;
 import ferngrade.node.Log;
 import ferngrade.node.Member;
 import ferngrade.node.Node;
 import ferngrade.node.StateFile;
+import ferngrade.node.TaskScheduler;
 import ferngrade.node.Timers;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -67,11 +69,16 @@
     /**
      * What the platform hands a process beside its configuration: {@code accepted}, the clients' listening socket,
      * or null where the node binds its own; {@code state}, a folder that a later process of the node shares, or
-     * null for none.
+     * null for none, and {@code files}, by which files in it are read and written.
      */
-    public record Platform(ServerSocketChannel accepted, Path state) {
+    public record Platform(ServerSocketChannel accepted, Path state, FileOperations files) {
         /** Nothing handed over: the node binds its own socket and keeps nothing. */
         public static final Platform NONE = new Platform(null, null);
+
+        /** On the machine's own file system. */
+        public Platform(ServerSocketChannel accepted, Path state) {
+            this(accepted, state, FileOperations.SYSTEM);
+        }
     }
 
     private NodeServer(NodeConfig config, Platform platform, Clock clock, Log log, Decisions decisions) {
@@ -144,7 +151,8 @@
         UdpPeers peers = new UdpPeers(config.peers(), config.peersAll(), log);
         Node node = new Node(new Node.Surroundings(clock, timers, loop, workers, peers, log), room(),
                 actions -> decisions.start(config, clock.now(), actions));
-        StateFile state = platform.state() == null ? null : new StateFile(platform.state().resolve(MAINTENANCE_FILE));
+        TaskScheduler writer = TaskScheduler.onDaemonThread("state-file");
+        StateFile state = platform.state() == null ? null : stateFile(MAINTENANCE_FILE, writer);
         restore(node, state);
         if (config.known() != null) {
             keep(node, config.known().members());
@@ -164,12 +172,12 @@
             adminChannel = listening.channel();
             bound.add(listening);
             if (platform.state() != null && sibling != null) {
-                StateFile here = new StateFile(platform.state().resolve(ADMIN_FILE));
+                StateFile here = stateFile(ADMIN_FILE, writer);
                 findSibling(here);
                 listening.addListener(done -> {
                     if (done.isSuccess()) {
                         InetSocketAddress own = adminAddress();
-                        here.write(own.getHostString() + ":" + own.getPort(), failed -> { });
+                        here.write(own.getHostString() + ":" + own.getPort(), () -> { });
                         sibling.announce(own);
                     }
                 });
@@ -182,6 +190,10 @@
         return bound;
     }
 
+    private StateFile stateFile(String name, TaskScheduler writer) {
+        return new StateFile(platform.state().resolve(name), platform.files(), writer, this::report);
+    }
+
     /**
      * Where lists are pushed, what the agent here holds counts as told from the first moment, and it answers at once:
      * the stored list waits for that. Where discovery is asked, nothing counts before its answer, which may take long.
--- a/node/src/test/java/ferngrade/net/AdminStoriesTest.java
+++ b/node/src/test/java/ferngrade/net/AdminStoriesTest.java
@@ -8,6 +8,8 @@
 import ferngrade.config.NodeConfig;
 import ferngrade.net.RawHttp.Message;
 import ferngrade.node.Clock;
+import ferngrade.node.FaultyFileOperations;
+import ferngrade.node.FaultyFileOperations.Operation;
 import ferngrade.node.Log;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -17,7 +19,9 @@
 import java.net.Socket;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.FileSystemException;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -205,6 +209,88 @@
         assertEquals(Files.readString(folder.resolve("ferngrade-maintenance.json")), "{\"out\":[\"s-1\"],\"back\":{}}");
     }
 
+    @Test
+    public void changeThatIsNotStoredIsOwedANoAndHoldsAndIsStoredOnceTheDiskWorksAgain() throws Exception {
+        Path folder = Files.createTempDirectory("fails");
+        NodeServer node = start(new NodeServer.Platform(null, folder));
+        Files.delete(folder);
+        Message answer = call(node, "POST /-/menu-workers/s-1/disable");
+        assertEquals(answer.status(), 503);
+        assertEquals(answer.body(), "taken out: s-1, in this process only: not stored yet, a later process may not know of it\n");
+        assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+        // Stored without another call.
+        Files.createDirectory(folder);
+        while (!Files.exists(folder.resolve("ferngrade-maintenance.json"))) {
+            Thread.onSpinWait();
+        }
+        NodeServer next = start(new NodeServer.Platform(null, folder));
+        assertTrue(call(next, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+    }
+
+    @Test
+    public void yesComesOnlyOnceTheFolderIsSyncedAndWithinTheSecondThatACallerWaitsANo() throws Exception {
+        assertTrue(Admin.STORE_TIMEOUT + 150 < 1000, "with a node that is held up meanwhile");
+        FaultyFileOperations files = new FaultyFileOperations();
+        NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
+        files.fail(Operation.SYNC_FOLDER, FaultyFileOperations.error("Input/output error"));
+        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 503);
+        files.heal();
+        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+        assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
+    }
+
+    @Test
+    public void diskThatFailsForAMomentIsNoReasonForANo() throws Exception {
+        FaultyFileOperations files = new FaultyFileOperations();
+        NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
+        files.fail(Operation.SYNC_FOLDER, () -> {
+            files.heal();
+            throw new FileSystemException("Input/output error");
+        });
+        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+        assertEquals(files.failures(), 1);
+    }
+
+    @Test
+    public void adminAddressIsStoredOnceTheDiskWorksAgain() throws Exception {
+        FaultyFileOperations files = new FaultyFileOperations();
+        files.fail(Operation.CREATE, FaultyFileOperations.error("No space left on device"));
+        ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
+                InetAddress.getLoopbackAddress(), 0));
+        NodeServer node = start(new NodeServer.Platform(clients, Path.of("/state"), files));
+        while (files.failures() < 2) {
+            Thread.onSpinWait();
+        }
+        files.heal();
+        String own = "127.0.0.1:" + node.adminAddress().getPort();
+        while (!own.equals(adminFile(files))) {
+            Thread.onSpinWait();
+        }
+    }
+
+    private static String adminFile(FaultyFileOperations files) throws IOException {
+        try {
+            return new String(files.read(Path.of("/state/ferngrade-admin.txt")), StandardCharsets.UTF_8);
+        } catch (NoSuchFileException none) {
+            return null;
+        }
+    }
+
+    @Test
+    public void filesTornAtAnyByteAreNoReasonNotToStart() throws Exception {
+        Path folder = Files.createTempDirectory("torn");
+        String saved = "{\"out\":[\"s-1\"],\"back\":{\"s-2\":900}}";
+        String admin = "127.0.0.1:9600";
+        ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
+                InetAddress.getLoopbackAddress(), 0));
+        for (int length = 0; length < saved.length(); length += 5) {
+            Files.writeString(folder.resolve("ferngrade-maintenance.json"), saved.substring(0, length));
+            Files.writeString(folder.resolve("ferngrade-admin.txt"), admin.substring(0, Math.min(length, admin.length())));
+            NodeServer node = start(new NodeServer.Platform(clients, folder));
+            assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=0\n"), "at byte " + length);
+        }
+    }
+
     private static Message call(NodeServer node, String line) throws IOException {
         try (RawHttp caller = RawHttp.to(node.adminAddress())) {
             return caller.write(line + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n").read();
@@ -219,6 +305,12 @@
     }
 
     private NodeServer start(NodeServer.Platform platform) throws Exception {
+        if (!nodes.isEmpty()) {
+            // Each node has a discovery of its own: a silent watch of an earlier one is opened anew meanwhile.
+            discovery.close();
+            discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+            discovery.setSoTimeout(10_000);
+        }
         Clock clock = Clock.system();
         NodeServer node = NodeServer.start(config(), platform, clock, new Log(clock, line -> { }));
         nodes.add(node);
