--- a/agreement/src/main/java/ferngrade/agreement/LogFormat.java
+++ b/agreement/src/main/java/ferngrade/agreement/LogFormat.java
@@ -19,7 +19,9 @@
 import io.microraft.model.impl.message.DefaultVoteResponseOrBuilder;
 import io.microraft.model.impl.persistence.DefaultRaftEndpointPersistentStateOrBuilder;
 import io.microraft.model.impl.persistence.DefaultRaftTermPersistentStateOrBuilder;
+import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Set;
 
 /** The classes that voters send each other and keep on disk; their order is the format, new ones go to the end. */
 public final class LogFormat {
@@ -37,6 +39,11 @@
 
     private LogFormat() { }
 
+    /** The log's own classes. */
+    static Set<Class<?>> classes() {
+        return new LinkedHashSet<>(OWN);
+    }
+
     /** A codec for the log's own classes and those of the commands, in this order. */
     public static Codec codec(List<Class<?>> commands) {
         return new Codec(OWN, commands);
--- /dev/null
+++ b/test-support/src/main/java/ferngrade/golden/package-info.java
@@ -0,0 +1,2 @@
+/** Golden files: recorded values that tests compare with what the code writes today. */
+package ferngrade.golden;
