--- a/decisions/src/test/java/ferngrade/PeerMessageTest.java
+++ b/decisions/src/test/java/ferngrade/PeerMessageTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import ferngrade.golden.GoldenFile;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
@@ -17,6 +18,17 @@
         assertArrayEquals(new double[] {4, 0.5}, peer.demands);
     }
 
+    @Test
+    void theBytesAreAsAnEarlierVersionSentThem() {
+        GoldenFile golden = GoldenFile.open("peer-messages.txt");
+        golden.verify("two-tenants", PeerMessage.write(9, 12.5, -3.25, new double[] {4, 0.1}));
+        golden.verify("no-tenants", PeerMessage.write(Integer.MAX_VALUE, 0, 0, new double[0]));
+        Notes.Peer peer = PeerMessage.read(golden.bytes("two-tenants"), 2);
+        assertEquals(12.5, peer.slice);
+        assertEquals(-3.25, peer.over);
+        assertArrayEquals(new double[] {4, 0.1f}, peer.demands);
+    }
+
     @Test
     void everyCutAndEveryWrongFigureIsDropped() {
         byte[] good = PeerMessage.write(1, 5, 1, new double[] {2});
--- a/decisions/src/test/java/ferngrade/RandomStreamTest.java
+++ b/decisions/src/test/java/ferngrade/RandomStreamTest.java
@@ -16,8 +16,10 @@
 import ferngrade.Dispatcher.State;
 import ferngrade.Dispatcher.Tenant;
 import ferngrade.Dispatcher.Worker;
+import ferngrade.golden.GoldenFile;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -36,6 +38,7 @@
     private int answers;
     private int sends;
     private boolean secondCopies;
+    private ActionDigest digest;
 
     /** The checker's own record of a request. */
     private static final class Entry {
@@ -66,6 +69,7 @@
     private final class Checker implements Dispatcher.Actions {
         @Override
         public void send(String id, long worker, double timeout) {
+            digest.add(1, id, worker, timeout);
             Entry entry = open.get(id);
             assertTrue(!entry.answered, "sent after its answer: " + id);
             assertEquals(State.READY, list.get(worker).state(), "sent to a worker that drains or is gone");
@@ -96,6 +100,7 @@
 
         @Override
         public void refuse(String id, double retryAfter) {
+            digest.add(2, id, 0, retryAfter);
             Entry entry = open.get(id);
             answer(entry, id);
             boolean all = entry.jobClass.effect() == Effect.KEYED && entry.jobClass.scope() == Scope.ALL;
@@ -104,6 +109,7 @@
 
         @Override
         public void fail(String id) {
+            digest.add(3, id, 0, 0);
             answer(open.get(id), id);
         }
 
@@ -116,24 +122,31 @@
 
         @Override
         public void cancel(String id, int attempt) {
+            digest.add(4, id, attempt, 0);
             assertTrue(attempt < open.get(id).workers.size(), "cancelled a never-made attempt");
         }
 
         @Override
-        public void check(long worker) { }
+        public void check(long worker) {
+            digest.add(5, "", worker, 0);
+        }
 
         @Override
         public void tell(int peer, byte[] message) {
+            digest.add(6, HexFormat.of().formatHex(message), peer, 0);
             assertTrue(peer >= 0 && peer < 9 && peer != 0 && message.length <= 256);
         }
 
         @Override
         public void timer(double after, long token) {
+            digest.add(7, "", token, after);
             timers.add(new double[] {now + after, token});
         }
 
         @Override
-        public void watch() { }
+        public void watch() {
+            digest.add(8, "", 0, 0);
+        }
 
         @Override
         public void log(String line) { }
@@ -147,7 +160,18 @@
         assertTrue(sends > 10_000, "sends " + sends);
     }
 
+    /** All that was asked for, to the last bit and in its order: so chance is drawn in the recorded order too. */
+    @Test
+    void theActionsOnRandomStreamsAreAsRecorded() {
+        GoldenFile golden = GoldenFile.open("random-streams.txt");
+        for (int seed = 0; seed < 60; seed++) {
+            stream(seed);
+            golden.verify("seed-" + seed, digest.hex());
+        }
+    }
+
     private void stream(int seed) {
+        digest = new ActionDigest();
         Random random = new Random(seed);
         secondCopies = seed % 2 == 0;
         // A share by the told loads needs some cycles of traffic.
