--- a/node/src/test/java/ferngrade/net/AdminStoriesTest.java
+++ b/node/src/test/java/ferngrade/net/AdminStoriesTest.java
@@ -6,6 +6,7 @@
 
 import com.eclipsesource.json.Json;
 import ferngrade.config.NodeConfig;
+import ferngrade.golden.GoldenFile;
 import ferngrade.net.RawHttp.Message;
 import ferngrade.node.Clock;
 import ferngrade.node.Log;
@@ -28,6 +29,7 @@
 /** Stories of operators' calls to a whole node on loopback sockets. */
 @Test(timeOut = 30_000)
 public class AdminStoriesTest {
+    private static final GoldenFile GOLDEN = GoldenFile.open("admin-http.txt");
     private static final String UNKNOWN_NEWS = "{\"id\":\"nobody\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"x\"}";
     private ServerSocket worker;
     private ServerSocket discovery;
@@ -205,6 +207,46 @@
         assertEquals(Files.readString(folder.resolve("ferngrade-maintenance.json")), "{\"out\":[\"s-1\"],\"back\":{}}");
     }
 
+    @Test
+    public void answersHaveTheRecordedBytes() throws Exception {
+        NodeServer node = start(NodeServer.Platform.NONE);
+        String[] calls = {"GET /-/ready", "GET /-/metrics", "POST /-/menu-workers/s-1/disable", "GET /-/metrics",
+            "POST /-/menu-workers/s-1/enable", "POST /-/menu-workers/s-9/enable", "GET /-/drain", "GET /-/nowhere",
+            "POST /-/drain", "GET /-/ready", "POST /-/resume", "POST /-/sibling", "POST /-/news"};
+        for (int i = 0; i < calls.length; i++) {
+            try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort())) {
+                RawBytes.write(caller, calls[i] + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+                GOLDEN.verifyLines(String.format("%02d-%s", i, calls[i].replace(' ', '-')), RawBytes.read(caller));
+            }
+        }
+    }
+
+    @Test
+    public void callsBetweenTwoProcessesOfANodeAndTheirFilesHaveTheRecordedForms() throws Exception {
+        Path folder = Files.createTempDirectory("recorded");
+        try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + other.getLocalPort());
+            Files.writeString(folder.resolve("ferngrade-maintenance.json"), "{\"out\":[\"s-1\"],\"back\":{\"s-3\":1.5E12}}");
+            ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
+                    InetAddress.getLoopbackAddress(), 0));
+            NodeServer node = start(new NodeServer.Platform(clients, folder));
+            try (Socket told = other.accept()) {
+                GOLDEN.verifyLines("handover-address", RawBytes.read(told));
+            }
+            try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), node.address().getPort())) {
+                RawBytes.write(caller, RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_NEWS));
+                try (Socket relayed = other.accept()) {
+                    GOLDEN.verifyLines("handover-call-back", RawBytes.read(relayed));
+                }
+            }
+            assertEquals(Files.readString(folder.resolve("ferngrade-admin.txt")),
+                    "127.0.0.1:" + node.adminAddress().getPort());
+            assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+            assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+            GOLDEN.verify("maintenance-file", Files.readString(folder.resolve("ferngrade-maintenance.json")));
+        }
+    }
+
     private static Message call(NodeServer node, String line) throws IOException {
         try (RawHttp caller = RawHttp.to(node.adminAddress())) {
             return caller.write(line + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n").read();
