--- a/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
@@ -92,8 +92,9 @@
             Empty empty = found ? Empty.FOUND : rejoin ? Empty.REJOIN : Empty.STOP;
             long origin = System.nanoTime();
             Clock clock = () -> (System.nanoTime() - origin) / 1e6;
+            Clock machine = Clock.system();
             try (MemberProcess member = new MemberProcess(file, name, new MemberProcess.Start(data, empty,
-                    UnaryOperator.identity(), clock, System::currentTimeMillis, line -> System.out.printf("%.3f %s %s%n", clock.now() / 1000, name, line)));
+                    UnaryOperator.identity(), clock, () -> (long) machine.wall(), line -> System.out.printf("%.3f %s %s%n", clock.now() / 1000, name, line)));
                     Calls calls = file.member(name).admin() == null ? null
                             : new Calls(file.member(name).admin(), member)) {
                 member.runToEnd();
--- a/node/src/main/java/ferngrade/node/Clock.java
+++ b/node/src/main/java/ferngrade/node/Clock.java
@@ -1,15 +1,22 @@
 package ferngrade.node;
 
-/** The one source of time in a node: milliseconds since 1970, with fractions, never going back. */
+/**
+ * The one source of time in a node. Its two parts may drift apart: the machine's wall clock may be stepped, forward or
+ * back, by seconds or by an hour, while the monotonic part runs on. Deadlines, windows, waits and graces are spans of
+ * {@link #now}; {@link #wall} is only for reading times that other machines wrote, and for writing such times.
+ */
 @FunctionalInterface
 public interface Clock {
-    /** The present time. */
+    /** The monotonic time in ms, with fractions: close to Unix time when the process starts, and never stepped. */
     double now();
 
-    /** The machine's clock, read once and carried on by its monotonic counter, so that it never goes back. */
+    /** The machine's wall clock, Unix time in ms. */
+    default double wall() {
+        return now();
+    }
+
+    /** The clocks of this machine. */
     static Clock system() {
-        double start = System.currentTimeMillis();
-        long origin = System.nanoTime();
-        return () -> start + (System.nanoTime() - origin) / 1e6;
+        return new SystemClock();
     }
 }
--- a/trials/src/main/java/ferngrade/trials/HurtMember.java
+++ b/trials/src/main/java/ferngrade/trials/HurtMember.java
@@ -4,6 +4,7 @@
 import ferngrade.fleet.FleetFile;
 import ferngrade.fleet.MemberProcess;
 import ferngrade.fleet.MemberProcess.Empty;
+import ferngrade.node.Clock;
 import ferngrade.toml.FileException;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -65,7 +66,7 @@
         private long from = System.nanoTime();
         private double base;
         private double rate = 1;
-        private double jumped = System.currentTimeMillis();
+        private double jumped = Clock.system().wall();
 
         synchronized double monotonic() {
             return base + (System.nanoTime() - from) / 1e6 * rate;
