--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -205,6 +205,8 @@
             retry = RETRY_FIRST;
             if (object != null) {
                 told(reader.read(Json.parse(object)));
+            } else if (line.isBlank()) {
+                node.listUnchanged();
             }
         } catch (ParseException | IllegalArgumentException malformed) {
             // Whatever it was to say is asked for again.
--- a/node/src/main/java/ferngrade/node/Maintenance.java
+++ b/node/src/main/java/ferngrade/node/Maintenance.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.function.DoubleUnaryOperator;
 
 /**
  * The menu workers that operators have put in maintenance, laid over what the list says. The decisions are told
@@ -16,8 +17,7 @@
  * back as a process started at that moment, since operators restart it meanwhile and it returns cold. A set,
  * not a count: two calls out need one call back.
  *
- * <p>No I/O and no clock: times come as arguments, in milliseconds since 1970, so that the state can pass to a
- * later process through a file.
+ * <p>No I/O and no clock: times come as arguments, by the node's monotonic clock, as do those of the list's entries.
  */
 public final class Maintenance {
     private final Set<String> out = new TreeSet<>();
@@ -49,7 +49,7 @@
             return entry;
         }
         if (out.contains(entry.name())) {
-            return with(entry, State.DRAINING, worker.startedAt());
+            return entry.with(State.DRAINING, worker.startedAt());
         }
         Double returned = back.get(entry.name());
         if (returned == null) {
@@ -59,13 +59,7 @@
             back.remove(entry.name());
             return entry;
         }
-        return with(entry, worker.state(), returned);
-    }
-
-    private static Member with(Member entry, State state, double startedAt) {
-        Worker worker = entry.worker();
-        return new Member(entry.name(), entry.address(), new Worker(worker.id(), state, worker.zone(), worker.kind(),
-                worker.cell(), startedAt, worker.weight()));
+        return entry.startedAt(returned);
     }
 
     /** True if the list holds this worker or it is in maintenance: operators may name it. */
@@ -103,12 +97,22 @@
         return listed.size();
     }
 
-    /** What a later process takes over: names in maintenance, and when each worker taken back returned. */
+    /**
+     * What a later process takes over: names in maintenance, and when each worker taken back returned. Outside the
+     * node, as in a file, these are times of the wall clock.
+     */
     public record Saved(Set<String> out, Map<String, Double> back) {
         public Saved {
             out = Set.copyOf(out);
             back = Map.copyOf(back);
         }
+
+        /** The same by another clock. */
+        Saved translated(DoubleUnaryOperator clock) {
+            Map<String, Double> times = new HashMap<>();
+            back.forEach((name, returned) -> times.put(name, clock.applyAsDouble(returned)));
+            return new Saved(out, times);
+        }
     }
 
     /** The state that a later process takes over. */
--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/Node.java
@@ -41,6 +41,7 @@
     private final Room room;
     private final Dispatcher module;
     private final Members members = new Members();
+    private final StartTimes startTimes;
     private final Map<String, Exchange> exchanges = new HashMap<>();
     private final RecentIds finished;
     private final Maintenance maintenance = new Maintenance();
@@ -74,6 +75,7 @@
         this.log = around.log();
         this.room = room;
         this.finished = new RecentIds(room.requests());
+        this.startTimes = new StartTimes(clock);
         this.module = start.apply(new Requests());
         offer(() -> { });
     }
@@ -183,10 +185,15 @@
         return true;
     }
 
-    /** News of the worker list. */
+    /** News of the worker list, whose start times are by the wall clock. */
     public void members(Dispatcher.News news, List<Member> entries) {
         stored = null;
-        tell(news, maintenance.over(news, entries));
+        tell(news, maintenance.over(news, startTimes.translate(news, entries)));
+    }
+
+    /** The source of the list says that nothing has changed. */
+    public void listUnchanged() {
+        startTimes.unchanged();
     }
 
     /**
@@ -233,12 +240,12 @@
 
     /** What is in maintenance, for a later process to take over. */
     public Maintenance.Saved maintenanceSaved() {
-        return maintenance.saved();
+        return maintenance.saved().translated(startTimes::toWall);
     }
 
     /** Takes over the maintenance that an earlier process saved. */
     public void restoreMaintenance(Maintenance.Saved saved) {
-        maintenance.restore(saved);
+        maintenance.restore(saved.translated(startTimes::toMonotonic));
     }
 
     /** The figures for operators, as they stand now. */
