--- a/duty/src/main/java/ferngrade/duty/Recurring.java
+++ b/duty/src/main/java/ferngrade/duty/Recurring.java
@@ -6,8 +6,8 @@
  * A job that is put in again and again: what its owner has to do now. Due times are whole multiples of the period since
  * 1970, so that all members name them alike.
  *
- * <p>Due times follow the wall clock. A step forward of most members' clocks makes due what it passed over, as an outage
- * does: once for all. After a step back, due times that have been met are not met again, and the next is the first
+ * <p>Due times follow the wall clock. A step forward of most members' clocks makes due what it passed over, as an
+ * outage does: once for all. After a step back, due times that have been met are not met again, and the next is the first
  * later one. No due time is begun twice, nor are many at once; leases don't rest on this clock.
  *
  * @param name the name, and the duty's
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -35,8 +35,8 @@
     private static final int MOST_RELATIONS = 8;
     /** How far a start may seem to lie ahead of its list, as the clocks of two machines differ a little, ms. */
     private static final double CLOCK_SKEW = 1000;
-    /** How long a worker may have been up when a list still came without it, ms. */
-    private static final double LIST_LAG = 2000;
+    /** How long a worker may have been up when a list still came without it, ms: so long a change may stay untold. */
+    private static final double LIST_LAG = 6000;
     /** Incarnations to remember at the least, so that those left out of the list for a time keep their start. */
     private static final int LEAST_REMEMBERED = 4096;
 
