--- a/node/src/main/java/ferngrade/net/FrontHandler.java
+++ b/node/src/main/java/ferngrade/net/FrontHandler.java
@@ -10,6 +10,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandler;
 import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -51,6 +52,7 @@
     /** More came than may wait: the connection ends after what waits, and drops what else comes. */
     private boolean overrun;
     private int droppedBytes;
+    private long bytesRead;
     private boolean received;
     private boolean proven;
     private String taken;
@@ -87,6 +89,7 @@
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+                bytesRead += ((ByteBuf) bytes).readableBytes();
                 if (overrun || state == State.ENDING) {
                     dropped((ByteBuf) bytes);
                     return;
@@ -312,6 +315,10 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         front.closed(this);
         drop();
+        clientGone();
+    }
+
+    private void clientGone() {
         if (taken != null) {
             node.clientGone(taken);
             taken = null;
@@ -354,5 +361,14 @@
         public void failed() {
             answer(HttpResponseStatus.BAD_GATEWAY, "");
         }
+
+        @Override
+        public boolean clientPresent() {
+            boolean present = PendingReads.openAfterReading((AbstractNioChannel) context.channel(), () -> bytesRead);
+            if (!present) {
+                clientGone();
+            }
+            return present;
+        }
     }
 }
--- a/node/src/main/java/ferngrade/node/Exchange.java
+++ b/node/src/main/java/ferngrade/node/Exchange.java
@@ -58,6 +58,11 @@
         return first;
     }
 
+    /** False if the client has gone, whether or not that has been read yet. */
+    boolean clientPresent() {
+        return reply.clientPresent();
+    }
+
     /** The client has gone; there is nobody to answer. */
     void abandoned() {
         over = true;
--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/Node.java
@@ -389,7 +389,8 @@
         @Override
         public boolean mayStart() {
             // A dial may outlast what it was for: the client may have gone, or another attempt have been served.
-            return !attempt.ended && !attempt.exchange.over() && members.stands(attempt.member);
+            return !attempt.ended && !attempt.exchange.over() && members.stands(attempt.member)
+                    && attempt.exchange.clientPresent();
         }
 
         @Override
--- a/node/src/main/java/ferngrade/node/Reply.java
+++ b/node/src/main/java/ferngrade/node/Reply.java
@@ -10,4 +10,12 @@
 
     /** Failed, which promises nothing about the effect. */
     void failed();
+
+    /**
+     * Asked right before an attempt begins: false if the client has gone, also if its close lies here unread. Then the
+     * node has been told so by the time that this returns.
+     */
+    default boolean clientPresent() {
+        return true;
+    }
 }
