--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/Node.java
@@ -126,6 +126,9 @@
                 module.abandoned(clock.now(), id);
                 release(exchange);
             });
+            // A worker begins with the last byte: what is dialled or half written must not come to that any more.
+            exchange.attempts.stream().filter(attempt -> !attempt.written)
+                    .forEach(attempt -> giveUp(attempt, Outcome.CANCELLED, Outcome.NEVER_SENT));
         }
     }
 
--- a/node/src/test/java/ferngrade/node/NodeTest.java
+++ b/node/src/test/java/ferngrade/node/NodeTest.java
@@ -136,6 +136,17 @@
         assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/0 FULL over", "arrived b", "abandoned b"));
     }
 
+    /** A worker begins with the last byte: an attempt that is dialled, or written in part, must not come to that. */
+    @Test
+    public void clientThatGoesBeforeAnAttemptIsWhollyWrittenHasItGivenUp() {
+        out("a", 1);
+        send("a", 2);
+        node.clientGone("a");
+        run();
+        assertEquals(given, List.of("a"), "the hedged request alone");
+        assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/1 NEVER_SENT over"));
+    }
+
     @Test
     public void callBackAfterTheResetOfItsAttemptChangesNothing() {
         out("a", 1);
