--- a/node/src/main/java/ferngrade/net/BodyAggregator.java
+++ b/node/src/main/java/ferngrade/net/BodyAggregator.java
@@ -1,8 +1,10 @@
 package ferngrade.net;
 
 import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelPipeline;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpUtil;
 
 /**
  * Puts requests together up to a bound. Of one that is larger it keeps nothing from the moment on that its
@@ -19,6 +21,17 @@
         setMaxCumulationBufferComponents(MOST_PARTS);
     }
 
+    /**
+     * Says "continue" and nothing else: a refusal from here would overtake the answers to requests before it, and the
+     * close that comes with it would leave those without one.
+     */
+    @Override
+    protected Object newContinueResponse(HttpMessage start, int mostBody, ChannelPipeline pipeline) {
+        boolean usable = start.decoderResult().isSuccess() && HttpUtil.is100ContinueExpected(start)
+                && HttpUtil.getContentLength(start, 0L) <= mostBody;
+        return usable ? super.newContinueResponse(start, mostBody, pipeline) : null;
+    }
+
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
         ctx.fireUserEventTriggered(TOO_LARGE);
--- a/node/src/main/java/ferngrade/net/Front.java
+++ b/node/src/main/java/ferngrade/net/Front.java
@@ -13,7 +13,6 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.handler.codec.http.HttpServerCodec;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.util.ArrayList;
@@ -22,6 +21,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.stream.Stream;
 
 /**
  * The address where clients bring jobs and workers call back. It owns the count of connections and decides which
@@ -111,9 +111,8 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        FrontHandler handler = new FrontHandler(Front.this, node, reader, clock, log, arrivals, waiting);
-                        channel.pipeline().addLast(handler.firstBytes(), new HttpServerCodec(),
-                                new BodyAggregator(MOST_BODY), handler);
+                        new FrontHandler(Front.this, node, reader, clock, log, arrivals, waiting)
+                                .addTo(channel.pipeline());
                     }
                 });
         // A socket handed over is bound already: it is only registered with the loop.
@@ -218,9 +217,14 @@
             return;
         }
         owing.put(connection, clock.now());
-        if (owing.size() > bounds.owing()) {
+        boundOwing();
+    }
+
+    private void boundOwing() {
+        // One that is ending holds nothing but its descriptor.
+        if (owing.keySet().stream().filter(each -> !each.ending()).count() > bounds.owing()) {
             // Those that have proved themselves are spared: a flood of strangers must not cost them anything.
-            owing.keySet().stream().filter(each -> !each.proven()).findFirst().ifPresent(this::end);
+            owing.keySet().stream().filter(each -> !each.proven() && !each.ending()).findFirst().ifPresent(this::end);
         }
     }
 
@@ -269,10 +273,8 @@
 
     private void makeRoom() {
         if (open.size() >= bounds.front()) {
-            Set<FrontHandler> first = owing.isEmpty() ? idle : owing.keySet();
-            if (!first.isEmpty()) {
-                end(first.iterator().next());
-            }
+            Stream.of(owing.keySet().stream().filter(each -> each.ending() || each.resting()), idle.stream(),
+                    owing.keySet().stream()).flatMap(each -> each).findFirst().ifPresent(this::end);
         }
         listener.config().setAutoRead(open.size() < bounds.front());
     }
@@ -280,7 +282,7 @@
     private void end(FrontHandler connection) {
         idle.remove(connection);
         owing.remove(connection);
-        connection.close();
+        connection.endForRoom();
     }
 
     private void sweep() {
--- a/node/src/main/java/ferngrade/net/FrontHandler.java
+++ b/node/src/main/java/ferngrade/net/FrontHandler.java
@@ -7,9 +7,11 @@
 import ferngrade.node.Reply;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandler;
 import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelPipeline;
 import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
@@ -17,11 +19,13 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -29,16 +33,17 @@
 
 /**
  * One connection to the front: a client's, or a worker's with call-backs. One request at a time. An error ends
- * the connection: whoever sent what cannot be used would else send it again at once, for as long as it likes.
+ * the connection: whoever sent what cannot be used would else send it again at once, for as long as it likes. It ends
+ * behind the answers to all requests that have been read whole by then, as a request that was read is owed one.
  */
 final class FrontHandler extends ChannelInboundHandlerAdapter {
-    /** Requests that may wait behind the one in work; the connection ends after them if more have come. */
+    /** Requests that may wait behind the one in work; what else has been read is refused behind them. */
     private static final int MOST_WAITING = 64;
     /**
-     * Bytes dropped of a connection that is to end anyway, while it has a request in work, before the rest is left to
+     * Bytes read of a connection that is to end anyway, while it has a request in work, before the rest is left to
      * its sender. Till then all is read: a client that closes is heard of by reading only.
      */
-    private static final int MOST_DROPPED = 256 << 10;
+    private static final int MAX_READ_WHILE_CLOSING = 256 << 10;
 
     private final Front front;
     private final Node node;
@@ -48,11 +53,17 @@
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private State state = State.RESTING;
-    private boolean keepAlive = true;
-    /** More came than may wait: the connection ends after what waits, and drops what else comes. */
-    private boolean overrun;
-    private int droppedBytes;
+    private final RequestDecoder decoder = new RequestDecoder();
+    /** The connection ends with the answer to the last request that has been read; what else comes is refused. */
+    private boolean closing;
+    private int readWhileClosing;
+    /** Requests that were read behind those that wait, and are to be refused. */
+    private int rejected;
     private long bytesRead;
+    /** While bytes are being decoded, it is not known yet whether an answer is the last. */
+    private boolean decoding;
+    private FullHttpResponse deferred;
+    /** A part of a request has been read, and not its end. */
     private boolean received;
     private boolean proven;
     private String taken;
@@ -69,8 +80,15 @@
      */
     private enum State { RESTING, BUSY, ENDING }
 
-    /** A request behind the one in work, and since when it may have been here: its client's time runs from then. */
-    private record Waiting(FullHttpRequest request, double arrived) { }
+    /**
+     * A request behind the one in work, and since when it may have been here: its client's time runs from then.
+     * {@code request} is null for one with too large a body.
+     */
+    private record Waiting(FullHttpRequest request, double arrived) {
+        int bytes() {
+            return request == null ? 0 : request.content().readableBytes();
+        }
+    }
 
     FrontHandler(Front front, Node node, RequestReader reader, Clock clock, Log log, Arrivals arrivals, double opened) {
         this.front = front;
@@ -84,31 +102,40 @@
         this.arrived = opened;
     }
 
+    /** Puts the connection's codec and this handler at the end of a pipeline. */
+    void addTo(ChannelPipeline pipeline) {
+        pipeline.addLast(firstBytes(), decoder, new HttpResponseEncoder(), new BodyAggregator(Front.MOST_BODY), this);
+    }
+
     /** Stands before the codec: the time for a request counts from its first byte. */
-    ChannelInboundHandler firstBytes() {
+    private ChannelInboundHandler firstBytes() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                bytesRead += ((ByteBuf) bytes).readableBytes();
-                if (overrun || state == State.ENDING) {
-                    dropped((ByteBuf) bytes);
+                if (state == State.ENDING) {
+                    ReferenceCountUtil.release(bytes);
                     return;
                 }
+                count(((ByteBuf) bytes).readableBytes());
                 // What came before a connection was accepted is read in the turn after that.
                 arrived = arrivals.turn() <= openedIn + 1 ? opened : arrivals.since();
                 received = true;
                 if (state == State.RESTING) {
                     front.receives(FrontHandler.this);
                 }
+                decoding = true;
                 ctx.fireChannelRead(bytes);
+                decoding = false;
+                received = decoder.holdsPartialRequest();
+                respondDeferred();
             }
         };
     }
 
-    private void dropped(ByteBuf bytes) {
-        droppedBytes += bytes.readableBytes();
-        bytes.release();
-        if (state == State.BUSY && droppedBytes > MOST_DROPPED) {
+    private void count(int bytes) {
+        bytesRead += bytes;
+        readWhileClosing += closing ? bytes : 0;
+        if (state == State.BUSY && readWhileClosing > MAX_READ_WHILE_CLOSING) {
             context.channel().config().setAutoRead(false);
         }
     }
@@ -130,11 +157,11 @@
             ReferenceCountUtil.release(message);
         } else if (state == State.RESTING) {
             begin(request, arrived);
-        } else if (!overrun && waiting.size() < MOST_WAITING && front.holds(request.content().readableBytes())) {
-            received = false;
+        } else if (!closing && waiting.size() < MOST_WAITING && front.holds(request.content().readableBytes())) {
             waiting.add(new Waiting(request, arrived));
         } else {
-            overrun = true;
+            closing = true;
+            rejected++;
             request.release();
         }
     }
@@ -143,31 +170,47 @@
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event != BodyAggregator.TOO_LARGE || state == State.ENDING) {
             ctx.fireUserEventTriggered(event);
-        } else if (state == State.BUSY) {
-            overrun = true;
+        } else if (state == State.RESTING) {
+            tooLarge();
+        } else if (closing) {
+            rejected++;
         } else {
-            state = State.BUSY;
-            front.busy(this);
-            error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "a body holds at most " + Front.MOST_BODY + " bytes");
+            closing = true;
+            waiting.add(new Waiting(null, arrived));
         }
     }
 
-    private void begin(FullHttpRequest request, double since) {
+    private void tooLarge() {
+        busy();
+        error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "a body holds at most " + Front.MOST_BODY + " bytes");
+    }
+
+    private void busy() {
         state = State.BUSY;
-        received = false;
         front.busy(this);
+    }
+
+    private void begin(FullHttpRequest request, double since) {
+        busy();
         try {
             handle(request, since);
         } catch (BadRequestException bad) {
             log.line("bad request", "bad request from " + context.channel().remoteAddress() + ": " + bad.getMessage());
             error(HttpResponseStatus.BAD_REQUEST, bad.getMessage());
+        } catch (RuntimeException fault) {
+            // The request's answer is owed all the same; where the node has taken it, the node gives that.
+            log.line("front failed", "request could not be handled: " + fault);
+            closing = true;
+            if (taken == null && deferred == null) {
+                error(HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
+            }
         } finally {
             request.release();
         }
     }
 
     private void handle(FullHttpRequest request, double since) throws BadRequestException {
-        keepAlive = HttpUtil.isKeepAlive(request);
+        closing |= !HttpUtil.isKeepAlive(request);
         if (request.decoderResult().isFailure()) {
             throw new BadRequestException("not a request in HTTP");
         }
@@ -226,7 +269,7 @@
     }
 
     private void error(HttpResponseStatus status, String body) {
-        keepAlive = false;
+        closing = true;
         answer(status, body);
     }
 
@@ -235,17 +278,40 @@
         respond(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content));
     }
 
+    private void respondDeferred() {
+        FullHttpResponse response = deferred;
+        deferred = null;
+        if (response != null) {
+            respond(response);
+        }
+    }
+
+    /** True if the connection ends with the present answer: not while another is owed for what has been read. */
+    private boolean endsNow() {
+        boolean draining = front.draining() && !received;
+        return waiting.isEmpty() && rejected == 0 && (closing || draining);
+    }
+
     private void respond(FullHttpResponse response) {
+        if (decoding) {
+            deferred = response;
+            return;
+        }
         boolean wasJob = taken != null;
         taken = null;
-        boolean keep = keepAlive && !front.draining() && !(overrun && waiting.isEmpty());
+        boolean keep = !endsNow();
         if (!response.status().equals(HttpResponseStatus.NO_CONTENT)) {
             HttpUtil.setContentLength(response, response.content().readableBytes());
         }
         if (!keep) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
         }
-        context.writeAndFlush(response).addListener(future -> {
+        ChannelFuture written = context.writeAndFlush(response);
+        if (!keep && !written.isDone()) {
+            // Nothing is read that could not be answered any more.
+            context.channel().config().setAutoRead(false);
+        }
+        written.addListener(future -> {
             if (wasJob) {
                 front.gave();
             }
@@ -262,12 +328,24 @@
     private void next() {
         state = State.RESTING;
         Waiting first = waiting.poll();
-        if (first == null && received) {
+        if (first != null) {
+            front.held(first.bytes());
+            begin(first);
+        } else if (rejected > 0) {
+            rejected--;
+            busy();
+            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+        } else if (received) {
             front.owes(this);
-        } else if (first == null) {
+        } else {
             front.idle(this);
+        }
+    }
+
+    private void begin(Waiting first) {
+        if (first.request == null) {
+            tooLarge();
         } else {
-            front.held(first.request.content().readableBytes());
             begin(first.request, first.arrived);
         }
     }
@@ -298,17 +376,31 @@
         if (state == State.ENDING) {
             context.close();
         } else if (received) {
-            state = State.BUSY;
-            front.busy(this);
-            error(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
+            endHalfRead(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
         } else {
             shut();
         }
     }
 
-    /** Ends a connection that has nothing in work, for its room. */
-    void close() {
-        context.close();
+    /** True once its last answer is written and only the client's close is awaited. */
+    boolean ending() {
+        return state == State.ENDING;
+    }
+
+    /** Ends a connection that has nothing in work, for its room; one that is half read gets an answer. */
+    void endForRoom() {
+        if (state == State.RESTING && received) {
+            endHalfRead(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+        } else {
+            context.close();
+        }
+    }
+
+    private void endHalfRead(HttpResponseStatus status, String body) {
+        busy();
+        error(status, body);
+        // What it holds of the request goes at once, and not when the client closes.
+        context.pipeline().remove(BodyAggregator.class);
     }
 
     @Override
@@ -328,15 +420,24 @@
 
     private void drop() {
         waiting.forEach(each -> {
-            front.held(each.request.content().readableBytes());
-            each.request.release();
+            front.held(each.bytes());
+            ReferenceCountUtil.release(each.request);
         });
         waiting.clear();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close();
+        if (cause instanceof IOException || state == State.ENDING) {
+            ctx.close();
+        } else {
+            log.line("front failed", "bytes could not be decoded: " + cause);
+            closing = true;
+            if (state == State.RESTING) {
+                busy();
+                error(HttpResponseStatus.BAD_REQUEST, "not a request in HTTP");
+            }
+        }
     }
 
     /** The way back over this connection. */
--- a/node/src/test/java/ferngrade/net/NodeStoriesTest.java
+++ b/node/src/test/java/ferngrade/net/NodeStoriesTest.java
@@ -12,6 +12,7 @@
 import java.net.ServerSocket;
 import java.net.SocketException;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.DataProvider;
@@ -189,7 +190,7 @@
     }
 
     @Test
-    public void requestsOnOneConnectionAreAnsweredInTurnAndTooManyEndIt() throws Exception {
+    public void requestsOnOneConnectionAreAnsweredInTurnAndTooManyAreRefusedAndEndIt() throws Exception {
         start(list(1, "active"));
         try (RawHttp client = RawHttp.to(node.address())) {
             String ready = "GET /-/ready HTTP/1.1\r\n\r\n";
@@ -199,11 +200,13 @@
                 assertEquals(callBack("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
                 assertEquals(client.read().body(), "soup");
             }
-            int answers = 0;
-            while (client.read() != null) {
-                answers++;
+            List<Integer> answers = new ArrayList<>();
+            for (Message answer = client.read(); answer != null; answer = client.read()) {
+                answers.add(answer.status());
+                assertEquals(answer.headers().containsKey("Connection"), answers.size() == 100);
             }
-            assertEquals(answers, 64);
+            assertEquals(answers.subList(0, 64), Collections.nCopies(64, 200));
+            assertEquals(answers.subList(64, answers.size()), Collections.nCopies(36, 503));
         }
     }
 
