--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -144,14 +144,17 @@
             if (stage == Stage.OVER) {
                 return null;
             }
-            if (!listener.mayStart()) {
+            boolean wanted = listener.mayStart();
+            // Read as late as can be: a dial may have taken all the time that there was.
+            double left = until - clock.now();
+            if (!wanted || left <= 0) {
                 end(Outcome.NEVER_SENT, Report.NONE);
                 return null;
             }
             FullHttpRequest request = WorkerClient.request(HttpMethod.valueOf(call.method()), call.target(),
                     worker, call.body());
             request.headers().set(Headers.ID, call.id());
-            request.headers().set(Headers.DEADLINE, Math.max(1, Math.round(until - clock.now())) + "m");
+            request.headers().set(Headers.DEADLINE, ToldDeadline.header(left));
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
             if (call.repeatKey() != null) {
                 request.headers().set(Headers.REPEAT_KEY, call.repeatKey());
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -24,6 +24,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /** Attempts on their way to a scripted worker, on a clock that the story sets. */
@@ -164,6 +165,32 @@
         assertEquals(first.read().headers().get("Req-Id"), "b");
     }
 
+    /** What is left of an attempt's time once its connection is up, and what the worker is told. */
+    @DataProvider
+    public Object[][] rests() {
+        return new Object[][] {{1, "1m"}, {20, "15m"}, {150, "140m"}, {1000, "990m"}};
+    }
+
+    @Test(dataProvider = "rests")
+    public void workerIsToldLessThanWhatIsLeftWhenTheConnectionIsUp(int left, String header) throws Exception {
+        sendAndPass(1000 - left);
+        assertEquals(new RawHttp(worker.accept()).read().headers().get("Req-Deadline"), header);
+    }
+
+    @Test
+    public void attemptWhoseTimeIsUpBeforeItsConnectionIsBegunNoMore() throws Exception {
+        sendAndPass(1000);
+        assertEquals(told.take(), "NEVER_SENT");
+    }
+
+    /** Sends, and lets time pass before the loop can hear that the connection is up. */
+    private void sendAndPass(double millis) throws Exception {
+        loop.submit(() -> {
+            begin("a");
+            now += millis;
+        }).get();
+    }
+
     @Test
     public void connectionsBeyondTheBoundAreNotOpened() throws Exception {
         // All in one go: none of them is up yet when the third is turned down.
