--- a/node/src/main/java/ferngrade/config/NodeConfig.java
+++ b/node/src/main/java/ferngrade/config/NodeConfig.java
@@ -26,6 +26,9 @@
         int sockets, int memoryMb, InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll,
         MemberList known, Settings settings, MemberReader memberReader, double connectTimeout,
         double connectionIdle, int mostOpen, InetSocketAddress admin) {
+    /** How long a node may be held up between reading its clock and writing, ms: idempotency windows allow for it. */
+    private static final double HOLD_UP = 150;
+
     /**
      * Reads the file that {@code LB_CONFIG} names; the other {@code LB_*} variables take precedence. {@code admin},
      * where operators call, is null where neither the file nor {@code LB_ADMIN} names one.
@@ -80,7 +83,7 @@
         Settings settings;
         double connectTimeout = number(mapping, "Ceilings.ConnectTimeout", 1000);
         try {
-            settings = mapping.build(connectTimeout);
+            settings = mapping.build(connectTimeout + HOLD_UP);
         } catch (IllegalArgumentException invalid) {
             throw new ConfigException("settings:", invalid.getMessage());
         }
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -103,11 +103,11 @@
 
     /** A further attempt may be dialled for as long as that: decided at the window's end, it would come too late. */
     @Test
-    public void idempotencyWindowsLeaveRoomForTheDialOfARepeat() throws Exception {
+    public void idempotencyWindowsLeaveRoomForTheDialOfARepeatAndAHoldUp() throws Exception {
         JsonObject json = Json.parse(GOOD).asObject().set("settings", Json.parse("{\"Ceilings\":{\"ConnectTimeout\":250},"
                 + "\"Classes\":[{\"Name\":\"x\",\"Effect\":\"deduplicated\",\"Window\":1800},"
                 + "{\"Name\":\"y\",\"Effect\":\"deduplicated\",\"Window\":100}]}"));
-        assertEquals(NodeConfig.read(json).settings().classes().get(0).window(), 1550.0);
+        assertEquals(NodeConfig.read(json).settings().classes().get(0).window(), 1400.0);
         assertEquals(NodeConfig.read(json).settings().classes().get(1).window(), 0.0);
     }
 
