--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -37,7 +37,8 @@
     private final Timers timers;
     private final ConnectionPool pool;
     private final Log log;
-    private final Bootstrap bootstrap;
+    /** Makes the connections; tests set options of their own. */
+    final Bootstrap bootstrap;
 
     WorkerClient(EventLoopGroup group, Clock clock, Timers timers, ConnectionPool pool, double connectTimeout,
             Log log) {
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -2,6 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
+import static org.testng.Assert.assertTrue;
 
 import ferngrade.Dispatcher.Outcome;
 import ferngrade.Dispatcher.Report;
@@ -10,6 +11,7 @@
 import ferngrade.node.Log;
 import ferngrade.node.Timers;
 import ferngrade.node.Workers;
+import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -32,6 +34,8 @@
 public class WorkerClientTest {
     private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
+    private static final int SMALL_BUFFER = 2048;
+
     private BlockingQueue<String> told;
     private MultiThreadIoEventLoopGroup group;
     private EventLoop loop;
@@ -165,6 +169,44 @@
         assertEquals(first.read().headers().get("Req-Id"), "b");
     }
 
+    /** The worker's machine resets the connection while the request's bytes are on their way: it cannot have begun. */
+    @Test
+    public void resetInsideARequestsBytesIsAFailedConnect() throws Exception {
+        client.bootstrap.option(ChannelOption.SO_SNDBUF, SMALL_BUFFER);
+        try (ServerSocket narrow = new ServerSocket()) {
+            narrow.setReceiveBufferSize(SMALL_BUFFER);
+            narrow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            Call large = new Call("a", "POST", "/api", null, new byte[Front.MOST_BODY]);
+            InetSocketAddress address = (InetSocketAddress) narrow.getLocalSocketAddress();
+            loop.submit(() -> client.send(large, address, 1000, new Teller())).get();
+            Socket connection = narrow.accept();
+            assertEquals(connection.getInputStream().read(), 'P', "it has begun to come in");
+            connection.setSoLinger(true, 0);
+            connection.close();
+            assertEquals(told.take(), "CONNECT_FAILED");
+        }
+    }
+
+    /** The idle connection that carries a cancellation is closed by the worker at that moment: it is said once more. */
+    @Test
+    public void deleteUnderWhichAnIdleConnectionClosesIsSaidAgainOnANewOne() throws Exception {
+        Workers.Sending taken = send("a");
+        RawHttp first = new RawHttp(worker.accept());
+        first.read();
+        first.write(TAKEN);
+        pooled();
+        now += 100;
+        loop.submit(() -> {
+            first.end();
+            taken.giveUp(() -> told.add("deleted"));
+            return null;
+        }).get();
+        assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
+        assertEquals(told.take(), "written");
+        assertEquals(told.take(), "deleted");
+        assertTrue(told.isEmpty(), "once");
+    }
+
     /** What is left of an attempt's time once its connection is up, and what the worker is told. */
     @DataProvider
     public Object[][] rests() {
