--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -1,6 +1,7 @@
 package ferngrade.net;
 
 import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonObject;
 import ferngrade.config.NodeConfig;
 import ferngrade.node.Clock;
 import ferngrade.node.Log;
@@ -90,6 +91,11 @@
     }
 
     static NodeConfig config(int discoveryPort, String known, String mode) throws Exception {
+        return NodeConfig.read(configuration(discoveryPort, known, mode));
+    }
+
+    /** The same as the platform writes it into a file. */
+    static JsonObject configuration(int discoveryPort, String known, String mode) {
         String config = "{'name':'n0','listen':'127.0.0.1:0','discovery':'127.0.0.1:" + discoveryPort
                 + "','seed':'7','limits':{'sockets':64},'settings':{'Discovery':'" + mode + "','Zones':['z'],'Kinds':['k'],'Tenants':[{'Name':'t','Share':1}],"
                 + "'Extra':{'TellsStart':true},'Ceilings':{'MostTries':5,'ConnectTimeout':5000,'RetryAfter':true,'MaxRetryAfter':2000},"
@@ -100,7 +106,7 @@
         if (known != null) {
             json.set("known", Json.parse(known));
         }
-        return NodeConfig.read(json);
+        return json;
     }
 
     String list(int revision, String phase) {
@@ -119,7 +125,10 @@
     }
 
     int callBack(String id, String rest) throws IOException {
-        InetSocketAddress address = node.address();
+        return callBack(node.address(), id, rest);
+    }
+
+    static int callBack(InetSocketAddress address, String id, String rest) throws IOException {
         try (RawHttp caller = RawHttp.to(address)) {
             String body = "{\"id\":\"" + id + "\",\"from\":\"s-1\"," + rest + "}";
             return caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", body)).read().status();
