--- a/node/src/main/java/ferngrade/net/FrontHandler.java
+++ b/node/src/main/java/ferngrade/net/FrontHandler.java
@@ -27,8 +27,6 @@
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.Locale;
 
 /**
@@ -37,8 +35,6 @@
  * behind the answers to all requests that have been read whole by then, as a request that was read is owed one.
  */
 final class FrontHandler extends ChannelInboundHandlerAdapter {
-    /** Requests that may wait behind the one in work; what else has been read is refused behind them. */
-    private static final int MOST_WAITING = 64;
     /**
      * Bytes read of a connection that is to end anyway, while it has a request in work, before the rest is left to
      * its sender. Till then all is read: a client that closes is heard of by reading only.
@@ -50,15 +46,14 @@
     private final RequestReader reader;
     private final Clock clock;
     private final Log log;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    /** What has been read behind the request in work. */
+    private final PipelinedRequests waiting;
     private ChannelHandlerContext context;
     private State state = State.RESTING;
     private final RequestDecoder decoder = new RequestDecoder();
     /** The connection ends with the answer to the last request that has been read; what else comes is refused. */
     private boolean closing;
     private int readWhileClosing;
-    /** Requests that were read behind those that wait, and are to be refused. */
-    private int rejected;
     private long bytesRead;
     /** While bytes are being decoded, it is not known yet whether an answer is the last. */
     private boolean decoding;
@@ -80,18 +75,9 @@
      */
     private enum State { RESTING, BUSY, ENDING }
 
-    /**
-     * A request behind the one in work, and since when it may have been here: its client's time runs from then.
-     * {@code request} is null for one with too large a body.
-     */
-    private record Waiting(FullHttpRequest request, double arrived) {
-        int bytes() {
-            return request == null ? 0 : request.content().readableBytes();
-        }
-    }
-
     FrontHandler(Front front, Node node, RequestReader reader, Clock clock, Log log, Arrivals arrivals, double opened) {
         this.front = front;
+        this.waiting = new PipelinedRequests(front);
         this.node = node;
         this.reader = reader;
         this.clock = clock;
@@ -119,14 +105,13 @@
                 count(((ByteBuf) bytes).readableBytes());
                 // What came before a connection was accepted is read in the turn after that.
                 arrived = arrivals.turn() <= openedIn + 1 ? opened : arrivals.since();
-                received = true;
-                if (state == State.RESTING) {
-                    front.receives(FrontHandler.this);
-                }
                 decoding = true;
                 ctx.fireChannelRead(bytes);
                 decoding = false;
                 received = decoder.holdsPartialRequest();
+                if (state == State.RESTING && received) {
+                    front.receives(FrontHandler.this);
+                }
                 respondDeferred();
             }
         };
@@ -157,11 +142,9 @@
             ReferenceCountUtil.release(message);
         } else if (state == State.RESTING) {
             begin(request, arrived);
-        } else if (!closing && waiting.size() < MOST_WAITING && front.holds(request.content().readableBytes())) {
-            waiting.add(new Waiting(request, arrived));
-        } else {
+        } else if (closing || !waiting.add(request, arrived)) {
             closing = true;
-            rejected++;
+            waiting.reject();
             request.release();
         }
     }
@@ -173,10 +156,10 @@
         } else if (state == State.RESTING) {
             tooLarge();
         } else if (closing) {
-            rejected++;
+            waiting.reject();
         } else {
             closing = true;
-            waiting.add(new Waiting(null, arrived));
+            waiting.addTooLarge(arrived);
         }
     }
 
@@ -289,7 +272,7 @@
     /** True if the connection ends with the present answer: not while another is owed for what has been read. */
     private boolean endsNow() {
         boolean draining = front.draining() && !received;
-        return waiting.isEmpty() && rejected == 0 && (closing || draining);
+        return waiting.isEmpty() && (closing || draining);
     }
 
     private void respond(FullHttpResponse response) {
@@ -327,14 +310,9 @@
 
     private void next() {
         state = State.RESTING;
-        Waiting first = waiting.poll();
+        PipelinedRequests.Entry first = waiting.poll();
         if (first != null) {
-            front.held(first.bytes());
             begin(first);
-        } else if (rejected > 0) {
-            rejected--;
-            busy();
-            answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
         } else if (received) {
             front.owes(this);
         } else {
@@ -342,11 +320,15 @@
         }
     }
 
-    private void begin(Waiting first) {
-        if (first.request == null) {
-            tooLarge();
-        } else {
-            begin(first.request, first.arrived);
+    private void begin(PipelinedRequests.Entry first) {
+        switch (first.kind()) {
+            case HANDLE -> begin(first.request(), first.arrived());
+            case TOO_LARGE -> tooLarge();
+            case REJECT -> {
+                busy();
+                answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+            }
+            default -> throw new IllegalStateException("no such kind: " + first.kind());
         }
     }
 
@@ -360,7 +342,6 @@
             return;
         }
         state = State.ENDING;
-        drop();
         front.owes(this);
         ((DuplexChannel) context.channel()).shutdownOutput();
         context.channel().config().setAutoRead(true);
@@ -406,7 +387,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         front.closed(this);
-        drop();
+        waiting.release();
         clientGone();
     }
 
@@ -418,14 +399,6 @@
         }
     }
 
-    private void drop() {
-        waiting.forEach(each -> {
-            front.held(each.bytes());
-            ReferenceCountUtil.release(each.request);
-        });
-        waiting.clear();
-    }
-
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof IOException || state == State.ENDING) {
