--- a/node/src/main/java/ferngrade/net/Discovery.java
+++ b/node/src/main/java/ferngrade/net/Discovery.java
@@ -34,6 +34,15 @@
         current.start();
     }
 
+    /** Reads at once what the sources of the list have told and the event loop has not come to read. */
+    void readPending() {
+        // A list that is read may end the earlier watches.
+        new ArrayList<>(earlier).forEach(DiscoveryWatch::readPending);
+        if (current != null) {
+            current.readPending();
+        }
+    }
+
     /** The present address has told its first list, which the earlier ones must not change any more. */
     private void listed() {
         earlier.forEach(DiscoveryWatch::stop);
--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -18,6 +18,7 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.LineBasedFrameDecoder;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -141,6 +142,13 @@
         });
     }
 
+    /** Reads at once what has been told and the event loop has not come to read. */
+    void readPending() {
+        if (channel != null) {
+            PendingReads.read((AbstractNioChannel) channel);
+        }
+    }
+
     private void watch(Channel opened) {
         channel = opened;
         lines = new ObjectLines(LONGEST_LINE);
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -179,6 +179,7 @@
         discovery = new Discovery((address, whenListed) ->
                 new DiscoveryWatch(group, address, config.memberReader(), node, timers, log, pause, whenListed));
         discovery.watch(config.discovery());
+        workers.beforeAttempt(discovery::readPending);
         return bound;
     }
 
--- a/node/src/main/java/ferngrade/net/PendingReads.java
+++ b/node/src/main/java/ferngrade/net/PendingReads.java
@@ -13,6 +13,13 @@
 
     private PendingReads() { }
 
+    /** Reads some of what waits on the connection, if that is open, on the thread of its event loop. */
+    static void read(AbstractNioChannel connection) {
+        if (connection.isActive()) {
+            connection.unsafe().read();
+        }
+    }
+
     /**
      * Reads what waits on the connection, through its pipeline, on the thread of its event loop.
      *
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -37,6 +37,7 @@
     private final Timers timers;
     private final ConnectionPool pool;
     private final Log log;
+    private Runnable beforeAttempt = () -> { };
     /** Makes the connections; tests set options of their own. */
     final Bootstrap bootstrap;
 
@@ -57,6 +58,11 @@
                 });
     }
 
+    /** Sets what runs right before it is asked whether an attempt may start, on the event loop. */
+    void beforeAttempt(Runnable task) {
+        beforeAttempt = task;
+    }
+
     @Override
     public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
         JobTransfer transfer = new JobTransfer(call, worker, clock.now() + patience, listener);
@@ -145,6 +151,7 @@
             if (stage == Stage.OVER) {
                 return null;
             }
+            beforeAttempt.run();
             boolean wanted = listener.mayStart();
             // Read as late as can be: a dial may have taken all the time that there was.
             double left = until - clock.now();
--- a/node/src/test/java/ferngrade/net/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/net/DepartedClientTest.java
@@ -22,8 +22,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A client leaves while the node is held up between an event and the attempt that follows from it: nothing is begun
- * for the client, though its close is read by nobody before the node goes on. The decisions are the test's.
+ * A client leaves, or a worker begins to drain, while the node is held up between an event and the attempt that follows
+ * from it: the attempt is not begun, though nobody reads of that before the node goes on. The decisions are the test's.
  */
 @Test(timeOut = 30_000)
 public class DepartedClientTest extends NodeStory {
@@ -58,6 +58,9 @@
                         }
                         case "arrived" -> arrived(((Job) with[1]).id(), actions);
                         case "ended" -> {
+                            if (with[3] == Outcome.NEVER_SENT) {
+                                actions.refuse((String) with[1], 0);
+                            }
                             if (cause == Cause.DECLINED_ATTEMPT && with[3] == Outcome.FULL) {
                                 hold();
                                 actions.send("a", workers.get(0), 0);
@@ -135,6 +138,36 @@
         }
     }
 
+    /** A drain that is told while the node is held up counts before the attempt that would have gone there. */
+    @Test
+    public void workerThatDrainsWhileTheNodeIsHeldUpGetsNothingMore() throws Exception {
+        cause = Cause.REQUEST;
+        held = new CountDownLatch(1);
+        release = new CountDownLatch(1);
+        start(list(1, "active"), () -> now);
+        try (RawHttp client = RawHttp.to(node.address())) {
+            client.write(RawHttp.message(job("POST /api", "first", "draft"), ""));
+            RawHttp worked = new RawHttp(worker.accept());
+            worked.read();
+            worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+            callBack("first", "\"state\":\"done\",\"result\":\"soup\"");
+            assertEquals(client.read().body(), "soup");
+            settled();
+            now += 100;
+            // Its connection is idle now: the next attempt is written in the turn in which it is decided.
+            client.write(RawHttp.message(job("POST /api", "a", "draft"), ""));
+            held.await();
+            watch.write(chunk(list(2, "leaving") + "\n"));
+            release.countDown();
+            assertEquals(client.read().status(), 503);
+            watch.write(chunk(list(3, "active") + "\n"));
+            settled();
+            now += 100;
+            client.write(RawHttp.message(job("POST /api", "b", "draft"), ""));
+            assertEquals(worked.read().headers().get("Req-Id"), "b");
+        }
+    }
+
     private static void leave(Socket client, Leaving how) throws IOException {
         if (how == Leaving.SHUTS_ITS_SENDING_SIDE) {
             client.shutdownOutput();
