--- a/node/src/main/java/ferngrade/net/FrontHandler.java
+++ b/node/src/main/java/ferngrade/net/FrontHandler.java
@@ -7,50 +7,58 @@
 import ferngrade.node.Reply;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandler;
 import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelPipeline;
+import io.netty.channel.nio.AbstractNioChannel;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.ReferenceCountUtil;
+import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
-import java.util.Deque;
 import java.util.Locale;
 
 /**
  * One connection to the front: a client's, or a worker's with call-backs. One request at a time. An error ends
- * the connection: whoever sent what cannot be used would else send it again at once, for as long as it likes.
+ * the connection: whoever sent what cannot be used would else send it again at once, for as long as it likes. It ends
+ * behind the answers to all requests that have been read whole by then, as a request that was read is owed one.
  */
 final class FrontHandler extends ChannelInboundHandlerAdapter {
-    /** Requests that may wait behind the one in work; the connection ends after them if more have come. */
-    private static final int MOST_WAITING = 64;
     /**
-     * Bytes dropped of a connection that is to end anyway, while it has a request in work, before the rest is left to
+     * Bytes read of a connection that is to end anyway, while it has a request in work, before the rest is left to
      * its sender. Till then all is read: a client that closes is heard of by reading only.
      */
-    private static final int MOST_DROPPED = 256 << 10;
+    private static final int MAX_READ_WHILE_CLOSING = 256 << 10;
 
     private final Front front;
     private final Node node;
     private final RequestReader reader;
     private final Clock clock;
     private final Log log;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    /** What has been read behind the request in work. */
+    private final PipelinedRequests waiting;
     private ChannelHandlerContext context;
     private State state = State.RESTING;
-    private boolean keepAlive = true;
-    /** More came than may wait: the connection ends after what waits, and drops what else comes. */
-    private boolean overrun;
-    private int droppedBytes;
+    private final RequestDecoder decoder = new RequestDecoder();
+    /** The connection ends with the answer to the last request that has been read; what else comes is refused. */
+    private boolean closing;
+    private int readWhileClosing;
+    private long bytesRead;
+    /** While bytes are being decoded, it is not known yet whether an answer is the last. */
+    private boolean decoding;
+    private FullHttpResponse deferred;
+    /** A part of a request has been read, and not its end. */
     private boolean received;
     private boolean proven;
     private String taken;
@@ -67,11 +75,9 @@
      */
     private enum State { RESTING, BUSY, ENDING }
 
-    /** A request behind the one in work, and since when it may have been here: its client's time runs from then. */
-    private record Waiting(FullHttpRequest request, double arrived) { }
-
     FrontHandler(Front front, Node node, RequestReader reader, Clock clock, Log log, Arrivals arrivals, double opened) {
         this.front = front;
+        this.waiting = new PipelinedRequests(front);
         this.node = node;
         this.reader = reader;
         this.clock = clock;
@@ -82,30 +88,39 @@
         this.arrived = opened;
     }
 
+    /** Puts the connection's codec and this handler at the end of a pipeline. */
+    void addTo(ChannelPipeline pipeline) {
+        pipeline.addLast(firstBytes(), decoder, new HttpResponseEncoder(), new BodyAggregator(Front.MOST_BODY), this);
+    }
+
     /** Stands before the codec: the time for a request counts from its first byte. */
-    ChannelInboundHandler firstBytes() {
+    private ChannelInboundHandler firstBytes() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                if (overrun || state == State.ENDING) {
-                    dropped((ByteBuf) bytes);
+                if (state == State.ENDING) {
+                    ReferenceCountUtil.release(bytes);
                     return;
                 }
+                count(((ByteBuf) bytes).readableBytes());
                 // What came before a connection was accepted is read in the turn after that.
                 arrived = arrivals.turn() <= openedIn + 1 ? opened : arrivals.since();
-                received = true;
-                if (state == State.RESTING) {
+                decoding = true;
+                ctx.fireChannelRead(bytes);
+                decoding = false;
+                received = decoder.holdsPartialRequest();
+                if (state == State.RESTING && received) {
                     front.receives(FrontHandler.this);
                 }
-                ctx.fireChannelRead(bytes);
+                respondDeferred();
             }
         };
     }
 
-    private void dropped(ByteBuf bytes) {
-        droppedBytes += bytes.readableBytes();
-        bytes.release();
-        if (state == State.BUSY && droppedBytes > MOST_DROPPED) {
+    private void count(int bytes) {
+        bytesRead += bytes;
+        readWhileClosing += closing ? bytes : 0;
+        if (state == State.BUSY && readWhileClosing > MAX_READ_WHILE_CLOSING) {
             context.channel().config().setAutoRead(false);
         }
     }
@@ -127,11 +142,9 @@
             ReferenceCountUtil.release(message);
         } else if (state == State.RESTING) {
             begin(request, arrived);
-        } else if (!overrun && waiting.size() < MOST_WAITING && front.holds(request.content().readableBytes())) {
-            received = false;
-            waiting.add(new Waiting(request, arrived));
-        } else {
-            overrun = true;
+        } else if (closing || !waiting.add(request, arrived)) {
+            closing = true;
+            waiting.reject();
             request.release();
         }
     }
@@ -140,31 +153,47 @@
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event != BodyAggregator.TOO_LARGE || state == State.ENDING) {
             ctx.fireUserEventTriggered(event);
-        } else if (state == State.BUSY) {
-            overrun = true;
+        } else if (state == State.RESTING) {
+            tooLarge();
+        } else if (closing) {
+            waiting.reject();
         } else {
-            state = State.BUSY;
-            front.busy(this);
-            error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "a body holds at most " + Front.MOST_BODY + " bytes");
+            closing = true;
+            waiting.addTooLarge(arrived);
         }
     }
 
-    private void begin(FullHttpRequest request, double since) {
+    private void tooLarge() {
+        busy();
+        error(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "a body holds at most " + Front.MOST_BODY + " bytes");
+    }
+
+    private void busy() {
         state = State.BUSY;
-        received = false;
         front.busy(this);
+    }
+
+    private void begin(FullHttpRequest request, double since) {
+        busy();
         try {
             handle(request, since);
         } catch (BadRequestException bad) {
             log.line("bad request", "bad request from " + context.channel().remoteAddress() + ": " + bad.getMessage());
             error(HttpResponseStatus.BAD_REQUEST, bad.getMessage());
+        } catch (RuntimeException fault) {
+            // The request's answer is owed all the same; where the node has taken it, the node gives that.
+            log.line("front failed", "request could not be handled: " + fault);
+            closing = true;
+            if (taken == null && deferred == null) {
+                error(HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
+            }
         } finally {
             request.release();
         }
     }
 
     private void handle(FullHttpRequest request, double since) throws BadRequestException {
-        keepAlive = HttpUtil.isKeepAlive(request);
+        closing |= !HttpUtil.isKeepAlive(request);
         if (request.decoderResult().isFailure()) {
             throw new BadRequestException("not a request in HTTP");
         }
@@ -227,7 +256,7 @@
     }
 
     private void error(HttpResponseStatus status, String body) {
-        keepAlive = false;
+        closing = true;
         answer(status, body);
     }
 
@@ -236,18 +265,40 @@
         respond(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content));
     }
 
+    private void respondDeferred() {
+        FullHttpResponse response = deferred;
+        deferred = null;
+        if (response != null) {
+            respond(response);
+        }
+    }
+
+    /** True if the connection ends with the present answer: not while another is owed for what has been read. */
+    private boolean endsNow() {
+        boolean draining = front.draining() && !received;
+        return waiting.isEmpty() && (closing || draining);
+    }
+
     private void respond(FullHttpResponse response) {
+        if (decoding) {
+            deferred = response;
+            return;
+        }
         boolean wasJob = taken != null;
         taken = null;
-        // What has been read is answered, also by a process that ends.
-        boolean keep = keepAlive && !((front.draining() || overrun) && waiting.isEmpty());
+        boolean keep = !endsNow();
         if (!response.status().equals(HttpResponseStatus.NO_CONTENT)) {
             HttpUtil.setContentLength(response, response.content().readableBytes());
         }
         if (!keep) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
         }
-        context.writeAndFlush(response).addListener(future -> {
+        ChannelFuture written = context.writeAndFlush(response);
+        if (!keep && !written.isDone()) {
+            // Nothing is read that could not be answered any more.
+            context.channel().config().setAutoRead(false);
+        }
+        written.addListener(future -> {
             if (wasJob) {
                 front.gave();
             }
@@ -263,14 +314,25 @@
 
     private void next() {
         state = State.RESTING;
-        Waiting first = waiting.poll();
-        if (first == null && received) {
+        PipelinedRequests.Entry first = waiting.poll();
+        if (first != null) {
+            begin(first);
+        } else if (received) {
             front.owes(this);
-        } else if (first == null) {
-            front.idle(this);
         } else {
-            front.held(first.request.content().readableBytes());
-            begin(first.request, first.arrived);
+            front.idle(this);
+        }
+    }
+
+    private void begin(PipelinedRequests.Entry first) {
+        switch (first.kind()) {
+            case HANDLE -> begin(first.request(), first.arrived());
+            case TOO_LARGE -> tooLarge();
+            case REJECT -> {
+                busy();
+                answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+            }
+            default -> throw new IllegalStateException("no such kind: " + first.kind());
         }
     }
 
@@ -284,7 +346,6 @@
             return;
         }
         state = State.ENDING;
-        drop();
         front.owes(this);
         ((DuplexChannel) context.channel()).shutdownOutput();
         context.channel().config().setAutoRead(true);
@@ -300,9 +361,7 @@
         if (state == State.ENDING) {
             context.close();
         } else if (received) {
-            state = State.BUSY;
-            front.busy(this);
-            error(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
+            endHalfRead(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
         } else {
             shut();
         }
@@ -311,21 +370,39 @@
     /** The process ends: a request that has come in part is refused. */
     void refuseUnfinished() {
         if (state == State.RESTING && received) {
-            state = State.BUSY;
-            front.busy(this);
-            error(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+            endHalfRead(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+        }
+    }
+
+    /** True once its last answer is written and only the client's close is awaited. */
+    boolean ending() {
+        return state == State.ENDING;
+    }
+
+    /** Ends a connection that has nothing in work, for its room; one that is half read gets an answer. */
+    void endForRoom() {
+        if (state == State.RESTING && received) {
+            endHalfRead(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+        } else {
+            context.close();
         }
     }
 
-    /** Ends a connection that has nothing in work, for its room. */
-    void close() {
-        context.close();
+    private void endHalfRead(HttpResponseStatus status, String body) {
+        busy();
+        error(status, body);
+        // What it holds of the request goes at once, and not when the client closes.
+        context.pipeline().remove(BodyAggregator.class);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         front.closed(this);
-        drop();
+        waiting.release();
+        clientGone();
+    }
+
+    private void clientGone() {
         if (taken != null) {
             node.clientGone(taken);
             taken = null;
@@ -333,17 +410,18 @@
         }
     }
 
-    private void drop() {
-        waiting.forEach(each -> {
-            front.held(each.request.content().readableBytes());
-            each.request.release();
-        });
-        waiting.clear();
-    }
-
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close();
+        if (cause instanceof IOException || state == State.ENDING) {
+            ctx.close();
+        } else {
+            log.line("front failed", "bytes could not be decoded: " + cause);
+            closing = true;
+            if (state == State.RESTING) {
+                busy();
+                error(HttpResponseStatus.BAD_REQUEST, "not a request in HTTP");
+            }
+        }
     }
 
     /** The way back over this connection. */
@@ -368,5 +446,14 @@
         public void failed() {
             answer(HttpResponseStatus.BAD_GATEWAY, "");
         }
+
+        @Override
+        public boolean clientPresent() {
+            boolean present = PendingReads.openAfterReading((AbstractNioChannel) context.channel(), () -> bytesRead);
+            if (!present) {
+                clientGone();
+            }
+            return present;
+        }
     }
 }
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -219,6 +219,7 @@
                 new DiscoveryWatch(group, address, config.memberReader(), node, timers, log, pause, whenListed,
                         channels));
         discovery.watch(config.discovery());
+        workers.beforeAttempt(discovery::readPending);
         return bound;
     }
 
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -35,6 +35,7 @@
     private final ConnectionPool pool;
     private final Log log;
     private final Dialer dialer;
+    private Runnable beforeAttempt = () -> { };
 
     WorkerClient(EventLoopGroup group, Clock clock, Timers timers, ConnectionPool pool, double connectTimeout,
             Log log, ChannelProvider channels) {
@@ -51,6 +52,11 @@
                 });
     }
 
+    /** Sets what runs right before it is asked whether an attempt may start, on the event loop. */
+    void beforeAttempt(Runnable task) {
+        beforeAttempt = task;
+    }
+
     @Override
     public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
         JobTransfer transfer = new JobTransfer(call, worker, clock.now() + patience, listener);
@@ -188,14 +194,18 @@
             if (stage == Stage.OVER) {
                 return null;
             }
-            if (!listener.mayStart()) {
+            beforeAttempt.run();
+            boolean wanted = listener.mayStart();
+            // Read as late as can be: a dial may have taken all the time that there was.
+            double left = until - clock.now();
+            if (!wanted || left <= 0) {
                 end(Outcome.NEVER_SENT, Report.NONE);
                 return null;
             }
             FullHttpRequest request = WorkerClient.request(HttpMethod.valueOf(call.method()), call.target(),
                     worker, call.body());
             request.headers().set(Headers.ID, call.id());
-            request.headers().set(Headers.DEADLINE, Math.max(1, Math.round(until - clock.now())) + "m");
+            request.headers().set(Headers.DEADLINE, ToldDeadline.header(left));
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
             if (call.repeatKey() != null) {
                 request.headers().set(Headers.REPEAT_KEY, call.repeatKey());
--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/Node.java
@@ -142,6 +142,9 @@
                 module.abandoned(clock.now(), id);
                 release(exchange);
             });
+            // A worker begins with the last byte: what is dialled or half written must not come to that any more.
+            exchange.attempts.stream().filter(attempt -> !attempt.written)
+                    .forEach(attempt -> giveUp(attempt, Outcome.CANCELLED, Outcome.NEVER_SENT));
         }
     }
 
@@ -435,7 +438,8 @@
         @Override
         public boolean mayStart() {
             // A dial may outlast what it was for: the client may have gone, or another attempt have been served.
-            return !attempt.ended && !attempt.exchange.over() && members.stands(attempt.member);
+            return !attempt.ended && !attempt.exchange.over() && members.stands(attempt.member)
+                    && attempt.exchange.clientPresent();
         }
 
         @Override
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -35,6 +35,8 @@
 public class WorkerClientTest {
     private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
+    private static final int SMALL_BUFFER = 2048;
+
     private BlockingQueue<String> told;
     private MultiThreadIoEventLoopGroup group;
     private EventLoop loop;
@@ -170,6 +172,70 @@
         assertEquals(first.read().headers().get("Req-Id"), "b");
     }
 
+    /** The worker's machine resets the connection while the request's bytes are on their way: it cannot have begun. */
+    @Test
+    public void resetInsideARequestsBytesIsAFailedConnect() throws Exception {
+        faults.sendBuffer = SMALL_BUFFER;
+        try (ServerSocket narrow = new ServerSocket()) {
+            narrow.setReceiveBufferSize(SMALL_BUFFER);
+            narrow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            Call large = new Call("a", "POST", "/api", null, new byte[Front.MOST_BODY]);
+            InetSocketAddress address = (InetSocketAddress) narrow.getLocalSocketAddress();
+            loop.submit(() -> client.send(large, address, 1000, new Teller())).get();
+            Socket connection = narrow.accept();
+            assertEquals(connection.getInputStream().read(), 'P', "it has begun to come in");
+            connection.setSoLinger(true, 0);
+            connection.close();
+            assertEquals(told.take(), "CONNECT_FAILED");
+        }
+    }
+
+    /** The idle connection that carries a cancellation is closed by the worker at that moment: it is said once more. */
+    @Test
+    public void deleteUnderWhichAnIdleConnectionClosesIsSaidAgainOnANewOne() throws Exception {
+        Workers.Sending taken = send("a");
+        RawHttp first = new RawHttp(worker.accept());
+        first.read();
+        first.write(TAKEN);
+        pooled();
+        now += 100;
+        loop.submit(() -> {
+            first.end();
+            taken.giveUp(() -> told.add("deleted"));
+            return null;
+        }).get();
+        assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
+        assertEquals(told.take(), "written");
+        assertEquals(told.take(), "deleted");
+        assertTrue(told.isEmpty(), "once");
+    }
+
+    /** What is left of an attempt's time once its connection is up, and what the worker is told. */
+    @DataProvider
+    public Object[][] rests() {
+        return new Object[][] {{1, "1m"}, {20, "15m"}, {150, "140m"}, {1000, "990m"}};
+    }
+
+    @Test(dataProvider = "rests")
+    public void workerIsToldLessThanWhatIsLeftWhenTheConnectionIsUp(int left, String header) throws Exception {
+        sendAndPass(1000 - left);
+        assertEquals(new RawHttp(worker.accept()).read().headers().get("Req-Deadline"), header);
+    }
+
+    @Test
+    public void attemptWhoseTimeIsUpBeforeItsConnectionIsBegunNoMore() throws Exception {
+        sendAndPass(1000);
+        assertEquals(told.take(), "NEVER_SENT");
+    }
+
+    /** Sends, and lets time pass before the loop can hear that the connection is up. */
+    private void sendAndPass(double millis) throws Exception {
+        loop.submit(() -> {
+            begin("a");
+            now += millis;
+        }).get();
+    }
+
     @Test
     public void connectionsBeyondTheBoundAreNotOpened() throws Exception {
         // All in one go: none of them is up yet when the third is turned down.
