--- a/agreement/src/main/java/ferngrade/agreement/LogFormat.java
+++ b/agreement/src/main/java/ferngrade/agreement/LogFormat.java
@@ -23,29 +23,50 @@
 import java.util.List;
 import java.util.Set;
 
-/** The classes that voters send each other and keep on disk; their order is the format, new ones go to the end. */
+/**
+ * The classes that voters send each other and keep on disk; their order is the format, new ones go
+ * to the end.
+ */
 public final class LogFormat {
-    private static final List<Class<?>> OWN = List.of(Endpoint.class, NewTerm.class, VoterLog.CutFrom.class,
-            VoterLog.CutUntil.class, VoterLog.DropChunks.class, Voter.Forward.class, Voter.Answered.class, MembershipChangeMode.class,
-            DefaultUpdateRaftGroupMembersOpOrBuilder.class, DefaultLogEntryOrBuilder.class,
-            DefaultRaftGroupMembersViewOrBuilder.class, DefaultSnapshotChunkOrBuilder.class,
-            DefaultSnapshotEntryOrBuilder.class, DefaultAppendEntriesFailureResponseOrBuilder.class,
-            DefaultAppendEntriesRequestOrBuilder.class, DefaultAppendEntriesSuccessResponseOrBuilder.class,
-            DefaultInstallSnapshotRequestOrBuilder.class, DefaultInstallSnapshotResponseOrBuilder.class,
-            DefaultPreVoteRequestOrBuilder.class, DefaultPreVoteResponseOrBuilder.class,
-            DefaultTriggerLeaderElectionRequestOrBuilder.class, DefaultVoteRequestOrBuilder.class,
-            DefaultVoteResponseOrBuilder.class, DefaultRaftEndpointPersistentStateOrBuilder.class,
-            DefaultRaftTermPersistentStateOrBuilder.class, Voter.To.class, Voter.Join.class);
+  private static final List<Class<?>> OWN =
+      List.of(
+          Endpoint.class,
+          NewTerm.class,
+          VoterLog.CutFrom.class,
+          VoterLog.CutUntil.class,
+          VoterLog.DropChunks.class,
+          Voter.Forward.class,
+          Voter.Answered.class,
+          MembershipChangeMode.class,
+          DefaultUpdateRaftGroupMembersOpOrBuilder.class,
+          DefaultLogEntryOrBuilder.class,
+          DefaultRaftGroupMembersViewOrBuilder.class,
+          DefaultSnapshotChunkOrBuilder.class,
+          DefaultSnapshotEntryOrBuilder.class,
+          DefaultAppendEntriesFailureResponseOrBuilder.class,
+          DefaultAppendEntriesRequestOrBuilder.class,
+          DefaultAppendEntriesSuccessResponseOrBuilder.class,
+          DefaultInstallSnapshotRequestOrBuilder.class,
+          DefaultInstallSnapshotResponseOrBuilder.class,
+          DefaultPreVoteRequestOrBuilder.class,
+          DefaultPreVoteResponseOrBuilder.class,
+          DefaultTriggerLeaderElectionRequestOrBuilder.class,
+          DefaultVoteRequestOrBuilder.class,
+          DefaultVoteResponseOrBuilder.class,
+          DefaultRaftEndpointPersistentStateOrBuilder.class,
+          DefaultRaftTermPersistentStateOrBuilder.class,
+          Voter.To.class,
+          Voter.Join.class);
 
-    private LogFormat() { }
+  private LogFormat() {}
 
-    /** The log's own classes. */
-    static Set<Class<?>> classes() {
-        return new LinkedHashSet<>(OWN);
-    }
+  /** The log's own classes. */
+  static Set<Class<?>> classes() {
+    return new LinkedHashSet<>(OWN);
+  }
 
-    /** A codec for the log's own classes and those of the commands, in this order. */
-    public static Codec codec(List<Class<?>> commands) {
-        return new Codec(OWN, commands);
-    }
+  /** A codec for the log's own classes and those of the commands, in this order. */
+  public static Codec codec(List<Class<?>> commands) {
+    return new Codec(OWN, commands);
+  }
 }
--- a/agreement/src/test/java/ferngrade/agreement/LogFormatGoldenTest.java
+++ b/agreement/src/test/java/ferngrade/agreement/LogFormatGoldenTest.java
@@ -38,167 +38,310 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of the voters' messages and of their log on disk keep the form that an earlier version wrote. */
+/**
+ * The bytes of the voters' messages and of their log on disk keep the form that an earlier version
+ * wrote.
+ */
 class LogFormatGoldenTest {
-    private static final GoldenFile GOLDEN = GoldenFile.open("log-format.txt");
-    private static final Endpoint SELF = new Endpoint("a");
-    private static final Endpoint OTHER = Endpoint.anew("b", "0f1e");
-    private static final Set<RaftEndpoint> BOTH = new LinkedHashSet<>(List.of(SELF, OTHER));
-    private static final String GROUP = "fleet";
-    private static final RaftGroupMembersView MEMBERS = new DefaultRaftGroupMembersViewOrBuilder().setLogIndex(1)
-            .setMembers(BOTH).setVotingMembers(List.of(SELF)).build();
-    private static final LogEntry ENTRY = entry(20, "command");
-    private static final SnapshotChunk CHUNK = new DefaultSnapshotChunkOrBuilder().setIndex(30).setTerm(3)
-            .setSnapshotChunkIndex(0).setSnapshotChunkCount(1).setGroupMembersView(MEMBERS).setOperation("all until 30")
-            .build();
-    /** Longer than any log in these tests: no file is written anew by its size. */
-    private static final long FILE_BYTES = 1 << 20;
-
-    private final Codec codec = LogFormat.codec(List.of());
-
-    private static LogEntry entry(long index, Object operation) {
-        return new DefaultLogEntryOrBuilder().setIndex(index).setTerm(2).setOperation(operation).build();
-    }
+  private static final GoldenFile GOLDEN = GoldenFile.open("log-format.txt");
+  private static final Endpoint SELF = new Endpoint("a");
+  private static final Endpoint OTHER = Endpoint.anew("b", "0f1e");
+  private static final Set<RaftEndpoint> BOTH = new LinkedHashSet<>(List.of(SELF, OTHER));
+  private static final String GROUP = "fleet";
+  private static final RaftGroupMembersView MEMBERS =
+      new DefaultRaftGroupMembersViewOrBuilder()
+          .setLogIndex(1)
+          .setMembers(BOTH)
+          .setVotingMembers(List.of(SELF))
+          .build();
+  private static final LogEntry ENTRY = entry(20, "command");
+  private static final SnapshotChunk CHUNK =
+      new DefaultSnapshotChunkOrBuilder()
+          .setIndex(30)
+          .setTerm(3)
+          .setSnapshotChunkIndex(0)
+          .setSnapshotChunkCount(1)
+          .setGroupMembersView(MEMBERS)
+          .setOperation("all until 30")
+          .build();
 
-    private static Map<String, Object> values() {
-        Map<String, Object> values = new LinkedHashMap<>();
-        putOwn(values);
-        putStored(values);
-        putElections(values);
-        putReplication(values);
-        return values;
-    }
+  /** Longer than any log in these tests: no file is written anew by its size. */
+  private static final long FILE_BYTES = 1 << 20;
 
-    private static void putOwn(Map<String, Object> values) {
-        values.put("endpoint", SELF);
-        values.put("endpoint-anew", OTHER);
-        values.put("first-entry-of-term", new NewTerm());
-        values.put("cut-from", new VoterLog.CutFrom(40));
-        values.put("cut-until", new VoterLog.CutUntil(41));
-        values.put("drop-chunks", new VoterLog.DropChunks(42));
-        values.put("forward", new Voter.Forward(43, "command"));
-        values.put("answered", new Voter.Answered(44, true, "result"));
-        values.put("answered-unknown", new Voter.Answered(45, false, "why"));
-        values.put("addressed", new Voter.To("b#0f1e", "message"));
-        values.put("join", new Voter.Join("b#0f1e"));
-        for (MembershipChangeMode mode : MembershipChangeMode.values()) {
-            values.put("change-mode-" + mode.ordinal(), mode);
-        }
-    }
+  private final Codec codec = LogFormat.codec(List.of());
 
-    private static void putStored(Map<String, Object> values) {
-        values.put("members", MEMBERS);
-        values.put("entry", ENTRY);
-        values.put("entry-first-of-term", entry(21, new NewTerm()));
-        values.put("entry-members", entry(22, new DefaultUpdateRaftGroupMembersOpOrBuilder().setMembers(BOTH)
-                .setVotingMembers(BOTH).setEndpoint(OTHER).setMode(MembershipChangeMode.ADD_LEARNER).build()));
-        values.put("update-members", new DefaultUpdateRaftGroupMembersOpOrBuilder().setMembers(BOTH)
-                .setVotingMembers(List.of(SELF)).setEndpoint(OTHER).setMode(MembershipChangeMode.REMOVE_MEMBER).build());
-        values.put("snapshot-chunk", CHUNK);
-        values.put("snapshot-entry", new DefaultSnapshotEntryOrBuilder().setIndex(31).setTerm(3)
-                .setSnapshotChunks(List.of(CHUNK)).setGroupMembersView(MEMBERS).build());
-        values.put("endpoint-state", new DefaultRaftEndpointPersistentStateOrBuilder().setLocalEndpoint(SELF)
-                .setVoting(true).build());
-        values.put("term-state", new DefaultRaftTermPersistentStateOrBuilder().setTerm(4).setVotedFor(OTHER).build());
-        values.put("term-state-without-vote", new DefaultRaftTermPersistentStateOrBuilder().setTerm(5).build());
-    }
+  private static LogEntry entry(long index, Object operation) {
+    return new DefaultLogEntryOrBuilder()
+        .setIndex(index)
+        .setTerm(2)
+        .setOperation(operation)
+        .build();
+  }
 
-    private static void putElections(Map<String, Object> values) {
-        values.put("pre-vote-request", new DefaultPreVoteRequestOrBuilder().setGroupId(GROUP).setSender(SELF).setTerm(6)
-                .setLastLogTerm(5).setLastLogIndex(50).build());
-        values.put("pre-vote-response", new DefaultPreVoteResponseOrBuilder().setGroupId(GROUP).setSender(SELF).setTerm(6)
-                .setGranted(true).build());
-        values.put("vote-request", new DefaultVoteRequestOrBuilder().setGroupId(GROUP).setSender(SELF).setTerm(7)
-                .setLastLogTerm(5).setLastLogIndex(51).setSticky(true).build());
-        values.put("vote-response", new DefaultVoteResponseOrBuilder().setGroupId(GROUP).setSender(OTHER).setTerm(7)
-                .setGranted(true).build());
-        values.put("trigger-election", new DefaultTriggerLeaderElectionRequestOrBuilder().setGroupId(GROUP).setSender(SELF)
-                .setTerm(8).setLastLogTerm(7).setLastLogIndex(52).build());
-    }
+  private static Map<String, Object> values() {
+    Map<String, Object> values = new LinkedHashMap<>();
+    putOwn(values);
+    putStored(values);
+    putElections(values);
+    putReplication(values);
+    return values;
+  }
 
-    private static void putReplication(Map<String, Object> values) {
-        values.put("append-request", new DefaultAppendEntriesRequestOrBuilder().setGroupId(GROUP).setSender(SELF)
-                .setTerm(9).setPreviousLogTerm(8).setPreviousLogIndex(19).setCommitIndex(18).setLogEntries(List.of(ENTRY))
-                .setQuerySequenceNumber(60).setFlowControlSequenceNumber(61).build());
-        values.put("append-request-empty", new DefaultAppendEntriesRequestOrBuilder().setGroupId(GROUP).setSender(SELF)
-                .setTerm(9).setPreviousLogTerm(8).setPreviousLogIndex(19).setCommitIndex(18).setLogEntries(List.of())
-                .setQuerySequenceNumber(62).setFlowControlSequenceNumber(63).build());
-        values.put("append-success", new DefaultAppendEntriesSuccessResponseOrBuilder().setGroupId(GROUP).setSender(OTHER)
-                .setTerm(9).setLastLogIndex(20).setQuerySequenceNumber(64).setFlowControlSequenceNumber(65).build());
-        values.put("append-failure", new DefaultAppendEntriesFailureResponseOrBuilder().setGroupId(GROUP).setSender(OTHER)
-                .setTerm(9).setExpectedNextIndex(17).setQuerySequenceNumber(66).setFlowControlSequenceNumber(67).build());
-        values.put("snapshot-request", new DefaultInstallSnapshotRequestOrBuilder().setGroupId(GROUP).setSender(SELF)
-                .setTerm(10).setSenderLeader(true).setSnapshotTerm(3).setSnapshotIndex(30).setTotalSnapshotChunkCount(1)
-                .setSnapshotChunk(CHUNK).setSnapshottedMembers(BOTH).setGroupMembersView(MEMBERS)
-                .setQuerySequenceNumber(68).setFlowControlSequenceNumber(69).build());
-        values.put("snapshot-response", new DefaultInstallSnapshotResponseOrBuilder().setGroupId(GROUP).setSender(OTHER)
-                .setTerm(10).setSnapshotIndex(30).setRequestedSnapshotChunkIndex(1).setQuerySequenceNumber(70)
-                .setFlowControlSequenceNumber(71).build());
+  private static void putOwn(Map<String, Object> values) {
+    values.put("endpoint", SELF);
+    values.put("endpoint-anew", OTHER);
+    values.put("first-entry-of-term", new NewTerm());
+    values.put("cut-from", new VoterLog.CutFrom(40));
+    values.put("cut-until", new VoterLog.CutUntil(41));
+    values.put("drop-chunks", new VoterLog.DropChunks(42));
+    values.put("forward", new Voter.Forward(43, "command"));
+    values.put("answered", new Voter.Answered(44, true, "result"));
+    values.put("answered-unknown", new Voter.Answered(45, false, "why"));
+    values.put("addressed", new Voter.To("b#0f1e", "message"));
+    values.put("join", new Voter.Join("b#0f1e"));
+    for (MembershipChangeMode mode : MembershipChangeMode.values()) {
+      values.put("change-mode-" + mode.ordinal(), mode);
     }
+  }
 
-    @Test
-    void eachValueIsReadAndWrittenAsRecorded() throws IOException {
-        for (Map.Entry<String, Object> each : values().entrySet()) {
-            GOLDEN.verify(each.getKey(), codec.write(each.getValue()));
-            byte[] recorded = GOLDEN.bytes(each.getKey());
-            Object read = codec.read(recorded, 0, recorded.length);
-            if (each.getValue().getClass().getName().startsWith("ferngrade.")) {
-                assertEquals(each.getValue(), read, each.getKey());
-            }
-            // The library's classes have no equals: they are compared by their texts and by what is written of them.
-            assertEquals(each.getValue().toString(), read.toString(), each.getKey());
-            assertArrayEquals(recorded, codec.write(read), each.getKey());
-        }
-    }
+  private static void putStored(Map<String, Object> values) {
+    values.put("members", MEMBERS);
+    values.put("entry", ENTRY);
+    values.put("entry-first-of-term", entry(21, new NewTerm()));
+    values.put(
+        "entry-members",
+        entry(
+            22,
+            new DefaultUpdateRaftGroupMembersOpOrBuilder()
+                .setMembers(BOTH)
+                .setVotingMembers(BOTH)
+                .setEndpoint(OTHER)
+                .setMode(MembershipChangeMode.ADD_LEARNER)
+                .build()));
+    values.put(
+        "update-members",
+        new DefaultUpdateRaftGroupMembersOpOrBuilder()
+            .setMembers(BOTH)
+            .setVotingMembers(List.of(SELF))
+            .setEndpoint(OTHER)
+            .setMode(MembershipChangeMode.REMOVE_MEMBER)
+            .build());
+    values.put("snapshot-chunk", CHUNK);
+    values.put(
+        "snapshot-entry",
+        new DefaultSnapshotEntryOrBuilder()
+            .setIndex(31)
+            .setTerm(3)
+            .setSnapshotChunks(List.of(CHUNK))
+            .setGroupMembersView(MEMBERS)
+            .build());
+    values.put(
+        "endpoint-state",
+        new DefaultRaftEndpointPersistentStateOrBuilder()
+            .setLocalEndpoint(SELF)
+            .setVoting(true)
+            .build());
+    values.put(
+        "term-state",
+        new DefaultRaftTermPersistentStateOrBuilder().setTerm(4).setVotedFor(OTHER).build());
+    values.put(
+        "term-state-without-vote",
+        new DefaultRaftTermPersistentStateOrBuilder().setTerm(5).build());
+  }
 
-    /** A class that is added to the format needs a recorded value too. */
-    @Test
-    void eachClassOfTheFormatIsRecorded() {
-        Set<Class<?>> recorded = new LinkedHashSet<>();
-        values().values().forEach(each -> recorded.add(each.getClass()));
-        assertEquals(LogFormat.classes(), recorded);
-    }
+  private static void putElections(Map<String, Object> values) {
+    values.put(
+        "pre-vote-request",
+        new DefaultPreVoteRequestOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(SELF)
+            .setTerm(6)
+            .setLastLogTerm(5)
+            .setLastLogIndex(50)
+            .build());
+    values.put(
+        "pre-vote-response",
+        new DefaultPreVoteResponseOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(SELF)
+            .setTerm(6)
+            .setGranted(true)
+            .build());
+    values.put(
+        "vote-request",
+        new DefaultVoteRequestOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(SELF)
+            .setTerm(7)
+            .setLastLogTerm(5)
+            .setLastLogIndex(51)
+            .setSticky(true)
+            .build());
+    values.put(
+        "vote-response",
+        new DefaultVoteResponseOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(OTHER)
+            .setTerm(7)
+            .setGranted(true)
+            .build());
+    values.put(
+        "trigger-election",
+        new DefaultTriggerLeaderElectionRequestOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(SELF)
+            .setTerm(8)
+            .setLastLogTerm(7)
+            .setLastLogIndex(52)
+            .build());
+  }
 
-    @Test
-    void theFileOfALogIsWrittenAndReadAsRecorded() throws IOException {
-        FaultyDisk disk = new FaultyDisk(1, 0);
-        List<IOException> failures = new ArrayList<>();
-        VoterLog log = VoterLog.open(disk, codec, FILE_BYTES, failures::add);
-        fill(log);
-        log.close();
-        GOLDEN.verify("file-names", disk.list().toString());
-        String name = disk.list().get(0);
-        GOLDEN.verify("file", disk.read(name));
-
-        FaultyDisk copy = new FaultyDisk(2, 0);
-        byte[] recorded = GOLDEN.bytes("file");
-        copy.create(name).append(recorded, recorded.length);
-        check(VoterLog.open(copy, codec, FILE_BYTES, failures::add).restored());
-        // Opened anew, it is one batch with all that still counts, in a file with the next number.
-        GOLDEN.verify("file-names-reopened", copy.list().toString());
-        GOLDEN.verify("file-reopened", copy.read(copy.list().get(0)));
-        assertEquals(List.of(), failures);
-    }
+  private static void putReplication(Map<String, Object> values) {
+    values.put(
+        "append-request",
+        new DefaultAppendEntriesRequestOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(SELF)
+            .setTerm(9)
+            .setPreviousLogTerm(8)
+            .setPreviousLogIndex(19)
+            .setCommitIndex(18)
+            .setLogEntries(List.of(ENTRY))
+            .setQuerySequenceNumber(60)
+            .setFlowControlSequenceNumber(61)
+            .build());
+    values.put(
+        "append-request-empty",
+        new DefaultAppendEntriesRequestOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(SELF)
+            .setTerm(9)
+            .setPreviousLogTerm(8)
+            .setPreviousLogIndex(19)
+            .setCommitIndex(18)
+            .setLogEntries(List.of())
+            .setQuerySequenceNumber(62)
+            .setFlowControlSequenceNumber(63)
+            .build());
+    values.put(
+        "append-success",
+        new DefaultAppendEntriesSuccessResponseOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(OTHER)
+            .setTerm(9)
+            .setLastLogIndex(20)
+            .setQuerySequenceNumber(64)
+            .setFlowControlSequenceNumber(65)
+            .build());
+    values.put(
+        "append-failure",
+        new DefaultAppendEntriesFailureResponseOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(OTHER)
+            .setTerm(9)
+            .setExpectedNextIndex(17)
+            .setQuerySequenceNumber(66)
+            .setFlowControlSequenceNumber(67)
+            .build());
+    values.put(
+        "snapshot-request",
+        new DefaultInstallSnapshotRequestOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(SELF)
+            .setTerm(10)
+            .setSenderLeader(true)
+            .setSnapshotTerm(3)
+            .setSnapshotIndex(30)
+            .setTotalSnapshotChunkCount(1)
+            .setSnapshotChunk(CHUNK)
+            .setSnapshottedMembers(BOTH)
+            .setGroupMembersView(MEMBERS)
+            .setQuerySequenceNumber(68)
+            .setFlowControlSequenceNumber(69)
+            .build());
+    values.put(
+        "snapshot-response",
+        new DefaultInstallSnapshotResponseOrBuilder()
+            .setGroupId(GROUP)
+            .setSender(OTHER)
+            .setTerm(10)
+            .setSnapshotIndex(30)
+            .setRequestedSnapshotChunkIndex(1)
+            .setQuerySequenceNumber(70)
+            .setFlowControlSequenceNumber(71)
+            .build());
+  }
 
-    private static void fill(VoterLog log) throws IOException {
-        log.persistAndFlushLocalEndpoint(new DefaultRaftEndpointPersistentStateOrBuilder().setLocalEndpoint(SELF)
-                .setVoting(true).build());
-        log.persistAndFlushInitialGroupMembers(MEMBERS);
-        log.persistAndFlushTerm(new DefaultRaftTermPersistentStateOrBuilder().setTerm(4).setVotedFor(OTHER).build());
-        log.persistLogEntries(List.of(entry(29, "first"), entry(30, "second"), entry(31, "third"), entry(32, "fourth")));
-        log.flush();
-        log.persistSnapshotChunk(CHUNK);
-        log.truncateLogEntriesUntil(30);
-        log.truncateLogEntriesFrom(32);
-        log.deleteSnapshotChunks(5, 1);
-        log.flush();
+  @Test
+  void eachValueIsReadAndWrittenAsRecorded() throws IOException {
+    for (Map.Entry<String, Object> each : values().entrySet()) {
+      GOLDEN.verify(each.getKey(), codec.write(each.getValue()));
+      byte[] recorded = GOLDEN.bytes(each.getKey());
+      Object read = codec.read(recorded, 0, recorded.length);
+      if (each.getValue().getClass().getName().startsWith("ferngrade.")) {
+        assertEquals(each.getValue(), read, each.getKey());
+      }
+      // The library's classes have no equals: they are compared by their texts and by what is
+      // written of them.
+      assertEquals(each.getValue().toString(), read.toString(), each.getKey());
+      assertArrayEquals(recorded, codec.write(read), each.getKey());
     }
+  }
 
-    private static void check(RestoredRaftState restored) {
-        assertEquals(SELF, restored.getLocalEndpointPersistentState().getLocalEndpoint());
-        assertEquals(4, restored.getTermPersistentState().getTerm());
-        assertEquals(OTHER, restored.getTermPersistentState().getVotedFor());
-        assertEquals(30, restored.getSnapshotEntry().getIndex());
-        assertEquals(List.of("third"), restored.getLogEntries().stream().map(LogEntry::getOperation).toList());
-    }
+  /** A class that is added to the format needs a recorded value too. */
+  @Test
+  void eachClassOfTheFormatIsRecorded() {
+    Set<Class<?>> recorded = new LinkedHashSet<>();
+    values().values().forEach(each -> recorded.add(each.getClass()));
+    assertEquals(LogFormat.classes(), recorded);
+  }
+
+  @Test
+  void theFileOfALogIsWrittenAndReadAsRecorded() throws IOException {
+    FaultyDisk disk = new FaultyDisk(1, 0);
+    List<IOException> failures = new ArrayList<>();
+    VoterLog log = VoterLog.open(disk, codec, FILE_BYTES, failures::add);
+    fill(log);
+    log.close();
+    GOLDEN.verify("file-names", disk.list().toString());
+    String name = disk.list().get(0);
+    GOLDEN.verify("file", disk.read(name));
+
+    FaultyDisk copy = new FaultyDisk(2, 0);
+    byte[] recorded = GOLDEN.bytes("file");
+    copy.create(name).append(recorded, recorded.length);
+    check(VoterLog.open(copy, codec, FILE_BYTES, failures::add).restored());
+    // Opened anew, it is one batch with all that still counts, in a file with the next number.
+    GOLDEN.verify("file-names-reopened", copy.list().toString());
+    GOLDEN.verify("file-reopened", copy.read(copy.list().get(0)));
+    assertEquals(List.of(), failures);
+  }
+
+  private static void fill(VoterLog log) throws IOException {
+    log.persistAndFlushLocalEndpoint(
+        new DefaultRaftEndpointPersistentStateOrBuilder()
+            .setLocalEndpoint(SELF)
+            .setVoting(true)
+            .build());
+    log.persistAndFlushInitialGroupMembers(MEMBERS);
+    log.persistAndFlushTerm(
+        new DefaultRaftTermPersistentStateOrBuilder().setTerm(4).setVotedFor(OTHER).build());
+    log.persistLogEntries(
+        List.of(entry(29, "first"), entry(30, "second"), entry(31, "third"), entry(32, "fourth")));
+    log.flush();
+    log.persistSnapshotChunk(CHUNK);
+    log.truncateLogEntriesUntil(30);
+    log.truncateLogEntriesFrom(32);
+    log.deleteSnapshotChunks(5, 1);
+    log.flush();
+  }
+
+  private static void check(RestoredRaftState restored) {
+    assertEquals(SELF, restored.getLocalEndpointPersistentState().getLocalEndpoint());
+    assertEquals(4, restored.getTermPersistentState().getTerm());
+    assertEquals(OTHER, restored.getTermPersistentState().getVotedFor());
+    assertEquals(30, restored.getSnapshotEntry().getIndex());
+    assertEquals(
+        List.of("third"), restored.getLogEntries().stream().map(LogEntry::getOperation).toList());
+  }
 }
--- a/agreement/src/test/java/ferngrade/agreement/VoterDiskFaultTest.java
+++ b/agreement/src/test/java/ferngrade/agreement/VoterDiskFaultTest.java
@@ -21,147 +21,168 @@
 
 /** Voters in virtual time whose disks fail for a while. */
 class VoterDiskFaultTest {
-    private static final double HEARTBEAT = 100;
-    private static final double MESSAGE = 2;
-    private static final double PATIENCE = 1_000_000;
-
-    private record Event(double at, long number, Runnable run) { }
-
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
-    private final TreeMap<String, Member> members = new TreeMap<>();
-    private final List<String> outcomes = new ArrayList<>();
-    private double now;
-    private long number;
-
-    private void after(double millis, Runnable run) {
-        events.add(new Event(now + millis, number++, run));
+  private static final double HEARTBEAT = 100;
+  private static final double MESSAGE = 2;
+  private static final double PATIENCE = 1_000_000;
+
+  private record Event(double at, long number, Runnable run) {}
+
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
+  private final TreeMap<String, Member> members = new TreeMap<>();
+  private final List<String> outcomes = new ArrayList<>();
+  private double now;
+  private long number;
+
+  private void after(double millis, Runnable run) {
+    events.add(new Event(now + millis, number++, run));
+  }
+
+  private void run(double millis) {
+    double until = now + millis;
+    while (!events.isEmpty() && events.peek().at() <= until) {
+      Event next = events.remove();
+      now = next.at();
+      next.run().run();
+    }
+    now = until;
+  }
+
+  /** A voter, its disk, and the commands that it has applied. */
+  private final class Member implements Machine {
+    final FaultyDisk disk;
+    final List<Object> applied = new ArrayList<>();
+    final Voter voter;
+    private final VoterLog log;
+    private int recoveries;
+
+    Member(String name, List<String> names, long seed) throws IOException {
+      disk = new FaultyDisk(seed, 0);
+      Codec codec = LogFormat.codec(List.of());
+      log = VoterLog.open(disk, codec, 1 << 16, failure -> failed());
+      Timers timers = new Timers(() -> now, (millis, run) -> after(millis + 1e-6, run));
+      voter =
+          new Voter(
+              name,
+              new Voter.Group("test", names, names),
+              this,
+              new Voter.Kept(log, log.restored(), null),
+              new Voter.Surroundings(() -> now, timers, task -> after(0, task), seed),
+              codec,
+              (to, message) -> after(MESSAGE, () -> members.get(to).voter.handle(name, message)),
+              new Voter.Terms(HEARTBEAT, 1000));
+      voter.start();
     }
 
-    private void run(double millis) {
-        double until = now + millis;
-        while (!events.isEmpty() && events.peek().at() <= until) {
-            Event next = events.remove();
-            now = next.at();
-            next.run().run();
-        }
-        now = until;
+    private void failed() {
+      voter.suspend(log, () -> recoveries++);
     }
 
-    /** A voter, its disk, and the commands that it has applied. */
-    private final class Member implements Machine {
-        final FaultyDisk disk;
-        final List<Object> applied = new ArrayList<>();
-        final Voter voter;
-        private final VoterLog log;
-        private int recoveries;
-
-        Member(String name, List<String> names, long seed) throws IOException {
-            disk = new FaultyDisk(seed, 0);
-            Codec codec = LogFormat.codec(List.of());
-            log = VoterLog.open(disk, codec, 1 << 16, failure -> failed());
-            Timers timers = new Timers(() -> now, (millis, run) -> after(millis + 1e-6, run));
-            voter = new Voter(name, new Voter.Group("test", names, names), this, new Voter.Kept(log, log.restored(), null),
-                    new Voter.Surroundings(() -> now, timers, task -> after(0, task), seed), codec,
-                    (to, message) -> after(MESSAGE, () -> members.get(to).voter.handle(name, message)),
-                    new Voter.Terms(HEARTBEAT, 1000));
-            voter.start();
-        }
-
-        private void failed() {
-            voter.suspend(log, () -> recoveries++);
-        }
-
-        void propose(String command) {
-            voter.propose(command, PATIENCE, Voter.Outcome.of(result -> outcomes.add(command + " done"),
-                    why -> outcomes.add(command + " unknown: " + why)));
-        }
-
-        @Override
-        public Object apply(long index, Object command) {
-            applied.add(command);
-            return command;
-        }
-
-        @Override
-        public Object snapshot() {
-            return new ArrayList<>(applied);
-        }
-
-        @Override
-        public void restore(long index, Object snapshot) {
-            applied.clear();
-            applied.addAll((List<?>) snapshot);
-        }
+    void propose(String command) {
+      voter.propose(
+          command,
+          PATIENCE,
+          Voter.Outcome.of(
+              result -> outcomes.add(command + " done"),
+              why -> outcomes.add(command + " unknown: " + why)));
     }
 
-    private void begin(String... names) throws IOException {
-        for (String name : names) {
-            members.put(name, new Member(name, List.of(names), members.size() + 1));
-        }
-        run(10_000);
+    @Override
+    public Object apply(long index, Object command) {
+      applied.add(command);
+      return command;
     }
 
-    private Member leader() {
-        return members.values().stream().filter(each -> !each.voter.suspended()
-                && members.get(each.voter.view().leader()) == each).findFirst().orElseThrow();
+    @Override
+    public Object snapshot() {
+      return new ArrayList<>(applied);
     }
 
-    @ParameterizedTest
-    @EnumSource(Errno.class)
-    void whoWaitsGetsItsYesOnceAfterTheFaultAndNewProposalsAreNotTakenMeanwhile(Errno errno) throws IOException {
-        begin("a");
-        Member only = members.get("a");
-        only.propose("first");
-        run(100);
-        only.disk.fail(errno == Errno.ENOSPC ? Operation.WRITE : Operation.SYNC, errno, 0, 5);
-        only.propose("waits");
-        run(100);
-        assertTrue(only.voter.suspended());
-        only.propose("refused");
-        run(100);
-        assertEquals(List.of("first done", "refused unknown: " + Voter.DISK_FAILS), outcomes);
-        assertEquals(List.of("first"), only.applied, "nothing is applied that is not on disk");
-        run(1_000);
-        assertFalse(only.voter.suspended());
-        assertEquals(1, only.recoveries);
-        only.propose("last");
-        run(1_000);
-        assertEquals(List.of("first done", "refused unknown: " + Voter.DISK_FAILS, "waits done", "last done"), outcomes);
-        assertEquals(List.of("first", "waits", "last"), only.applied);
-        only.disk.powerUp();
-        assertEquals(List.of("first", "waits", "last"), VoterLog.open(only.disk, LogFormat.codec(List.of()), 1 << 16,
-                failure -> { }).restored().getLogEntries().stream().map(each -> each.getOperation())
-                .filter(String.class::isInstance).toList());
+    @Override
+    public void restore(long index, Object snapshot) {
+      applied.clear();
+      applied.addAll((List<?>) snapshot);
     }
+  }
 
-    @Test
-    void anotherLeadsWhileTheLeadersDiskFailsAndItFollowsWithoutARestart() throws IOException {
-        for (double failing : new double[] {50, 300, 1_000, 20_000}) {
-            members.clear();
-            events.clear();
-            outcomes.clear();
-            begin("a", "b", "c");
-            Member first = leader();
-            first.propose("before");
-            run(500);
-            first.disk.fail(Operation.SYNC, Errno.EIO, 0, Long.MAX_VALUE);
-            first.propose("unsure");
-            run(failing);
-            first.disk.heal();
-            run(20_000);
-            Member later = leader();
-            later.propose("after");
-            run(1_000);
-            assertEquals("after done", outcomes.get(outcomes.size() - 1));
-            assertEquals(outcomes.size(), outcomes.stream().distinct().count(), outcomes.toString());
-            for (Member each : members.values()) {
-                assertEquals(leader().applied, each.applied, "failing for " + failing);
-                assertEquals("after", each.applied.get(each.applied.size() - 1));
-            }
-            if (failing > 10_000) {
-                assertFalse(later == first, "another leads");
-            }
-        }
+  private void begin(String... names) throws IOException {
+    for (String name : names) {
+      members.put(name, new Member(name, List.of(names), members.size() + 1));
+    }
+    run(10_000);
+  }
+
+  private Member leader() {
+    return members.values().stream()
+        .filter(each -> !each.voter.suspended() && members.get(each.voter.view().leader()) == each)
+        .findFirst()
+        .orElseThrow();
+  }
+
+  @ParameterizedTest
+  @EnumSource(Errno.class)
+  void whoWaitsGetsItsYesOnceAfterTheFaultAndNewProposalsAreNotTakenMeanwhile(Errno errno)
+      throws IOException {
+    begin("a");
+    Member only = members.get("a");
+    only.propose("first");
+    run(100);
+    only.disk.fail(errno == Errno.ENOSPC ? Operation.WRITE : Operation.SYNC, errno, 0, 5);
+    only.propose("waits");
+    run(100);
+    assertTrue(only.voter.suspended());
+    only.propose("refused");
+    run(100);
+    assertEquals(List.of("first done", "refused unknown: " + Voter.DISK_FAILS), outcomes);
+    assertEquals(List.of("first"), only.applied, "nothing is applied that is not on disk");
+    run(1_000);
+    assertFalse(only.voter.suspended());
+    assertEquals(1, only.recoveries);
+    only.propose("last");
+    run(1_000);
+    assertEquals(
+        List.of("first done", "refused unknown: " + Voter.DISK_FAILS, "waits done", "last done"),
+        outcomes);
+    assertEquals(List.of("first", "waits", "last"), only.applied);
+    only.disk.powerUp();
+    assertEquals(
+        List.of("first", "waits", "last"),
+        VoterLog.open(only.disk, LogFormat.codec(List.of()), 1 << 16, failure -> {})
+            .restored()
+            .getLogEntries()
+            .stream()
+            .map(each -> each.getOperation())
+            .filter(String.class::isInstance)
+            .toList());
+  }
+
+  @Test
+  void anotherLeadsWhileTheLeadersDiskFailsAndItFollowsWithoutARestart() throws IOException {
+    for (double failing : new double[] {50, 300, 1_000, 20_000}) {
+      members.clear();
+      events.clear();
+      outcomes.clear();
+      begin("a", "b", "c");
+      Member first = leader();
+      first.propose("before");
+      run(500);
+      first.disk.fail(Operation.SYNC, Errno.EIO, 0, Long.MAX_VALUE);
+      first.propose("unsure");
+      run(failing);
+      first.disk.heal();
+      run(20_000);
+      Member later = leader();
+      later.propose("after");
+      run(1_000);
+      assertEquals("after done", outcomes.get(outcomes.size() - 1));
+      assertEquals(outcomes.size(), outcomes.stream().distinct().count(), outcomes.toString());
+      for (Member each : members.values()) {
+        assertEquals(leader().applied, each.applied, "failing for " + failing);
+        assertEquals("after", each.applied.get(each.applied.size() - 1));
+      }
+      if (failing > 10_000) {
+        assertFalse(later == first, "another leads");
+      }
     }
+  }
 }
--- a/agreement/src/test/java/ferngrade/agreement/VoterLogTest.java
+++ b/agreement/src/test/java/ferngrade/agreement/VoterLogTest.java
@@ -30,309 +30,345 @@
 
 /** What a voter must not forget, on a disk that loses power, fills and rots. */
 class VoterLogTest {
-    private static final RaftGroupMembersView MEMBERS = new DefaultRaftGroupMembersViewOrBuilder().setLogIndex(0)
-            .setMembers(List.of(new Endpoint("a"), new Endpoint("b")))
-            .setVotingMembers(List.of(new Endpoint("a"), new Endpoint("b"))).build();
+  private static final RaftGroupMembersView MEMBERS =
+      new DefaultRaftGroupMembersViewOrBuilder()
+          .setLogIndex(0)
+          .setMembers(List.of(new Endpoint("a"), new Endpoint("b")))
+          .setVotingMembers(List.of(new Endpoint("a"), new Endpoint("b")))
+          .build();
 
-    private final List<IOException> failures = new ArrayList<>();
+  private final List<IOException> failures = new ArrayList<>();
 
-    private VoterLog open(FaultyDisk disk) throws IOException {
-        return VoterLog.open(disk, LogFormat.codec(List.of()), 4_000, failures::add);
-    }
+  private VoterLog open(FaultyDisk disk) throws IOException {
+    return VoterLog.open(disk, LogFormat.codec(List.of()), 4_000, failures::add);
+  }
 
-    private static void begin(VoterLog log) throws IOException {
-        log.persistAndFlushLocalEndpoint(new DefaultRaftEndpointPersistentStateOrBuilder()
-                .setLocalEndpoint(new Endpoint("a")).setVoting(true).build());
-        log.persistAndFlushInitialGroupMembers(MEMBERS);
-    }
+  private static void begin(VoterLog log) throws IOException {
+    log.persistAndFlushLocalEndpoint(
+        new DefaultRaftEndpointPersistentStateOrBuilder()
+            .setLocalEndpoint(new Endpoint("a"))
+            .setVoting(true)
+            .build());
+    log.persistAndFlushInitialGroupMembers(MEMBERS);
+  }
 
-    private static LogEntry entry(long index, String what) {
-        return new DefaultLogEntryOrBuilder().setIndex(index).setTerm(1).setOperation(what).build();
-    }
+  private static LogEntry entry(long index, String what) {
+    return new DefaultLogEntryOrBuilder().setIndex(index).setTerm(1).setOperation(what).build();
+  }
 
-    private static void vote(VoterLog log, int term, String voted) throws IOException {
-        log.persistAndFlushTerm(new DefaultRaftTermPersistentStateOrBuilder().setTerm(term)
-                .setVotedFor(new Endpoint(voted)).build());
-    }
+  private static void vote(VoterLog log, int term, String voted) throws IOException {
+    log.persistAndFlushTerm(
+        new DefaultRaftTermPersistentStateOrBuilder()
+            .setTerm(term)
+            .setVotedFor(new Endpoint(voted))
+            .build());
+  }
 
-    @Test
-    void anEmptyDiskIsToldFromOneThatHoldsSomething() throws IOException {
-        FaultyDisk disk = new FaultyDisk(1, 0);
-        VoterLog log = open(disk);
-        assertNull(log.restored());
-        begin(log);
-        disk.powerUp();
-        assertEquals("a", open(disk).restored().getLocalEndpointPersistentState().getLocalEndpoint().getId());
-    }
+  @Test
+  void anEmptyDiskIsToldFromOneThatHoldsSomething() throws IOException {
+    FaultyDisk disk = new FaultyDisk(1, 0);
+    VoterLog log = open(disk);
+    assertNull(log.restored());
+    begin(log);
+    disk.powerUp();
+    assertEquals(
+        "a", open(disk).restored().getLocalEndpointPersistentState().getLocalEndpoint().getId());
+  }
 
-    @Test
-    void whatWasFlushedIsThereAfterAnyLossOfPowerAndTheVoteTooAndWhatWasCutIsNot() throws IOException {
-        for (long seed = 1; seed <= 300; seed++) {
-            FaultyDisk disk = new FaultyDisk(seed, 0);
-            SplittableRandom chance = new SplittableRandom(seed);
-            VoterLog log = open(disk);
-            begin(log);
-            List<String> flushed = new ArrayList<>();
-            int term = 0;
-            disk.losePowerAfter(chance.nextInt(60));
-            List<String> now = new ArrayList<>(flushed);
-            List<String> attempted = now;
-            try {
-                for (int step = 0; step < 40; step++) {
-                    now = new ArrayList<>(flushed);
-                    if (now.size() > 2 && chance.nextInt(4) == 0) {
-                        int cut = now.size() - 1;
-                        log.truncateLogEntriesFrom(cut + 1);
-                        now = new ArrayList<>(now.subList(0, cut));
-                    }
-                    List<LogEntry> some = new ArrayList<>();
-                    for (int i = 0; i <= chance.nextInt(3); i++) {
-                        now.add("e" + step + "-" + i);
-                        some.add(entry(now.size(), now.get(now.size() - 1)));
-                    }
-                    attempted = now;
-                    log.persistLogEntries(some);
-                    log.flush();
-                    flushed = now;
-                    vote(log, term + 1, "b");
-                    term++;
-                }
-            } catch (FaultyDisk.PowerLost lost) {
-                assertEquals(1, failures.size(), "told once");
-                assertThrows(IOException.class, log::flush, "nothing is written after a failure");
-            }
-            failures.clear();
-            disk.powerUp();
-            RestoredRaftState found = open(disk).restored();
-            List<String> entries = found.getLogEntries().stream().map(each -> (String) each.getOperation()).toList();
-            assertTrue(entries.equals(flushed) || entries.equals(attempted), "seed " + seed + ": " + entries + " is neither "
-                    + flushed + " nor " + attempted);
-            int foundTerm = found.getTermPersistentState().getTerm();
-            assertTrue(foundTerm == term || foundTerm == term + 1, "seed " + seed + ": term " + foundTerm);
-            assertEquals(foundTerm == 0 ? null : "b", foundTerm == 0 ? null
-                    : found.getTermPersistentState().getVotedFor().getId());
+  @Test
+  void whatWasFlushedIsThereAfterAnyLossOfPowerAndTheVoteTooAndWhatWasCutIsNot()
+      throws IOException {
+    for (long seed = 1; seed <= 300; seed++) {
+      FaultyDisk disk = new FaultyDisk(seed, 0);
+      SplittableRandom chance = new SplittableRandom(seed);
+      VoterLog log = open(disk);
+      begin(log);
+      List<String> flushed = new ArrayList<>();
+      int term = 0;
+      disk.losePowerAfter(chance.nextInt(60));
+      List<String> now = new ArrayList<>(flushed);
+      List<String> attempted = now;
+      try {
+        for (int step = 0; step < 40; step++) {
+          now = new ArrayList<>(flushed);
+          if (now.size() > 2 && chance.nextInt(4) == 0) {
+            int cut = now.size() - 1;
+            log.truncateLogEntriesFrom(cut + 1);
+            now = new ArrayList<>(now.subList(0, cut));
+          }
+          List<LogEntry> some = new ArrayList<>();
+          for (int i = 0; i <= chance.nextInt(3); i++) {
+            now.add("e" + step + "-" + i);
+            some.add(entry(now.size(), now.get(now.size() - 1)));
+          }
+          attempted = now;
+          log.persistLogEntries(some);
+          log.flush();
+          flushed = now;
+          vote(log, term + 1, "b");
+          term++;
         }
+      } catch (FaultyDisk.PowerLost lost) {
+        assertEquals(1, failures.size(), "told once");
+        assertThrows(IOException.class, log::flush, "nothing is written after a failure");
+      }
+      failures.clear();
+      disk.powerUp();
+      RestoredRaftState found = open(disk).restored();
+      List<String> entries =
+          found.getLogEntries().stream().map(each -> (String) each.getOperation()).toList();
+      assertTrue(
+          entries.equals(flushed) || entries.equals(attempted),
+          "seed " + seed + ": " + entries + " is neither " + flushed + " nor " + attempted);
+      int foundTerm = found.getTermPersistentState().getTerm();
+      assertTrue(
+          foundTerm == term || foundTerm == term + 1, "seed " + seed + ": term " + foundTerm);
+      assertEquals(
+          foundTerm == 0 ? null : "b",
+          foundTerm == 0 ? null : found.getTermPersistentState().getVotedFor().getId());
     }
+  }
 
-    @Test
-    void aSnapshotStandsForTheLogsBeginningAndTheFileIsWrittenAnew() throws IOException {
-        FaultyDisk disk = new FaultyDisk(3, 0);
-        VoterLog log = open(disk);
-        begin(log);
-        for (int i = 1; i <= 200; i++) {
-            log.persistLogEntries(List.of(entry(i, "entry with some length to it " + i)));
-            log.flush();
-            if (i == 100) {
-                log.persistSnapshotChunk(new DefaultSnapshotChunkOrBuilder().setIndex(90).setTerm(1)
-                        .setSnapshotChunkIndex(0).setSnapshotChunkCount(1).setGroupMembersView(MEMBERS)
-                        .setOperation("all until 90").build());
-                log.flush();
-                log.truncateLogEntriesUntil(90);
-                log.flush();
-            }
-        }
-        disk.powerUp();
-        assertTrue(!disk.list().get(0).endsWith("001"), disk.list().toString());
-        RestoredRaftState found = open(disk).restored();
-        assertEquals(1, disk.list().size(), "what an earlier file left behind is gone");
-        assertEquals(90, found.getSnapshotEntry().getIndex());
-        assertEquals(110, found.getLogEntries().size());
-        assertEquals(91, found.getLogEntries().get(0).getIndex());
+  @Test
+  void aSnapshotStandsForTheLogsBeginningAndTheFileIsWrittenAnew() throws IOException {
+    FaultyDisk disk = new FaultyDisk(3, 0);
+    VoterLog log = open(disk);
+    begin(log);
+    for (int i = 1; i <= 200; i++) {
+      log.persistLogEntries(List.of(entry(i, "entry with some length to it " + i)));
+      log.flush();
+      if (i == 100) {
+        log.persistSnapshotChunk(
+            new DefaultSnapshotChunkOrBuilder()
+                .setIndex(90)
+                .setTerm(1)
+                .setSnapshotChunkIndex(0)
+                .setSnapshotChunkCount(1)
+                .setGroupMembersView(MEMBERS)
+                .setOperation("all until 90")
+                .build());
+        log.flush();
+        log.truncateLogEntriesUntil(90);
+        log.flush();
+      }
     }
+    disk.powerUp();
+    assertTrue(!disk.list().get(0).endsWith("001"), disk.list().toString());
+    RestoredRaftState found = open(disk).restored();
+    assertEquals(1, disk.list().size(), "what an earlier file left behind is gone");
+    assertEquals(90, found.getSnapshotEntry().getIndex());
+    assertEquals(110, found.getLogEntries().size());
+    assertEquals(91, found.getLogEntries().get(0).getIndex());
+  }
 
-    @Test
-    void aFullDiskIsToldOnceAndNothingFollows() throws IOException {
-        FaultyDisk disk = new FaultyDisk(4, 0);
-        VoterLog log = open(disk);
-        begin(log);
-        disk.fill(true);
-        assertThrows(IOException.class, () -> vote(log, 5, "b"));
-        disk.fill(false);
-        assertThrows(IOException.class, () -> vote(log, 6, "b"));
-        assertEquals(1, failures.size());
-        disk.powerUp();
-        assertEquals(0, open(disk).restored().getTermPersistentState().getTerm());
-    }
+  @Test
+  void aFullDiskIsToldOnceAndNothingFollows() throws IOException {
+    FaultyDisk disk = new FaultyDisk(4, 0);
+    VoterLog log = open(disk);
+    begin(log);
+    disk.fill(true);
+    assertThrows(IOException.class, () -> vote(log, 5, "b"));
+    disk.fill(false);
+    assertThrows(IOException.class, () -> vote(log, 6, "b"));
+    assertEquals(1, failures.size());
+    disk.powerUp();
+    assertEquals(0, open(disk).restored().getTermPersistentState().getTerm());
+  }
 
-    /** Tries until the log is usable again; says how often that failed. */
-    private static int continueAfterFault(VoterLog log) throws IOException {
-        for (int failures = 0; ; failures++) {
-            try {
-                log.continueInNewFile();
-                return failures;
-            } catch (DiskFault stillFailing) {
-                assertThrows(IOException.class, log::flush, "nothing is written before a new file is begun");
-                assertTrue(failures < 100, "never again");
-            }
-        }
+  /** Tries until the log is usable again; says how often that failed. */
+  private static int continueAfterFault(VoterLog log) throws IOException {
+    for (int failures = 0; ; failures++) {
+      try {
+        log.continueInNewFile();
+        return failures;
+      } catch (DiskFault stillFailing) {
+        assertThrows(
+            IOException.class, log::flush, "nothing is written before a new file is begun");
+        assertTrue(failures < 100, "never again");
+      }
     }
+  }
 
-    /** Appends entries up to this index with a flush and a vote each, while the disk may fail. */
-    private static void append(VoterLog log, int from, int until) throws IOException {
-        for (int i = from; i <= until; i++) {
-            try {
-                log.persistLogEntries(List.of(entry(i, "entry " + i)));
-                log.flush();
-            } catch (DiskFault failed) {
-                continueAfterFault(log);
-            }
-            try {
-                vote(log, i, "b");
-            } catch (DiskFault failed) {
-                continueAfterFault(log);
-            }
-        }
+  /** Appends entries up to this index with a flush and a vote each, while the disk may fail. */
+  private static void append(VoterLog log, int from, int until) throws IOException {
+    for (int i = from; i <= until; i++) {
+      try {
+        log.persistLogEntries(List.of(entry(i, "entry " + i)));
+        log.flush();
+      } catch (DiskFault failed) {
+        continueAfterFault(log);
+      }
+      try {
+        vote(log, i, "b");
+      } catch (DiskFault failed) {
+        continueAfterFault(log);
+      }
     }
+  }
 
-    private void assertHolds(FaultyDisk disk, int entries, String when) throws IOException {
-        RestoredRaftState found = open(disk).restored();
-        assertEquals(entries, found.getTermPersistentState().getTerm(), when);
-        assertEquals(entries, found.getLogEntries().size(), when);
-        for (int i = 0; i < entries; i++) {
-            assertEquals(i + 1, found.getLogEntries().get(i).getIndex(), when);
-        }
+  private void assertHolds(FaultyDisk disk, int entries, String when) throws IOException {
+    RestoredRaftState found = open(disk).restored();
+    assertEquals(entries, found.getTermPersistentState().getTerm(), when);
+    assertEquals(entries, found.getLogEntries().size(), when);
+    for (int i = 0; i < entries; i++) {
+      assertEquals(i + 1, found.getLogEntries().get(i).getIndex(), when);
     }
+  }
 
-    @ParameterizedTest
-    @EnumSource(Operation.class)
-    void everyOperationMayFailForAWhileAndTheLogGoesOnInANewFile(Operation operation) throws IOException {
-        for (Errno errno : Errno.values()) {
-            for (int run = 0; run < 200; run++) {
-                FaultyDisk disk = new FaultyDisk(run, 0);
-                VoterLog log = VoterLog.open(disk, LogFormat.codec(List.of()), 300, failures::add);
-                begin(log);
-                log.persistSnapshotChunk(new DefaultSnapshotChunkOrBuilder().setIndex(0).setTerm(1)
-                        .setSnapshotChunkIndex(0).setSnapshotChunkCount(1).setGroupMembersView(MEMBERS)
-                        .setOperation("nothing").build());
-                log.flush();
-                disk.fail(operation, errno, run / 8, 1 + run % 8);
-                append(log, 1, 12);
-                disk.heal();
-                String when = operation + " " + errno + " run " + run;
-                if (run % 2 == 0) {
-                    disk.powerUp();
-                }
-                assertHolds(disk, 12, when);
-                disk.powerUp();
-                assertHolds(disk, 12, when + ", later");
-            }
+  @ParameterizedTest
+  @EnumSource(Operation.class)
+  void everyOperationMayFailForAWhileAndTheLogGoesOnInANewFile(Operation operation)
+      throws IOException {
+    for (Errno errno : Errno.values()) {
+      for (int run = 0; run < 200; run++) {
+        FaultyDisk disk = new FaultyDisk(run, 0);
+        VoterLog log = VoterLog.open(disk, LogFormat.codec(List.of()), 300, failures::add);
+        begin(log);
+        log.persistSnapshotChunk(
+            new DefaultSnapshotChunkOrBuilder()
+                .setIndex(0)
+                .setTerm(1)
+                .setSnapshotChunkIndex(0)
+                .setSnapshotChunkCount(1)
+                .setGroupMembersView(MEMBERS)
+                .setOperation("nothing")
+                .build());
+        log.flush();
+        disk.fail(operation, errno, run / 8, 1 + run % 8);
+        append(log, 1, 12);
+        disk.heal();
+        String when = operation + " " + errno + " run " + run;
+        if (run % 2 == 0) {
+          disk.powerUp();
         }
-        // Removing old files may fail unseen; the others fail wherever a file is written or begun.
-        assertTrue(operation == Operation.DELETE || failures.size() > 20, operation + ": " + failures.size());
+        assertHolds(disk, 12, when);
+        disk.powerUp();
+        assertHolds(disk, 12, when + ", later");
+      }
     }
+    // Removing old files may fail unseen; the others fail wherever a file is written or begun.
+    assertTrue(
+        operation == Operation.DELETE || failures.size() > 20, operation + ": " + failures.size());
+  }
 
-    @Test
-    void powerMayGoAtAnyStepWhileSyncsFail() throws IOException {
-        for (int step = 0; step < 120; step++) {
-            FaultyDisk disk = new FaultyDisk(step, 0);
-            VoterLog log = open(disk);
-            begin(log);
-            disk.fail(Operation.SYNC, Errno.EIO, step % 7, 1 + step % 3);
-            disk.losePowerAfter(step);
-            int flushed = 0;
-            try {
-                while (flushed < 10) {
-                    append(log, flushed + 1, flushed + 1);
-                    flushed++;
-                }
-            } catch (FaultyDisk.PowerLost lost) {
-                assertTrue(flushed < 10, "all was flushed before");
-            }
-            disk.heal();
-            disk.powerUp();
-            RestoredRaftState found = open(disk).restored();
-            int entries = found.getLogEntries().size();
-            int term = found.getTermPersistentState().getTerm();
-            assertTrue(entries == flushed || entries == flushed + 1, step + ": " + entries + " of " + flushed);
-            assertTrue(term == flushed || term == flushed + 1, step + ": term " + term + " of " + flushed);
+  @Test
+  void powerMayGoAtAnyStepWhileSyncsFail() throws IOException {
+    for (int step = 0; step < 120; step++) {
+      FaultyDisk disk = new FaultyDisk(step, 0);
+      VoterLog log = open(disk);
+      begin(log);
+      disk.fail(Operation.SYNC, Errno.EIO, step % 7, 1 + step % 3);
+      disk.losePowerAfter(step);
+      int flushed = 0;
+      try {
+        while (flushed < 10) {
+          append(log, flushed + 1, flushed + 1);
+          flushed++;
         }
+      } catch (FaultyDisk.PowerLost lost) {
+        assertTrue(flushed < 10, "all was flushed before");
+      }
+      disk.heal();
+      disk.powerUp();
+      RestoredRaftState found = open(disk).restored();
+      int entries = found.getLogEntries().size();
+      int term = found.getTermPersistentState().getTerm();
+      assertTrue(
+          entries == flushed || entries == flushed + 1, step + ": " + entries + " of " + flushed);
+      assertTrue(
+          term == flushed || term == flushed + 1, step + ": term " + term + " of " + flushed);
     }
+  }
 
-    @Test
-    void aWriteThatIsTornAtAnyByteIsWrittenAnewOrCut() throws IOException {
-        for (int torn = 0; torn <= 60; torn++) {
-            FaultyDisk disk = new FaultyDisk(torn, 0);
-            VoterLog log = open(disk);
-            begin(log);
-            append(log, 1, 2);
-            disk.tearWritesAt(torn);
-            disk.fail(Operation.WRITE, Errno.ENOSPC, 0, 2);
-            if (torn % 2 == 0) {
-                append(log, 3, 3);
-                assertHolds(disk, 3, "torn at " + torn);
-            } else {
-                assertThrows(DiskFault.class, () -> vote(log, 3, "b"));
-                disk.heal();
-                disk.restartProcess();
-                int term = open(disk).restored().getTermPersistentState().getTerm();
-                assertTrue(term == 2 || term == 3, torn + ": " + term);
-                disk.powerUp();
-                assertEquals(term, open(disk).restored().getTermPersistentState().getTerm(), "as it was read before");
-            }
-        }
+  @Test
+  void aWriteThatIsTornAtAnyByteIsWrittenAnewOrCut() throws IOException {
+    for (int torn = 0; torn <= 60; torn++) {
+      FaultyDisk disk = new FaultyDisk(torn, 0);
+      VoterLog log = open(disk);
+      begin(log);
+      append(log, 1, 2);
+      disk.tearWritesAt(torn);
+      disk.fail(Operation.WRITE, Errno.ENOSPC, 0, 2);
+      if (torn % 2 == 0) {
+        append(log, 3, 3);
+        assertHolds(disk, 3, "torn at " + torn);
+      } else {
+        assertThrows(DiskFault.class, () -> vote(log, 3, "b"));
+        disk.heal();
+        disk.restartProcess();
+        int term = open(disk).restored().getTermPersistentState().getTerm();
+        assertTrue(term == 2 || term == 3, torn + ": " + term);
+        disk.powerUp();
+        assertEquals(
+            term,
+            open(disk).restored().getTermPersistentState().getTerm(),
+            "as it was read before");
+      }
     }
+  }
 
-    @Test
-    void aBitTurnedOverInWhatWasSyncedIsSaidWithFileAndOffset() throws IOException {
-        int said = 0;
-        for (int offset = 0; offset < 200; offset += 5) {
-            FaultyDisk disk = new FaultyDisk(offset, 0);
-            VoterLog log = open(disk);
-            begin(log);
-            for (int i = 1; i <= 5; i++) {
-                // The last is long: what is turned over lies before it, and so was synced.
-                log.persistLogEntries(List.of(entry(i, "entry " + "x".repeat(i == 5 ? 500 : 10))));
-                log.flush();
-            }
-            String file = disk.list().get(0);
-            if (disk.flip(file, offset)) {
-                DamagedException damage = assertThrows(DamagedException.class, () -> open(disk));
-                assertEquals(file, damage.file());
-                said++;
-            }
-        }
-        assertTrue(said > 20, "places tried: " + said);
+  @Test
+  void aBitTurnedOverInWhatWasSyncedIsSaidWithFileAndOffset() throws IOException {
+    int said = 0;
+    for (int offset = 0; offset < 200; offset += 5) {
+      FaultyDisk disk = new FaultyDisk(offset, 0);
+      VoterLog log = open(disk);
+      begin(log);
+      for (int i = 1; i <= 5; i++) {
+        // The last is long: what is turned over lies before it, and so was synced.
+        log.persistLogEntries(List.of(entry(i, "entry " + "x".repeat(i == 5 ? 500 : 10))));
+        log.flush();
+      }
+      String file = disk.list().get(0);
+      if (disk.flip(file, offset)) {
+        DamagedException damage = assertThrows(DamagedException.class, () -> open(disk));
+        assertEquals(file, damage.file());
+        said++;
+      }
     }
+    assertTrue(said > 20, "places tried: " + said);
+  }
 
-    /** A voter's file as it was written before a log could go on after a fault. */
-    private static final String WRITTEN = "00000002a3bdd4de00000000000000010b01000000096b3c48c400000000000000020b827d00006682610100000016ee32da"
-            + "5200000000000000030b82700000000b836600826182620b836600826182620000000911613da800000000000000040b827e"
-            + "0000066682620000000ab06ae33800000000000000050b826f00000203827802000000052dba26d600000000000000060b82"
-            + "680002";
+  /** A voter's file as it was written before a log could go on after a fault. */
+  private static final String WRITTEN =
+      "00000002a3bdd4de00000000000000010b01000000096b3c48c400000000000000020b827d00006682610100000016ee32da"
+          + "5200000000000000030b82700000000b836600826182620b836600826182620000000911613da800000000000000040b827e"
+          + "0000066682620000000ab06ae33800000000000000050b826f00000203827802000000052dba26d600000000000000060b82"
+          + "680002";
 
-    @Test
-    void filesAreByteForByteAsBefore() throws IOException {
-        FaultyDisk disk = new FaultyDisk(6, 0);
-        VoterLog log = open(disk);
-        begin(log);
-        vote(log, 3, "b");
-        log.persistLogEntries(List.of(entry(1, "x")));
-        log.flush();
-        log.truncateLogEntriesFrom(1);
-        log.flush();
-        assertEquals(List.of("voter-0000000000000001"), disk.list());
-        assertEquals(WRITTEN, HexFormat.of().formatHex(disk.read(disk.list().get(0))));
-    }
+  @Test
+  void filesAreByteForByteAsBefore() throws IOException {
+    FaultyDisk disk = new FaultyDisk(6, 0);
+    VoterLog log = open(disk);
+    begin(log);
+    vote(log, 3, "b");
+    log.persistLogEntries(List.of(entry(1, "x")));
+    log.flush();
+    log.truncateLogEntriesFrom(1);
+    log.flush();
+    assertEquals(List.of("voter-0000000000000001"), disk.list());
+    assertEquals(WRITTEN, HexFormat.of().formatHex(disk.read(disk.list().get(0))));
+  }
 
-    @Test
-    void bytesOfStrangersAreNoValues() {
-        Codec codec = LogFormat.codec(List.of());
-        SplittableRandom chance = new SplittableRandom(5);
-        byte[] good = codec.write(entry(1, "x"));
-        int refused = 0;
-        for (int i = 0; i < 5_000; i++) {
-            byte[] bytes = i % 2 == 0 ? good.clone() : new byte[1 + chance.nextInt(40)];
-            if (i % 2 == 1) {
-                chance.nextBytes(bytes);
-            } else {
-                bytes[chance.nextInt(bytes.length)] ^= (byte) (1 << chance.nextInt(8));
-            }
-            try {
-                codec.read(bytes, 0, bytes.length);
-            } catch (IOException none) {
-                refused++;
-            }
-        }
-        assertTrue(refused > 2_000, "refused " + refused);
+  @Test
+  void bytesOfStrangersAreNoValues() {
+    Codec codec = LogFormat.codec(List.of());
+    SplittableRandom chance = new SplittableRandom(5);
+    byte[] good = codec.write(entry(1, "x"));
+    int refused = 0;
+    for (int i = 0; i < 5_000; i++) {
+      byte[] bytes = i % 2 == 0 ? good.clone() : new byte[1 + chance.nextInt(40)];
+      if (i % 2 == 1) {
+        chance.nextBytes(bytes);
+      } else {
+        bytes[chance.nextInt(bytes.length)] ^= (byte) (1 << chance.nextInt(8));
+      }
+      try {
+        codec.read(bytes, 0, bytes.length);
+      } catch (IOException none) {
+        refused++;
+      }
     }
+    assertTrue(refused > 2_000, "refused " + refused);
+  }
 }
--- a/codec/src/test/java/ferngrade/codec/CodecTest.java
+++ b/codec/src/test/java/ferngrade/codec/CodecTest.java
@@ -11,26 +11,26 @@
 
 /** Bytes that are values, and bytes that are none. */
 class CodecTest {
-    /** A value. */
-    private record Named(String name, long number, List<String> more) { }
+  /** A value. */
+  private record Named(String name, long number, List<String> more) {}
 
-    private final Codec codec = new Codec(List.of(Named.class));
+  private final Codec codec = new Codec(List.of(Named.class));
 
-    @Test
-    void aValueComesBackAsItWas() throws IOException {
-        Named value = new Named("a", -3, List.of("x", ""));
-        byte[] bytes = codec.write(value);
-        assertEquals(value, codec.read(bytes, 0, bytes.length));
-        assertThrows(IOException.class, () -> codec.read(bytes, 0, bytes.length - 1));
-        assertThrows(IllegalArgumentException.class, () -> codec.write(new StringBuilder()));
-    }
+  @Test
+  void aValueComesBackAsItWas() throws IOException {
+    Named value = new Named("a", -3, List.of("x", ""));
+    byte[] bytes = codec.write(value);
+    assertEquals(value, codec.read(bytes, 0, bytes.length));
+    assertThrows(IOException.class, () -> codec.read(bytes, 0, bytes.length - 1));
+    assertThrows(IllegalArgumentException.class, () -> codec.write(new StringBuilder()));
+  }
 
-    @Property
-    void bytesOfStrangersEndInAnExceptionOrAValue(@ForAll byte[] bytes) {
-        try {
-            codec.read(bytes, 0, bytes.length);
-        } catch (IOException refused) {
-            assertEquals(IOException.class, refused.getClass());
-        }
+  @Property
+  void bytesOfStrangersEndInAnExceptionOrAValue(@ForAll byte[] bytes) {
+    try {
+      codec.read(bytes, 0, bytes.length);
+    } catch (IOException refused) {
+      assertEquals(IOException.class, refused.getClass());
     }
+  }
 }
--- a/decisions/src/main/java/ferngrade/Choice.java
+++ b/decisions/src/main/java/ferngrade/Choice.java
@@ -19,970 +19,1118 @@
 import java.util.stream.Stream;
 
 /**
- * All decisions of one dispatcher, behind {@link Dispatcher}. A job passes, in this order: its tenant's level
- * inside this dispatcher's slice of the slot budget, the pick of a worker, and, when an attempt ends badly,
- * the guard that says whether it may go out again. Nothing here reads a clock; time comes with events.
+ * All decisions of one dispatcher, behind {@link Dispatcher}. A job passes, in this order: its
+ * tenant's level inside this dispatcher's slice of the slot budget, the pick of a worker, and, when
+ * an attempt ends badly, the guard that says whether it may go out again. Nothing here reads a
+ * clock; time comes with events.
  */
 public final class Choice implements Dispatcher {
-    // ---- Constants ----
-
-    /** Cycle of the budget, ms: several cycles fit into the shortest trouble that matters, a few seconds. */
-    private static final double CYCLE = 500;
-    /** Weight of the newest cycle in a worker's starts a second, which one dispatcher sees few of. */
-    private static final double START_WEIGHT = 0.15;
-    /** Cycles from its first start on before a dispatcher takes its own starts for its share. */
-    private static final int TRAFFIC_FROM = 6;
-    /** Part of what the fleet has idle that one dispatcher may take at once, whatever it had before. */
-    private static final double SPARE = 0.5;
-    /** A slice is at most so many times its share of what the fleet can do; it could never grow otherwise. */
-    private static final double AMPLE = 1.75;
-    /** What is taken off that where every worker has a job waiting for each core; more count no more. */
-    private static final double TIGHT = 0.55;
-    /** How far a slice moves to its share in a cycle; all the way it would swing with each list. */
-    private static final double SETTLE = 0.6;
-    /** Part of the cores that must be busy for a share to be told by it. */
-    private static final double LEAST_BUSY = 0.05;
-    /** Jobs queued for each core from which on a fleet is crowded, where passing over queues feeds others. */
-    private static final double DEEP = 0.35;
-    /** What a cycle leaves of the work counted by class: who goes first follows the last half minute. */
-    private static final double CLASS_MEMORY = 0.985;
-    /** Weight of one job in the mean work: cold budgets go by it, and must not swing with single jobs. */
-    private static final double WORK_WEIGHT = 0.02;
-    /** Ms in which the list comes to show a job sent. */
-    private static final double RECENT = 1000;
-    /** Share by which a slice in demand grows in a cycle: back from a half in 2 s. */
-    private static final double GROW = 0.2;
-    /** Cut of a slice, times the refused share of its attempts: it settles where a twentieth is refused. */
-    private static final double TRIM = 4;
-    /** The least that one cut leaves: the refusals of one burst must not stop a dispatcher. */
-    private static final double CUT_LEAVES = 0.3;
-    /** A slice is at most so many times what is asked, so that a trim is felt within a cycle or two. */
-    private static final double SLACK = 1.5;
-    /** Slots a second that a slice keeps in any case, so that a silent dispatcher can start again. */
-    private static final double FLOOR = 1;
-    /** Weight of the newest cycle in the smoothed demand. */
-    private static final double DEMAND_WEIGHT = 0.4;
-    /** Weight of the newest cycle in the counts that a cut goes by: of few jobs, some are late by chance. */
-    private static final double COUNT_WEIGHT = 0.2;
-    /** Cycles for which a peer's last message counts. */
-    private static final int FRESH_CYCLES = 3;
-    /** Seconds of its level that a tenant may have saved up. */
-    private static final double BURST_S = 0.25;
-    /** Seconds of its level by which the classes that go first may overdraw it; the others pay for it. */
-    private static final double DEBT_S = 1;
-    /** Workers looked at for a job in its own zone, and as many elsewhere; of fewer, all. */
-    private static final int SCAN = 8;
-    /** Workers looked at, all of them, for a job that needs an object, which one not looked at may have. */
-    private static final int OBJECT_SCAN = 32;
-    /** Share of its spare time from which on a job's wait counts as a refusal: queues have begun to build. */
-    private static final double LATE = 0.75;
-    /** Share of its spare time after which a job that has not started is tried elsewhere too. */
-    private static final double PATIENCE = 0.2;
-    /** Moves earned by each first send, and the most that may be saved up. */
-    private static final double MOVE_SHARE = 0.05;
-    private static final double MOVES_SAVED = 3;
-    /** Weight of the learned speed in a pick: a slow worker in time is as good as a fast one. */
-    private static final double SPEED = 0.3;
-    /** Weight of one wait in a worker's own mean, and the ms in which that mean fades into its group's. */
-    private static final double WAIT_WEIGHT = 0.3;
-    private static final double WAIT_MEMORY = 3000;
-    /** What a fetch of an object counts as, in mean work: its time, and its part of the store. */
-    private static final double FETCH = 1.2;
-    /** Weight of one outcome in a learned mean. */
-    private static final double LEARN = 0.1;
-    /** A zone's charge as a delay: charge x aim x this; half the jobs in time are lost over half an aim. */
-    private static final double CHARGE_DELAY = 2;
-    /** Share that a tenant with none counts as having, so that it gets what nobody else wants. */
-    private static final double LEAST_SHARE = 1e-6;
-    /** First and longest ejection of a worker that fails, ms. */
-    private static final double EJECT_FIRST = 1000;
-    private static final double EJECT_MOST = 16000;
-    /** First and longest time for which a worker gets no jobs of a class that it does not take, ms. */
-    private static final double SHUN_FIRST = 8000;
-    private static final double SHUN_MOST = 32000;
-    /** Share of the fleet that may be ejected at a time. */
-    private static final double EJECT_SHARE = 0.4;
-    /** Sends to a zone without any sign of life before it is taken for cut off. */
-    private static final int SILENT_SENDS = 4;
-    /** Silence of a zone, ms on top of a mean service time. */
-    private static final double SILENCE = 100;
-    /** The least that a job counts in a slow start, in requests of mean work: hints of its work are rough. */
-    private static final double LEAST_COST = 0.5;
-    /** Free slots from which on one is free: reports are a little noisy. */
-    private static final double FREE = 0.5;
-
-    private static final long CYCLE_TOKEN = 1;
-    private static final long WATCH_TOKEN = 2;
-    private static final long FIRST_JOB_TOKEN = 16;
-
-    private final Settings settings;
-    private final Actions actions;
-    private final SplittableRandom random;
-    private final SlowStart slowStart;
-    private final Map<Long, Node> nodes = new HashMap<>();
-    private final Map<String, Request> requests = new HashMap<>();
-    private List<Node> local = new ArrayList<>();
-    private List<Node> remote = new ArrayList<>();
-    private final Map<Integer, Zone> zones = new HashMap<>();
-    private final double[] classService;
-    private final double[] classWork;
-    private double service = 100;
-    private long served;
-
-    /** Starts a dispatcher's decisions at {@code now}; the seed is its only source of chance. */
-    public Choice(Settings settings, long seed, double now, Actions actions) {
-        this.settings = settings;
-        this.actions = actions;
-        this.random = new SplittableRandom(seed);
-        this.slowStart = new SlowStart(settings.cold(), settings.me(), settings.dispatchers());
-        this.classService = new double[settings.classes().size()];
-        this.classWork = new double[classService.length];
-        this.lastCycle = now;
-        settings.tenants().forEach(each -> shares.add(new Share(Math.max(each.share(), LEAST_SHARE))));
-        if (shares.isEmpty()) {
-            shares.add(new Share(1));
-        }
-        this.weights = shares.stream().mapToDouble(share -> share.weight).toArray();
-        this.peers = PeerGraph.links(settings.me(), settings.dispatchers());
-        actions.timer(random.nextDouble() * CYCLE, CYCLE_TOKEN);
-        if (settings.asks()) {
-            actions.timer(1 + 2000.0 * settings.me() / settings.dispatchers(), WATCH_TOKEN);
-        }
-    }
+  // ---- Constants ----
+
+  /**
+   * Cycle of the budget, ms: several cycles fit into the shortest trouble that matters, a few
+   * seconds.
+   */
+  private static final double CYCLE = 500;
+
+  /** Weight of the newest cycle in a worker's starts a second, which one dispatcher sees few of. */
+  private static final double START_WEIGHT = 0.15;
+
+  /** Cycles from its first start on before a dispatcher takes its own starts for its share. */
+  private static final int TRAFFIC_FROM = 6;
+
+  /**
+   * Part of what the fleet has idle that one dispatcher may take at once, whatever it had before.
+   */
+  private static final double SPARE = 0.5;
 
-    // ---- Budget: this dispatcher's slice x of the slots that may be started, in slots a second ----
-
-    private double lastCycle;
-    private double slice = Double.NaN;
-    private int sent;
-    private int refused;
-    private double lastCut = Double.NEGATIVE_INFINITY;
-    private double accepted;
-    private double sentMean;
-    private double refusedMean;
-    private double acceptedMean;
-    private int cycle;
-    private boolean loads;
-    private int traffic;
-    private boolean crowded;
-    private int warm;
-    private double lastOver;
-    private final int[] peers;
-    private final Map<Integer, Peer> heard = new HashMap<>();
-
-    private void cycle(double now) {
-        double seconds = Math.max(1, now - lastCycle) / 1000;
-        lastCycle = now;
-        cycle++;
-        heard.values().removeIf(peer -> cycle - peer.at > FRESH_CYCLES);
-        for (Share share : shares) {
-            share.demand += (cycle == 1 ? 1 : DEMAND_WEIGHT) * (share.asked / seconds - share.demand);
-            share.asked = 0;
-        }
-        Arrays.setAll(classWork, i -> classWork[i] * CLASS_MEMORY);
-        double share = fleetShare(seconds, now);
-        if (loads) {
-            slice = Math.max(FLOOR, slice + SETTLE * (share - slice));
-        } else {
-            growOrTrim(seconds);
-        }
-        if (settings.limits().peers() && peers.length > 0) {
-            slice = Math.max(FLOOR, slice + peerStep());
-            tellPeers();
-        }
-        double level = waterLevel(slice, demands(), weights);
-        shares.forEach(each -> each.level = level * each.weight);
-        sent = 0;
-        accepted = 0;
-        refused = 0;
-        actions.timer(CYCLE, CYCLE_TOKEN);
-    }
-
-    /** The slots a second that this dispatcher may start. */
-    public double slice() {
-        return slice;
-    }
-
-    /**
-     * The slots a second that this dispatcher may start, by the load of each worker over all dispatchers,
-     * where the list tells it: its own starts over the busy part of the workers that can be reached is its
-     * share of what these can do. All see the same loads: the sum follows a lost zone without a word.
-     */
-    private double fleetShare(double seconds, double now) {
-        double size = 0;
-        double busy = 0;
-        double queued = 0;
-        double rate = 0;
-        warm = 0;
-        for (Node node : nodes.values()) {
-            node.startRate += START_WEIGHT * (node.starts / seconds - node.startRate);
-            node.starts = 0;
-            boolean ready = node.told && node.entry.state() == State.READY;
-            if (ready && node.ejectedUntil <= now && !silent(zone(node.entry.zone()), now)) {
-                double capacity = node.group.size * (cold(node, now) ? slowStart.warmth(node.entry, now) : 1);
-                size += capacity;
-                busy += capacity * Math.min(1, node.load);
-                queued += capacity * Math.max(0, Math.min(2, node.load) - 1);
-                rate += node.startRate;
-            }
-            warm += ready && !cold(node, now) ? 1 : 0;
-        }
-        traffic += traffic > 0 || rate > 0 ? 1 : 0;
-        loads = settings.liveWeights() && traffic >= TRAFFIC_FROM && busy > LEAST_BUSY * size;
-        crowded = queued > DEEP * size;
-        double own = rate / (1 - Math.pow(1 - START_WEIGHT, traffic)) * size / busy;
-        return Math.max(own * (AMPLE - TIGHT * queued / size), SPARE * (size - busy) * 1000 / meanWork);
-    }
-
-    private void growOrTrim(double seconds) {
-        sentMean += COUNT_WEIGHT * (sent - sentMean);
-        refusedMean += COUNT_WEIGHT * (refused - refusedMean);
-        acceptedMean += COUNT_WEIGHT * (accepted / seconds - acceptedMean);
-        double bad = refusedMean == 0 ? 0 : refusedMean / Math.max(sentMean, refusedMean);
-        double most = SLACK * Arrays.stream(demands()).sum() + FLOOR;
-        double change = GROW - TRIM * bad;
-        // The start is generous until a first cut shows a limit. A dispatcher that waits for its clients sees
-        // no demand for some cycles; growing from the floor then refuses them on an idle fleet.
-        if (Double.isNaN(slice) || change >= 0 && lastCut == Double.NEGATIVE_INFINITY) {
-            slice = Double.isNaN(slice) ? most : Math.max(most, slice);
-        }
-        // Only growth stops at the bound: cutting to it would destroy what peers pass through this slice.
-        if (change < 0 || slice < most) {
-            // What was accepted proves that the slots exist; cutting below it starves an idle fleet.
-            if (change < 0) {
-                lastCut = lastCycle;
-                refusedMean = 0;
-            }
-            double proven = Math.min(slice, acceptedMean);
-            slice = Math.max(Math.max(FLOOR, proven), slice * Math.max(CUT_LEAVES, 1 + change));
-        } else {
-            slice = Math.max(most, slice * (1 - GROW));
-        }
-    }
+  /**
+   * A slice is at most so many times its share of what the fleet can do; it could never grow
+   * otherwise.
+   */
+  private static final double AMPLE = 1.75;
+
+  /**
+   * What is taken off that where every worker has a job waiting for each core; more count no more.
+   */
+  private static final double TIGHT = 0.55;
 
-    /** The neighbour-difference step over what was last told, so that both ends of a link move alike. */
-    private double peerStep() {
-        double step = 0;
-        double gamma = 1.0 / (peers.length + 1);
-        for (Peer last : heard.values()) {
-            step += gamma * (lastOver - last.over);
-        }
-        return step;
-    }
-
-    /**
-     * The slots asked here within the level that this dispatcher and its peers could keep together. If all
-     * that is asked counted, small dispatchers would starve: in a deep overload every slice loses the same
-     * amount, and that may be more than all that a small one asks.
-     */
-    private double wanted() {
-        double slots = slice;
-        double[] demands = demands();
-        for (Peer last : heard.values()) {
-            slots += last.slice;
-            for (int i = 0; i < demands.length; i++) {
-                demands[i] += last.demands[i];
-            }
-        }
-        double level = waterLevel(slots, demands, weights);
-        double wanted = 0;
-        for (int i = 0; i < demands.length; i++) {
-            double kept = level * shares.get(i).weight;
-            wanted += shares.get(i).demand * (kept < demands[i] ? kept / demands[i] : 1);
-        }
-        return wanted;
-    }
+  /** How far a slice moves to its share in a cycle; all the way it would swing with each list. */
+  private static final double SETTLE = 0.6;
 
-    // ---- Tenants: weighted water level inside the slice ----
+  /** Part of the cores that must be busy for a share to be told by it. */
+  private static final double LEAST_BUSY = 0.05;
 
-    private final List<Share> shares = new ArrayList<>();
-    private final double[] weights;
+  /**
+   * Jobs queued for each core from which on a fleet is crowded, where passing over queues feeds
+   * others.
+   */
+  private static final double DEEP = 0.35;
 
-    private double[] demands() {
-        return shares.stream().mapToDouble(share -> share.demand).toArray();
-    }
+  /**
+   * What a cycle leaves of the work counted by class: who goes first follows the last half minute.
+   */
+  private static final double CLASS_MEMORY = 0.985;
 
-    /** The paper's Algorithm 2, weighted: the level at which these fill the slots; infinite while all fit. */
-    static double waterLevel(double slots, double[] demands, double[] weights) {
-        double left = slots;
-        double weightLeft = Arrays.stream(weights).sum();
-        Integer[] byNeed = IntStream.range(0, demands.length).boxed().toArray(Integer[]::new);
-        Arrays.sort(byNeed, Comparator.comparingDouble(i -> demands[i] / weights[i]));
-        for (int least : byNeed) {
-            if (demands[least] * weightLeft > left * weights[least]) {
-                return Math.max(0, left) / weightLeft;
-            }
-            left -= demands[least];
-            weightLeft -= weights[least];
-        }
-        return Double.POSITIVE_INFINITY;
-    }
+  /**
+   * Weight of one job in the mean work: cold budgets go by it, and must not swing with single jobs.
+   */
+  private static final double WORK_WEIGHT = 0.02;
 
-    private boolean admit(Job job, double now) {
-        Share share = shares.get(Math.min(job.tenant(), shares.size() - 1));
-        share.asked += job.slots();
-        if (Double.isInfinite(share.level)) {
-            return true;
-        }
-        double most = Math.max(job.slots(), share.level * BURST_S);
-        share.saved = Math.min(most, share.saved + share.level * (now - share.savedAt) / 1000);
-        share.savedAt = now;
-        double debt = share.saved < job.slots() && goesFirst(job.jobClass()) ? DEBT_S * share.level : 0;
-        if (share.saved + debt < job.slots()) {
-            return false;
-        }
-        share.saved -= job.slots();
-        return true;
-    }
+  /** Ms in which the list comes to show a job sent. */
+  private static final double RECENT = 1000;
 
-    /** Whether work moved here from the other classes adds more to the whole than the worst class loses. */
-    private boolean goesFirst(int jobClass) {
-        double worth = 0;
-        double work = 0;
-        for (int i = 0; i < classWork.length; i++) {
-            worth += classWork[i] * settings.classes().get(i).worth();
-            work += classWork[i];
-        }
-        double gain = settings.classes().get(jobClass).worth() * work - worth;
-        return settings.goal().whole() * gain > settings.goal().worstClass() * worth;
-    }
-
-    // ---- Pick: the ready worker of the kind that holds the fewest of our slots ----
-
-    @Override
-    public void arrived(double now, Job job) {
-        if (job.jobClass() >= settings.classes().size()) {
-            throw new IllegalArgumentException("Job.jobClass is out of range: " + job.jobClass());
-        }
-        Request request = new Request(job, settings.classes().get(job.jobClass()));
-        requests.put(job.id(), request);
-        double work = norm(request) * job.slots();
-        double weight = Math.max(WORK_WEIGHT, 1.0 / ++jobs);
-        meanWork += weight * (work - meanWork);
-        meanSlots += weight * (job.slots() - meanSlots);
-        classWork[job.jobClass()] += work;
-        if (admit(job, now)) {
-            next(request, now);
-        } else {
-            answer(request, CYCLE);
-        }
-    }
-
-    private Node pick(Request request, double now) {
-        Attempt bound = binding(request);
-        Node best = scan(request, bound, now, false);
-        return best != null ? best : scan(request, bound, now, true);
-    }
-
-    private Node scan(Request request, Attempt bound, double now, boolean desperate) {
-        Node best = null;
-        double least = Double.POSITIVE_INFINITY;
-        boolean whole = bound != null || desperate;
-        boolean object = request.job.object() != 0;
-        for (int part = 0; part < 2; part++) {
-            List<Node> pool = part == 0 ? local : remote;
-            int size = pool.size();
-            int looks = whole || object && size <= OBJECT_SCAN ? size : Math.min(size, SCAN);
-            for (int i = 0; i < looks; i++) {
-                Node node = pool.get(looks == size ? i : random.nextInt(size));
-                if (!permitted(request, bound, node, now) || !desperate && !inFavour(request, node, now)) {
-                    continue;
-                }
-                double cost = cost(request, node, now) + random.nextDouble();
-                if (desperate) {
-                    double shunned = node.shunnedUntil[request.job.jobClass()];
-                    cost += Math.max(0, Math.max(shunned, Math.max(node.holdUntil, node.ejectedUntil)) - now);
-                }
-                if (cost < least) {
-                    least = cost;
-                    best = node;
-                }
-            }
-        }
-        return best;
-    }
-
-    /**
-     * Own held slots first, each worth a mean service time over the worker's slots, where reports tell these:
-     * many dispatchers that go by a list's sizes crowd the large workers. Then waits, speed, fetch and zone.
-     */
-    private double cost(Request request, Node node, double now) {
-        double mean = heldSlots / (local.size() + remote.size());
-        double held = node.proven ? node.held : Math.max(node.held, mean);
-        double cost = held * service / node.group.slots + expectedWait(node, now)
-                + SPEED * serviceTime(request, node)
-                + FETCH * meanWork * node.objects.missing(request.job.object(), node.id);
-        if (node.entry.zone() != settings.zone()) {
-            double aim = request.jobClass.aim() + request.jobClass.stretch() * service;
-            cost += CHARGE_DELAY * settings.crossCharge() * aim;
-        }
-        return cost + trip(node);
-    }
+  /** Share by which a slice in demand grows in a cycle: back from a half in 2 s. */
+  private static final double GROW = 0.2;
 
-    private double serviceTime(Request request, Node node) {
-        return norm(request) * (node.outcomes > 0 ? node.slowness : node.group.slowness);
-    }
-
-    /** The job's time on a worker of mean speed, as hinted or as its class shows. */
-    private double norm(Request request) {
-        double known = classService[request.job.jobClass()];
-        return request.job.work() > 0 ? request.job.work() : known > 0 ? known : service;
-    }
-
-    private double heldSlots;
-    private double meanWork;
-    private double meanSlots;
-    private long jobs;
-
-    private void send(Request request, Node node, double now) {
-        Attempt attempt = new Attempt(node, now);
-        request.attempts.add(attempt);
-        request.out++;
-        node.held += request.job.slots();
-        heldSlots += request.job.slots();
-        node.recent = recent(node, now) + request.job.slots();
-        node.recentAt = now;
-        node.objects.use(request.job.object(), Math.max(node.group.size, node.group.slots));
-        sent++;
-        if (request.attempts.size() == 1) {
-            moves = Math.min(MOVES_SAVED, moves + MOVE_SHARE);
-        }
-        slowStart.sent(node.entry, slowStartCost(request), now);
-        int jobClass = request.job.jobClass();
-        // One job at a time shows whether the worker takes the class again.
-        node.shunnedUntil[jobClass] = node.shunning[jobClass] > 0 ? now + SHUN_FIRST : 0;
-        Zone zone = zone(node.entry.zone());
-        if (zone.unheard++ == 0) {
-            zone.firstUnheard = now;
-        }
-        zone.nextTrial = now + SILENCE + service;
-        actions.send(request.job.id(), node.id, 0);
-        watchStart(request, node);
-    }
+  /**
+   * Cut of a slice, times the refused share of its attempts: it settles where a twentieth is
+   * refused.
+   */
+  private static final double TRIM = 4;
 
-    // ---- Moves: a job that waits where others start at once ----
+  /** The least that one cut leaves: the refusals of one burst must not stop a dispatcher. */
+  private static final double CUT_LEAVES = 0.3;
 
-    private final Map<Long, DoubleConsumer> watched = new HashMap<>();
-    private double moves = MOVES_SAVED;
-    private long nextToken = FIRST_JOB_TOKEN;
-
-    /** The time a job can wait and still be in time, if this worker runs it. */
-    private double slack(Request request, Node node) {
-        JobClass jobClass = request.jobClass;
-        return jobClass.aim() + jobClass.stretch() * norm(request) - serviceTime(request, node);
-    }
+  /**
+   * A slice is at most so many times what is asked, so that a trim is felt within a cycle or two.
+   */
+  private static final double SLACK = 1.5;
 
-    /** The way to a worker's zone and back, 0 until an answer has shown it. */
-    private double trip(Node node) {
-        double trip = zone(node.entry.zone()).trip;
-        return trip == Double.MAX_VALUE ? 0 : trip;
-    }
+  /** Slots a second that a slice keeps in any case, so that a silent dispatcher can start again. */
+  private static final double FLOOR = 1;
 
-    private void watchStart(Request request, Node node) {
-        if (!settings.tellsStart()) {
-            return;
-        }
-        Attempt attempt = request.attempts.get(request.attempts.size() - 1);
-        watch(lateAfter(request, node), now -> countLate(attempt));
-        boolean movable = request.jobClass.effect() != Effect.UNSAFE && settings.limits().secondCopies();
-        if (movable && request.attempts.size() < settings.limits().tries()) {
-            double least = 2 * settings.roundMs() + 2 * trip(node);
-            watch(Math.max(least, PATIENCE * slack(request, node)), now -> move(request, now));
-        }
-    }
+  /** Weight of the newest cycle in the smoothed demand. */
+  private static final double DEMAND_WEIGHT = 0.4;
 
-    private void watch(double after, DoubleConsumer then) {
-        watched.put(nextToken, then);
-        actions.timer(after, nextToken++);
-    }
+  /**
+   * Weight of the newest cycle in the counts that a cut goes by: of few jobs, some are late by
+   * chance.
+   */
+  private static final double COUNT_WEIGHT = 0.2;
 
-    /**
-     * A job stuck in a queue is tried elsewhere too, the old place kept; without a budget that would multiply
-     * the work where queues are deep.
-     */
-    private void move(Request request, double now) {
-        int last = request.attempts.size() - 1;
-        Attempt newest = request.attempts.get(last);
-        if (request.over || request.out == 0 || request.attempts.stream().anyMatch(Attempt::running)) {
-            return;
-        }
-        if (newest.outcome == null) {
-            learnWait(newest.node, Math.max(now - newest.sentAt, expectedWait(newest.node, now)), now);
-        }
-        boolean idle = moves >= 1 && maySend(request, now);
-        Node node = idle ? scan(request, binding(request), now, false) : null;
-        if (node == null) {
-            return;
-        }
-        if (request.out > 1 && newest.outcome == null && settings.limits().cancel()) {
-            actions.cancel(request.job.id(), last);
-        }
-        moves--;
-        send(request, node, now);
-    }
+  /** Cycles for which a peer's last message counts. */
+  private static final int FRESH_CYCLES = 3;
 
-    /** The job runs: its places in other queues are given up. */
-    private void keepOnly(Request request, int number) {
-        for (int i = 0; i < request.attempts.size() && request.out > 1; i++) {
-            Attempt other = request.attempts.get(i);
-            if (i != number && other.outcome == null && !other.running() && settings.limits().cancel()) {
-                actions.cancel(request.job.id(), i);
-            }
+  /** Seconds of its level that a tenant may have saved up. */
+  private static final double BURST_S = 0.25;
+
+  /**
+   * Seconds of its level by which the classes that go first may overdraw it; the others pay for it.
+   */
+  private static final double DEBT_S = 1;
+
+  /** Workers looked at for a job in its own zone, and as many elsewhere; of fewer, all. */
+  private static final int SCAN = 8;
+
+  /**
+   * Workers looked at, all of them, for a job that needs an object, which one not looked at may
+   * have.
+   */
+  private static final int OBJECT_SCAN = 32;
+
+  /**
+   * Share of its spare time from which on a job's wait counts as a refusal: queues have begun to
+   * build.
+   */
+  private static final double LATE = 0.75;
+
+  /** Share of its spare time after which a job that has not started is tried elsewhere too. */
+  private static final double PATIENCE = 0.2;
+
+  /** Moves earned by each first send, and the most that may be saved up. */
+  private static final double MOVE_SHARE = 0.05;
+
+  private static final double MOVES_SAVED = 3;
+
+  /** Weight of the learned speed in a pick: a slow worker in time is as good as a fast one. */
+  private static final double SPEED = 0.3;
+
+  /**
+   * Weight of one wait in a worker's own mean, and the ms in which that mean fades into its
+   * group's.
+   */
+  private static final double WAIT_WEIGHT = 0.3;
+
+  private static final double WAIT_MEMORY = 3000;
+
+  /** What a fetch of an object counts as, in mean work: its time, and its part of the store. */
+  private static final double FETCH = 1.2;
+
+  /** Weight of one outcome in a learned mean. */
+  private static final double LEARN = 0.1;
+
+  /**
+   * A zone's charge as a delay: charge x aim x this; half the jobs in time are lost over half an
+   * aim.
+   */
+  private static final double CHARGE_DELAY = 2;
+
+  /** Share that a tenant with none counts as having, so that it gets what nobody else wants. */
+  private static final double LEAST_SHARE = 1e-6;
+
+  /** First and longest ejection of a worker that fails, ms. */
+  private static final double EJECT_FIRST = 1000;
+
+  private static final double EJECT_MOST = 16000;
+
+  /**
+   * First and longest time for which a worker gets no jobs of a class that it does not take, ms.
+   */
+  private static final double SHUN_FIRST = 8000;
+
+  private static final double SHUN_MOST = 32000;
+
+  /** Share of the fleet that may be ejected at a time. */
+  private static final double EJECT_SHARE = 0.4;
+
+  /** Sends to a zone without any sign of life before it is taken for cut off. */
+  private static final int SILENT_SENDS = 4;
+
+  /** Silence of a zone, ms on top of a mean service time. */
+  private static final double SILENCE = 100;
+
+  /**
+   * The least that a job counts in a slow start, in requests of mean work: hints of its work are
+   * rough.
+   */
+  private static final double LEAST_COST = 0.5;
+
+  /** Free slots from which on one is free: reports are a little noisy. */
+  private static final double FREE = 0.5;
+
+  private static final long CYCLE_TOKEN = 1;
+  private static final long WATCH_TOKEN = 2;
+  private static final long FIRST_JOB_TOKEN = 16;
+
+  private final Settings settings;
+  private final Actions actions;
+  private final SplittableRandom random;
+  private final SlowStart slowStart;
+  private final Map<Long, Node> nodes = new HashMap<>();
+  private final Map<String, Request> requests = new HashMap<>();
+  private List<Node> local = new ArrayList<>();
+  private List<Node> remote = new ArrayList<>();
+  private final Map<Integer, Zone> zones = new HashMap<>();
+  private final double[] classService;
+  private final double[] classWork;
+  private double service = 100;
+  private long served;
+
+  /** Starts a dispatcher's decisions at {@code now}; the seed is its only source of chance. */
+  public Choice(Settings settings, long seed, double now, Actions actions) {
+    this.settings = settings;
+    this.actions = actions;
+    this.random = new SplittableRandom(seed);
+    this.slowStart = new SlowStart(settings.cold(), settings.me(), settings.dispatchers());
+    this.classService = new double[settings.classes().size()];
+    this.classWork = new double[classService.length];
+    this.lastCycle = now;
+    settings.tenants().forEach(each -> shares.add(new Share(Math.max(each.share(), LEAST_SHARE))));
+    if (shares.isEmpty()) {
+      shares.add(new Share(1));
+    }
+    this.weights = shares.stream().mapToDouble(share -> share.weight).toArray();
+    this.peers = PeerGraph.links(settings.me(), settings.dispatchers());
+    actions.timer(random.nextDouble() * CYCLE, CYCLE_TOKEN);
+    if (settings.asks()) {
+      actions.timer(1 + 2000.0 * settings.me() / settings.dispatchers(), WATCH_TOKEN);
+    }
+  }
+
+  // ---- Budget: this dispatcher's slice x of the slots that may be started, in slots a second ----
+
+  private double lastCycle;
+  private double slice = Double.NaN;
+  private int sent;
+  private int refused;
+  private double lastCut = Double.NEGATIVE_INFINITY;
+  private double accepted;
+  private double sentMean;
+  private double refusedMean;
+  private double acceptedMean;
+  private int cycle;
+  private boolean loads;
+  private int traffic;
+  private boolean crowded;
+  private int warm;
+  private double lastOver;
+  private final int[] peers;
+  private final Map<Integer, Peer> heard = new HashMap<>();
+
+  private void cycle(double now) {
+    double seconds = Math.max(1, now - lastCycle) / 1000;
+    lastCycle = now;
+    cycle++;
+    heard.values().removeIf(peer -> cycle - peer.at > FRESH_CYCLES);
+    for (Share share : shares) {
+      share.demand += (cycle == 1 ? 1 : DEMAND_WEIGHT) * (share.asked / seconds - share.demand);
+      share.asked = 0;
+    }
+    Arrays.setAll(classWork, i -> classWork[i] * CLASS_MEMORY);
+    double share = fleetShare(seconds, now);
+    if (loads) {
+      slice = Math.max(FLOOR, slice + SETTLE * (share - slice));
+    } else {
+      growOrTrim(seconds);
+    }
+    if (settings.limits().peers() && peers.length > 0) {
+      slice = Math.max(FLOOR, slice + peerStep());
+      tellPeers();
+    }
+    double level = waterLevel(slice, demands(), weights);
+    shares.forEach(each -> each.level = level * each.weight);
+    sent = 0;
+    accepted = 0;
+    refused = 0;
+    actions.timer(CYCLE, CYCLE_TOKEN);
+  }
+
+  /** The slots a second that this dispatcher may start. */
+  public double slice() {
+    return slice;
+  }
+
+  /**
+   * The slots a second that this dispatcher may start, by the load of each worker over all
+   * dispatchers, where the list tells it: its own starts over the busy part of the workers that can
+   * be reached is its share of what these can do. All see the same loads: the sum follows a lost
+   * zone without a word.
+   */
+  private double fleetShare(double seconds, double now) {
+    double size = 0;
+    double busy = 0;
+    double queued = 0;
+    double rate = 0;
+    warm = 0;
+    for (Node node : nodes.values()) {
+      node.startRate += START_WEIGHT * (node.starts / seconds - node.startRate);
+      node.starts = 0;
+      boolean ready = node.told && node.entry.state() == State.READY;
+      if (ready && node.ejectedUntil <= now && !silent(zone(node.entry.zone()), now)) {
+        double capacity =
+            node.group.size * (cold(node, now) ? slowStart.warmth(node.entry, now) : 1);
+        size += capacity;
+        busy += capacity * Math.min(1, node.load);
+        queued += capacity * Math.max(0, Math.min(2, node.load) - 1);
+        rate += node.startRate;
+      }
+      warm += ready && !cold(node, now) ? 1 : 0;
+    }
+    traffic += traffic > 0 || rate > 0 ? 1 : 0;
+    loads = settings.liveWeights() && traffic >= TRAFFIC_FROM && busy > LEAST_BUSY * size;
+    crowded = queued > DEEP * size;
+    double own = rate / (1 - Math.pow(1 - START_WEIGHT, traffic)) * size / busy;
+    return Math.max(own * (AMPLE - TIGHT * queued / size), SPARE * (size - busy) * 1000 / meanWork);
+  }
+
+  private void growOrTrim(double seconds) {
+    sentMean += COUNT_WEIGHT * (sent - sentMean);
+    refusedMean += COUNT_WEIGHT * (refused - refusedMean);
+    acceptedMean += COUNT_WEIGHT * (accepted / seconds - acceptedMean);
+    double bad = refusedMean == 0 ? 0 : refusedMean / Math.max(sentMean, refusedMean);
+    double most = SLACK * Arrays.stream(demands()).sum() + FLOOR;
+    double change = GROW - TRIM * bad;
+    // The start is generous until a first cut shows a limit. A dispatcher that waits for its
+    // clients sees
+    // no demand for some cycles; growing from the floor then refuses them on an idle fleet.
+    if (Double.isNaN(slice) || change >= 0 && lastCut == Double.NEGATIVE_INFINITY) {
+      slice = Double.isNaN(slice) ? most : Math.max(most, slice);
+    }
+    // Only growth stops at the bound: cutting to it would destroy what peers pass through this
+    // slice.
+    if (change < 0 || slice < most) {
+      // What was accepted proves that the slots exist; cutting below it starves an idle fleet.
+      if (change < 0) {
+        lastCut = lastCycle;
+        refusedMean = 0;
+      }
+      double proven = Math.min(slice, acceptedMean);
+      slice = Math.max(Math.max(FLOOR, proven), slice * Math.max(CUT_LEAVES, 1 + change));
+    } else {
+      slice = Math.max(most, slice * (1 - GROW));
+    }
+  }
+
+  /**
+   * The neighbour-difference step over what was last told, so that both ends of a link move alike.
+   */
+  private double peerStep() {
+    double step = 0;
+    double gamma = 1.0 / (peers.length + 1);
+    for (Peer last : heard.values()) {
+      step += gamma * (lastOver - last.over);
+    }
+    return step;
+  }
+
+  /**
+   * The slots asked here within the level that this dispatcher and its peers could keep together.
+   * If all that is asked counted, small dispatchers would starve: in a deep overload every slice
+   * loses the same amount, and that may be more than all that a small one asks.
+   */
+  private double wanted() {
+    double slots = slice;
+    double[] demands = demands();
+    for (Peer last : heard.values()) {
+      slots += last.slice;
+      for (int i = 0; i < demands.length; i++) {
+        demands[i] += last.demands[i];
+      }
+    }
+    double level = waterLevel(slots, demands, weights);
+    double wanted = 0;
+    for (int i = 0; i < demands.length; i++) {
+      double kept = level * shares.get(i).weight;
+      wanted += shares.get(i).demand * (kept < demands[i] ? kept / demands[i] : 1);
+    }
+    return wanted;
+  }
+
+  // ---- Tenants: weighted water level inside the slice ----
+
+  private final List<Share> shares = new ArrayList<>();
+  private final double[] weights;
+
+  private double[] demands() {
+    return shares.stream().mapToDouble(share -> share.demand).toArray();
+  }
+
+  /**
+   * The paper's Algorithm 2, weighted: the level at which these fill the slots; infinite while all
+   * fit.
+   */
+  static double waterLevel(double slots, double[] demands, double[] weights) {
+    double left = slots;
+    double weightLeft = Arrays.stream(weights).sum();
+    Integer[] byNeed = IntStream.range(0, demands.length).boxed().toArray(Integer[]::new);
+    Arrays.sort(byNeed, Comparator.comparingDouble(i -> demands[i] / weights[i]));
+    for (int least : byNeed) {
+      if (demands[least] * weightLeft > left * weights[least]) {
+        return Math.max(0, left) / weightLeft;
+      }
+      left -= demands[least];
+      weightLeft -= weights[least];
+    }
+    return Double.POSITIVE_INFINITY;
+  }
+
+  private boolean admit(Job job, double now) {
+    Share share = shares.get(Math.min(job.tenant(), shares.size() - 1));
+    share.asked += job.slots();
+    if (Double.isInfinite(share.level)) {
+      return true;
+    }
+    double most = Math.max(job.slots(), share.level * BURST_S);
+    share.saved = Math.min(most, share.saved + share.level * (now - share.savedAt) / 1000);
+    share.savedAt = now;
+    double debt = share.saved < job.slots() && goesFirst(job.jobClass()) ? DEBT_S * share.level : 0;
+    if (share.saved + debt < job.slots()) {
+      return false;
+    }
+    share.saved -= job.slots();
+    return true;
+  }
+
+  /**
+   * Whether work moved here from the other classes adds more to the whole than the worst class
+   * loses.
+   */
+  private boolean goesFirst(int jobClass) {
+    double worth = 0;
+    double work = 0;
+    for (int i = 0; i < classWork.length; i++) {
+      worth += classWork[i] * settings.classes().get(i).worth();
+      work += classWork[i];
+    }
+    double gain = settings.classes().get(jobClass).worth() * work - worth;
+    return settings.goal().whole() * gain > settings.goal().worstClass() * worth;
+  }
+
+  // ---- Pick: the ready worker of the kind that holds the fewest of our slots ----
+
+  @Override
+  public void arrived(double now, Job job) {
+    if (job.jobClass() >= settings.classes().size()) {
+      throw new IllegalArgumentException("Job.jobClass is out of range: " + job.jobClass());
+    }
+    Request request = new Request(job, settings.classes().get(job.jobClass()));
+    requests.put(job.id(), request);
+    double work = norm(request) * job.slots();
+    double weight = Math.max(WORK_WEIGHT, 1.0 / ++jobs);
+    meanWork += weight * (work - meanWork);
+    meanSlots += weight * (job.slots() - meanSlots);
+    classWork[job.jobClass()] += work;
+    if (admit(job, now)) {
+      next(request, now);
+    } else {
+      answer(request, CYCLE);
+    }
+  }
+
+  private Node pick(Request request, double now) {
+    Attempt bound = binding(request);
+    Node best = scan(request, bound, now, false);
+    return best != null ? best : scan(request, bound, now, true);
+  }
+
+  private Node scan(Request request, Attempt bound, double now, boolean desperate) {
+    Node best = null;
+    double least = Double.POSITIVE_INFINITY;
+    boolean whole = bound != null || desperate;
+    boolean object = request.job.object() != 0;
+    for (int part = 0; part < 2; part++) {
+      List<Node> pool = part == 0 ? local : remote;
+      int size = pool.size();
+      int looks = whole || object && size <= OBJECT_SCAN ? size : Math.min(size, SCAN);
+      for (int i = 0; i < looks; i++) {
+        Node node = pool.get(looks == size ? i : random.nextInt(size));
+        if (!permitted(request, bound, node, now) || !desperate && !inFavour(request, node, now)) {
+          continue;
         }
-    }
-
-    // ---- Health: hold-backs, ejections, zones that fall silent ----
-
-    private boolean inFavour(Request request, Node node, double now) {
-        boolean onTrial = node.ejection > 0 && node.held > 0;
-        boolean shunned = node.shunnedUntil[request.job.jobClass()] > now;
-        boolean tried = request.attempts.stream().anyMatch(attempt -> attempt.node == node);
-        if (node.holdUntil > now || node.ejectedUntil > now || onTrial || shunned || tried
-                || !crowded && hopeless(request, node, now)) {
-            return false;
+        double cost = cost(request, node, now) + random.nextDouble();
+        if (desperate) {
+          double shunned = node.shunnedUntil[request.job.jobClass()];
+          cost += Math.max(0, Math.max(shunned, Math.max(node.holdUntil, node.ejectedUntil)) - now);
         }
-        Zone zone = zone(node.entry.zone());
-        return !silent(zone, now) || now >= zone.nextTrial;
-    }
-
-    /** A first attempt that would begin too late would only keep later jobs from being in time. */
-    private boolean hopeless(Request request, Node node, double now) {
-        return loads && request.attempts.isEmpty() && toldWait(node, now) > lateAfter(request, node);
-    }
-
-    private boolean silent(Zone zone, double now) {
-        boolean unanswered = zone.unheard >= SILENT_SENDS
-                && now - Math.max(zone.lastHeard, zone.firstUnheard) > SILENCE + service;
-        return unanswered || zone.unreachable >= SILENT_SENDS;
-    }
-
-    private void signOfLife(Node node, double now) {
-        Zone zone = zone(node.entry.zone());
-        zone.lastHeard = now;
-        node.heardAt = now;
-        zone.unheard = 0;
-        zone.unreachable = 0;
-    }
-
-    @Override
-    public void started(double now, String id, int number) {
-        Attempt attempt = attempt(id, number);
-        if (attempt == null || attempt.outcome != null) {
-            return;
+        if (cost < least) {
+          least = cost;
+          best = node;
         }
-        Request request = requests.get(id);
-        attempt.startedAt = now;
-        keepOnly(request, number);
-        Node node = attempt.node;
-        unshun(node, request);
+      }
+    }
+    return best;
+  }
+
+  /**
+   * Own held slots first, each worth a mean service time over the worker's slots, where reports
+   * tell these: many dispatchers that go by a list's sizes crowd the large workers. Then waits,
+   * speed, fetch and zone.
+   */
+  private double cost(Request request, Node node, double now) {
+    double mean = heldSlots / (local.size() + remote.size());
+    double held = node.proven ? node.held : Math.max(node.held, mean);
+    double cost =
+        held * service / node.group.slots
+            + expectedWait(node, now)
+            + SPEED * serviceTime(request, node)
+            + FETCH * meanWork * node.objects.missing(request.job.object(), node.id);
+    if (node.entry.zone() != settings.zone()) {
+      double aim = request.jobClass.aim() + request.jobClass.stretch() * service;
+      cost += CHARGE_DELAY * settings.crossCharge() * aim;
+    }
+    return cost + trip(node);
+  }
+
+  private double serviceTime(Request request, Node node) {
+    return norm(request) * (node.outcomes > 0 ? node.slowness : node.group.slowness);
+  }
+
+  /** The job's time on a worker of mean speed, as hinted or as its class shows. */
+  private double norm(Request request) {
+    double known = classService[request.job.jobClass()];
+    return request.job.work() > 0 ? request.job.work() : known > 0 ? known : service;
+  }
+
+  private double heldSlots;
+  private double meanWork;
+  private double meanSlots;
+  private long jobs;
+
+  private void send(Request request, Node node, double now) {
+    Attempt attempt = new Attempt(node, now);
+    request.attempts.add(attempt);
+    request.out++;
+    node.held += request.job.slots();
+    heldSlots += request.job.slots();
+    node.recent = recent(node, now) + request.job.slots();
+    node.recentAt = now;
+    node.objects.use(request.job.object(), Math.max(node.group.size, node.group.slots));
+    sent++;
+    if (request.attempts.size() == 1) {
+      moves = Math.min(MOVES_SAVED, moves + MOVE_SHARE);
+    }
+    slowStart.sent(node.entry, slowStartCost(request), now);
+    int jobClass = request.job.jobClass();
+    // One job at a time shows whether the worker takes the class again.
+    node.shunnedUntil[jobClass] = node.shunning[jobClass] > 0 ? now + SHUN_FIRST : 0;
+    Zone zone = zone(node.entry.zone());
+    if (zone.unheard++ == 0) {
+      zone.firstUnheard = now;
+    }
+    zone.nextTrial = now + SILENCE + service;
+    actions.send(request.job.id(), node.id, 0);
+    watchStart(request, node);
+  }
+
+  // ---- Moves: a job that waits where others start at once ----
+
+  private final Map<Long, DoubleConsumer> watched = new HashMap<>();
+  private double moves = MOVES_SAVED;
+  private long nextToken = FIRST_JOB_TOKEN;
+
+  /** The time a job can wait and still be in time, if this worker runs it. */
+  private double slack(Request request, Node node) {
+    JobClass jobClass = request.jobClass;
+    return jobClass.aim() + jobClass.stretch() * norm(request) - serviceTime(request, node);
+  }
+
+  /** The way to a worker's zone and back, 0 until an answer has shown it. */
+  private double trip(Node node) {
+    double trip = zone(node.entry.zone()).trip;
+    return trip == Double.MAX_VALUE ? 0 : trip;
+  }
+
+  private void watchStart(Request request, Node node) {
+    if (!settings.tellsStart()) {
+      return;
+    }
+    Attempt attempt = request.attempts.get(request.attempts.size() - 1);
+    watch(lateAfter(request, node), now -> countLate(attempt));
+    boolean movable =
+        request.jobClass.effect() != Effect.UNSAFE && settings.limits().secondCopies();
+    if (movable && request.attempts.size() < settings.limits().tries()) {
+      double least = 2 * settings.roundMs() + 2 * trip(node);
+      watch(Math.max(least, PATIENCE * slack(request, node)), now -> move(request, now));
+    }
+  }
+
+  private void watch(double after, DoubleConsumer then) {
+    watched.put(nextToken, then);
+    actions.timer(after, nextToken++);
+  }
+
+  /**
+   * A job stuck in a queue is tried elsewhere too, the old place kept; without a budget that would
+   * multiply the work where queues are deep.
+   */
+  private void move(Request request, double now) {
+    int last = request.attempts.size() - 1;
+    Attempt newest = request.attempts.get(last);
+    if (request.over || request.out == 0 || request.attempts.stream().anyMatch(Attempt::running)) {
+      return;
+    }
+    if (newest.outcome == null) {
+      learnWait(newest.node, Math.max(now - newest.sentAt, expectedWait(newest.node, now)), now);
+    }
+    boolean idle = moves >= 1 && maySend(request, now);
+    Node node = idle ? scan(request, binding(request), now, false) : null;
+    if (node == null) {
+      return;
+    }
+    if (request.out > 1 && newest.outcome == null && settings.limits().cancel()) {
+      actions.cancel(request.job.id(), last);
+    }
+    moves--;
+    send(request, node, now);
+  }
+
+  /** The job runs: its places in other queues are given up. */
+  private void keepOnly(Request request, int number) {
+    for (int i = 0; i < request.attempts.size() && request.out > 1; i++) {
+      Attempt other = request.attempts.get(i);
+      if (i != number && other.outcome == null && !other.running() && settings.limits().cancel()) {
+        actions.cancel(request.job.id(), i);
+      }
+    }
+  }
+
+  // ---- Health: hold-backs, ejections, zones that fall silent ----
+
+  private boolean inFavour(Request request, Node node, double now) {
+    boolean onTrial = node.ejection > 0 && node.held > 0;
+    boolean shunned = node.shunnedUntil[request.job.jobClass()] > now;
+    boolean tried = request.attempts.stream().anyMatch(attempt -> attempt.node == node);
+    if (node.holdUntil > now
+        || node.ejectedUntil > now
+        || onTrial
+        || shunned
+        || tried
+        || !crowded && hopeless(request, node, now)) {
+      return false;
+    }
+    Zone zone = zone(node.entry.zone());
+    return !silent(zone, now) || now >= zone.nextTrial;
+  }
+
+  /** A first attempt that would begin too late would only keep later jobs from being in time. */
+  private boolean hopeless(Request request, Node node, double now) {
+    return loads && request.attempts.isEmpty() && toldWait(node, now) > lateAfter(request, node);
+  }
+
+  private boolean silent(Zone zone, double now) {
+    boolean unanswered =
+        zone.unheard >= SILENT_SENDS
+            && now - Math.max(zone.lastHeard, zone.firstUnheard) > SILENCE + service;
+    return unanswered || zone.unreachable >= SILENT_SENDS;
+  }
+
+  private void signOfLife(Node node, double now) {
+    Zone zone = zone(node.entry.zone());
+    zone.lastHeard = now;
+    node.heardAt = now;
+    zone.unheard = 0;
+    zone.unreachable = 0;
+  }
+
+  @Override
+  public void started(double now, String id, int number) {
+    Attempt attempt = attempt(id, number);
+    if (attempt == null || attempt.outcome != null) {
+      return;
+    }
+    Request request = requests.get(id);
+    attempt.startedAt = now;
+    keepOnly(request, number);
+    Node node = attempt.node;
+    unshun(node, request);
+    signOfLife(node, now);
+    Zone zone = zone(node.entry.zone());
+    double delay = now - attempt.sentAt;
+    zone.trip = Math.min(zone.trip, delay);
+    learnWait(node, delay - zone.trip, now);
+    countStart(request, attempt);
+  }
+
+  /** The wait for its start from which on a job counts as not accepted. */
+  private double lateAfter(Request request, Node node) {
+    return LATE * Math.max(slack(request, node), request.jobClass.aim());
+  }
+
+  /**
+   * Where queues are deep 'full' comes too late: a start too late to be in time counts as not
+   * accepted. It counts once it has become too late, not when it comes: by then the queue has grown
+   * for as long again.
+   */
+  private void countLate(Attempt attempt) {
+    // A job sent before the last cut waits for what was cut for: counted again it would cut a slice
+    // that
+    // is small already, for as long as the queues take to drain (incident iea15a6).
+    if (attempt.outcome == null && Double.isNaN(attempt.startedAt) && attempt.sentAt >= lastCut) {
+      attempt.late = true;
+      refused++;
+    }
+  }
+
+  private void countStart(Request request, Attempt attempt) {
+    if (!attempt.late && attempt.sentAt >= lastCut) {
+      accepted += request.job.slots();
+    }
+    attempt.node.starts += request.job.slots();
+  }
+
+  private void learnWait(Node node, double wait, double now) {
+    double expected = seenWait(node, now);
+    node.wait = expected + WAIT_WEIGHT * (wait - expected);
+    node.waitAt = now;
+    node.group.wait += LEARN * (wait - node.group.wait);
+  }
+
+  /** What was seen here, moved to what the list tells by this dispatcher's part of the tier. */
+  private double expectedWait(Node node, double now) {
+    // All read one list: going by it alone, all would send to the same few workers until the next
+    // one.
+    double seen = seenWait(node, now);
+    return loads ? seen + (toldWait(node, now) - seen) / Math.max(2, settings.dispatchers()) : seen;
+  }
+
+  /**
+   * The wait by the jobs that the list tells for each core, and those sent that it cannot show yet.
+   */
+  private double toldWait(Node node, double now) {
+    double slowness = node.group.slowness;
+    double load = node.load + recent(node, now) / Math.max(1, node.group.size * slowness);
+    return Math.max(0, load - 1) * service * slowness;
+  }
+
+  private static double recent(Node node, double now) {
+    return node.recent * Math.exp((node.recentAt - now) / RECENT);
+  }
+
+  /** What was seen of this worker fades into what its group shows. */
+  private double seenWait(Node node, double now) {
+    double mean = node.group.wait;
+    return mean + (node.wait - mean) * Math.exp((node.waitAt - now) / WAIT_MEMORY);
+  }
+
+  @Override
+  public void progressed(double now, String id, int number, double share) {
+    Attempt attempt = attempt(id, number);
+    if (attempt != null) {
+      signOfLife(attempt.node, now);
+    }
+  }
+
+  private Attempt attempt(String id, int number) {
+    Request request = requests.get(id);
+    return request == null || number >= request.attempts.size()
+        ? null
+        : request.attempts.get(number);
+  }
+
+  private void learn(Request request, Attempt attempt, Outcome outcome, double now) {
+    Node node = attempt.node;
+    switch (outcome) {
+      case OK -> {
         signOfLife(node, now);
-        Zone zone = zone(node.entry.zone());
-        double delay = now - attempt.sentAt;
-        zone.trip = Math.min(zone.trip, delay);
-        learnWait(node, delay - zone.trip, now);
-        countStart(request, attempt);
-    }
-
-    /** The wait for its start from which on a job counts as not accepted. */
-    private double lateAfter(Request request, Node node) {
-        return LATE * Math.max(slack(request, node), request.jobClass.aim());
-    }
-
-    /**
-     * Where queues are deep 'full' comes too late: a start too late to be in time counts as not accepted. It
-     * counts once it has become too late, not when it comes: by then the queue has grown for as long again.
-     */
-    private void countLate(Attempt attempt) {
-        // A job sent before the last cut waits for what was cut for: counted again it would cut a slice that
-        // is small already, for as long as the queues take to drain (incident iea15a6).
-        if (attempt.outcome == null && Double.isNaN(attempt.startedAt) && attempt.sentAt >= lastCut) {
-            attempt.late = true;
-            refused++;
-        }
-    }
-
-    private void countStart(Request request, Attempt attempt) {
-        if (!attempt.late && attempt.sentAt >= lastCut) {
-            accepted += request.job.slots();
-        }
-        attempt.node.starts += request.job.slots();
-    }
-
-    private void learnWait(Node node, double wait, double now) {
-        double expected = seenWait(node, now);
-        node.wait = expected + WAIT_WEIGHT * (wait - expected);
-        node.waitAt = now;
-        node.group.wait += LEARN * (wait - node.group.wait);
-    }
-
-    /** What was seen here, moved to what the list tells by this dispatcher's part of the tier. */
-    private double expectedWait(Node node, double now) {
-        // All read one list: going by it alone, all would send to the same few workers until the next one.
-        double seen = seenWait(node, now);
-        return loads ? seen + (toldWait(node, now) - seen) / Math.max(2, settings.dispatchers()) : seen;
-    }
-
-    /** The wait by the jobs that the list tells for each core, and those sent that it cannot show yet. */
-    private double toldWait(Node node, double now) {
-        double slowness = node.group.slowness;
-        double load = node.load + recent(node, now) / Math.max(1, node.group.size * slowness);
-        return Math.max(0, load - 1) * service * slowness;
-    }
-
-    private static double recent(Node node, double now) {
-        return node.recent * Math.exp((node.recentAt - now) / RECENT);
-    }
-
-    /** What was seen of this worker fades into what its group shows. */
-    private double seenWait(Node node, double now) {
-        double mean = node.group.wait;
-        return mean + (node.wait - mean) * Math.exp((node.waitAt - now) / WAIT_MEMORY);
-    }
-
-    @Override
-    public void progressed(double now, String id, int number, double share) {
-        Attempt attempt = attempt(id, number);
-        if (attempt != null) {
-            signOfLife(attempt.node, now);
-        }
-    }
-
-    private Attempt attempt(String id, int number) {
-        Request request = requests.get(id);
-        return request == null || number >= request.attempts.size() ? null : request.attempts.get(number);
-    }
-
-    private void learn(Request request, Attempt attempt, Outcome outcome, double now) {
-        Node node = attempt.node;
-        switch (outcome) {
-            case OK -> {
-                signOfLife(node, now);
-                node.ejection = 0;
-                unshun(node, request);
-                node.proven = true;
-                if (Double.isNaN(attempt.startedAt)) {
-                    countStart(request, attempt);
-                }
-                learnService(request, attempt, now);
-            }
-            case FULL -> {
-                signOfLife(node, now);
-                node.holdUntil = now + service * (0.5 + random.nextDouble());
-                refused++;
-            }
-            case TIMEOUT -> {
-                if (node.heardAt >= attempt.sentAt && Double.isNaN(attempt.startedAt)
-                        && now < request.job.due() - settings.roundMs()) {
-                    shun(node, request.job.jobClass(), now);
-                    return;
-                }
-                // In a deep queue a job runs out of time though its worker works. A job sent before the last
-                // cut waited for what was cut for; and only a worker that was silent all along has failed.
-                if (attempt.sentAt >= lastCut && node.ejectedUntil <= now && !attempt.late) {
-                    refused++;
-                }
-                node.proven = true;
-                if (node.heardAt < attempt.sentAt) {
-                    eject(node, now);
-                }
-            }
-            case ERROR, RESET, CONNECT_FAILED -> {
-                if (outcome == Outcome.ERROR) {
-                    signOfLife(node, now);
-                } else if (outcome == Outcome.CONNECT_FAILED) {
-                    zone(node.entry.zone()).unreachable++;
-                }
-                // None of these trims: they speak of one worker. Late starts show what the others cannot do.
-                node.proven = true;
-                eject(node, now);
-            }
-            default -> { }
-        }
-    }
-
-    /** A worker that works but did not take this job may hang on all of its class; others it may well do. */
-    private static void shun(Node node, int jobClass, double now) {
-        node.shunning[jobClass] = Math.min(SHUN_MOST, Math.max(SHUN_FIRST, 2 * node.shunning[jobClass]));
-        node.shunnedUntil[jobClass] = now + node.shunning[jobClass];
-    }
-
-    private static void unshun(Node node, Request request) {
-        node.shunning[request.job.jobClass()] = 0;
-        node.shunnedUntil[request.job.jobClass()] = 0;
-    }
-
-    private void learnService(Request request, Attempt attempt, double now) {
-        double from = Double.isNaN(attempt.startedAt) ? attempt.sentAt : attempt.startedAt;
-        double took = Math.max(0.1, now - from);
-        int jobClass = request.job.jobClass();
-        double known = classService[jobClass];
-        double ratio = Math.min(8, served == 0 ? 1 : took / norm(request));
-        classService[jobClass] = known == 0 ? took : known + LEARN / 2 * (took - known);
-        service += Math.max(LEARN / 2, 1.0 / ++served) * (took - service);
-        Node node = attempt.node;
-        Group group = node.group;
-        group.slowness = group.known ? group.slowness + LEARN / 2 * (ratio - group.slowness) : ratio;
-        group.known = true;
-        double before = node.outcomes++ == 0 ? group.slowness : node.slowness;
-        node.slowness = before + LEARN * (ratio - before);
-    }
-
-    /** A worker that fails fast looks idle and would draw every job: it is left out, longer each time. */
-    private void eject(Node node, double now) {
-        if (node.ejectedUntil > now || excluded(now) >= EJECT_SHARE * (local.size() + remote.size())) {
-            return;
-        }
-        node.ejection = Math.min(EJECT_MOST, Math.max(EJECT_FIRST, 2 * node.ejection));
-        node.ejectedUntil = now + node.ejection * (0.75 + 0.5 * random.nextDouble());
-    }
-
-    // ---- Retries and answers: one guard for every further attempt and every refusal ----
-
-    @Override
-    public int excluded(double now) {
-        return (int) Stream.concat(local.stream(), remote.stream()).filter(n -> n.ejectedUntil > now).count();
-    }
-
-    /** True if the attempt is out, or ended in a way that does not prove that the job never ran. */
-    private static boolean mayHaveRun(Attempt attempt) {
-        return attempt.outcome == null || !attempt.outcome.neverRan;
-    }
-
-    /** The first attempt that may have run; for a keyed request it names the group and the window. */
-    private static Attempt firstDoubtful(Request request) {
-        return request.attempts.stream().filter(Choice::mayHaveRun).findFirst().orElse(null);
-    }
-
-    /** Null if the request may go anywhere, else the attempt whose worker's group it must stay in. */
-    private static Attempt binding(Request request) {
-        boolean keyed = request.jobClass.effect() == Effect.KEYED && request.jobClass.scope() != Scope.ALL;
-        return keyed ? firstDoubtful(request) : null;
-    }
-
-    private boolean maySend(Request request, double now) {
-        boolean spent = request.attempts.size() >= settings.limits().tries();
-        if (request.over || spent || now >= request.job.due()) {
-            return false;
-        }
-        if (request.out > 0 && !settings.limits().secondCopies()) {
-            return false;
-        }
-        Attempt doubtful = firstDoubtful(request);
-        if (doubtful == null) {
-            return true;
-        }
-        return switch (request.jobClass.effect()) {
-            case SAFE -> true;
-            case KEYED -> now < doubtful.sentAt + request.jobClass.window() - settings.roundMs();
-            case UNSAFE -> false;
-        };
-    }
-
-    private static boolean mayRefuse(Request request) {
-        Effect effect = request.jobClass.effect();
-        boolean anywhere = effect == Effect.KEYED && request.jobClass.scope() == Scope.ALL;
-        return effect == Effect.SAFE || anywhere || firstDoubtful(request) == null;
-    }
-
-    private static boolean sameGroup(Attempt bound, Node node, Scope scope) {
-        Worker first = bound.node.entry;
-        return scope == Scope.ZONE ? first.zone() == node.entry.zone() : first.cell() == node.entry.cell();
-    }
-
-    /** Rules that no wish for a better pick may bend: kind, key group, drain and cold start. */
-    private boolean permitted(Request request, Attempt bound, Node node, double now) {
-        int kind = request.jobClass.kind();
-        return node.entry.state() == State.READY && (kind < 0 || kind == node.entry.kind())
-                && (bound == null || sameGroup(bound, node, request.jobClass.scope()))
-                && coldAllows(request, node, now);
-    }
-
-    /** Sends the request out (again) if that is allowed, else answers it unless an attempt is still out. */
-    private void next(Request request, double now) {
-        Share share = shares.get(Math.min(request.job.tenant(), shares.size() - 1));
-        boolean excess = share.demand > share.level && !request.attempts.isEmpty();
-        Node node = !excess && maySend(request, now) ? pick(request, now) : null;
-        if (node != null && !hopeless(request, node, now)) {
-            send(request, node, now);
-        } else if (request.out == 0) {
-            answer(request, service);
-        }
-    }
-
-    private void answer(Request request, double retryAfter) {
-        if (request.over) {
-            return;
-        }
-        request.over = true;
-        if (mayRefuse(request)) {
-            actions.refuse(request.job.id(), Math.min(retryAfter, settings.limits().retryAfterMax()));
-        } else {
-            actions.fail(request.job.id());
-        }
-        forget(request);
-    }
-
-    private void forget(Request request) {
-        if (request.over && request.out == 0) {
-            requests.remove(request.job.id());
-        }
-    }
-
-    @Override
-    public void ended(double now, String id, int number, Outcome outcome, double took, boolean over,
-            Report report) {
-        Attempt attempt = attempt(id, number);
-        if (attempt == null || attempt.outcome != null) {
-            return;
-        }
-        Request request = requests.get(id);
-        attempt.outcome = outcome;
-        request.out--;
-        attempt.node.held -= request.job.slots();
-        heldSlots -= request.job.slots();
-        learn(request, attempt, outcome, now);
-        readReport(attempt.node, report, now);
-        request.over |= over;
-        if (request.over) {
-            keepOnly(request, number);
-            forget(request);
-        } else if (outcome == Outcome.TIMEOUT && now >= request.job.due() - settings.roundMs()) {
-            answer(request, 0);
-        } else if (request.out == 0 && outcome == Outcome.UNUSABLE) {
-            // Tried elsewhere, one bad request would bring as many workers under suspicion as it has tries.
-            request.over = true;
-            actions.fail(id);
-            forget(request);
-        } else if (request.out == 0) {
-            next(request, now);
-        }
-    }
-
-    @Override
-    public void abandoned(double now, String id) {
-        Request request = requests.get(id);
-        if (request != null) {
-            request.over = true;
-            forget(request);
-        }
-    }
-
-    // ---- Membership and cold starts ----
-
-    @Override
-    public void members(double now, News news, List<Worker> workers) {
-        if (news != News.CHANGES) {
-            nodes.values().forEach(node -> node.told = false);
-        }
-        for (Worker entry : workers) {
-            Node node = nodes.get(entry.id());
-            if (node == null || node.entry.startedAt() != entry.startedAt()) {
-                // A restarted process shares nothing with the old one: neither its jobs nor what was learned.
-                node = new Node(entry, classService.length);
-                nodes.put(entry.id(), node);
-            }
-            node.entry = entry;
-            node.told = entry.state() != State.GONE;
-            node.group = zone(entry.zone()).groups.computeIfAbsent(entry.kind(), key -> new Group());
-            node.group.size = Math.max(node.group.size, entry.weight());
-            node.load = entry.weight() > 0 ? node.group.size / entry.weight() - 1 : 0;
-        }
-        rebuild();
-    }
-
-    /** Lists the workers that may get jobs; one that the list no longer holds counts as gone at once. */
-    private void rebuild() {
-        local = new ArrayList<>();
-        remote = new ArrayList<>();
-        for (Node node : nodes.values()) {
-            if (node.told && node.entry.state() == State.READY) {
-                (node.entry.zone() == settings.zone() ? local : remote).add(node);
-            }
-        }
-        local.sort((a, b) -> Long.compare(a.id, b.id));
-        remote.sort((a, b) -> Long.compare(a.id, b.id));
-    }
-
-    private Zone zone(int index) {
-        return zones.computeIfAbsent(index, key -> new Zone());
-    }
-
-    private boolean cold(Node node, double now) {
-        return slowStart.warmingUp(node.entry, now);
-    }
-
-    /** What a job adds to the load of a worker that is warming up, in requests of mean work. */
-    private double slowStartCost(Request request) {
-        double work = norm(request) * request.job.slots();
-        return meanWork > 0 ? Math.max(LEAST_COST, work / meanWork) : LEAST_COST;
-    }
-
-    private boolean coldAllows(Request request, Node node, double now) {
-        return !cold(node, now) || slowStart.allows(node.entry, slowStartCost(request), carried(node), now);
-    }
-
-    /** Requests of mean work a second that it carries when warm: by its told size, else as seen here. */
-    private double carried(Node node) {
-        if (loads) {
-            return meanWork > 0 ? node.group.size * 1000 / meanWork : 0;
-        }
-        if (warm == 0 || meanSlots == 0) {
-            return 0;
-        }
-        double requests = acceptedMean / meanSlots * settings.dispatchers();
-        return requests / warm / Math.max(1, node.group.slowness);
-    }
-
-    @Override
-    public void listFailed(double now) {
-        if (settings.asks()) {
-            actions.timer(1000 + 2000 * random.nextDouble(), WATCH_TOKEN);
-        }
-    }
-
-    @Override
-    public void timer(double now, long token) {
-        if (token == CYCLE_TOKEN) {
-            cycle(now);
-        } else if (token == WATCH_TOKEN) {
-            actions.watch();
-        } else if (watched.containsKey(token)) {
-            watched.remove(token).accept(now);
+        node.ejection = 0;
+        unshun(node, request);
+        node.proven = true;
+        if (Double.isNaN(attempt.startedAt)) {
+          countStart(request, attempt);
         }
-    }
-
-    /**
-     * What a worker holds is told late, and all would send to the one that was idle then: only its slots are
-     * learned. A worker without memory, or slots where that is not told, is passed over for a moment.
-     */
-    private void readReport(Node node, Report report, double now) {
-        if (!settings.liveWeights() && report.held() >= 0 && report.freeSlots() >= FREE) {
-            double slots = report.freeSlots() + report.held();
-            double known = node.group.slots;
-            node.group.slots = Math.max(1, known + (known == 1 ? 1 : LEARN) * (slots - known));
+        learnService(request, attempt, now);
+      }
+      case FULL -> {
+        signOfLife(node, now);
+        node.holdUntil = now + service * (0.5 + random.nextDouble());
+        refused++;
+      }
+      case TIMEOUT -> {
+        if (node.heardAt >= attempt.sentAt
+            && Double.isNaN(attempt.startedAt)
+            && now < request.job.due() - settings.roundMs()) {
+          shun(node, request.job.jobClass(), now);
+          return;
         }
-        if (report.freeMemory() <= 0 || Double.isNaN(report.held()) && report.freeSlots() < 1) {
-            node.holdUntil = Math.max(node.holdUntil, now + service / 4);
+        // In a deep queue a job runs out of time though its worker works. A job sent before the
+        // last
+        // cut waited for what was cut for; and only a worker that was silent all along has failed.
+        if (attempt.sentAt >= lastCut && node.ejectedUntil <= now && !attempt.late) {
+          refused++;
         }
-    }
-
-    // ---- Peers ----
-
-    private void tellPeers() {
-        lastOver = wanted() - slice;
-        byte[] message = PeerMessage.write(cycle, slice, lastOver, demands());
-        for (int peer : peers) {
-            actions.tell(peer, message);
+        node.proven = true;
+        if (node.heardAt < attempt.sentAt) {
+          eject(node, now);
         }
-    }
-
-    /** Takes a peer's message in; one that is not of our making is ignored. */
-    @Override
-    public void heard(double now, int from, byte[] message) {
-        Peer peer = Arrays.binarySearch(peers, from) < 0 ? null : PeerMessage.read(message, shares.size());
-        if (peer != null) {
-            peer.at = cycle;
-            heard.put(from, peer);
+      }
+      case ERROR, RESET, CONNECT_FAILED -> {
+        if (outcome == Outcome.ERROR) {
+          signOfLife(node, now);
+        } else if (outcome == Outcome.CONNECT_FAILED) {
+          zone(node.entry.zone()).unreachable++;
         }
-    }
+        // None of these trims: they speak of one worker. Late starts show what the others cannot
+        // do.
+        node.proven = true;
+        eject(node, now);
+      }
+      default -> {}
+    }
+  }
+
+  /**
+   * A worker that works but did not take this job may hang on all of its class; others it may well
+   * do.
+   */
+  private static void shun(Node node, int jobClass, double now) {
+    node.shunning[jobClass] =
+        Math.min(SHUN_MOST, Math.max(SHUN_FIRST, 2 * node.shunning[jobClass]));
+    node.shunnedUntil[jobClass] = now + node.shunning[jobClass];
+  }
+
+  private static void unshun(Node node, Request request) {
+    node.shunning[request.job.jobClass()] = 0;
+    node.shunnedUntil[request.job.jobClass()] = 0;
+  }
+
+  private void learnService(Request request, Attempt attempt, double now) {
+    double from = Double.isNaN(attempt.startedAt) ? attempt.sentAt : attempt.startedAt;
+    double took = Math.max(0.1, now - from);
+    int jobClass = request.job.jobClass();
+    double known = classService[jobClass];
+    double ratio = Math.min(8, served == 0 ? 1 : took / norm(request));
+    classService[jobClass] = known == 0 ? took : known + LEARN / 2 * (took - known);
+    service += Math.max(LEARN / 2, 1.0 / ++served) * (took - service);
+    Node node = attempt.node;
+    Group group = node.group;
+    group.slowness = group.known ? group.slowness + LEARN / 2 * (ratio - group.slowness) : ratio;
+    group.known = true;
+    double before = node.outcomes++ == 0 ? group.slowness : node.slowness;
+    node.slowness = before + LEARN * (ratio - before);
+  }
+
+  /**
+   * A worker that fails fast looks idle and would draw every job: it is left out, longer each time.
+   */
+  private void eject(Node node, double now) {
+    if (node.ejectedUntil > now || excluded(now) >= EJECT_SHARE * (local.size() + remote.size())) {
+      return;
+    }
+    node.ejection = Math.min(EJECT_MOST, Math.max(EJECT_FIRST, 2 * node.ejection));
+    node.ejectedUntil = now + node.ejection * (0.75 + 0.5 * random.nextDouble());
+  }
+
+  // ---- Retries and answers: one guard for every further attempt and every refusal ----
+
+  @Override
+  public int excluded(double now) {
+    return (int)
+        Stream.concat(local.stream(), remote.stream()).filter(n -> n.ejectedUntil > now).count();
+  }
+
+  /** True if the attempt is out, or ended in a way that does not prove that the job never ran. */
+  private static boolean mayHaveRun(Attempt attempt) {
+    return attempt.outcome == null || !attempt.outcome.neverRan;
+  }
+
+  /** The first attempt that may have run; for a keyed request it names the group and the window. */
+  private static Attempt firstDoubtful(Request request) {
+    return request.attempts.stream().filter(Choice::mayHaveRun).findFirst().orElse(null);
+  }
+
+  /** Null if the request may go anywhere, else the attempt whose worker's group it must stay in. */
+  private static Attempt binding(Request request) {
+    boolean keyed =
+        request.jobClass.effect() == Effect.KEYED && request.jobClass.scope() != Scope.ALL;
+    return keyed ? firstDoubtful(request) : null;
+  }
+
+  private boolean maySend(Request request, double now) {
+    boolean spent = request.attempts.size() >= settings.limits().tries();
+    if (request.over || spent || now >= request.job.due()) {
+      return false;
+    }
+    if (request.out > 0 && !settings.limits().secondCopies()) {
+      return false;
+    }
+    Attempt doubtful = firstDoubtful(request);
+    if (doubtful == null) {
+      return true;
+    }
+    return switch (request.jobClass.effect()) {
+      case SAFE -> true;
+      case KEYED -> now < doubtful.sentAt + request.jobClass.window() - settings.roundMs();
+      case UNSAFE -> false;
+    };
+  }
+
+  private static boolean mayRefuse(Request request) {
+    Effect effect = request.jobClass.effect();
+    boolean anywhere = effect == Effect.KEYED && request.jobClass.scope() == Scope.ALL;
+    return effect == Effect.SAFE || anywhere || firstDoubtful(request) == null;
+  }
+
+  private static boolean sameGroup(Attempt bound, Node node, Scope scope) {
+    Worker first = bound.node.entry;
+    return scope == Scope.ZONE
+        ? first.zone() == node.entry.zone()
+        : first.cell() == node.entry.cell();
+  }
+
+  /** Rules that no wish for a better pick may bend: kind, key group, drain and cold start. */
+  private boolean permitted(Request request, Attempt bound, Node node, double now) {
+    int kind = request.jobClass.kind();
+    return node.entry.state() == State.READY
+        && (kind < 0 || kind == node.entry.kind())
+        && (bound == null || sameGroup(bound, node, request.jobClass.scope()))
+        && coldAllows(request, node, now);
+  }
+
+  /**
+   * Sends the request out (again) if that is allowed, else answers it unless an attempt is still
+   * out.
+   */
+  private void next(Request request, double now) {
+    Share share = shares.get(Math.min(request.job.tenant(), shares.size() - 1));
+    boolean excess = share.demand > share.level && !request.attempts.isEmpty();
+    Node node = !excess && maySend(request, now) ? pick(request, now) : null;
+    if (node != null && !hopeless(request, node, now)) {
+      send(request, node, now);
+    } else if (request.out == 0) {
+      answer(request, service);
+    }
+  }
+
+  private void answer(Request request, double retryAfter) {
+    if (request.over) {
+      return;
+    }
+    request.over = true;
+    if (mayRefuse(request)) {
+      actions.refuse(request.job.id(), Math.min(retryAfter, settings.limits().retryAfterMax()));
+    } else {
+      actions.fail(request.job.id());
+    }
+    forget(request);
+  }
+
+  private void forget(Request request) {
+    if (request.over && request.out == 0) {
+      requests.remove(request.job.id());
+    }
+  }
+
+  @Override
+  public void ended(
+      double now,
+      String id,
+      int number,
+      Outcome outcome,
+      double took,
+      boolean over,
+      Report report) {
+    Attempt attempt = attempt(id, number);
+    if (attempt == null || attempt.outcome != null) {
+      return;
+    }
+    Request request = requests.get(id);
+    attempt.outcome = outcome;
+    request.out--;
+    attempt.node.held -= request.job.slots();
+    heldSlots -= request.job.slots();
+    learn(request, attempt, outcome, now);
+    readReport(attempt.node, report, now);
+    request.over |= over;
+    if (request.over) {
+      keepOnly(request, number);
+      forget(request);
+    } else if (outcome == Outcome.TIMEOUT && now >= request.job.due() - settings.roundMs()) {
+      answer(request, 0);
+    } else if (request.out == 0 && outcome == Outcome.UNUSABLE) {
+      // Tried elsewhere, one bad request would bring as many workers under suspicion as it has
+      // tries.
+      request.over = true;
+      actions.fail(id);
+      forget(request);
+    } else if (request.out == 0) {
+      next(request, now);
+    }
+  }
+
+  @Override
+  public void abandoned(double now, String id) {
+    Request request = requests.get(id);
+    if (request != null) {
+      request.over = true;
+      forget(request);
+    }
+  }
+
+  // ---- Membership and cold starts ----
+
+  @Override
+  public void members(double now, News news, List<Worker> workers) {
+    if (news != News.CHANGES) {
+      nodes.values().forEach(node -> node.told = false);
+    }
+    for (Worker entry : workers) {
+      Node node = nodes.get(entry.id());
+      if (node == null || node.entry.startedAt() != entry.startedAt()) {
+        // A restarted process shares nothing with the old one: neither its jobs nor what was
+        // learned.
+        node = new Node(entry, classService.length);
+        nodes.put(entry.id(), node);
+      }
+      node.entry = entry;
+      node.told = entry.state() != State.GONE;
+      node.group = zone(entry.zone()).groups.computeIfAbsent(entry.kind(), key -> new Group());
+      node.group.size = Math.max(node.group.size, entry.weight());
+      node.load = entry.weight() > 0 ? node.group.size / entry.weight() - 1 : 0;
+    }
+    rebuild();
+  }
+
+  /**
+   * Lists the workers that may get jobs; one that the list no longer holds counts as gone at once.
+   */
+  private void rebuild() {
+    local = new ArrayList<>();
+    remote = new ArrayList<>();
+    for (Node node : nodes.values()) {
+      if (node.told && node.entry.state() == State.READY) {
+        (node.entry.zone() == settings.zone() ? local : remote).add(node);
+      }
+    }
+    local.sort((a, b) -> Long.compare(a.id, b.id));
+    remote.sort((a, b) -> Long.compare(a.id, b.id));
+  }
+
+  private Zone zone(int index) {
+    return zones.computeIfAbsent(index, key -> new Zone());
+  }
+
+  private boolean cold(Node node, double now) {
+    return slowStart.warmingUp(node.entry, now);
+  }
+
+  /** What a job adds to the load of a worker that is warming up, in requests of mean work. */
+  private double slowStartCost(Request request) {
+    double work = norm(request) * request.job.slots();
+    return meanWork > 0 ? Math.max(LEAST_COST, work / meanWork) : LEAST_COST;
+  }
+
+  private boolean coldAllows(Request request, Node node, double now) {
+    return !cold(node, now)
+        || slowStart.allows(node.entry, slowStartCost(request), carried(node), now);
+  }
+
+  /**
+   * Requests of mean work a second that it carries when warm: by its told size, else as seen here.
+   */
+  private double carried(Node node) {
+    if (loads) {
+      return meanWork > 0 ? node.group.size * 1000 / meanWork : 0;
+    }
+    if (warm == 0 || meanSlots == 0) {
+      return 0;
+    }
+    double requests = acceptedMean / meanSlots * settings.dispatchers();
+    return requests / warm / Math.max(1, node.group.slowness);
+  }
+
+  @Override
+  public void listFailed(double now) {
+    if (settings.asks()) {
+      actions.timer(1000 + 2000 * random.nextDouble(), WATCH_TOKEN);
+    }
+  }
+
+  @Override
+  public void timer(double now, long token) {
+    if (token == CYCLE_TOKEN) {
+      cycle(now);
+    } else if (token == WATCH_TOKEN) {
+      actions.watch();
+    } else if (watched.containsKey(token)) {
+      watched.remove(token).accept(now);
+    }
+  }
+
+  /**
+   * What a worker holds is told late, and all would send to the one that was idle then: only its
+   * slots are learned. A worker without memory, or slots where that is not told, is passed over for
+   * a moment.
+   */
+  private void readReport(Node node, Report report, double now) {
+    if (!settings.liveWeights() && report.held() >= 0 && report.freeSlots() >= FREE) {
+      double slots = report.freeSlots() + report.held();
+      double known = node.group.slots;
+      node.group.slots = Math.max(1, known + (known == 1 ? 1 : LEARN) * (slots - known));
+    }
+    if (report.freeMemory() <= 0 || Double.isNaN(report.held()) && report.freeSlots() < 1) {
+      node.holdUntil = Math.max(node.holdUntil, now + service / 4);
+    }
+  }
+
+  // ---- Peers ----
+
+  private void tellPeers() {
+    lastOver = wanted() - slice;
+    byte[] message = PeerMessage.write(cycle, slice, lastOver, demands());
+    for (int peer : peers) {
+      actions.tell(peer, message);
+    }
+  }
+
+  /** Takes a peer's message in; one that is not of our making is ignored. */
+  @Override
+  public void heard(double now, int from, byte[] message) {
+    Peer peer =
+        Arrays.binarySearch(peers, from) < 0 ? null : PeerMessage.read(message, shares.size());
+    if (peer != null) {
+      peer.at = cycle;
+      heard.put(from, peer);
+    }
+  }
 }
--- a/decisions/src/main/java/ferngrade/PeerGraph.java
+++ b/decisions/src/main/java/ferngrade/PeerGraph.java
@@ -3,25 +3,30 @@
 import java.util.Arrays;
 import java.util.stream.IntStream;
 
-/** Who talks to whom: a ring with spread chords, so that slack crosses a large tier in few steps. */
+/**
+ * Who talks to whom: a ring with spread chords, so that slack crosses a large tier in few steps.
+ */
 final class PeerGraph {
-    /** Peers a dispatcher talks to at most; bounds messages and, through 1/(bound + 1), the step. */
-    private static final int PEERS = 6;
+  /** Peers a dispatcher talks to at most; bounds messages and, through 1/(bound + 1), the step. */
+  private static final int PEERS = 6;
 
-    private PeerGraph() { }
+  private PeerGraph() {}
 
-    /** The numbers of this dispatcher's peers, ascending; the other end of each link has this one among its own. */
-    static int[] links(int me, int dispatchers) {
-        if (dispatchers <= PEERS + 1) {
-            return IntStream.range(0, dispatchers).filter(peer -> peer != me).toArray();
-        }
-        int[] links = new int[PEERS];
-        int chords = PEERS / 2;
-        for (int i = 0; i < chords; i++) {
-            int reach = (int) Math.round(Math.pow(dispatchers / 2.0, (double) i / chords));
-            links[2 * i] = Math.floorMod(me + reach, dispatchers);
-            links[2 * i + 1] = Math.floorMod(me - reach, dispatchers);
-        }
-        return Arrays.stream(links).sorted().distinct().toArray();
+  /**
+   * The numbers of this dispatcher's peers, ascending; the other end of each link has this one
+   * among its own.
+   */
+  static int[] links(int me, int dispatchers) {
+    if (dispatchers <= PEERS + 1) {
+      return IntStream.range(0, dispatchers).filter(peer -> peer != me).toArray();
     }
+    int[] links = new int[PEERS];
+    int chords = PEERS / 2;
+    for (int i = 0; i < chords; i++) {
+      int reach = (int) Math.round(Math.pow(dispatchers / 2.0, (double) i / chords));
+      links[2 * i] = Math.floorMod(me + reach, dispatchers);
+      links[2 * i + 1] = Math.floorMod(me - reach, dispatchers);
+    }
+    return Arrays.stream(links).sorted().distinct().toArray();
+  }
 }
--- a/decisions/src/main/java/ferngrade/PeerMessage.java
+++ b/decisions/src/main/java/ferngrade/PeerMessage.java
@@ -4,38 +4,39 @@
 import java.nio.ByteBuffer;
 
 /**
- * What a dispatcher tells its peers each cycle, as bytes: the number of the cycle, its slice, what its demand is over
- * that (negative if under), and the demand of each tenant, all big-endian and in slots a second.
+ * What a dispatcher tells its peers each cycle, as bytes: the number of the cycle, its slice, what
+ * its demand is over that (negative if under), and the demand of each tenant, all big-endian and in
+ * slots a second.
  */
 final class PeerMessage {
-    private static final int HEAD = 12;
+  private static final int HEAD = 12;
 
-    private PeerMessage() { }
+  private PeerMessage() {}
 
-    static byte[] write(int cycle, double slice, double over, double[] demands) {
-        ByteBuffer body = ByteBuffer.allocate(HEAD + 4 * demands.length);
-        body.putInt(cycle).putFloat((float) slice).putFloat((float) over);
-        for (double demand : demands) {
-            body.putFloat((float) demand);
-        }
-        return body.array();
+  static byte[] write(int cycle, double slice, double over, double[] demands) {
+    ByteBuffer body = ByteBuffer.allocate(HEAD + 4 * demands.length);
+    body.putInt(cycle).putFloat((float) slice).putFloat((float) over);
+    for (double demand : demands) {
+      body.putFloat((float) demand);
     }
+    return body.array();
+  }
 
-    /**
-     * Reads a message of so many tenants. Null if it is not of our making: cut, over-long, or with figures that no
-     * dispatcher has (a slice or a demand below 0, or what is not finite).
-     */
-    static Peer read(byte[] message, int tenants) {
-        if (message.length != HEAD + 4 * tenants) {
-            return null;
-        }
-        ByteBuffer body = ByteBuffer.wrap(message, 4, message.length - 4);
-        Peer peer = new Peer(body.getFloat(), body.getFloat(), new double[tenants]);
-        boolean sound = Double.isFinite(peer.slice) && peer.slice >= 0 && Double.isFinite(peer.over);
-        for (int i = 0; i < tenants; i++) {
-            peer.demands[i] = body.getFloat();
-            sound &= Double.isFinite(peer.demands[i]) && peer.demands[i] >= 0;
-        }
-        return sound ? peer : null;
+  /**
+   * Reads a message of so many tenants. Null if it is not of our making: cut, over-long, or with
+   * figures that no dispatcher has (a slice or a demand below 0, or what is not finite).
+   */
+  static Peer read(byte[] message, int tenants) {
+    if (message.length != HEAD + 4 * tenants) {
+      return null;
     }
+    ByteBuffer body = ByteBuffer.wrap(message, 4, message.length - 4);
+    Peer peer = new Peer(body.getFloat(), body.getFloat(), new double[tenants]);
+    boolean sound = Double.isFinite(peer.slice) && peer.slice >= 0 && Double.isFinite(peer.over);
+    for (int i = 0; i < tenants; i++) {
+      peer.demands[i] = body.getFloat();
+      sound &= Double.isFinite(peer.demands[i]) && peer.demands[i] >= 0;
+    }
+    return sound ? peer : null;
+  }
 }
--- a/decisions/src/test/java/ferngrade/ModuleLimitsTest.java
+++ b/decisions/src/test/java/ferngrade/ModuleLimitsTest.java
@@ -11,20 +11,20 @@
 
 /** The limits that keep the module readable. */
 class ModuleLimitsTest {
-    private static final Path FOLDER = Path.of("src/main/java/ferngrade");
+  private static final Path FOLDER = Path.of("src/main/java/ferngrade");
 
-    /** The policy files that deploy/balancer.toml names. */
-    private static List<String> module() throws IOException {
-        List<String> lines = new ArrayList<>();
-        for (String file : List.of("Choice.java", "Objects.java", "SlowStart.java")) {
-            lines.addAll(Files.readAllLines(FOLDER.resolve(file)));
-        }
-        return lines;
+  /** The policy files that deploy/balancer.toml names. */
+  private static List<String> module() throws IOException {
+    List<String> lines = new ArrayList<>();
+    for (String file : List.of("Choice.java", "Objects.java", "SlowStart.java")) {
+      lines.addAll(Files.readAllLines(FOLDER.resolve(file)));
     }
+    return lines;
+  }
 
-    @Test
-    void noLineOfTheModuleRunsPast110Characters() throws IOException {
-        List<String> wide = module().stream().filter(line -> line.length() > 110).toList();
-        assertEquals(List.of(), wide);
-    }
+  @Test
+  void noLineOfTheModuleRunsPast110Characters() throws IOException {
+    List<String> wide = module().stream().filter(line -> line.length() > 110).toList();
+    assertEquals(List.of(), wide);
+  }
 }
--- a/decisions/src/test/java/ferngrade/ObjectsTest.java
+++ b/decisions/src/test/java/ferngrade/ObjectsTest.java
@@ -21,187 +21,231 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Where jobs go that need an object, what reports tell of a worker's size, and which class goes first. */
+/**
+ * Where jobs go that need an object, what reports tell of a worker's size, and which class goes
+ * first.
+ */
 class ObjectsTest {
-    private static final List<Worker> FLEET = List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0),
-            Fixture.worker(3, 0, 1), Fixture.worker(4, 0, 2));
-    private static final double WORK = 300;
-    private static final Report FOUR_SLOTS = new Report(3, 3, Double.NaN, 1);
-
-    private final Fixture.Recorder out = new Fixture.Recorder();
-    private double now = 1000;
-    private int ids;
-
-    private Choice choice(int me, Effect effect) {
-        Choice choice = new Choice(Fixture.settings(me, 4, Fixture.jobClass(effect, Scope.ZONE),
-                List.of(new Tenant("a", 1, 10)), true), 7 + me, 0, out);
-        choice.members(0, News.STORED, FLEET);
-        return choice;
+  private static final List<Worker> FLEET =
+      List.of(
+          Fixture.worker(1, 0, 0),
+          Fixture.worker(2, 0, 0),
+          Fixture.worker(3, 0, 1),
+          Fixture.worker(4, 0, 2));
+  private static final double WORK = 300;
+  private static final Report FOUR_SLOTS = new Report(3, 3, Double.NaN, 1);
+
+  private final Fixture.Recorder out = new Fixture.Recorder();
+  private double now = 1000;
+  private int ids;
+
+  private Choice choice(int me, Effect effect) {
+    Choice choice =
+        new Choice(
+            Fixture.settings(
+                me, 4, Fixture.jobClass(effect, Scope.ZONE), List.of(new Tenant("a", 1, 10)), true),
+            7 + me,
+            0,
+            out);
+    choice.members(0, News.STORED, FLEET);
+    return choice;
+  }
+
+  /** Sends a job and returns its worker. */
+  private long send(Choice choice, long object) {
+    choice.arrived(now, new Job("r" + ids++, 0, 0, now + 5_000, WORK, 1, 0, object));
+    return out.last().worker();
+  }
+
+  private void serve(Choice choice, Report report) {
+    now += WORK;
+    choice.ended(now, "r" + (ids - 1), 0, Outcome.OK, WORK, true, report);
+  }
+
+  /** Its workers have told their slots, and one job of each of many objects has been served. */
+  private Choice warm(int me) {
+    Choice choice = choice(me, Effect.SAFE);
+    for (int i = 0; i < 40; i++) {
+      send(choice, 100 + i);
+      serve(choice, FOUR_SLOTS);
     }
-
-    /** Sends a job and returns its worker. */
-    private long send(Choice choice, long object) {
-        choice.arrived(now, new Job("r" + ids++, 0, 0, now + 5_000, WORK, 1, 0, object));
-        return out.last().worker();
-    }
-
-    private void serve(Choice choice, Report report) {
-        now += WORK;
-        choice.ended(now, "r" + (ids - 1), 0, Outcome.OK, WORK, true, report);
-    }
-
-    /** Its workers have told their slots, and one job of each of many objects has been served. */
-    private Choice warm(int me) {
-        Choice choice = choice(me, Effect.SAFE);
-        for (int i = 0; i < 40; i++) {
-            send(choice, 100 + i);
-            serve(choice, FOUR_SLOTS);
-        }
-        return choice;
-    }
-
-    @Test
-    void aJobGoesWhereItsObjectWentBefore() {
-        Choice choice = warm(0);
-        long holder = send(choice, 5);
-        serve(choice, FOUR_SLOTS);
-        for (int i = 0; i < 20; i++) {
-            assertEquals(holder, send(choice, 5));
-            serve(choice, FOUR_SLOTS);
-        }
+    return choice;
+  }
+
+  @Test
+  void aJobGoesWhereItsObjectWentBefore() {
+    Choice choice = warm(0);
+    long holder = send(choice, 5);
+    serve(choice, FOUR_SLOTS);
+    for (int i = 0; i < 20; i++) {
+      assertEquals(holder, send(choice, 5));
+      serve(choice, FOUR_SLOTS);
     }
-
-    @Test
-    void dispatchersThatNeverSpokeLeanToOneWorkerForAnObject() {
-        int together = 0;
-        for (long object = 1; object <= 20; object++) {
-            long first = send(warm(0), object);
-            together += first == send(warm(1), object) ? 1 : 0;
-        }
-        assertTrue(together >= 12, "of 20 objects " + together + " met at one worker; by chance 5 would");
-    }
-
-    @Test
-    void aCrowdedHolderIsPassedOver() {
-        Choice choice = warm(0);
-        List<Long> workers = new ArrayList<>();
-        for (int i = 0; i < 24; i++) {
-            workers.add(send(choice, 5));
-        }
-        assertEquals(4, workers.stream().distinct().count(), "all waited for the holder: " + workers);
+  }
+
+  @Test
+  void dispatchersThatNeverSpokeLeanToOneWorkerForAnObject() {
+    int together = 0;
+    for (long object = 1; object <= 20; object++) {
+      long first = send(warm(0), object);
+      together += first == send(warm(1), object) ? 1 : 0;
     }
-
-    @Test
-    void theOnlyHolderDrainsAndAnotherTakesItsObject() {
-        Choice choice = warm(0);
-        long holder = send(choice, 5);
-        serve(choice, FOUR_SLOTS);
-        Worker entry = FLEET.stream().filter(each -> each.id() == holder).findFirst().orElseThrow();
-        choice.members(now, News.CHANGES, List.of(Fixture.with(entry, State.DRAINING, 0)));
-        long next = send(choice, 5);
-        assertNotEquals(holder, next);
-        serve(choice, FOUR_SLOTS);
-        assertEquals(next, send(choice, 5));
+    assertTrue(
+        together >= 12, "of 20 objects " + together + " met at one worker; by chance 5 would");
+  }
+
+  @Test
+  void aCrowdedHolderIsPassedOver() {
+    Choice choice = warm(0);
+    List<Long> workers = new ArrayList<>();
+    for (int i = 0; i < 24; i++) {
+      workers.add(send(choice, 5));
     }
-
-    @Test
-    void aRestartedHolderHasNothingAtHand() {
-        Objects kept = new Objects();
-        kept.use(5, 4);
-        assertEquals(0, kept.missing(5, 1));
-        assertTrue(new Objects().missing(5, 1) > 0.8);
-        for (long object = 10; object < 14; object++) {
-            kept.use(object, 4);
-        }
-        assertTrue(kept.missing(5, 1) > 0.8, "four later objects have taken its place");
-        assertEquals(0, kept.missing(0, 1), "a job that needs none misses none");
+    assertEquals(4, workers.stream().distinct().count(), "all waited for the holder: " + workers);
+  }
+
+  @Test
+  void theOnlyHolderDrainsAndAnotherTakesItsObject() {
+    Choice choice = warm(0);
+    long holder = send(choice, 5);
+    serve(choice, FOUR_SLOTS);
+    Worker entry = FLEET.stream().filter(each -> each.id() == holder).findFirst().orElseThrow();
+    choice.members(now, News.CHANGES, List.of(Fixture.with(entry, State.DRAINING, 0)));
+    long next = send(choice, 5);
+    assertNotEquals(holder, next);
+    serve(choice, FOUR_SLOTS);
+    assertEquals(next, send(choice, 5));
+  }
+
+  @Test
+  void aRestartedHolderHasNothingAtHand() {
+    Objects kept = new Objects();
+    kept.use(5, 4);
+    assertEquals(0, kept.missing(5, 1));
+    assertTrue(new Objects().missing(5, 1) > 0.8);
+    for (long object = 10; object < 14; object++) {
+      kept.use(object, 4);
     }
-
-    @Test
-    void aKeyedJobsSecondCopyStaysInItsSiteThoughItsObjectLiesElsewhere() {
-        Choice choice = new Choice(Fixture.settings(0, 1, Fixture.jobClass(Effect.KEYED, Scope.ZONE),
-                List.of(new Tenant("a", 1, 10)), true), 7, 0, out);
-        choice.members(0, News.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(4, 1, 2)));
-        long first = send(choice, 5);
-        choice.ended(now + 5, "r0", 0, Outcome.RESET, 5, false, Report.NONE);
-        assertTrue(out.sends.stream().allMatch(send -> send.worker() == first), "" + out.sends);
+    assertTrue(kept.missing(5, 1) > 0.8, "four later objects have taken its place");
+    assertEquals(0, kept.missing(0, 1), "a job that needs none misses none");
+  }
+
+  @Test
+  void aKeyedJobsSecondCopyStaysInItsSiteThoughItsObjectLiesElsewhere() {
+    Choice choice =
+        new Choice(
+            Fixture.settings(
+                0,
+                1,
+                Fixture.jobClass(Effect.KEYED, Scope.ZONE),
+                List.of(new Tenant("a", 1, 10)),
+                true),
+            7,
+            0,
+            out);
+    choice.members(0, News.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(4, 1, 2)));
+    long first = send(choice, 5);
+    choice.ended(now + 5, "r0", 0, Outcome.RESET, 5, false, Report.NONE);
+    assertTrue(out.sends.stream().allMatch(send -> send.worker() == first), "" + out.sends);
+  }
+
+  @Test
+  void aReportThatIsNoneOrWildChangesNothing() {
+    for (double wild :
+        new double[] {-1, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, Double.NaN, 1e300}) {
+      Report report = new Report(wild, wild, wild, wild);
+      assertTrue(Double.isNaN(report.held()) && Double.isNaN(report.freeSlots()), "" + report);
+      out.sends.clear();
+      Choice choice = choice(0, Effect.SAFE);
+      for (int i = 0; i < 40; i++) {
+        send(choice, 0);
+        serve(choice, report);
+      }
+      assertEquals(40, out.sends.size());
     }
-
-    @Test
-    void aReportThatIsNoneOrWildChangesNothing() {
-        for (double wild : new double[] {-1, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, Double.NaN, 1e300}) {
-            Report report = new Report(wild, wild, wild, wild);
-            assertTrue(Double.isNaN(report.held()) && Double.isNaN(report.freeSlots()), "" + report);
-            out.sends.clear();
-            Choice choice = choice(0, Effect.SAFE);
-            for (int i = 0; i < 40; i++) {
-                send(choice, 0);
-                serve(choice, report);
-            }
-            assertEquals(40, out.sends.size());
-        }
+  }
+
+  @Test
+  void nobodyIsEjectedWhereAllAreSlowAtOnce() {
+    Choice choice = warm(0);
+    int first = ids;
+    for (int i = 0; i < 32; i++) {
+      send(choice, 100 + i);
     }
-
-    @Test
-    void nobodyIsEjectedWhereAllAreSlowAtOnce() {
-        Choice choice = warm(0);
-        int first = ids;
-        for (int i = 0; i < 32; i++) {
-            send(choice, 100 + i);
-        }
-        // All tell their starts a second late and end at four times their work; the last run out of time in the queue.
-        for (int i = first; i < first + 32; i++) {
-            if (i < first + 24) {
-                choice.started(now + 1000, "r" + i, 0);
-                choice.ended(now + 1000 + 4 * WORK, "r" + i, 0, Outcome.OK, 1000 + 4 * WORK, true, FOUR_SLOTS);
-            } else {
-                choice.ended(now + 5_000, "r" + i, 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
-            }
-        }
-        assertEquals(0, choice.excluded(now + 5_000));
+    // All tell their starts a second late and end at four times their work; the last run out of
+    // time in the queue.
+    for (int i = first; i < first + 32; i++) {
+      if (i < first + 24) {
+        choice.started(now + 1000, "r" + i, 0);
+        choice.ended(
+            now + 1000 + 4 * WORK, "r" + i, 0, Outcome.OK, 1000 + 4 * WORK, true, FOUR_SLOTS);
+      } else {
+        choice.ended(now + 5_000, "r" + i, 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
+      }
     }
-
-    /** The share of each class that is taken of 40 jobs each, offered at several times the slice. */
-    private double[] taken(Goal goal) {
-        List<JobClass> classes = List.of(new JobClass("low", Effect.SAFE, Scope.ALL, 0, 100, 2, 5_000, 2, 0.5, -1, 0),
-                new JobClass("high", Effect.SAFE, Scope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0));
-        Fixture.Recorder actions = new Fixture.Recorder();
-        Settings from = Fixture.settings(0, 1, classes.get(0));
-        Choice choice = new Choice(new Settings(0, 1, 0, 2, classes, from.tenants(), from.limits(), from.cold(), false,
-                true, false, 0, goal), 7, 0, actions);
-        choice.members(0, News.STORED, FLEET);
-        double[] taken = new double[2];
-        double at = 0;
-        for (int cycle = 0; cycle < 20; cycle++) {
-            for (int i = 0; i < 20; i++) {
-                at += 25;
-                String id = "j" + cycle + "-" + i;
-                int before = actions.sends.size();
-                choice.arrived(at, new Job(id, i % 4 == 0 ? 1 : 0, 0, at + 5_000, WORK, 1, 0, 0));
-                boolean sent = actions.sends.size() > before;
-                // The fleet turns two in three away, so that the slice settles below what is asked.
-                boolean full = i % 3 != 0;
-                for (int n = 0; actions.sends.size() > before + n; n++) {
-                    choice.ended(at, id, n, full ? Outcome.FULL : Outcome.OK, 1, !full, Report.NONE);
-                }
-                taken[i % 4 == 0 ? 1 : 0] += cycle >= 10 && sent ? 1.0 / (i % 4 == 0 ? 50 : 150) : 0;
-            }
-            choice.timer(at, 1);
+    assertEquals(0, choice.excluded(now + 5_000));
+  }
+
+  /** The share of each class that is taken of 40 jobs each, offered at several times the slice. */
+  private double[] taken(Goal goal) {
+    List<JobClass> classes =
+        List.of(
+            new JobClass("low", Effect.SAFE, Scope.ALL, 0, 100, 2, 5_000, 2, 0.5, -1, 0),
+            new JobClass("high", Effect.SAFE, Scope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0));
+    Fixture.Recorder actions = new Fixture.Recorder();
+    Settings from = Fixture.settings(0, 1, classes.get(0));
+    Choice choice =
+        new Choice(
+            new Settings(
+                0,
+                1,
+                0,
+                2,
+                classes,
+                from.tenants(),
+                from.limits(),
+                from.cold(),
+                false,
+                true,
+                false,
+                0,
+                goal),
+            7,
+            0,
+            actions);
+    choice.members(0, News.STORED, FLEET);
+    double[] taken = new double[2];
+    double at = 0;
+    for (int cycle = 0; cycle < 20; cycle++) {
+      for (int i = 0; i < 20; i++) {
+        at += 25;
+        String id = "j" + cycle + "-" + i;
+        int before = actions.sends.size();
+        choice.arrived(at, new Job(id, i % 4 == 0 ? 1 : 0, 0, at + 5_000, WORK, 1, 0, 0));
+        boolean sent = actions.sends.size() > before;
+        // The fleet turns two in three away, so that the slice settles below what is asked.
+        boolean full = i % 3 != 0;
+        for (int n = 0; actions.sends.size() > before + n; n++) {
+          choice.ended(at, id, n, full ? Outcome.FULL : Outcome.OK, 1, !full, Report.NONE);
         }
-        return taken;
+        taken[i % 4 == 0 ? 1 : 0] += cycle >= 10 && sent ? 1.0 / (i % 4 == 0 ? 50 : 150) : 0;
+      }
+      choice.timer(at, 1);
     }
-
-    @Test
-    void theWorthiestClassGoesFirstWhereTheWholeWeighsMost() {
-        double[] taken = taken(new Goal(0.5, 0.2));
-        assertTrue(taken[1] > 2 * taken[0], "low " + taken[0] + ", high " + taken[1]);
-    }
-
-    @Test
-    void noClassGoesFirstWhereTheWorstClassWeighsMostOrNothingIsTold() {
-        for (Goal goal : List.of(new Goal(0.4, 0.9), new Goal(0, 0))) {
-            double[] taken = taken(goal);
-            assertFalse(taken[1] > 1.5 * taken[0], goal + ": low " + taken[0] + ", high " + taken[1]);
-        }
+    return taken;
+  }
+
+  @Test
+  void theWorthiestClassGoesFirstWhereTheWholeWeighsMost() {
+    double[] taken = taken(new Goal(0.5, 0.2));
+    assertTrue(taken[1] > 2 * taken[0], "low " + taken[0] + ", high " + taken[1]);
+  }
+
+  @Test
+  void noClassGoesFirstWhereTheWorstClassWeighsMostOrNothingIsTold() {
+    for (Goal goal : List.of(new Goal(0.4, 0.9), new Goal(0, 0))) {
+      double[] taken = taken(goal);
+      assertFalse(taken[1] > 1.5 * taken[0], goal + ": low " + taken[0] + ", high " + taken[1]);
     }
+  }
 }
--- a/decisions/src/test/java/ferngrade/PeerMessageTest.java
+++ b/decisions/src/test/java/ferngrade/PeerMessageTest.java
@@ -10,36 +10,39 @@
 
 /** What peers tell each other, and what is no such message. */
 class PeerMessageTest {
-    @Test
-    void whatIsWrittenIsRead() {
-        Notes.Peer peer = PeerMessage.read(PeerMessage.write(9, 12.5, -3, new double[] {4, 0.5}), 2);
-        assertEquals(12.5, peer.slice);
-        assertEquals(-3, peer.over);
-        assertArrayEquals(new double[] {4, 0.5}, peer.demands);
-    }
+  @Test
+  void whatIsWrittenIsRead() {
+    Notes.Peer peer = PeerMessage.read(PeerMessage.write(9, 12.5, -3, new double[] {4, 0.5}), 2);
+    assertEquals(12.5, peer.slice);
+    assertEquals(-3, peer.over);
+    assertArrayEquals(new double[] {4, 0.5}, peer.demands);
+  }
 
-    @Test
-    void theBytesAreAsAnEarlierVersionSentThem() {
-        GoldenFile golden = GoldenFile.open("peer-messages.txt");
-        golden.verify("two-tenants", PeerMessage.write(9, 12.5, -3.25, new double[] {4, 0.1}));
-        golden.verify("no-tenants", PeerMessage.write(Integer.MAX_VALUE, 0, 0, new double[0]));
-        Notes.Peer peer = PeerMessage.read(golden.bytes("two-tenants"), 2);
-        assertEquals(12.5, peer.slice);
-        assertEquals(-3.25, peer.over);
-        assertArrayEquals(new double[] {4, 0.1f}, peer.demands);
-    }
+  @Test
+  void theBytesAreAsAnEarlierVersionSentThem() {
+    GoldenFile golden = GoldenFile.open("peer-messages.txt");
+    golden.verify("two-tenants", PeerMessage.write(9, 12.5, -3.25, new double[] {4, 0.1}));
+    golden.verify("no-tenants", PeerMessage.write(Integer.MAX_VALUE, 0, 0, new double[0]));
+    Notes.Peer peer = PeerMessage.read(golden.bytes("two-tenants"), 2);
+    assertEquals(12.5, peer.slice);
+    assertEquals(-3.25, peer.over);
+    assertArrayEquals(new double[] {4, 0.1f}, peer.demands);
+  }
 
-    @Test
-    void everyCutAndEveryWrongFigureIsDropped() {
-        byte[] good = PeerMessage.write(1, 5, 1, new double[] {2});
-        for (int length = 0; length < good.length; length++) {
-            assertNull(PeerMessage.read(Arrays.copyOf(good, length), 1), "cut to " + length);
-        }
-        assertNull(PeerMessage.read(Arrays.copyOf(good, good.length + 4), 1), "over-long");
-        for (double bad : new double[] {Double.NaN, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, -1}) {
-            assertNull(PeerMessage.read(PeerMessage.write(1, bad, 1, new double[] {2}), 1), "slice " + bad);
-            assertNull(PeerMessage.read(PeerMessage.write(1, 5, 1, new double[] {bad}), 1), "demand " + bad);
-        }
-        assertNull(PeerMessage.read(PeerMessage.write(1, 5, Double.NaN, new double[] {2}), 1), "over");
+  @Test
+  void everyCutAndEveryWrongFigureIsDropped() {
+    byte[] good = PeerMessage.write(1, 5, 1, new double[] {2});
+    for (int length = 0; length < good.length; length++) {
+      assertNull(PeerMessage.read(Arrays.copyOf(good, length), 1), "cut to " + length);
+    }
+    assertNull(PeerMessage.read(Arrays.copyOf(good, good.length + 4), 1), "over-long");
+    for (double bad :
+        new double[] {Double.NaN, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, -1}) {
+      assertNull(
+          PeerMessage.read(PeerMessage.write(1, bad, 1, new double[] {2}), 1), "slice " + bad);
+      assertNull(
+          PeerMessage.read(PeerMessage.write(1, 5, 1, new double[] {bad}), 1), "demand " + bad);
     }
+    assertNull(PeerMessage.read(PeerMessage.write(1, 5, Double.NaN, new double[] {2}), 1), "over");
+  }
 }
--- a/decisions/src/test/java/ferngrade/RandomStreamTest.java
+++ b/decisions/src/test/java/ferngrade/RandomStreamTest.java
@@ -25,265 +25,308 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Seeded random events in any legal order; a checker of its own follows every rule that one dispatcher can break. */
+/**
+ * Seeded random events in any legal order; a checker of its own follows every rule that one
+ * dispatcher can break.
+ */
 class RandomStreamTest {
-    private static final int WORKERS = 12;
-    private static final double DEADLINE = 800;
+  private static final int WORKERS = 12;
+  private static final double DEADLINE = 800;
 
-    private final List<JobClass> classes = new ArrayList<>();
-    private final Map<String, Entry> open = new HashMap<>();
-    private final Map<Long, Worker> list = new HashMap<>();
-    private final List<double[]> timers = new ArrayList<>();
-    private double now;
-    private int answers;
-    private int sends;
-    private boolean secondCopies;
-    private ActionDigest digest;
+  private final List<JobClass> classes = new ArrayList<>();
+  private final Map<String, Entry> open = new HashMap<>();
+  private final Map<Long, Worker> list = new HashMap<>();
+  private final List<double[]> timers = new ArrayList<>();
+  private double now;
+  private int answers;
+  private int sends;
+  private boolean secondCopies;
+  private ActionDigest digest;
 
-    /** The checker's own record of a request. */
-    private static final class Entry {
-        private final JobClass jobClass;
-        private final double due;
-        private final List<Long> workers = new ArrayList<>();
-        private final List<Double> sentAt = new ArrayList<>();
-        private final List<Outcome> ends = new ArrayList<>();
-        private boolean answered;
+  /** The checker's own record of a request. */
+  private static final class Entry {
+    private final JobClass jobClass;
+    private final double due;
+    private final List<Long> workers = new ArrayList<>();
+    private final List<Double> sentAt = new ArrayList<>();
+    private final List<Outcome> ends = new ArrayList<>();
+    private boolean answered;
 
-        Entry(JobClass jobClass, double due) {
-            this.jobClass = jobClass;
-            this.due = due;
-        }
-
-        int firstDoubtful() {
-            for (int i = 0; i < ends.size(); i++) {
-                Outcome end = ends.get(i);
-                boolean proof = end == Outcome.FULL || end == Outcome.CONNECT_FAILED || end == Outcome.NEVER_SENT;
-                if (!proof) {
-                    return i;
-                }
-            }
-            return -1;
-        }
+    Entry(JobClass jobClass, double due) {
+      this.jobClass = jobClass;
+      this.due = due;
     }
 
-    private final class Checker implements Dispatcher.Actions {
-        @Override
-        public void send(String id, long worker, double timeout) {
-            digest.add(1, id, worker, timeout);
-            Entry entry = open.get(id);
-            assertTrue(!entry.answered, "sent after its answer: " + id);
-            assertEquals(State.READY, list.get(worker).state(), "sent to a worker that drains or is gone");
-            assertTrue(entry.workers.size() < 3, "too many attempts");
-            int doubtful = entry.firstDoubtful();
-            if (doubtful >= 0) {
-                assertTrue(entry.jobClass.effect() != Effect.UNSAFE, "unsafe sent again");
-                assertTrue(secondCopies || !entry.ends.contains(null), "two attempts out");
-                if (entry.jobClass.effect() == Effect.KEYED) {
-                    inGroup(entry, doubtful, worker);
-                }
-            }
-            entry.workers.add(worker);
-            entry.sentAt.add(now);
-            entry.ends.add(null);
-            sends++;
-        }
-
-        private void inGroup(Entry entry, int doubtful, long worker) {
-            Worker first = list.get(entry.workers.get(doubtful));
-            Worker then = list.get(worker);
-            Scope scope = entry.jobClass.scope();
-            boolean same = scope == Scope.ALL || (scope == Scope.ZONE ? first.zone() == then.zone()
-                    : first.cell() == then.cell());
-            assertTrue(same, "keyed repeat left its group");
-            assertTrue(now <= entry.sentAt.get(doubtful) + entry.jobClass.window(), "keyed repeat after its window");
+    int firstDoubtful() {
+      for (int i = 0; i < ends.size(); i++) {
+        Outcome end = ends.get(i);
+        boolean proof =
+            end == Outcome.FULL || end == Outcome.CONNECT_FAILED || end == Outcome.NEVER_SENT;
+        if (!proof) {
+          return i;
         }
+      }
+      return -1;
+    }
+  }
 
-        @Override
-        public void refuse(String id, double retryAfter) {
-            digest.add(2, id, 0, retryAfter);
-            Entry entry = open.get(id);
-            answer(entry, id);
-            boolean all = entry.jobClass.effect() == Effect.KEYED && entry.jobClass.scope() == Scope.ALL;
-            assertTrue(entry.firstDoubtful() < 0 || entry.jobClass.effect() == Effect.SAFE || all, "refused in doubt");
+  private final class Checker implements Dispatcher.Actions {
+    @Override
+    public void send(String id, long worker, double timeout) {
+      digest.add(1, id, worker, timeout);
+      Entry entry = open.get(id);
+      assertTrue(!entry.answered, "sent after its answer: " + id);
+      assertEquals(
+          State.READY, list.get(worker).state(), "sent to a worker that drains or is gone");
+      assertTrue(entry.workers.size() < 3, "too many attempts");
+      int doubtful = entry.firstDoubtful();
+      if (doubtful >= 0) {
+        assertTrue(entry.jobClass.effect() != Effect.UNSAFE, "unsafe sent again");
+        assertTrue(secondCopies || !entry.ends.contains(null), "two attempts out");
+        if (entry.jobClass.effect() == Effect.KEYED) {
+          inGroup(entry, doubtful, worker);
         }
+      }
+      entry.workers.add(worker);
+      entry.sentAt.add(now);
+      entry.ends.add(null);
+      sends++;
+    }
 
-        @Override
-        public void fail(String id) {
-            digest.add(3, id, 0, 0);
-            answer(open.get(id), id);
-        }
+    private void inGroup(Entry entry, int doubtful, long worker) {
+      Worker first = list.get(entry.workers.get(doubtful));
+      Worker then = list.get(worker);
+      Scope scope = entry.jobClass.scope();
+      boolean same =
+          scope == Scope.ALL
+              || (scope == Scope.ZONE ? first.zone() == then.zone() : first.cell() == then.cell());
+      assertTrue(same, "keyed repeat left its group");
+      assertTrue(
+          now <= entry.sentAt.get(doubtful) + entry.jobClass.window(),
+          "keyed repeat after its window");
+    }
 
-        private void answer(Entry entry, String id) {
-            assertTrue(!entry.answered, "answered twice: " + id);
-            assertTrue(now <= entry.due + 8, "answered late: " + id);
-            entry.answered = true;
-            answers++;
-        }
+    @Override
+    public void refuse(String id, double retryAfter) {
+      digest.add(2, id, 0, retryAfter);
+      Entry entry = open.get(id);
+      answer(entry, id);
+      boolean all = entry.jobClass.effect() == Effect.KEYED && entry.jobClass.scope() == Scope.ALL;
+      assertTrue(
+          entry.firstDoubtful() < 0 || entry.jobClass.effect() == Effect.SAFE || all,
+          "refused in doubt");
+    }
 
-        @Override
-        public void cancel(String id, int attempt) {
-            digest.add(4, id, attempt, 0);
-            assertTrue(attempt < open.get(id).workers.size(), "cancelled a never-made attempt");
-        }
+    @Override
+    public void fail(String id) {
+      digest.add(3, id, 0, 0);
+      answer(open.get(id), id);
+    }
 
-        @Override
-        public void check(long worker) {
-            digest.add(5, "", worker, 0);
-        }
+    private void answer(Entry entry, String id) {
+      assertTrue(!entry.answered, "answered twice: " + id);
+      assertTrue(now <= entry.due + 8, "answered late: " + id);
+      entry.answered = true;
+      answers++;
+    }
 
-        @Override
-        public void tell(int peer, byte[] message) {
-            digest.add(6, HexFormat.of().formatHex(message), peer, 0);
-            assertTrue(peer >= 0 && peer < 9 && peer != 0 && message.length <= 256);
-        }
+    @Override
+    public void cancel(String id, int attempt) {
+      digest.add(4, id, attempt, 0);
+      assertTrue(attempt < open.get(id).workers.size(), "cancelled a never-made attempt");
+    }
 
-        @Override
-        public void timer(double after, long token) {
-            digest.add(7, "", token, after);
-            timers.add(new double[] {now + after, token});
-        }
+    @Override
+    public void check(long worker) {
+      digest.add(5, "", worker, 0);
+    }
 
-        @Override
-        public void watch() {
-            digest.add(8, "", 0, 0);
-        }
+    @Override
+    public void tell(int peer, byte[] message) {
+      digest.add(6, HexFormat.of().formatHex(message), peer, 0);
+      assertTrue(peer >= 0 && peer < 9 && peer != 0 && message.length <= 256);
+    }
 
-        @Override
-        public void log(String line) { }
+    @Override
+    public void timer(double after, long token) {
+      digest.add(7, "", token, after);
+      timers.add(new double[] {now + after, token});
     }
 
-    @Test
-    void noRuleBreaksOnRandomStreams() {
-        for (int seed = 0; seed < 60; seed++) {
-            stream(seed);
-        }
-        assertTrue(sends > 10_000, "sends " + sends);
+    @Override
+    public void watch() {
+      digest.add(8, "", 0, 0);
     }
 
-    /** All that was asked for, to the last bit and in its order: so chance is drawn in the recorded order too. */
-    @Test
-    void theActionsOnRandomStreamsAreAsRecorded() {
-        GoldenFile golden = GoldenFile.open("random-streams.txt");
-        for (int seed = 0; seed < 60; seed++) {
-            stream(seed);
-            golden.verify("seed-" + seed, digest.hex());
-        }
+    @Override
+    public void log(String line) {}
+  }
+
+  @Test
+  void noRuleBreaksOnRandomStreams() {
+    for (int seed = 0; seed < 60; seed++) {
+      stream(seed);
     }
+    assertTrue(sends > 10_000, "sends " + sends);
+  }
 
-    private void stream(int seed) {
-        digest = new ActionDigest();
-        Random random = new Random(seed);
-        secondCopies = seed % 2 == 0;
-        // A share by the told loads needs some cycles of traffic.
-        boolean live = seed % 4 < 2;
-        classes.clear();
-        open.clear();
-        list.clear();
-        timers.clear();
-        now = 0;
-        for (Effect effect : Effect.values()) {
-            for (Scope scope : Scope.values()) {
-                classes.add(new JobClass("c", effect, scope, 300, 50, 2, DEADLINE, 1, 0, -1, 0));
-            }
-        }
-        Settings settings = new Settings(0, 9, 0, 2, classes, List.of(new Tenant("a", 0.7, 9), new Tenant("b", 0, 0)),
-                new Limits(3, secondCopies, true, false, true, 0), Fixture.COLD, seed % 3 == 0, true, live, 0.05,
-                new Goal(0.5, 0.2));
-        Choice choice = new Choice(settings, seed, now, new Checker());
-        members(choice, random, News.STORED);
-        for (int i = 0; i < 1_500; i++) {
-            now += random.nextInt(live ? 12 : 4);
-            fireTimers(choice);
-            expire(choice);
-            event(choice, random, seed + ":" + i);
-        }
-        now += DEADLINE + 10;
-        expire(choice);
-        open.forEach((id, entry) -> assertTrue(entry.answered, "never answered: " + id));
+  /**
+   * All that was asked for, to the last bit and in its order: so chance is drawn in the recorded
+   * order too.
+   */
+  @Test
+  void theActionsOnRandomStreamsAreAsRecorded() {
+    GoldenFile golden = GoldenFile.open("random-streams.txt");
+    for (int seed = 0; seed < 60; seed++) {
+      stream(seed);
+      golden.verify("seed-" + seed, digest.hex());
     }
+  }
 
-    private void event(Choice choice, Random random, String id) {
-        int kind = random.nextInt(20);
-        if (kind < 9) {
-            int jobClass = random.nextInt(classes.size());
-            double due = now + 50 + random.nextInt((int) DEADLINE - 50);
-            open.put(id, new Entry(classes.get(jobClass), due));
-            choice.arrived(now, new Job(id, jobClass, random.nextInt(2), due, random.nextInt(3) * 10.0, 1, 0,
-                    random.nextInt(4)));
-        } else if (kind < 18) {
-            resolveOne(choice, random);
-        } else if (kind == 18) {
-            members(choice, random, random.nextBoolean() ? News.CHANGES : News.WHOLE);
-        } else {
-            byte[] noise = new byte[random.nextInt(24)];
-            random.nextBytes(noise);
-            choice.heard(now, random.nextInt(12), noise);
-        }
+  private void stream(int seed) {
+    digest = new ActionDigest();
+    Random random = new Random(seed);
+    secondCopies = seed % 2 == 0;
+    // A share by the told loads needs some cycles of traffic.
+    boolean live = seed % 4 < 2;
+    classes.clear();
+    open.clear();
+    list.clear();
+    timers.clear();
+    now = 0;
+    for (Effect effect : Effect.values()) {
+      for (Scope scope : Scope.values()) {
+        classes.add(new JobClass("c", effect, scope, 300, 50, 2, DEADLINE, 1, 0, -1, 0));
+      }
     }
+    Settings settings =
+        new Settings(
+            0,
+            9,
+            0,
+            2,
+            classes,
+            List.of(new Tenant("a", 0.7, 9), new Tenant("b", 0, 0)),
+            new Limits(3, secondCopies, true, false, true, 0),
+            Fixture.COLD,
+            seed % 3 == 0,
+            true,
+            live,
+            0.05,
+            new Goal(0.5, 0.2));
+    Choice choice = new Choice(settings, seed, now, new Checker());
+    members(choice, random, News.STORED);
+    for (int i = 0; i < 1_500; i++) {
+      now += random.nextInt(live ? 12 : 4);
+      fireTimers(choice);
+      expire(choice);
+      event(choice, random, seed + ":" + i);
+    }
+    now += DEADLINE + 10;
+    expire(choice);
+    open.forEach((id, entry) -> assertTrue(entry.answered, "never answered: " + id));
+  }
 
-    private void resolveOne(Choice choice, Random random) {
-        List<String> ids = open.keySet().stream().sorted().filter(id -> open.get(id).ends.contains(null)).toList();
-        if (ids.isEmpty()) {
-            return;
-        }
-        String id = ids.get(random.nextInt(ids.size()));
-        Entry entry = open.get(id);
-        int attempt = entry.ends.indexOf(null);
-        if (random.nextInt(4) == 0) {
-            choice.started(now, id, attempt);
-        } else if (random.nextInt(12) == 0 && !entry.answered) {
-            entry.answered = true;
-            choice.abandoned(now, id);
-        } else {
-            Outcome[] outcomes = Outcome.values();
-            end(choice, id, attempt, outcomes[random.nextInt(outcomes.length)]);
-        }
+  private void event(Choice choice, Random random, String id) {
+    int kind = random.nextInt(20);
+    if (kind < 9) {
+      int jobClass = random.nextInt(classes.size());
+      double due = now + 50 + random.nextInt((int) DEADLINE - 50);
+      open.put(id, new Entry(classes.get(jobClass), due));
+      choice.arrived(
+          now,
+          new Job(
+              id,
+              jobClass,
+              random.nextInt(2),
+              due,
+              random.nextInt(3) * 10.0,
+              1,
+              0,
+              random.nextInt(4)));
+    } else if (kind < 18) {
+      resolveOne(choice, random);
+    } else if (kind == 18) {
+      members(choice, random, random.nextBoolean() ? News.CHANGES : News.WHOLE);
+    } else {
+      byte[] noise = new byte[random.nextInt(24)];
+      random.nextBytes(noise);
+      choice.heard(now, random.nextInt(12), noise);
     }
+  }
 
-    private void end(Choice choice, String id, int attempt, Outcome outcome) {
-        Entry entry = open.get(id);
-        entry.ends.set(attempt, outcome);
-        boolean over = entry.answered || outcome == Outcome.OK;
-        entry.answered = over;
-        choice.ended(now, id, attempt, outcome, now - entry.sentAt.get(attempt), over, Report.NONE);
+  private void resolveOne(Choice choice, Random random) {
+    List<String> ids =
+        open.keySet().stream().sorted().filter(id -> open.get(id).ends.contains(null)).toList();
+    if (ids.isEmpty()) {
+      return;
     }
+    String id = ids.get(random.nextInt(ids.size()));
+    Entry entry = open.get(id);
+    int attempt = entry.ends.indexOf(null);
+    if (random.nextInt(4) == 0) {
+      choice.started(now, id, attempt);
+    } else if (random.nextInt(12) == 0 && !entry.answered) {
+      entry.answered = true;
+      choice.abandoned(now, id);
+    } else {
+      Outcome[] outcomes = Outcome.values();
+      end(choice, id, attempt, outcomes[random.nextInt(outcomes.length)]);
+    }
+  }
+
+  private void end(Choice choice, String id, int attempt, Outcome outcome) {
+    Entry entry = open.get(id);
+    entry.ends.set(attempt, outcome);
+    boolean over = entry.answered || outcome == Outcome.OK;
+    entry.answered = over;
+    choice.ended(now, id, attempt, outcome, now - entry.sentAt.get(attempt), over, Report.NONE);
+  }
 
-    private void expire(Choice choice) {
-        for (String id : open.keySet().stream().sorted().toList()) {
-            Entry entry = open.get(id);
-            for (int i = 0; i < entry.ends.size(); i++) {
-                if (now >= entry.due && entry.ends.get(i) == null) {
-                    double real = now;
-                    now = Math.min(now, entry.due + 2);
-                    end(choice, id, i, Outcome.TIMEOUT);
-                    now = real;
-                }
-            }
+  private void expire(Choice choice) {
+    for (String id : open.keySet().stream().sorted().toList()) {
+      Entry entry = open.get(id);
+      for (int i = 0; i < entry.ends.size(); i++) {
+        if (now >= entry.due && entry.ends.get(i) == null) {
+          double real = now;
+          now = Math.min(now, entry.due + 2);
+          end(choice, id, i, Outcome.TIMEOUT);
+          now = real;
         }
+      }
     }
+  }
 
-    private void fireTimers(Choice choice) {
-        List<double[]> due = timers.stream().filter(timer -> timer[0] <= now).toList();
-        timers.removeAll(due);
-        due.forEach(timer -> choice.timer(now, (long) timer[1]));
-    }
+  private void fireTimers(Choice choice) {
+    List<double[]> due = timers.stream().filter(timer -> timer[0] <= now).toList();
+    timers.removeAll(due);
+    due.forEach(timer -> choice.timer(now, (long) timer[1]));
+  }
 
-    private void members(Choice choice, Random random, News news) {
-        List<Worker> entries = new ArrayList<>();
-        if (news != News.CHANGES) {
-            list.replaceAll((id, worker) -> Fixture.with(worker, State.GONE, worker.startedAt()));
-        }
-        for (long id = 0; id < WORKERS; id++) {
-            if (news == News.CHANGES && random.nextInt(4) > 0 || random.nextInt(10) == 0) {
-                continue;
-            }
-            State state = random.nextInt(5) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
-            double startedAt = random.nextInt(3) == 0 ? Math.max(0, now - random.nextInt(30_000)) : 0;
-            Worker worker = new Worker(id, state, (int) id % 3, (int) id % 2, (int) id / 3, startedAt,
-                    random.nextInt(4) / 2.0);
-            entries.add(worker);
-            list.put(id, worker);
-        }
-        choice.members(now, news, entries);
+  private void members(Choice choice, Random random, News news) {
+    List<Worker> entries = new ArrayList<>();
+    if (news != News.CHANGES) {
+      list.replaceAll((id, worker) -> Fixture.with(worker, State.GONE, worker.startedAt()));
+    }
+    for (long id = 0; id < WORKERS; id++) {
+      if (news == News.CHANGES && random.nextInt(4) > 0 || random.nextInt(10) == 0) {
+        continue;
+      }
+      State state =
+          random.nextInt(5) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
+      double startedAt = random.nextInt(3) == 0 ? Math.max(0, now - random.nextInt(30_000)) : 0;
+      Worker worker =
+          new Worker(
+              id,
+              state,
+              (int) id % 3,
+              (int) id % 2,
+              (int) id / 3,
+              startedAt,
+              random.nextInt(4) / 2.0);
+      entries.add(worker);
+      list.put(id, worker);
     }
+    choice.members(now, news, entries);
+  }
 }
