--- a/decisions/src/test/java/ferngrade/RulesTest.java
+++ b/decisions/src/test/java/ferngrade/RulesTest.java
@@ -22,346 +22,410 @@
 
 /** The four rules and the pick, on hand-written events. */
 class RulesTest {
-    private static final List<Worker> FLEET = List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0),
-            Fixture.worker(3, 0, 1), Fixture.worker(4, 1, 2), Fixture.worker(5, 1, 2), Fixture.worker(6, 1, 3));
+  private static final List<Worker> FLEET =
+      List.of(
+          Fixture.worker(1, 0, 0),
+          Fixture.worker(2, 0, 0),
+          Fixture.worker(3, 0, 1),
+          Fixture.worker(4, 1, 2),
+          Fixture.worker(5, 1, 2),
+          Fixture.worker(6, 1, 3));
 
-    private final Fixture.Recorder out = new Fixture.Recorder();
+  private final Fixture.Recorder out = new Fixture.Recorder();
 
-    private Choice choice(Effect effect, Scope scope, boolean secondCopies) {
-        Choice choice = new Choice(Fixture.settings(0, 1, Fixture.jobClass(effect, scope),
-                List.of(new Tenant("a", 1, 10)), secondCopies), 7, 0, out);
-        choice.members(0, News.STORED, FLEET);
-        return choice;
-    }
+  private Choice choice(Effect effect, Scope scope, boolean secondCopies) {
+    Choice choice =
+        new Choice(
+            Fixture.settings(
+                0,
+                1,
+                Fixture.jobClass(effect, scope),
+                List.of(new Tenant("a", 1, 10)),
+                secondCopies),
+            7,
+            0,
+            out);
+    choice.members(0, News.STORED, FLEET);
+    return choice;
+  }
 
-    private static Worker entry(long id) {
-        return FLEET.stream().filter(worker -> worker.id() == id).findFirst().orElseThrow();
-    }
+  private static Worker entry(long id) {
+    return FLEET.stream().filter(worker -> worker.id() == id).findFirst().orElseThrow();
+  }
 
-    @Test
-    void movesStayWithinTheirBudgetWhenEveryQueueIsDeep() {
-        Choice choice = choice(Effect.KEYED, Scope.ALL, true);
-        for (int i = 0; i < 100; i++) {
-            choice.arrived(10 + i, Fixture.job("r" + i, 0, 5_000));
-        }
-        assertEquals(100, out.sends.size());
-        // None has started when its patience runs out, nor when that of its second place does.
-        for (int i = 0; i < out.timers.size(); i++) {
-            if (out.timers.get(i)[1] >= 16) {
-                choice.timer(200, out.timers.get(i)[1]);
-            }
-        }
-        int moves = out.sends.size() - 100;
-        assertTrue(moves > 0 && moves <= 8, "moves of 100 jobs: " + moves);
+  @Test
+  void movesStayWithinTheirBudgetWhenEveryQueueIsDeep() {
+    Choice choice = choice(Effect.KEYED, Scope.ALL, true);
+    for (int i = 0; i < 100; i++) {
+      choice.arrived(10 + i, Fixture.job("r" + i, 0, 5_000));
     }
-
-    @Test
-    void requestThatAWorkerCannotUseFailsAtOnceAndThrowsNoSuspicionOnTheWorker() {
-        Choice choice = choice(Effect.KEYED, Scope.ALL, true);
-        choice.arrived(10, Fixture.job("bad", 0, 5_000));
-        choice.ended(12, "bad", 0, Outcome.UNUSABLE, 2, false, Report.NONE);
-        assertEquals(List.of("bad"), out.failed);
-        assertEquals(1, out.sends.size());
-        long worker = out.last().worker();
-        for (int i = 0; i < 100; i++) {
-            choice.arrived(20, Fixture.job("r" + i, 0, 5_000));
-        }
-        assertTrue(out.sends.stream().skip(1).anyMatch(send -> send.worker() == worker));
+    assertEquals(100, out.sends.size());
+    // None has started when its patience runs out, nor when that of its second place does.
+    for (int i = 0; i < out.timers.size(); i++) {
+      if (out.timers.get(i)[1] >= 16) {
+        choice.timer(200, out.timers.get(i)[1]);
+      }
     }
+    int moves = out.sends.size() - 100;
+    assertTrue(moves > 0 && moves <= 8, "moves of 100 jobs: " + moves);
+  }
 
-    @Test
-    void workerThatHangsOnOneClassGetsNoMoreOfItAndKeepsTheOthers() {
-        var classes = List.of(Fixture.jobClass(Effect.UNSAFE, Scope.ALL), Fixture.jobClass(Effect.SAFE, Scope.ALL));
-        Choice choice = new Choice(new Dispatcher.Settings(0, 1, 0, 2, classes, List.of(), Fixture.settings(0, 1,
-                classes.get(0)).limits(), Fixture.COLD, false, true, true, 0.01,
-                new Dispatcher.Goal(0.5, 0.2)), 7, 0, out);
-        choice.members(0, News.STORED, FLEET);
-        choice.arrived(10, Fixture.job("hangs", 0, 5_010));
-        long worker = out.last().worker();
-        choice.progressed(500, "hangs", 0, 0.1);
-        choice.ended(1_010, "hangs", 0, Outcome.TIMEOUT, 1_000, false, Report.NONE);
-        for (int i = 0; i < 60; i++) {
-            choice.arrived(1_020, new Dispatcher.Job("r" + i, i % 2, 0, 6_000, 0, 1, 0, 0));
-        }
-        List<Fixture.Send> toIt = out.sends.stream().skip(1).filter(send -> send.worker() == worker).toList();
-        assertTrue(toIt.stream().noneMatch(send -> Integer.parseInt(send.id().substring(1)) % 2 == 0), "" + toIt);
-        assertTrue(!toIt.isEmpty(), "it still gets the other class");
+  @Test
+  void requestThatAWorkerCannotUseFailsAtOnceAndThrowsNoSuspicionOnTheWorker() {
+    Choice choice = choice(Effect.KEYED, Scope.ALL, true);
+    choice.arrived(10, Fixture.job("bad", 0, 5_000));
+    choice.ended(12, "bad", 0, Outcome.UNUSABLE, 2, false, Report.NONE);
+    assertEquals(List.of("bad"), out.failed);
+    assertEquals(1, out.sends.size());
+    long worker = out.last().worker();
+    for (int i = 0; i < 100; i++) {
+      choice.arrived(20, Fixture.job("r" + i, 0, 5_000));
     }
+    assertTrue(out.sends.stream().skip(1).anyMatch(send -> send.worker() == worker));
+  }
 
-    @Test
-    void workerThatWorksIsNotEjectedWhenAJobRunsOutOfTimeInItsQueue() {
-        Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
-        choice.members(5, News.WHOLE, FLEET.subList(0, 1));
-        choice.arrived(10, Fixture.job("waits", 0, 5_010));
-        choice.arrived(20, Fixture.job("runs", 0, 5_020));
-        choice.started(4_000, "runs", 0);
-        choice.members(5_000, News.WHOLE, FLEET.subList(0, 2));
-        choice.ended(5_010, "waits", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
-        choice.ended(5_011, "runs", 0, Outcome.OK, 5_000, true, Report.NONE);
-        for (int i = 0; i < 20; i++) {
-            choice.arrived(5_020 + i, Fixture.job("next" + i, 0, 9_000));
-        }
-        long first = out.sends.stream().filter(send -> send.id().startsWith("next") && send.worker() == 1).count();
-        assertTrue(first > 0, "sends to the worker that works: " + first);
+  @Test
+  void workerThatHangsOnOneClassGetsNoMoreOfItAndKeepsTheOthers() {
+    var classes =
+        List.of(
+            Fixture.jobClass(Effect.UNSAFE, Scope.ALL), Fixture.jobClass(Effect.SAFE, Scope.ALL));
+    Choice choice =
+        new Choice(
+            new Dispatcher.Settings(
+                0,
+                1,
+                0,
+                2,
+                classes,
+                List.of(),
+                Fixture.settings(0, 1, classes.get(0)).limits(),
+                Fixture.COLD,
+                false,
+                true,
+                true,
+                0.01,
+                new Dispatcher.Goal(0.5, 0.2)),
+            7,
+            0,
+            out);
+    choice.members(0, News.STORED, FLEET);
+    choice.arrived(10, Fixture.job("hangs", 0, 5_010));
+    long worker = out.last().worker();
+    choice.progressed(500, "hangs", 0, 0.1);
+    choice.ended(1_010, "hangs", 0, Outcome.TIMEOUT, 1_000, false, Report.NONE);
+    for (int i = 0; i < 60; i++) {
+      choice.arrived(1_020, new Dispatcher.Job("r" + i, i % 2, 0, 6_000, 0, 1, 0, 0));
     }
+    List<Fixture.Send> toIt =
+        out.sends.stream().skip(1).filter(send -> send.worker() == worker).toList();
+    assertTrue(
+        toIt.stream().noneMatch(send -> Integer.parseInt(send.id().substring(1)) % 2 == 0),
+        "" + toIt);
+    assertTrue(!toIt.isEmpty(), "it still gets the other class");
+  }
 
-    @Test
-    void everyOutcomeOfEveryEffectAndScopeIsAnsweredAsTheClassAllows() {
-        for (Effect effect : Effect.values()) {
-            for (Scope scope : Scope.values()) {
-                for (Outcome outcome : Outcome.values()) {
-                    if (outcome != Outcome.OK) {
-                        oneOutcome(effect, scope, outcome);
-                    }
-                }
-            }
-        }
+  @Test
+  void workerThatWorksIsNotEjectedWhenAJobRunsOutOfTimeInItsQueue() {
+    Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
+    choice.members(5, News.WHOLE, FLEET.subList(0, 1));
+    choice.arrived(10, Fixture.job("waits", 0, 5_010));
+    choice.arrived(20, Fixture.job("runs", 0, 5_020));
+    choice.started(4_000, "runs", 0);
+    choice.members(5_000, News.WHOLE, FLEET.subList(0, 2));
+    choice.ended(5_010, "waits", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
+    choice.ended(5_011, "runs", 0, Outcome.OK, 5_000, true, Report.NONE);
+    for (int i = 0; i < 20; i++) {
+      choice.arrived(5_020 + i, Fixture.job("next" + i, 0, 9_000));
     }
+    long first =
+        out.sends.stream()
+            .filter(send -> send.id().startsWith("next") && send.worker() == 1)
+            .count();
+    assertTrue(first > 0, "sends to the worker that works: " + first);
+  }
 
-    private void oneOutcome(Effect effect, Scope scope, Outcome outcome) {
-        String what = effect + " " + scope + " " + outcome;
-        out.sends.clear();
-        out.failed.clear();
-        out.refused.clear();
-        Choice choice = choice(effect, scope, false);
-        choice.arrived(10, Fixture.job("r", 0, 5_010));
-        Worker first = entry(out.last().worker());
-        choice.ended(20, "r", 0, outcome, 10, false, Report.NONE);
-        boolean proof = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.NEVER_SENT;
-        if (effect == Effect.UNSAFE && !proof || outcome == Outcome.UNUSABLE) {
-            assertEquals(1, out.sends.size(), what);
-            assertEquals(List.of("r"), out.failed, what);
-            return;
-        }
-        assertEquals(2, out.sends.size(), what);
-        if (effect == Effect.KEYED && !proof && scope != Scope.ALL) {
-            Worker second = entry(out.last().worker());
-            boolean same = scope == Scope.ZONE ? first.zone() == second.zone() : first.cell() == second.cell();
-            assertTrue(same, what + " left its group: " + second);
-        }
-        choice.ended(30, "r", 1, Outcome.FULL, 10, false, Report.NONE);
-        if (out.sends.size() == 3) {
-            choice.ended(40, "r", 2, Outcome.FULL, 10, false, Report.NONE);
+  @Test
+  void everyOutcomeOfEveryEffectAndScopeIsAnsweredAsTheClassAllows() {
+    for (Effect effect : Effect.values()) {
+      for (Scope scope : Scope.values()) {
+        for (Outcome outcome : Outcome.values()) {
+          if (outcome != Outcome.OK) {
+            oneOutcome(effect, scope, outcome);
+          }
         }
-        boolean mayRefuse = proof || effect == Effect.SAFE || effect == Effect.KEYED && scope == Scope.ALL;
-        assertEquals(mayRefuse ? List.of("r") : List.of(), out.refused, what);
-        assertEquals(mayRefuse ? List.of() : List.of("r"), out.failed, what);
+      }
     }
+  }
 
-    @Test
-    void keyedRepeatIsNotSentAfterItsWindow() {
-        Choice choice = choice(Effect.KEYED, Scope.ZONE, false);
-        choice.arrived(10, Fixture.job("r", 0, 60_000));
-        choice.ended(7_600, "r", 0, Outcome.RESET, 7_590, false, Report.NONE);
-        assertEquals(1, out.sends.size());
-        assertEquals(List.of("r"), out.failed);
+  private void oneOutcome(Effect effect, Scope scope, Outcome outcome) {
+    String what = effect + " " + scope + " " + outcome;
+    out.sends.clear();
+    out.failed.clear();
+    out.refused.clear();
+    Choice choice = choice(effect, scope, false);
+    choice.arrived(10, Fixture.job("r", 0, 5_010));
+    Worker first = entry(out.last().worker());
+    choice.ended(20, "r", 0, outcome, 10, false, Report.NONE);
+    boolean proof =
+        outcome == Outcome.FULL
+            || outcome == Outcome.CONNECT_FAILED
+            || outcome == Outcome.NEVER_SENT;
+    if (effect == Effect.UNSAFE && !proof || outcome == Outcome.UNUSABLE) {
+      assertEquals(1, out.sends.size(), what);
+      assertEquals(List.of("r"), out.failed, what);
+      return;
     }
-
-    @Test
-    void timeoutAtTheDeadlineIsAnsweredAtOnceAndOnlyOnce() {
-        Choice choice = choice(Effect.SAFE, Scope.ALL, false);
-        choice.arrived(10, Fixture.job("r", 0, 5_010));
-        choice.ended(5_010, "r", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
-        assertEquals(1, out.refused.size() + out.failed.size());
-        choice.ended(5_012, "r", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
-        choice.abandoned(5_014, "r");
-        assertEquals(1, out.refused.size() + out.failed.size());
-        assertEquals(1, out.sends.size());
+    assertEquals(2, out.sends.size(), what);
+    if (effect == Effect.KEYED && !proof && scope != Scope.ALL) {
+      Worker second = entry(out.last().worker());
+      boolean same =
+          scope == Scope.ZONE ? first.zone() == second.zone() : first.cell() == second.cell();
+      assertTrue(same, what + " left its group: " + second);
     }
-
-    @Test
-    void abandonedRequestIsNeitherSentNorAnswered() {
-        Choice choice = choice(Effect.SAFE, Scope.ALL, false);
-        choice.arrived(10, Fixture.job("r", 0, 5_010));
-        choice.abandoned(20, "r");
-        choice.ended(30, "r", 0, Outcome.FULL, 20, true, Report.NONE);
-        assertEquals(1, out.sends.size());
-        assertEquals(0, out.refused.size() + out.failed.size());
+    choice.ended(30, "r", 1, Outcome.FULL, 10, false, Report.NONE);
+    if (out.sends.size() == 3) {
+      choice.ended(40, "r", 2, Outcome.FULL, 10, false, Report.NONE);
     }
+    boolean mayRefuse =
+        proof || effect == Effect.SAFE || effect == Effect.KEYED && scope == Scope.ALL;
+    assertEquals(mayRefuse ? List.of("r") : List.of(), out.refused, what);
+    assertEquals(mayRefuse ? List.of() : List.of("r"), out.failed, what);
+  }
 
-    @Test
-    void drainingGoneAndMissingWorkersGetNothingAtOnce() {
-        Choice choice = choice(Effect.SAFE, Scope.ALL, false);
-        choice.members(5, News.CHANGES, List.of(Fixture.with(entry(1), State.DRAINING, 0),
-                Fixture.with(entry(2), State.GONE, 0)));
-        Set<Long> used = use(choice, 60, 10);
-        assertFalse(used.contains(1L) || used.contains(2L), "used " + used);
-        choice.members(6, News.WHOLE, List.of(entry(5), entry(6)));
-        used = use(choice, 60, 20);
-        assertEquals(Set.of(5L, 6L), used);
-        choice.members(7, News.WHOLE, List.of());
-        out.refused.clear();
-        assertEquals(Set.of(), use(choice, 3, 30));
-        assertEquals(3, out.refused.size());
-    }
+  @Test
+  void keyedRepeatIsNotSentAfterItsWindow() {
+    Choice choice = choice(Effect.KEYED, Scope.ZONE, false);
+    choice.arrived(10, Fixture.job("r", 0, 60_000));
+    choice.ended(7_600, "r", 0, Outcome.RESET, 7_590, false, Report.NONE);
+    assertEquals(1, out.sends.size());
+    assertEquals(List.of("r"), out.failed);
+  }
 
-    private int ids;
+  @Test
+  void timeoutAtTheDeadlineIsAnsweredAtOnceAndOnlyOnce() {
+    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    choice.arrived(10, Fixture.job("r", 0, 5_010));
+    choice.ended(5_010, "r", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
+    assertEquals(1, out.refused.size() + out.failed.size());
+    choice.ended(5_012, "r", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
+    choice.abandoned(5_014, "r");
+    assertEquals(1, out.refused.size() + out.failed.size());
+    assertEquals(1, out.sends.size());
+  }
 
-    private Set<Long> use(Choice choice, int jobs, double now) {
-        Set<Long> used = new HashSet<>();
-        for (int i = 0; i < jobs; i++) {
-            int before = out.sends.size();
-            choice.arrived(now, Fixture.job("u" + ids++, 0, now + 5_000));
-            if (out.sends.size() > before) {
-                used.add(out.last().worker());
-            }
-        }
-        return used;
-    }
+  @Test
+  void abandonedRequestIsNeitherSentNorAnswered() {
+    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    choice.arrived(10, Fixture.job("r", 0, 5_010));
+    choice.abandoned(20, "r");
+    choice.ended(30, "r", 0, Outcome.FULL, 20, true, Report.NONE);
+    assertEquals(1, out.sends.size());
+    assertEquals(0, out.refused.size() + out.failed.size());
+  }
 
-    /** All dispatchers together must stay under multiple x capacity x window; what is refused counts as well. */
-    @Test
-    void coldWorkerGetsNoMoreThanItsBudgetFromAllDispatchersTogether() {
-        for (int of : new int[] {1, 3, 4, 30, 40, 100}) {
-            int sent = 0;
-            double served = 0;
-            for (int me = 0; me < of; me++) {
-                Fixture.Recorder each = new Fixture.Recorder();
-                Choice choice = new Choice(Fixture.settings(me, of, Fixture.jobClass(Effect.SAFE, Scope.ALL)), me, 0, each);
-                List<Worker> fleet = new ArrayList<>(List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
-                choice.members(0, News.STORED, fleet);
-                // Each dispatcher carries 40/of jobs a second for 10 s, so a worker is known to carry 20.
-                double gap = 1_000.0 * of / 40;
-                int n = 0;
-                double nextCycle = 500;
-                for (double now = gap; now < 10_000; now += gap, n++) {
-                    choice.arrived(now, Fixture.job("w" + n, 0, now + 5_000));
-                    choice.ended(now, "w" + n, 0, Outcome.OK, 1, true, Report.NONE);
-                    while (nextCycle < now) {
-                        choice.timer(now, 1);
-                        nextCycle += 500;
-                    }
-                }
-                served += n;
-                choice.members(10_000, News.CHANGES, List.of(new Worker(9, State.READY, 0, 0, 0, 10_000, 1)));
-                each.sends.clear();
-                for (double now = 10_000; now < 13_000; now += 20) {
-                    String id = "c" + now;
-                    choice.arrived(now, Fixture.job(id, 0, now + 5_000));
-                    if (!each.sends.isEmpty() && each.last().id().equals(id) && each.last().worker() == 9) {
-                        choice.ended(now, id, 0, Outcome.FULL, 1, false, Report.NONE);
-                    }
-                }
-                sent += each.sends.stream().filter(send -> send.worker() == 9).count();
-            }
-            double carried = served / 10 / 2;
-            double budget = Fixture.COLD.fallMultiple() * Fixture.COLD.startCapacity() * carried * 3;
-            assertTrue(sent <= budget, of + " dispatchers sent " + sent + " of " + budget);
-            assertTrue(sent > 0, "some traffic of " + of + " dispatchers must try the cold worker");
-        }
+  @Test
+  void drainingGoneAndMissingWorkersGetNothingAtOnce() {
+    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    choice.members(
+        5,
+        News.CHANGES,
+        List.of(Fixture.with(entry(1), State.DRAINING, 0), Fixture.with(entry(2), State.GONE, 0)));
+    Set<Long> used = use(choice, 60, 10);
+    assertFalse(used.contains(1L) || used.contains(2L), "used " + used);
+    choice.members(6, News.WHOLE, List.of(entry(5), entry(6)));
+    used = use(choice, 60, 20);
+    assertEquals(Set.of(5L, 6L), used);
+    choice.members(7, News.WHOLE, List.of());
+    out.refused.clear();
+    assertEquals(Set.of(), use(choice, 3, 30));
+    assertEquals(3, out.refused.size());
+  }
+
+  private int ids;
+
+  private Set<Long> use(Choice choice, int jobs, double now) {
+    Set<Long> used = new HashSet<>();
+    for (int i = 0; i < jobs; i++) {
+      int before = out.sends.size();
+      choice.arrived(now, Fixture.job("u" + ids++, 0, now + 5_000));
+      if (out.sends.size() > before) {
+        used.add(out.last().worker());
+      }
     }
+    return used;
+  }
 
-    @Test
-    void fullWorkerIsHeldBackThoughItHoldsNothing() {
-        Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
-        choice.arrived(10, Fixture.job("a", 0, 5_010));
-        long full = out.last().worker();
-        choice.ended(10, "a", 0, Outcome.FULL, 1, false, Report.NONE);
-        for (int i = 0; i < 5; i++) {
-            choice.arrived(11, Fixture.job("b" + i, 0, 5_011));
-            assertNotEquals(full, out.last().worker());
+  /**
+   * All dispatchers together must stay under multiple x capacity x window; what is refused counts
+   * as well.
+   */
+  @Test
+  void coldWorkerGetsNoMoreThanItsBudgetFromAllDispatchersTogether() {
+    for (int of : new int[] {1, 3, 4, 30, 40, 100}) {
+      int sent = 0;
+      double served = 0;
+      for (int me = 0; me < of; me++) {
+        Fixture.Recorder each = new Fixture.Recorder();
+        Choice choice =
+            new Choice(
+                Fixture.settings(me, of, Fixture.jobClass(Effect.SAFE, Scope.ALL)), me, 0, each);
+        List<Worker> fleet =
+            new ArrayList<>(List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
+        choice.members(0, News.STORED, fleet);
+        // Each dispatcher carries 40/of jobs a second for 10 s, so a worker is known to carry 20.
+        double gap = 1_000.0 * of / 40;
+        int n = 0;
+        double nextCycle = 500;
+        for (double now = gap; now < 10_000; now += gap, n++) {
+          choice.arrived(now, Fixture.job("w" + n, 0, now + 5_000));
+          choice.ended(now, "w" + n, 0, Outcome.OK, 1, true, Report.NONE);
+          while (nextCycle < now) {
+            choice.timer(now, 1);
+            nextCycle += 500;
+          }
+        }
+        served += n;
+        choice.members(
+            10_000, News.CHANGES, List.of(new Worker(9, State.READY, 0, 0, 0, 10_000, 1)));
+        each.sends.clear();
+        for (double now = 10_000; now < 13_000; now += 20) {
+          String id = "c" + now;
+          choice.arrived(now, Fixture.job(id, 0, now + 5_000));
+          if (!each.sends.isEmpty() && each.last().id().equals(id) && each.last().worker() == 9) {
+            choice.ended(now, id, 0, Outcome.FULL, 1, false, Report.NONE);
+          }
         }
+        sent += each.sends.stream().filter(send -> send.worker() == 9).count();
+      }
+      double carried = served / 10 / 2;
+      double budget = Fixture.COLD.fallMultiple() * Fixture.COLD.startCapacity() * carried * 3;
+      assertTrue(sent <= budget, of + " dispatchers sent " + sent + " of " + budget);
+      assertTrue(sent > 0, "some traffic of " + of + " dispatchers must try the cold worker");
     }
+  }
 
-    @Test
-    void workerThatReportsNoRoomIsPassedOver() {
-        for (Report none : List.of(new Report(0, Double.NaN, Double.NaN, Double.NaN),
-                new Report(Double.NaN, 0, Double.NaN, Double.NaN))) {
-            Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
-            choice.arrived(10, Fixture.job("a", 0, 5_010));
-            long busy = out.last().worker();
-            choice.ended(200, "a", 0, Outcome.OK, 190, true, none);
-            assertFalse(use(choice, 20, 201).contains(busy));
-            assertTrue(use(choice, 40, 400).contains(busy));
-        }
+  @Test
+  void fullWorkerIsHeldBackThoughItHoldsNothing() {
+    Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
+    choice.arrived(10, Fixture.job("a", 0, 5_010));
+    long full = out.last().worker();
+    choice.ended(10, "a", 0, Outcome.FULL, 1, false, Report.NONE);
+    for (int i = 0; i < 5; i++) {
+      choice.arrived(11, Fixture.job("b" + i, 0, 5_011));
+      assertNotEquals(full, out.last().worker());
     }
+  }
 
-    @Test
-    void tiesBreakAtRandomButRepeatably() {
-        Set<Long> firsts = new HashSet<>();
-        for (int seed = 0; seed < 40; seed++) {
-            List<Long> runs = new ArrayList<>();
-            for (int run = 0; run < 2; run++) {
-                Fixture.Recorder each = new Fixture.Recorder();
-                Choice choice = new Choice(Fixture.settings(0, 1, Fixture.jobClass(Effect.SAFE, Scope.ALL)), seed, 0, each);
-                choice.members(0, News.STORED, FLEET);
-                choice.arrived(10, Fixture.job("a", 0, 5_010));
-                runs.add(each.last().worker());
-            }
-            assertEquals(runs.get(0), runs.get(1));
-            firsts.add(runs.get(0));
-        }
-        assertTrue(firsts.size() >= 3, "always the same: " + firsts);
+  @Test
+  void workerThatReportsNoRoomIsPassedOver() {
+    for (Report none :
+        List.of(
+            new Report(0, Double.NaN, Double.NaN, Double.NaN),
+            new Report(Double.NaN, 0, Double.NaN, Double.NaN))) {
+      Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
+      choice.arrived(10, Fixture.job("a", 0, 5_010));
+      long busy = out.last().worker();
+      choice.ended(200, "a", 0, Outcome.OK, 190, true, none);
+      assertFalse(use(choice, 20, 201).contains(busy));
+      assertTrue(use(choice, 40, 400).contains(busy));
     }
+  }
 
-    @Test
-    void failingWorkerIsLeftOutAndReturnsByTrial() {
-        Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+  @Test
+  void tiesBreakAtRandomButRepeatably() {
+    Set<Long> firsts = new HashSet<>();
+    for (int seed = 0; seed < 40; seed++) {
+      List<Long> runs = new ArrayList<>();
+      for (int run = 0; run < 2; run++) {
+        Fixture.Recorder each = new Fixture.Recorder();
+        Choice choice =
+            new Choice(
+                Fixture.settings(0, 1, Fixture.jobClass(Effect.SAFE, Scope.ALL)), seed, 0, each);
+        choice.members(0, News.STORED, FLEET);
         choice.arrived(10, Fixture.job("a", 0, 5_010));
-        long bad = out.last().worker();
-        choice.ended(12, "a", 0, Outcome.ERROR, 2, false, Report.NONE);
-        assertFalse(use(choice, 30, 20).contains(bad));
-        assertTrue(use(choice, 30, 3_000).contains(bad));
+        runs.add(each.last().worker());
+      }
+      assertEquals(runs.get(0), runs.get(1));
+      firsts.add(runs.get(0));
     }
+    assertTrue(firsts.size() >= 3, "always the same: " + firsts);
+  }
 
-    /** Danger: a dispatcher met a lost zone worker by worker, a refused connection each (incident i1da63f). */
-    @Test
-    void zoneThatRefusesConnectionsIsLeftAsAWhole() {
-        Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
-        List<Worker> fleet = new ArrayList<>();
-        for (int i = 0; i < 40; i++) {
-            fleet.add(Fixture.worker(100 + i, i % 2, 0));
-        }
-        choice.members(1, News.WHOLE, fleet);
-        int lost = 0;
-        for (int i = 0; i < 60; i++) {
-            String id = "z" + i;
-            choice.arrived(10 + i, Fixture.job(id, 0, 5_010));
-            for (int n = 0; n < 3 && out.last().id().equals(id) && out.last().worker() % 2 == 0; n++) {
-                lost++;
-                choice.ended(10 + i, id, n, Outcome.CONNECT_FAILED, 1, false, Report.NONE);
-            }
-        }
-        assertTrue(lost >= 1 && lost <= 6, "connections tried into the lost zone: " + lost);
-    }
+  @Test
+  void failingWorkerIsLeftOutAndReturnsByTrial() {
+    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    choice.arrived(10, Fixture.job("a", 0, 5_010));
+    long bad = out.last().worker();
+    choice.ended(12, "a", 0, Outcome.ERROR, 2, false, Report.NONE);
+    assertFalse(use(choice, 30, 20).contains(bad));
+    assertTrue(use(choice, 30, 3_000).contains(bad));
+  }
 
-    @Test
-    void repeatableJobStuckInAQueueIsTriedElsewhereAndTheFirstStartWins() {
-        Choice choice = choice(Effect.SAFE, Scope.ALL, true);
-        choice.arrived(10, Fixture.job("r", 0, 5_010));
-        long token = out.timers.get(out.timers.size() - 1)[1];
-        long first = out.last().worker();
-        choice.timer(200, token);
-        assertEquals(2, out.sends.size());
-        assertNotEquals(first, out.last().worker());
-        choice.started(205, "r", 1);
-        assertEquals(List.of("r/0"), out.cancelled);
-        choice.ended(205, "r", 0, Outcome.CANCELLED, 195, false, Report.NONE);
-        assertEquals(2, out.sends.size(), "a given-up place is not sent again");
-        choice.ended(300, "r", 1, Outcome.OK, 100, true, Report.NONE);
-        assertEquals(0, out.refused.size() + out.failed.size());
+  /**
+   * Danger: a dispatcher met a lost zone worker by worker, a refused connection each (incident
+   * i1da63f).
+   */
+  @Test
+  void zoneThatRefusesConnectionsIsLeftAsAWhole() {
+    Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
+    List<Worker> fleet = new ArrayList<>();
+    for (int i = 0; i < 40; i++) {
+      fleet.add(Fixture.worker(100 + i, i % 2, 0));
     }
-
-    @Test
-    void unsafeJobNeverHasTwoAttemptsOut() {
-        Choice choice = choice(Effect.UNSAFE, Scope.ALL, true);
-        choice.arrived(10, Fixture.job("r", 0, 5_010));
-        for (long[] timer : new ArrayList<>(out.timers)) {
-            choice.timer(400, timer[1]);
-        }
-        assertEquals(1, out.sends.size());
+    choice.members(1, News.WHOLE, fleet);
+    int lost = 0;
+    for (int i = 0; i < 60; i++) {
+      String id = "z" + i;
+      choice.arrived(10 + i, Fixture.job(id, 0, 5_010));
+      for (int n = 0; n < 3 && out.last().id().equals(id) && out.last().worker() % 2 == 0; n++) {
+        lost++;
+        choice.ended(10 + i, id, n, Outcome.CONNECT_FAILED, 1, false, Report.NONE);
+      }
     }
+    assertTrue(lost >= 1 && lost <= 6, "connections tried into the lost zone: " + lost);
+  }
 
-    @Test
-    void invalidSettingsAndJobsNameTheField() {
-        Exception job = assertThrows(IllegalArgumentException.class, () -> Fixture.job("", 0, 1));
-        assertTrue(job.getMessage().contains("Job.id"));
-        Exception me = assertThrows(IllegalArgumentException.class,
-                () -> Fixture.settings(3, 3, Fixture.jobClass(Effect.SAFE, Scope.ALL)));
-        assertTrue(me.getMessage().contains("Settings.me"));
-        Choice choice = choice(Effect.SAFE, Scope.ALL, false);
-        Exception range = assertThrows(IllegalArgumentException.class,
-                () -> choice.arrived(1, new Dispatcher.Job("x", 9, 0, 10, 0, 1, 0, 0)));
-        assertTrue(range.getMessage().contains("Job.jobClass"));
+  @Test
+  void repeatableJobStuckInAQueueIsTriedElsewhereAndTheFirstStartWins() {
+    Choice choice = choice(Effect.SAFE, Scope.ALL, true);
+    choice.arrived(10, Fixture.job("r", 0, 5_010));
+    long token = out.timers.get(out.timers.size() - 1)[1];
+    long first = out.last().worker();
+    choice.timer(200, token);
+    assertEquals(2, out.sends.size());
+    assertNotEquals(first, out.last().worker());
+    choice.started(205, "r", 1);
+    assertEquals(List.of("r/0"), out.cancelled);
+    choice.ended(205, "r", 0, Outcome.CANCELLED, 195, false, Report.NONE);
+    assertEquals(2, out.sends.size(), "a given-up place is not sent again");
+    choice.ended(300, "r", 1, Outcome.OK, 100, true, Report.NONE);
+    assertEquals(0, out.refused.size() + out.failed.size());
+  }
+
+  @Test
+  void unsafeJobNeverHasTwoAttemptsOut() {
+    Choice choice = choice(Effect.UNSAFE, Scope.ALL, true);
+    choice.arrived(10, Fixture.job("r", 0, 5_010));
+    for (long[] timer : new ArrayList<>(out.timers)) {
+      choice.timer(400, timer[1]);
     }
+    assertEquals(1, out.sends.size());
+  }
+
+  @Test
+  void invalidSettingsAndJobsNameTheField() {
+    Exception job = assertThrows(IllegalArgumentException.class, () -> Fixture.job("", 0, 1));
+    assertTrue(job.getMessage().contains("Job.id"));
+    Exception me =
+        assertThrows(
+            IllegalArgumentException.class,
+            () -> Fixture.settings(3, 3, Fixture.jobClass(Effect.SAFE, Scope.ALL)));
+    assertTrue(me.getMessage().contains("Settings.me"));
+    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    Exception range =
+        assertThrows(
+            IllegalArgumentException.class,
+            () -> choice.arrived(1, new Dispatcher.Job("x", 9, 0, 10, 0, 1, 0, 0)));
+    assertTrue(range.getMessage().contains("Job.jobClass"));
+  }
 }
--- a/decisions/src/test/java/ferngrade/SlowStartTest.java
+++ b/decisions/src/test/java/ferngrade/SlowStartTest.java
@@ -14,119 +14,130 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The budgets of workers that are warming up, where every dispatcher always has a request for them. */
+/**
+ * The budgets of workers that are warming up, where every dispatcher always has a request for them.
+ */
 class SlowStartTest {
-    private static final ColdRule RULE = new ColdRule(0.2, 20_000, 3, 3_000);
-    private static final double START = 1_000;
-    private static final double STEP = 10;
-
-    private record Sent(double at, double cost) { }
-
-    private static Worker worker(double startedAt) {
-        return new Worker(9, State.READY, 0, 0, 0, startedAt, 1);
-    }
-
-    private static double limit(double capacity, double at) {
-        double warmth = Math.min(1, 0.2 + 0.8 * (at - START) / RULE.coldMs());
-        return RULE.fallMultiple() * warmth * capacity * RULE.tipMs() / 1000;
-    }
-
-    private static double sum(List<Sent> sends, double after, double until) {
-        return sends.stream().filter(each -> each.at() > after && each.at() <= until).mapToDouble(Sent::cost).sum();
-    }
-
-    private static List<SlowStart> fleet(int dispatchers) {
-        List<SlowStart> fleet = new ArrayList<>();
-        for (int me = 0; me < dispatchers; me++) {
-            fleet.add(new SlowStart(RULE, me, dispatchers));
-        }
-        return fleet;
-    }
-
-    /** Every dispatcher sends whenever it may; requests in {@code burst} ms out of 6 s, the rest is quiet. */
-    private static List<Sent> greedy(List<SlowStart> fleet, double capacity, double burst, double restartAt) {
-        SplittableRandom random = new SplittableRandom(3);
-        List<Sent> sends = new ArrayList<>();
-        List<SlowStart> running = fleet;
-        for (double now = START; now < START + RULE.coldMs(); now += STEP) {
-            if (now == restartAt) {
-                running = fleet(fleet.size());
-            }
-            for (SlowStart each : running) {
-                double cost = 0.2 + 1.6 * random.nextDouble();
-                while (now % 6_000 < burst && each.allows(worker(START), cost, capacity, now)) {
-                    each.sent(worker(START), cost, now);
-                    sends.add(new Sent(now, cost));
-                    cost = 0.2 + 1.6 * random.nextDouble();
-                }
-            }
-        }
-        return sends;
+  private static final ColdRule RULE = new ColdRule(0.2, 20_000, 3, 3_000);
+  private static final double START = 1_000;
+  private static final double STEP = 10;
+
+  private record Sent(double at, double cost) {}
+
+  private static Worker worker(double startedAt) {
+    return new Worker(9, State.READY, 0, 0, 0, startedAt, 1);
+  }
+
+  private static double limit(double capacity, double at) {
+    double warmth = Math.min(1, 0.2 + 0.8 * (at - START) / RULE.coldMs());
+    return RULE.fallMultiple() * warmth * capacity * RULE.tipMs() / 1000;
+  }
+
+  private static double sum(List<Sent> sends, double after, double until) {
+    return sends.stream()
+        .filter(each -> each.at() > after && each.at() <= until)
+        .mapToDouble(Sent::cost)
+        .sum();
+  }
+
+  private static List<SlowStart> fleet(int dispatchers) {
+    List<SlowStart> fleet = new ArrayList<>();
+    for (int me = 0; me < dispatchers; me++) {
+      fleet.add(new SlowStart(RULE, me, dispatchers));
     }
-
-    private static void assertKept(List<Sent> sends, double capacity) {
-        for (Sent last : sends) {
-            double n = limit(capacity, last.at());
-            double slack = n < 30 ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2;
-            double sent = sum(sends, last.at() - RULE.tipMs(), last.at());
-            assertTrue(sent <= n + slack, sent + " of " + n + " at " + last.at());
-        }
-    }
-
-    @ParameterizedTest
-    @CsvSource({"1,0.1", "1,2", "1,20", "1,200", "3,0.1", "3,2", "3,20", "3,200", "30,0.1", "30,2", "30,20", "30,200",
-        "100,0.1", "100,2", "100,20", "100,200"})
-    void noWindowHoldsMoreThanTheLimitAndTheBudgetIsUsed(int dispatchers, double capacity) {
-        List<Sent> steady = greedy(fleet(dispatchers), capacity, 6_000, 0);
-        assertKept(steady, capacity);
-        double mean = limit(capacity, START + RULE.coldMs() / 2) * RULE.coldMs() / RULE.tipMs();
-        double used = sum(steady, 0, Double.MAX_VALUE);
-        assertTrue(used >= 0.3 * mean, used + " of " + mean);
-        assertKept(greedy(fleet(dispatchers), capacity, 3_000, 0), capacity);
-    }
-
-    @ParameterizedTest
-    @CsvSource({"1,20", "3,20", "30,20", "100,20"})
-    void aRestartOfAllDispatchersGrantsNothingTwice(int dispatchers, double capacity) {
-        assertKept(greedy(fleet(dispatchers), capacity, 6_000, START + 7_000), capacity);
-    }
-
-    @Test
-    void requestsThatReachedANewProcessUnnoticedArePaidForWithinAWindow() {
-        SlowStart slowStart = new SlowStart(RULE, 0, 1);
-        for (int i = 0; i < 50; i++) {
-            slowStart.sent(worker(0), 1, START + 10 * i);
+    return fleet;
+  }
+
+  /**
+   * Every dispatcher sends whenever it may; requests in {@code burst} ms out of 6 s, the rest is
+   * quiet.
+   */
+  private static List<Sent> greedy(
+      List<SlowStart> fleet, double capacity, double burst, double restartAt) {
+    SplittableRandom random = new SplittableRandom(3);
+    List<Sent> sends = new ArrayList<>();
+    List<SlowStart> running = fleet;
+    for (double now = START; now < START + RULE.coldMs(); now += STEP) {
+      if (now == restartAt) {
+        running = fleet(fleet.size());
+      }
+      for (SlowStart each : running) {
+        double cost = 0.2 + 1.6 * random.nextDouble();
+        while (now % 6_000 < burst && each.allows(worker(START), cost, capacity, now)) {
+          each.sent(worker(START), cost, now);
+          sends.add(new Sent(now, cost));
+          cost = 0.2 + 1.6 * random.nextDouble();
         }
-        Worker restarted = worker(START);
-        assertFalse(slowStart.allows(restarted, 1, 20, START + 500));
-        assertFalse(slowStart.allows(restarted, 1, 20, START + 2_000));
-        assertTrue(slowStart.allows(restarted, 1, 20, START + 4_500));
-    }
-
-    @Test
-    void requestsToTheProcessBeforeTheRestartDoNotCount() {
-        SlowStart slowStart = new SlowStart(RULE, 0, 1);
-        slowStart.sent(worker(0), 50, START - 10);
-        assertFalse(slowStart.allows(worker(START), 1, 20, START));
-        assertTrue(slowStart.allows(worker(START), 1, 20, START + 500));
+      }
     }
-
-    @Test
-    void aStartInTheFutureCountsAsNow() {
-        SlowStart slowStart = new SlowStart(RULE, 0, 1);
-        Worker future = worker(3_600_000);
-        assertEquals(0.2, slowStart.warmth(future, START), 1e-9);
-        slowStart.allows(future, 1, 20, START);
-        assertTrue(slowStart.allows(future, 1, 20, START + 1_000));
+    return sends;
+  }
+
+  private static void assertKept(List<Sent> sends, double capacity) {
+    for (Sent last : sends) {
+      double n = limit(capacity, last.at());
+      double slack = n < 30 ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2;
+      double sent = sum(sends, last.at() - RULE.tipMs(), last.at());
+      assertTrue(sent <= n + slack, sent + " of " + n + " at " + last.at());
     }
-
-    @Test
-    void aWarmWorkerAndADeploymentWithoutSlowStartHaveNoLimit() {
-        SlowStart slowStart = new SlowStart(RULE, 0, 100);
-        assertTrue(slowStart.allows(worker(0), 1e6, 0, START));
-        assertTrue(slowStart.allows(worker(START), 1e6, 0, START + RULE.coldMs()));
-        SlowStart none = new SlowStart(new ColdRule(1, 0, 1, 1_000), 0, 100);
-        assertTrue(none.allows(worker(START), 1e6, 0, START));
-        assertEquals(1, none.warmth(worker(START), START));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "1,0.1", "1,2", "1,20", "1,200", "3,0.1", "3,2", "3,20", "3,200", "30,0.1", "30,2", "30,20",
+    "30,200", "100,0.1", "100,2", "100,20", "100,200"
+  })
+  void noWindowHoldsMoreThanTheLimitAndTheBudgetIsUsed(int dispatchers, double capacity) {
+    List<Sent> steady = greedy(fleet(dispatchers), capacity, 6_000, 0);
+    assertKept(steady, capacity);
+    double mean = limit(capacity, START + RULE.coldMs() / 2) * RULE.coldMs() / RULE.tipMs();
+    double used = sum(steady, 0, Double.MAX_VALUE);
+    assertTrue(used >= 0.3 * mean, used + " of " + mean);
+    assertKept(greedy(fleet(dispatchers), capacity, 3_000, 0), capacity);
+  }
+
+  @ParameterizedTest
+  @CsvSource({"1,20", "3,20", "30,20", "100,20"})
+  void aRestartOfAllDispatchersGrantsNothingTwice(int dispatchers, double capacity) {
+    assertKept(greedy(fleet(dispatchers), capacity, 6_000, START + 7_000), capacity);
+  }
+
+  @Test
+  void requestsThatReachedANewProcessUnnoticedArePaidForWithinAWindow() {
+    SlowStart slowStart = new SlowStart(RULE, 0, 1);
+    for (int i = 0; i < 50; i++) {
+      slowStart.sent(worker(0), 1, START + 10 * i);
     }
+    Worker restarted = worker(START);
+    assertFalse(slowStart.allows(restarted, 1, 20, START + 500));
+    assertFalse(slowStart.allows(restarted, 1, 20, START + 2_000));
+    assertTrue(slowStart.allows(restarted, 1, 20, START + 4_500));
+  }
+
+  @Test
+  void requestsToTheProcessBeforeTheRestartDoNotCount() {
+    SlowStart slowStart = new SlowStart(RULE, 0, 1);
+    slowStart.sent(worker(0), 50, START - 10);
+    assertFalse(slowStart.allows(worker(START), 1, 20, START));
+    assertTrue(slowStart.allows(worker(START), 1, 20, START + 500));
+  }
+
+  @Test
+  void aStartInTheFutureCountsAsNow() {
+    SlowStart slowStart = new SlowStart(RULE, 0, 1);
+    Worker future = worker(3_600_000);
+    assertEquals(0.2, slowStart.warmth(future, START), 1e-9);
+    slowStart.allows(future, 1, 20, START);
+    assertTrue(slowStart.allows(future, 1, 20, START + 1_000));
+  }
+
+  @Test
+  void aWarmWorkerAndADeploymentWithoutSlowStartHaveNoLimit() {
+    SlowStart slowStart = new SlowStart(RULE, 0, 100);
+    assertTrue(slowStart.allows(worker(0), 1e6, 0, START));
+    assertTrue(slowStart.allows(worker(START), 1e6, 0, START + RULE.coldMs()));
+    SlowStart none = new SlowStart(new ColdRule(1, 0, 1, 1_000), 0, 100);
+    assertTrue(none.allows(worker(START), 1e6, 0, START));
+    assertEquals(1, none.warmth(worker(START), START));
+  }
 }
--- a/durable/src/main/java/ferngrade/durable/EntryCodec.java
+++ b/durable/src/main/java/ferngrade/durable/EntryCodec.java
@@ -9,98 +9,114 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Entries as bytes: a type, then its fields in their order, in the forms of {@link DataOutputStream}. */
+/**
+ * Entries as bytes: a type, then its fields in their order, in the forms of {@link
+ * DataOutputStream}.
+ */
 final class EntryCodec {
-    private static final int ACCEPTED = 1;
-    private static final int LEASED = 2;
-    private static final int STARTED = 3;
-    private static final int RETURNED = 4;
-    private static final int DOUBTED = 5;
-    private static final int ENDED = 6;
-    private static final int FORGOTTEN = 7;
-    private static final int TOKENS = 8;
+  private static final int ACCEPTED = 1;
+  private static final int LEASED = 2;
+  private static final int STARTED = 3;
+  private static final int RETURNED = 4;
+  private static final int DOUBTED = 5;
+  private static final int ENDED = 6;
+  private static final int FORGOTTEN = 7;
+  private static final int TOKENS = 8;
 
-    private EntryCodec() { }
+  private EntryCodec() {}
 
-    static void write(Entry entry, ByteArrayOutputStream to) {
-        DataOutputStream out = new DataOutputStream(to);
-        try {
-            if (entry instanceof Entry.Accepted e) {
-                out.writeByte(ACCEPTED);
-                out.writeUTF(e.id());
-                out.writeByte(e.effect().ordinal());
-                out.writeUTF(e.key());
-                out.writeDouble(e.window());
-                out.writeInt(e.attempts());
-                out.writeDouble(e.at());
-                out.writeInt(e.payload().length);
-                out.write(e.payload());
-            } else if (entry instanceof Entry.Leased e) {
-                out.writeByte(LEASED);
-                out.writeUTF(e.id());
-                out.writeUTF(e.worker());
-                out.writeLong(e.token());
-                out.writeDouble(e.at());
-            } else if (entry instanceof Entry.Started e) {
-                out.writeByte(STARTED);
-                out.writeUTF(e.id());
-                out.writeLong(e.token());
-                out.writeDouble(e.since());
-            } else if (entry instanceof Entry.Returned e) {
-                out.writeByte(RETURNED);
-                out.writeUTF(e.id());
-                out.writeLong(e.token());
-                out.writeBoolean(e.unstarted());
-                out.writeDouble(e.notBefore());
-            } else if (entry instanceof Entry.Doubted e) {
-                out.writeByte(DOUBTED);
-                out.writeUTF(e.id());
-                out.writeLong(e.token());
-                out.writeDouble(e.since());
-            } else if (entry instanceof Entry.Ended e) {
-                out.writeByte(ENDED);
-                out.writeUTF(e.id());
-                out.writeLong(e.token());
-                out.writeBoolean(e.done());
-                byte[] result = e.result().getBytes(StandardCharsets.UTF_8);
-                out.writeInt(result.length);
-                out.write(result);
-                out.writeDouble(e.at());
-            } else if (entry instanceof Entry.Forgotten e) {
-                out.writeByte(FORGOTTEN);
-                out.writeUTF(e.id());
-            } else if (entry instanceof Entry.Tokens e) {
-                out.writeByte(TOKENS);
-                out.writeLong(e.highest());
-            }
-        } catch (IOException impossible) {
-            throw new UncheckedIOException(impossible);
-        }
+  static void write(Entry entry, ByteArrayOutputStream to) {
+    DataOutputStream out = new DataOutputStream(to);
+    try {
+      if (entry instanceof Entry.Accepted e) {
+        out.writeByte(ACCEPTED);
+        out.writeUTF(e.id());
+        out.writeByte(e.effect().ordinal());
+        out.writeUTF(e.key());
+        out.writeDouble(e.window());
+        out.writeInt(e.attempts());
+        out.writeDouble(e.at());
+        out.writeInt(e.payload().length);
+        out.write(e.payload());
+      } else if (entry instanceof Entry.Leased e) {
+        out.writeByte(LEASED);
+        out.writeUTF(e.id());
+        out.writeUTF(e.worker());
+        out.writeLong(e.token());
+        out.writeDouble(e.at());
+      } else if (entry instanceof Entry.Started e) {
+        out.writeByte(STARTED);
+        out.writeUTF(e.id());
+        out.writeLong(e.token());
+        out.writeDouble(e.since());
+      } else if (entry instanceof Entry.Returned e) {
+        out.writeByte(RETURNED);
+        out.writeUTF(e.id());
+        out.writeLong(e.token());
+        out.writeBoolean(e.unstarted());
+        out.writeDouble(e.notBefore());
+      } else if (entry instanceof Entry.Doubted e) {
+        out.writeByte(DOUBTED);
+        out.writeUTF(e.id());
+        out.writeLong(e.token());
+        out.writeDouble(e.since());
+      } else if (entry instanceof Entry.Ended e) {
+        out.writeByte(ENDED);
+        out.writeUTF(e.id());
+        out.writeLong(e.token());
+        out.writeBoolean(e.done());
+        byte[] result = e.result().getBytes(StandardCharsets.UTF_8);
+        out.writeInt(result.length);
+        out.write(result);
+        out.writeDouble(e.at());
+      } else if (entry instanceof Entry.Forgotten e) {
+        out.writeByte(FORGOTTEN);
+        out.writeUTF(e.id());
+      } else if (entry instanceof Entry.Tokens e) {
+        out.writeByte(TOKENS);
+        out.writeLong(e.highest());
+      }
+    } catch (IOException impossible) {
+      throw new UncheckedIOException(impossible);
     }
+  }
 
-    /** Reads one entry; an {@link IOException} says that these bytes hold none. */
-    static Entry read(byte[] bytes, int offset, int length) throws IOException {
-        DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, offset, length));
-        int type = in.readUnsignedByte();
-        return switch (type) {
-            case ACCEPTED -> new Entry.Accepted(in.readUTF(), effect(in.readUnsignedByte()), in.readUTF(),
-                    in.readDouble(), in.readInt(), in.readDouble(), in.readNBytes(in.readInt()));
-            case LEASED -> new Entry.Leased(in.readUTF(), in.readUTF(), in.readLong(), in.readDouble());
-            case STARTED -> new Entry.Started(in.readUTF(), in.readLong(), in.readDouble());
-            case RETURNED -> new Entry.Returned(in.readUTF(), in.readLong(), in.readBoolean(), in.readDouble());
-            case DOUBTED -> new Entry.Doubted(in.readUTF(), in.readLong(), in.readDouble());
-            case ENDED -> new Entry.Ended(in.readUTF(), in.readLong(), in.readBoolean(),
-                    new String(in.readNBytes(in.readInt()), StandardCharsets.UTF_8), in.readDouble());
-            case FORGOTTEN -> new Entry.Forgotten(in.readUTF());
-            case TOKENS -> new Entry.Tokens(in.readLong());
-            default -> throw new IOException("no entry has the type " + type);
-        };
-    }
+  /** Reads one entry; an {@link IOException} says that these bytes hold none. */
+  static Entry read(byte[] bytes, int offset, int length) throws IOException {
+    DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, offset, length));
+    int type = in.readUnsignedByte();
+    return switch (type) {
+      case ACCEPTED ->
+          new Entry.Accepted(
+              in.readUTF(),
+              effect(in.readUnsignedByte()),
+              in.readUTF(),
+              in.readDouble(),
+              in.readInt(),
+              in.readDouble(),
+              in.readNBytes(in.readInt()));
+      case LEASED -> new Entry.Leased(in.readUTF(), in.readUTF(), in.readLong(), in.readDouble());
+      case STARTED -> new Entry.Started(in.readUTF(), in.readLong(), in.readDouble());
+      case RETURNED ->
+          new Entry.Returned(in.readUTF(), in.readLong(), in.readBoolean(), in.readDouble());
+      case DOUBTED -> new Entry.Doubted(in.readUTF(), in.readLong(), in.readDouble());
+      case ENDED ->
+          new Entry.Ended(
+              in.readUTF(),
+              in.readLong(),
+              in.readBoolean(),
+              new String(in.readNBytes(in.readInt()), StandardCharsets.UTF_8),
+              in.readDouble());
+      case FORGOTTEN -> new Entry.Forgotten(in.readUTF());
+      case TOKENS -> new Entry.Tokens(in.readLong());
+      default -> throw new IOException("no entry has the type " + type);
+    };
+  }
 
-    private static Effect effect(int ordinal) throws IOException {
-        if (ordinal >= Effect.values().length) {
-            throw new IOException("no class has the effect " + ordinal);
-        }
-        return Effect.values()[ordinal];
+  private static Effect effect(int ordinal) throws IOException {
+    if (ordinal >= Effect.values().length) {
+      throw new IOException("no class has the effect " + ordinal);
     }
+    return Effect.values()[ordinal];
+  }
 }
--- a/durable/src/main/java/ferngrade/durable/FolderDisk.java
+++ b/durable/src/main/java/ferngrade/durable/FolderDisk.java
@@ -14,102 +14,109 @@
 
 /** A folder of a real file system. Opened to write, it is held for this process alone. */
 public final class FolderDisk implements Disk, AutoCloseable {
-    private static final String LOCK = "lock";
+  private static final String LOCK = "lock";
 
-    private final Path folder;
-    private final FileChannel lock;
+  private final Path folder;
+  private final FileChannel lock;
 
-    private FolderDisk(Path folder, FileChannel lock) {
-        this.folder = folder;
-        this.lock = lock;
-    }
+  private FolderDisk(Path folder, FileChannel lock) {
+    this.folder = folder;
+    this.lock = lock;
+  }
 
-    /** Opens a folder to write, which is made if it is missing; an {@link IOException} says that another has it. */
-    public static FolderDisk hold(Path folder) throws IOException {
-        Files.createDirectories(folder);
-        FileChannel channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE);
-        FileLock held;
-        try {
-            held = channel.tryLock();
-        } catch (OverlappingFileLockException here) {
-            held = null;
-        }
-        if (held == null) {
-            channel.close();
-            throw new IOException(folder + " is open in another process");
-        }
-        return new FolderDisk(folder, channel);
+  /**
+   * Opens a folder to write, which is made if it is missing; an {@link IOException} says that
+   * another has it.
+   */
+  public static FolderDisk hold(Path folder) throws IOException {
+    Files.createDirectories(folder);
+    FileChannel channel =
+        FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    FileLock held;
+    try {
+      held = channel.tryLock();
+    } catch (OverlappingFileLockException here) {
+      held = null;
     }
-
-    /** Opens a folder to read. */
-    public static FolderDisk look(Path folder) throws IOException {
-        if (!Files.isDirectory(folder)) {
-            throw new IOException(folder + " is no folder");
-        }
-        return new FolderDisk(folder, null);
+    if (held == null) {
+      channel.close();
+      throw new IOException(folder + " is open in another process");
     }
+    return new FolderDisk(folder, channel);
+  }
 
-    @Override
-    public List<String> list() throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
-            return files.map(file -> file.getFileName().toString()).filter(name -> !name.equals(LOCK)).sorted()
-                    .toList();
-        }
+  /** Opens a folder to read. */
+  public static FolderDisk look(Path folder) throws IOException {
+    if (!Files.isDirectory(folder)) {
+      throw new IOException(folder + " is no folder");
     }
+    return new FolderDisk(folder, null);
+  }
 
-    @Override
-    public byte[] read(String name) throws IOException {
-        return Files.readAllBytes(folder.resolve(name));
+  @Override
+  public List<String> list() throws IOException {
+    try (Stream<Path> files = Files.list(folder)) {
+      return files
+          .map(file -> file.getFileName().toString())
+          .filter(name -> !name.equals(LOCK))
+          .sorted()
+          .toList();
     }
+  }
 
-    @Override
-    public Appender create(String name) throws IOException {
-        FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE_NEW,
-                StandardOpenOption.WRITE);
-        return new Appender() {
-            @Override
-            public void append(byte[] bytes, int length) throws IOException {
-                ByteBuffer left = ByteBuffer.wrap(bytes, 0, length);
-                while (left.hasRemaining()) {
-                    channel.write(left);
-                }
-            }
+  @Override
+  public byte[] read(String name) throws IOException {
+    return Files.readAllBytes(folder.resolve(name));
+  }
 
-            @Override
-            public void sync() throws IOException {
-                // Without the metadata that no read needs: fdatasync.
-                channel.force(false);
-            }
+  @Override
+  public Appender create(String name) throws IOException {
+    FileChannel channel =
+        FileChannel.open(
+            folder.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+    return new Appender() {
+      @Override
+      public void append(byte[] bytes, int length) throws IOException {
+        ByteBuffer left = ByteBuffer.wrap(bytes, 0, length);
+        while (left.hasRemaining()) {
+          channel.write(left);
+        }
+      }
 
-            @Override
-            public void close() throws IOException {
-                channel.close();
-            }
-        };
-    }
+      @Override
+      public void sync() throws IOException {
+        // Without the metadata that no read needs: fdatasync.
+        channel.force(false);
+      }
 
-    @Override
-    public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
-    }
+      @Override
+      public void close() throws IOException {
+        channel.close();
+      }
+    };
+  }
 
-    @Override
-    public void delete(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
-    }
+  @Override
+  public void rename(String from, String to) throws IOException {
+    Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+  }
 
-    @Override
-    public void syncNames() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
-        }
+  @Override
+  public void delete(String name) throws IOException {
+    Files.deleteIfExists(folder.resolve(name));
+  }
+
+  @Override
+  public void syncNames() throws IOException {
+    try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
+      names.force(true);
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        if (lock != null) {
-            lock.close();
-        }
+  @Override
+  public void close() throws IOException {
+    if (lock != null) {
+      lock.close();
     }
+  }
 }
--- a/durable/src/main/java/ferngrade/durable/RetryTimer.java
+++ b/durable/src/main/java/ferngrade/durable/RetryTimer.java
@@ -3,6 +3,6 @@
 /** Runs something later, by a clock that never jumps. */
 @FunctionalInterface
 public interface RetryTimer {
-    /** Runs this once after so many ms. */
-    void after(double millis, Runnable run);
+  /** Runs this once after so many ms. */
+  void after(double millis, Runnable run);
 }
--- a/durable/src/main/java/ferngrade/durable/StoreCommand.java
+++ b/durable/src/main/java/ferngrade/durable/StoreCommand.java
@@ -14,135 +14,162 @@
 import picocli.CommandLine.Parameters;
 
 /** What an operator can do with a store that no node has open. */
-@Command(name = "store", description = "Looks into a store of durable jobs, and mends one.",
-        mixinStandardHelpOptions = true, subcommands = {StoreCommand.Check.class, StoreCommand.Dump.class,
-            StoreCommand.Stats.class, StoreCommand.Repair.class, CommandLine.HelpCommand.class})
+@Command(
+    name = "store",
+    description = "Looks into a store of durable jobs, and mends one.",
+    mixinStandardHelpOptions = true,
+    subcommands = {
+      StoreCommand.Check.class,
+      StoreCommand.Dump.class,
+      StoreCommand.Stats.class,
+      StoreCommand.Repair.class,
+      CommandLine.HelpCommand.class
+    })
 public final class StoreCommand implements SubCommand, Runnable {
-    /** The exit code for a store that is damaged. */
-    static final int DAMAGED = 1;
+  /** The exit code for a store that is damaged. */
+  static final int DAMAGED = 1;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
-    }
-
-    /** Reads a whole store and does something with what stands in it. */
-    abstract static class Reading implements Callable<Integer> {
-        @Parameters(paramLabel = "DIR", description = "The store's folder.")
-        private Path folder;
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
+  }
 
-        @Override
-        public Integer call() {
-            Ledger ledger = new Ledger(Journal.READING);
-            try (FolderDisk disk = FolderDisk.look(folder)) {
-                Journal.Recovery found = Journal.inspect(disk, ledger::replay);
-                show(ledger, found);
-                return 0;
-            } catch (DamagedException damaged) {
-                System.err.println("ferngrade: damaged: " + damaged.getMessage());
-                return DAMAGED;
-            } catch (IOException unreadable) {
-                System.err.println("ferngrade: " + unreadable.getMessage());
-                return Cli.BAD_CONFIG;
-            }
-        }
+  /** Reads a whole store and does something with what stands in it. */
+  abstract static class Reading implements Callable<Integer> {
+    @Parameters(paramLabel = "DIR", description = "The store's folder.")
+    private Path folder;
 
-        abstract void show(Ledger ledger, Journal.Recovery found);
+    @Override
+    public Integer call() {
+      Ledger ledger = new Ledger(Journal.READING);
+      try (FolderDisk disk = FolderDisk.look(folder)) {
+        Journal.Recovery found = Journal.inspect(disk, ledger::replay);
+        show(ledger, found);
+        return 0;
+      } catch (DamagedException damaged) {
+        System.err.println("ferngrade: damaged: " + damaged.getMessage());
+        return DAMAGED;
+      } catch (IOException unreadable) {
+        System.err.println("ferngrade: " + unreadable.getMessage());
+        return Cli.BAD_CONFIG;
+      }
     }
 
-    /** Says whether all of it can be read. */
-    @Command(name = "check", description = "Says whether all of it can be read; a torn tail is told and is no damage.")
-    static final class Check extends Reading {
-        @Override
-        void show(Ledger ledger, Journal.Recovery found) {
-            System.out.printf("sound: %d entries in %d batches, %d jobs%n", found.entries(), found.batches(),
-                    ledger.jobs().size());
-            if (found.cut() > 0) {
-                System.out.printf("%s ends in %d bytes of a batch that was never synced%n", found.cutFile(), found.cut());
-            }
-        }
+    abstract void show(Ledger ledger, Journal.Recovery found);
+  }
+
+  /** Says whether all of it can be read. */
+  @Command(
+      name = "check",
+      description = "Says whether all of it can be read; a torn tail is told and is no damage.")
+  static final class Check extends Reading {
+    @Override
+    void show(Ledger ledger, Journal.Recovery found) {
+      System.out.printf(
+          "sound: %d entries in %d batches, %d jobs%n",
+          found.entries(), found.batches(), ledger.jobs().size());
+      if (found.cut() > 0) {
+        System.out.printf(
+            "%s ends in %d bytes of a batch that was never synced%n", found.cutFile(), found.cut());
+      }
     }
+  }
 
-    /** Prints every job. */
-    @Command(name = "dump", description = "Prints a line for each job: id, state, class, leases, token, worker, result.")
-    static final class Dump extends Reading {
-        @Override
-        void show(Ledger ledger, Journal.Recovery found) {
-            for (Job job : ledger.jobs()) {
-                System.out.printf("%s %s %s leases=%d token=%d worker=%s %s%n", job.id(), job.state(), job.effect(),
-                        job.leases(), job.token(), job.worker().isEmpty() ? "-" : job.worker(), job.result());
-            }
-        }
+  /** Prints every job. */
+  @Command(
+      name = "dump",
+      description = "Prints a line for each job: id, state, class, leases, token, worker, result.")
+  static final class Dump extends Reading {
+    @Override
+    void show(Ledger ledger, Journal.Recovery found) {
+      for (Job job : ledger.jobs()) {
+        System.out.printf(
+            "%s %s %s leases=%d token=%d worker=%s %s%n",
+            job.id(),
+            job.state(),
+            job.effect(),
+            job.leases(),
+            job.token(),
+            job.worker().isEmpty() ? "-" : job.worker(),
+            job.result());
+      }
     }
+  }
 
-    /** Counts. */
-    @Command(name = "stats", description = "Counts jobs by state, and bytes.")
-    static final class Stats extends Reading {
-        @Override
-        void show(Ledger ledger, Journal.Recovery found) {
-            Map<JobState, Integer> counts = new EnumMap<>(JobState.class);
-            for (Job job : ledger.jobs()) {
-                counts.merge(job.state(), 1, Integer::sum);
-            }
-            for (JobState state : JobState.values()) {
-                System.out.printf("%-10s %d%n", state, counts.getOrDefault(state, 0));
-            }
-            System.out.printf("bytes      %d%nentries    %d%nbatches    %d%ntoken      %d%n", found.bytes(),
-                    found.entries(), found.batches(), ledger.highestToken());
-        }
+  /** Counts. */
+  @Command(name = "stats", description = "Counts jobs by state, and bytes.")
+  static final class Stats extends Reading {
+    @Override
+    void show(Ledger ledger, Journal.Recovery found) {
+      Map<JobState, Integer> counts = new EnumMap<>(JobState.class);
+      for (Job job : ledger.jobs()) {
+        counts.merge(job.state(), 1, Integer::sum);
+      }
+      for (JobState state : JobState.values()) {
+        System.out.printf("%-10s %d%n", state, counts.getOrDefault(state, 0));
+      }
+      System.out.printf(
+          "bytes      %d%nentries    %d%nbatches    %d%ntoken      %d%n",
+          found.bytes(), found.entries(), found.batches(), ledger.highestToken());
     }
+  }
 
-    /** Saves what can be read of a damaged store into a new one. */
-    @Command(name = "repair", description = "Writes all that can be read before the damage into a new folder, and says"
-            + " where it stopped. If it did, every job without an answer is in doubt, and is not started again.")
-    static final class Repair implements Callable<Integer> {
-        /** More tokens than a damaged part can have given out. */
-        private static final long TOKENS_UNSEEN = 1L << 40;
+  /** Saves what can be read of a damaged store into a new one. */
+  @Command(
+      name = "repair",
+      description =
+          "Writes all that can be read before the damage into a new folder, and says where it"
+              + " stopped. If it did, every job without an answer is in doubt, and is not started"
+              + " again.")
+  static final class Repair implements Callable<Integer> {
+    /** More tokens than a damaged part can have given out. */
+    private static final long TOKENS_UNSEEN = 1L << 40;
 
-        @Parameters(index = "0", paramLabel = "DIR")
-        private Path from;
+    @Parameters(index = "0", paramLabel = "DIR")
+    private Path from;
 
-        @Parameters(index = "1", paramLabel = "NEW-DIR")
-        private Path to;
+    @Parameters(index = "1", paramLabel = "NEW-DIR")
+    private Path to;
 
-        @Override
-        public Integer call() {
-            Ledger ledger = new Ledger(Journal.READING);
-            try (FolderDisk disk = FolderDisk.look(from); FolderDisk mended = FolderDisk.hold(to)) {
-                if (!mended.list().isEmpty()) {
-                    System.err.println("ferngrade: " + to + " is not empty");
-                    return Cli.BAD_CONFIG;
-                }
-                String stopped = "nothing was damaged";
-                boolean damaged = false;
-                try {
-                    Journal.inspect(disk, ledger::replay);
-                } catch (DamagedException place) {
-                    damaged = true;
-                    stopped = "stopped at " + place.getMessage();
-                }
-                List<Entry> saved = new ArrayList<>(ledger.snapshot());
-                if (damaged) {
-                    // What came after the damage is unknown: a job that waits may have been leased there, and begun.
-                    for (Job job : ledger.jobs()) {
-                        if (!job.state().ended()) {
-                            saved.add(new Entry.Doubted(job.id(), job.token(), job.accepted().at()));
-                        }
-                    }
-                    saved.add(new Entry.Tokens(ledger.highestToken() + TOKENS_UNSEEN));
-                }
-                try (Journal journal = Journal.open(mended, Long.MAX_VALUE, entry -> { }, found -> { })) {
-                    journal.commit(saved);
-                }
-                System.out.printf("%d jobs saved, %s%n", ledger.jobs().size(), stopped);
-                return 0;
-            } catch (IOException unreadable) {
-                System.err.println("ferngrade: " + unreadable.getMessage());
-                return Cli.BAD_CONFIG;
+    @Override
+    public Integer call() {
+      Ledger ledger = new Ledger(Journal.READING);
+      try (FolderDisk disk = FolderDisk.look(from);
+          FolderDisk mended = FolderDisk.hold(to)) {
+        if (!mended.list().isEmpty()) {
+          System.err.println("ferngrade: " + to + " is not empty");
+          return Cli.BAD_CONFIG;
+        }
+        String stopped = "nothing was damaged";
+        boolean damaged = false;
+        try {
+          Journal.inspect(disk, ledger::replay);
+        } catch (DamagedException place) {
+          damaged = true;
+          stopped = "stopped at " + place.getMessage();
+        }
+        List<Entry> saved = new ArrayList<>(ledger.snapshot());
+        if (damaged) {
+          // What came after the damage is unknown: a job that waits may have been leased there, and
+          // begun.
+          for (Job job : ledger.jobs()) {
+            if (!job.state().ended()) {
+              saved.add(new Entry.Doubted(job.id(), job.token(), job.accepted().at()));
             }
+          }
+          saved.add(new Entry.Tokens(ledger.highestToken() + TOKENS_UNSEEN));
+        }
+        try (Journal journal = Journal.open(mended, Long.MAX_VALUE, entry -> {}, found -> {})) {
+          journal.commit(saved);
         }
+        System.out.printf("%d jobs saved, %s%n", ledger.jobs().size(), stopped);
+        return 0;
+      } catch (IOException unreadable) {
+        System.err.println("ferngrade: " + unreadable.getMessage());
+        return Cli.BAD_CONFIG;
+      }
     }
+  }
 }
--- a/durable/src/test/java/ferngrade/durable/CrashPointTest.java
+++ b/durable/src/test/java/ferngrade/durable/CrashPointTest.java
@@ -22,324 +22,368 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stops a store after every write, sync and change of names of a drawn history, recovers it, and holds what it then
- * believes against what others were told before. Runs in memory; the number of crash points is set by {@code
- * ferngrade.crashes}, and each failure names its seed and step.
+ * Stops a store after every write, sync and change of names of a drawn history, recovers it, and
+ * holds what it then believes against what others were told before. Runs in memory; the number of
+ * crash points is set by {@code ferngrade.crashes}, and each failure names its seed and step.
  */
 class CrashPointTest {
-    private static final Ledger.Terms TERMS = new Ledger.Terms(100, 400, 1e9, 4, 10, 100);
-    private static final int CRASHES = Integer.getInteger("ferngrade.crashes", 20_000);
+  private static final Ledger.Terms TERMS = new Ledger.Terms(100, 400, 1e9, 4, 10, 100);
+  private static final int CRASHES = Integer.getInteger("ferngrade.crashes", 20_000);
 
-    /** The world outside the store: what it was told, and what workers really did. */
-    private static final class World {
-        final Set<String> accepted = new HashSet<>();
-        final Map<String, Long> leased = new HashMap<>();
-        final Set<String> returned = new HashSet<>();
-        final Map<String, String> answers = new HashMap<>();
-        final Map<String, Integer> runs = new HashMap<>();
-        long highest;
-    }
+  /** The world outside the store: what it was told, and what workers really did. */
+  private static final class World {
+    final Set<String> accepted = new HashSet<>();
+    final Map<String, Long> leased = new HashMap<>();
+    final Set<String> returned = new HashSet<>();
+    final Map<String, String> answers = new HashMap<>();
+    final Map<String, Integer> runs = new HashMap<>();
+    long highest;
+  }
 
-    /** One life of a store, from a recovery to a crash. */
-    private static final class Life {
-        final FaultyDisk disk;
-        final World world;
-        final SplittableRandom chance;
-        final Ledger ledger = new Ledger(TERMS);
-        final Journal journal;
-        /** Whether the disk fails now and then. */
-        final boolean faults;
-        double clock;
-        int numbers;
+  /** One life of a store, from a recovery to a crash. */
+  private static final class Life {
+    final FaultyDisk disk;
+    final World world;
+    final SplittableRandom chance;
+    final Ledger ledger = new Ledger(TERMS);
+    final Journal journal;
 
-        Life(FaultyDisk disk, World world, SplittableRandom chance, double clock, int numbers) throws IOException {
-            this(disk, world, chance, clock, numbers, false);
-        }
+    /** Whether the disk fails now and then. */
+    final boolean faults;
 
-        Life(FaultyDisk disk, World world, SplittableRandom chance, double clock, int numbers, boolean faults)
-                throws IOException {
-            this.faults = faults;
-            this.disk = disk;
-            this.world = world;
-            this.chance = chance;
-            this.clock = clock;
-            this.numbers = numbers;
-            journal = Journal.open(disk, 500, ledger::replay, found -> { });
-            ledger.recovered(0);
-        }
+    double clock;
+    int numbers;
 
-        /** Stores a change; what comes after it is what others may be told. */
-        void commit(Ledger.Change change) throws IOException {
-            if (faults && chance.nextInt(4) == 0) {
-                disk.tearWritesAt(chance.nextInt(80));
-                disk.fail(Operation.values()[chance.nextInt(Operation.values().length)],
-                        Errno.values()[chance.nextInt(2)], chance.nextInt(3), 1 + chance.nextInt(3));
-            }
-            boolean stored = change.entries().isEmpty();
-            while (!stored) {
-                try {
-                    journal.commit(change.entries());
-                    stored = true;
-                } catch (DiskFault notYet) {
-                    assertTrue(faults, "the disk does not fail here");
-                }
-            }
-            if (chance.nextInt(12) == 0) {
-                try {
-                    Journal.compact(disk, journal.logNumber());
-                } catch (DiskFault notYet) {
-                    assertTrue(faults, "the disk does not fail here");
-                }
-            }
-        }
+    Life(FaultyDisk disk, World world, SplittableRandom chance, double clock, int numbers)
+        throws IOException {
+      this(disk, world, chance, clock, numbers, false);
+    }
 
-        void play(int steps) throws IOException {
-            for (int i = 0; i < steps; i++) {
-                // A clock that jumps, now and then by an hour back.
-                clock += chance.nextInt(20) == 0 ? chance.nextInt(7_200_000) - 3_600_000 : chance.nextInt(30);
-                if (chance.nextInt(3) == 0) {
-                    take();
-                } else {
-                    work();
-                }
-            }
-        }
+    Life(
+        FaultyDisk disk,
+        World world,
+        SplittableRandom chance,
+        double clock,
+        int numbers,
+        boolean faults)
+        throws IOException {
+      this.faults = faults;
+      this.disk = disk;
+      this.world = world;
+      this.chance = chance;
+      this.clock = clock;
+      this.numbers = numbers;
+      journal = Journal.open(disk, 500, ledger::replay, found -> {});
+      ledger.recovered(0);
+    }
 
-        private void take() throws IOException {
-            String id = "j" + numbers++;
-            Effect effect = Effect.values()[chance.nextInt(3)];
-            Ledger.Change change = ledger.accept(id, effect, "k" + id, 1000, new byte[chance.nextInt(40)], clock);
-            commit(change);
-            world.accepted.add(id);
+    /** Stores a change; what comes after it is what others may be told. */
+    void commit(Ledger.Change change) throws IOException {
+      if (faults && chance.nextInt(4) == 0) {
+        disk.tearWritesAt(chance.nextInt(80));
+        disk.fail(
+            Operation.values()[chance.nextInt(Operation.values().length)],
+            Errno.values()[chance.nextInt(2)],
+            chance.nextInt(3),
+            1 + chance.nextInt(3));
+      }
+      boolean stored = change.entries().isEmpty();
+      while (!stored) {
+        try {
+          journal.commit(change.entries());
+          stored = true;
+        } catch (DiskFault notYet) {
+          assertTrue(faults, "the disk does not fail here");
         }
-
-        private void work() throws IOException {
-            List<Job> jobs = new ArrayList<>(ledger.jobs());
-            if (jobs.isEmpty()) {
-                return;
-            }
-            Job job = jobs.get(chance.nextInt(jobs.size()));
-            String id = job.id();
-            switch (job.state()) {
-                case ACCEPTED -> {
-                    Ledger.Change change = ledger.lease(id, "w", clock, 0);
-                    if (change.allowed()) {
-                        commit(change);
-                        assertTrue(job.token() > world.highest, "token " + job.token() + " after " + world.highest);
-                        world.highest = job.token();
-                        world.leased.put(id, job.token());
-                        world.returned.remove(id);
-                        if (chance.nextInt(3) > 0) {
-                            // The worker begins at once; its report may never come.
-                            world.runs.merge(id, 1, Integer::sum);
-                        }
-                    }
-                }
-                case LEASED, STARTED, IN_DOUBT -> outcome(job);
-                default -> { }
-            }
+      }
+      if (chance.nextInt(12) == 0) {
+        try {
+          Journal.compact(disk, journal.logNumber());
+        } catch (DiskFault notYet) {
+          assertTrue(faults, "the disk does not fail here");
         }
+      }
+    }
 
-        private void outcome(Job job) throws IOException {
-            String id = job.id();
-            Long held = world.leased.get(id);
-            if (held == null || held != job.token()) {
-                return;
-            }
-            boolean ran = world.runs.getOrDefault(id, 0) > 0;
-            int kind = chance.nextInt(5);
-            if (kind == 0 && ran) {
-                commit(ledger.started(id, held, clock));
-            } else if (kind == 1 && ran) {
-                commit(ledger.done(id, held, "result of " + id, clock));
-                world.answers.put(id, "result of " + id);
-            } else if (kind == 2 && ran) {
-                commit(ledger.failed(id, held, "broken", clock, chance.nextDouble()));
-            } else if (kind == 3 && !ran) {
-                Ledger.Change change = ledger.returned(id, held, clock, chance.nextDouble());
-                commit(change);
-                world.returned.add(id);
-            } else if (kind == 4) {
-                // Everybody's leases run out.
-                commit(ledger.expire(clock, 1e12, chance.nextDouble()));
-            }
-            if (job.state() == JobState.FAILED && ledger.job(id) != null) {
-                world.answers.put(id, job.result());
-            }
+    void play(int steps) throws IOException {
+      for (int i = 0; i < steps; i++) {
+        // A clock that jumps, now and then by an hour back.
+        clock +=
+            chance.nextInt(20) == 0 ? chance.nextInt(7_200_000) - 3_600_000 : chance.nextInt(30);
+        if (chance.nextInt(3) == 0) {
+          take();
+        } else {
+          work();
         }
+      }
     }
 
-    private static void check(Life life, World world) {
-        for (String id : world.accepted) {
-            Job job = life.ledger.job(id);
-            assertTrue(job != null, id + " was accepted and is lost");
-            String answer = world.answers.get(id);
-            if (answer != null) {
-                assertEquals(answer, job.result(), "the answer of " + id + " has changed");
-            }
-            boolean mayHaveRun = world.runs.getOrDefault(id, 0) > 0;
-            if (mayHaveRun && job.effect() == Effect.UNSAFE && job.state() == JobState.ACCEPTED) {
-                assertFalse(life.ledger.lease(id, "again", 1e15, 0).allowed(), id + " has run and would start again");
+    private void take() throws IOException {
+      String id = "j" + numbers++;
+      Effect effect = Effect.values()[chance.nextInt(3)];
+      Ledger.Change change =
+          ledger.accept(id, effect, "k" + id, 1000, new byte[chance.nextInt(40)], clock);
+      commit(change);
+      world.accepted.add(id);
+    }
+
+    private void work() throws IOException {
+      List<Job> jobs = new ArrayList<>(ledger.jobs());
+      if (jobs.isEmpty()) {
+        return;
+      }
+      Job job = jobs.get(chance.nextInt(jobs.size()));
+      String id = job.id();
+      switch (job.state()) {
+        case ACCEPTED -> {
+          Ledger.Change change = ledger.lease(id, "w", clock, 0);
+          if (change.allowed()) {
+            commit(change);
+            assertTrue(
+                job.token() > world.highest, "token " + job.token() + " after " + world.highest);
+            world.highest = job.token();
+            world.leased.put(id, job.token());
+            world.returned.remove(id);
+            if (chance.nextInt(3) > 0) {
+              // The worker begins at once; its report may never come.
+              world.runs.merge(id, 1, Integer::sum);
             }
-            assertTrue(world.runs.getOrDefault(id, 0) <= 1 || job.effect() != Effect.UNSAFE, id + " has run twice");
+          }
         }
-        assertTrue(life.ledger.highestToken() >= world.highest, "tokens would be given out again");
+        case LEASED, STARTED, IN_DOUBT -> outcome(job);
+        default -> {}
+      }
     }
 
-    @Test
-    void nothingIsLostOrRunTwiceWhereverPowerGoes() throws IOException {
-        crashEverywhere(false, CRASHES);
+    private void outcome(Job job) throws IOException {
+      String id = job.id();
+      Long held = world.leased.get(id);
+      if (held == null || held != job.token()) {
+        return;
+      }
+      boolean ran = world.runs.getOrDefault(id, 0) > 0;
+      int kind = chance.nextInt(5);
+      if (kind == 0 && ran) {
+        commit(ledger.started(id, held, clock));
+      } else if (kind == 1 && ran) {
+        commit(ledger.done(id, held, "result of " + id, clock));
+        world.answers.put(id, "result of " + id);
+      } else if (kind == 2 && ran) {
+        commit(ledger.failed(id, held, "broken", clock, chance.nextDouble()));
+      } else if (kind == 3 && !ran) {
+        Ledger.Change change = ledger.returned(id, held, clock, chance.nextDouble());
+        commit(change);
+        world.returned.add(id);
+      } else if (kind == 4) {
+        // Everybody's leases run out.
+        commit(ledger.expire(clock, 1e12, chance.nextDouble()));
+      }
+      if (job.state() == JobState.FAILED && ledger.job(id) != null) {
+        world.answers.put(id, job.result());
+      }
     }
+  }
 
-    @Test
-    void nothingIsLostOrRunTwiceWhereverPowerGoesOrTheProcessIsKilledWhileTheDiskFails() throws IOException {
-        crashEverywhere(true, CRASHES / 2);
+  private static void check(Life life, World world) {
+    for (String id : world.accepted) {
+      Job job = life.ledger.job(id);
+      assertTrue(job != null, id + " was accepted and is lost");
+      String answer = world.answers.get(id);
+      if (answer != null) {
+        assertEquals(answer, job.result(), "the answer of " + id + " has changed");
+      }
+      boolean mayHaveRun = world.runs.getOrDefault(id, 0) > 0;
+      if (mayHaveRun && job.effect() == Effect.UNSAFE && job.state() == JobState.ACCEPTED) {
+        assertFalse(
+            life.ledger.lease(id, "again", 1e15, 0).allowed(),
+            id + " has run and would start again");
+      }
+      assertTrue(
+          world.runs.getOrDefault(id, 0) <= 1 || job.effect() != Effect.UNSAFE,
+          id + " has run twice");
     }
+    assertTrue(life.ledger.highestToken() >= world.highest, "tokens would be given out again");
+  }
 
-    private static void crashEverywhere(boolean faults, int points) throws IOException {
-        int crashes = 0;
-        int lives = 0;
-        for (long seed = 1; crashes < points; seed++) {
-            long steps = measure(seed, faults);
-            for (long at = 0; at < steps && crashes < points; at++) {
-                lives += crash(seed, at, faults);
-                crashes++;
-            }
-        }
-        assertTrue(lives > crashes, "recoveries were interrupted as well");
-        System.out.println("crash points: " + crashes + ", recoveries: " + lives + ", disk fails: " + faults);
-    }
+  @Test
+  void nothingIsLostOrRunTwiceWhereverPowerGoes() throws IOException {
+    crashEverywhere(false, CRASHES);
+  }
 
-    private static long measure(long seed, boolean faults) throws IOException {
-        FaultyDisk disk = new FaultyDisk(seed, 0);
-        Life life = new Life(disk, new World(), new SplittableRandom(seed), 1e12, 0, faults);
-        life.play(60);
-        return disk.steps();
-    }
+  @Test
+  void nothingIsLostOrRunTwiceWhereverPowerGoesOrTheProcessIsKilledWhileTheDiskFails()
+      throws IOException {
+    crashEverywhere(true, CRASHES / 2);
+  }
 
-    /** Plays the history of a seed up to a step, and goes on through further crashes, some of them in recoveries. */
-    private static int crash(long seed, long at, boolean faults) throws IOException {
-        FaultyDisk disk = new FaultyDisk(seed, 0);
-        World world = new World();
-        SplittableRandom chance = new SplittableRandom(seed);
-        disk.losePowerAfter(at);
-        int lives = 0;
-        int numbers = 0;
-        for (int i = 0; i < 3; i++) {
-            try {
-                Life life = new Life(disk, world, chance, 1e12 + i * 1000, numbers, faults);
-                lives++;
-                numbers = 1000 * (i + 1);
-                check(life, world);
-                life.play(60);
-                break;
-            } catch (PowerLost | DiskFault lost) {
-                disk.heal();
-                if (faults && chance.nextBoolean()) {
-                    disk.restartProcess();
-                } else {
-                    disk.powerUp();
-                }
-                disk.losePowerAfter(chance.nextInt(40));
-            } catch (AssertionError | RuntimeException wrong) {
-                throw new AssertionError("seed " + seed + ", power lost at step " + at + ", life " + i, wrong);
-            }
-        }
-        disk.heal();
-        disk.powerUp();
-        Life last = new Life(disk, world, chance, 2e12, 9000);
-        check(last, world);
-        return lives + 1;
+  private static void crashEverywhere(boolean faults, int points) throws IOException {
+    int crashes = 0;
+    int lives = 0;
+    for (long seed = 1; crashes < points; seed++) {
+      long steps = measure(seed, faults);
+      for (long at = 0; at < steps && crashes < points; at++) {
+        lives += crash(seed, at, faults);
+        crashes++;
+      }
     }
+    assertTrue(lives > crashes, "recoveries were interrupted as well");
+    System.out.println(
+        "crash points: " + crashes + ", recoveries: " + lives + ", disk fails: " + faults);
+  }
 
-    @Test
-    void aBitThatTurnedInWhatWasSyncedIsAnErrorWithItsPlaceOrTheLastBatch() throws IOException {
-        int found = 0;
-        for (long seed = 1; seed <= 200; seed++) {
-            FaultyDisk disk = new FaultyDisk(seed, 0);
-            Life life = new Life(disk, new World(), new SplittableRandom(seed), 1e12, 0);
-            life.play(40);
-            long last = lastBatch(disk);
-            SplittableRandom where = new SplittableRandom(seed);
-            List<String> files = disk.list().stream().filter(name -> !name.endsWith(".tmp")).toList();
-            String file = files.get(where.nextInt(files.size()));
-            int offset = where.nextInt(disk.read(file).length);
-            disk.flip(file, offset);
-            try {
-                Ledger recovered = new Ledger(TERMS);
-                Journal.inspect(disk, recovered::replay);
-                // Nothing follows the last batch, which nobody can tell from one that was torn; or an old file was hit.
-                boolean old = disk.list().stream().anyMatch(name -> name.startsWith("snap-")
-                        && !name.endsWith(".tmp") && name.substring(5).compareTo(file.substring(file.indexOf('-') + 1)) > 0);
-                assertTrue(old || file.equals(files.stream().filter(name -> name.startsWith("log-")).reduce((a, b) -> b)
-                        .orElseThrow()) && (offset >= last || disk.read(file).length == Journal.HEADER), "seed " + seed + ": " + file + " at " + offset
-                        + " was passed over in silence");
-            } catch (DamagedException damaged) {
-                found++;
-                assertEquals(file, damaged.file(), "seed " + seed);
-                assertTrue(damaged.offset() <= offset, "seed " + seed);
-            }
+  private static long measure(long seed, boolean faults) throws IOException {
+    FaultyDisk disk = new FaultyDisk(seed, 0);
+    Life life = new Life(disk, new World(), new SplittableRandom(seed), 1e12, 0, faults);
+    life.play(60);
+    return disk.steps();
+  }
+
+  /**
+   * Plays the history of a seed up to a step, and goes on through further crashes, some of them in
+   * recoveries.
+   */
+  private static int crash(long seed, long at, boolean faults) throws IOException {
+    FaultyDisk disk = new FaultyDisk(seed, 0);
+    World world = new World();
+    SplittableRandom chance = new SplittableRandom(seed);
+    disk.losePowerAfter(at);
+    int lives = 0;
+    int numbers = 0;
+    for (int i = 0; i < 3; i++) {
+      try {
+        Life life = new Life(disk, world, chance, 1e12 + i * 1000, numbers, faults);
+        lives++;
+        numbers = 1000 * (i + 1);
+        check(life, world);
+        life.play(60);
+        break;
+      } catch (PowerLost | DiskFault lost) {
+        disk.heal();
+        if (faults && chance.nextBoolean()) {
+          disk.restartProcess();
+        } else {
+          disk.powerUp();
         }
-        assertTrue(found > 100, "found " + found);
+        disk.losePowerAfter(chance.nextInt(40));
+      } catch (AssertionError | RuntimeException wrong) {
+        throw new AssertionError(
+            "seed " + seed + ", power lost at step " + at + ", life " + i, wrong);
+      }
     }
+    disk.heal();
+    disk.powerUp();
+    Life last = new Life(disk, world, chance, 2e12, 9000);
+    check(last, world);
+    return lives + 1;
+  }
 
-    /** The offset of the last batch in the last log. */
-    private static long lastBatch(FaultyDisk disk) {
-        String log = disk.list().stream().filter(name -> name.startsWith("log-")).reduce((a, b) -> b).orElseThrow();
-        ByteBuffer content = ByteBuffer.wrap(disk.read(log));
-        int at = Journal.HEADER;
-        int last = at;
-        while (at < content.capacity()) {
-            last = at;
-            at += 16 + content.getInt(at);
-        }
-        return last;
+  @Test
+  void aBitThatTurnedInWhatWasSyncedIsAnErrorWithItsPlaceOrTheLastBatch() throws IOException {
+    int found = 0;
+    for (long seed = 1; seed <= 200; seed++) {
+      FaultyDisk disk = new FaultyDisk(seed, 0);
+      Life life = new Life(disk, new World(), new SplittableRandom(seed), 1e12, 0);
+      life.play(40);
+      long last = lastBatch(disk);
+      SplittableRandom where = new SplittableRandom(seed);
+      List<String> files = disk.list().stream().filter(name -> !name.endsWith(".tmp")).toList();
+      String file = files.get(where.nextInt(files.size()));
+      int offset = where.nextInt(disk.read(file).length);
+      disk.flip(file, offset);
+      try {
+        Ledger recovered = new Ledger(TERMS);
+        Journal.inspect(disk, recovered::replay);
+        // Nothing follows the last batch, which nobody can tell from one that was torn; or an old
+        // file was hit.
+        boolean old =
+            disk.list().stream()
+                .anyMatch(
+                    name ->
+                        name.startsWith("snap-")
+                            && !name.endsWith(".tmp")
+                            && name.substring(5).compareTo(file.substring(file.indexOf('-') + 1))
+                                > 0);
+        assertTrue(
+            old
+                || file.equals(
+                        files.stream()
+                            .filter(name -> name.startsWith("log-"))
+                            .reduce((a, b) -> b)
+                            .orElseThrow())
+                    && (offset >= last || disk.read(file).length == Journal.HEADER),
+            "seed " + seed + ": " + file + " at " + offset + " was passed over in silence");
+      } catch (DamagedException damaged) {
+        found++;
+        assertEquals(file, damaged.file(), "seed " + seed);
+        assertTrue(damaged.offset() <= offset, "seed " + seed);
+      }
     }
+    assertTrue(found > 100, "found " + found);
+  }
 
-    @Test
-    void aSyncThatLiedIsNeverPassedOverInSilenceOnceMoreWasSynced() throws IOException {
-        int damaged = 0;
-        for (long seed = 1; seed <= 3000; seed++) {
-            FaultyDisk disk = new FaultyDisk(seed, 0.02);
-            World world = new World();
-            SplittableRandom chance = new SplittableRandom(seed);
-            try {
-                Life life = new Life(disk, world, chance, 1e12, 0);
-                disk.losePowerAfter(20 + chance.nextInt(80));
-                life.play(200);
-            } catch (PowerLost lost) {
-                disk.powerUp();
-            }
-            try {
-                check(new Life(disk, world, chance, 2e12, 9000), world);
-            } catch (DamagedException said) {
-                damaged++;
-            } catch (AssertionError missing) {
-                // A lie about the very last sync looks like a sync that never returned; an earlier one must be seen.
-                assertTrue(disk.lied() > 0, "seed " + seed + ": " + missing.getMessage());
-            }
-        }
-        assertTrue(damaged > 0, "no lie was ever seen");
+  /** The offset of the last batch in the last log. */
+  private static long lastBatch(FaultyDisk disk) {
+    String log =
+        disk.list().stream()
+            .filter(name -> name.startsWith("log-"))
+            .reduce((a, b) -> b)
+            .orElseThrow();
+    ByteBuffer content = ByteBuffer.wrap(disk.read(log));
+    int at = Journal.HEADER;
+    int last = at;
+    while (at < content.capacity()) {
+      last = at;
+      at += 16 + content.getInt(at);
     }
+    return last;
+  }
 
-    @Test
-    void aFullDiskTakesNothingAndGoesOnInANewFileOnceThereIsSpaceAgain() throws IOException {
-        FaultyDisk disk = new FaultyDisk(1, 0);
-        World world = new World();
-        Life life = new Life(disk, world, new SplittableRandom(1), 1e12, 0);
-        life.play(50);
-        Ledger.Change change = life.ledger.accept("late", Effect.UNSAFE, "", 0, new byte[9], 1e12);
-        long before = life.journal.logNumber();
-        disk.fill(true);
-        for (int i = 0; i < 3; i++) {
-            assertThrows(IOException.class, () -> life.journal.commit(change.entries()));
-        }
-        disk.fill(false);
-        life.journal.commit(change.entries());
-        world.accepted.add("late");
-        assertEquals(before + 1, life.journal.logNumber(), "the file whose write failed is written no more");
-        life.play(50);
+  @Test
+  void aSyncThatLiedIsNeverPassedOverInSilenceOnceMoreWasSynced() throws IOException {
+    int damaged = 0;
+    for (long seed = 1; seed <= 3000; seed++) {
+      FaultyDisk disk = new FaultyDisk(seed, 0.02);
+      World world = new World();
+      SplittableRandom chance = new SplittableRandom(seed);
+      try {
+        Life life = new Life(disk, world, chance, 1e12, 0);
+        disk.losePowerAfter(20 + chance.nextInt(80));
+        life.play(200);
+      } catch (PowerLost lost) {
         disk.powerUp();
-        check(new Life(disk, world, new SplittableRandom(2), 2e12, 9000), world);
+      }
+      try {
+        check(new Life(disk, world, chance, 2e12, 9000), world);
+      } catch (DamagedException said) {
+        damaged++;
+      } catch (AssertionError missing) {
+        // A lie about the very last sync looks like a sync that never returned; an earlier one must
+        // be seen.
+        assertTrue(disk.lied() > 0, "seed " + seed + ": " + missing.getMessage());
+      }
+    }
+    assertTrue(damaged > 0, "no lie was ever seen");
+  }
+
+  @Test
+  void aFullDiskTakesNothingAndGoesOnInANewFileOnceThereIsSpaceAgain() throws IOException {
+    FaultyDisk disk = new FaultyDisk(1, 0);
+    World world = new World();
+    Life life = new Life(disk, world, new SplittableRandom(1), 1e12, 0);
+    life.play(50);
+    Ledger.Change change = life.ledger.accept("late", Effect.UNSAFE, "", 0, new byte[9], 1e12);
+    long before = life.journal.logNumber();
+    disk.fill(true);
+    for (int i = 0; i < 3; i++) {
+      assertThrows(IOException.class, () -> life.journal.commit(change.entries()));
     }
+    disk.fill(false);
+    life.journal.commit(change.entries());
+    world.accepted.add("late");
+    assertEquals(
+        before + 1, life.journal.logNumber(), "the file whose write failed is written no more");
+    life.play(50);
+    disk.powerUp();
+    check(new Life(disk, world, new SplittableRandom(2), 2e12, 9000), world);
+  }
 }
--- a/durable/src/test/java/ferngrade/durable/LedgerExplorationTest.java
+++ b/durable/src/test/java/ferngrade/durable/LedgerExplorationTest.java
@@ -17,189 +17,206 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every state that two jobs, two workers and two lives of a node can get into, with messages that come late, twice, out
- * of order or never, leases that run out anywhere, and a crash anywhere.
+ * Every state that two jobs, two workers and two lives of a node can get into, with messages that
+ * come late, twice, out of order or never, leases that run out anywhere, and a crash anywhere.
  */
 class LedgerExplorationTest {
-    private static final Ledger.Terms TERMS = new Ledger.Terms(100, 100, 1e18, 3, 0, 0);
-    private static final double AT = 1000;
-    private static final int MOST_STATES = 2_000_000;
-
-    /** A message of a worker's: it stays in flight after it was heard, since a worker may send it again. */
-    private record Message(String job, long token, String what) implements Comparable<Message> {
-        @Override
-        public int compareTo(Message other) {
-            return toString().compareTo(other.toString());
-        }
+  private static final Ledger.Terms TERMS = new Ledger.Terms(100, 100, 1e18, 3, 0, 0);
+  private static final double AT = 1000;
+  private static final int MOST_STATES = 2_000_000;
+
+  /**
+   * A message of a worker's: it stays in flight after it was heard, since a worker may send it
+   * again.
+   */
+  private record Message(String job, long token, String what) implements Comparable<Message> {
+    @Override
+    public int compareTo(Message other) {
+      return toString().compareTo(other.toString());
     }
+  }
 
-    /** The world at one instant: what the store holds, what is on its way to workers and back, and what has run. */
-    private static final class State {
-        List<Entry> stored = new ArrayList<>();
-        /** Leases on their way to their worker. */
-        Set<Message> grants = new TreeSet<>();
-        Set<Message> reports = new TreeSet<>();
-        int[] runs = new int[2];
-        int crashes;
-        int expiries;
-
-        State copy() {
-            State copy = new State();
-            copy.stored = new ArrayList<>(stored);
-            copy.grants = new TreeSet<>(grants);
-            copy.reports = new TreeSet<>(reports);
-            copy.runs = runs.clone();
-            copy.crashes = crashes;
-            copy.expiries = expiries;
-            return copy;
-        }
+  /**
+   * The world at one instant: what the store holds, what is on its way to workers and back, and
+   * what has run.
+   */
+  private static final class State {
+    List<Entry> stored = new ArrayList<>();
 
-        String key() {
-            return stored + "|" + grants + "|" + reports + "|" + runs[0] + runs[1] + crashes + expiries;
-        }
-    }
+    /** Leases on their way to their worker. */
+    Set<Message> grants = new TreeSet<>();
 
-    private record Explored(int states, String broken) { }
+    Set<Message> reports = new TreeSet<>();
+    int[] runs = new int[2];
+    int crashes;
+    int expiries;
 
-    private static Explored explore(Supplier<Ledger> ledgers, Effect effect, int jobs, int expiries) {
-        Deque<State> open = new ArrayDeque<>();
-        Set<String> seen = new HashSet<>();
-        State start = new State();
-        Ledger first = ledgers.get();
-        for (int j = 0; j < jobs; j++) {
-            first.accept("j" + j, effect, "", 0, new byte[0], AT);
-        }
-        start.stored = first.snapshot();
-        open.add(start);
-        seen.add(start.key());
-        while (!open.isEmpty()) {
-            State state = open.poll();
-            for (int j = 0; j < jobs; j++) {
-                if (state.runs[j] > 1 && effect == Effect.UNSAFE) {
-                    return new Explored(seen.size(), "j" + j + " ran twice: " + state.key());
-                }
-            }
-            for (State next : next(state, ledgers, jobs, expiries)) {
-                if (seen.add(next.key())) {
-                    open.add(next);
-                }
-            }
-            assertTrue(seen.size() < MOST_STATES, "more states than expected");
-        }
-        return new Explored(seen.size(), null);
+    State copy() {
+      State copy = new State();
+      copy.stored = new ArrayList<>(stored);
+      copy.grants = new TreeSet<>(grants);
+      copy.reports = new TreeSet<>(reports);
+      copy.runs = runs.clone();
+      copy.crashes = crashes;
+      copy.expiries = expiries;
+      return copy;
     }
 
-    private static Ledger load(State state, Supplier<Ledger> ledgers) {
-        Ledger ledger = ledgers.get();
-        state.stored.forEach(ledger::replay);
-        ledger.recovered(0);
-        return ledger;
+    String key() {
+      return stored + "|" + grants + "|" + reports + "|" + runs[0] + runs[1] + crashes + expiries;
     }
+  }
 
-    private static List<State> next(State state, Supplier<Ledger> ledgers, int jobs, int expiries) {
-        List<State> all = new ArrayList<>();
-        for (int j = 0; j < jobs; j++) {
-            String id = "j" + j;
-            for (String worker : new String[] {"w0", "w1"}) {
-                Ledger ledger = load(state, ledgers);
-                if (ledger.lease(id, worker, AT, 0).allowed()) {
-                    State next = state.copy();
-                    next.stored = ledger.snapshot();
-                    next.grants.add(new Message(id, ledger.job(id).token(), worker));
-                    all.add(next);
-                    if (state.crashes < 1) {
-                        // The node dies between the lease on disk and the word to the worker.
-                        State died = state.copy();
-                        died.stored = ledger.snapshot();
-                        died.crashes++;
-                        all.add(died);
-                    }
-                }
-            }
-        }
-        for (Message grant : state.grants) {
-            // The worker has it: it begins, or gives it back unstarted. What it says may come late or twice.
-            State begun = state.copy();
-            begun.grants.remove(grant);
-            begun.runs[grant.job().charAt(1) - '0']++;
-            begun.reports.add(new Message(grant.job(), grant.token(), "started"));
-            begun.reports.add(new Message(grant.job(), grant.token(), "done"));
-            all.add(begun);
-            State back = state.copy();
-            back.grants.remove(grant);
-            back.reports.add(new Message(grant.job(), grant.token(), "returned"));
-            all.add(back);
-        }
-        for (Message report : state.reports) {
-            Ledger ledger = load(state, ledgers);
-            Ledger.Change change = switch (report.what()) {
-                case "started" -> ledger.started(report.job(), report.token(), AT);
-                case "done" -> ledger.done(report.job(), report.token(), "r", AT);
-                default -> ledger.returned(report.job(), report.token(), AT, 0);
-            };
-            if (change.allowed()) {
-                State heard = state.copy();
-                heard.stored = ledger.snapshot();
-                all.add(heard);
-            }
-            State lost = state.copy();
-            lost.reports.remove(report);
-            all.add(lost);
+  private record Explored(int states, String broken) {}
+
+  private static Explored explore(Supplier<Ledger> ledgers, Effect effect, int jobs, int expiries) {
+    Deque<State> open = new ArrayDeque<>();
+    Set<String> seen = new HashSet<>();
+    State start = new State();
+    Ledger first = ledgers.get();
+    for (int j = 0; j < jobs; j++) {
+      first.accept("j" + j, effect, "", 0, new byte[0], AT);
+    }
+    start.stored = first.snapshot();
+    open.add(start);
+    seen.add(start.key());
+    while (!open.isEmpty()) {
+      State state = open.poll();
+      for (int j = 0; j < jobs; j++) {
+        if (state.runs[j] > 1 && effect == Effect.UNSAFE) {
+          return new Explored(seen.size(), "j" + j + " ran twice: " + state.key());
         }
-        if (state.expiries < expiries) {
-            Ledger ledger = load(state, ledgers);
-            if (!ledger.expire(AT, 1e9, 0).entries().isEmpty()) {
-                State expired = state.copy();
-                expired.stored = ledger.snapshot();
-                expired.expiries++;
-                all.add(expired);
-            }
+      }
+      for (State next : next(state, ledgers, jobs, expiries)) {
+        if (seen.add(next.key())) {
+          open.add(next);
         }
-        return all;
+      }
+      assertTrue(seen.size() < MOST_STATES, "more states than expected");
     }
+    return new Explored(seen.size(), null);
+  }
 
-    @Test
-    void noUnsafeJobRunsTwiceInAnyState() {
-        Explored one = explore(() -> new Ledger(TERMS), Effect.UNSAFE, 1, 2);
-        Explored two = explore(() -> new Ledger(new Ledger.Terms(100, 100, 1e18, 2, 0, 0)), Effect.UNSAFE, 2, 1);
-        System.out.println("states: " + one.states() + " with one job, " + two.states() + " with two");
-        assertNull(one.broken());
-        assertNull(two.broken());
-        assertTrue(one.states() > 100 && two.states() > 10_000, one.states() + " and " + two.states());
-    }
+  private static Ledger load(State state, Supplier<Ledger> ledgers) {
+    Ledger ledger = ledgers.get();
+    state.stored.forEach(ledger::replay);
+    ledger.recovered(0);
+    return ledger;
+  }
 
-    @Test
-    void aMissingFencingCheckIsFound() {
-        Explored mutant = explore(() -> new Ledger(TERMS) {
-            @Override
-            boolean holds(Job job, long token) {
-                return true;
-            }
-        }, Effect.UNSAFE, 1, 2);
-        assertNotNull(mutant.broken());
+  private static List<State> next(State state, Supplier<Ledger> ledgers, int jobs, int expiries) {
+    List<State> all = new ArrayList<>();
+    for (int j = 0; j < jobs; j++) {
+      String id = "j" + j;
+      for (String worker : new String[] {"w0", "w1"}) {
+        Ledger ledger = load(state, ledgers);
+        if (ledger.lease(id, worker, AT, 0).allowed()) {
+          State next = state.copy();
+          next.stored = ledger.snapshot();
+          next.grants.add(new Message(id, ledger.job(id).token(), worker));
+          all.add(next);
+          if (state.crashes < 1) {
+            // The node dies between the lease on disk and the word to the worker.
+            State died = state.copy();
+            died.stored = ledger.snapshot();
+            died.crashes++;
+            all.add(died);
+          }
+        }
+      }
     }
-
-    @Test
-    void aSnapshotIsTheLedgerThatItWasMadeFrom() {
-        Ledger ledger = new Ledger(TERMS);
-        ledger.accept("a", Effect.KEYED, "k", 500, new byte[] {1, 2}, AT);
-        ledger.accept("b", Effect.UNSAFE, "", 0, new byte[0], AT);
-        ledger.lease("a", "w", AT, 0);
-        ledger.failed("a", 1, "broken", AT + 1, 0.5);
-        ledger.lease("b", "w", AT, 0);
-        ledger.expire(AT, 1e9, 0);
-        Ledger again = new Ledger(TERMS);
-        ledger.snapshot().forEach(again::replay);
-        assertEquals(ledger.snapshot(), again.snapshot());
-        assertEquals(JobState.ACCEPTED, again.job("a").state());
-        assertEquals(JobState.IN_DOUBT, again.job("b").state());
-        assertEquals(2, again.highestToken());
-        // The window counts from the lease that may have run, not from when that was known.
-        assertTrue(again.lease("a", "w", AT + 400, 0).allowed());
-        Ledger late = new Ledger(TERMS);
-        ledger.snapshot().forEach(late::replay);
-        assertEquals(Ledger.Refusal.NOT_NOW, late.lease("a", "w", AT + 500, 0).refusal());
-        // A clock that went back before the first run allows nothing either.
-        assertEquals(Ledger.Refusal.NOT_NOW, late.lease("a", "w", AT - 3_600_000, 0).refusal());
+    for (Message grant : state.grants) {
+      // The worker has it: it begins, or gives it back unstarted. What it says may come late or
+      // twice.
+      State begun = state.copy();
+      begun.grants.remove(grant);
+      begun.runs[grant.job().charAt(1) - '0']++;
+      begun.reports.add(new Message(grant.job(), grant.token(), "started"));
+      begun.reports.add(new Message(grant.job(), grant.token(), "done"));
+      all.add(begun);
+      State back = state.copy();
+      back.grants.remove(grant);
+      back.reports.add(new Message(grant.job(), grant.token(), "returned"));
+      all.add(back);
+    }
+    for (Message report : state.reports) {
+      Ledger ledger = load(state, ledgers);
+      Ledger.Change change =
+          switch (report.what()) {
+            case "started" -> ledger.started(report.job(), report.token(), AT);
+            case "done" -> ledger.done(report.job(), report.token(), "r", AT);
+            default -> ledger.returned(report.job(), report.token(), AT, 0);
+          };
+      if (change.allowed()) {
+        State heard = state.copy();
+        heard.stored = ledger.snapshot();
+        all.add(heard);
+      }
+      State lost = state.copy();
+      lost.reports.remove(report);
+      all.add(lost);
     }
+    if (state.expiries < expiries) {
+      Ledger ledger = load(state, ledgers);
+      if (!ledger.expire(AT, 1e9, 0).entries().isEmpty()) {
+        State expired = state.copy();
+        expired.stored = ledger.snapshot();
+        expired.expiries++;
+        all.add(expired);
+      }
+    }
+    return all;
+  }
+
+  @Test
+  void noUnsafeJobRunsTwiceInAnyState() {
+    Explored one = explore(() -> new Ledger(TERMS), Effect.UNSAFE, 1, 2);
+    Explored two =
+        explore(() -> new Ledger(new Ledger.Terms(100, 100, 1e18, 2, 0, 0)), Effect.UNSAFE, 2, 1);
+    System.out.println("states: " + one.states() + " with one job, " + two.states() + " with two");
+    assertNull(one.broken());
+    assertNull(two.broken());
+    assertTrue(one.states() > 100 && two.states() > 10_000, one.states() + " and " + two.states());
+  }
+
+  @Test
+  void aMissingFencingCheckIsFound() {
+    Explored mutant =
+        explore(
+            () ->
+                new Ledger(TERMS) {
+                  @Override
+                  boolean holds(Job job, long token) {
+                    return true;
+                  }
+                },
+            Effect.UNSAFE,
+            1,
+            2);
+    assertNotNull(mutant.broken());
+  }
+
+  @Test
+  void aSnapshotIsTheLedgerThatItWasMadeFrom() {
+    Ledger ledger = new Ledger(TERMS);
+    ledger.accept("a", Effect.KEYED, "k", 500, new byte[] {1, 2}, AT);
+    ledger.accept("b", Effect.UNSAFE, "", 0, new byte[0], AT);
+    ledger.lease("a", "w", AT, 0);
+    ledger.failed("a", 1, "broken", AT + 1, 0.5);
+    ledger.lease("b", "w", AT, 0);
+    ledger.expire(AT, 1e9, 0);
+    Ledger again = new Ledger(TERMS);
+    ledger.snapshot().forEach(again::replay);
+    assertEquals(ledger.snapshot(), again.snapshot());
+    assertEquals(JobState.ACCEPTED, again.job("a").state());
+    assertEquals(JobState.IN_DOUBT, again.job("b").state());
+    assertEquals(2, again.highestToken());
+    // The window counts from the lease that may have run, not from when that was known.
+    assertTrue(again.lease("a", "w", AT + 400, 0).allowed());
+    Ledger late = new Ledger(TERMS);
+    ledger.snapshot().forEach(late::replay);
+    assertEquals(Ledger.Refusal.NOT_NOW, late.lease("a", "w", AT + 500, 0).refusal());
+    // A clock that went back before the first run allows nothing either.
+    assertEquals(Ledger.Refusal.NOT_NOW, late.lease("a", "w", AT - 3_600_000, 0).refusal());
+  }
 }
--- a/durable/src/test/java/ferngrade/durable/LogFileGoldenTest.java
+++ b/durable/src/test/java/ferngrade/durable/LogFileGoldenTest.java
@@ -19,116 +19,131 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The entries and files of a store keep the form that an earlier version wrote, and so does what is printed of them. */
+/**
+ * The entries and files of a store keep the form that an earlier version wrote, and so does what is
+ * printed of them.
+ */
 class LogFileGoldenTest {
-    private static final GoldenFile GOLDEN = GoldenFile.open("job-log.txt");
-    private static final byte[] PAYLOAD = {0, 1, -1, 'x'};
+  private static final GoldenFile GOLDEN = GoldenFile.open("job-log.txt");
+  private static final byte[] PAYLOAD = {0, 1, -1, 'x'};
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private static Map<String, Entry> entries() {
-        Map<String, Entry> entries = new LinkedHashMap<>();
-        for (Effect effect : Effect.values()) {
-            entries.put("accepted-" + effect.ordinal(), new Entry.Accepted("job-" + effect.ordinal(), effect, "key", 7_500.5,
-                    2, 1.79e12, PAYLOAD));
-        }
-        entries.put("leased", new Entry.Leased("job-0", "worker-1", 11, 1.79e12 + 1));
-        entries.put("started", new Entry.Started("job-0", 11, 1.79e12 + 2));
-        entries.put("returned", new Entry.Returned("job-0", 11, true, 1.79e12 + 3.25));
-        entries.put("doubted", new Entry.Doubted("job-1", 12, 1.79e12 + 4));
-        entries.put("ended", new Entry.Ended("job-1", 12, true, "result \u00e9", 1.79e12 + 5));
-        entries.put("forgotten", new Entry.Forgotten("job-1"));
-        entries.put("tokens", new Entry.Tokens(1L << 40));
-        return entries;
+  private static Map<String, Entry> entries() {
+    Map<String, Entry> entries = new LinkedHashMap<>();
+    for (Effect effect : Effect.values()) {
+      entries.put(
+          "accepted-" + effect.ordinal(),
+          new Entry.Accepted(
+              "job-" + effect.ordinal(), effect, "key", 7_500.5, 2, 1.79e12, PAYLOAD));
     }
+    entries.put("leased", new Entry.Leased("job-0", "worker-1", 11, 1.79e12 + 1));
+    entries.put("started", new Entry.Started("job-0", 11, 1.79e12 + 2));
+    entries.put("returned", new Entry.Returned("job-0", 11, true, 1.79e12 + 3.25));
+    entries.put("doubted", new Entry.Doubted("job-1", 12, 1.79e12 + 4));
+    entries.put("ended", new Entry.Ended("job-1", 12, true, "result \u00e9", 1.79e12 + 5));
+    entries.put("forgotten", new Entry.Forgotten("job-1"));
+    entries.put("tokens", new Entry.Tokens(1L << 40));
+    return entries;
+  }
 
-    @Test
-    void eachEntryIsReadAndWrittenAsRecorded() throws IOException {
-        for (Map.Entry<String, Entry> each : entries().entrySet()) {
-            ByteArrayOutputStream written = new ByteArrayOutputStream();
-            EntryCodec.write(each.getValue(), written);
-            GOLDEN.verify(each.getKey(), written.toByteArray());
-            byte[] recorded = GOLDEN.bytes(each.getKey());
-            assertEquals(each.getValue(), EntryCodec.read(recorded, 0, recorded.length), each.getKey());
-        }
-        assertEquals(Arrays.stream(Entry.class.getPermittedSubclasses()).map(Class::getSimpleName).sorted().toList(),
-                entries().values().stream().map(each -> each.getClass().getSimpleName()).distinct().sorted().toList());
+  @Test
+  void eachEntryIsReadAndWrittenAsRecorded() throws IOException {
+    for (Map.Entry<String, Entry> each : entries().entrySet()) {
+      ByteArrayOutputStream written = new ByteArrayOutputStream();
+      EntryCodec.write(each.getValue(), written);
+      GOLDEN.verify(each.getKey(), written.toByteArray());
+      byte[] recorded = GOLDEN.bytes(each.getKey());
+      assertEquals(each.getValue(), EntryCodec.read(recorded, 0, recorded.length), each.getKey());
     }
+    assertEquals(
+        Arrays.stream(Entry.class.getPermittedSubclasses())
+            .map(Class::getSimpleName)
+            .sorted()
+            .toList(),
+        entries().values().stream()
+            .map(each -> each.getClass().getSimpleName())
+            .distinct()
+            .sorted()
+            .toList());
+  }
 
-    @Test
-    void aBatchIsFramedAsRecorded() {
-        byte[] all = new byte[Batch.HEADER + PAYLOAD.length];
-        System.arraycopy(PAYLOAD, 0, all, Batch.HEADER, PAYLOAD.length);
-        GOLDEN.verify("batch", Batch.frame(all, 5));
-    }
+  @Test
+  void aBatchIsFramedAsRecorded() {
+    byte[] all = new byte[Batch.HEADER + PAYLOAD.length];
+    System.arraycopy(PAYLOAD, 0, all, Batch.HEADER, PAYLOAD.length);
+    GOLDEN.verify("batch", Batch.frame(all, 5));
+  }
 
-    /** Files by name, as commits and a compaction leave them: a snapshot and the log after it. */
-    private static Map<String, byte[]> files(FaultyDisk disk) {
-        Map<String, byte[]> files = new LinkedHashMap<>();
-        disk.list().stream().sorted().forEach(name -> files.put(name, disk.read(name)));
-        return files;
-    }
+  /** Files by name, as commits and a compaction leave them: a snapshot and the log after it. */
+  private static Map<String, byte[]> files(FaultyDisk disk) {
+    Map<String, byte[]> files = new LinkedHashMap<>();
+    disk.list().stream().sorted().forEach(name -> files.put(name, disk.read(name)));
+    return files;
+  }
 
-    private static FaultyDisk filled() throws IOException {
-        FaultyDisk disk = new FaultyDisk(1, 0);
-        try (Journal journal = Journal.open(disk, 1 << 20, entry -> { }, found -> { })) {
-            journal.commit(new ArrayList<>(entries().values()).subList(0, Effect.values().length));
-            journal.commit(List.of(new Entry.Leased("job-0", "worker-1", 11, 1.79e12 + 1), new Entry.Started("job-0", 11, 1.79e12 + 2)));
-            journal.commit(List.of(new Entry.Leased("job-1", "worker-2", 12, 1.79e12 + 1)));
-            journal.commit(List.of(new Entry.Ended("job-1", 12, true, "result", 1.79e12 + 5)));
-        }
-        return disk;
+  private static FaultyDisk filled() throws IOException {
+    FaultyDisk disk = new FaultyDisk(1, 0);
+    try (Journal journal = Journal.open(disk, 1 << 20, entry -> {}, found -> {})) {
+      journal.commit(new ArrayList<>(entries().values()).subList(0, Effect.values().length));
+      journal.commit(
+          List.of(
+              new Entry.Leased("job-0", "worker-1", 11, 1.79e12 + 1),
+              new Entry.Started("job-0", 11, 1.79e12 + 2)));
+      journal.commit(List.of(new Entry.Leased("job-1", "worker-2", 12, 1.79e12 + 1)));
+      journal.commit(List.of(new Entry.Ended("job-1", 12, true, "result", 1.79e12 + 5)));
     }
+    return disk;
+  }
 
-    @Test
-    void filesAreWrittenAndReadAsRecorded() throws IOException {
-        FaultyDisk disk = filled();
-        verifyFiles("", disk);
-        Ledger ledger = new Ledger(Journal.READING);
-        Journal.open(disk, 1 << 20, ledger::replay, found -> { }).close();
-        Journal.compact(disk, 2);
-        verifyFiles("compacted-", disk);
+  @Test
+  void filesAreWrittenAndReadAsRecorded() throws IOException {
+    FaultyDisk disk = filled();
+    verifyFiles("", disk);
+    Ledger ledger = new Ledger(Journal.READING);
+    Journal.open(disk, 1 << 20, ledger::replay, found -> {}).close();
+    Journal.compact(disk, 2);
+    verifyFiles("compacted-", disk);
 
-        Ledger recovered = new Ledger(Journal.READING);
-        Journal.inspect(recorded("compacted-", disk), recovered::replay);
-        assertEquals(ledger.snapshot(), recovered.snapshot());
-    }
+    Ledger recovered = new Ledger(Journal.READING);
+    Journal.inspect(recorded("compacted-", disk), recovered::replay);
+    assertEquals(ledger.snapshot(), recovered.snapshot());
+  }
 
-    private static void verifyFiles(String prefix, FaultyDisk disk) {
-        GOLDEN.verify(prefix + "names", disk.list().stream().sorted().toList().toString());
-        files(disk).forEach((name, content) -> GOLDEN.verify(prefix + name, content));
-    }
+  private static void verifyFiles(String prefix, FaultyDisk disk) {
+    GOLDEN.verify(prefix + "names", disk.list().stream().sorted().toList().toString());
+    files(disk).forEach((name, content) -> GOLDEN.verify(prefix + name, content));
+  }
 
-    /** A disk with the files as they were recorded. */
-    private static FaultyDisk recorded(String prefix, FaultyDisk like) throws IOException {
-        FaultyDisk disk = new FaultyDisk(2, 0);
-        for (String name : files(like).keySet()) {
-            byte[] content = GOLDEN.bytes(prefix + name);
-            disk.create(name).append(content, content.length);
-        }
-        return disk;
+  /** A disk with the files as they were recorded. */
+  private static FaultyDisk recorded(String prefix, FaultyDisk like) throws IOException {
+    FaultyDisk disk = new FaultyDisk(2, 0);
+    for (String name : files(like).keySet()) {
+      byte[] content = GOLDEN.bytes(prefix + name);
+      disk.create(name).append(content, content.length);
     }
+    return disk;
+  }
 
-    @Test
-    void operatorsReadTheSameOfARecordedStore() throws IOException {
-        for (String name : files(filled()).keySet()) {
-            Files.write(folder.resolve(name), GOLDEN.bytes(name));
-        }
-        for (String command : List.of("check", "dump", "stats")) {
-            GOLDEN.verifyLines("printed-" + command, printed("store", command, folder.toString()));
-        }
+  @Test
+  void operatorsReadTheSameOfARecordedStore() throws IOException {
+    for (String name : files(filled()).keySet()) {
+      Files.write(folder.resolve(name), GOLDEN.bytes(name));
+    }
+    for (String command : List.of("check", "dump", "stats")) {
+      GOLDEN.verifyLines("printed-" + command, printed("store", command, folder.toString()));
     }
+  }
 
-    private static String printed(String... arguments) {
-        PrintStream out = System.out;
-        ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
-        try {
-            assertEquals(0, Cli.run(arguments));
-        } finally {
-            System.setOut(out);
-        }
-        return printed.toString(StandardCharsets.UTF_8);
+  private static String printed(String... arguments) {
+    PrintStream out = System.out;
+    ByteArrayOutputStream printed = new ByteArrayOutputStream();
+    System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
+    try {
+      assertEquals(0, Cli.run(arguments));
+    } finally {
+      System.setOut(out);
     }
+    return printed.toString(StandardCharsets.UTF_8);
+  }
 }
--- a/durable/src/test/java/ferngrade/durable/StoreCommandTest.java
+++ b/durable/src/test/java/ferngrade/durable/StoreCommandTest.java
@@ -23,111 +23,126 @@
 
 /** A store in a real folder, and what an operator sees of it. */
 class StoreCommandTest {
-    private static final Ledger.Terms TERMS = new Ledger.Terms(100, 100, 1e9, 3, 10, 100);
+  private static final Ledger.Terms TERMS = new Ledger.Terms(100, 100, 1e9, 3, 10, 100);
 
-    @TempDir
-    private Path folder;
-    private Path store;
+  @TempDir private Path folder;
+  private Path store;
 
-    @BeforeEach
-    void fill() throws IOException {
-        store = folder.resolve("store");
-        Ledger ledger = new Ledger(TERMS);
-        try (FolderDisk disk = FolderDisk.hold(store);
-                Journal journal = Journal.open(disk, 1 << 20, ledger::replay, found -> { })) {
-            journal.commit(ledger.accept("a", Effect.UNSAFE, "", 0, new byte[100], 1).entries());
-            journal.commit(ledger.accept("b", Effect.KEYED, "k", 50, new byte[100], 1).entries());
-            journal.commit(ledger.lease("a", "w1", 2, 0).entries());
-            journal.commit(ledger.lease("b", "w2", 2, 0).entries());
-            journal.commit(ledger.done("b", 2, "cooked", 3).entries());
-        }
+  @BeforeEach
+  void fill() throws IOException {
+    store = folder.resolve("store");
+    Ledger ledger = new Ledger(TERMS);
+    try (FolderDisk disk = FolderDisk.hold(store);
+        Journal journal = Journal.open(disk, 1 << 20, ledger::replay, found -> {})) {
+      journal.commit(ledger.accept("a", Effect.UNSAFE, "", 0, new byte[100], 1).entries());
+      journal.commit(ledger.accept("b", Effect.KEYED, "k", 50, new byte[100], 1).entries());
+      journal.commit(ledger.lease("a", "w1", 2, 0).entries());
+      journal.commit(ledger.lease("b", "w2", 2, 0).entries());
+      journal.commit(ledger.done("b", 2, "cooked", 3).entries());
     }
+  }
 
-    private static String said(int code, String... arguments) {
-        PrintStream out = System.out;
-        PrintStream err = System.err;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        PrintStream into = new PrintStream(said, true, StandardCharsets.UTF_8);
-        System.setOut(into);
-        System.setErr(into);
-        try {
-            assertEquals(code, Cli.run(arguments));
-        } finally {
-            System.setOut(out);
-            System.setErr(err);
-        }
-        return said.toString(StandardCharsets.UTF_8);
+  private static String said(int code, String... arguments) {
+    PrintStream out = System.out;
+    PrintStream err = System.err;
+    ByteArrayOutputStream said = new ByteArrayOutputStream();
+    PrintStream into = new PrintStream(said, true, StandardCharsets.UTF_8);
+    System.setOut(into);
+    System.setErr(into);
+    try {
+      assertEquals(code, Cli.run(arguments));
+    } finally {
+      System.setOut(out);
+      System.setErr(err);
     }
+    return said.toString(StandardCharsets.UTF_8);
+  }
 
-    private Path log() throws IOException {
-        return store.resolve(Journal.name("log-", 1));
-    }
+  private Path log() throws IOException {
+    return store.resolve(Journal.name("log-", 1));
+  }
 
-    @Test
-    void checkDumpAndStatsReadWithoutChanging() throws IOException {
-        byte[] before = Files.readAllBytes(log());
-        assertEquals("sound: 5 entries in 5 batches, 2 jobs\n", said(0, "store", "check", store.toString()));
-        assertTrue(said(0, "store", "dump", store.toString())
-                .contains("a LEASED UNSAFE leases=1 token=1 worker=w1"));
-        assertTrue(said(0, "store", "stats", store.toString()).contains("DONE       1"));
-        assertEquals(new String(before, StandardCharsets.ISO_8859_1),
-                new String(Files.readAllBytes(log()), StandardCharsets.ISO_8859_1));
-        assertTrue(said(2, "store", "check", folder.resolve("none").toString()).contains("is no folder"));
-    }
+  @Test
+  void checkDumpAndStatsReadWithoutChanging() throws IOException {
+    byte[] before = Files.readAllBytes(log());
+    assertEquals(
+        "sound: 5 entries in 5 batches, 2 jobs\n", said(0, "store", "check", store.toString()));
+    assertTrue(
+        said(0, "store", "dump", store.toString())
+            .contains("a LEASED UNSAFE leases=1 token=1 worker=w1"));
+    assertTrue(said(0, "store", "stats", store.toString()).contains("DONE       1"));
+    assertEquals(
+        new String(before, StandardCharsets.ISO_8859_1),
+        new String(Files.readAllBytes(log()), StandardCharsets.ISO_8859_1));
+    assertTrue(
+        said(2, "store", "check", folder.resolve("none").toString()).contains("is no folder"));
+  }
 
-    @Test
-    void aTornTailIsCutAndADamagedMiddleIsAnErrorThatRepairSavesTheRestOf() throws IOException {
-        byte[] whole = Files.readAllBytes(log());
-        Files.write(log(), Arrays.copyOf(whole, whole.length - 3));
-        assertTrue(said(0, "store", "check", store.toString()).contains("never synced"));
-        Ledger ledger = new Ledger(TERMS);
-        try (FolderDisk disk = FolderDisk.hold(store);
-                Journal journal = Journal.open(disk, 1 << 20, ledger::replay, found -> assertTrue(found.cut() > 0))) {
-            assertEquals(JobState.LEASED, ledger.job("b").state());
-            journal.commit(List.of(new Entry.Tokens(9)));
-        }
-        whole = Files.readAllBytes(log());
-        whole[whole.length / 2] ^= 4;
-        Files.write(log(), whole);
-        String said = said(StoreCommand.DAMAGED, "store", "check", store.toString());
-        assertTrue(said.matches("(?s).*log-0000000000000001: offset \\d+: .*"), said);
-        Path mended = folder.resolve("mended");
-        assertTrue(said(0, "store", "repair", store.toString(), mended.toString()).contains("stopped at log-"));
-        assertTrue(said(0, "store", "check", mended.toString()).startsWith("sound"));
-        // The damaged part may have leased what waits before it: nothing of that may start, nor a token come again.
-        Ledger saved = new Ledger(TERMS);
-        try (FolderDisk disk = FolderDisk.look(mended)) {
-            Journal.inspect(disk, saved::replay);
-            assertFalse(saved.jobs().isEmpty());
-            for (Job job : saved.jobs()) {
-                assertEquals(JobState.IN_DOUBT, job.state());
-                assertFalse(saved.lease(job.id(), "w3", 10, 0).allowed());
-            }
-            Ledger again = new Ledger(TERMS);
-            saved.snapshot().forEach(again::replay);
-            assertEquals(saved.snapshot(), again.snapshot());
-            assertEquals(JobState.IN_DOUBT, again.jobs().iterator().next().state());
-            assertTrue(again.highestToken() > 1000);
-        }
+  @Test
+  void aTornTailIsCutAndADamagedMiddleIsAnErrorThatRepairSavesTheRestOf() throws IOException {
+    byte[] whole = Files.readAllBytes(log());
+    Files.write(log(), Arrays.copyOf(whole, whole.length - 3));
+    assertTrue(said(0, "store", "check", store.toString()).contains("never synced"));
+    Ledger ledger = new Ledger(TERMS);
+    try (FolderDisk disk = FolderDisk.hold(store);
+        Journal journal =
+            Journal.open(disk, 1 << 20, ledger::replay, found -> assertTrue(found.cut() > 0))) {
+      assertEquals(JobState.LEASED, ledger.job("b").state());
+      journal.commit(List.of(new Entry.Tokens(9)));
     }
-
-    @Test
-    void twoProcessesCannotHaveOneFolder() throws IOException {
-        try (FolderDisk held = FolderDisk.hold(store)) {
-            assertFalse(held.list().isEmpty());
-            assertThrows(IOException.class, () -> FolderDisk.hold(store));
-        }
-        FolderDisk.hold(store).close();
+    whole = Files.readAllBytes(log());
+    whole[whole.length / 2] ^= 4;
+    Files.write(log(), whole);
+    String said = said(StoreCommand.DAMAGED, "store", "check", store.toString());
+    assertTrue(said.matches("(?s).*log-0000000000000001: offset \\d+: .*"), said);
+    Path mended = folder.resolve("mended");
+    assertTrue(
+        said(0, "store", "repair", store.toString(), mended.toString())
+            .contains("stopped at log-"));
+    assertTrue(said(0, "store", "check", mended.toString()).startsWith("sound"));
+    // The damaged part may have leased what waits before it: nothing of that may start, nor a token
+    // come again.
+    Ledger saved = new Ledger(TERMS);
+    try (FolderDisk disk = FolderDisk.look(mended)) {
+      Journal.inspect(disk, saved::replay);
+      assertFalse(saved.jobs().isEmpty());
+      for (Job job : saved.jobs()) {
+        assertEquals(JobState.IN_DOUBT, job.state());
+        assertFalse(saved.lease(job.id(), "w3", 10, 0).allowed());
+      }
+      Ledger again = new Ledger(TERMS);
+      saved.snapshot().forEach(again::replay);
+      assertEquals(saved.snapshot(), again.snapshot());
+      assertEquals(JobState.IN_DOUBT, again.jobs().iterator().next().state());
+      assertTrue(again.highestToken() > 1000);
     }
+  }
 
-    @Test
-    void statesKnowNoDiskClockOrThread() {
-        ArchRuleDefinition.noClasses().that().haveNameMatching("ferngrade\\.durable\\.(Ledger|Job|Entry).*")
-                .and().haveSimpleNameNotEndingWith("Codec").and().haveSimpleNameNotEndingWith("Test")
-                .should().dependOnClassesThat()
-                .resideInAnyPackage("java.io..", "java.nio..", "java.time..", "java.util.concurrent..")
-                .orShould().callMethod(System.class, "nanoTime").orShould().callMethod(System.class,
-                        "currentTimeMillis")
-                .check(new ClassFileImporter().importPackages("ferngrade.durable"));
+  @Test
+  void twoProcessesCannotHaveOneFolder() throws IOException {
+    try (FolderDisk held = FolderDisk.hold(store)) {
+      assertFalse(held.list().isEmpty());
+      assertThrows(IOException.class, () -> FolderDisk.hold(store));
     }
+    FolderDisk.hold(store).close();
+  }
+
+  @Test
+  void statesKnowNoDiskClockOrThread() {
+    ArchRuleDefinition.noClasses()
+        .that()
+        .haveNameMatching("ferngrade\\.durable\\.(Ledger|Job|Entry).*")
+        .and()
+        .haveSimpleNameNotEndingWith("Codec")
+        .and()
+        .haveSimpleNameNotEndingWith("Test")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("java.io..", "java.nio..", "java.time..", "java.util.concurrent..")
+        .orShould()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .check(new ClassFileImporter().importPackages("ferngrade.durable"));
+  }
 }
--- a/duty/src/main/java/ferngrade/duty/Shard.java
+++ b/duty/src/main/java/ferngrade/duty/Shard.java
@@ -1,15 +1,17 @@
 package ferngrade.duty;
 
-/** One part of a duty, which has at most one owner; a duty that is not split has the part 0 alone. */
+/**
+ * One part of a duty, which has at most one owner; a duty that is not split has the part 0 alone.
+ */
 public record Shard(String duty, int number) implements Comparable<Shard> {
-    @Override
-    public int compareTo(Shard other) {
-        int byDuty = duty.compareTo(other.duty);
-        return byDuty != 0 ? byDuty : Integer.compare(number, other.number);
-    }
+  @Override
+  public int compareTo(Shard other) {
+    int byDuty = duty.compareTo(other.duty);
+    return byDuty != 0 ? byDuty : Integer.compare(number, other.number);
+  }
 
-    @Override
-    public String toString() {
-        return duty + "/" + number;
-    }
+  @Override
+  public String toString() {
+    return duty + "/" + number;
+  }
 }
--- a/duty/src/test/java/ferngrade/duty/CommandGoldenTest.java
+++ b/duty/src/test/java/ferngrade/duty/CommandGoldenTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import ferngrade.codec.Codec;
 import ferngrade.agreement.LogFormat;
+import ferngrade.codec.Codec;
 import ferngrade.golden.GoldenFile;
 import java.io.IOException;
 import java.util.HashSet;
@@ -13,73 +13,85 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of the log's entries, their results and the snapshots keep the form that an earlier version wrote. */
+/**
+ * The bytes of the log's entries, their results and the snapshots keep the form that an earlier
+ * version wrote.
+ */
 class CommandGoldenTest {
-    private static final GoldenFile GOLDEN = GoldenFile.open("commands.txt");
-    private static final Shard SHARD = new Shard("backup", 3);
+  private static final GoldenFile GOLDEN = GoldenFile.open("commands.txt");
+  private static final Shard SHARD = new Shard("backup", 3);
 
-    private final Codec codec = LogFormat.codec(Command.CLASSES);
+  private final Codec codec = LogFormat.codec(Command.CLASSES);
 
-    private static Map<String, Object> values() {
-        Map<String, Object> values = new LinkedHashMap<>();
-        values.put("shard", SHARD);
-        values.put("open", new Command.Open("m1", "0a1b2c", 1_790_000_000_123L, List.of(SHARD, new Shard("list", 0))));
-        values.put("renew", new Command.Renew(7, 1_790_000_001_123L));
-        values.put("expire", new Command.Expire(8, 41));
-        values.put("close", new Command.Close(9));
-        values.put("release", new Command.Release(10, SHARD, 77));
-        values.put("drain", new Command.Drain(11));
-        values.put("transfer", new Command.Transfer(SHARD, "m2"));
-        values.put("begin", new Command.Begin(SHARD, 78, 1_790_000_060_000L));
-        values.put("finish", new Command.Finish(SHARD, 79, 1_790_000_120_000L, "served: \u00e9"));
-        values.put("opened", new Command.Opened(12));
-        for (Command.Verdict verdict : Command.Verdict.values()) {
-            values.put("begun-" + verdict.ordinal(), new Command.Begun(verdict));
-        }
-        values.put("verdict", Command.Verdict.ACCEPTED);
-        DutyTable.Session session = new DutyTable.Session(13, "m3", "ff", 5, true, 1_790_000_002_123L);
-        DutyTable.Slot slot = new DutyTable.Slot(SHARD, 13, 80, true, "m4", 1_790_000_180_000L, true, 81, "done", 90, "free");
-        DutyTable.Wall wall = new DutyTable.Wall("m5", 1_790_000_003_123L);
-        values.put("session", session);
-        values.put("slot", slot);
-        values.put("wall", wall);
-        values.put("snapshot", new DutyTable.Image(91, 82, List.of(session), List.of(slot), List.of(wall)));
-        values.put("result-true", true);
-        values.put("result-null", null);
-        return values;
+  private static Map<String, Object> values() {
+    Map<String, Object> values = new LinkedHashMap<>();
+    values.put("shard", SHARD);
+    values.put(
+        "open",
+        new Command.Open("m1", "0a1b2c", 1_790_000_000_123L, List.of(SHARD, new Shard("list", 0))));
+    values.put("renew", new Command.Renew(7, 1_790_000_001_123L));
+    values.put("expire", new Command.Expire(8, 41));
+    values.put("close", new Command.Close(9));
+    values.put("release", new Command.Release(10, SHARD, 77));
+    values.put("drain", new Command.Drain(11));
+    values.put("transfer", new Command.Transfer(SHARD, "m2"));
+    values.put("begin", new Command.Begin(SHARD, 78, 1_790_000_060_000L));
+    values.put("finish", new Command.Finish(SHARD, 79, 1_790_000_120_000L, "served: \u00e9"));
+    values.put("opened", new Command.Opened(12));
+    for (Command.Verdict verdict : Command.Verdict.values()) {
+      values.put("begun-" + verdict.ordinal(), new Command.Begun(verdict));
     }
+    values.put("verdict", Command.Verdict.ACCEPTED);
+    DutyTable.Session session = new DutyTable.Session(13, "m3", "ff", 5, true, 1_790_000_002_123L);
+    DutyTable.Slot slot =
+        new DutyTable.Slot(
+            SHARD, 13, 80, true, "m4", 1_790_000_180_000L, true, 81, "done", 90, "free");
+    DutyTable.Wall wall = new DutyTable.Wall("m5", 1_790_000_003_123L);
+    values.put("session", session);
+    values.put("slot", slot);
+    values.put("wall", wall);
+    values.put(
+        "snapshot", new DutyTable.Image(91, 82, List.of(session), List.of(slot), List.of(wall)));
+    values.put("result-true", true);
+    values.put("result-null", null);
+    return values;
+  }
 
-    @Test
-    void eachValueIsReadAndWrittenAsRecorded() throws IOException {
-        for (Map.Entry<String, Object> each : values().entrySet()) {
-            byte[] written = codec.write(each.getValue());
-            GOLDEN.verify(each.getKey(), written);
-            byte[] recorded = GOLDEN.bytes(each.getKey());
-            assertEquals(each.getValue(), codec.read(recorded, 0, recorded.length), each.getKey());
-        }
+  @Test
+  void eachValueIsReadAndWrittenAsRecorded() throws IOException {
+    for (Map.Entry<String, Object> each : values().entrySet()) {
+      byte[] written = codec.write(each.getValue());
+      GOLDEN.verify(each.getKey(), written);
+      byte[] recorded = GOLDEN.bytes(each.getKey());
+      assertEquals(each.getValue(), codec.read(recorded, 0, recorded.length), each.getKey());
     }
+  }
 
-    @Test
-    void eachClassOfTheFormatIsRecorded() {
-        Set<Class<?>> recorded = new HashSet<>();
-        values().values().stream().filter(each -> each != null).forEach(each -> recorded.add(each.getClass()));
-        recorded.remove(Boolean.class);
-        assertEquals(new HashSet<>(Command.CLASSES), recorded);
-    }
+  @Test
+  void eachClassOfTheFormatIsRecorded() {
+    Set<Class<?>> recorded = new HashSet<>();
+    values().values().stream()
+        .filter(each -> each != null)
+        .forEach(each -> recorded.add(each.getClass()));
+    recorded.remove(Boolean.class);
+    assertEquals(new HashSet<>(Command.CLASSES), recorded);
+  }
 
-    @Test
-    void aTableMadeOfCommandsHasTheRecordedSnapshot() throws IOException {
-        DutyTable table = new DutyTable();
-        long index = 0;
-        Object opened = table.apply(++index, new Command.Open("m1", "n1", 1_000, List.of(SHARD, new Shard("list", 0))));
-        table.apply(++index, new Command.Open("m2", "n2", 1_010, List.of(SHARD, new Shard("list", 0))));
-        table.apply(++index, new Command.Renew(((Command.Opened) opened).session(), 2_000));
-        table.apply(++index, new Command.Transfer(SHARD, "m2"));
-        byte[] written = codec.write(table.snapshot());
-        GOLDEN.verify("table", written);
-        byte[] recorded = GOLDEN.bytes("table");
-        DutyTable restored = new DutyTable();
-        restored.restore(index, codec.read(recorded, 0, recorded.length));
-        assertEquals(table.snapshot(), restored.snapshot());
-    }
+  @Test
+  void aTableMadeOfCommandsHasTheRecordedSnapshot() throws IOException {
+    DutyTable table = new DutyTable();
+    long index = 0;
+    Object opened =
+        table.apply(
+            ++index, new Command.Open("m1", "n1", 1_000, List.of(SHARD, new Shard("list", 0))));
+    table.apply(++index, new Command.Open("m2", "n2", 1_010, List.of(SHARD, new Shard("list", 0))));
+    table.apply(++index, new Command.Renew(((Command.Opened) opened).session(), 2_000));
+    table.apply(++index, new Command.Transfer(SHARD, "m2"));
+    byte[] written = codec.write(table.snapshot());
+    GOLDEN.verify("table", written);
+    byte[] recorded = GOLDEN.bytes("table");
+    DutyTable restored = new DutyTable();
+    restored.restore(index, codec.read(recorded, 0, recorded.length));
+    assertEquals(table.snapshot(), restored.snapshot());
+  }
 }
--- a/duty/src/test/java/ferngrade/duty/HolderTest.java
+++ b/duty/src/test/java/ferngrade/duty/HolderTest.java
@@ -10,105 +10,114 @@
 
 /** What a member believes it holds, on a clock that the test sets. */
 class HolderTest {
-    private static final Shard SHARD = new Shard("sweep", 0);
-    private static final Holder.Terms TERMS = new Holder.Terms(1_000, 0.02);
+  private static final Shard SHARD = new Shard("sweep", 0);
+  private static final Holder.Terms TERMS = new Holder.Terms(1_000, 0.02);
 
-    private final DutyTable table = new DutyTable();
-    private final List<Command> proposed = new ArrayList<>();
-    private long index;
+  private final DutyTable table = new DutyTable();
+  private final List<Command> proposed = new ArrayList<>();
+  private long index;
 
-    private Holder holder(String name) {
-        return new Holder(name, name, List.of(SHARD), TERMS, proposed::add);
-    }
+  private Holder holder(String name) {
+    return new Holder(name, name, List.of(SHARD), TERMS, proposed::add);
+  }
 
-    /** Lets the member look at its table, and applies and answers what it proposes, {@code delay} ms later. */
-    private void tick(Holder holder, double now) {
-        holder.tick(now, 0, table);
-        for (Command command : List.copyOf(proposed)) {
-            holder.answered(now, command, table.apply(++index, command));
-        }
-        proposed.clear();
+  /**
+   * Lets the member look at its table, and applies and answers what it proposes, {@code delay} ms
+   * later.
+   */
+  private void tick(Holder holder, double now) {
+    holder.tick(now, 0, table);
+    for (Command command : List.copyOf(proposed)) {
+      holder.answered(now, command, table.apply(++index, command));
     }
+    proposed.clear();
+  }
 
-    @Test
-    void aHoldIsCountedFromBeforeTheAskingAndEndsAheadOfItsTimeByTheDrift() {
-        Holder holder = holder("a");
-        tick(holder, 100);
-        assertTrue(holder.epoch(SHARD, 100 + 979, table).isPresent());
-        assertFalse(holder.epoch(SHARD, 100 + 981, table).isPresent());
-    }
+  @Test
+  void aHoldIsCountedFromBeforeTheAskingAndEndsAheadOfItsTimeByTheDrift() {
+    Holder holder = holder("a");
+    tick(holder, 100);
+    assertTrue(holder.epoch(SHARD, 100 + 979, table).isPresent());
+    assertFalse(holder.epoch(SHARD, 100 + 981, table).isPresent());
+  }
 
-    @Test
-    void anotherIsEndedOnlyAfterItsHoldAndTheDriftHavePassedHere() {
-        Holder a = holder("a");
-        Holder b = holder("b");
-        tick(a, 0);
-        tick(b, 5_000);
-        proposed.clear();
-        b.tick(5_000 + 1_019, 0, table);
-        assertTrue(proposed.stream().noneMatch(each -> each instanceof Command.Expire), proposed.toString());
-        b.tick(5_000 + 1_030, 0, table);
-        assertTrue(proposed.contains(new Command.Expire(1, 0)), proposed.toString());
-    }
+  @Test
+  void anotherIsEndedOnlyAfterItsHoldAndTheDriftHavePassedHere() {
+    Holder a = holder("a");
+    Holder b = holder("b");
+    tick(a, 0);
+    tick(b, 5_000);
+    proposed.clear();
+    b.tick(5_000 + 1_019, 0, table);
+    assertTrue(
+        proposed.stream().noneMatch(each -> each instanceof Command.Expire), proposed.toString());
+    b.tick(5_000 + 1_030, 0, table);
+    assertTrue(proposed.contains(new Command.Expire(1, 0)), proposed.toString());
+  }
 
-    @Test
-    void aRenewalThatIsSeenBeginsTheWaitAnew() {
-        Holder a = holder("a");
-        Holder b = holder("b");
-        tick(a, 0);
-        tick(b, 0);
-        b.tick(800, 0, table);
-        tick(a, 900);
-        b.tick(910, 0, table);
-        proposed.clear();
-        b.tick(910 + 1_010, 0, table);
-        assertTrue(proposed.stream().noneMatch(each -> each instanceof Command.Expire), proposed.toString());
-        b.tick(910 + 1_030, 0, table);
-        assertTrue(proposed.stream().anyMatch(each -> each instanceof Command.Expire), proposed.toString());
-    }
+  @Test
+  void aRenewalThatIsSeenBeginsTheWaitAnew() {
+    Holder a = holder("a");
+    Holder b = holder("b");
+    tick(a, 0);
+    tick(b, 0);
+    b.tick(800, 0, table);
+    tick(a, 900);
+    b.tick(910, 0, table);
+    proposed.clear();
+    b.tick(910 + 1_010, 0, table);
+    assertTrue(
+        proposed.stream().noneMatch(each -> each instanceof Command.Expire), proposed.toString());
+    b.tick(910 + 1_030, 0, table);
+    assertTrue(
+        proposed.stream().anyMatch(each -> each instanceof Command.Expire), proposed.toString());
+  }
 
-    @Test
-    void aMemberWhoseSessionWasEndedHoldsNothingAndOpensAnother() {
-        Holder a = holder("a");
-        tick(a, 0);
-        long epoch = a.epoch(SHARD, 10, table).orElseThrow();
-        table.apply(++index, new Command.Expire(1, 0));
-        a.tick(20, 0, table);
-        assertFalse(a.epoch(SHARD, 20, table).isPresent());
-        assertTrue(proposed.stream().anyMatch(each -> each instanceof Command.Open), proposed.toString());
-        tick(a, 400);
-        assertTrue(a.epoch(SHARD, 401, table).orElseThrow() > epoch);
-    }
+  @Test
+  void aMemberWhoseSessionWasEndedHoldsNothingAndOpensAnother() {
+    Holder a = holder("a");
+    tick(a, 0);
+    long epoch = a.epoch(SHARD, 10, table).orElseThrow();
+    table.apply(++index, new Command.Expire(1, 0));
+    a.tick(20, 0, table);
+    assertFalse(a.epoch(SHARD, 20, table).isPresent());
+    assertTrue(
+        proposed.stream().anyMatch(each -> each instanceof Command.Open), proposed.toString());
+    tick(a, 400);
+    assertTrue(a.epoch(SHARD, 401, table).orElseThrow() > epoch);
+  }
 
-    @Test
-    void whatIsGivenBackIsNotActedForWhateverBecomesOfTheProposal() {
-        Holder a = holder("a");
-        tick(a, 0);
-        table.apply(++index, new Command.Open("b", "b", 0, List.of(SHARD)));
-        table.apply(++index, new Command.Transfer(SHARD, "b"));
-        a.tick(20, 0, table);
-        assertTrue(proposed.stream().anyMatch(each -> each instanceof Command.Release), proposed.toString());
-        assertFalse(a.epoch(SHARD, 21, table).isPresent());
-        // The proposal was lost, and operators have changed their minds: it stays given back until that is settled.
-        proposed.clear();
-        table.apply(++index, new Command.Transfer(SHARD, "a"));
-        assertFalse(a.epoch(SHARD, 30, table).isPresent());
-        tick(a, 400);
-        assertTrue(a.epoch(SHARD, 401, table).isPresent(), "given to it anew, under another epoch");
-    }
+  @Test
+  void whatIsGivenBackIsNotActedForWhateverBecomesOfTheProposal() {
+    Holder a = holder("a");
+    tick(a, 0);
+    table.apply(++index, new Command.Open("b", "b", 0, List.of(SHARD)));
+    table.apply(++index, new Command.Transfer(SHARD, "b"));
+    a.tick(20, 0, table);
+    assertTrue(
+        proposed.stream().anyMatch(each -> each instanceof Command.Release), proposed.toString());
+    assertFalse(a.epoch(SHARD, 21, table).isPresent());
+    // The proposal was lost, and operators have changed their minds: it stays given back until that
+    // is settled.
+    proposed.clear();
+    table.apply(++index, new Command.Transfer(SHARD, "a"));
+    assertFalse(a.epoch(SHARD, 30, table).isPresent());
+    tick(a, 400);
+    assertTrue(a.epoch(SHARD, 401, table).isPresent(), "given to it anew, under another epoch");
+  }
 
-    @Test
-    void aMemberThatLeavesGivesBackAllAndEndsItsSession() {
-        Holder a = holder("a");
-        Holder b = holder("b");
-        tick(a, 0);
-        tick(b, 0);
-        a.drain();
-        for (double now = 10; now < 100 && !a.left(); now += 10) {
-            tick(a, now);
-        }
-        assertTrue(a.left());
-        assertEquals("b", table.owner(table.slot(SHARD)));
-        assertEquals(1, table.sessions().size());
+  @Test
+  void aMemberThatLeavesGivesBackAllAndEndsItsSession() {
+    Holder a = holder("a");
+    Holder b = holder("b");
+    tick(a, 0);
+    tick(b, 0);
+    a.drain();
+    for (double now = 10; now < 100 && !a.left(); now += 10) {
+      tick(a, now);
     }
+    assertTrue(a.left());
+    assertEquals("b", table.owner(table.slot(SHARD)));
+    assertEquals(1, table.sessions().size());
+  }
 }
--- a/duty/src/test/java/ferngrade/duty/RecurringTest.java
+++ b/duty/src/test/java/ferngrade/duty/RecurringTest.java
@@ -9,84 +9,92 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the owner of a recurring job does, by the clock and the log; and the guard where its effects land. */
+/**
+ * What the owner of a recurring job does, by the clock and the log; and the guard where its effects
+ * land.
+ */
 class RecurringTest {
-    private static final long HOUR = 3_600_000;
-    private static final long DAY = 24 * HOUR;
-    private static final long MIDNIGHT = 20_000 * DAY;
+  private static final long HOUR = 3_600_000;
+  private static final long DAY = 24 * HOUR;
+  private static final long MIDNIGHT = 20_000 * DAY;
 
-    private final DutyTable table = new DutyTable();
-    private final Recurring daily = new Recurring("sweep", DAY, true, false);
-    private long index;
+  private final DutyTable table = new DutyTable();
+  private final Recurring daily = new Recurring("sweep", DAY, true, false);
+  private long index;
 
-    private long open(String member, long wall) {
-        return ((Opened) table.apply(++index, new Command.Open(member, member, wall, List.of(daily.shard())))).session();
-    }
+  private long open(String member, long wall) {
+    return ((Opened)
+            table.apply(++index, new Command.Open(member, member, wall, List.of(daily.shard()))))
+        .session();
+  }
 
-    private long epoch() {
-        return table.slot(daily.shard()).epoch();
-    }
+  private long epoch() {
+    return table.slot(daily.shard()).epoch();
+  }
 
-    private Step step(Recurring job, long wall) {
-        return job.decide(wall, table.slot(daily.shard()), epoch()).step();
-    }
+  private Step step(Recurring job, long wall) {
+    return job.decide(wall, table.slot(daily.shard()), epoch()).step();
+  }
 
-    private void begin(long due) {
-        table.apply(++index, new Command.Begin(daily.shard(), epoch(), due));
-    }
+  private void begin(long due) {
+    table.apply(++index, new Command.Begin(daily.shard(), epoch(), due));
+  }
 
-    private void finish(long due) {
-        table.apply(++index, new Command.Finish(daily.shard(), epoch(), due, "served"));
-    }
+  private void finish(long due) {
+    table.apply(++index, new Command.Finish(daily.shard(), epoch(), due, "served"));
+  }
 
-    @Test
-    void theFirstDueTimeBeforeTheFleetBeganIsLeftOutAndEachLaterOneIsPutInOnce() {
-        open("a", MIDNIGHT);
-        assertEquals(Step.SKIP, step(daily, MIDNIGHT + 5));
-        begin(MIDNIGHT);
-        finish(MIDNIGHT);
-        assertEquals(Step.WAIT, step(daily, MIDNIGHT + DAY - 1));
-        assertEquals(Step.BEGIN, step(daily, MIDNIGHT + DAY));
-    }
+  @Test
+  void theFirstDueTimeBeforeTheFleetBeganIsLeftOutAndEachLaterOneIsPutInOnce() {
+    open("a", MIDNIGHT);
+    assertEquals(Step.SKIP, step(daily, MIDNIGHT + 5));
+    begin(MIDNIGHT);
+    finish(MIDNIGHT);
+    assertEquals(Step.WAIT, step(daily, MIDNIGHT + DAY - 1));
+    assertEquals(Step.BEGIN, step(daily, MIDNIGHT + DAY));
+  }
 
-    @Test
-    void whatFellIntoAnOutageIsRunLateOnceOrLeftOut() {
-        open("a", MIDNIGHT);
-        begin(MIDNIGHT);
-        finish(MIDNIGHT);
-        long back = MIDNIGHT + 3 * DAY + 20 * HOUR;
-        assertEquals(new Recurring.Decision(Step.BEGIN, MIDNIGHT + 3 * DAY),
-                daily.decide(back, table.slot(daily.shard()), epoch()), "once for the three that were missed");
-        assertEquals(Step.SKIP, step(new Recurring("sweep", DAY, false, false), back));
-        assertEquals(Step.BEGIN, step(new Recurring("sweep", DAY, false, false), MIDNIGHT + 3 * DAY + HOUR));
-    }
+  @Test
+  void whatFellIntoAnOutageIsRunLateOnceOrLeftOut() {
+    open("a", MIDNIGHT);
+    begin(MIDNIGHT);
+    finish(MIDNIGHT);
+    long back = MIDNIGHT + 3 * DAY + 20 * HOUR;
+    assertEquals(
+        new Recurring.Decision(Step.BEGIN, MIDNIGHT + 3 * DAY),
+        daily.decide(back, table.slot(daily.shard()), epoch()),
+        "once for the three that were missed");
+    assertEquals(Step.SKIP, step(new Recurring("sweep", DAY, false, false), back));
+    assertEquals(
+        Step.BEGIN, step(new Recurring("sweep", DAY, false, false), MIDNIGHT + 3 * DAY + HOUR));
+  }
 
-    @Test
-    void whatAnEarlierOwnerBeganIsPutInAgainOnlyWhereItMayBe() {
-        long a = open("a", MIDNIGHT);
-        begin(MIDNIGHT);
-        assertEquals(Step.BEGUN, step(daily, MIDNIGHT + 10), "its own, still on its way");
-        table.apply(++index, new Command.Expire(a, 0));
-        open("b", MIDNIGHT);
-        assertEquals(Step.DOUBT, step(daily, MIDNIGHT + 2_000));
-        assertEquals(Step.REPEAT, step(new Recurring("sweep", DAY, true, true), MIDNIGHT + 2_000));
-    }
+  @Test
+  void whatAnEarlierOwnerBeganIsPutInAgainOnlyWhereItMayBe() {
+    long a = open("a", MIDNIGHT);
+    begin(MIDNIGHT);
+    assertEquals(Step.BEGUN, step(daily, MIDNIGHT + 10), "its own, still on its way");
+    table.apply(++index, new Command.Expire(a, 0));
+    open("b", MIDNIGHT);
+    assertEquals(Step.DOUBT, step(daily, MIDNIGHT + 2_000));
+    assertEquals(Step.REPEAT, step(new Recurring("sweep", DAY, true, true), MIDNIGHT + 2_000));
+  }
 
-    @Test
-    void aClockThatGoesBackPutsNothingInTwice() {
-        open("a", MIDNIGHT);
-        begin(MIDNIGHT);
-        finish(MIDNIGHT);
-        assertEquals(Step.WAIT, step(daily, MIDNIGHT - HOUR));
-    }
+  @Test
+  void aClockThatGoesBackPutsNothingInTwice() {
+    open("a", MIDNIGHT);
+    begin(MIDNIGHT);
+    finish(MIDNIGHT);
+    assertEquals(Step.WAIT, step(daily, MIDNIGHT - HOUR));
+  }
 
-    @Test
-    void theFenceLetsNoOlderEpochThroughOnceItHasSeenALaterOne() {
-        Fence fence = new Fence();
-        assertTrue(fence.admits("sweep/0", 3));
-        assertTrue(fence.admits("sweep/0", 3));
-        assertTrue(fence.admits("sweep/0", 5));
-        assertFalse(fence.admits("sweep/0", 4));
-        assertTrue(fence.admits("roll/0", 1), "each shard has its own");
-    }
+  @Test
+  void theFenceLetsNoOlderEpochThroughOnceItHasSeenALaterOne() {
+    Fence fence = new Fence();
+    assertTrue(fence.admits("sweep/0", 3));
+    assertTrue(fence.admits("sweep/0", 3));
+    assertTrue(fence.admits("sweep/0", 5));
+    assertFalse(fence.admits("sweep/0", 4));
+    assertTrue(fence.admits("roll/0", 1), "each shard has its own");
+  }
 }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -19,204 +19,232 @@
 import java.util.Map;
 
 /**
- * One node's process in virtual time: the program's own {@link Node} and decisions, unchanged, on an emulated machine
- * that can die, start again and stand still.
+ * One node's process in virtual time: the program's own {@link Node} and decisions, unchanged, on
+ * an emulated machine that can die, start again and stand still.
  */
 final class VirtualNode {
-    private static final byte[] NO_BODY = new byte[0];
-    /** What a node may hold; the machine's memory is not what these runs are about. */
-    private static final Node.Room ROOM = new Node.Room(200_000, 1L << 40, 500);
-
-    final int number;
-    final int zone;
-    private final VirtualRun run;
-    private final Map<String, Request> held = new HashMap<>();
-    private final Deque<Runnable> deferred = new ArrayDeque<>();
-    private VirtualWorkers transport;
-    private Node node;
-    private Dispatcher module;
-    private int incarnation;
-    private boolean up;
-    private int pauses;
-    private long replies;
-
-    VirtualNode(VirtualRun run, int number) {
-        this.run = run;
-        this.number = number;
-        this.zone = run.scenario.zoneOfNode(number);
-    }
-
-    boolean up() {
-        return up;
-    }
-
-    /** The slice of the budget that it holds; NaN where its decisions know of none. */
-    double slice() {
-        return up && module instanceof Choice choice ? choice.slice() : Double.NaN;
-    }
-
-    // ---- The process ----
-
-    void start(List<Member> known) {
-        up = true;
-        incarnation++;
-        deferred.clear();
-        held.clear();
-        VirtualTime time = run.time;
-        Timers timers = new Timers(time, (millis, wake) -> time.after(millis, here(wake)));
-        transport = new VirtualWorkers(run, this);
-        long seed = run.streams.seed("node-" + number + "-" + incarnation);
-        node = new Node(new Node.Surroundings(time, timers, task -> time.after(0, here(task)), transport,
-                (peer, message) -> run.tell(this, peer, message), new Log(time, line -> { })), ROOM,
-                actions -> module(actions, seed));
-        run.observer.node(time.now(), number, true);
-        hear(Dispatcher.News.STORED, known);
-    }
-
-    private Dispatcher module(Dispatcher.Actions actions, long seed) {
-        MutantModule[] mutant = new MutantModule[1];
-        Dispatcher.Actions asked = run.mutation == Mutation.NONE ? actions : MutantModule.counting(actions, mutant);
-        module = run.policy.start(run.scenario.settings(number, run.allowances), seed, run.time.now(), asked, run.truth(this));
-        if (run.mutation == Mutation.NONE) {
-            return module;
-        }
-        mutant[0] = new MutantModule(run.mutation, module, actions);
-        return mutant[0];
-    }
-
-    void kill() {
-        if (!up) {
-            return;
-        }
-        up = false;
-        incarnation++;
-        double now = run.time.now();
-        run.observer.node(now, number, false);
-        for (Request request : new ArrayList<>(held.values())) {
-            run.observer.lost(now, request, "its node was killed");
-            run.time.after(run.network.client(), () -> run.clients.answer(request, Answer.BROKEN, 0));
-        }
-        held.clear();
-        transport.close();
-    }
-
-    /** Stands still, or goes on: what came meanwhile is done then, in its order. */
-    void pause(boolean begins) {
-        if (begins && pauses++ == 0) {
-            run.observer.paused(run.time.now(), number, true);
-        }
-        if (!begins && --pauses == 0) {
-            run.observer.paused(run.time.now(), number, false);
-            while (!deferred.isEmpty()) {
-                deferred.poll().run();
-            }
-        }
-    }
-
-    /** A task of this process: it dies with it, and waits while it stands still. */
-    Runnable here(Runnable task) {
-        int mine = incarnation;
-        return () -> {
-            if (mine != incarnation) {
-                return;
-            }
-            if (pauses > 0) {
-                deferred.add(task);
-            } else {
-                task.run();
-            }
-        };
-    }
-
-    // ---- What reaches it ----
-
-    void take(Request request) {
-        double now = run.time.now();
-        held.put(request.id, request);
-        run.observer.taken(now, number, request);
-        ClassSpec spec = run.scenario.workload.classes.get(request.jobClass);
-        Job job = new Job(request.id, request.jobClass, request.tenant, now + request.deadline - request.due,
-                request.hint, spec.slots, 0, run.scenario.workload.tellObjects ? request.object : 0);
-        Call call = new Call(request.id, "POST", "/api", request.key, NO_BODY);
-        Reply reply = run.mutation.reply(new ClientReply(request), run.time, replies++);
-        if (!node.request(job, call, reply)) {
-            answer(request, Answer.FAILED, 0);
-        }
-    }
-
-    void leave(Request request) {
-        if (held.remove(request.id) != null) {
-            node.clientGone(request.id);
-        }
-    }
-
-    void hear(Dispatcher.News news, List<Member> entries) {
-        double now = run.time.now();
-        boolean late = run.mutation == Mutation.LATE_DRAIN && news == Dispatcher.News.CHANGES;
-        if (run.tells(news, entries)) {
-            for (Member entry : entries) {
-                run.observer.told(now, number, run.fleet.byId(entry.worker().id()), entry.worker().state(),
-                        entry.worker().startedAt());
-            }
-        }
-        if (late) {
-            run.time.after(Mutation.LATE, here(() -> node.members(news, entries)));
-        } else {
-            node.members(news, entries);
-        }
-    }
-
-    void broken(EmulatedWorker worker) {
-        if (up) {
-            transport.broken(worker);
-        }
-    }
-
-    void hear(int from, byte[] message) {
-        node.heard(from, message);
-    }
-
-    /** A worker's call-back; false: it fits nothing that this process knows. */
-    boolean hear(News news) {
-        return node.news(news);
-    }
-
-    /** The request that the node holds under an id; null once it is answered. */
-    Request held(String id) {
-        return held.get(id);
-    }
-
-    private void answer(Request request, Answer answer, double retryAfter) {
-        double now = run.time.now();
-        if (held.remove(request.id) == null && request.over) {
-            // The client has left; nobody hears it.
-            return;
-        }
-        run.observer.answered(now, number, request, answer, retryAfter);
-        run.time.after(run.network.client(), () -> run.clients.answer(request, answer, retryAfter));
-    }
-
-    /** The way back to one client. */
-    private final class ClientReply implements Reply {
-        private final Request request;
-
-        ClientReply(Request request) {
-            this.request = request;
-        }
-
-        @Override
-        public void served(String result) {
-            answer(request, Answer.SERVED, 0);
-        }
-
-        @Override
-        public void refused(double retryAfter) {
-            answer(request, Answer.REFUSED, retryAfter);
-        }
-
-        @Override
-        public void failed() {
-            answer(request, Answer.FAILED, 0);
-        }
-    }
+  private static final byte[] NO_BODY = new byte[0];
+
+  /** What a node may hold; the machine's memory is not what these runs are about. */
+  private static final Node.Room ROOM = new Node.Room(200_000, 1L << 40, 500);
+
+  final int number;
+  final int zone;
+  private final VirtualRun run;
+  private final Map<String, Request> held = new HashMap<>();
+  private final Deque<Runnable> deferred = new ArrayDeque<>();
+  private VirtualWorkers transport;
+  private Node node;
+  private Dispatcher module;
+  private int incarnation;
+  private boolean up;
+  private int pauses;
+  private long replies;
+
+  VirtualNode(VirtualRun run, int number) {
+    this.run = run;
+    this.number = number;
+    this.zone = run.scenario.zoneOfNode(number);
+  }
+
+  boolean up() {
+    return up;
+  }
+
+  /** The slice of the budget that it holds; NaN where its decisions know of none. */
+  double slice() {
+    return up && module instanceof Choice choice ? choice.slice() : Double.NaN;
+  }
+
+  // ---- The process ----
+
+  void start(List<Member> known) {
+    up = true;
+    incarnation++;
+    deferred.clear();
+    held.clear();
+    VirtualTime time = run.time;
+    Timers timers = new Timers(time, (millis, wake) -> time.after(millis, here(wake)));
+    transport = new VirtualWorkers(run, this);
+    long seed = run.streams.seed("node-" + number + "-" + incarnation);
+    node =
+        new Node(
+            new Node.Surroundings(
+                time,
+                timers,
+                task -> time.after(0, here(task)),
+                transport,
+                (peer, message) -> run.tell(this, peer, message),
+                new Log(time, line -> {})),
+            ROOM,
+            actions -> module(actions, seed));
+    run.observer.node(time.now(), number, true);
+    hear(Dispatcher.News.STORED, known);
+  }
+
+  private Dispatcher module(Dispatcher.Actions actions, long seed) {
+    MutantModule[] mutant = new MutantModule[1];
+    Dispatcher.Actions asked =
+        run.mutation == Mutation.NONE ? actions : MutantModule.counting(actions, mutant);
+    module =
+        run.policy.start(
+            run.scenario.settings(number, run.allowances),
+            seed,
+            run.time.now(),
+            asked,
+            run.truth(this));
+    if (run.mutation == Mutation.NONE) {
+      return module;
+    }
+    mutant[0] = new MutantModule(run.mutation, module, actions);
+    return mutant[0];
+  }
+
+  void kill() {
+    if (!up) {
+      return;
+    }
+    up = false;
+    incarnation++;
+    double now = run.time.now();
+    run.observer.node(now, number, false);
+    for (Request request : new ArrayList<>(held.values())) {
+      run.observer.lost(now, request, "its node was killed");
+      run.time.after(run.network.client(), () -> run.clients.answer(request, Answer.BROKEN, 0));
+    }
+    held.clear();
+    transport.close();
+  }
+
+  /** Stands still, or goes on: what came meanwhile is done then, in its order. */
+  void pause(boolean begins) {
+    if (begins && pauses++ == 0) {
+      run.observer.paused(run.time.now(), number, true);
+    }
+    if (!begins && --pauses == 0) {
+      run.observer.paused(run.time.now(), number, false);
+      while (!deferred.isEmpty()) {
+        deferred.poll().run();
+      }
+    }
+  }
+
+  /** A task of this process: it dies with it, and waits while it stands still. */
+  Runnable here(Runnable task) {
+    int mine = incarnation;
+    return () -> {
+      if (mine != incarnation) {
+        return;
+      }
+      if (pauses > 0) {
+        deferred.add(task);
+      } else {
+        task.run();
+      }
+    };
+  }
+
+  // ---- What reaches it ----
+
+  void take(Request request) {
+    double now = run.time.now();
+    held.put(request.id, request);
+    run.observer.taken(now, number, request);
+    ClassSpec spec = run.scenario.workload.classes.get(request.jobClass);
+    Job job =
+        new Job(
+            request.id,
+            request.jobClass,
+            request.tenant,
+            now + request.deadline - request.due,
+            request.hint,
+            spec.slots,
+            0,
+            run.scenario.workload.tellObjects ? request.object : 0);
+    Call call = new Call(request.id, "POST", "/api", request.key, NO_BODY);
+    Reply reply = run.mutation.reply(new ClientReply(request), run.time, replies++);
+    if (!node.request(job, call, reply)) {
+      answer(request, Answer.FAILED, 0);
+    }
+  }
+
+  void leave(Request request) {
+    if (held.remove(request.id) != null) {
+      node.clientGone(request.id);
+    }
+  }
+
+  void hear(Dispatcher.News news, List<Member> entries) {
+    double now = run.time.now();
+    boolean late = run.mutation == Mutation.LATE_DRAIN && news == Dispatcher.News.CHANGES;
+    if (run.tells(news, entries)) {
+      for (Member entry : entries) {
+        run.observer.told(
+            now,
+            number,
+            run.fleet.byId(entry.worker().id()),
+            entry.worker().state(),
+            entry.worker().startedAt());
+      }
+    }
+    if (late) {
+      run.time.after(Mutation.LATE, here(() -> node.members(news, entries)));
+    } else {
+      node.members(news, entries);
+    }
+  }
+
+  void broken(EmulatedWorker worker) {
+    if (up) {
+      transport.broken(worker);
+    }
+  }
+
+  void hear(int from, byte[] message) {
+    node.heard(from, message);
+  }
+
+  /** A worker's call-back; false: it fits nothing that this process knows. */
+  boolean hear(News news) {
+    return node.news(news);
+  }
+
+  /** The request that the node holds under an id; null once it is answered. */
+  Request held(String id) {
+    return held.get(id);
+  }
+
+  private void answer(Request request, Answer answer, double retryAfter) {
+    double now = run.time.now();
+    if (held.remove(request.id) == null && request.over) {
+      // The client has left; nobody hears it.
+      return;
+    }
+    run.observer.answered(now, number, request, answer, retryAfter);
+    run.time.after(run.network.client(), () -> run.clients.answer(request, answer, retryAfter));
+  }
+
+  /** The way back to one client. */
+  private final class ClientReply implements Reply {
+    private final Request request;
+
+    ClientReply(Request request) {
+      this.request = request;
+    }
+
+    @Override
+    public void served(String result) {
+      answer(request, Answer.SERVED, 0);
+    }
+
+    @Override
+    public void refused(double retryAfter) {
+      answer(request, Answer.REFUSED, retryAfter);
+    }
+
+    @Override
+    public void failed() {
+      answer(request, Answer.FAILED, 0);
+    }
+  }
 }
--- a/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
@@ -10,66 +10,68 @@
 import java.util.Map;
 
 /**
- * A request that is given up is answered at once: no refusal comes long after the last thing that happened to its
- * request, be that its arrival or the end of an attempt.
+ * A request that is given up is answered at once: no refusal comes long after the last thing that
+ * happened to its request, be that its arrival or the end of an attempt.
  */
 public final class RefusalJudge extends Judge {
-    /** What a loop and a busy moment may take, ms. */
-    private static final double PROMPT = 100;
+  /** What a loop and a busy moment may take, ms. */
+  private static final double PROMPT = 100;
 
-    private final double allowed;
-    private final Map<Request, Double> lastEvent = new IdentityHashMap<>();
-    private final Map<Integer, Double> resumed = new HashMap<>();
+  private final double allowed;
+  private final Map<Request, Double> lastEvent = new IdentityHashMap<>();
+  private final Map<Integer, Double> resumed = new HashMap<>();
 
-    /** A judge for nodes with the scenario's round. */
-    public RefusalJudge(Scenario scenario) {
-        super("prompt-refusal");
-        this.allowed = PROMPT + scenario.roundMs;
-    }
+  /** A judge for nodes with the scenario's round. */
+  public RefusalJudge(Scenario scenario) {
+    super("prompt-refusal");
+    this.allowed = PROMPT + scenario.roundMs;
+  }
 
-    @Override
-    public void taken(double now, int node, Request request) {
-        lastEvent.put(request, now);
-    }
+  @Override
+  public void taken(double now, int node, Request request) {
+    lastEvent.put(request, now);
+  }
 
-    @Override
-    public void sent(double now, int node, EmulatedWorker worker, Request request) {
-        lastEvent.computeIfPresent(request, (key, before) -> now);
-    }
+  @Override
+  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+    lastEvent.computeIfPresent(request, (key, before) -> now);
+  }
 
-    @Override
-    public void attemptOver(double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
-        lastEvent.computeIfPresent(request, (key, before) -> now);
-    }
+  @Override
+  public void attemptOver(
+      double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
+    lastEvent.computeIfPresent(request, (key, before) -> now);
+  }
 
-    @Override
-    public void paused(double now, int node, boolean begins) {
-        if (!begins) {
-            resumed.put(node, now);
-        }
+  @Override
+  public void paused(double now, int node, boolean begins) {
+    if (!begins) {
+      resumed.put(node, now);
     }
+  }
 
-    @Override
-    public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
-        Double last = lastEvent.remove(request);
-        if (answer != Answer.REFUSED || last == null) {
-            return;
-        }
-        double from = Math.max(last, resumed.getOrDefault(node, Double.NEGATIVE_INFINITY));
-        if (now > from + allowed) {
-            breach(now, request + " was refused " + (now - from) + " ms after anything had happened to it");
-        }
+  @Override
+  public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
+    Double last = lastEvent.remove(request);
+    if (answer != Answer.REFUSED || last == null) {
+      return;
     }
-
-    @Override
-    public void lost(double now, Request request, String why) {
-        lastEvent.remove(request);
+    double from = Math.max(last, resumed.getOrDefault(node, Double.NEGATIVE_INFINITY));
+    if (now > from + allowed) {
+      breach(
+          now, request + " was refused " + (now - from) + " ms after anything had happened to it");
     }
+  }
+
+  @Override
+  public void lost(double now, Request request, String why) {
+    lastEvent.remove(request);
+  }
 
-    @Override
-    public void ended(double now, Request request, Answer answer) {
-        if (answer == Answer.LEFT) {
-            lastEvent.remove(request);
-        }
+  @Override
+  public void ended(double now, Request request, Answer answer) {
+    if (answer == Answer.LEFT) {
+      lastEvent.remove(request);
     }
+  }
 }
--- a/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
@@ -14,95 +14,101 @@
 import java.util.Map;
 
 /**
- * Nothing that may have run goes out again unless its class allows it; a worker has one attempt of a request at a time;
- * and what may have run is not called refused.
+ * Nothing that may have run goes out again unless its class allows it; a worker has one attempt of
+ * a request at a time; and what may have run is not called refused.
  */
 public final class RepeatJudge extends Judge {
-    private final Scenario scenario;
-    private final Map<Request, List<Sent>> sent = new IdentityHashMap<>();
+  private final Scenario scenario;
+  private final Map<Request, List<Sent>> sent = new IdentityHashMap<>();
 
-    private static final class Sent {
-        final EmulatedWorker worker;
-        final double at;
-        boolean out = true;
-        boolean neverRan;
+  private static final class Sent {
+    final EmulatedWorker worker;
+    final double at;
+    boolean out = true;
+    boolean neverRan;
 
-        Sent(EmulatedWorker worker, double at) {
-            this.worker = worker;
-            this.at = at;
-        }
+    Sent(EmulatedWorker worker, double at) {
+      this.worker = worker;
+      this.at = at;
     }
+  }
 
-    /** A judge for the classes of this scenario. */
-    public RepeatJudge(Scenario scenario) {
-        super("no-repeat");
-        this.scenario = scenario;
-    }
+  /** A judge for the classes of this scenario. */
+  public RepeatJudge(Scenario scenario) {
+    super("no-repeat");
+    this.scenario = scenario;
+  }
 
-    @Override
-    public void sent(double now, int node, EmulatedWorker worker, Request request) {
-        List<Sent> before = sent.computeIfAbsent(request, key -> new ArrayList<>(2));
-        ClassSpec spec = scenario.workload.classes.get(request.jobClass);
-        Sent doubtful = null;
-        int out = 0;
-        for (Sent each : before) {
-            out += each.out ? 1 : 0;
-            if (each.out && each.worker == worker) {
-                breach(now, request + " has two attempts at " + worker);
-            }
-            if (!each.neverRan && doubtful == null) {
-                doubtful = each;
-            }
-        }
-        if (out > 0 && !scenario.secondCopies) {
-            breach(now, request + " has two copies out");
-        }
-        if (doubtful != null && !allows(spec, doubtful, worker, now)) {
-            breach(now, request + " went to " + worker + " although it may have run at " + doubtful.worker);
-        }
-        before.add(new Sent(worker, now));
+  @Override
+  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+    List<Sent> before = sent.computeIfAbsent(request, key -> new ArrayList<>(2));
+    ClassSpec spec = scenario.workload.classes.get(request.jobClass);
+    Sent doubtful = null;
+    int out = 0;
+    for (Sent each : before) {
+      out += each.out ? 1 : 0;
+      if (each.out && each.worker == worker) {
+        breach(now, request + " has two attempts at " + worker);
+      }
+      if (!each.neverRan && doubtful == null) {
+        doubtful = each;
+      }
     }
-
-    private static boolean allows(ClassSpec spec, Sent doubtful, EmulatedWorker worker, double now) {
-        if (spec.effect == Effect.SAFE) {
-            return true;
-        }
-        boolean group = spec.scope == Scope.ALL
-                || spec.scope == Scope.ZONE && doubtful.worker.zone == worker.zone
-                || spec.scope == Scope.CELL && doubtful.worker.cell == worker.cell;
-        return spec.effect == Effect.KEYED && group && now <= doubtful.at + spec.window;
+    if (out > 0 && !scenario.secondCopies) {
+      breach(now, request + " has two copies out");
     }
+    if (doubtful != null && !allows(spec, doubtful, worker, now)) {
+      breach(
+          now, request + " went to " + worker + " although it may have run at " + doubtful.worker);
+    }
+    before.add(new Sent(worker, now));
+  }
 
-    @Override
-    public void attemptOver(double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
-        for (Sent each : sent.getOrDefault(request, List.of())) {
-            if (each.worker == worker && each.out) {
-                each.out = false;
-                each.neverRan = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
-            }
-        }
+  private static boolean allows(ClassSpec spec, Sent doubtful, EmulatedWorker worker, double now) {
+    if (spec.effect == Effect.SAFE) {
+      return true;
     }
+    boolean group =
+        spec.scope == Scope.ALL
+            || spec.scope == Scope.ZONE && doubtful.worker.zone == worker.zone
+            || spec.scope == Scope.CELL && doubtful.worker.cell == worker.cell;
+    return spec.effect == Effect.KEYED && group && now <= doubtful.at + spec.window;
+  }
 
-    @Override
-    public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
-        List<Sent> before = sent.remove(request);
-        ClassSpec spec = scenario.workload.classes.get(request.jobClass);
-        boolean harmless = spec.effect == Effect.SAFE || spec.effect == Effect.KEYED && spec.scope == Scope.ALL;
-        if (answer == Answer.REFUSED && before != null && !harmless
-                && before.stream().anyMatch(each -> !each.neverRan)) {
-            breach(now, request + " was called refused although it may have run");
-        }
+  @Override
+  public void attemptOver(
+      double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
+    for (Sent each : sent.getOrDefault(request, List.of())) {
+      if (each.worker == worker && each.out) {
+        each.out = false;
+        each.neverRan = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
+      }
     }
+  }
 
-    @Override
-    public void lost(double now, Request request, String why) {
-        sent.remove(request);
+  @Override
+  public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
+    List<Sent> before = sent.remove(request);
+    ClassSpec spec = scenario.workload.classes.get(request.jobClass);
+    boolean harmless =
+        spec.effect == Effect.SAFE || spec.effect == Effect.KEYED && spec.scope == Scope.ALL;
+    if (answer == Answer.REFUSED
+        && before != null
+        && !harmless
+        && before.stream().anyMatch(each -> !each.neverRan)) {
+      breach(now, request + " was called refused although it may have run");
     }
+  }
+
+  @Override
+  public void lost(double now, Request request, String why) {
+    sent.remove(request);
+  }
 
-    @Override
-    public void ended(double now, Request request, Answer answer) {
-        if (answer == Answer.LEFT) {
-            sent.remove(request);
-        }
+  @Override
+  public void ended(double now, Request request, Answer answer) {
+    if (answer == Answer.LEFT) {
+      sent.remove(request);
     }
+  }
 }
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -10,125 +10,136 @@
 import java.util.Set;
 
 /**
- * What the plain policies share: the list of workers, what each holds, and the guard that keeps an attempt that may
- * have run from going out again. They admit everything and differ in the pick alone.
+ * What the plain policies share: the list of workers, what each holds, and the guard that keeps an
+ * attempt that may have run from going out again. They admit everything and differ in the pick
+ * alone.
  */
 abstract class PlainPolicy implements Dispatcher {
-    private final Settings settings;
-    private final Actions actions;
-    private final Map<Long, Worker> listed = new HashMap<>();
-    private final Map<Long, Integer> held = new HashMap<>();
-    private final Map<String, Open> open = new HashMap<>();
-    private List<Worker> ready = List.of();
-
-    private static final class Open {
-        final Job job;
-        final List<Long> tried = new ArrayList<>(1);
-        boolean doubtful;
-
-        Open(Job job) {
-            this.job = job;
-        }
+  private final Settings settings;
+  private final Actions actions;
+  private final Map<Long, Worker> listed = new HashMap<>();
+  private final Map<Long, Integer> held = new HashMap<>();
+  private final Map<String, Open> open = new HashMap<>();
+  private List<Worker> ready = List.of();
+
+  private static final class Open {
+    final Job job;
+    final List<Long> tried = new ArrayList<>(1);
+    boolean doubtful;
+
+    Open(Job job) {
+      this.job = job;
     }
-
-    PlainPolicy(Settings settings, Actions actions) {
-        this.settings = settings;
-        this.actions = actions;
-    }
-
-    /** The worker to take, of at least one; those of {@code tried} have had the job. */
-    abstract Worker pick(List<Worker> ready, Job job);
-
-    /** The attempts that this dispatcher has out at a worker. */
-    final int held(Worker worker) {
-        return held.getOrDefault(worker.id(), 0);
+  }
+
+  PlainPolicy(Settings settings, Actions actions) {
+    this.settings = settings;
+    this.actions = actions;
+  }
+
+  /** The worker to take, of at least one; those of {@code tried} have had the job. */
+  abstract Worker pick(List<Worker> ready, Job job);
+
+  /** The attempts that this dispatcher has out at a worker. */
+  final int held(Worker worker) {
+    return held.getOrDefault(worker.id(), 0);
+  }
+
+  @Override
+  public final void arrived(double now, Job job) {
+    Open request = new Open(job);
+    open.put(job.id(), request);
+    send(request, now);
+  }
+
+  private void send(Open request, double now) {
+    List<Worker> left = ready;
+    if (!request.tried.isEmpty()) {
+      Set<Long> tried = new HashSet<>(request.tried);
+      left = ready.stream().filter(worker -> !tried.contains(worker.id())).toList();
     }
-
-    @Override
-    public final void arrived(double now, Job job) {
-        Open request = new Open(job);
-        open.put(job.id(), request);
-        send(request, now);
+    boolean spent = request.tried.size() >= settings.limits().tries() || now >= request.job.due();
+    Worker worker = spent || left.isEmpty() ? null : pick(left, request.job);
+    if (worker == null) {
+      answer(request);
+      return;
     }
-
-    private void send(Open request, double now) {
-        List<Worker> left = ready;
-        if (!request.tried.isEmpty()) {
-            Set<Long> tried = new HashSet<>(request.tried);
-            left = ready.stream().filter(worker -> !tried.contains(worker.id())).toList();
-        }
-        boolean spent = request.tried.size() >= settings.limits().tries() || now >= request.job.due();
-        Worker worker = spent || left.isEmpty() ? null : pick(left, request.job);
-        if (worker == null) {
-            answer(request);
-            return;
-        }
-        request.tried.add(worker.id());
-        held.merge(worker.id(), 1, Integer::sum);
-        actions.send(request.job.id(), worker.id(), 0);
+    request.tried.add(worker.id());
+    held.merge(worker.id(), 1, Integer::sum);
+    actions.send(request.job.id(), worker.id(), 0);
+  }
+
+  private void answer(Open request) {
+    open.remove(request.job.id());
+    JobClass jobClass = settings.classes().get(request.job.jobClass());
+    boolean harmless =
+        jobClass.effect() == Effect.SAFE
+            || jobClass.effect() == Effect.KEYED && jobClass.scope() == Scope.ALL;
+    if (harmless || !request.doubtful) {
+      actions.refuse(request.job.id(), 0);
+    } else {
+      actions.fail(request.job.id());
     }
-
-    private void answer(Open request) {
-        open.remove(request.job.id());
-        JobClass jobClass = settings.classes().get(request.job.jobClass());
-        boolean harmless = jobClass.effect() == Effect.SAFE
-                || jobClass.effect() == Effect.KEYED && jobClass.scope() == Scope.ALL;
-        if (harmless || !request.doubtful) {
-            actions.refuse(request.job.id(), 0);
-        } else {
-            actions.fail(request.job.id());
-        }
+  }
+
+  @Override
+  public final void ended(
+      double now,
+      String id,
+      int attempt,
+      Outcome outcome,
+      double took,
+      boolean over,
+      Report report) {
+    Open request = open.get(id);
+    if (request == null) {
+      return;
     }
-
-    @Override
-    public final void ended(double now, String id, int attempt, Outcome outcome, double took, boolean over,
-            Report report) {
-        Open request = open.get(id);
-        if (request == null) {
-            return;
-        }
-        held.merge(request.tried.get(attempt), -1, Integer::sum);
-        request.doubtful |= !outcome.neverRan;
-        if (over || outcome == Outcome.OK) {
-            open.remove(id);
-        } else if (request.doubtful) {
-            answer(request);
-        } else {
-            send(request, now);
-        }
+    held.merge(request.tried.get(attempt), -1, Integer::sum);
+    request.doubtful |= !outcome.neverRan;
+    if (over || outcome == Outcome.OK) {
+      open.remove(id);
+    } else if (request.doubtful) {
+      answer(request);
+    } else {
+      send(request, now);
     }
+  }
 
-    @Override
-    public final void members(double now, News news, List<Worker> workers) {
-        if (news != News.CHANGES) {
-            listed.clear();
-        }
-        workers.forEach(worker -> listed.put(worker.id(), worker));
-        ready = listed.values().stream().filter(worker -> worker.state() == State.READY)
-                .sorted(Comparator.comparingLong(Worker::id)).toList();
+  @Override
+  public final void members(double now, News news, List<Worker> workers) {
+    if (news != News.CHANGES) {
+      listed.clear();
     }
+    workers.forEach(worker -> listed.put(worker.id(), worker));
+    ready =
+        listed.values().stream()
+            .filter(worker -> worker.state() == State.READY)
+            .sorted(Comparator.comparingLong(Worker::id))
+            .toList();
+  }
 
-    @Override
-    public final void abandoned(double now, String id) { }
+  @Override
+  public final void abandoned(double now, String id) {}
 
-    @Override
-    public final void started(double now, String id, int attempt) { }
+  @Override
+  public final void started(double now, String id, int attempt) {}
 
-    @Override
-    public final void progressed(double now, String id, int attempt, double share) { }
+  @Override
+  public final void progressed(double now, String id, int attempt, double share) {}
 
-    @Override
-    public final void streaming(double now, String id, int attempt) { }
+  @Override
+  public final void streaming(double now, String id, int attempt) {}
 
-    @Override
-    public final void listFailed(double now) { }
+  @Override
+  public final void listFailed(double now) {}
 
-    @Override
-    public final void checked(double now, long worker, Outcome outcome, double took, Report report) { }
+  @Override
+  public final void checked(double now, long worker, Outcome outcome, double took, Report report) {}
 
-    @Override
-    public final void heard(double now, int from, byte[] message) { }
+  @Override
+  public final void heard(double now, int from, byte[] message) {}
 
-    @Override
-    public final void timer(double now, long token) { }
+  @Override
+  public final void timer(double now, long token) {}
 }
