--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -17,129 +17,144 @@
 
 /** The policies that experiments compare, by name. */
 public final class Policies {
-    private static final Map<String, Policy> ALL = new LinkedHashMap<>();
-
-    static {
-        ALL.put("module", (settings, seed, now, actions, truth) -> new Choice(settings, seed, now, actions));
-        ALL.put("random", (settings, seed, now, actions, truth) -> new RandomPick(settings, seed, actions));
-        ALL.put("round-robin", (settings, seed, now, actions, truth) -> new RoundRobin(settings, seed, actions));
-        ALL.put("least-loaded", (settings, seed, now, actions, truth) -> new LeastLoaded(settings, seed, actions));
-        ALL.put("two-choices", (settings, seed, now, actions, truth) -> new TwoChoices(settings, seed, actions));
-        ALL.put("all-seeing", (settings, seed, now, actions, truth) -> new AllSeeing(settings, actions, truth));
+  private static final Map<String, Policy> ALL = new LinkedHashMap<>();
+
+  static {
+    ALL.put(
+        "module",
+        (settings, seed, now, actions, truth) -> new Choice(settings, seed, now, actions));
+    ALL.put(
+        "random", (settings, seed, now, actions, truth) -> new RandomPick(settings, seed, actions));
+    ALL.put(
+        "round-robin",
+        (settings, seed, now, actions, truth) -> new RoundRobin(settings, seed, actions));
+    ALL.put(
+        "least-loaded",
+        (settings, seed, now, actions, truth) -> new LeastLoaded(settings, seed, actions));
+    ALL.put(
+        "two-choices",
+        (settings, seed, now, actions, truth) -> new TwoChoices(settings, seed, actions));
+    ALL.put(
+        "all-seeing",
+        (settings, seed, now, actions, truth) -> new AllSeeing(settings, actions, truth));
+  }
+
+  private Policies() {}
+
+  /** The names, the decision module's first. */
+  public static Set<String> names() {
+    return ALL.keySet();
+  }
+
+  /** The policy of this name; an {@link IllegalArgumentException} says which there are. */
+  public static Policy named(String name) {
+    Policy policy = ALL.get(name);
+    if (policy == null) {
+      throw new IllegalArgumentException(
+          "no policy " + name + "; there are " + String.join(", ", ALL.keySet()));
     }
+    return policy;
+  }
 
-    private Policies() { }
+  private static UniformRandomProvider stream(long seed) {
+    return RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+  }
 
-    /** The names, the decision module's first. */
-    public static Set<String> names() {
-        return ALL.keySet();
-    }
+  private static final class RandomPick extends PlainPolicy {
+    private final UniformRandomProvider chance;
 
-    /** The policy of this name; an {@link IllegalArgumentException} says which there are. */
-    public static Policy named(String name) {
-        Policy policy = ALL.get(name);
-        if (policy == null) {
-            throw new IllegalArgumentException("no policy " + name + "; there are " + String.join(", ", ALL.keySet()));
-        }
-        return policy;
+    RandomPick(Settings settings, long seed, Actions actions) {
+      super(settings, actions);
+      this.chance = stream(seed);
     }
 
-    private static UniformRandomProvider stream(long seed) {
-        return RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+    @Override
+    Worker pick(List<Worker> ready, Job job) {
+      return ready.get(chance.nextInt(ready.size()));
     }
+  }
 
-    private static final class RandomPick extends PlainPolicy {
-        private final UniformRandomProvider chance;
+  private static final class RoundRobin extends PlainPolicy {
+    private int next;
 
-        RandomPick(Settings settings, long seed, Actions actions) {
-            super(settings, actions);
-            this.chance = stream(seed);
-        }
-
-        @Override
-        Worker pick(List<Worker> ready, Job job) {
-            return ready.get(chance.nextInt(ready.size()));
-        }
+    RoundRobin(Settings settings, long seed, Actions actions) {
+      super(settings, actions);
+      this.next = stream(seed).nextInt(1 << 16);
     }
 
-    private static final class RoundRobin extends PlainPolicy {
-        private int next;
-
-        RoundRobin(Settings settings, long seed, Actions actions) {
-            super(settings, actions);
-            this.next = stream(seed).nextInt(1 << 16);
-        }
-
-        @Override
-        Worker pick(List<Worker> ready, Job job) {
-            return ready.get(Math.floorMod(next++, ready.size()));
-        }
+    @Override
+    Worker pick(List<Worker> ready, Job job) {
+      return ready.get(Math.floorMod(next++, ready.size()));
     }
+  }
 
-    private static final class LeastLoaded extends PlainPolicy {
-        private final UniformRandomProvider chance;
+  private static final class LeastLoaded extends PlainPolicy {
+    private final UniformRandomProvider chance;
 
-        LeastLoaded(Settings settings, long seed, Actions actions) {
-            super(settings, actions);
-            this.chance = stream(seed);
-        }
+    LeastLoaded(Settings settings, long seed, Actions actions) {
+      super(settings, actions);
+      this.chance = stream(seed);
+    }
 
-        @Override
-        Worker pick(List<Worker> ready, Job job) {
-            int start = chance.nextInt(ready.size());
-            Worker best = null;
-            for (int i = 0; i < ready.size(); i++) {
-                Worker worker = ready.get((start + i) % ready.size());
-                if (best == null || held(worker) < held(best)) {
-                    best = worker;
-                }
-            }
-            return best;
+    @Override
+    Worker pick(List<Worker> ready, Job job) {
+      int start = chance.nextInt(ready.size());
+      Worker best = null;
+      for (int i = 0; i < ready.size(); i++) {
+        Worker worker = ready.get((start + i) % ready.size());
+        if (best == null || held(worker) < held(best)) {
+          best = worker;
         }
+      }
+      return best;
     }
+  }
 
-    /** Mitzenmacher's power of two choices (2001): the less loaded of two drawn by chance. */
-    private static final class TwoChoices extends PlainPolicy {
-        private final UniformRandomProvider chance;
+  /** Mitzenmacher's power of two choices (2001): the less loaded of two drawn by chance. */
+  private static final class TwoChoices extends PlainPolicy {
+    private final UniformRandomProvider chance;
 
-        TwoChoices(Settings settings, long seed, Actions actions) {
-            super(settings, actions);
-            this.chance = stream(seed);
-        }
-
-        @Override
-        Worker pick(List<Worker> ready, Job job) {
-            Worker one = ready.get(chance.nextInt(ready.size()));
-            Worker other = ready.get(chance.nextInt(ready.size()));
-            return held(other) < held(one) ? other : one;
-        }
+    TwoChoices(Settings settings, long seed, Actions actions) {
+      super(settings, actions);
+      this.chance = stream(seed);
     }
 
-    /** Sends each job where it will be done first, by the true state; one that would be late anyway is refused. */
-    private static final class AllSeeing extends PlainPolicy {
-        private final Settings settings;
-        private final Truth truth;
-
-        AllSeeing(Settings settings, Actions actions, Truth truth) {
-            super(settings, actions);
-            this.settings = settings;
-            this.truth = truth;
-        }
+    @Override
+    Worker pick(List<Worker> ready, Job job) {
+      Worker one = ready.get(chance.nextInt(ready.size()));
+      Worker other = ready.get(chance.nextInt(ready.size()));
+      return held(other) < held(one) ? other : one;
+    }
+  }
+
+  /**
+   * Sends each job where it will be done first, by the true state; one that would be late anyway is
+   * refused.
+   */
+  private static final class AllSeeing extends PlainPolicy {
+    private final Settings settings;
+    private final Truth truth;
+
+    AllSeeing(Settings settings, Actions actions, Truth truth) {
+      super(settings, actions);
+      this.settings = settings;
+      this.truth = truth;
+    }
 
-        @Override
-        Worker pick(List<Worker> ready, Job job) {
-            double work = truth.work(job.id());
-            Worker best = null;
-            double least = Double.POSITIVE_INFINITY;
-            for (Worker worker : ready) {
-                double ends = truth.finishIn(worker.id(), work);
-                if (ends < least) {
-                    least = ends;
-                    best = worker;
-                }
-            }
-            Dispatcher.JobClass jobClass = settings.classes().get(job.jobClass());
-            return least > jobClass.aim() + jobClass.stretch() * work ? null : best;
+    @Override
+    Worker pick(List<Worker> ready, Job job) {
+      double work = truth.work(job.id());
+      Worker best = null;
+      double least = Double.POSITIVE_INFINITY;
+      for (Worker worker : ready) {
+        double ends = truth.finishIn(worker.id(), work);
+        if (ends < least) {
+          least = ends;
+          best = worker;
         }
+      }
+      Dispatcher.JobClass jobClass = settings.classes().get(job.jobClass());
+      return least > jobClass.aim() + jobClass.stretch() * work ? null : best;
     }
+  }
 }
--- a/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
@@ -23,75 +23,79 @@
 
 /** The discovery agent beside one node. */
 final class DiscoverySocket {
-    private static final double SIGN_OF_LIFE = 2000;
+  private static final double SIGN_OF_LIFE = 2000;
 
-    private final SocketRun run;
-    private final int node;
-    private final HttpListener listener;
-    private final Set<Channel> watchers = new LinkedHashSet<>();
+  private final SocketRun run;
+  private final int node;
+  private final HttpListener listener;
+  private final Set<Channel> watchers = new LinkedHashSet<>();
 
-    DiscoverySocket(SocketRun run, int node, EventLoopGroup group) {
-        this.run = run;
-        this.node = node;
-        this.listener = new HttpListener(group, Watch::new);
-    }
+  DiscoverySocket(SocketRun run, int node, EventLoopGroup group) {
+    this.run = run;
+    this.node = node;
+    this.listener = new HttpListener(group, Watch::new);
+  }
 
-    HttpListener listener() {
-        return listener;
-    }
+  HttpListener listener() {
+    return listener;
+  }
 
-    void begin() {
-        run.time.after(SIGN_OF_LIFE, () -> {
-            if (!run.roll.silent()) {
-                watchers.forEach(each -> write(each, "\n"));
-            }
-            begin();
+  void begin() {
+    run.time.after(
+        SIGN_OF_LIFE,
+        () -> {
+          if (!run.roll.silent()) {
+            watchers.forEach(each -> write(each, "\n"));
+          }
+          begin();
         });
-    }
+  }
 
-    /** Tells the node of changes, or the whole list. */
-    void tell(News news, List<Member> entries, long revision) {
-        watchers.forEach(each -> tell(each, news, entries, revision));
-    }
+  /** Tells the node of changes, or the whole list. */
+  void tell(News news, List<Member> entries, long revision) {
+    watchers.forEach(each -> tell(each, news, entries, revision));
+  }
 
-    private void tell(Channel watcher, News news, List<Member> entries, long revision) {
-        double now = run.time.now();
-        for (Member entry : entries) {
-            State state = entry.worker().state();
-            if (news == News.CHANGES || state != State.READY) {
-                run.observer.told(now, node, run.fleet.byId(entry.worker().id()), state, entry.worker().startedAt());
-            }
-        }
-        write(watcher, NodeFile.list(run.scenario, entries, revision, news != News.CHANGES) + "\n");
+  private void tell(Channel watcher, News news, List<Member> entries, long revision) {
+    double now = run.time.now();
+    for (Member entry : entries) {
+      State state = entry.worker().state();
+      if (news == News.CHANGES || state != State.READY) {
+        run.observer.told(
+            now, node, run.fleet.byId(entry.worker().id()), state, entry.worker().startedAt());
+      }
     }
+    write(watcher, NodeFile.list(run.scenario, entries, revision, news != News.CHANGES) + "\n");
+  }
 
-    private static void write(Channel watcher, String line) {
-        watcher.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
-    }
+  private static void write(Channel watcher, String line) {
+    watcher.writeAndFlush(
+        new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
+  }
 
-    /** A connection of the node's: it asks to watch, and hears from then on. */
-    private final class Watch extends SimpleChannelInboundHandler<FullHttpRequest> {
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (run.roll.silent()) {
-                // An agent that has heard nothing says nothing; the connection stays open.
-                return;
-            }
-            HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-            ctx.writeAndFlush(head);
-            tell(ctx.channel(), News.WHOLE, run.roll.list(), run.roll.revision());
-            watchers.add(ctx.channel());
-        }
+  /** A connection of the node's: it asks to watch, and hears from then on. */
+  private final class Watch extends SimpleChannelInboundHandler<FullHttpRequest> {
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+      if (run.roll.silent()) {
+        // An agent that has heard nothing says nothing; the connection stays open.
+        return;
+      }
+      HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+      head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+      ctx.writeAndFlush(head);
+      tell(ctx.channel(), News.WHOLE, run.roll.list(), run.roll.revision());
+      watchers.add(ctx.channel());
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            watchers.remove(ctx.channel());
-        }
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+      watchers.remove(ctx.channel());
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
-        }
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+      ctx.close();
     }
+  }
 }
--- a/emulator/src/main/java/ferngrade/emulator/socket/LoadRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/LoadRun.java
@@ -17,47 +17,68 @@
 
 /** The clients alone: open-loop load on nodes that somebody else runs. */
 public final class LoadRun {
-    private final Scenario scenario;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = group.next();
-    private final RealTime time = new RealTime(loop);
-    private final Clients clients;
+  private final Scenario scenario;
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+  private final EventLoop loop = group.next();
+  private final RealTime time = new RealTime(loop);
+  private final Clients clients;
 
-    /** Load as the scenario's workload says, dealt out in turn among these addresses. */
-    public LoadRun(Scenario scenario, long seed, List<InetSocketAddress> targets, List<? extends Observer> observers) {
-        this.scenario = scenario;
-        Streams streams = new Streams(seed);
-        Observer observer = new Observers(observers);
-        Network network = new Network(scenario.network, scenario.zones.size(), streams.stream("network"));
-        int[] next = {0};
-        ClientSockets sockets = new ClientSockets(scenario, time, network, new HttpPool(group), observer,
-                request -> Math.floorMod(next[0]++, targets.size()), targets::get, node -> false);
-        this.clients = new Clients(scenario, time, streams, observer, sockets);
-        sockets.serve(clients);
-    }
+  /** Load as the scenario's workload says, dealt out in turn among these addresses. */
+  public LoadRun(
+      Scenario scenario,
+      long seed,
+      List<InetSocketAddress> targets,
+      List<? extends Observer> observers) {
+    this.scenario = scenario;
+    Streams streams = new Streams(seed);
+    Observer observer = new Observers(observers);
+    Network network =
+        new Network(scenario.network, scenario.zones.size(), streams.stream("network"));
+    int[] next = {0};
+    ClientSockets sockets =
+        new ClientSockets(
+            scenario,
+            time,
+            network,
+            new HttpPool(group),
+            observer,
+            request -> Math.floorMod(next[0]++, targets.size()),
+            targets::get,
+            node -> false);
+    this.clients = new Clients(scenario, time, streams, observer, sockets);
+    sockets.serve(clients);
+  }
 
-    /** Loads until the last client has its answer; returns why the figures are void, or null if they count. */
-    public String run() throws InterruptedException {
-        try {
-            CountDownLatch done = new CountDownLatch(1);
-            loop.execute(() -> {
-                time.watch();
-                clients.begin();
-                time.after(scenario.duration, () -> finish(done));
-            });
-            long longest = (long) scenario.workload.classes.stream().mapToDouble(each -> each.deadline).max().orElse(0);
-            boolean ended = done.await((long) scenario.duration + longest + 20_000, TimeUnit.MILLISECONDS);
-            return ended ? time.tooBusy() : "clients still waited long after the last deadline";
-        } finally {
-            group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
-        }
+  /**
+   * Loads until the last client has its answer; returns why the figures are void, or null if they
+   * count.
+   */
+  public String run() throws InterruptedException {
+    try {
+      CountDownLatch done = new CountDownLatch(1);
+      loop.execute(
+          () -> {
+            time.watch();
+            clients.begin();
+            time.after(scenario.duration, () -> finish(done));
+          });
+      long longest =
+          (long)
+              scenario.workload.classes.stream().mapToDouble(each -> each.deadline).max().orElse(0);
+      boolean ended =
+          done.await((long) scenario.duration + longest + 20_000, TimeUnit.MILLISECONDS);
+      return ended ? time.tooBusy() : "clients still waited long after the last deadline";
+    } finally {
+      group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
     }
+  }
 
-    private void finish(CountDownLatch done) {
-        if (clients.open() > 0) {
-            time.after(100, () -> finish(done));
-        } else {
-            done.countDown();
-        }
+  private void finish(CountDownLatch done) {
+    if (clients.open() > 0) {
+      time.after(100, () -> finish(done));
+    } else {
+      done.countDown();
     }
+  }
 }
--- a/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
@@ -11,132 +11,138 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Traces of whole runs, to the last bit of each time, against recorded digests: a refactoring changes none of them. A
- * change of behaviour records them anew with {@code -Dgolden.record=traces.txt}, and says so in its commit.
- * Recorded on x86-64: the last bit of {@link Math#exp} and its like may differ on another kind of processor.
+ * Traces of whole runs, to the last bit of each time, against recorded digests: a refactoring
+ * changes none of them. A change of behaviour records them anew with {@code
+ * -Dgolden.record=traces.txt}, and says so in its commit. Recorded on x86-64: the last bit of
+ * {@link Math#exp} and its like may differ on another kind of processor.
  */
 class TraceGoldenTest {
-    private static final GoldenFile GOLDEN = GoldenFile.open("traces.txt");
-
-    /** One run. */
-    private record Run(String name, Scenario scenario, long seed, String policy) { }
-
-    private static Scenario small() {
-        Scenario scenario = Scenario.standard();
-        scenario.duration = 8_000;
-        scenario.workers = 10;
-        scenario.nodes = 2;
-        return scenario;
-    }
-
-    private static void add(Scenario scenario, Kind kind, double at, double length, double size, double part) {
-        scenario.faults.add(new Fault(kind, at, length, size, part, -1));
+  private static final GoldenFile GOLDEN = GoldenFile.open("traces.txt");
+
+  /** One run. */
+  private record Run(String name, Scenario scenario, long seed, String policy) {}
+
+  private static Scenario small() {
+    Scenario scenario = Scenario.standard();
+    scenario.duration = 8_000;
+    scenario.workers = 10;
+    scenario.nodes = 2;
+    return scenario;
+  }
+
+  private static void add(
+      Scenario scenario, Kind kind, double at, double length, double size, double part) {
+    scenario.faults.add(new Fault(kind, at, length, size, part, -1));
+  }
+
+  private static Scenario overloadWithDeploy() {
+    Scenario scenario = small();
+    scenario.workload.load = 1.3;
+    scenario.workload.impatient = 0.05;
+    add(scenario, Kind.DEPLOY, 1_000, 6_000, 0.3, 0.9);
+    return scenario;
+  }
+
+  /** Workers that start cold and warm up slowly while a zone's processes restart. */
+  private static Scenario warmingUp() {
+    Scenario scenario = small();
+    scenario.kinds.forEach(kind -> kind.coldMs = 24_000);
+    add(scenario, Kind.ZONE_LOST, 1_500, 800, 1, 0);
+    add(scenario, Kind.WORKER_CRASH, 4_000, 500, 1, 0);
+    return scenario;
+  }
+
+  private static Scenario objects() {
+    Scenario scenario = small();
+    scenario.workload.objects = 40;
+    return scenario;
+  }
+
+  /** Jobs that may run again: retries within the groups of their keys, and hedged requests. */
+  private static Scenario retries() {
+    Scenario scenario = small();
+    scenario.workload.classes.forEach(each -> each.effect = Effect.SAFE);
+    scenario.workload.classes.get(0).effect = Effect.KEYED;
+    scenario.workload.classes.get(0).scope = Scope.ZONE;
+    scenario.network.loss = 0.02;
+    scenario.network.reset = 0.02;
+    scenario.kinds.forEach(kind -> kind.errorRate = 0.05);
+    add(scenario, Kind.HUNG_WORKER, 2_000, 3_000, 1, 0);
+    add(scenario, Kind.SLOW_WORKER, 3_000, 3_000, 4, 0);
+    return scenario;
+  }
+
+  private static Scenario retriesWithoutHedging() {
+    Scenario scenario = retries();
+    scenario.secondCopies = false;
+    return scenario;
+  }
+
+  private static Scenario liveWeights() {
+    Scenario scenario = small();
+    scenario.discovery.weightPeriod = 100;
+    scenario.discovery.repeats = 0.3;
+    scenario.discovery.stale = 0.3;
+    scenario.kinds.forEach(kind -> kind.reportsWithAnswers = true);
+    add(scenario, Kind.TENANT_FLOOD, 2_000, 3_000, 4, 0);
+    return scenario;
+  }
+
+  private static Scenario manyNodes() {
+    Scenario scenario = small();
+    scenario.nodes = 6;
+    scenario.workers = 18;
+    scenario.workload.load = 1.1;
+    add(scenario, Kind.NODE_KILL, 2_000, 1_500, 1, 0);
+    add(scenario, Kind.ZONE_CUT, 4_000, 1_500, 1, 0);
+    add(scenario, Kind.BURST, 5_000, 1_500, 2, 0);
+    return scenario;
+  }
+
+  private static Scenario everyFault() {
+    Scenario scenario = small();
+    scenario.duration = 14_000;
+    scenario.network.loss = 0.01;
+    scenario.network.reset = 0.005;
+    for (Kind kind : Kind.values()) {
+      add(scenario, kind, 500 + 700 * kind.ordinal(), 2_500, kind == Kind.DEPLOY ? 0.2 : 2, 0.5);
     }
-
-    private static Scenario overloadWithDeploy() {
-        Scenario scenario = small();
-        scenario.workload.load = 1.3;
-        scenario.workload.impatient = 0.05;
-        add(scenario, Kind.DEPLOY, 1_000, 6_000, 0.3, 0.9);
-        return scenario;
-    }
-
-    /** Workers that start cold and warm up slowly while a zone's processes restart. */
-    private static Scenario warmingUp() {
-        Scenario scenario = small();
-        scenario.kinds.forEach(kind -> kind.coldMs = 24_000);
-        add(scenario, Kind.ZONE_LOST, 1_500, 800, 1, 0);
-        add(scenario, Kind.WORKER_CRASH, 4_000, 500, 1, 0);
-        return scenario;
-    }
-
-    private static Scenario objects() {
-        Scenario scenario = small();
-        scenario.workload.objects = 40;
-        return scenario;
-    }
-
-    /** Jobs that may run again: retries within the groups of their keys, and hedged requests. */
-    private static Scenario retries() {
-        Scenario scenario = small();
-        scenario.workload.classes.forEach(each -> each.effect = Effect.SAFE);
-        scenario.workload.classes.get(0).effect = Effect.KEYED;
-        scenario.workload.classes.get(0).scope = Scope.ZONE;
-        scenario.network.loss = 0.02;
-        scenario.network.reset = 0.02;
-        scenario.kinds.forEach(kind -> kind.errorRate = 0.05);
-        add(scenario, Kind.HUNG_WORKER, 2_000, 3_000, 1, 0);
-        add(scenario, Kind.SLOW_WORKER, 3_000, 3_000, 4, 0);
-        return scenario;
-    }
-
-    private static Scenario retriesWithoutHedging() {
-        Scenario scenario = retries();
-        scenario.secondCopies = false;
-        return scenario;
-    }
-
-    private static Scenario liveWeights() {
-        Scenario scenario = small();
-        scenario.discovery.weightPeriod = 100;
-        scenario.discovery.repeats = 0.3;
-        scenario.discovery.stale = 0.3;
-        scenario.kinds.forEach(kind -> kind.reportsWithAnswers = true);
-        add(scenario, Kind.TENANT_FLOOD, 2_000, 3_000, 4, 0);
-        return scenario;
-    }
-
-    private static Scenario manyNodes() {
-        Scenario scenario = small();
-        scenario.nodes = 6;
-        scenario.workers = 18;
-        scenario.workload.load = 1.1;
-        add(scenario, Kind.NODE_KILL, 2_000, 1_500, 1, 0);
-        add(scenario, Kind.ZONE_CUT, 4_000, 1_500, 1, 0);
-        add(scenario, Kind.BURST, 5_000, 1_500, 2, 0);
-        return scenario;
-    }
-
-    private static Scenario everyFault() {
-        Scenario scenario = small();
-        scenario.duration = 14_000;
-        scenario.network.loss = 0.01;
-        scenario.network.reset = 0.005;
-        for (Kind kind : Kind.values()) {
-            add(scenario, kind, 500 + 700 * kind.ordinal(), 2_500, kind == Kind.DEPLOY ? 0.2 : 2, 0.5);
-        }
-        return scenario;
-    }
-
-    private static List<Run> runs() {
-        List<Run> runs = new ArrayList<>();
-        runs.add(new Run("steady", small(), 1, "module"));
-        runs.add(new Run("overload-with-deploy", overloadWithDeploy(), 2, "module"));
-        runs.add(new Run("warming-up", warmingUp(), 3, "module"));
-        runs.add(new Run("objects", objects(), 4, "module"));
-        runs.add(new Run("retries-and-hedging", retries(), 5, "module"));
-        runs.add(new Run("retries", retriesWithoutHedging(), 6, "module"));
-        runs.add(new Run("live-weights", liveWeights(), 7, "module"));
-        runs.add(new Run("many-nodes", manyNodes(), 8, "module"));
-        runs.add(new Run("every-fault", everyFault(), 9, "module"));
-        runs.add(new Run("every-fault-other-seed", everyFault(), 10, "module"));
-        for (String policy : Policies.names()) {
-            if (!policy.equals("module")) {
-                runs.add(new Run("policy-" + policy, overloadWithDeploy(), 11, policy));
-            }
-        }
-        return runs;
-    }
-
-    @TestFactory
-    List<DynamicTest> tracesAreAsRecorded() {
-        return runs().stream().map(run -> DynamicTest.dynamicTest(run.name(), () -> verify(run))).toList();
-    }
-
-    private static void verify(Run run) {
-        TraceHash trace = new TraceHash();
-        new VirtualRun(run.scenario(), run.seed(), Policies.named(run.policy()), Mutation.NONE, List.of(trace)).run();
-        long events = trace.events();
-        GOLDEN.verify(run.name(), events + " " + trace.hex());
+    return scenario;
+  }
+
+  private static List<Run> runs() {
+    List<Run> runs = new ArrayList<>();
+    runs.add(new Run("steady", small(), 1, "module"));
+    runs.add(new Run("overload-with-deploy", overloadWithDeploy(), 2, "module"));
+    runs.add(new Run("warming-up", warmingUp(), 3, "module"));
+    runs.add(new Run("objects", objects(), 4, "module"));
+    runs.add(new Run("retries-and-hedging", retries(), 5, "module"));
+    runs.add(new Run("retries", retriesWithoutHedging(), 6, "module"));
+    runs.add(new Run("live-weights", liveWeights(), 7, "module"));
+    runs.add(new Run("many-nodes", manyNodes(), 8, "module"));
+    runs.add(new Run("every-fault", everyFault(), 9, "module"));
+    runs.add(new Run("every-fault-other-seed", everyFault(), 10, "module"));
+    for (String policy : Policies.names()) {
+      if (!policy.equals("module")) {
+        runs.add(new Run("policy-" + policy, overloadWithDeploy(), 11, policy));
+      }
     }
+    return runs;
+  }
+
+  @TestFactory
+  List<DynamicTest> tracesAreAsRecorded() {
+    return runs().stream()
+        .map(run -> DynamicTest.dynamicTest(run.name(), () -> verify(run)))
+        .toList();
+  }
+
+  private static void verify(Run run) {
+    TraceHash trace = new TraceHash();
+    new VirtualRun(
+            run.scenario(), run.seed(), Policies.named(run.policy()), Mutation.NONE, List.of(trace))
+        .run();
+    long events = trace.events();
+    GOLDEN.verify(run.name(), events + " " + trace.hex());
+  }
 }
--- a/fleet/src/main/java/ferngrade/fleet/Calls.java
+++ b/fleet/src/main/java/ferngrade/fleet/Calls.java
@@ -14,90 +14,112 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Operators' calls to a member: {@code GET /-/fleet} and {@code /-/members}, {@code POST /-/fleet/transfer} and {@code /-/fleet/leave}. */
+/**
+ * Operators' calls to a member: {@code GET /-/fleet} and {@code /-/members}, {@code POST
+ * /-/fleet/transfer} and {@code /-/fleet/leave}.
+ */
 final class Calls implements AutoCloseable {
-    private static final long PATIENCE_MS = 3_000;
-    private static final double LEAVE_MS = 5_000;
-    private static final double MEASURE_MS = 10_000;
-    private static final int MEASURE_AT_ONCE = 1_000;
+  private static final long PATIENCE_MS = 3_000;
+  private static final double LEAVE_MS = 5_000;
+  private static final double MEASURE_MS = 10_000;
+  private static final int MEASURE_AT_ONCE = 1_000;
 
-    private final ExecutorService threads = Executors.newFixedThreadPool(2);
-    private final HttpServer server;
-    private final MemberProcess member;
+  private final ExecutorService threads = Executors.newFixedThreadPool(2);
+  private final HttpServer server;
+  private final MemberProcess member;
 
-    private record Reply(int status, String body) { }
+  private record Reply(int status, String body) {}
 
-    Calls(InetSocketAddress address, MemberProcess member) throws IOException {
-        this.member = member;
-        this.server = HttpServer.create(address, 16);
-        server.setExecutor(threads);
-        server.createContext("/-/", this::handle);
-        server.start();
-    }
-
-    private void handle(HttpExchange exchange) throws IOException {
-        Reply reply;
-        try {
-            reply = reply(exchange);
-        } catch (ExecutionException | TimeoutException | IllegalArgumentException failed) {
-            reply = new Reply(failed instanceof IllegalArgumentException ? 400 : 503, failed.getMessage());
-        } catch (InterruptedException ending) {
-            Thread.currentThread().interrupt();
-            reply = new Reply(503, "ending");
-        }
-        byte[] body = (reply.body() + "\n").getBytes(StandardCharsets.UTF_8);
-        exchange.sendResponseHeaders(reply.status(), body.length);
-        exchange.getResponseBody().write(body);
-        exchange.close();
-    }
+  Calls(InetSocketAddress address, MemberProcess member) throws IOException {
+    this.member = member;
+    this.server = HttpServer.create(address, 16);
+    server.setExecutor(threads);
+    server.createContext("/-/", this::handle);
+    server.start();
+  }
 
-    private Reply reply(HttpExchange exchange) throws ExecutionException, TimeoutException, InterruptedException {
-        String call = exchange.getRequestMethod() + " " + exchange.getRequestURI().getPath();
-        return switch (call) {
-            case "GET /-/fleet" -> new Reply(200, member.status().get(PATIENCE_MS, TimeUnit.MILLISECONDS).json().toString());
-            case "GET /-/members" -> new Reply(200, member.members().get(PATIENCE_MS, TimeUnit.MILLISECONDS).json()
-                    .toString());
-            case "POST /-/fleet/leave" -> {
-                member.leave(LEAVE_MS);
-                yield new Reply(202, "leaving");
-            }
-            case "POST /-/fleet/transfer" -> {
-                Map<String, String> asked = query(exchange.getRequestURI().getRawQuery());
-                String shard = asked.getOrDefault("shard", "");
-                int slash = shard.lastIndexOf('/');
-                if (slash < 0) {
-                    throw new IllegalArgumentException("shard is not NAME/NUMBER: " + shard);
-                }
-                Object done = member.transfer(shard.substring(0, slash), Integer.parseInt(shard.substring(slash + 1)),
-                        asked.getOrDefault("to", "")).get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-                yield done instanceof Boolean known ? known ? new Reply(200, "asked for")
-                        : new Reply(404, "no such shard or member") : new Reply(503, "unknown: " + done);
-            }
-            case "POST /-/fleet/measure" -> {
-                double millis = Math.min(MEASURE_MS, Double.parseDouble(query(exchange.getRequestURI().getRawQuery())
-                        .getOrDefault("ms", "3000")));
-                yield new Reply(200, String.format("%.0f", member.measure(millis, MEASURE_AT_ONCE).get(
-                        (long) millis + PATIENCE_MS, TimeUnit.MILLISECONDS)));
-            }
-            default -> new Reply(404, "no such call");
-        };
+  private void handle(HttpExchange exchange) throws IOException {
+    Reply reply;
+    try {
+      reply = reply(exchange);
+    } catch (ExecutionException | TimeoutException | IllegalArgumentException failed) {
+      reply =
+          new Reply(failed instanceof IllegalArgumentException ? 400 : 503, failed.getMessage());
+    } catch (InterruptedException ending) {
+      Thread.currentThread().interrupt();
+      reply = new Reply(503, "ending");
     }
+    byte[] body = (reply.body() + "\n").getBytes(StandardCharsets.UTF_8);
+    exchange.sendResponseHeaders(reply.status(), body.length);
+    exchange.getResponseBody().write(body);
+    exchange.close();
+  }
 
-    private static Map<String, String> query(String text) {
-        Map<String, String> values = new HashMap<>();
-        for (String pair : text == null ? new String[0] : text.split("&")) {
-            int equals = pair.indexOf('=');
-            if (equals > 0) {
-                values.put(pair.substring(0, equals), URLDecoder.decode(pair.substring(equals + 1),
-                        StandardCharsets.UTF_8));
-            }
+  private Reply reply(HttpExchange exchange)
+      throws ExecutionException, TimeoutException, InterruptedException {
+    String call = exchange.getRequestMethod() + " " + exchange.getRequestURI().getPath();
+    return switch (call) {
+      case "GET /-/fleet" ->
+          new Reply(200, member.status().get(PATIENCE_MS, TimeUnit.MILLISECONDS).json().toString());
+      case "GET /-/members" ->
+          new Reply(
+              200, member.members().get(PATIENCE_MS, TimeUnit.MILLISECONDS).json().toString());
+      case "POST /-/fleet/leave" -> {
+        member.leave(LEAVE_MS);
+        yield new Reply(202, "leaving");
+      }
+      case "POST /-/fleet/transfer" -> {
+        Map<String, String> asked = query(exchange.getRequestURI().getRawQuery());
+        String shard = asked.getOrDefault("shard", "");
+        int slash = shard.lastIndexOf('/');
+        if (slash < 0) {
+          throw new IllegalArgumentException("shard is not NAME/NUMBER: " + shard);
         }
-        return values;
-    }
+        Object done =
+            member
+                .transfer(
+                    shard.substring(0, slash),
+                    Integer.parseInt(shard.substring(slash + 1)),
+                    asked.getOrDefault("to", ""))
+                .get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        yield done instanceof Boolean known
+            ? known ? new Reply(200, "asked for") : new Reply(404, "no such shard or member")
+            : new Reply(503, "unknown: " + done);
+      }
+      case "POST /-/fleet/measure" -> {
+        double millis =
+            Math.min(
+                MEASURE_MS,
+                Double.parseDouble(
+                    query(exchange.getRequestURI().getRawQuery()).getOrDefault("ms", "3000")));
+        yield new Reply(
+            200,
+            String.format(
+                "%.0f",
+                member
+                    .measure(millis, MEASURE_AT_ONCE)
+                    .get((long) millis + PATIENCE_MS, TimeUnit.MILLISECONDS)));
+      }
+      default -> new Reply(404, "no such call");
+    };
+  }
 
-    @Override
-    public void close() {
-        server.stop(0);
-        threads.shutdownNow();
+  private static Map<String, String> query(String text) {
+    Map<String, String> values = new HashMap<>();
+    for (String pair : text == null ? new String[0] : text.split("&")) {
+      int equals = pair.indexOf('=');
+      if (equals > 0) {
+        values.put(
+            pair.substring(0, equals),
+            URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8));
+      }
     }
+    return values;
+  }
+
+  @Override
+  public void close() {
+    server.stop(0);
+    threads.shutdownNow();
+  }
 }
--- a/fleet/src/main/java/ferngrade/fleet/CommandGroup.java
+++ b/fleet/src/main/java/ferngrade/fleet/CommandGroup.java
@@ -5,11 +5,10 @@
 
 /** A command that does nothing but by its sub-commands. */
 abstract class CommandGroup implements SubCommand, Runnable {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
-    }
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
+  }
 }
--- a/fleet/src/test/java/ferngrade/fleet/LinksTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/LinksTest.java
@@ -21,79 +21,87 @@
 
 /** What passes between members' links, and what does not. */
 class LinksTest {
-    private static final String KEY = "a key of the fleet's own";
+  private static final String KEY = "a key of the fleet's own";
 
-    private final List<Links> open = new ArrayList<>();
-    private final BlockingQueue<String> came = new LinkedBlockingQueue<>();
+  private final List<Links> open = new ArrayList<>();
+  private final BlockingQueue<String> came = new LinkedBlockingQueue<>();
 
-    @AfterEach
-    void end() {
-        open.forEach(Links::close);
-    }
+  @AfterEach
+  void end() {
+    open.forEach(Links::close);
+  }
 
-    private Links links(String name, String key, long run, Map<String, InetSocketAddress> others) {
-        Links links = new Links(new Seal("f", List.of(key.getBytes(StandardCharsets.UTF_8)), run), name, others,
-                (from, message) -> came.add(from + " " + new String(message, StandardCharsets.UTF_8)));
-        open.add(links);
-        return links;
-    }
+  private Links links(String name, String key, long run, Map<String, InetSocketAddress> others) {
+    Links links =
+        new Links(
+            new Seal("f", List.of(key.getBytes(StandardCharsets.UTF_8)), run),
+            name,
+            others,
+            (from, message) -> came.add(from + " " + new String(message, StandardCharsets.UTF_8)));
+    open.add(links);
+    return links;
+  }
 
-    private static InetSocketAddress any() {
-        return new InetSocketAddress("127.0.0.1", 0);
-    }
+  private static InetSocketAddress any() {
+    return new InetSocketAddress("127.0.0.1", 0);
+  }
 
-    /** An address at which nobody listens. */
-    private static InetSocketAddress nobody() throws IOException {
-        try (ServerSocket free = new ServerSocket(0)) {
-            return new InetSocketAddress("127.0.0.1", free.getLocalPort());
-        }
+  /** An address at which nobody listens. */
+  private static InetSocketAddress nobody() throws IOException {
+    try (ServerSocket free = new ServerSocket(0)) {
+      return new InetSocketAddress("127.0.0.1", free.getLocalPort());
     }
+  }
 
-    /** Sends until something has come: first tries are lost while links open and ends say who they are. */
-    private String sendUntilCome(Links from, String to, String word) throws InterruptedException {
-        String got = null;
-        for (int i = 0; i < 1_000 && got == null; i++) {
-            from.send(to, word.getBytes(StandardCharsets.UTF_8));
-            got = came.poll(20, TimeUnit.MILLISECONDS);
-        }
-        return got;
+  /**
+   * Sends until something has come: first tries are lost while links open and ends say who they
+   * are.
+   */
+  private String sendUntilCome(Links from, String to, String word) throws InterruptedException {
+    String got = null;
+    for (int i = 0; i < 1_000 && got == null; i++) {
+      from.send(to, word.getBytes(StandardCharsets.UTF_8));
+      got = came.poll(20, TimeUnit.MILLISECONDS);
     }
+    return got;
+  }
 
-    @Test
-    void aMemberIsHeardAlsoByTheNextProcessOfTheOther() throws Exception {
-        Links b = links("b", KEY, 2, Map.of("a", nobody()));
-        InetSocketAddress at = b.start(any());
-        Links a = links("a", KEY, 1, Map.of("b", at));
-        a.start(any());
-        assertEquals("a hello", sendUntilCome(a, "b", "hello"));
-        b.close();
-        came.clear();
-        links("b", KEY, 3, Map.of("a", nobody())).start(at);
-        assertEquals("a again", sendUntilCome(a, "b", "again"));
-    }
+  @Test
+  void aMemberIsHeardAlsoByTheNextProcessOfTheOther() throws Exception {
+    Links b = links("b", KEY, 2, Map.of("a", nobody()));
+    InetSocketAddress at = b.start(any());
+    Links a = links("a", KEY, 1, Map.of("b", at));
+    a.start(any());
+    assertEquals("a hello", sendUntilCome(a, "b", "hello"));
+    b.close();
+    came.clear();
+    links("b", KEY, 3, Map.of("a", nobody())).start(at);
+    assertEquals("a again", sendUntilCome(a, "b", "again"));
+  }
 
-    @Test
-    void whoHasNoKeyOrNoNameOfTheFleetIsNotHeardAndALongFrameOfRubbishEndsItsConnection() throws Exception {
-        Links b = links("b", KEY, 2, Map.of("a", nobody()));
-        InetSocketAddress at = b.start(any());
-        Links stranger = links("a", "a key of somebody else's", 7, Map.of("b", at));
-        stranger.start(any());
-        Links unknown = links("x", KEY, 8, Map.of("b", at));
-        unknown.start(any());
-        Links a = links("a", KEY, 1, Map.of("b", at));
-        a.start(any());
-        for (int i = 0; i < 20; i++) {
-            stranger.send("b", "forged".getBytes(StandardCharsets.UTF_8));
-            unknown.send("b", "unknown".getBytes(StandardCharsets.UTF_8));
-            // Whatever they have sent by then was there before this.
-            assertEquals("a true", sendUntilCome(a, "b", "true"));
-        }
-        assertNull(came.stream().filter(each -> !each.equals("a true")).findFirst().orElse(null));
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
-            DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-            out.writeInt(200);
-            out.write(new byte[200]);
-            assertEquals(-1, socket.getInputStream().read());
-        }
+  @Test
+  void whoHasNoKeyOrNoNameOfTheFleetIsNotHeardAndALongFrameOfRubbishEndsItsConnection()
+      throws Exception {
+    Links b = links("b", KEY, 2, Map.of("a", nobody()));
+    InetSocketAddress at = b.start(any());
+    Links stranger = links("a", "a key of somebody else's", 7, Map.of("b", at));
+    stranger.start(any());
+    Links unknown = links("x", KEY, 8, Map.of("b", at));
+    unknown.start(any());
+    Links a = links("a", KEY, 1, Map.of("b", at));
+    a.start(any());
+    for (int i = 0; i < 20; i++) {
+      stranger.send("b", "forged".getBytes(StandardCharsets.UTF_8));
+      unknown.send("b", "unknown".getBytes(StandardCharsets.UTF_8));
+      // Whatever they have sent by then was there before this.
+      assertEquals("a true", sendUntilCome(a, "b", "true"));
+    }
+    assertNull(came.stream().filter(each -> !each.equals("a true")).findFirst().orElse(null));
+    try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+      DataOutputStream out = new DataOutputStream(socket.getOutputStream());
+      out.writeInt(200);
+      out.write(new byte[200]);
+      assertEquals(-1, socket.getInputStream().read());
     }
+  }
 }
--- a/lab/src/main/java/ferngrade/lab/LabCommand.java
+++ b/lab/src/main/java/ferngrade/lab/LabCommand.java
@@ -5,18 +5,30 @@
 import picocli.CommandLine.Command;
 
 /** The laboratory's commands. */
-@Command(name = "lab", description = "Runs experiments on an emulated fleet and keeps their results.",
-        mixinStandardHelpOptions = true,
-        subcommands = {RunCommand.class, CompareCommand.class, SearchCommand.class, ReplayCommand.class,
-            GraphCommand.class, LoadCommand.class, NodeCommand.class,
-            ReportCommand.class, StoreCommand.class, TrialCommand.class, SwarmCommand.class,
-            BenchCommand.class, CommandLine.HelpCommand.class})
+@Command(
+    name = "lab",
+    description = "Runs experiments on an emulated fleet and keeps their results.",
+    mixinStandardHelpOptions = true,
+    subcommands = {
+      RunCommand.class,
+      CompareCommand.class,
+      SearchCommand.class,
+      ReplayCommand.class,
+      GraphCommand.class,
+      LoadCommand.class,
+      NodeCommand.class,
+      ReportCommand.class,
+      StoreCommand.class,
+      TrialCommand.class,
+      SwarmCommand.class,
+      BenchCommand.class,
+      CommandLine.HelpCommand.class
+    })
 public final class LabCommand implements SubCommand, Runnable {
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
-    }
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
+  }
 }
--- a/lab/src/main/java/ferngrade/lab/LoadCommand.java
+++ b/lab/src/main/java/ferngrade/lab/LoadCommand.java
@@ -15,42 +15,51 @@
 import picocli.CommandLine.Parameters;
 
 /** Puts load on nodes that run already. */
-@Command(name = "load", description = "Puts the open-loop load of an experiment on nodes that run already.",
-        mixinStandardHelpOptions = true)
+@Command(
+    name = "load",
+    description = "Puts the open-loop load of an experiment on nodes that run already.",
+    mixinStandardHelpOptions = true)
 final class LoadCommand implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "EXPERIMENT", description = "Its workload and duration count.")
-    private Path file;
+  @Parameters(
+      index = "0",
+      paramLabel = "EXPERIMENT",
+      description = "Its workload and duration count.")
+  private Path file;
 
-    @Parameters(index = "1..*", arity = "1..*", paramLabel = "ADDRESS", description = "Where nodes listen.")
-    private List<String> targets;
+  @Parameters(
+      index = "1..*",
+      arity = "1..*",
+      paramLabel = "ADDRESS",
+      description = "Where nodes listen.")
+  private List<String> targets;
 
-    @Option(names = "--seed", paramLabel = "SEED")
-    private long seed = 1;
+  @Option(names = "--seed", paramLabel = "SEED")
+  private long seed = 1;
 
-    @Override
-    public Integer call() throws InterruptedException {
-        Scenario scenario;
-        List<InetSocketAddress> addresses = new ArrayList<>();
-        try {
-            scenario = ExperimentReader.read(file).points().get(0).scenario();
-            for (String target : targets) {
-                InetSocketAddress address = MemberReader.address(target);
-                if (!address.getAddress().isLoopbackAddress()) {
-                    throw new IllegalArgumentException("is not a loopback address: " + target);
-                }
-                addresses.add(address);
-            }
-        } catch (FileException | IllegalArgumentException bad) {
-            System.err.println("ferngrade: " + bad.getMessage());
-            return Cli.BAD_CONFIG;
+  @Override
+  public Integer call() throws InterruptedException {
+    Scenario scenario;
+    List<InetSocketAddress> addresses = new ArrayList<>();
+    try {
+      scenario = ExperimentReader.read(file).points().get(0).scenario();
+      for (String target : targets) {
+        InetSocketAddress address = MemberReader.address(target);
+        if (!address.getAddress().isLoopbackAddress()) {
+          throw new IllegalArgumentException("is not a loopback address: " + target);
         }
-        Statistics statistics = new Statistics(scenario, Double.NaN);
-        String unfit = new LoadRun(scenario, seed, addresses, List.of(statistics)).run();
-        statistics.figures().forEach((name, value) -> System.out.printf("%-22s %.4f%n", name, value));
-        if (unfit != null) {
-            System.err.println("ferngrade: void, the machine was too busy: " + unfit);
-            return RunCommand.VOID;
-        }
-        return 0;
+        addresses.add(address);
+      }
+    } catch (FileException | IllegalArgumentException bad) {
+      System.err.println("ferngrade: " + bad.getMessage());
+      return Cli.BAD_CONFIG;
+    }
+    Statistics statistics = new Statistics(scenario, Double.NaN);
+    String unfit = new LoadRun(scenario, seed, addresses, List.of(statistics)).run();
+    statistics.figures().forEach((name, value) -> System.out.printf("%-22s %.4f%n", name, value));
+    if (unfit != null) {
+      System.err.println("ferngrade: void, the machine was too busy: " + unfit);
+      return RunCommand.VOID;
     }
+    return 0;
+  }
 }
--- a/lab/src/main/java/ferngrade/lab/Progress.java
+++ b/lab/src/main/java/ferngrade/lab/Progress.java
@@ -7,31 +7,37 @@
 
 /** Says how far an experiment is: a bar on a terminal, a line for each tenth elsewhere. */
 final class Progress implements AutoCloseable {
-    private final PrintStream out;
-    private final int all;
-    private final ProgressBar bar;
-    private int done;
+  private final PrintStream out;
+  private final int all;
+  private final ProgressBar bar;
+  private int done;
 
-    Progress(String name, int all, boolean terminal, PrintStream out) {
-        this.out = out;
-        this.all = all;
-        this.bar = terminal ? new ProgressBarBuilder().setTaskName(name).setInitialMax(all)
-                .setStyle(ProgressBarStyle.ASCII).build() : null;
-    }
+  Progress(String name, int all, boolean terminal, PrintStream out) {
+    this.out = out;
+    this.all = all;
+    this.bar =
+        terminal
+            ? new ProgressBarBuilder()
+                .setTaskName(name)
+                .setInitialMax(all)
+                .setStyle(ProgressBarStyle.ASCII)
+                .build()
+            : null;
+  }
 
-    void step() {
-        done++;
-        if (bar != null) {
-            bar.step();
-        } else if (done == all || done * 10 / all > (done - 1) * 10 / all) {
-            out.println(done + " of " + all + " runs");
-        }
+  void step() {
+    done++;
+    if (bar != null) {
+      bar.step();
+    } else if (done == all || done * 10 / all > (done - 1) * 10 / all) {
+      out.println(done + " of " + all + " runs");
     }
+  }
 
-    @Override
-    public void close() {
-        if (bar != null) {
-            bar.close();
-        }
+  @Override
+  public void close() {
+    if (bar != null) {
+      bar.close();
     }
+  }
 }
--- a/lab/src/main/java/ferngrade/lab/ReplayCommand.java
+++ b/lab/src/main/java/ferngrade/lab/ReplayCommand.java
@@ -9,34 +9,46 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays the first trial of an experiment and says all that is known of it. */
-@Command(name = "replay", description = "Plays an experiment's first run again and prints all its figures.",
-        mixinStandardHelpOptions = true)
+@Command(
+    name = "replay",
+    description = "Plays an experiment's first run again and prints all its figures.",
+    mixinStandardHelpOptions = true)
 final class ReplayCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "EXPERIMENT")
-    private Path file;
+  @Parameters(paramLabel = "EXPERIMENT")
+  private Path file;
 
-    @Option(names = "--seed", paramLabel = "SEED", description = "Another seed than the experiment's first.")
-    private Long seed;
+  @Option(
+      names = "--seed",
+      paramLabel = "SEED",
+      description = "Another seed than the experiment's first.")
+  private Long seed;
 
-    @Override
-    public Integer call() {
-        Experiment experiment;
-        try {
-            experiment = ExperimentReader.read(file);
-        } catch (FileException bad) {
-            System.err.println("ferngrade: " + bad.getMessage());
-            return Cli.BAD_CONFIG;
-        }
-        Experiment.Point point = experiment.points().get(0);
-        Trial.Result result = new Trial(point.label(), experiment.policies().get(0),
-                seed == null ? experiment.seeds().get(0) : seed).play(point.scenario(), experiment.mutation());
-        result.figures().forEach((name, value) -> System.out.printf("%-22s %.4f%n", name, value));
-        result.byClass().forEach((name, value) -> System.out.printf("class %-16s %.4f%n", name, value));
-        result.byTenant().forEach((name, value) -> System.out.printf("tenant %-15s %.4f%n", name, value));
-        result.breaches().forEach((rule, count) -> System.out.printf("rule %-17s %d%n", rule, count));
-        result.breachTexts().forEach(System.out::println);
-        System.out.printf("trace %s, %d events, %.0f ms in %.0f ms%n", result.trace(), result.events(),
-                result.passedMs(), result.tookMs());
-        return result.allBreaches() > 0 ? RunCommand.RULE_BROKEN : 0;
+  @Override
+  public Integer call() {
+    Experiment experiment;
+    try {
+      experiment = ExperimentReader.read(file);
+    } catch (FileException bad) {
+      System.err.println("ferngrade: " + bad.getMessage());
+      return Cli.BAD_CONFIG;
     }
+    Experiment.Point point = experiment.points().get(0);
+    Trial.Result result =
+        new Trial(
+                point.label(),
+                experiment.policies().get(0),
+                seed == null ? experiment.seeds().get(0) : seed)
+            .play(point.scenario(), experiment.mutation());
+    result.figures().forEach((name, value) -> System.out.printf("%-22s %.4f%n", name, value));
+    result.byClass().forEach((name, value) -> System.out.printf("class %-16s %.4f%n", name, value));
+    result
+        .byTenant()
+        .forEach((name, value) -> System.out.printf("tenant %-15s %.4f%n", name, value));
+    result.breaches().forEach((rule, count) -> System.out.printf("rule %-17s %d%n", rule, count));
+    result.breachTexts().forEach(System.out::println);
+    System.out.printf(
+        "trace %s, %d events, %.0f ms in %.0f ms%n",
+        result.trace(), result.events(), result.passedMs(), result.tookMs());
+    return result.allBreaches() > 0 ? RunCommand.RULE_BROKEN : 0;
+  }
 }
--- a/lab/src/main/java/ferngrade/lab/RunCommand.java
+++ b/lab/src/main/java/ferngrade/lab/RunCommand.java
@@ -12,85 +12,113 @@
 import picocli.CommandLine.Parameters;
 
 /** Runs an experiment. */
-@Command(name = "run", description = "Runs an experiment; writes results.json, tables, charts and report.html.",
-        mixinStandardHelpOptions = true)
+@Command(
+    name = "run",
+    description = "Runs an experiment; writes results.json, tables, charts and report.html.",
+    mixinStandardHelpOptions = true)
 final class RunCommand implements Callable<Integer> {
-    /** The exit code where a rule was broken by a policy that is to keep it. */
-    static final int RULE_BROKEN = 3;
-    /** The exit code of a run on sockets that a busy machine has made void. */
-    static final int VOID = 4;
-    /** The exit code of a run that was interrupted: what had ended is kept. */
-    static final int INTERRUPTED = 130;
+  /** The exit code where a rule was broken by a policy that is to keep it. */
+  static final int RULE_BROKEN = 3;
 
-    @Parameters(paramLabel = "EXPERIMENT", description = "The experiment, a TOML file.")
-    private Path file;
+  /** The exit code of a run on sockets that a busy machine has made void. */
+  static final int VOID = 4;
 
-    @Option(names = "--out", required = true, paramLabel = "DIR", description = "Where the results go.")
-    private Path out;
+  /** The exit code of a run that was interrupted: what had ended is kept. */
+  static final int INTERRUPTED = 130;
 
-    @Option(names = "--threads", paramLabel = "N", description = "Runs at a time; the cores if left out.")
-    private int threads = Runtime.getRuntime().availableProcessors();
+  @Parameters(paramLabel = "EXPERIMENT", description = "The experiment, a TOML file.")
+  private Path file;
 
-    @Option(names = "--sockets", description = "On loopback sockets and in real time, round real nodes.")
-    private boolean sockets;
+  @Option(
+      names = "--out",
+      required = true,
+      paramLabel = "DIR",
+      description = "Where the results go.")
+  private Path out;
 
-    @Option(names = "--node", paramLabel = "COMMAND", description = "With --sockets: what starts a node, split at"
-            + " blanks; this program's serve if left out.")
-    private String node = "";
+  @Option(
+      names = "--threads",
+      paramLabel = "N",
+      description = "Runs at a time; the cores if left out.")
+  private int threads = Runtime.getRuntime().availableProcessors();
 
-    @Override
-    public Integer call() throws InterruptedException, IOException {
-        Experiment experiment;
-        try {
-            experiment = ExperimentReader.read(file);
-        } catch (FileException bad) {
-            System.err.println("ferngrade: " + bad.getMessage());
-            return Cli.BAD_CONFIG;
-        }
-        Laboratory laboratory = new Laboratory(Math.max(1, threads));
-        SocketLaboratory onSockets = new SocketLaboratory(node.isBlank() ? List.of() : List.of(node.split(" +")),
-                out.resolve("nodes"));
-        // Ctrl-C: what has ended is written before the process goes.
-        CountDownLatch written = new CountDownLatch(1);
-        Thread hook = new Thread(() -> {
-            laboratory.stop();
-            onSockets.stop();
-            try {
+  @Option(
+      names = "--sockets",
+      description = "On loopback sockets and in real time, round real nodes.")
+  private boolean sockets;
+
+  @Option(
+      names = "--node",
+      paramLabel = "COMMAND",
+      description =
+          "With --sockets: what starts a node, split at"
+              + " blanks; this program's serve if left out.")
+  private String node = "";
+
+  @Override
+  public Integer call() throws InterruptedException, IOException {
+    Experiment experiment;
+    try {
+      experiment = ExperimentReader.read(file);
+    } catch (FileException bad) {
+      System.err.println("ferngrade: " + bad.getMessage());
+      return Cli.BAD_CONFIG;
+    }
+    Laboratory laboratory = new Laboratory(Math.max(1, threads));
+    SocketLaboratory onSockets =
+        new SocketLaboratory(
+            node.isBlank() ? List.of() : List.of(node.split(" +")), out.resolve("nodes"));
+    // Ctrl-C: what has ended is written before the process goes.
+    CountDownLatch written = new CountDownLatch(1);
+    Thread hook =
+        new Thread(
+            () -> {
+              laboratory.stop();
+              onSockets.stop();
+              try {
                 written.await();
-            } catch (InterruptedException impatient) {
+              } catch (InterruptedException impatient) {
                 Thread.currentThread().interrupt();
-            }
-        }, "interrupted");
-        Runtime.getRuntime().addShutdownHook(hook);
-        try {
-            List<Trial.Result> trials;
-            try (Progress progress = new Progress(experiment.name(), experiment.trials(), System.console() != null,
-                    System.out)) {
-                trials = sockets ? onSockets.run(experiment, each -> progress.step())
-                        : laboratory.run(experiment, each -> progress.step());
-            }
-            Results results = Results.of(experiment, trials);
-            results.write(out);
-            Report.write(results, out);
-            summary(results);
-            if (!results.complete()) {
-                return sockets && !laboratory.stopped() ? VOID : INTERRUPTED;
-            }
-            boolean broken = results.trials().stream()
-                    .anyMatch(each -> each.policy().equals("module") && each.allBreaches() > 0);
-            return broken ? RULE_BROKEN : 0;
-        } finally {
-            written.countDown();
-        }
+              }
+            },
+            "interrupted");
+    Runtime.getRuntime().addShutdownHook(hook);
+    try {
+      List<Trial.Result> trials;
+      try (Progress progress =
+          new Progress(
+              experiment.name(), experiment.trials(), System.console() != null, System.out)) {
+        trials =
+            sockets
+                ? onSockets.run(experiment, each -> progress.step())
+                : laboratory.run(experiment, each -> progress.step());
+      }
+      Results results = Results.of(experiment, trials);
+      results.write(out);
+      Report.write(results, out);
+      summary(results);
+      if (!results.complete()) {
+        return sockets && !laboratory.stopped() ? VOID : INTERRUPTED;
+      }
+      boolean broken =
+          results.trials().stream()
+              .anyMatch(each -> each.policy().equals("module") && each.allBreaches() > 0);
+      return broken ? RULE_BROKEN : 0;
+    } finally {
+      written.countDown();
     }
+  }
 
-    static void summary(Results results) {
-        for (Results.Cell cell : results.cells()) {
-            long breaches = results.of(cell).values().stream().mapToLong(Trial.Result::allBreaches).sum();
-            System.out.printf("%-14s %s goodput %s  p99 %s ms%s%n", cell.policy(), cell.point(),
-                    results.estimate(cell, Trial.Result::goodput),
-                    results.estimate(cell, each -> each.figures().get("p99 ms")),
-                    breaches > 0 ? "  rules broken: " + breaches : "");
-        }
+  static void summary(Results results) {
+    for (Results.Cell cell : results.cells()) {
+      long breaches = results.of(cell).values().stream().mapToLong(Trial.Result::allBreaches).sum();
+      System.out.printf(
+          "%-14s %s goodput %s  p99 %s ms%s%n",
+          cell.policy(),
+          cell.point(),
+          results.estimate(cell, Trial.Result::goodput),
+          results.estimate(cell, each -> each.figures().get("p99 ms")),
+          breaches > 0 ? "  rules broken: " + breaches : "");
     }
+  }
 }
--- a/lab/src/main/java/ferngrade/lab/Trial.java
+++ b/lab/src/main/java/ferngrade/lab/Trial.java
@@ -21,70 +21,125 @@
 
 /** One run of an experiment: a scenario, a policy and a seed. */
 public record Trial(String point, String policy, long seed) {
-    private static final Logger LOG = LoggerFactory.getLogger(Trial.class);
+  private static final Logger LOG = LoggerFactory.getLogger(Trial.class);
 
-    /**
-     * What came of it. Latencies are milliseconds; {@code breaches} counts them by rule; {@code trace} is the digest of
-     * all that happened; {@code passedMs} is the time that passed in the run and {@code tookMs} the machine's.
-     */
-    public record Result(String point, String policy, long seed, Map<String, Double> figures,
-            Map<String, Double> byClass, Map<String, Double> byTenant, Map<String, double[]> series, double windowMs,
-            Map<String, Long> breaches, List<String> breachTexts, long fallen, String trace, long events,
-            double passedMs, double tookMs) {
-        /** The breaches of all rules. */
-        public long allBreaches() {
-            return breaches.values().stream().mapToLong(count -> count).sum();
-        }
-
-        /** The share of the worth asked for that was answered in time. */
-        public double goodput() {
-            return figures.get("goodput");
-        }
+  /**
+   * What came of it. Latencies are milliseconds; {@code breaches} counts them by rule; {@code
+   * trace} is the digest of all that happened; {@code passedMs} is the time that passed in the run
+   * and {@code tookMs} the machine's.
+   */
+  public record Result(
+      String point,
+      String policy,
+      long seed,
+      Map<String, Double> figures,
+      Map<String, Double> byClass,
+      Map<String, Double> byTenant,
+      Map<String, double[]> series,
+      double windowMs,
+      Map<String, Long> breaches,
+      List<String> breachTexts,
+      long fallen,
+      String trace,
+      long events,
+      double passedMs,
+      double tookMs) {
+    /** The breaches of all rules. */
+    public long allBreaches() {
+      return breaches.values().stream().mapToLong(count -> count).sum();
     }
 
-    /** Plays the run on sockets against nodes that {@code command} starts; null if the machine was too busy for it. */
-    public Result playOnSockets(Scenario scenario, List<String> command, Path folder)
-            throws InterruptedException, IOException {
-        Statistics statistics = new Statistics(scenario, Double.NaN);
-        Bench bench = new Bench(scenario);
-        List<Observer> observers = new ArrayList<>(bench.judges());
-        observers.add(statistics);
-        Files.createDirectories(folder);
-        long began = System.nanoTime();
-        SocketRun run = new SocketRun(scenario, seed, command, folder, observers);
-        String unfit = run.run();
-        if (unfit != null) {
-            LOG.warn("void: policy={} seed={} point=\"{}\" why=\"the machine was too busy: {}\"", policy, seed, point, unfit);
-            return null;
-        }
-        bench.finish(run.startedAt() + run.passed());
-        return result(statistics, bench, run.startedAt(), "", 0, run.passed(), (System.nanoTime() - began) / 1e6);
+    /** The share of the worth asked for that was answered in time. */
+    public double goodput() {
+      return figures.get("goodput");
     }
+  }
 
-    /** Plays the run in virtual time. */
-    public Result play(Scenario scenario, Mutation mutation) {
-        Statistics statistics = new Statistics(scenario, VirtualRun.START);
-        TraceHash trace = new TraceHash();
-        Bench bench = new Bench(scenario);
-        List<Observer> observers = new ArrayList<>(bench.judges());
-        observers.add(statistics);
-        observers.add(trace);
-        long began = System.nanoTime();
-        VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), mutation, observers);
-        run.run();
-        bench.finish(VirtualRun.START + run.passed());
-        return result(statistics, bench, VirtualRun.START, trace.hex(), run.events(), run.passed(), (System.nanoTime() - began) / 1e6);
+  /**
+   * Plays the run on sockets against nodes that {@code command} starts; null if the machine was too
+   * busy for it.
+   */
+  public Result playOnSockets(Scenario scenario, List<String> command, Path folder)
+      throws InterruptedException, IOException {
+    Statistics statistics = new Statistics(scenario, Double.NaN);
+    Bench bench = new Bench(scenario);
+    List<Observer> observers = new ArrayList<>(bench.judges());
+    observers.add(statistics);
+    Files.createDirectories(folder);
+    long began = System.nanoTime();
+    SocketRun run = new SocketRun(scenario, seed, command, folder, observers);
+    String unfit = run.run();
+    if (unfit != null) {
+      LOG.warn(
+          "void: policy={} seed={} point=\"{}\" why=\"the machine was too busy: {}\"",
+          policy,
+          seed,
+          point,
+          unfit);
+      return null;
     }
+    bench.finish(run.startedAt() + run.passed());
+    return result(
+        statistics, bench, run.startedAt(), "", 0, run.passed(), (System.nanoTime() - began) / 1e6);
+  }
+
+  /** Plays the run in virtual time. */
+  public Result play(Scenario scenario, Mutation mutation) {
+    Statistics statistics = new Statistics(scenario, VirtualRun.START);
+    TraceHash trace = new TraceHash();
+    Bench bench = new Bench(scenario);
+    List<Observer> observers = new ArrayList<>(bench.judges());
+    observers.add(statistics);
+    observers.add(trace);
+    long began = System.nanoTime();
+    VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), mutation, observers);
+    run.run();
+    bench.finish(VirtualRun.START + run.passed());
+    return result(
+        statistics,
+        bench,
+        VirtualRun.START,
+        trace.hex(),
+        run.events(),
+        run.passed(),
+        (System.nanoTime() - began) / 1e6);
+  }
 
-    private Result result(Statistics statistics, Bench bench, double start, String trace, long events, double passed, double took) {
-        Map<String, Long> breaches = new LinkedHashMap<>();
-        List<String> texts = new ArrayList<>();
-        for (Judge judge : bench.judges()) {
-            breaches.put(judge.rule(), judge.count());
-            judge.breaches().forEach(each -> texts.add(String.format("%s at %.1f ms: %s", each.rule(),
-                    each.at() - start, each.what())));
-        }
-        return new Result(point, policy, seed, statistics.figures(), statistics.byClass(), statistics.byTenant(),
-                statistics.series(), statistics.window(), breaches, texts, bench.fallen(), trace, events, passed, took);
+  private Result result(
+      Statistics statistics,
+      Bench bench,
+      double start,
+      String trace,
+      long events,
+      double passed,
+      double took) {
+    Map<String, Long> breaches = new LinkedHashMap<>();
+    List<String> texts = new ArrayList<>();
+    for (Judge judge : bench.judges()) {
+      breaches.put(judge.rule(), judge.count());
+      judge
+          .breaches()
+          .forEach(
+              each ->
+                  texts.add(
+                      String.format(
+                          "%s at %.1f ms: %s", each.rule(), each.at() - start, each.what())));
     }
+    return new Result(
+        point,
+        policy,
+        seed,
+        statistics.figures(),
+        statistics.byClass(),
+        statistics.byTenant(),
+        statistics.series(),
+        statistics.window(),
+        breaches,
+        texts,
+        bench.fallen(),
+        trace,
+        events,
+        passed,
+        took);
+  }
 }
--- a/lab/src/test/java/ferngrade/lab/ArchitectureTest.java
+++ b/lab/src/test/java/ferngrade/lab/ArchitectureTest.java
@@ -14,27 +14,38 @@
 
 /** What holds over all modules; this one sees them all. */
 class ArchitectureTest {
-    private static final JavaClasses CLASSES = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("ferngrade");
+  private static final JavaClasses CLASSES =
+      new ClassFileImporter()
+          .withImportOption(new ImportOption.DoNotIncludeTests())
+          .importPackages("ferngrade");
 
-    /** The JDK's ways to the wall clock: calls and method references alike. */
-    private static final DescribedPredicate<JavaAccess<?>> READS_THE_WALL_CLOCK =
-            DescribedPredicate.describe("read the wall clock", access -> {
-                AccessTarget target = access.getTarget();
-                String owner = target.getOwner().getName();
-                return switch (target.getName()) {
-                    case "currentTimeMillis" -> true;
-                    case "now" -> owner.startsWith("java.time.");
-                    case "<init>" -> owner.equals(Date.class.getName()) && target.getFullName().endsWith("()");
-                    case "getInstance" -> owner.equals(Calendar.class.getName());
-                    default -> owner.equals(java.time.Clock.class.getName()) && (target.getName().startsWith("system")
-                            || target.getName().startsWith("tick"));
-                };
-            });
+  /** The JDK's ways to the wall clock: calls and method references alike. */
+  private static final DescribedPredicate<JavaAccess<?>> READS_THE_WALL_CLOCK =
+      DescribedPredicate.describe(
+          "read the wall clock",
+          access -> {
+            AccessTarget target = access.getTarget();
+            String owner = target.getOwner().getName();
+            return switch (target.getName()) {
+              case "currentTimeMillis" -> true;
+              case "now" -> owner.startsWith("java.time.");
+              case "<init>" ->
+                  owner.equals(Date.class.getName()) && target.getFullName().endsWith("()");
+              case "getInstance" -> owner.equals(Calendar.class.getName());
+              default ->
+                  owner.equals(java.time.Clock.class.getName())
+                      && (target.getName().startsWith("system")
+                          || target.getName().startsWith("tick"));
+            };
+          });
 
-    @Test
-    void onlyOneClassReadsTheWallClock() {
-        noClasses().that().doNotHaveFullyQualifiedName("ferngrade.node.SystemClock")
-                .should().accessTargetWhere(READS_THE_WALL_CLOCK).check(CLASSES);
-    }
+  @Test
+  void onlyOneClassReadsTheWallClock() {
+    noClasses()
+        .that()
+        .doNotHaveFullyQualifiedName("ferngrade.node.SystemClock")
+        .should()
+        .accessTargetWhere(READS_THE_WALL_CLOCK)
+        .check(CLASSES);
+  }
 }
--- a/lab/src/test/java/ferngrade/lab/BenchTableTest.java
+++ b/lab/src/test/java/ferngrade/lab/BenchTableTest.java
@@ -12,32 +12,42 @@
 
 /** The page that is made of a journal. */
 class BenchTableTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private void entry(String name, String build, double score, boolean ok) throws IOException {
-        String text = "{'cmd':'real-score','ok':" + ok + ",'site':'s','at':['" + name
-                + "',''],'panel':'real:s:1:calm:quick','figures':{'real_score':" + score + ",'gate':1.0},'node_sha':'" + build
-                + "','policy':[{'sha256':'abcdef'}],'days':[{'name':'calm','seed':7,'G':0.9,'G_floor':0.5,'G_top':1.0,'score':"
-                + score + "}]}";
-        Files.writeString(folder.resolve(name + ".json"), text.replace('\'', '"'));
-    }
+  private void entry(String name, String build, double score, boolean ok) throws IOException {
+    String text =
+        "{'cmd':'real-score','ok':"
+            + ok
+            + ",'site':'s','at':['"
+            + name
+            + "',''],'panel':'real:s:1:calm:quick','figures':{'real_score':"
+            + score
+            + ",'gate':1.0},'node_sha':'"
+            + build
+            + "','policy':[{'sha256':'abcdef'}],'days':[{'name':'calm','seed':7,'G':0.9,'G_floor':0.5,'G_top':1.0,'score':"
+            + score
+            + "}]}";
+    Files.writeString(folder.resolve(name + ".json"), text.replace('\'', '"'));
+  }
 
-    @Test
-    void theLastPlayTheOneOfTheBuildBeforeAndTheSpreadOfLikePlaysAreThere() throws IOException, FileException {
-        entry("1", "aaaa1", 0.5, true);
-        entry("2", "bbbb1", 0.8, true);
-        entry("3", "bbbb1", 0.7, true);
-        entry("4", "bbbb1", 0.1, false);
-        String page = new BenchTable(folder).markdown();
-        assertTrue(page.contains("| s | calm:quick | 0.700 | passed | bbbb-abcd | 3 | 3 |"), page);
-        assertTrue(page.contains("| s | calm | 0.70 | 0.900 | 0.500 | 1.000 | bbbb-abcd | 0.50 | 3 | 0.10 |"), page);
-    }
+  @Test
+  void theLastPlayTheOneOfTheBuildBeforeAndTheSpreadOfLikePlaysAreThere()
+      throws IOException, FileException {
+    entry("1", "aaaa1", 0.5, true);
+    entry("2", "bbbb1", 0.8, true);
+    entry("3", "bbbb1", 0.7, true);
+    entry("4", "bbbb1", 0.1, false);
+    String page = new BenchTable(folder).markdown();
+    assertTrue(page.contains("| s | calm:quick | 0.700 | passed | bbbb-abcd | 3 | 3 |"), page);
+    assertTrue(
+        page.contains("| s | calm | 0.70 | 0.900 | 0.500 | 1.000 | bbbb-abcd | 0.50 | 3 | 0.10 |"),
+        page);
+  }
 
-    @Test
-    void whatIsNoEntryIsNamed() throws IOException {
-        Files.writeString(folder.resolve("9.json"), "{");
-        FileException bad = assertThrows(FileException.class, () -> new BenchTable(folder));
-        assertTrue(bad.getMessage().contains("9.json"), bad.getMessage());
-    }
+  @Test
+  void whatIsNoEntryIsNamed() throws IOException {
+    Files.writeString(folder.resolve("9.json"), "{");
+    FileException bad = assertThrows(FileException.class, () -> new BenchTable(folder));
+    assertTrue(bad.getMessage().contains("9.json"), bad.getMessage());
+  }
 }
--- a/lab/src/test/java/ferngrade/lab/LaboratoryTest.java
+++ b/lab/src/test/java/ferngrade/lab/LaboratoryTest.java
@@ -14,115 +14,125 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class LaboratoryTest {
-    private static final String SMALL = """
-            name = "small"
-            duration = "6s"
-            seeds = 2
-            policies = ["module", "random"]
-            [fleet]
-            nodes = 2
-            workers = 6
-            [[fault]]
-            kind = "burst"
-            at = "1s"
-            length = "2s"
-            [[fault]]
-            kind = "deploy"
-            at = "2s"
-            length = "3s"
-            part = 0.6
-            size = 0.3
-            """;
+  private static final String SMALL =
+      """
+      name = "small"
+      duration = "6s"
+      seeds = 2
+      policies = ["module", "random"]
+      [fleet]
+      nodes = 2
+      workers = 6
+      [[fault]]
+      kind = "burst"
+      at = "1s"
+      length = "2s"
+      [[fault]]
+      kind = "deploy"
+      at = "2s"
+      length = "3s"
+      part = 0.6
+      size = 0.3
+      """;
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private Path file(String text) throws Exception {
-        return Files.writeString(folder.resolve("e.toml"), text);
-    }
+  private Path file(String text) throws Exception {
+    return Files.writeString(folder.resolve("e.toml"), text);
+  }
 
-    @Test
-    void aRunLeavesResultsTablesChartsAndAPageThatNeedsNoOtherFile() throws Exception {
-        Path out = folder.resolve("out");
-        assertEquals(0, Cli.run("lab", "run", file(SMALL).toString(), "--out", out.toString()));
-        Results results = Results.read(out);
-        assertTrue(results.complete());
-        assertEquals(4, results.trials().size());
-        String page = Files.readString(out.resolve("report.html"));
-        assertTrue(page.contains("data:image/png;base64,"));
-        assertFalse(page.matches("(?s).*(src|href)=\"(?!data:).*"));
-        assertEquals(5, Files.readAllLines(out.resolve("trials.csv")).size());
-        byte[] png = Files.readAllBytes(out.resolve("goodput-over-time.png"));
-        assertEquals("PNG", new String(png, 1, 3, StandardCharsets.US_ASCII));
-        // Read and written again, nothing changes; compared with itself, nothing differs.
-        String before = Files.readString(out.resolve("results.json"));
-        assertEquals(0, Cli.run("lab", "report", out.toString()));
-        assertEquals(before, Files.readString(out.resolve("results.json")));
-        new Comparison(results, Results.read(out)).rows().forEach(row -> {
-            assertEquals(0, row.difference().mean());
-            assertFalse(row.difference().differsFromZero());
-        });
-    }
+  @Test
+  void aRunLeavesResultsTablesChartsAndAPageThatNeedsNoOtherFile() throws Exception {
+    Path out = folder.resolve("out");
+    assertEquals(0, Cli.run("lab", "run", file(SMALL).toString(), "--out", out.toString()));
+    Results results = Results.read(out);
+    assertTrue(results.complete());
+    assertEquals(4, results.trials().size());
+    String page = Files.readString(out.resolve("report.html"));
+    assertTrue(page.contains("data:image/png;base64,"));
+    assertFalse(page.matches("(?s).*(src|href)=\"(?!data:).*"));
+    assertEquals(5, Files.readAllLines(out.resolve("trials.csv")).size());
+    byte[] png = Files.readAllBytes(out.resolve("goodput-over-time.png"));
+    assertEquals("PNG", new String(png, 1, 3, StandardCharsets.US_ASCII));
+    // Read and written again, nothing changes; compared with itself, nothing differs.
+    String before = Files.readString(out.resolve("results.json"));
+    assertEquals(0, Cli.run("lab", "report", out.toString()));
+    assertEquals(before, Files.readString(out.resolve("results.json")));
+    new Comparison(results, Results.read(out))
+        .rows()
+        .forEach(
+            row -> {
+              assertEquals(0, row.difference().mean());
+              assertFalse(row.difference().differsFromZero());
+            });
+  }
 
-    @Test
-    void theNumberOfThreadsChangesNothing() throws Exception {
-        Experiment experiment = ExperimentReader.read(file(SMALL));
-        List<String> one = traces(experiment, 1);
-        assertEquals(one, traces(experiment, 4));
-        assertEquals(4, one.stream().distinct().count());
-    }
+  @Test
+  void theNumberOfThreadsChangesNothing() throws Exception {
+    Experiment experiment = ExperimentReader.read(file(SMALL));
+    List<String> one = traces(experiment, 1);
+    assertEquals(one, traces(experiment, 4));
+    assertEquals(4, one.stream().distinct().count());
+  }
 
-    private static List<String> traces(Experiment experiment, int threads) throws InterruptedException {
-        List<Trial.Result> trials = new Laboratory(threads).run(experiment, each -> { });
-        return Results.of(experiment, trials).trials().stream().map(Trial.Result::trace).toList();
-    }
+  private static List<String> traces(Experiment experiment, int threads)
+      throws InterruptedException {
+    List<Trial.Result> trials = new Laboratory(threads).run(experiment, each -> {});
+    return Results.of(experiment, trials).trials().stream().map(Trial.Result::trace).toList();
+  }
 
-    @Test
-    void whatHadEndedBeforeAnInterruptIsKept() throws Exception {
-        Experiment experiment = ExperimentReader.read(file(SMALL));
-        Laboratory laboratory = new Laboratory(1);
-        List<Trial.Result> trials = laboratory.run(experiment, each -> laboratory.stop());
-        assertTrue(!trials.isEmpty() && trials.size() < experiment.trials(), "trials: " + trials.size());
-        Results results = Results.of(experiment, trials);
-        assertFalse(results.complete());
-        results.write(folder);
-        Report.write(results, folder);
-        assertTrue(Files.readString(folder.resolve("report.html")).contains("Stopped early"));
-    }
+  @Test
+  void whatHadEndedBeforeAnInterruptIsKept() throws Exception {
+    Experiment experiment = ExperimentReader.read(file(SMALL));
+    Laboratory laboratory = new Laboratory(1);
+    List<Trial.Result> trials = laboratory.run(experiment, each -> laboratory.stop());
+    assertTrue(
+        !trials.isEmpty() && trials.size() < experiment.trials(), "trials: " + trials.size());
+    Results results = Results.of(experiment, trials);
+    assertFalse(results.complete());
+    results.write(folder);
+    Report.write(results, folder);
+    assertTrue(Files.readString(folder.resolve("report.html")).contains("Stopped early"));
+  }
 
-    @Test
-    void aFileThatCannotBeUsedEndsWithCode2AndWritesNothing() throws Exception {
-        Path out = folder.resolve("none");
-        assertEquals(2, Cli.run("lab", "run", file("duration = 5\n").toString(), "--out", out.toString()));
-        assertEquals(2, Cli.run("lab", "compare", out.toString(), out.toString()));
-        assertFalse(Files.exists(out));
-    }
+  @Test
+  void aFileThatCannotBeUsedEndsWithCode2AndWritesNothing() throws Exception {
+    Path out = folder.resolve("none");
+    assertEquals(
+        2, Cli.run("lab", "run", file("duration = 5\n").toString(), "--out", out.toString()));
+    assertEquals(2, Cli.run("lab", "compare", out.toString(), out.toString()));
+    assertFalse(Files.exists(out));
+  }
 
-    @Test
-    void aSearchFindsTheBrokenRuleAndMakesItSmall() throws Exception {
-        Experiment experiment = ExperimentReader.read(file("mutation = \"double-send\"\n"
-                + SMALL.replace("[\"module\", \"random\"]", "[\"module\"]")));
-        List<String> said = new ArrayList<>();
-        Search.Found found = new Search(experiment, folder, said::add).run(4);
-        assertTrue(found.breaksRule());
-        assertTrue(found.result().breaches().get("no-repeat") > 0);
-        // The faults have nothing to do with it; two workers and a moment show it too.
-        assertFalse(found.source().has("fault"), found.source().toString());
-        assertEquals("1s", found.source().path("duration").asText());
-        assertTrue(found.source().path("fleet").path("workers").asInt() <= 2);
-        Experiment again = ExperimentReader.read("again", folder, found.source());
-        Trial.Result replayed = new Trial("", again.policies().get(0), again.seeds().get(0))
-                .play(again.points().get(0).scenario(), again.mutation());
-        assertEquals(found.result().trace(), replayed.trace());
-    }
+  @Test
+  void aSearchFindsTheBrokenRuleAndMakesItSmall() throws Exception {
+    Experiment experiment =
+        ExperimentReader.read(
+            file(
+                "mutation = \"double-send\"\n"
+                    + SMALL.replace("[\"module\", \"random\"]", "[\"module\"]")));
+    List<String> said = new ArrayList<>();
+    Search.Found found = new Search(experiment, folder, said::add).run(4);
+    assertTrue(found.breaksRule());
+    assertTrue(found.result().breaches().get("no-repeat") > 0);
+    // The faults have nothing to do with it; two workers and a moment show it too.
+    assertFalse(found.source().has("fault"), found.source().toString());
+    assertEquals("1s", found.source().path("duration").asText());
+    assertTrue(found.source().path("fleet").path("workers").asInt() <= 2);
+    Experiment again = ExperimentReader.read("again", folder, found.source());
+    Trial.Result replayed =
+        new Trial("", again.policies().get(0), again.seeds().get(0))
+            .play(again.points().get(0).scenario(), again.mutation());
+    assertEquals(found.result().trace(), replayed.trace());
+  }
 
-    @Test
-    void anEstimateIsStudentsIntervalAndOneSeedGivesNone() {
-        Estimate estimate = Estimate.of(1, 2, 3, 4, Double.NaN);
-        assertEquals(2.5, estimate.mean());
-        // t(0.975, 3) = 3.1824, deviation 1.2910, of 4.
-        assertEquals(3.1824 * 1.2910 / 2, estimate.halfWidth(), 1e-3);
-        assertTrue(estimate.differsFromZero());
-        assertFalse(Estimate.of(5).differsFromZero());
-    }
+  @Test
+  void anEstimateIsStudentsIntervalAndOneSeedGivesNone() {
+    Estimate estimate = Estimate.of(1, 2, 3, 4, Double.NaN);
+    assertEquals(2.5, estimate.mean());
+    // t(0.975, 3) = 3.1824, deviation 1.2910, of 4.
+    assertEquals(3.1824 * 1.2910 / 2, estimate.halfWidth(), 1e-3);
+    assertTrue(estimate.differsFromZero());
+    assertFalse(Estimate.of(5).differsFromZero());
+  }
 }
--- a/membership/src/main/java/ferngrade/membership/News.java
+++ b/membership/src/main/java/ferngrade/membership/News.java
@@ -10,32 +10,36 @@
  * @param standing how it seems to be
  * @param by who says so
  */
-public record News(String name, String address, long run, long incarnation, Standing standing, String by) {
-    private static final int MOST_TEXT = 64;
-    private static final int FIXED_BYTES = 28;
+public record News(
+    String name, String address, long run, long incarnation, Standing standing, String by) {
+  private static final int MOST_TEXT = 64;
+  private static final int FIXED_BYTES = 28;
 
-    /** Whether this goes before what is known: a later incarnation, or at the same one what is worse. */
-    boolean over(News known) {
-        return incarnation != known.incarnation ? incarnation > known.incarnation
-                : standing.compareTo(known.standing) > 0;
-    }
+  /**
+   * Whether this goes before what is known: a later incarnation, or at the same one what is worse.
+   */
+  boolean over(News known) {
+    return incarnation != known.incarnation
+        ? incarnation > known.incarnation
+        : standing.compareTo(known.standing) > 0;
+  }
 
-    /** The same with another standing. */
-    News as(Standing other, String who) {
-        return new News(name, address, run, incarnation, other, who);
-    }
+  /** The same with another standing. */
+  News as(Standing other, String who) {
+    return new News(name, address, run, incarnation, other, who);
+  }
 
-    /** Whether all of it is there and within bounds: what strangers send may be anything. */
-    boolean usable() {
-        return bounded(name) && bounded(address) && bounded(by) && standing != null && incarnation >= 0;
-    }
+  /** Whether all of it is there and within bounds: what strangers send may be anything. */
+  boolean usable() {
+    return bounded(name) && bounded(address) && bounded(by) && standing != null && incarnation >= 0;
+  }
 
-    private static boolean bounded(String text) {
-        return text != null && !text.isEmpty() && text.length() <= MOST_TEXT;
-    }
+  private static boolean bounded(String text) {
+    return text != null && !text.isEmpty() && text.length() <= MOST_TEXT;
+  }
 
-    /** How many bytes it takes at the most. */
-    int bytes() {
-        return FIXED_BYTES + name.length() + address.length() + by.length();
-    }
+  /** How many bytes it takes at the most. */
+  int bytes() {
+    return FIXED_BYTES + name.length() + address.length() + by.length();
+  }
 }
--- a/membership/src/test/java/ferngrade/membership/DatagramGoldenTest.java
+++ b/membership/src/test/java/ferngrade/membership/DatagramGoldenTest.java
@@ -17,62 +17,71 @@
 
 /** Members' datagrams keep the form that an earlier version sent, sealed and unsealed. */
 class DatagramGoldenTest {
-    private static final GoldenFile GOLDEN = GoldenFile.open("datagrams.txt");
-    private static final List<byte[]> KEYS = List.of("first key of the fleet".getBytes(StandardCharsets.UTF_8),
-            "second key of the fleet".getBytes(StandardCharsets.UTF_8));
-    private static final long RUN = 0x1122334455667789L;
-    private static final long OTHER_RUN = 0x0102030405060709L;
+  private static final GoldenFile GOLDEN = GoldenFile.open("datagrams.txt");
+  private static final List<byte[]> KEYS =
+      List.of(
+          "first key of the fleet".getBytes(StandardCharsets.UTF_8),
+          "second key of the fleet".getBytes(StandardCharsets.UTF_8));
+  private static final long RUN = 0x1122334455667789L;
+  private static final long OTHER_RUN = 0x0102030405060709L;
 
-    private final Codec codec = new Codec(Message.CLASSES);
+  private final Codec codec = new Codec(Message.CLASSES);
 
-    private static Map<String, Object> values() {
-        News self = new News("m1", "127.0.0.1:7946", RUN, 3, Standing.ALIVE, "m1");
-        News other = new News("m2", "127.0.0.2:7946", -OTHER_RUN, 4, Standing.SUSPECT, "m3");
-        Map<String, Object> values = new LinkedHashMap<>();
-        for (Standing standing : Standing.values()) {
-            values.put("standing-" + standing.ordinal(), standing);
-            values.put("news-" + standing.ordinal(), self.as(standing, "m4"));
-        }
-        List<Message> messages = List.of(new Message.Ping(5), new Message.Ack(6), new Message.PingFor(7, "m5", "127.0.0.5:1"),
-                new Message.Nack(8), new Message.Digest(-9), new Message.Sync(List.of(self, other), true));
-        List<String> names = List.of("ping", "ack", "ping-for", "nack", "digest", "sync");
-        for (int i = 0; i < messages.size(); i++) {
-            values.put(names.get(i), messages.get(i));
-            values.put("letter-" + names.get(i), new Letter(self, messages.get(i), List.of(other)));
-        }
-        return values;
+  private static Map<String, Object> values() {
+    News self = new News("m1", "127.0.0.1:7946", RUN, 3, Standing.ALIVE, "m1");
+    News other = new News("m2", "127.0.0.2:7946", -OTHER_RUN, 4, Standing.SUSPECT, "m3");
+    Map<String, Object> values = new LinkedHashMap<>();
+    for (Standing standing : Standing.values()) {
+      values.put("standing-" + standing.ordinal(), standing);
+      values.put("news-" + standing.ordinal(), self.as(standing, "m4"));
     }
-
-    @Test
-    void eachMessageIsReadAndWrittenAsRecorded() throws IOException {
-        for (Map.Entry<String, Object> each : values().entrySet()) {
-            GOLDEN.verify(each.getKey(), codec.write(each.getValue()));
-            byte[] recorded = GOLDEN.bytes(each.getKey());
-            assertEquals(each.getValue(), codec.read(recorded, 0, recorded.length), each.getKey());
-        }
+    List<Message> messages =
+        List.of(
+            new Message.Ping(5),
+            new Message.Ack(6),
+            new Message.PingFor(7, "m5", "127.0.0.5:1"),
+            new Message.Nack(8),
+            new Message.Digest(-9),
+            new Message.Sync(List.of(self, other), true));
+    List<String> names = List.of("ping", "ack", "ping-for", "nack", "digest", "sync");
+    for (int i = 0; i < messages.size(); i++) {
+      values.put(names.get(i), messages.get(i));
+      values.put("letter-" + names.get(i), new Letter(self, messages.get(i), List.of(other)));
     }
+    return values;
+  }
 
-    @Test
-    void eachClassOfTheFormatIsRecorded() {
-        Set<Class<?>> recorded = new HashSet<>();
-        values().values().forEach(each -> recorded.add(each.getClass()));
-        assertEquals(new HashSet<>(Message.CLASSES), recorded);
+  @Test
+  void eachMessageIsReadAndWrittenAsRecorded() throws IOException {
+    for (Map.Entry<String, Object> each : values().entrySet()) {
+      GOLDEN.verify(each.getKey(), codec.write(each.getValue()));
+      byte[] recorded = GOLDEN.bytes(each.getKey());
+      assertEquals(each.getValue(), codec.read(recorded, 0, recorded.length), each.getKey());
     }
+  }
 
-    @Test
-    void sealedDatagramsAreMadeAndOpenedAsRecorded() {
-        byte[] content = codec.write(new Message.Ping(5));
-        Seal sender = new Seal("kandy members", KEYS, RUN);
-        Seal receiver = new Seal("kandy members", KEYS, OTHER_RUN);
+  @Test
+  void eachClassOfTheFormatIsRecorded() {
+    Set<Class<?>> recorded = new HashSet<>();
+    values().values().forEach(each -> recorded.add(each.getClass()));
+    assertEquals(new HashSet<>(Message.CLASSES), recorded);
+  }
 
-        GOLDEN.verify("sealed-to-unknown-process", sender.close("b", content));
-        Seal.Opened greeting = receiver.open("a", GOLDEN.bytes("sealed-to-unknown-process"));
-        GOLDEN.verify("sealed-greeting", greeting.answer());
-        Seal.Opened greeted = sender.open("b", GOLDEN.bytes("sealed-greeting"));
-        GOLDEN.verify("sealed-sent-again", greeted.answer());
-        Seal.Opened opened = receiver.open("a", GOLDEN.bytes("sealed-sent-again"));
-        assertEquals(Seal.Verdict.TAKEN, opened.verdict());
-        assertArrayEquals(content, opened.content());
-        GOLDEN.verify("sealed-without-keys", new Seal("kandy members", List.of(), RUN).close("b", content));
-    }
+  @Test
+  void sealedDatagramsAreMadeAndOpenedAsRecorded() {
+    byte[] content = codec.write(new Message.Ping(5));
+    Seal sender = new Seal("kandy members", KEYS, RUN);
+    Seal receiver = new Seal("kandy members", KEYS, OTHER_RUN);
+
+    GOLDEN.verify("sealed-to-unknown-process", sender.close("b", content));
+    Seal.Opened greeting = receiver.open("a", GOLDEN.bytes("sealed-to-unknown-process"));
+    GOLDEN.verify("sealed-greeting", greeting.answer());
+    Seal.Opened greeted = sender.open("b", GOLDEN.bytes("sealed-greeting"));
+    GOLDEN.verify("sealed-sent-again", greeted.answer());
+    Seal.Opened opened = receiver.open("a", GOLDEN.bytes("sealed-sent-again"));
+    assertEquals(Seal.Verdict.TAKEN, opened.verdict());
+    assertArrayEquals(content, opened.content());
+    GOLDEN.verify(
+        "sealed-without-keys", new Seal("kandy members", List.of(), RUN).close("b", content));
+  }
 }
--- a/node/src/main/java/ferngrade/cli/Cli.java
+++ b/node/src/main/java/ferngrade/cli/Cli.java
@@ -9,50 +9,61 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 
-/** The command line and its sub-commands: those of the lean jar, and what {@link SubCommand} finds beside them. */
-@Command(name = "ferngrade", description = "A dispatcher that pushes jobs to workers.",
-        mixinStandardHelpOptions = true, versionProvider = Cli.Version.class,
-        subcommands = {Serve.class, CheckConfig.class, WireHostCommand.class, VersionCommand.class,
-            CommandLine.HelpCommand.class})
+/**
+ * The command line and its sub-commands: those of the lean jar, and what {@link SubCommand} finds
+ * beside them.
+ */
+@Command(
+    name = "ferngrade",
+    description = "A dispatcher that pushes jobs to workers.",
+    mixinStandardHelpOptions = true,
+    versionProvider = Cli.Version.class,
+    subcommands = {
+      Serve.class,
+      CheckConfig.class,
+      WireHostCommand.class,
+      VersionCommand.class,
+      CommandLine.HelpCommand.class
+    })
 public final class Cli implements Runnable {
-    /** The exit code for a configuration that cannot be used. */
-    public static final int BAD_CONFIG = 2;
+  /** The exit code for a configuration that cannot be used. */
+  public static final int BAD_CONFIG = 2;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+  @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    /** Runs one sub-command; returns the exit code. */
-    public static int run(String... arguments) {
-        // The platform restarts a node by this word alone. The command line's own classes, which no class archive
-        // takes, would be over a third of the time until it serves.
-        if (arguments.length == 1 && arguments[0].equals(Serve.NAME)) {
-            try {
-                return new Serve().call();
-            } catch (InterruptedException interrupted) {
-                return 1;
-            }
-        }
-        CommandLine line = new CommandLine(new Cli());
-        ServiceLoader.load(SubCommand.class).forEach(line::addSubcommand);
-        return line.execute(arguments);
+  /** Runs one sub-command; returns the exit code. */
+  public static int run(String... arguments) {
+    // The platform restarts a node by this word alone. The command line's own classes, which no
+    // class archive
+    // takes, would be over a third of the time until it serves.
+    if (arguments.length == 1 && arguments[0].equals(Serve.NAME)) {
+      try {
+        return new Serve().call();
+      } catch (InterruptedException interrupted) {
+        return 1;
+      }
     }
+    CommandLine line = new CommandLine(new Cli());
+    ServiceLoader.load(SubCommand.class).forEach(line::addSubcommand);
+    return line.execute(arguments);
+  }
 
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
-    }
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
+  }
 
-    /** Knows the version that the build wrote down. */
-    static final class Version implements IVersionProvider {
-        @Override
-        public String[] getVersion() {
-            Properties properties = new Properties();
-            try (InputStream file = Cli.class.getResourceAsStream("/ferngrade/version.properties")) {
-                properties.load(file);
-            } catch (IOException unreadable) {
-                throw new UncheckedIOException(unreadable);
-            }
-            return new String[] {"ferngrade " + properties.getProperty("version")};
-        }
+  /** Knows the version that the build wrote down. */
+  static final class Version implements IVersionProvider {
+    @Override
+    public String[] getVersion() {
+      Properties properties = new Properties();
+      try (InputStream file = Cli.class.getResourceAsStream("/ferngrade/version.properties")) {
+        properties.load(file);
+      } catch (IOException unreadable) {
+        throw new UncheckedIOException(unreadable);
+      }
+      return new String[] {"ferngrade " + properties.getProperty("version")};
     }
+  }
 }
--- a/node/src/main/java/ferngrade/cli/Serve.java
+++ b/node/src/main/java/ferngrade/cli/Serve.java
@@ -12,64 +12,75 @@
 /** Runs a node until it is told to stop; on SIGHUP it reads its configuration anew. */
 @Command(name = Serve.NAME, description = "Runs a node, as the LB_* variables say.")
 final class Serve implements Callable<Integer> {
-    static final String NAME = "serve";
+  static final String NAME = "serve";
 
-    @Option(names = "--rehearse", description = "Start, stop in order and end, to show that a node can start.")
-    private boolean rehearse;
+  @Option(
+      names = "--rehearse",
+      description = "Start, stop in order and end, to show that a node can start.")
+  private boolean rehearse;
 
-    @Override
-    public Integer call() throws InterruptedException {
-        // First of all: a SIGHUP that came while the node still starts would end it.
-        Hangup hangup = Hangup.caught();
-        NodeConfig config;
-        try {
-            config = NodeConfig.fromEnvironment(System.getenv());
-        } catch (ConfigException bad) {
-            System.err.println("ferngrade: " + bad.getMessage());
-            return Cli.BAD_CONFIG;
-        }
-        NodeServer.Platform platform;
-        try {
-            platform = Handover.fromEnvironment(System.getenv());
-        } catch (ConfigException bad) {
-            System.err.println("ferngrade: " + bad.getMessage());
-            return Cli.BAD_CONFIG;
-        }
-        Clock clock = Clock.system();
-        Log log = new Log(clock, line -> System.err.printf("%.3f %s %s%n", clock.now() / 1000, config.name(), line));
-        NodeServer server;
-        try {
-            server = NodeServer.start(config, platform, clock, log);
-        } catch (Exception failed) {
-            System.err.println("ferngrade: listen: " + failed.getMessage());
-            return 1;
-        }
-        if (rehearse) {
-            server.stop();
-            return 0;
-        }
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(server), "stop"));
-        while (true) {
-            hangup.await();
-            reload(server);
-        }
+  @Override
+  public Integer call() throws InterruptedException {
+    // First of all: a SIGHUP that came while the node still starts would end it.
+    Hangup hangup = Hangup.caught();
+    NodeConfig config;
+    try {
+      config = NodeConfig.fromEnvironment(System.getenv());
+    } catch (ConfigException bad) {
+      System.err.println("ferngrade: " + bad.getMessage());
+      return Cli.BAD_CONFIG;
     }
+    NodeServer.Platform platform;
+    try {
+      platform = Handover.fromEnvironment(System.getenv());
+    } catch (ConfigException bad) {
+      System.err.println("ferngrade: " + bad.getMessage());
+      return Cli.BAD_CONFIG;
+    }
+    Clock clock = Clock.system();
+    Log log =
+        new Log(
+            clock,
+            line -> System.err.printf("%.3f %s %s%n", clock.now() / 1000, config.name(), line));
+    NodeServer server;
+    try {
+      server = NodeServer.start(config, platform, clock, log);
+    } catch (Exception failed) {
+      System.err.println("ferngrade: listen: " + failed.getMessage());
+      return 1;
+    }
+    if (rehearse) {
+      server.stop();
+      return 0;
+    }
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(server), "stop"));
+    while (true) {
+      hangup.await();
+      reload(server);
+    }
+  }
 
-    /** Runs on the main thread: the file is read and checked here, the event loop only takes over the outcome. */
-    private static void reload(NodeServer server) {
-        try {
-            server.reload(NodeConfig.reread(System.getenv()));
-        } catch (ConfigException bad) {
-            server.reloadFailed("configuration stays as it is: " + bad.getMessage());
-        }
+  /**
+   * Runs on the main thread: the file is read and checked here, the event loop only takes over the
+   * outcome.
+   */
+  private static void reload(NodeServer server) {
+    try {
+      server.reload(NodeConfig.reread(System.getenv()));
+    } catch (ConfigException bad) {
+      server.reloadFailed("configuration stays as it is: " + bad.getMessage());
     }
+  }
 
-    /** Runs as the answer to SIGTERM. The halt gives the exit code 0: left alone, the runtime ends with 143. */
-    private static void stop(NodeServer server) {
-        try {
-            server.stopAndExit(() -> Runtime.getRuntime().halt(0));
-        } catch (InterruptedException interrupted) {
-            Runtime.getRuntime().halt(1);
-        }
+  /**
+   * Runs as the answer to SIGTERM. The halt gives the exit code 0: left alone, the runtime ends
+   * with 143.
+   */
+  private static void stop(NodeServer server) {
+    try {
+      server.stopAndExit(() -> Runtime.getRuntime().halt(0));
+    } catch (InterruptedException interrupted) {
+      Runtime.getRuntime().halt(1);
     }
+  }
 }
--- a/node/src/main/java/ferngrade/cli/WireHostCommand.java
+++ b/node/src/main/java/ferngrade/cli/WireHostCommand.java
@@ -10,16 +10,18 @@
 import picocli.CommandLine.Command;
 
 /** Hosts the decisions behind the simulator's wire. */
-@Command(name = "wirehost", description = "Serves the simulator's wire on standard input and output.")
+@Command(
+    name = "wirehost",
+    description = "Serves the simulator's wire on standard input and output.")
 final class WireHostCommand implements Callable<Integer> {
-    @Override
-    public Integer call() {
-        try (OutputStream out = new FileOutputStream(FileDescriptor.out)) {
-            WireHost.run(System.in, out);
-            return 0;
-        } catch (WireException | IOException broken) {
-            System.err.println("ferngrade: " + broken.getMessage());
-            return 1;
-        }
+  @Override
+  public Integer call() {
+    try (OutputStream out = new FileOutputStream(FileDescriptor.out)) {
+      WireHost.run(System.in, out);
+      return 0;
+    } catch (WireException | IOException broken) {
+      System.err.println("ferngrade: " + broken.getMessage());
+      return 1;
     }
+  }
 }
--- a/node/src/main/java/ferngrade/config/MaintenanceCodec.java
+++ b/node/src/main/java/ferngrade/config/MaintenanceCodec.java
@@ -11,36 +11,40 @@
 import java.util.Set;
 
 /**
- * The file in which a process leaves its maintenance to the next one: {@code {"out":[names],"back":{name: ms since
- * 1970}}}.
+ * The file in which a process leaves its maintenance to the next one: {@code
+ * {"out":[names],"back":{name: ms since 1970}}}.
  */
 public final class MaintenanceCodec {
-    private MaintenanceCodec() { }
+  private MaintenanceCodec() {}
 
-    /** The file's text. */
-    public static String write(Maintenance.Saved saved) {
-        JsonArray out = new JsonArray();
-        saved.out().stream().sorted().forEach(out::add);
-        JsonObject back = new JsonObject();
-        saved.back().forEach(back::add);
-        return new JsonObject().add("out", out).add("back", back).toString();
-    }
+  /** The file's text. */
+  public static String write(Maintenance.Saved saved) {
+    JsonArray out = new JsonArray();
+    saved.out().stream().sorted().forEach(out::add);
+    JsonObject back = new JsonObject();
+    saved.back().forEach(back::add);
+    return new JsonObject().add("out", out).add("back", back).toString();
+  }
 
-    /** Reads a file's text; throws {@link IllegalArgumentException} for text that is no such state, torn or not. */
-    public static Maintenance.Saved read(String text) {
-        try {
-            JsonObject json = Json.parse(text).asObject();
-            Set<String> out = new HashSet<>();
-            for (JsonValue name : json.get("out").asArray()) {
-                out.add(name.asString());
-            }
-            Map<String, Double> back = new HashMap<>();
-            for (JsonObject.Member each : json.get("back").asObject()) {
-                back.put(each.getName(), each.getValue().asDouble());
-            }
-            return new Maintenance.Saved(out, back);
-        } catch (RuntimeException malformed) {
-            throw new IllegalArgumentException("not a saved maintenance: " + malformed.getMessage(), malformed);
-        }
+  /**
+   * Reads a file's text; throws {@link IllegalArgumentException} for text that is no such state,
+   * torn or not.
+   */
+  public static Maintenance.Saved read(String text) {
+    try {
+      JsonObject json = Json.parse(text).asObject();
+      Set<String> out = new HashSet<>();
+      for (JsonValue name : json.get("out").asArray()) {
+        out.add(name.asString());
+      }
+      Map<String, Double> back = new HashMap<>();
+      for (JsonObject.Member each : json.get("back").asObject()) {
+        back.put(each.getName(), each.getValue().asDouble());
+      }
+      return new Maintenance.Saved(out, back);
+    } catch (RuntimeException malformed) {
+      throw new IllegalArgumentException(
+          "not a saved maintenance: " + malformed.getMessage(), malformed);
     }
+  }
 }
--- a/node/src/main/java/ferngrade/config/NodeConfig.java
+++ b/node/src/main/java/ferngrade/config/NodeConfig.java
@@ -18,157 +18,197 @@
 import java.util.Map;
 
 /**
- * What one node is told at its start. {@code peerListen} and {@code peersAll} are null where nodes do not
- * talk; {@code known} is the worker list as this node had it last, null if it never had one. Times are
- * milliseconds.
+ * What one node is told at its start. {@code peerListen} and {@code peersAll} are null where nodes
+ * do not talk; {@code known} is the worker list as this node had it last, null if it never had one.
+ * Times are milliseconds.
  */
-public record NodeConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, int memoryMb, InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll,
-        MemberList known, Settings settings, MemberReader memberReader, double connectTimeout,
-        double connectionIdle, int mostOpen, InetSocketAddress admin) {
-    /** How long a node may be held up between reading its clock and writing, ms: idempotency windows allow for it. */
-    private static final double HOLD_UP = 150;
+public record NodeConfig(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress discovery,
+    long seed,
+    int sockets,
+    int memoryMb,
+    InetSocketAddress peerListen,
+    List<InetSocketAddress> peers,
+    InetSocketAddress peersAll,
+    MemberList known,
+    Settings settings,
+    MemberReader memberReader,
+    double connectTimeout,
+    double connectionIdle,
+    int mostOpen,
+    InetSocketAddress admin) {
+  /**
+   * How long a node may be held up between reading its clock and writing, ms: idempotency windows
+   * allow for it.
+   */
+  private static final double HOLD_UP = 150;
 
-    /**
-     * Reads the file that {@code LB_CONFIG} names; the other {@code LB_*} variables take precedence. {@code admin},
-     * where operators call, is null where neither the file nor {@code LB_ADMIN} names one.
-     */
-    public static NodeConfig fromEnvironment(Map<String, String> environment) throws ConfigException {
-        return read(overridden(parse(environment), environment, List.of("name", "listen", "discovery", "admin")));
-    }
+  /**
+   * Reads the file that {@code LB_CONFIG} names; the other {@code LB_*} variables take precedence.
+   * {@code admin}, where operators call, is null where neither the file nor {@code LB_ADMIN} names
+   * one.
+   */
+  public static NodeConfig fromEnvironment(Map<String, String> environment) throws ConfigException {
+    return read(
+        overridden(
+            parse(environment), environment, List.of("name", "listen", "discovery", "admin")));
+  }
 
-    /**
-     * Reads the file again while the node runs. The variables are those of its start, so where the file names a
-     * discovery, that is newer than the one that {@code LB_DISCOVERY} names, and wins.
-     */
-    public static NodeConfig reread(Map<String, String> environment) throws ConfigException {
-        JsonObject json = parse(environment);
-        boolean moved = json.get("discovery") != null;
-        return read(overridden(json, environment,
-                moved ? List.of("name", "listen", "admin") : List.of("name", "listen", "discovery", "admin")));
-    }
+  /**
+   * Reads the file again while the node runs. The variables are those of its start, so where the
+   * file names a discovery, that is newer than the one that {@code LB_DISCOVERY} names, and wins.
+   */
+  public static NodeConfig reread(Map<String, String> environment) throws ConfigException {
+    JsonObject json = parse(environment);
+    boolean moved = json.get("discovery") != null;
+    return read(
+        overridden(
+            json,
+            environment,
+            moved
+                ? List.of("name", "listen", "admin")
+                : List.of("name", "listen", "discovery", "admin")));
+  }
 
-    private static JsonObject overridden(JsonObject json, Map<String, String> environment, List<String> fields) {
-        for (String field : fields) {
-            String told = environment.get("LB_" + field.toUpperCase(Locale.ROOT));
-            if (told != null && !told.isEmpty()) {
-                json.set(field, told);
-            }
-        }
-        return json;
+  private static JsonObject overridden(
+      JsonObject json, Map<String, String> environment, List<String> fields) {
+    for (String field : fields) {
+      String told = environment.get("LB_" + field.toUpperCase(Locale.ROOT));
+      if (told != null && !told.isEmpty()) {
+        json.set(field, told);
+      }
     }
+    return json;
+  }
 
-    private static JsonObject parse(Map<String, String> environment) throws ConfigException {
-        String file = environment.get("LB_CONFIG");
-        if (file == null || file.isEmpty()) {
-            throw new ConfigException("LB_CONFIG", "is not set");
-        }
-        try (Reader reader = Files.newBufferedReader(Path.of(file))) {
-            return Json.parse(reader).asObject();
-        } catch (IOException | InvalidPathException unreadable) {
-            throw new ConfigException("LB_CONFIG", "cannot be read: " + unreadable.getMessage());
-        } catch (ParseException | UnsupportedOperationException malformed) {
-            throw new ConfigException("LB_CONFIG", "is not a JSON object: " + malformed.getMessage());
-        }
+  private static JsonObject parse(Map<String, String> environment) throws ConfigException {
+    String file = environment.get("LB_CONFIG");
+    if (file == null || file.isEmpty()) {
+      throw new ConfigException("LB_CONFIG", "is not set");
     }
-
-    /** Reads a configuration; what is wrong with it is said in one line that names the field. */
-    public static NodeConfig read(JsonObject json) throws ConfigException {
-        SettingsMapping mapping = new SettingsMapping();
-        JsonValue nested = json.get("settings");
-        if (nested == null || !nested.isObject()) {
-            throw new ConfigException("settings", "is missing or not an object");
-        }
-        mapping.put(nested.asObject());
-        Settings settings;
-        double connectTimeout = number(mapping, "Ceilings.ConnectTimeout", 1000);
-        try {
-            settings = mapping.build(connectTimeout + HOLD_UP);
-        } catch (IllegalArgumentException invalid) {
-            throw new ConfigException("settings:", invalid.getMessage());
-        }
-        MemberReader reader = new MemberReader(mapping.list("Zones"), mapping.list("Kinds"));
-        List<InetSocketAddress> peers = new ArrayList<>();
-        JsonValue addresses = json.get("peers");
-        if (addresses != null && addresses.isArray()) {
-            for (JsonValue peer : addresses.asArray()) {
-                peers.add(address("peers", peer));
-            }
-        }
-        return new NodeConfig(text(json, "name"), required(json, "listen"), required(json, "discovery"),
-                seed(json), limit(json, "sockets", 64, 1024), limit(json, "memory_mb", 16, 192), optional(json, "peer_listen"), peers, optional(json, "peers_all"),
-                known(json, reader), settings, reader, connectTimeout,
-                number(mapping, "Ceilings.ConnIdle", 60000), (int) number(mapping, "Ceilings.OpenCap", 20000),
-                optional(json, "admin"));
+    try (Reader reader = Files.newBufferedReader(Path.of(file))) {
+      return Json.parse(reader).asObject();
+    } catch (IOException | InvalidPathException unreadable) {
+      throw new ConfigException("LB_CONFIG", "cannot be read: " + unreadable.getMessage());
+    } catch (ParseException | UnsupportedOperationException malformed) {
+      throw new ConfigException("LB_CONFIG", "is not a JSON object: " + malformed.getMessage());
     }
+  }
 
-    private static double number(SettingsMapping mapping, String path, double absent) throws ConfigException {
-        try {
-            double value = mapping.number(path, absent);
-            if (value > 0) {
-                return value;
-            }
-        } catch (IllegalArgumentException notANumber) {
-            throw new ConfigException("settings:", notANumber.getMessage());
-        }
-        throw new ConfigException("settings:", path + " must be above 0");
+  /** Reads a configuration; what is wrong with it is said in one line that names the field. */
+  public static NodeConfig read(JsonObject json) throws ConfigException {
+    SettingsMapping mapping = new SettingsMapping();
+    JsonValue nested = json.get("settings");
+    if (nested == null || !nested.isObject()) {
+      throw new ConfigException("settings", "is missing or not an object");
     }
-
-    private static String text(JsonObject json, String field) throws ConfigException {
-        JsonValue value = json.get(field);
-        if (value == null || !value.isString() || value.asString().isEmpty()) {
-            throw new ConfigException(field, "is missing or not a text");
-        }
-        return value.asString();
+    mapping.put(nested.asObject());
+    Settings settings;
+    double connectTimeout = number(mapping, "Ceilings.ConnectTimeout", 1000);
+    try {
+      settings = mapping.build(connectTimeout + HOLD_UP);
+    } catch (IllegalArgumentException invalid) {
+      throw new ConfigException("settings:", invalid.getMessage());
+    }
+    MemberReader reader = new MemberReader(mapping.list("Zones"), mapping.list("Kinds"));
+    List<InetSocketAddress> peers = new ArrayList<>();
+    JsonValue addresses = json.get("peers");
+    if (addresses != null && addresses.isArray()) {
+      for (JsonValue peer : addresses.asArray()) {
+        peers.add(address("peers", peer));
+      }
     }
+    return new NodeConfig(
+        text(json, "name"),
+        required(json, "listen"),
+        required(json, "discovery"),
+        seed(json),
+        limit(json, "sockets", 64, 1024),
+        limit(json, "memory_mb", 16, 192),
+        optional(json, "peer_listen"),
+        peers,
+        optional(json, "peers_all"),
+        known(json, reader),
+        settings,
+        reader,
+        connectTimeout,
+        number(mapping, "Ceilings.ConnIdle", 60000),
+        (int) number(mapping, "Ceilings.OpenCap", 20000),
+        optional(json, "admin"));
+  }
 
-    private static InetSocketAddress required(JsonObject json, String field) throws ConfigException {
-        return address(field, Json.value(text(json, field)));
+  private static double number(SettingsMapping mapping, String path, double absent)
+      throws ConfigException {
+    try {
+      double value = mapping.number(path, absent);
+      if (value > 0) {
+        return value;
+      }
+    } catch (IllegalArgumentException notANumber) {
+      throw new ConfigException("settings:", notANumber.getMessage());
     }
+    throw new ConfigException("settings:", path + " must be above 0");
+  }
 
-    private static InetSocketAddress optional(JsonObject json, String field) throws ConfigException {
-        JsonValue value = json.get(field);
-        return value == null || value.isNull() ? null : address(field, value);
+  private static String text(JsonObject json, String field) throws ConfigException {
+    JsonValue value = json.get(field);
+    if (value == null || !value.isString() || value.asString().isEmpty()) {
+      throw new ConfigException(field, "is missing or not a text");
     }
+    return value.asString();
+  }
 
-    private static InetSocketAddress address(String field, JsonValue value) throws ConfigException {
-        try {
-            return MemberReader.address(value.asString());
-        } catch (IllegalArgumentException | UnsupportedOperationException invalid) {
-            throw new ConfigException(field, invalid.getMessage());
-        }
+  private static InetSocketAddress required(JsonObject json, String field) throws ConfigException {
+    return address(field, Json.value(text(json, field)));
+  }
+
+  private static InetSocketAddress optional(JsonObject json, String field) throws ConfigException {
+    JsonValue value = json.get(field);
+    return value == null || value.isNull() ? null : address(field, value);
+  }
+
+  private static InetSocketAddress address(String field, JsonValue value) throws ConfigException {
+    try {
+      return MemberReader.address(value.asString());
+    } catch (IllegalArgumentException | UnsupportedOperationException invalid) {
+      throw new ConfigException(field, invalid.getMessage());
     }
+  }
 
-    private static long seed(JsonObject json) throws ConfigException {
-        String hex = text(json, "seed");
-        try {
-            return Long.parseUnsignedLong(hex, 16);
-        } catch (NumberFormatException notHex) {
-            throw new ConfigException("seed", "is not a hexadecimal number: " + hex);
-        }
+  private static long seed(JsonObject json) throws ConfigException {
+    String hex = text(json, "seed");
+    try {
+      return Long.parseUnsignedLong(hex, 16);
+    } catch (NumberFormatException notHex) {
+      throw new ConfigException("seed", "is not a hexadecimal number: " + hex);
     }
+  }
 
-    private static int limit(JsonObject json, String field, int least, int absent) throws ConfigException {
-        JsonValue limits = json.get("limits");
-        JsonValue limit = limits == null || !limits.isObject() ? null : limits.asObject().get(field);
-        if (limit == null) {
-            return absent;
-        }
-        if (!limit.isNumber() || limit.asDouble() < least) {
-            throw new ConfigException("limits." + field, "must be a number of " + least + " or more: " + limit);
-        }
-        return (int) limit.asDouble();
+  private static int limit(JsonObject json, String field, int least, int absent)
+      throws ConfigException {
+    JsonValue limits = json.get("limits");
+    JsonValue limit = limits == null || !limits.isObject() ? null : limits.asObject().get(field);
+    if (limit == null) {
+      return absent;
     }
+    if (!limit.isNumber() || limit.asDouble() < least) {
+      throw new ConfigException(
+          "limits." + field, "must be a number of " + least + " or more: " + limit);
+    }
+    return (int) limit.asDouble();
+  }
 
-    private static MemberList known(JsonObject json, MemberReader reader) throws ConfigException {
-        JsonValue known = json.get("known");
-        if (known == null || known.isNull()) {
-            return null;
-        }
-        try {
-            return reader.read(known);
-        } catch (IllegalArgumentException invalid) {
-            throw new ConfigException("known:", invalid.getMessage());
-        }
+  private static MemberList known(JsonObject json, MemberReader reader) throws ConfigException {
+    JsonValue known = json.get("known");
+    if (known == null || known.isNull()) {
+      return null;
+    }
+    try {
+      return reader.read(known);
+    } catch (IllegalArgumentException invalid) {
+      throw new ConfigException("known:", invalid.getMessage());
     }
+  }
 }
--- a/node/src/main/java/ferngrade/net/Admin.java
+++ b/node/src/main/java/ferngrade/net/Admin.java
@@ -26,175 +26,210 @@
 import java.util.function.IntSupplier;
 
 /**
- * Where operators call: HTTP/1.1, one call to a connection, 2xx for yes and 4xx or 5xx for no. It runs on the
- * node's loop, so that each call sees the node as it is; nothing here waits. A caller has {@link #PATIENCE} to
- * bring its whole call, and at most {@code most} callers are held at a time, the oldest giving way, so that silent
- * ones cost nobody else.
+ * Where operators call: HTTP/1.1, one call to a connection, 2xx for yes and 4xx or 5xx for no. It
+ * runs on the node's loop, so that each call sees the node as it is; nothing here waits. A caller
+ * has {@link #PATIENCE} to bring its whole call, and at most {@code most} callers are held at a
+ * time, the oldest giving way, so that silent ones cost nobody else.
  */
 final class Admin {
-    /** How long a caller may take to bring a whole call, ms; callers wait 1 s for the answer. */
-    static final double PATIENCE = 1000;
-    /**
-     * How long a change of maintenance waits to be stored before its caller hears that it is not yet, ms. A caller
-     * waits 1 s, and the node may be held up for 150 ms in between.
-     */
-    static final double STORE_TIMEOUT = 700;
-    /** The largest call, in bytes: calls carry no bodies worth the name. */
-    static final int MOST_CALL = 4096;
-
-    private final Node node;
-    private final Front front;
-    private final Sibling sibling;
-    private final List<String> classes;
-    private final StateFile state;
-    private final Executor loop;
-    private final Timers timers;
-    private final Log log;
-    private final int most;
-    private final IntSupplier reloadsOk;
-    private final IntSupplier reloadsFailed;
-    private final Set<Channel> callers = new LinkedHashSet<>();
-
-    /** What the operators' calls act on; {@code state} is null where nothing is to outlive the process. */
-    record Parts(Node node, Front front, Sibling sibling, List<String> classes, StateFile state, IntSupplier reloadsOk,
-            IntSupplier reloadsFailed) { }
-
-    Admin(Parts parts, Executor loop, Timers timers, Log log, int most) {
-        this.node = parts.node();
-        this.front = parts.front();
-        this.sibling = parts.sibling();
-        this.classes = parts.classes();
-        this.state = parts.state();
-        this.reloadsOk = parts.reloadsOk();
-        this.reloadsFailed = parts.reloadsFailed();
-        this.loop = loop;
-        this.timers = timers;
-        this.log = log;
-        this.most = most;
-    }
-
-    /** Begins to listen at {@code address}. */
-    ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, ChannelProvider channels) {
-        return new ServerBootstrap().group(group).channelFactory(() -> channels.listener(Purpose.ADMIN, null))
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .handler(new AcceptSwitch(timers))
-                .childHandler(new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_CALL),
-                                new AdminHandler(Admin.this));
-                    }
-                }).bind(address);
-    }
-
-    /** A caller has connected: it gets its time, and pushes out the oldest caller where there are too many. */
-    void opened(Channel caller) {
-        callers.add(caller);
-        if (callers.size() > most) {
-            Channel oldest = callers.iterator().next();
-            callers.remove(oldest);
-            oldest.close();
-        }
-        timers.after(PATIENCE, caller::close);
-    }
-
-    void closed(Channel caller) {
-        callers.remove(caller);
-    }
-
-    // ---- The calls ----
-
-    boolean ready() {
-        return node.ready() && front.takesClients();
-    }
-
-    /**
-     * A call-back that the other process of this node got for a job of this one. True if this process has or had
-     * the job, and so took the news.
-     */
-    boolean news(String body) throws BadRequestException {
-        News news = NewsReader.read(body);
-        if (!node.knowsOf(news.id())) {
-            return false;
-        }
-        node.news(news);
-        return true;
+  /** How long a caller may take to bring a whole call, ms; callers wait 1 s for the answer. */
+  static final double PATIENCE = 1000;
+
+  /**
+   * How long a change of maintenance waits to be stored before its caller hears that it is not yet,
+   * ms. A caller waits 1 s, and the node may be held up for 150 ms in between.
+   */
+  static final double STORE_TIMEOUT = 700;
+
+  /** The largest call, in bytes: calls carry no bodies worth the name. */
+  static final int MOST_CALL = 4096;
+
+  private final Node node;
+  private final Front front;
+  private final Sibling sibling;
+  private final List<String> classes;
+  private final StateFile state;
+  private final Executor loop;
+  private final Timers timers;
+  private final Log log;
+  private final int most;
+  private final IntSupplier reloadsOk;
+  private final IntSupplier reloadsFailed;
+  private final Set<Channel> callers = new LinkedHashSet<>();
+
+  /**
+   * What the operators' calls act on; {@code state} is null where nothing is to outlive the
+   * process.
+   */
+  record Parts(
+      Node node,
+      Front front,
+      Sibling sibling,
+      List<String> classes,
+      StateFile state,
+      IntSupplier reloadsOk,
+      IntSupplier reloadsFailed) {}
+
+  Admin(Parts parts, Executor loop, Timers timers, Log log, int most) {
+    this.node = parts.node();
+    this.front = parts.front();
+    this.sibling = parts.sibling();
+    this.classes = parts.classes();
+    this.state = parts.state();
+    this.reloadsOk = parts.reloadsOk();
+    this.reloadsFailed = parts.reloadsFailed();
+    this.loop = loop;
+    this.timers = timers;
+    this.log = log;
+    this.most = most;
+  }
+
+  /** Begins to listen at {@code address}. */
+  ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, ChannelProvider channels) {
+    return new ServerBootstrap()
+        .group(group)
+        .channelFactory(() -> channels.listener(Purpose.ADMIN, null))
+        .option(ChannelOption.SO_REUSEADDR, true)
+        .handler(new AcceptSwitch(timers))
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                channel
+                    .pipeline()
+                    .addLast(
+                        new HttpServerCodec(),
+                        new HttpObjectAggregator(MOST_CALL),
+                        new AdminHandler(Admin.this));
+              }
+            })
+        .bind(address);
+  }
+
+  /**
+   * A caller has connected: it gets its time, and pushes out the oldest caller where there are too
+   * many.
+   */
+  void opened(Channel caller) {
+    callers.add(caller);
+    if (callers.size() > most) {
+      Channel oldest = callers.iterator().next();
+      callers.remove(oldest);
+      oldest.close();
     }
-
-    /** The other process of this node says where it takes calls; false where this one has its own socket. */
-    boolean sibling(String address) {
-        if (sibling == null) {
-            return false;
-        }
-        sibling.at(MemberReader.address(address.trim()));
-        return true;
+    timers.after(PATIENCE, caller::close);
+  }
+
+  void closed(Channel caller) {
+    callers.remove(caller);
+  }
+
+  // ---- The calls ----
+
+  boolean ready() {
+    return node.ready() && front.takesClients();
+  }
+
+  /**
+   * A call-back that the other process of this node got for a job of this one. True if this process
+   * has or had the job, and so took the news.
+   */
+  boolean news(String body) throws BadRequestException {
+    News news = NewsReader.read(body);
+    if (!node.knowsOf(news.id())) {
+      return false;
     }
-
-    void drain() {
-        log.line("drained by operators");
-        front.drainForOperators();
+    node.news(news);
+    return true;
+  }
+
+  /**
+   * The other process of this node says where it takes calls; false where this one has its own
+   * socket.
+   */
+  boolean sibling(String address) {
+    if (sibling == null) {
+      return false;
     }
-
-    void resume() {
-        log.line("taking clients again");
-        front.resume();
-    }
-
-    /** What became of a call that takes a worker out or back. */
-    enum MaintenanceOutcome {
-        /** Nobody has that name; nothing has changed. */
-        UNKNOWN_WORKER,
-        /** The change holds, and outlives this process. */
-        STORED,
-        /** The change holds in this process, but could not be stored in time; attempts to store it go on. */
-        NOT_STORED_YET
-    }
-
+    sibling.at(MemberReader.address(address.trim()));
+    return true;
+  }
+
+  void drain() {
+    log.line("drained by operators");
+    front.drainForOperators();
+  }
+
+  void resume() {
+    log.line("taking clients again");
+    front.resume();
+  }
+
+  /** What became of a call that takes a worker out or back. */
+  enum MaintenanceOutcome {
+    /** Nobody has that name; nothing has changed. */
+    UNKNOWN_WORKER,
+    /** The change holds, and outlives this process. */
+    STORED,
     /**
-     * Takes a worker out, or back; {@code answer} gets the outcome after {@link #STORE_TIMEOUT} at most. A change that
-     * is stored later than that is told so then; the first outcome is the one that counts.
+     * The change holds in this process, but could not be stored in time; attempts to store it go
+     * on.
      */
-    void maintain(String worker, boolean out, Consumer<MaintenanceOutcome> answer) {
-        boolean known = out ? node.takeOut(worker) : node.giveBack(worker);
-        if (!known) {
-            answer.accept(MaintenanceOutcome.UNKNOWN_WORKER);
-            return;
-        }
-        log.line("menu worker " + worker + (out ? " taken out by operators" : " taken back by operators"));
-        if (state == null) {
-            answer.accept(MaintenanceOutcome.STORED);
-            return;
-        }
-        Timers.Timer timeout = timers.after(STORE_TIMEOUT, () -> answer.accept(MaintenanceOutcome.NOT_STORED_YET));
-        state.write(MaintenanceCodec.write(node.maintenanceSaved()), () -> loop.execute(() -> {
-            timeout.cancel();
-            answer.accept(MaintenanceOutcome.STORED);
-        }));
-    }
-
-    /** The figures in the operators' form, a {@code name=value} a line. */
-    String figures() {
-        Figures.Snapshot now = node.figures();
-        StringBuilder text = new StringBuilder(256);
-        for (int i = 0; i < classes.size(); i++) {
-            line(text, "served." + classes.get(i), count(now.served(), i));
-            line(text, "refused." + classes.get(i), count(now.refused(), i));
-            line(text, "failed." + classes.get(i), count(now.failed(), i));
-        }
-        line(text, "attempts", now.attempts());
-        line(text, "in_flight", now.inFlight());
-        line(text, "menu_workers_known", now.known());
-        line(text, "menu_workers_excluded", now.excluded());
-        line(text, "reloads_ok", reloadsOk.getAsInt());
-        line(text, "reloads_failed", reloadsFailed.getAsInt());
-        return text.toString();
+    NOT_STORED_YET
+  }
+
+  /**
+   * Takes a worker out, or back; {@code answer} gets the outcome after {@link #STORE_TIMEOUT} at
+   * most. A change that is stored later than that is told so then; the first outcome is the one
+   * that counts.
+   */
+  void maintain(String worker, boolean out, Consumer<MaintenanceOutcome> answer) {
+    boolean known = out ? node.takeOut(worker) : node.giveBack(worker);
+    if (!known) {
+      answer.accept(MaintenanceOutcome.UNKNOWN_WORKER);
+      return;
     }
-
-    private static long count(long[] counts, int jobClass) {
-        return jobClass < counts.length ? counts[jobClass] : 0;
+    log.line(
+        "menu worker " + worker + (out ? " taken out by operators" : " taken back by operators"));
+    if (state == null) {
+      answer.accept(MaintenanceOutcome.STORED);
+      return;
     }
-
-    private static void line(StringBuilder text, String name, long value) {
-        text.append(name).append('=').append(value).append('\n');
+    Timers.Timer timeout =
+        timers.after(STORE_TIMEOUT, () -> answer.accept(MaintenanceOutcome.NOT_STORED_YET));
+    state.write(
+        MaintenanceCodec.write(node.maintenanceSaved()),
+        () ->
+            loop.execute(
+                () -> {
+                  timeout.cancel();
+                  answer.accept(MaintenanceOutcome.STORED);
+                }));
+  }
+
+  /** The figures in the operators' form, a {@code name=value} a line. */
+  String figures() {
+    Figures.Snapshot now = node.figures();
+    StringBuilder text = new StringBuilder(256);
+    for (int i = 0; i < classes.size(); i++) {
+      line(text, "served." + classes.get(i), count(now.served(), i));
+      line(text, "refused." + classes.get(i), count(now.refused(), i));
+      line(text, "failed." + classes.get(i), count(now.failed(), i));
     }
+    line(text, "attempts", now.attempts());
+    line(text, "in_flight", now.inFlight());
+    line(text, "menu_workers_known", now.known());
+    line(text, "menu_workers_excluded", now.excluded());
+    line(text, "reloads_ok", reloadsOk.getAsInt());
+    line(text, "reloads_failed", reloadsFailed.getAsInt());
+    return text.toString();
+  }
+
+  private static long count(long[] counts, int jobClass) {
+    return jobClass < counts.length ? counts[jobClass] : 0;
+  }
+
+  private static void line(StringBuilder text, String name, long value) {
+    text.append(name).append('=').append(value).append('\n');
+  }
 }
--- a/node/src/main/java/ferngrade/net/AdminHandler.java
+++ b/node/src/main/java/ferngrade/net/AdminHandler.java
@@ -18,137 +18,155 @@
 
 /** One operator's call: read whole, answered once, and the connection ends behind the answer. */
 final class AdminHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private static final String WORKERS = "/-/menu-workers/";
+  private static final String WORKERS = "/-/menu-workers/";
 
-    private final Admin admin;
-    private boolean answered;
-    /** A call that takes a worker out or back waits for its outcome; what comes behind it is not read. */
-    private boolean maintenancePending;
+  private final Admin admin;
+  private boolean answered;
 
-    AdminHandler(Admin admin) {
-        this.admin = admin;
-    }
+  /**
+   * A call that takes a worker out or back waits for its outcome; what comes behind it is not read.
+   */
+  private boolean maintenancePending;
 
-    @Override
-    public void channelActive(ChannelHandlerContext ctx) {
-        admin.opened(ctx.channel());
-        ctx.fireChannelActive();
-    }
+  AdminHandler(Admin admin) {
+    this.admin = admin;
+  }
 
-    @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
-        admin.closed(ctx.channel());
-    }
+  @Override
+  public void channelActive(ChannelHandlerContext ctx) {
+    admin.opened(ctx.channel());
+    ctx.fireChannelActive();
+  }
 
-    @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-        if (answered || maintenancePending) {
-            return;
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    admin.closed(ctx.channel());
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
+    if (answered || maintenancePending) {
+      return;
+    }
+    if (call.decoderResult().isFailure()) {
+      answer(ctx, HttpResponseStatus.BAD_REQUEST, "not a call in HTTP/1.1\n");
+      return;
+    }
+    String path = new QueryStringDecoder(call.uri()).rawPath();
+    HttpMethod method = call.method();
+    switch (path) {
+      case "/-/ready" -> {
+        if (expect(ctx, method, HttpMethod.GET)) {
+          boolean ready = admin.ready();
+          answer(
+              ctx,
+              ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+              ready ? "ready\n" : "not ready\n");
         }
-        if (call.decoderResult().isFailure()) {
-            answer(ctx, HttpResponseStatus.BAD_REQUEST, "not a call in HTTP/1.1\n");
-            return;
+      }
+      case "/-/metrics" -> {
+        if (expect(ctx, method, HttpMethod.GET)) {
+          answer(ctx, HttpResponseStatus.OK, admin.figures());
         }
-        String path = new QueryStringDecoder(call.uri()).rawPath();
-        HttpMethod method = call.method();
-        switch (path) {
-            case "/-/ready" -> {
-                if (expect(ctx, method, HttpMethod.GET)) {
-                    boolean ready = admin.ready();
-                    answer(ctx, ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
-                            ready ? "ready\n" : "not ready\n");
-                }
-            }
-            case "/-/metrics" -> {
-                if (expect(ctx, method, HttpMethod.GET)) {
-                    answer(ctx, HttpResponseStatus.OK, admin.figures());
-                }
-            }
-            case "/-/drain" -> {
-                if (expect(ctx, method, HttpMethod.POST)) {
-                    admin.drain();
-                    answer(ctx, HttpResponseStatus.OK, "draining\n");
-                }
-            }
-            case "/-/resume" -> {
-                if (expect(ctx, method, HttpMethod.POST)) {
-                    admin.resume();
-                    answer(ctx, HttpResponseStatus.OK, "taking clients\n");
-                }
-            }
-            case "/-/news", "/-/sibling" -> {
-                if (expect(ctx, method, HttpMethod.POST)) {
-                    fromSibling(ctx, path, call.content().toString(StandardCharsets.UTF_8));
-                }
-            }
-            default -> worker(ctx, method, path);
+      }
+      case "/-/drain" -> {
+        if (expect(ctx, method, HttpMethod.POST)) {
+          admin.drain();
+          answer(ctx, HttpResponseStatus.OK, "draining\n");
         }
-    }
-
-    /** Calls between two processes of this node on one clients' socket: a call-back handed on, or an address. */
-    private void fromSibling(ChannelHandlerContext ctx, String path, String body) {
-        try {
-            if (path.equals("/-/news")) {
-                boolean taken = admin.news(body);
-                answer(ctx, taken ? HttpResponseStatus.NO_CONTENT : HttpResponseStatus.NOT_FOUND, "");
-            } else {
-                boolean shared = admin.sibling(body);
-                answer(ctx, shared ? HttpResponseStatus.NO_CONTENT : HttpResponseStatus.NOT_FOUND, "");
-            }
-        } catch (BadRequestException | IllegalArgumentException bad) {
-            answer(ctx, HttpResponseStatus.BAD_REQUEST, bad.getMessage() + "\n");
+      }
+      case "/-/resume" -> {
+        if (expect(ctx, method, HttpMethod.POST)) {
+          admin.resume();
+          answer(ctx, HttpResponseStatus.OK, "taking clients\n");
+        }
+      }
+      case "/-/news", "/-/sibling" -> {
+        if (expect(ctx, method, HttpMethod.POST)) {
+          fromSibling(ctx, path, call.content().toString(StandardCharsets.UTF_8));
         }
+      }
+      default -> worker(ctx, method, path);
     }
+  }
 
-    /** {@code /-/menu-workers/ID/disable} or {@code .../enable}. */
-    private void worker(ChannelHandlerContext ctx, HttpMethod method, String path) {
-        int slash = path.lastIndexOf('/');
-        String verb = path.substring(slash + 1);
-        boolean out = verb.equals("disable");
-        if (!path.startsWith(WORKERS) || slash <= WORKERS.length() || !(out || verb.equals("enable"))) {
-            answer(ctx, HttpResponseStatus.NOT_FOUND, "no such call\n");
-            return;
-        }
-        if (!expect(ctx, method, HttpMethod.POST)) {
-            return;
-        }
-        String worker = QueryStringDecoder.decodeComponent(path.substring(WORKERS.length(), slash));
-        maintenancePending = true;
-        String change = (out ? "taken out: " : "taken back: ") + worker;
-        admin.maintain(worker, out, outcome -> {
-            maintenancePending = false;
-            switch (outcome) {
-                case STORED -> answer(ctx, HttpResponseStatus.OK, change + "\n");
-                case NOT_STORED_YET -> answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, change
-                        + ", in this process only: not stored yet, a later process may not know of it\n");
-                case UNKNOWN_WORKER -> answer(ctx, HttpResponseStatus.NOT_FOUND, "no menu worker " + worker + "\n");
-            }
-        });
+  /**
+   * Calls between two processes of this node on one clients' socket: a call-back handed on, or an
+   * address.
+   */
+  private void fromSibling(ChannelHandlerContext ctx, String path, String body) {
+    try {
+      if (path.equals("/-/news")) {
+        boolean taken = admin.news(body);
+        answer(ctx, taken ? HttpResponseStatus.NO_CONTENT : HttpResponseStatus.NOT_FOUND, "");
+      } else {
+        boolean shared = admin.sibling(body);
+        answer(ctx, shared ? HttpResponseStatus.NO_CONTENT : HttpResponseStatus.NOT_FOUND, "");
+      }
+    } catch (BadRequestException | IllegalArgumentException bad) {
+      answer(ctx, HttpResponseStatus.BAD_REQUEST, bad.getMessage() + "\n");
     }
+  }
 
-    private boolean expect(ChannelHandlerContext ctx, HttpMethod method, HttpMethod wanted) {
-        if (method.equals(wanted)) {
-            return true;
-        }
-        answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + wanted + "\n");
-        return false;
+  /** {@code /-/menu-workers/ID/disable} or {@code .../enable}. */
+  private void worker(ChannelHandlerContext ctx, HttpMethod method, String path) {
+    int slash = path.lastIndexOf('/');
+    String verb = path.substring(slash + 1);
+    boolean out = verb.equals("disable");
+    if (!path.startsWith(WORKERS) || slash <= WORKERS.length() || !(out || verb.equals("enable"))) {
+      answer(ctx, HttpResponseStatus.NOT_FOUND, "no such call\n");
+      return;
     }
+    if (!expect(ctx, method, HttpMethod.POST)) {
+      return;
+    }
+    String worker = QueryStringDecoder.decodeComponent(path.substring(WORKERS.length(), slash));
+    maintenancePending = true;
+    String change = (out ? "taken out: " : "taken back: ") + worker;
+    admin.maintain(
+        worker,
+        out,
+        outcome -> {
+          maintenancePending = false;
+          switch (outcome) {
+            case STORED -> answer(ctx, HttpResponseStatus.OK, change + "\n");
+            case NOT_STORED_YET ->
+                answer(
+                    ctx,
+                    HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    change
+                        + ", in this process only: not stored yet, a later process may not know of"
+                        + " it\n");
+            case UNKNOWN_WORKER ->
+                answer(ctx, HttpResponseStatus.NOT_FOUND, "no menu worker " + worker + "\n");
+          }
+        });
+  }
 
-    private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
-        if (answered) {
-            return;
-        }
-        answered = true;
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-        HttpUtil.setContentLength(response, response.content().readableBytes());
-        response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
-        response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+  private boolean expect(ChannelHandlerContext ctx, HttpMethod method, HttpMethod wanted) {
+    if (method.equals(wanted)) {
+      return true;
     }
+    answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + wanted + "\n");
+    return false;
+  }
 
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close();
+  private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
+    if (answered) {
+      return;
     }
+    answered = true;
+    FullHttpResponse response =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+    HttpUtil.setContentLength(response, response.content().readableBytes());
+    response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
+    response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    ctx.close();
+  }
 }
--- a/node/src/main/java/ferngrade/net/Arrivals.java
+++ b/node/src/main/java/ferngrade/net/Arrivals.java
@@ -6,58 +6,65 @@
 import io.netty.util.IntSupplier;
 
 /**
- * Since when bytes that are read now may have lain on this machine. A client's time for an answer counts from its last
- * byte, whether the loop reads that at once or after a turn full of other work: what one turn reads has come after the
- * turn before had looked. Belongs to the event loop, whose turns it sees begin.
+ * Since when bytes that are read now may have lain on this machine. A client's time for an answer
+ * counts from its last byte, whether the loop reads that at once or after a turn full of other
+ * work: what one turn reads has come after the turn before had looked. Belongs to the event loop,
+ * whose turns it sees begin.
  */
 final class Arrivals implements SelectStrategyFactory, SelectStrategy {
-    private final Clock clock;
-    private long turn;
-    /** When this turn looked first, and the one before for the last time. */
-    private double looked;
-    private double lookedBefore;
-    /** Whether this turn waited, as nothing was ready; then what it reads came when it began to work. */
-    private boolean waited;
-    private double began = Double.NaN;
-
-    Arrivals(Clock clock) {
-        this.clock = clock;
-        this.looked = clock.now();
-        this.lookedBefore = looked;
-    }
+  private final Clock clock;
+  private long turn;
 
-    @Override
-    public SelectStrategy newSelectStrategy() {
-        return this;
-    }
+  /** When this turn looked first, and the one before for the last time. */
+  private double looked;
 
-    @Override
-    public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        double now = clock.now();
-        lookedBefore = waited && !Double.isNaN(began) ? began : looked;
-        looked = now;
-        began = Double.NaN;
-        turn++;
-        int ready = selectNow.get();
-        waited = ready == 0 && !hasTasks;
-        return waited ? SelectStrategy.SELECT : ready;
-    }
+  private double lookedBefore;
 
-    /** The loop does something in this turn; the first call tells when its wait was over. */
-    void working() {
-        if (Double.isNaN(began)) {
-            began = clock.now();
-        }
-    }
+  /**
+   * Whether this turn waited, as nothing was ready; then what it reads came when it began to work.
+   */
+  private boolean waited;
 
-    /** The number of the loop's turn. */
-    long turn() {
-        return turn;
-    }
+  private double began = Double.NaN;
 
-    /** The earliest time at which what this turn reads may have come, ms on the clock. */
-    double since() {
-        working();
-        return waited ? began : lookedBefore;
+  Arrivals(Clock clock) {
+    this.clock = clock;
+    this.looked = clock.now();
+    this.lookedBefore = looked;
+  }
+
+  @Override
+  public SelectStrategy newSelectStrategy() {
+    return this;
+  }
+
+  @Override
+  public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
+    double now = clock.now();
+    lookedBefore = waited && !Double.isNaN(began) ? began : looked;
+    looked = now;
+    began = Double.NaN;
+    turn++;
+    int ready = selectNow.get();
+    waited = ready == 0 && !hasTasks;
+    return waited ? SelectStrategy.SELECT : ready;
+  }
+
+  /** The loop does something in this turn; the first call tells when its wait was over. */
+  void working() {
+    if (Double.isNaN(began)) {
+      began = clock.now();
     }
+  }
+
+  /** The number of the loop's turn. */
+  long turn() {
+    return turn;
+  }
+
+  /** The earliest time at which what this turn reads may have come, ms on the clock. */
+  double since() {
+    working();
+    return waited ? began : lookedBefore;
+  }
 }
--- a/node/src/main/java/ferngrade/net/BadRequestException.java
+++ b/node/src/main/java/ferngrade/net/BadRequestException.java
@@ -2,9 +2,9 @@
 
 /** A request that cannot be used; the message tells its sender why. */
 final class BadRequestException extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    BadRequestException(String message) {
-        super(message);
-    }
+  BadRequestException(String message) {
+    super(message);
+  }
 }
--- a/node/src/main/java/ferngrade/net/BodyAggregator.java
+++ b/node/src/main/java/ferngrade/net/BodyAggregator.java
@@ -7,33 +7,37 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * Puts requests together up to a bound. Of one that is larger it keeps nothing from the moment on that its
- * length or its count shows it: it only says so, with {@link #TOO_LARGE}, and drops the rest as it comes.
+ * Puts requests together up to a bound. Of one that is larger it keeps nothing from the moment on
+ * that its length or its count shows it: it only says so, with {@link #TOO_LARGE}, and drops the
+ * rest as it comes.
  */
 final class BodyAggregator extends HttpObjectAggregator {
-    /** The event that stands in for a request with too large a body. */
-    static final Object TOO_LARGE = new Object();
-    /** Parts that may hold a buffer each; a body that drips in is copied together beyond that. */
-    private static final int MOST_PARTS = 16;
+  /** The event that stands in for a request with too large a body. */
+  static final Object TOO_LARGE = new Object();
 
-    BodyAggregator(int mostBody) {
-        super(mostBody, true);
-        setMaxCumulationBufferComponents(MOST_PARTS);
-    }
+  /** Parts that may hold a buffer each; a body that drips in is copied together beyond that. */
+  private static final int MOST_PARTS = 16;
 
-    /**
-     * Says "continue" and nothing else: a refusal from here would overtake the answers to requests before it, and the
-     * close that comes with it would leave those without one.
-     */
-    @Override
-    protected Object newContinueResponse(HttpMessage start, int mostBody, ChannelPipeline pipeline) {
-        boolean usable = start.decoderResult().isSuccess() && HttpUtil.is100ContinueExpected(start)
-                && HttpUtil.getContentLength(start, 0L) <= mostBody;
-        return usable ? super.newContinueResponse(start, mostBody, pipeline) : null;
-    }
+  BodyAggregator(int mostBody) {
+    super(mostBody, true);
+    setMaxCumulationBufferComponents(MOST_PARTS);
+  }
 
-    @Override
-    protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-        ctx.fireUserEventTriggered(TOO_LARGE);
-    }
+  /**
+   * Says "continue" and nothing else: a refusal from here would overtake the answers to requests
+   * before it, and the close that comes with it would leave those without one.
+   */
+  @Override
+  protected Object newContinueResponse(HttpMessage start, int mostBody, ChannelPipeline pipeline) {
+    boolean usable =
+        start.decoderResult().isSuccess()
+            && HttpUtil.is100ContinueExpected(start)
+            && HttpUtil.getContentLength(start, 0L) <= mostBody;
+    return usable ? super.newContinueResponse(start, mostBody, pipeline) : null;
+  }
+
+  @Override
+  protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
+    ctx.fireUserEventTriggered(TOO_LARGE);
+  }
 }
--- a/node/src/main/java/ferngrade/net/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/net/ConnectionPool.java
@@ -10,140 +10,149 @@
 import java.util.Map;
 
 /**
- * The connections to workers: how many there are, and which stand idle. One that has stood idle for a good
- * part of the limit is ended: a worker closes it at the limit, and a job written into that close would be
- * reset, with nobody knowing whether it ran. Some machines close them far sooner than they are said to: when one
- * has ended a connection of its own accord, its next ones are kept for half as long as that one lasted.
+ * The connections to workers: how many there are, and which stand idle. One that has stood idle for
+ * a good part of the limit is ended: a worker closes it at the limit, and a job written into that
+ * close would be reset, with nobody knowing whether it ran. Some machines close them far sooner
+ * than they are said to: when one has ended a connection of its own accord, its next ones are kept
+ * for half as long as that one lasted.
  */
 final class ConnectionPool {
-    /** Share of the workers' idle limit after which a connection is ended. */
-    private static final double RETIRE = 0.5;
-    private static final double SWEEP = 1000;
-    /** The least that a learned limit becomes, ms, and the time in which it doubles again. */
-    private static final double LEAST = 20;
-    private static final double RECOVERY = 10_000;
-    /**
-     * How long a connection stands idle before it is used again, ms. A worker's second answer may come some
-     * milliseconds late; on a connection that carries the next request by then it would be taken for that one's.
-     */
-    private static final double SETTLED = 50;
-    /** Idle connections kept for one worker. */
-    private static final int MOST_IDLE = 16;
-
-    private final Clock clock;
-    private final Timers timers;
-    private final double mostIdleMs;
-    private final int most;
-    private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
-    private final Map<InetSocketAddress, Learned> learned = new HashMap<>();
-    private int open;
-
-    /** How long a worker's idle connections were found to last, and when. */
-    private record Learned(double limit, double at) { }
-
-    ConnectionPool(Clock clock, Timers timers, double idleLimit, int most) {
-        this.clock = clock;
-        this.timers = timers;
-        this.mostIdleMs = RETIRE * idleLimit;
-        this.most = most;
-        timers.after(SWEEP, this::sweep);
-    }
+  /** Share of the workers' idle limit after which a connection is ended. */
+  private static final double RETIRE = 0.5;
 
-    /** The idle connection used last that is fit for use, or null if there is none. */
-    WorkerConnection take(InetSocketAddress worker) {
-        Deque<WorkerConnection> pooled = idle.get(worker);
-        if (pooled == null) {
-            return null;
-        }
-        for (WorkerConnection connection : new ArrayList<>(pooled)) {
-            double idleFor = clock.now() - connection.idleSince;
-            if (!connection.isActive() || idleFor >= limit(worker)) {
-                connection.close();
-            } else if (idleFor >= SETTLED) {
-                pooled.remove(connection);
-                connection.reusedAfter = idleFor;
-                return connection;
-            }
-        }
-        return null;
-    }
+  private static final double SWEEP = 1000;
 
-    private double limit(InetSocketAddress worker) {
-        Learned last = learned.get(worker);
-        return last == null ? mostIdleMs
-                : Math.min(mostIdleMs, last.limit * Math.pow(2, (clock.now() - last.at) / RECOVERY));
-    }
+  /** The least that a learned limit becomes, ms, and the time in which it doubles again. */
+  private static final double LEAST = 20;
 
-    /** The worker's side has ended a connection that had stood idle for so many ms. */
-    private void lasted(InetSocketAddress worker, double millis) {
-        double limit = Math.max(LEAST, Math.min(limit(worker), RETIRE * millis));
-        learned.put(worker, new Learned(limit, clock.now()));
-    }
+  private static final double RECOVERY = 10_000;
 
-    /** The connections that stand idle. */
-    int idle() {
-        return idle.values().stream().mapToInt(Deque::size).sum();
-    }
+  /**
+   * How long a connection stands idle before it is used again, ms. A worker's second answer may
+   * come some milliseconds late; on a connection that carries the next request by then it would be
+   * taken for that one's.
+   */
+  private static final double SETTLED = 50;
 
-    /** Books a place for a new connection; false if there is none. */
-    boolean reserve() {
-        if (open >= most && !dropOldest()) {
-            return false;
-        }
-        open++;
-        return true;
+  /** Idle connections kept for one worker. */
+  private static final int MOST_IDLE = 16;
+
+  private final Clock clock;
+  private final Timers timers;
+  private final double mostIdleMs;
+  private final int most;
+  private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
+  private final Map<InetSocketAddress, Learned> learned = new HashMap<>();
+  private int open;
+
+  /** How long a worker's idle connections were found to last, and when. */
+  private record Learned(double limit, double at) {}
+
+  ConnectionPool(Clock clock, Timers timers, double idleLimit, int most) {
+    this.clock = clock;
+    this.timers = timers;
+    this.mostIdleMs = RETIRE * idleLimit;
+    this.most = most;
+    timers.after(SWEEP, this::sweep);
+  }
+
+  /** The idle connection used last that is fit for use, or null if there is none. */
+  WorkerConnection take(InetSocketAddress worker) {
+    Deque<WorkerConnection> pooled = idle.get(worker);
+    if (pooled == null) {
+      return null;
+    }
+    for (WorkerConnection connection : new ArrayList<>(pooled)) {
+      double idleFor = clock.now() - connection.idleSince;
+      if (!connection.isActive() || idleFor >= limit(worker)) {
+        connection.close();
+      } else if (idleFor >= SETTLED) {
+        pooled.remove(connection);
+        connection.reusedAfter = idleFor;
+        return connection;
+      }
     }
+    return null;
+  }
 
-    private boolean dropOldest() {
-        for (Deque<WorkerConnection> pooled : idle.values()) {
-            if (!pooled.isEmpty()) {
-                pooled.pollLast().close();
-                return open < most;
-            }
-        }
-        return false;
+  private double limit(InetSocketAddress worker) {
+    Learned last = learned.get(worker);
+    return last == null
+        ? mostIdleMs
+        : Math.min(mostIdleMs, last.limit * Math.pow(2, (clock.now() - last.at) / RECOVERY));
+  }
+
+  /** The worker's side has ended a connection that had stood idle for so many ms. */
+  private void lasted(InetSocketAddress worker, double millis) {
+    double limit = Math.max(LEAST, Math.min(limit(worker), RETIRE * millis));
+    learned.put(worker, new Learned(limit, clock.now()));
+  }
+
+  /** The connections that stand idle. */
+  int idle() {
+    return idle.values().stream().mapToInt(Deque::size).sum();
+  }
+
+  /** Books a place for a new connection; false if there is none. */
+  boolean reserve() {
+    if (open >= most && !dropOldest()) {
+      return false;
     }
+    open++;
+    return true;
+  }
 
-    /** The connection that was booked did not come up. */
-    void unreserve() {
-        open--;
+  private boolean dropOldest() {
+    for (Deque<WorkerConnection> pooled : idle.values()) {
+      if (!pooled.isEmpty()) {
+        pooled.pollLast().close();
+        return open < most;
+      }
     }
+    return false;
+  }
 
-    void release(WorkerConnection connection) {
-        Deque<WorkerConnection> pooled = idle.computeIfAbsent(connection.worker(), worker -> new ArrayDeque<>());
-        if (!connection.isActive() || pooled.size() >= MOST_IDLE) {
-            connection.close();
-            return;
-        }
-        connection.idleSince = clock.now();
-        connection.reusedAfter = -1;
-        pooled.push(connection);
+  /** The connection that was booked did not come up. */
+  void unreserve() {
+    open--;
+  }
+
+  void release(WorkerConnection connection) {
+    Deque<WorkerConnection> pooled =
+        idle.computeIfAbsent(connection.worker(), worker -> new ArrayDeque<>());
+    if (!connection.isActive() || pooled.size() >= MOST_IDLE) {
+      connection.close();
+      return;
     }
+    connection.idleSince = clock.now();
+    connection.reusedAfter = -1;
+    pooled.push(connection);
+  }
 
-    void ended(WorkerConnection connection) {
-        open--;
-        Deque<WorkerConnection> pooled = idle.get(connection.worker());
-        boolean wasIdle = pooled != null && pooled.remove(connection);
-        if (!connection.endedHere()) {
-            if (wasIdle) {
-                lasted(connection.worker(), clock.now() - connection.idleSince);
-            } else if (connection.reusedAfter >= 0) {
-                lasted(connection.worker(), connection.reusedAfter);
-            }
-        }
+  void ended(WorkerConnection connection) {
+    open--;
+    Deque<WorkerConnection> pooled = idle.get(connection.worker());
+    boolean wasIdle = pooled != null && pooled.remove(connection);
+    if (!connection.endedHere()) {
+      if (wasIdle) {
+        lasted(connection.worker(), clock.now() - connection.idleSince);
+      } else if (connection.reusedAfter >= 0) {
+        lasted(connection.worker(), connection.reusedAfter);
+      }
     }
+  }
 
-    private void sweep() {
-        double now = clock.now();
-        for (Deque<WorkerConnection> pooled : idle.values()) {
-            for (WorkerConnection connection : new ArrayList<>(pooled)) {
-                if (now - connection.idleSince >= mostIdleMs) {
-                    connection.close();
-                }
-            }
+  private void sweep() {
+    double now = clock.now();
+    for (Deque<WorkerConnection> pooled : idle.values()) {
+      for (WorkerConnection connection : new ArrayList<>(pooled)) {
+        if (now - connection.idleSince >= mostIdleMs) {
+          connection.close();
         }
-        idle.values().removeIf(Deque::isEmpty);
-        learned.keySet().removeIf(worker -> limit(worker) >= mostIdleMs);
-        timers.after(SWEEP, this::sweep);
+      }
     }
+    idle.values().removeIf(Deque::isEmpty);
+    learned.keySet().removeIf(worker -> limit(worker) >= mostIdleMs);
+    timers.after(SWEEP, this::sweep);
+  }
 }
--- a/node/src/main/java/ferngrade/net/LoadReport.java
+++ b/node/src/main/java/ferngrade/net/LoadReport.java
@@ -2,36 +2,38 @@
 
 import ferngrade.Dispatcher.Report;
 
-/** Reads load reports of the form {@code queue=2,x0=3}; what it cannot read counts as not reported. */
+/**
+ * Reads load reports of the form {@code queue=2,x0=3}; what it cannot read counts as not reported.
+ */
 final class LoadReport {
-    private LoadReport() { }
+  private LoadReport() {}
 
-    static Report parse(String text) {
-        if (text == null || text.isBlank()) {
-            return Report.NONE;
-        }
-        double slots = Double.NaN;
-        double memory = Double.NaN;
-        double queued = Double.NaN;
-        double held = Double.NaN;
-        for (String pair : text.split(",")) {
-            int equals = pair.indexOf('=');
-            switch (pair.substring(0, Math.max(0, equals)).strip()) {
-                case "x0" -> slots = value(pair, equals);
-                case "x1" -> memory = value(pair, equals);
-                case "queue" -> queued = value(pair, equals);
-                case "inflight" -> held = value(pair, equals);
-                default -> { }
-            }
-        }
-        return new Report(slots, memory, queued, held);
+  static Report parse(String text) {
+    if (text == null || text.isBlank()) {
+      return Report.NONE;
     }
+    double slots = Double.NaN;
+    double memory = Double.NaN;
+    double queued = Double.NaN;
+    double held = Double.NaN;
+    for (String pair : text.split(",")) {
+      int equals = pair.indexOf('=');
+      switch (pair.substring(0, Math.max(0, equals)).strip()) {
+        case "x0" -> slots = value(pair, equals);
+        case "x1" -> memory = value(pair, equals);
+        case "queue" -> queued = value(pair, equals);
+        case "inflight" -> held = value(pair, equals);
+        default -> {}
+      }
+    }
+    return new Report(slots, memory, queued, held);
+  }
 
-    private static double value(String pair, int equals) {
-        try {
-            return Double.parseDouble(pair.substring(equals + 1));
-        } catch (NumberFormatException notANumber) {
-            return Double.NaN;
-        }
+  private static double value(String pair, int equals) {
+    try {
+      return Double.parseDouble(pair.substring(equals + 1));
+    } catch (NumberFormatException notANumber) {
+      return Double.NaN;
     }
+  }
 }
--- a/node/src/main/java/ferngrade/net/NewsReader.java
+++ b/node/src/main/java/ferngrade/net/NewsReader.java
@@ -10,40 +10,54 @@
 
 /** Reads workers' call-backs. */
 final class NewsReader {
-    private NewsReader() { }
+  private NewsReader() {}
 
-    static News read(String body) throws BadRequestException {
-        try {
-            JsonObject json = Json.parse(body).asObject();
-            News.State state = News.State.valueOf(text(json, "state").toUpperCase(Locale.ROOT));
-            JsonValue result = json.get("result");
-            if (state == News.State.DONE && result == null) {
-                throw new BadRequestException("a job that is done has a result");
-            }
-            String given = result == null ? "" : result.isString() ? result.asString() : result.toString();
-            return new News(text(json, "id"), text(json, "from"), state,
-                    json.getDouble("share", 0), given, load(json.get("load")));
-        } catch (ParseException | UnsupportedOperationException | IllegalArgumentException malformed) {
-            throw new BadRequestException("not a call-back");
-        }
+  static News read(String body) throws BadRequestException {
+    try {
+      JsonObject json = Json.parse(body).asObject();
+      News.State state = News.State.valueOf(text(json, "state").toUpperCase(Locale.ROOT));
+      JsonValue result = json.get("result");
+      if (state == News.State.DONE && result == null) {
+        throw new BadRequestException("a job that is done has a result");
+      }
+      String given =
+          result == null ? "" : result.isString() ? result.asString() : result.toString();
+      return new News(
+          text(json, "id"),
+          text(json, "from"),
+          state,
+          json.getDouble("share", 0),
+          given,
+          load(json.get("load")));
+    } catch (ParseException | UnsupportedOperationException | IllegalArgumentException malformed) {
+      throw new BadRequestException("not a call-back");
     }
+  }
 
-    private static String text(JsonObject json, String field) throws BadRequestException {
-        JsonValue value = json.get(field);
-        if (value == null) {
-            throw new BadRequestException("a call-back has a field " + field);
-        }
-        return value.asString();
+  private static String text(JsonObject json, String field) throws BadRequestException {
+    JsonValue value = json.get(field);
+    if (value == null) {
+      throw new BadRequestException("a call-back has a field " + field);
     }
+    return value.asString();
+  }
 
-    /** A report that cannot be read costs only itself: what the call-back tells of the job still counts. */
-    private static Report load(JsonValue load) {
-        return load == null || !load.isObject() ? Report.NONE : new Report(figure(load, "x0"), figure(load, "x1"),
-                figure(load, "queue"), figure(load, "inflight"));
-    }
+  /**
+   * A report that cannot be read costs only itself: what the call-back tells of the job still
+   * counts.
+   */
+  private static Report load(JsonValue load) {
+    return load == null || !load.isObject()
+        ? Report.NONE
+        : new Report(
+            figure(load, "x0"),
+            figure(load, "x1"),
+            figure(load, "queue"),
+            figure(load, "inflight"));
+  }
 
-    private static double figure(JsonValue load, String field) {
-        JsonValue value = load.asObject().get(field);
-        return value == null || !value.isNumber() ? Double.NaN : value.asDouble();
-    }
+  private static double figure(JsonValue load, String field) {
+    JsonValue value = load.asObject().get(field);
+    return value == null || !value.isNumber() ? Double.NaN : value.asDouble();
+  }
 }
--- a/node/src/main/java/ferngrade/net/PendingReads.java
+++ b/node/src/main/java/ferngrade/net/PendingReads.java
@@ -4,35 +4,40 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads a connection at once, ahead of the event loop's next look at it. The loop hears of a close when it selects;
- * between two selects it may be held up, by its own work or by the machine, for longer than a close may go unnoticed.
+ * Reads a connection at once, ahead of the event loop's next look at it. The loop hears of a close
+ * when it selects; between two selects it may be held up, by its own work or by the machine, for
+ * longer than a close may go unnoticed.
  */
 final class PendingReads {
-    /** Bytes read in one go at most: more than the system holds for one connection by default. */
-    private static final int MAX_BYTES = 8 << 20;
+  /** Bytes read in one go at most: more than the system holds for one connection by default. */
+  private static final int MAX_BYTES = 8 << 20;
 
-    private PendingReads() { }
+  private PendingReads() {}
 
-    /** Reads some of what waits on the connection, if that is open, on the thread of its event loop. */
-    static void read(AbstractNioChannel connection) {
-        if (connection.isActive()) {
-            connection.unsafe().read();
-        }
+  /**
+   * Reads some of what waits on the connection, if that is open, on the thread of its event loop.
+   */
+  static void read(AbstractNioChannel connection) {
+    if (connection.isActive()) {
+      connection.unsafe().read();
     }
+  }
 
-    /**
-     * Reads what waits on the connection, through its pipeline, on the thread of its event loop.
-     *
-     * @param bytesRead the count of bytes that the pipeline has been passed so far
-     * @return false if the peer has closed the connection
-     */
-    static boolean openAfterReading(AbstractNioChannel connection, LongSupplier bytesRead) {
-        long limit = bytesRead.getAsLong() + MAX_BYTES;
-        long before;
-        do {
-            before = bytesRead.getAsLong();
-            connection.unsafe().read();
-        } while (connection.isActive() && bytesRead.getAsLong() > before && bytesRead.getAsLong() < limit);
-        return connection.isActive();
-    }
+  /**
+   * Reads what waits on the connection, through its pipeline, on the thread of its event loop.
+   *
+   * @param bytesRead the count of bytes that the pipeline has been passed so far
+   * @return false if the peer has closed the connection
+   */
+  static boolean openAfterReading(AbstractNioChannel connection, LongSupplier bytesRead) {
+    long limit = bytesRead.getAsLong() + MAX_BYTES;
+    long before;
+    do {
+      before = bytesRead.getAsLong();
+      connection.unsafe().read();
+    } while (connection.isActive()
+        && bytesRead.getAsLong() > before
+        && bytesRead.getAsLong() < limit);
+    return connection.isActive();
+  }
 }
--- a/node/src/main/java/ferngrade/net/RequestReader.java
+++ b/node/src/main/java/ferngrade/net/RequestReader.java
@@ -20,133 +20,168 @@
 
 /** Reads clients' requests: whether one is a job that a worker can use, and what job it is. */
 final class RequestReader {
-    /** Longest id that is taken; it also stands in the path of a DELETE. */
-    private static final int LONGEST_ID = 128;
-    private static final Pattern PLAIN_ID = Pattern.compile("[A-Za-z0-9._:~-]+");
-    /** What can be passed on unchanged: a path or a key with other characters would reach the worker altered. */
-    private static final Pattern PATH = Pattern.compile("/[!-~]*");
-    private static final Pattern KEY = Pattern.compile("[!-~]{1,256}");
-    /** A figure as the protocol writes it; the runtime's parser would take names, hexadecimals and suffixes too. */
-    private static final Pattern FIGURE = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
-    /** The most slots a job may ask for: a wild figure would outweigh all other jobs in the module's sums. */
-    private static final double MOST_SLOTS = 1024;
-    /** The cookie that names what a request is about. */
-    private static final String OBJECT = "obj";
-
-    private final Settings settings;
-    private final Map<String, Integer> classes;
-    private final Map<String, Integer> tenants;
-
-    RequestReader(Settings settings) {
-        this.settings = settings;
-        this.classes = positions(settings.classes().stream().map(JobClass::name).toList());
-        this.tenants = positions(settings.tenants().stream().map(Tenant::name).toList());
-    }
+  /** Longest id that is taken; it also stands in the path of a DELETE. */
+  private static final int LONGEST_ID = 128;
 
-    private static Map<String, Integer> positions(List<String> names) {
-        Map<String, Integer> positions = new HashMap<>();
-        for (String name : names) {
-            positions.put(name, positions.size());
-        }
-        return positions;
-    }
+  private static final Pattern PLAIN_ID = Pattern.compile("[A-Za-z0-9._:~-]+");
 
-    Job job(HttpRequest request, double now) throws BadRequestException {
-        HttpHeaders headers = request.headers();
-        if (!PATH.matcher(request.uri()).matches()) {
-            throw new BadRequestException("the path is not plain");
-        }
-        String id = one(headers, Headers.ID);
-        if (id == null || id.length() > LONGEST_ID || !PLAIN_ID.matcher(id).matches()) {
-            throw new BadRequestException(Headers.ID + " is missing or not a plain word");
-        }
-        int jobClass = position(classes, headers, Headers.KIND);
-        String key = one(headers, Headers.REPEAT_KEY);
-        boolean keyed = settings.classes().get(jobClass).effect() == Effect.KEYED;
-        // Without a key workers could not drop a repeat, and the module relies on that they do.
-        if (key == null ? keyed : !KEY.matcher(key).matches()) {
-            throw new BadRequestException(Headers.REPEAT_KEY + " is missing or not plain");
-        }
-        int tenant = tenants.isEmpty() ? 0 : position(tenants, headers, Headers.OWNER);
-        String wait = one(headers, Headers.DEADLINE);
-        // No client waits longer than its class says; a wild figure must not hold a place in the table for days.
-        double longest = settings.classes().get(jobClass).deadline();
-        double deadline = wait == null ? longest : Math.min(longest, deadline(wait));
-        String cost = one(headers, Headers.COST);
-        double work = cost == null ? 0 : Math.min(longest, amount(Headers.COST, cost) / 1000);
-        Map<String, Double> extras = extras(one(headers, Headers.EXTRA));
-        return new Job(id, jobClass, tenant, now + deadline, work, extras.getOrDefault("slots", 1.0),
-                extras.getOrDefault("memory", 0.0), object(headers.get(HttpHeaderNames.COOKIE)));
+  /**
+   * What can be passed on unchanged: a path or a key with other characters would reach the worker
+   * altered.
+   */
+  private static final Pattern PATH = Pattern.compile("/[!-~]*");
+
+  private static final Pattern KEY = Pattern.compile("[!-~]{1,256}");
+
+  /**
+   * A figure as the protocol writes it; the runtime's parser would take names, hexadecimals and
+   * suffixes too.
+   */
+  private static final Pattern FIGURE = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
+
+  /**
+   * The most slots a job may ask for: a wild figure would outweigh all other jobs in the module's
+   * sums.
+   */
+  private static final double MOST_SLOTS = 1024;
+
+  /** The cookie that names what a request is about. */
+  private static final String OBJECT = "obj";
+
+  private final Settings settings;
+  private final Map<String, Integer> classes;
+  private final Map<String, Integer> tenants;
+
+  RequestReader(Settings settings) {
+    this.settings = settings;
+    this.classes = positions(settings.classes().stream().map(JobClass::name).toList());
+    this.tenants = positions(settings.tenants().stream().map(Tenant::name).toList());
+  }
+
+  private static Map<String, Integer> positions(List<String> names) {
+    Map<String, Integer> positions = new HashMap<>();
+    for (String name : names) {
+      positions.put(name, positions.size());
     }
+    return positions;
+  }
 
-    static Call call(FullHttpRequest request, String id) {
-        return new Call(id, request.method().name(), request.uri(), request.headers().get(Headers.REPEAT_KEY),
-                ByteBufUtil.getBytes(request.content()));
+  Job job(HttpRequest request, double now) throws BadRequestException {
+    HttpHeaders headers = request.headers();
+    if (!PATH.matcher(request.uri()).matches()) {
+      throw new BadRequestException("the path is not plain");
+    }
+    String id = one(headers, Headers.ID);
+    if (id == null || id.length() > LONGEST_ID || !PLAIN_ID.matcher(id).matches()) {
+      throw new BadRequestException(Headers.ID + " is missing or not a plain word");
+    }
+    int jobClass = position(classes, headers, Headers.KIND);
+    String key = one(headers, Headers.REPEAT_KEY);
+    boolean keyed = settings.classes().get(jobClass).effect() == Effect.KEYED;
+    // Without a key workers could not drop a repeat, and the module relies on that they do.
+    if (key == null ? keyed : !KEY.matcher(key).matches()) {
+      throw new BadRequestException(Headers.REPEAT_KEY + " is missing or not plain");
     }
+    int tenant = tenants.isEmpty() ? 0 : position(tenants, headers, Headers.OWNER);
+    String wait = one(headers, Headers.DEADLINE);
+    // No client waits longer than its class says; a wild figure must not hold a place in the table
+    // for days.
+    double longest = settings.classes().get(jobClass).deadline();
+    double deadline = wait == null ? longest : Math.min(longest, deadline(wait));
+    String cost = one(headers, Headers.COST);
+    double work = cost == null ? 0 : Math.min(longest, amount(Headers.COST, cost) / 1000);
+    Map<String, Double> extras = extras(one(headers, Headers.EXTRA));
+    return new Job(
+        id,
+        jobClass,
+        tenant,
+        now + deadline,
+        work,
+        extras.getOrDefault("slots", 1.0),
+        extras.getOrDefault("memory", 0.0),
+        object(headers.get(HttpHeaderNames.COOKIE)));
+  }
 
-    /** The header's value, null if it is absent; of two nobody can say which one a worker would go by. */
-    private static String one(HttpHeaders headers, String header) throws BadRequestException {
-        List<String> values = headers.getAll(header);
-        if (values.size() > 1) {
-            throw new BadRequestException(header + " comes more than once");
-        }
-        return values.isEmpty() ? null : values.get(0);
+  static Call call(FullHttpRequest request, String id) {
+    return new Call(
+        id,
+        request.method().name(),
+        request.uri(),
+        request.headers().get(Headers.REPEAT_KEY),
+        ByteBufUtil.getBytes(request.content()));
+  }
+
+  /**
+   * The header's value, null if it is absent; of two nobody can say which one a worker would go by.
+   */
+  private static String one(HttpHeaders headers, String header) throws BadRequestException {
+    List<String> values = headers.getAll(header);
+    if (values.size() > 1) {
+      throw new BadRequestException(header + " comes more than once");
     }
+    return values.isEmpty() ? null : values.get(0);
+  }
 
-    private static int position(Map<String, Integer> names, HttpHeaders headers, String header)
-            throws BadRequestException {
-        Integer position = names.get(String.valueOf(one(headers, header)));
-        if (position == null) {
-            throw new BadRequestException(header + " is missing or unknown");
-        }
-        return position;
+  private static int position(Map<String, Integer> names, HttpHeaders headers, String header)
+      throws BadRequestException {
+    Integer position = names.get(String.valueOf(one(headers, header)));
+    if (position == null) {
+      throw new BadRequestException(header + " is missing or unknown");
     }
+    return position;
+  }
 
-    /** What the request is about, 0 where no cookie tells it; a cookie that cannot be read tells nothing. */
-    private static long object(String cookies) {
-        if (cookies != null) {
-            for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
-                if (cookie.name().equals(OBJECT)) {
-                    return cookie.value().hashCode();
-                }
-            }
+  /**
+   * What the request is about, 0 where no cookie tells it; a cookie that cannot be read tells
+   * nothing.
+   */
+  private static long object(String cookies) {
+    if (cookies != null) {
+      for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
+        if (cookie.name().equals(OBJECT)) {
+          return cookie.value().hashCode();
         }
-        return 0;
+      }
     }
+    return 0;
+  }
 
-    /** A time in ms from a number and its unit: {@code m} for milliseconds, {@code u} for microseconds. */
-    private static double deadline(String text) throws BadRequestException {
-        String number = text.isEmpty() ? "" : text.substring(0, text.length() - 1);
-        double amount = amount(Headers.DEADLINE, number);
-        return switch (text.charAt(text.length() - 1)) {
-            case 'm' -> amount;
-            case 'u' -> amount / 1000;
-            default -> throw new BadRequestException(Headers.DEADLINE + " has no unit m or u");
-        };
-    }
+  /**
+   * A time in ms from a number and its unit: {@code m} for milliseconds, {@code u} for
+   * microseconds.
+   */
+  private static double deadline(String text) throws BadRequestException {
+    String number = text.isEmpty() ? "" : text.substring(0, text.length() - 1);
+    double amount = amount(Headers.DEADLINE, number);
+    return switch (text.charAt(text.length() - 1)) {
+      case 'm' -> amount;
+      case 'u' -> amount / 1000;
+      default -> throw new BadRequestException(Headers.DEADLINE + " has no unit m or u");
+    };
+  }
 
-    private static double amount(String header, String text) throws BadRequestException {
-        if (!FIGURE.matcher(text).matches()) {
-            throw new BadRequestException(header + " is not a number of 0 or more");
-        }
-        return Double.parseDouble(text);
+  private static double amount(String header, String text) throws BadRequestException {
+    if (!FIGURE.matcher(text).matches()) {
+      throw new BadRequestException(header + " is not a number of 0 or more");
     }
+    return Double.parseDouble(text);
+  }
 
-    private static Map<String, Double> extras(String text) throws BadRequestException {
-        Map<String, Double> extras = new HashMap<>();
-        if (text != null && !text.isBlank()) {
-            for (String pair : text.split(",")) {
-                int equals = pair.indexOf('=');
-                String name = pair.substring(0, Math.max(0, equals)).strip();
-                if (name.equals("slots") || name.equals("memory")) {
-                    double amount = amount(Headers.EXTRA, pair.substring(equals + 1).strip());
-                    if (amount > MOST_SLOTS) {
-                        throw new BadRequestException(Headers.EXTRA + " asks for too much");
-                    }
-                    extras.put(name, amount);
-                }
-            }
+  private static Map<String, Double> extras(String text) throws BadRequestException {
+    Map<String, Double> extras = new HashMap<>();
+    if (text != null && !text.isBlank()) {
+      for (String pair : text.split(",")) {
+        int equals = pair.indexOf('=');
+        String name = pair.substring(0, Math.max(0, equals)).strip();
+        if (name.equals("slots") || name.equals("memory")) {
+          double amount = amount(Headers.EXTRA, pair.substring(equals + 1).strip());
+          if (amount > MOST_SLOTS) {
+            throw new BadRequestException(Headers.EXTRA + " asks for too much");
+          }
+          extras.put(name, amount);
         }
-        return extras;
+      }
     }
+    return extras;
+  }
 }
