--- a/node/src/main/java/ferngrade/net/Sibling.java
+++ b/node/src/main/java/ferngrade/net/Sibling.java
@@ -25,143 +25,166 @@
 import java.util.function.IntConsumer;
 
 /**
- * The other process of this node while an upgrade runs both on one clients' socket. Workers' call-backs come to
- * that socket, so either process may get one for a job of the other; such a call-back is handed to the other
- * process at its operators' address. Each learns of the other: the later one reads the earlier one's address from
- * the shared folder and tells it its own.
+ * The other process of this node while an upgrade runs both on one clients' socket. Workers'
+ * call-backs come to that socket, so either process may get one for a job of the other; such a
+ * call-back is handed to the other process at its operators' address. Each learns of the other: the
+ * later one reads the earlier one's address from the shared folder and tells it its own.
  */
 final class Sibling {
-    /** How long a hand-over may take, ms: the worker waits for its answer meanwhile. */
-    private static final double PATIENCE = 500;
-    /** How long to try to say where this process is, ms, where this machine fails it. */
-    private static final double ANNOUNCE_PATIENCE = 5000;
-    private static final int CONNECT_TIMEOUT = 500;
-    /** What stands for the other process's answer where there was none. */
-    private static final int NO_ANSWER = -1;
-
-    private final EventLoopGroup group;
-    private final Timers timers;
-    private final Log log;
-    private final ChannelProvider channels;
-    private InetSocketAddress address;
-
-    Sibling(EventLoopGroup group, Timers timers, Log log, InetSocketAddress address,
-            ChannelProvider channels) {
-        this.channels = channels;
-        this.group = group;
-        this.timers = timers;
-        this.log = log;
-        this.address = address;
+  /** How long a hand-over may take, ms: the worker waits for its answer meanwhile. */
+  private static final double PATIENCE = 500;
+
+  /** How long to try to say where this process is, ms, where this machine fails it. */
+  private static final double ANNOUNCE_PATIENCE = 5000;
+
+  private static final int CONNECT_TIMEOUT = 500;
+
+  /** What stands for the other process's answer where there was none. */
+  private static final int NO_ANSWER = -1;
+
+  private final EventLoopGroup group;
+  private final Timers timers;
+  private final Log log;
+  private final ChannelProvider channels;
+  private InetSocketAddress address;
+
+  Sibling(
+      EventLoopGroup group,
+      Timers timers,
+      Log log,
+      InetSocketAddress address,
+      ChannelProvider channels) {
+    this.channels = channels;
+    this.group = group;
+    this.timers = timers;
+    this.log = log;
+    this.address = address;
+  }
+
+  /** The other process's operators' address, or null where none is known. */
+  InetSocketAddress address() {
+    return address;
+  }
+
+  /** The other process has said where it is. */
+  void at(InetSocketAddress other) {
+    if (!other.equals(address)) {
+      log.line("another process of this node is at " + other);
     }
-
-    /** The other process's operators' address, or null where none is known. */
-    InetSocketAddress address() {
-        return address;
+    address = other;
+  }
+
+  /** Tells the other process where this one takes calls. */
+  void announce(InetSocketAddress own) {
+    if (address != null) {
+      call(
+          "/-/sibling", own.getHostString() + ":" + own.getPort(), ANNOUNCE_PATIENCE, status -> {});
     }
-
-    /** The other process has said where it is. */
-    void at(InetSocketAddress other) {
-        if (!other.equals(address)) {
-            log.line("another process of this node is at " + other);
-        }
-        address = other;
+  }
+
+  /**
+   * Hands a call-back on; {@code status} gets the other's answer, or -1 where it could not be had.
+   */
+  void relay(String news, IntConsumer status) {
+    if (address == null) {
+      status.accept(NO_ANSWER);
+      return;
     }
-
-    /** Tells the other process where this one takes calls. */
-    void announce(InetSocketAddress own) {
-        if (address != null) {
-            call("/-/sibling", own.getHostString() + ":" + own.getPort(), ANNOUNCE_PATIENCE, status -> { });
-        }
+    call("/-/news", news, PATIENCE, status);
+  }
+
+  private void call(String path, String body, double patience, IntConsumer status) {
+    Relay relay = new Relay(path, body, status);
+    timers.after(patience, () -> relay.end(NO_ANSWER));
+    Dialer dialer =
+        new Dialer(
+            group,
+            timers,
+            channels,
+            Purpose.HANDOVER,
+            CONNECT_TIMEOUT,
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                channel
+                    .pipeline()
+                    .addLast(
+                        new HttpClientCodec(), new HttpObjectAggregator(Admin.MOST_CALL), relay);
+              }
+            });
+    dialer.dial(address, patience, relay);
+  }
+
+  /**
+   * One call to the other process; {@code status} gets its answer, or the lack of one, once. Each
+   * try of its dial has a channel of its own, hence sharable; at most one of them comes up.
+   */
+  @ChannelHandler.Sharable
+  private static final class Relay extends SimpleChannelInboundHandler<FullHttpResponse>
+      implements Dialer.Listener {
+    private final String path;
+    private final String body;
+    private final IntConsumer status;
+    private Channel channel;
+    private boolean ended;
+
+    Relay(String path, String body, IntConsumer status) {
+      this.path = path;
+      this.body = body;
+      this.status = status;
     }
 
-    /** Hands a call-back on; {@code status} gets the other's answer, or -1 where it could not be had. */
-    void relay(String news, IntConsumer status) {
-        if (address == null) {
-            status.accept(NO_ANSWER);
-            return;
-        }
-        call("/-/news", news, PATIENCE, status);
+    @Override
+    public boolean wanted() {
+      return !ended;
     }
 
-    private void call(String path, String body, double patience, IntConsumer status) {
-        Relay relay = new Relay(path, body, status);
-        timers.after(patience, () -> relay.end(NO_ANSWER));
-        Dialer dialer = new Dialer(group, timers, channels, Purpose.HANDOVER, CONNECT_TIMEOUT,
-                new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Admin.MOST_CALL),
-                                relay);
-                    }
-                });
-        dialer.dial(address, patience, relay);
+    @Override
+    public void connected(Channel opened) {
+      if (ended) {
+        opened.close();
+        return;
+      }
+      channel = opened;
+      FullHttpRequest request =
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1,
+              HttpMethod.POST,
+              path,
+              Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+      HttpUtil.setContentLength(request, request.content().readableBytes());
+      request.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+      opened.writeAndFlush(request);
     }
 
-    /**
-     * One call to the other process; {@code status} gets its answer, or the lack of one, once. Each try of its dial has
-     * a channel of its own, hence sharable; at most one of them comes up.
-     */
-    @ChannelHandler.Sharable
-    private static final class Relay extends SimpleChannelInboundHandler<FullHttpResponse> implements Dialer.Listener {
-        private final String path;
-        private final String body;
-        private final IntConsumer status;
-        private Channel channel;
-        private boolean ended;
-
-        Relay(String path, String body, IntConsumer status) {
-            this.path = path;
-            this.body = body;
-            this.status = status;
-        }
-
-        @Override
-        public boolean wanted() {
-            return !ended;
-        }
-
-        @Override
-        public void connected(Channel opened) {
-            if (ended) {
-                opened.close();
-                return;
-            }
-            channel = opened;
-            FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path,
-                    Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-            HttpUtil.setContentLength(request, request.content().readableBytes());
-            request.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            opened.writeAndFlush(request);
-        }
-
-        @Override
-        public void failed(FaultOrigin origin, Throwable cause) {
-            end(NO_ANSWER);
-        }
+    @Override
+    public void failed(FaultOrigin origin, Throwable cause) {
+      end(NO_ANSWER);
+    }
 
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            end(answer.status().code());
-        }
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
+      end(answer.status().code());
+    }
 
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            end(NO_ANSWER);
-        }
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+      end(NO_ANSWER);
+    }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            end(NO_ANSWER);
-        }
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+      end(NO_ANSWER);
+    }
 
-        private void end(int answer) {
-            if (!ended) {
-                ended = true;
-                if (channel != null) {
-                    channel.close();
-                }
-                status.accept(answer);
-            }
+    private void end(int answer) {
+      if (!ended) {
+        ended = true;
+        if (channel != null) {
+          channel.close();
         }
+        status.accept(answer);
+      }
     }
+  }
 }
--- a/node/src/main/java/ferngrade/net/ToldDeadline.java
+++ b/node/src/main/java/ferngrade/net/ToldDeadline.java
@@ -1,20 +1,27 @@
 package ferngrade.net;
 
 /**
- * The time that a worker is told to have for a job. Its client may have a little less than the node counts, because
- * the request was under way to the node, and the node may be held up between reading its clock and writing. The
- * latter fits into the slack that workers' deadlines are given; the former has to be taken off.
+ * The time that a worker is told to have for a job. Its client may have a little less than the node
+ * counts, because the request was under way to the node, and the node may be held up between
+ * reading its clock and writing. The latter fits into the slack that workers' deadlines are given;
+ * the former has to be taken off.
  */
 final class ToldDeadline {
-    /** What a request may have spent under way from its client, ms, and the most of a short rest that is given up for it. */
-    private static final double CLIENT_TRANSIT = 10;
-    private static final double MAX_SHARE = 0.25;
+  /**
+   * What a request may have spent under way from its client, ms, and the most of a short rest that
+   * is given up for it.
+   */
+  private static final double CLIENT_TRANSIT = 10;
 
-    private ToldDeadline() { }
+  private static final double MAX_SHARE = 0.25;
 
-    /** The header for an attempt that the node waits for {@code left} ms more, which is above zero. */
-    static String header(double left) {
-        double told = left - Math.min(CLIENT_TRANSIT, MAX_SHARE * left);
-        return Math.max(1, (long) Math.floor(told)) + "m";
-    }
+  private ToldDeadline() {}
+
+  /**
+   * The header for an attempt that the node waits for {@code left} ms more, which is above zero.
+   */
+  static String header(double left) {
+    double told = left - Math.min(CLIENT_TRANSIT, MAX_SHARE * left);
+    return Math.max(1, (long) Math.floor(told)) + "m";
+  }
 }
--- a/node/src/main/java/ferngrade/net/UdpPeers.java
+++ b/node/src/main/java/ferngrade/net/UdpPeers.java
@@ -20,61 +20,71 @@
 
 /** Messages between nodes, one datagram each. */
 final class UdpPeers implements Peers {
-    /** The longest datagram that the tier permits. */
-    private static final int LONGEST = 256;
+  /** The longest datagram that the tier permits. */
+  private static final int LONGEST = 256;
 
-    private final List<InetSocketAddress> addresses;
-    private final InetSocketAddress all;
-    private final Log log;
-    private final ChannelProvider channels;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
-    private Channel channel;
+  private final List<InetSocketAddress> addresses;
+  private final InetSocketAddress all;
+  private final Log log;
+  private final ChannelProvider channels;
+  private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+  private Channel channel;
 
-    UdpPeers(List<InetSocketAddress> addresses, InetSocketAddress all, Log log, ChannelProvider channels) {
-        this.channels = channels;
-        this.addresses = addresses;
-        this.all = all;
-        this.log = log;
-        for (int i = 0; i < addresses.size(); i++) {
-            numbers.put(addresses.get(i), i);
-        }
+  UdpPeers(
+      List<InetSocketAddress> addresses, InetSocketAddress all, Log log, ChannelProvider channels) {
+    this.channels = channels;
+    this.addresses = addresses;
+    this.all = all;
+    this.log = log;
+    for (int i = 0; i < addresses.size(); i++) {
+      numbers.put(addresses.get(i), i);
     }
+  }
 
-    /** Listens; what a known peer sends goes to {@code hearer} with the peer's number. */
-    ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, BiConsumer<Integer, byte[]> hearer) {
-        // Shared for a while with the next process of this node, which an upgrade starts beside this one: both send
-        // from the address that the peers know.
-        ChannelFuture bound = new Bootstrap().group(group).channelFactory(channels::datagrams)
-                .option(ChannelOption.SO_REUSEADDR, true)
-                .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
-                    @Override
-                    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                        Integer from = numbers.get(packet.sender());
-                        if (from == null) {
-                            log.line("stranger", "datagram from no peer: " + packet.sender());
-                        } else if (packet.content().readableBytes() > LONGEST) {
-                            log.line("long datagram", "datagram of more than " + LONGEST + " bytes from " + packet.sender());
-                        } else {
-                            hearer.accept(from, ByteBufUtil.getBytes(packet.content()));
-                        }
+  /** Listens; what a known peer sends goes to {@code hearer} with the peer's number. */
+  ChannelFuture listen(
+      EventLoopGroup group, InetSocketAddress address, BiConsumer<Integer, byte[]> hearer) {
+    // Shared for a while with the next process of this node, which an upgrade starts beside this
+    // one: both send
+    // from the address that the peers know.
+    ChannelFuture bound =
+        new Bootstrap()
+            .group(group)
+            .channelFactory(channels::datagrams)
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .handler(
+                new SimpleChannelInboundHandler<DatagramPacket>() {
+                  @Override
+                  protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+                    Integer from = numbers.get(packet.sender());
+                    if (from == null) {
+                      log.line("stranger", "datagram from no peer: " + packet.sender());
+                    } else if (packet.content().readableBytes() > LONGEST) {
+                      log.line(
+                          "long datagram",
+                          "datagram of more than " + LONGEST + " bytes from " + packet.sender());
+                    } else {
+                      hearer.accept(from, ByteBufUtil.getBytes(packet.content()));
                     }
+                  }
 
-                    @Override
-                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        log.line("peers", "peers: " + cause.getMessage());
-                    }
-                }).bind(address);
-        channel = bound.channel();
-        return bound;
-    }
+                  @Override
+                  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                    log.line("peers", "peers: " + cause.getMessage());
+                  }
+                })
+            .bind(address);
+    channel = bound.channel();
+    return bound;
+  }
 
-    @Override
-    public void tell(int peer, byte[] message) {
-        InetSocketAddress to = peer < 0 ? all : peer < addresses.size() ? addresses.get(peer) : null;
-        if (channel == null || to == null || message.length > LONGEST) {
-            log.line("message", "message for peer " + peer + " cannot be sent");
-            return;
-        }
-        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
+  @Override
+  public void tell(int peer, byte[] message) {
+    InetSocketAddress to = peer < 0 ? all : peer < addresses.size() ? addresses.get(peer) : null;
+    if (channel == null || to == null || message.length > LONGEST) {
+      log.line("message", "message for peer " + peer + " cannot be sent");
+      return;
     }
+    channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
+  }
 }
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -25,423 +25,455 @@
 
 /** Carries attempts, their cancellations and health checks to workers over pooled connections. */
 final class WorkerClient implements Workers {
-    /** How long a health check may take, ms. */
-    private static final double CHECK_PATIENCE = 300;
-    /** How long a cancellation may take, ms. */
-    private static final double CANCEL_PATIENCE = 2000;
-
-    private final Clock clock;
-    private final Timers timers;
-    private final ConnectionPool pool;
-    private final Log log;
-    private final Dialer dialer;
-    private Runnable beforeAttempt = () -> { };
-
-    WorkerClient(EventLoopGroup group, Clock clock, Timers timers, ConnectionPool pool, double connectTimeout,
-            Log log, ChannelProvider channels) {
-        this.clock = clock;
-        this.timers = timers;
-        this.pool = pool;
-        this.log = log;
-        this.dialer = new Dialer(group, timers, channels, Purpose.WORKERS, (int) Math.ceil(connectTimeout),
-                new ChannelInitializer<Channel>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        new WorkerConnection(pool).addTo(channel.pipeline());
-                    }
-                });
-    }
-
-    /** Sets what runs right before it is asked whether an attempt may start, on the event loop. */
-    void beforeAttempt(Runnable task) {
-        beforeAttempt = task;
+  /** How long a health check may take, ms. */
+  private static final double CHECK_PATIENCE = 300;
+
+  /** How long a cancellation may take, ms. */
+  private static final double CANCEL_PATIENCE = 2000;
+
+  private final Clock clock;
+  private final Timers timers;
+  private final ConnectionPool pool;
+  private final Log log;
+  private final Dialer dialer;
+  private Runnable beforeAttempt = () -> {};
+
+  WorkerClient(
+      EventLoopGroup group,
+      Clock clock,
+      Timers timers,
+      ConnectionPool pool,
+      double connectTimeout,
+      Log log,
+      ChannelProvider channels) {
+    this.clock = clock;
+    this.timers = timers;
+    this.pool = pool;
+    this.log = log;
+    this.dialer =
+        new Dialer(
+            group,
+            timers,
+            channels,
+            Purpose.WORKERS,
+            (int) Math.ceil(connectTimeout),
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                new WorkerConnection(pool).addTo(channel.pipeline());
+              }
+            });
+  }
+
+  /** Sets what runs right before it is asked whether an attempt may start, on the event loop. */
+  void beforeAttempt(Runnable task) {
+    beforeAttempt = task;
+  }
+
+  @Override
+  public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
+    JobTransfer transfer = new JobTransfer(call, worker, clock.now() + patience, listener);
+    start(worker, transfer);
+    return transfer;
+  }
+
+  @Override
+  public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
+    Check check = new Check(worker, listener);
+    check.patienceTimer = timers.after(CHECK_PATIENCE, check::unanswered);
+    start(worker, check);
+  }
+
+  private void start(InetSocketAddress worker, Transfer transfer) {
+    WorkerConnection idle = pool.take(worker);
+    if (idle != null) {
+      idle.begin(transfer);
+    } else {
+      dial(worker, transfer);
     }
+  }
+
+  private void dial(InetSocketAddress worker, Transfer transfer) {
+    if (!pool.reserve()) {
+      log.line("no connection", "no connection left for " + worker);
+      transfer.notConnected(Outcome.NEVER_SENT);
+    } else {
+      dialer.dial(worker, transfer.patience(), new TransferDial(worker, transfer));
+    }
+  }
 
-    @Override
-    public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
-        JobTransfer transfer = new JobTransfer(call, worker, clock.now() + patience, listener);
-        start(worker, transfer);
-        return transfer;
+  /** Dials for a transfer, in the place of the pool that is reserved for it. */
+  private final class TransferDial implements Dialer.Listener {
+    private final InetSocketAddress worker;
+    private final Transfer transfer;
+
+    TransferDial(InetSocketAddress worker, Transfer transfer) {
+      this.worker = worker;
+      this.transfer = transfer;
     }
 
     @Override
-    public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
-        Check check = new Check(worker, listener);
-        check.patienceTimer = timers.after(CHECK_PATIENCE, check::unanswered);
-        start(worker, check);
-    }
-
-    private void start(InetSocketAddress worker, Transfer transfer) {
-        WorkerConnection idle = pool.take(worker);
-        if (idle != null) {
-            idle.begin(transfer);
-        } else {
-            dial(worker, transfer);
-        }
+    public boolean wanted() {
+      return transfer.wanted();
     }
 
-    private void dial(InetSocketAddress worker, Transfer transfer) {
-        if (!pool.reserve()) {
-            log.line("no connection", "no connection left for " + worker);
-            transfer.notConnected(Outcome.NEVER_SENT);
-        } else {
-            dialer.dial(worker, transfer.patience(), new TransferDial(worker, transfer));
-        }
+    @Override
+    public void delayed() {
+      transfer.delayedLocally = true;
     }
 
-    /** Dials for a transfer, in the place of the pool that is reserved for it. */
-    private final class TransferDial implements Dialer.Listener {
-        private final InetSocketAddress worker;
-        private final Transfer transfer;
-
-        TransferDial(InetSocketAddress worker, Transfer transfer) {
-            this.worker = worker;
-            this.transfer = transfer;
-        }
-
-        @Override
-        public boolean wanted() {
-            return transfer.wanted();
-        }
-
-        @Override
-        public void delayed() {
-            transfer.delayedLocally = true;
-        }
-
-        @Override
-        public void connected(Channel channel) {
-            WorkerConnection fresh = channel.pipeline().get(WorkerConnection.class);
-            fresh.opened(worker);
-            fresh.begin(transfer);
-        }
-
-        @Override
-        public void failed(FaultOrigin origin, Throwable cause) {
-            pool.unreserve();
-            log.line("unreachable", "worker cannot be reached: " + cause.getMessage());
-            transfer.notConnected(origin == FaultOrigin.LOCAL ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
-        }
+    @Override
+    public void connected(Channel channel) {
+      WorkerConnection fresh = channel.pipeline().get(WorkerConnection.class);
+      fresh.opened(worker);
+      fresh.begin(transfer);
     }
 
-    private static FullHttpRequest request(HttpMethod method, String target, InetSocketAddress worker, byte[] body) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, target,
-                Unpooled.wrappedBuffer(body));
-        request.headers().set(HttpHeaderNames.HOST, worker.getHostString() + ":" + worker.getPort());
-        return request;
+    @Override
+    public void failed(FaultOrigin origin, Throwable cause) {
+      pool.unreserve();
+      log.line("unreachable", "worker cannot be reached: " + cause.getMessage());
+      transfer.notConnected(
+          origin == FaultOrigin.LOCAL ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
     }
+  }
+
+  private static FullHttpRequest request(
+      HttpMethod method, String target, InetSocketAddress worker, byte[] body) {
+    FullHttpRequest request =
+        new DefaultFullHttpRequest(
+            HttpVersion.HTTP_1_1, method, target, Unpooled.wrappedBuffer(body));
+    request.headers().set(HttpHeaderNames.HOST, worker.getHostString() + ":" + worker.getPort());
+    return request;
+  }
+
+  /** One request to a worker and its answer. */
+  abstract static class Transfer {
+    /**
+     * It waits, or has waited, for what this machine lacks: not to have got through is not the
+     * worker's fault.
+     */
+    boolean delayedLocally;
 
-    /** One request to a worker and its answer. */
-    abstract static class Transfer {
-        /** It waits, or has waited, for what this machine lacks: not to have got through is not the worker's fault. */
-        boolean delayedLocally;
-
-        /** For how many ms to dial again where this machine fails the dial. */
-        abstract double patience();
-
-        /** False if there is nothing to write any more. */
-        abstract boolean wanted();
-
-        /** The request to write; null if there is nothing to write any more. */
-        abstract FullHttpRequest request();
+    /** For how many ms to dial again where this machine fails the dial. */
+    abstract double patience();
 
-        /** The connection that carries the transfer from here on. */
-        void carriedBy(WorkerConnection connection) { }
+    /** False if there is nothing to write any more. */
+    abstract boolean wanted();
 
-        void written() { }
+    /** The request to write; null if there is nothing to write any more. */
+    abstract FullHttpRequest request();
 
-        abstract void answered(FullHttpResponse response);
+    /** The connection that carries the transfer from here on. */
+    void carriedBy(WorkerConnection connection) {}
 
-        /** The connection ended before the answer; LOCAL: by a lack of this machine. */
-        abstract void broken(FaultOrigin origin);
+    void written() {}
 
-        abstract void notConnected(Outcome outcome);
-    }
+    abstract void answered(FullHttpResponse response);
 
-    /** An attempt: written once, and taken by the worker with a 202. */
-    private final class JobTransfer extends Transfer implements Sending {
-        private final Call call;
-        private final InetSocketAddress worker;
-        private final double until;
-        private final Listener listener;
-        private WorkerConnection carrier;
-        private Stage stage = Stage.DIALLED;
+    /** The connection ended before the answer; LOCAL: by a lack of this machine. */
+    abstract void broken(FaultOrigin origin);
 
-        JobTransfer(Call call, InetSocketAddress worker, double until, Listener listener) {
-            this.call = call;
-            this.worker = worker;
-            this.until = until;
-            this.listener = listener;
-        }
+    abstract void notConnected(Outcome outcome);
+  }
 
-        @Override
-        double patience() {
-            return until - clock.now();
-        }
+  /** An attempt: written once, and taken by the worker with a 202. */
+  private final class JobTransfer extends Transfer implements Sending {
+    private final Call call;
+    private final InetSocketAddress worker;
+    private final double until;
+    private final Listener listener;
+    private WorkerConnection carrier;
+    private Stage stage = Stage.DIALLED;
 
-        @Override
-        boolean wanted() {
-            return stage != Stage.OVER && listener.mayStart();
-        }
+    JobTransfer(Call call, InetSocketAddress worker, double until, Listener listener) {
+      this.call = call;
+      this.worker = worker;
+      this.until = until;
+      this.listener = listener;
+    }
 
-        @Override
-        public boolean delayedLocally() {
-            return delayedLocally;
-        }
+    @Override
+    double patience() {
+      return until - clock.now();
+    }
 
-        @Override
-        FullHttpRequest request() {
-            if (stage == Stage.OVER) {
-                return null;
-            }
-            beforeAttempt.run();
-            boolean wanted = listener.mayStart();
-            // Read as late as can be: a dial may have taken all the time that there was.
-            double left = until - clock.now();
-            if (!wanted || left <= 0) {
-                end(Outcome.NEVER_SENT, Report.NONE);
-                return null;
-            }
-            FullHttpRequest request = WorkerClient.request(HttpMethod.valueOf(call.method()), call.target(),
-                    worker, call.body());
-            request.headers().set(Headers.ID, call.id());
-            request.headers().set(Headers.DEADLINE, ToldDeadline.header(left));
-            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
-            if (call.repeatKey() != null) {
-                request.headers().set(Headers.REPEAT_KEY, call.repeatKey());
-            }
-            return request;
-        }
+    @Override
+    boolean wanted() {
+      return stage != Stage.OVER && listener.mayStart();
+    }
 
-        @Override
-        void carriedBy(WorkerConnection connection) {
-            carrier = connection;
-            stage = Stage.WRITING;
-        }
+    @Override
+    public boolean delayedLocally() {
+      return delayedLocally;
+    }
 
-        @Override
-        void written() {
-            if (stage == Stage.WRITING) {
-                stage = Stage.WRITTEN;
-                listener.written();
-            }
-        }
+    @Override
+    FullHttpRequest request() {
+      if (stage == Stage.OVER) {
+        return null;
+      }
+      beforeAttempt.run();
+      boolean wanted = listener.mayStart();
+      // Read as late as can be: a dial may have taken all the time that there was.
+      double left = until - clock.now();
+      if (!wanted || left <= 0) {
+        end(Outcome.NEVER_SENT, Report.NONE);
+        return null;
+      }
+      FullHttpRequest request =
+          WorkerClient.request(
+              HttpMethod.valueOf(call.method()), call.target(), worker, call.body());
+      request.headers().set(Headers.ID, call.id());
+      request.headers().set(Headers.DEADLINE, ToldDeadline.header(left));
+      request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
+      if (call.repeatKey() != null) {
+        request.headers().set(Headers.REPEAT_KEY, call.repeatKey());
+      }
+      return request;
+    }
 
-        @Override
-        void answered(FullHttpResponse response) {
-            carrier = null;
-            if (stage == Stage.OVER) {
-                return;
-            }
-            Report report = LoadReport.parse(response.headers().get(Headers.LOAD));
-            int status = response.status().code();
-            if (status == 202) {
-                stage = Stage.TAKEN;
-                listener.taken();
-            } else if ((status == 503 || status == 504) && "1".equals(response.headers().get(Headers.DECLINED))) {
-                end(Outcome.FULL, report);
-            } else {
-                log.line("worker's answer", "worker " + worker + " answered " + status + " to job " + call.id());
-                boolean unusable = HttpStatusClass.valueOf(status) == HttpStatusClass.CLIENT_ERROR;
-                end(unusable ? Outcome.UNUSABLE : Outcome.ERROR, report);
-            }
-        }
+    @Override
+    void carriedBy(WorkerConnection connection) {
+      carrier = connection;
+      stage = Stage.WRITING;
+    }
 
-        @Override
-        void broken(FaultOrigin origin) {
-            carrier = null;
-            // Before the last byte the worker cannot have begun; from then on nobody knows.
-            boolean mayRun = stage == Stage.WRITTEN;
-            if (origin != FaultOrigin.LOCAL) {
-                end(mayRun ? Outcome.RESET : Outcome.CONNECT_FAILED, Report.NONE);
-            } else if (mayRun) {
-                end(Outcome.CANCELLED, Report.NONE);
-            } else if (stage == Stage.WRITING) {
-                stage = Stage.DIALLED;
-                delayedLocally = true;
-                timers.after(Dialer.BACKOFF, this::startAgain);
-            }
-        }
+    @Override
+    void written() {
+      if (stage == Stage.WRITING) {
+        stage = Stage.WRITTEN;
+        listener.written();
+      }
+    }
 
-        private void startAgain() {
-            if (wanted()) {
-                start(worker, this);
-            } else {
-                end(Outcome.NEVER_SENT, Report.NONE);
-            }
-        }
+    @Override
+    void answered(FullHttpResponse response) {
+      carrier = null;
+      if (stage == Stage.OVER) {
+        return;
+      }
+      Report report = LoadReport.parse(response.headers().get(Headers.LOAD));
+      int status = response.status().code();
+      if (status == 202) {
+        stage = Stage.TAKEN;
+        listener.taken();
+      } else if ((status == 503 || status == 504)
+          && "1".equals(response.headers().get(Headers.DECLINED))) {
+        end(Outcome.FULL, report);
+      } else {
+        log.line(
+            "worker's answer", "worker " + worker + " answered " + status + " to job " + call.id());
+        boolean unusable = HttpStatusClass.valueOf(status) == HttpStatusClass.CLIENT_ERROR;
+        end(unusable ? Outcome.UNUSABLE : Outcome.ERROR, report);
+      }
+    }
 
-        @Override
-        void notConnected(Outcome outcome) {
-            end(outcome, Report.NONE);
-        }
+    @Override
+    void broken(FaultOrigin origin) {
+      carrier = null;
+      // Before the last byte the worker cannot have begun; from then on nobody knows.
+      boolean mayRun = stage == Stage.WRITTEN;
+      if (origin != FaultOrigin.LOCAL) {
+        end(mayRun ? Outcome.RESET : Outcome.CONNECT_FAILED, Report.NONE);
+      } else if (mayRun) {
+        end(Outcome.CANCELLED, Report.NONE);
+      } else if (stage == Stage.WRITING) {
+        stage = Stage.DIALLED;
+        delayedLocally = true;
+        timers.after(Dialer.BACKOFF, this::startAgain);
+      }
+    }
 
-        private void end(Outcome outcome, Report report) {
-            if (stage != Stage.OVER) {
-                stage = Stage.OVER;
-                listener.ended(outcome, report);
-            }
-        }
+    private void startAgain() {
+      if (wanted()) {
+        start(worker, this);
+      } else {
+        end(Outcome.NEVER_SENT, Report.NONE);
+      }
+    }
 
-        /** Closing before the 202 gives an attempt up, but that 202 may be under way already: hence the DELETE. */
-        @Override
-        public void giveUp(Runnable told) {
-            boolean mayRun = stage == Stage.WRITTEN || stage == Stage.TAKEN;
-            stage = Stage.OVER;
-            if (carrier != null) {
-                carrier.close();
-            }
-            if (mayRun) {
-                start(worker, new Cancellation(worker, call.id(), told));
-            } else {
-                told.run();
-            }
-        }
+    @Override
+    void notConnected(Outcome outcome) {
+      end(outcome, Report.NONE);
     }
 
-    /** How far an attempt has come. Each step is taken once; what ends it is heard of once. */
-    private enum Stage { DIALLED, WRITING, WRITTEN, TAKEN, OVER }
+    private void end(Outcome outcome, Report report) {
+      if (stage != Stage.OVER) {
+        stage = Stage.OVER;
+        listener.ended(outcome, report);
+      }
+    }
 
     /**
-     * Tells a worker that nobody waits for a job any more. Nothing depends on its answer; {@code told} runs once,
-     * when the word is written or cannot be.
+     * Closing before the 202 gives an attempt up, but that 202 may be under way already: hence the
+     * DELETE.
      */
-    private final class Cancellation extends Transfer {
-        private final InetSocketAddress worker;
-        private final String id;
-        private final Runnable told;
-        private WorkerConnection carrier;
-        private Timers.Timer patienceTimer;
-        private boolean again = true;
-        private boolean said;
-
-        Cancellation(InetSocketAddress worker, String id, Runnable told) {
-            this.worker = worker;
-            this.id = id;
-            this.told = told;
-        }
-
-        @Override
-        double patience() {
-            return CANCEL_PATIENCE;
-        }
-
-        @Override
-        boolean wanted() {
-            return true;
-        }
+    @Override
+    public void giveUp(Runnable told) {
+      boolean mayRun = stage == Stage.WRITTEN || stage == Stage.TAKEN;
+      stage = Stage.OVER;
+      if (carrier != null) {
+        carrier.close();
+      }
+      if (mayRun) {
+        start(worker, new Cancellation(worker, call.id(), told));
+      } else {
+        told.run();
+      }
+    }
+  }
+
+  /** How far an attempt has come. Each step is taken once; what ends it is heard of once. */
+  private enum Stage {
+    DIALLED,
+    WRITING,
+    WRITTEN,
+    TAKEN,
+    OVER
+  }
+
+  /**
+   * Tells a worker that nobody waits for a job any more. Nothing depends on its answer; {@code
+   * told} runs once, when the word is written or cannot be.
+   */
+  private final class Cancellation extends Transfer {
+    private final InetSocketAddress worker;
+    private final String id;
+    private final Runnable told;
+    private WorkerConnection carrier;
+    private Timers.Timer patienceTimer;
+    private boolean again = true;
+    private boolean said;
+
+    Cancellation(InetSocketAddress worker, String id, Runnable told) {
+      this.worker = worker;
+      this.id = id;
+      this.told = told;
+    }
 
-        @Override
-        FullHttpRequest request() {
-            return WorkerClient.request(HttpMethod.DELETE, "/jobs/" + id, worker, new byte[0]);
-        }
+    @Override
+    double patience() {
+      return CANCEL_PATIENCE;
+    }
 
-        @Override
-        void carriedBy(WorkerConnection connection) {
-            carrier = connection;
-            patienceTimer = timers.after(CANCEL_PATIENCE, connection::close);
-        }
+    @Override
+    boolean wanted() {
+      return true;
+    }
 
-        @Override
-        void written() {
-            say();
-        }
+    @Override
+    FullHttpRequest request() {
+      return WorkerClient.request(HttpMethod.DELETE, "/jobs/" + id, worker, new byte[0]);
+    }
 
-        @Override
-        void answered(FullHttpResponse response) {
-            patienceTimer.cancel();
-        }
+    @Override
+    void carriedBy(WorkerConnection connection) {
+      carrier = connection;
+      patienceTimer = timers.after(CANCEL_PATIENCE, connection::close);
+    }
 
-        /** An idle connection may have been closed under the word; it harms nobody said twice. */
-        @Override
-        void broken(FaultOrigin origin) {
-            patienceTimer.cancel();
-            if (again && (carrier.reusedAfter >= 0 || origin == FaultOrigin.LOCAL)) {
-                again = false;
-                dial(worker, this);
-            } else {
-                say();
-            }
-        }
+    @Override
+    void written() {
+      say();
+    }
 
-        @Override
-        void notConnected(Outcome outcome) {
-            say();
-        }
+    @Override
+    void answered(FullHttpResponse response) {
+      patienceTimer.cancel();
+    }
 
-        private void say() {
-            if (!said) {
-                said = true;
-                told.run();
-            }
-        }
+    /** An idle connection may have been closed under the word; it harms nobody said twice. */
+    @Override
+    void broken(FaultOrigin origin) {
+      patienceTimer.cancel();
+      if (again && (carrier.reusedAfter >= 0 || origin == FaultOrigin.LOCAL)) {
+        again = false;
+        dial(worker, this);
+      } else {
+        say();
+      }
     }
 
-    /** A health check. */
-    private final class Check extends Transfer {
-        private final InetSocketAddress worker;
-        private final BiConsumer<Outcome, Report> listener;
-        private WorkerConnection carrier;
-        private Timers.Timer patienceTimer;
-        private boolean finished;
+    @Override
+    void notConnected(Outcome outcome) {
+      say();
+    }
 
-        Check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
-            this.worker = worker;
-            this.listener = listener;
-        }
+    private void say() {
+      if (!said) {
+        said = true;
+        told.run();
+      }
+    }
+  }
+
+  /** A health check. */
+  private final class Check extends Transfer {
+    private final InetSocketAddress worker;
+    private final BiConsumer<Outcome, Report> listener;
+    private WorkerConnection carrier;
+    private Timers.Timer patienceTimer;
+    private boolean finished;
+
+    Check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
+      this.worker = worker;
+      this.listener = listener;
+    }
 
-        @Override
-        double patience() {
-            return CHECK_PATIENCE;
-        }
+    @Override
+    double patience() {
+      return CHECK_PATIENCE;
+    }
 
-        @Override
-        boolean wanted() {
-            return !finished;
-        }
+    @Override
+    boolean wanted() {
+      return !finished;
+    }
 
-        void unanswered() {
-            finish(delayedLocally ? Outcome.NEVER_SENT : Outcome.TIMEOUT, Report.NONE);
-        }
+    void unanswered() {
+      finish(delayedLocally ? Outcome.NEVER_SENT : Outcome.TIMEOUT, Report.NONE);
+    }
 
-        @Override
-        FullHttpRequest request() {
-            return finished ? null : WorkerClient.request(HttpMethod.GET, "/-/load", worker, new byte[0]);
-        }
+    @Override
+    FullHttpRequest request() {
+      return finished ? null : WorkerClient.request(HttpMethod.GET, "/-/load", worker, new byte[0]);
+    }
 
-        @Override
-        void carriedBy(WorkerConnection connection) {
-            carrier = connection;
-        }
+    @Override
+    void carriedBy(WorkerConnection connection) {
+      carrier = connection;
+    }
 
-        @Override
-        void answered(FullHttpResponse response) {
-            carrier = null;
-            boolean healthy = response.status().code() == 200;
-            finish(healthy ? Outcome.OK : Outcome.ERROR,
-                    LoadReport.parse(response.content().toString(StandardCharsets.UTF_8)));
-        }
+    @Override
+    void answered(FullHttpResponse response) {
+      carrier = null;
+      boolean healthy = response.status().code() == 200;
+      finish(
+          healthy ? Outcome.OK : Outcome.ERROR,
+          LoadReport.parse(response.content().toString(StandardCharsets.UTF_8)));
+    }
 
-        @Override
-        void broken(FaultOrigin origin) {
-            carrier = null;
-            finish(origin == FaultOrigin.LOCAL ? Outcome.NEVER_SENT : Outcome.RESET, Report.NONE);
-        }
+    @Override
+    void broken(FaultOrigin origin) {
+      carrier = null;
+      finish(origin == FaultOrigin.LOCAL ? Outcome.NEVER_SENT : Outcome.RESET, Report.NONE);
+    }
 
-        @Override
-        void notConnected(Outcome outcome) {
-            finish(outcome, Report.NONE);
-        }
+    @Override
+    void notConnected(Outcome outcome) {
+      finish(outcome, Report.NONE);
+    }
 
-        private void finish(Outcome outcome, Report report) {
-            if (!finished) {
-                finished = true;
-                patienceTimer.cancel();
-                if (carrier != null) {
-                    carrier.close();
-                }
-                listener.accept(outcome, report);
-            }
+    private void finish(Outcome outcome, Report report) {
+      if (!finished) {
+        finished = true;
+        patienceTimer.cancel();
+        if (carrier != null) {
+          carrier.close();
         }
+        listener.accept(outcome, report);
+      }
     }
+  }
 }
--- a/node/src/main/java/ferngrade/net/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/net/WorkerConnection.java
@@ -17,136 +17,150 @@
 import java.net.InetSocketAddress;
 
 /**
- * One connection to a worker: at most one transfer at a time, idle in the pool between them. Bytes that come while
- * it is idle belong to no transfer; kept, they would be read as the beginning of the next one's answer. So they
- * end the connection, and so does anything behind an answer.
+ * One connection to a worker: at most one transfer at a time, idle in the pool between them. Bytes
+ * that come while it is idle belong to no transfer; kept, they would be read as the beginning of
+ * the next one's answer. So they end the connection, and so does anything behind an answer.
  */
 final class WorkerConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
-    private final ConnectionPool pool;
-    private final AnswerDecoder decoder = new AnswerDecoder();
-    private ChannelHandlerContext context;
-    private InetSocketAddress worker;
-    /** What the connection carries, null while it is idle. */
-    private Transfer transfer;
-    /** When the connection was put back into the pool. */
-    double idleSince;
-    /** How long it stood idle before its present transfer, ms; negative if that is its first. */
-    double reusedAfter = -1;
-    private boolean endedHere;
-    /** What broke the connection, where the system has said so. */
-    private Throwable fault;
-
-    /** Knows whether more has come than the answer that it has just passed on. */
-    private static final class AnswerDecoder extends HttpResponseDecoder {
-        boolean hasMore() {
-            return actualReadableBytes() > 0;
-        }
-    }
-
-    WorkerConnection(ConnectionPool pool) {
-        this.pool = pool;
-    }
+  private final ConnectionPool pool;
+  private final AnswerDecoder decoder = new AnswerDecoder();
+  private ChannelHandlerContext context;
+  private InetSocketAddress worker;
 
-    /** Puts the connection, behind its codec, at the end of a pipeline. */
-    void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(idleGuard(), new HttpRequestEncoder(), decoder, new HttpObjectAggregator(Front.MOST_BODY), this);
-    }
+  /** What the connection carries, null while it is idle. */
+  private Transfer transfer;
 
-    private ChannelInboundHandler idleGuard() {
-        return new ChannelInboundHandlerAdapter() {
-            @Override
-            public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                if (transfer == null) {
-                    ReferenceCountUtil.release(bytes);
-                    close();
-                } else {
-                    ctx.fireChannelRead(bytes);
-                }
-            }
-        };
-    }
+  /** When the connection was put back into the pool. */
+  double idleSince;
 
-    @Override
-    public void handlerAdded(ChannelHandlerContext ctx) {
-        context = ctx;
-    }
+  /** How long it stood idle before its present transfer, ms; negative if that is its first. */
+  double reusedAfter = -1;
 
-    /** The connection is up; it counts in the pool until it ends. */
-    void opened(InetSocketAddress address) {
-        worker = address;
-        context.channel().closeFuture().addListener(closed -> ended());
-    }
+  private boolean endedHere;
 
-    InetSocketAddress worker() {
-        return worker;
-    }
+  /** What broke the connection, where the system has said so. */
+  private Throwable fault;
 
-    boolean isActive() {
-        return context.channel().isActive();
+  /** Knows whether more has come than the answer that it has just passed on. */
+  private static final class AnswerDecoder extends HttpResponseDecoder {
+    boolean hasMore() {
+      return actualReadableBytes() > 0;
     }
-
-    void begin(Transfer next) {
-        FullHttpRequest request = next.request();
-        if (request == null) {
-            pool.release(this);
-            return;
+  }
+
+  WorkerConnection(ConnectionPool pool) {
+    this.pool = pool;
+  }
+
+  /** Puts the connection, behind its codec, at the end of a pipeline. */
+  void addTo(ChannelPipeline pipeline) {
+    pipeline.addLast(
+        idleGuard(),
+        new HttpRequestEncoder(),
+        decoder,
+        new HttpObjectAggregator(Front.MOST_BODY),
+        this);
+  }
+
+  private ChannelInboundHandler idleGuard() {
+    return new ChannelInboundHandlerAdapter() {
+      @Override
+      public void channelRead(ChannelHandlerContext ctx, Object bytes) {
+        if (transfer == null) {
+          ReferenceCountUtil.release(bytes);
+          close();
+        } else {
+          ctx.fireChannelRead(bytes);
         }
-        transfer = next;
-        next.carriedBy(this);
-        context.writeAndFlush(request).addListener(written -> {
-            if (written.isSuccess() && transfer == next) {
+      }
+    };
+  }
+
+  @Override
+  public void handlerAdded(ChannelHandlerContext ctx) {
+    context = ctx;
+  }
+
+  /** The connection is up; it counts in the pool until it ends. */
+  void opened(InetSocketAddress address) {
+    worker = address;
+    context.channel().closeFuture().addListener(closed -> ended());
+  }
+
+  InetSocketAddress worker() {
+    return worker;
+  }
+
+  boolean isActive() {
+    return context.channel().isActive();
+  }
+
+  void begin(Transfer next) {
+    FullHttpRequest request = next.request();
+    if (request == null) {
+      pool.release(this);
+      return;
+    }
+    transfer = next;
+    next.carriedBy(this);
+    context
+        .writeAndFlush(request)
+        .addListener(
+            written -> {
+              if (written.isSuccess() && transfer == next) {
                 next.written();
-            } else if (!written.isSuccess()) {
+              } else if (!written.isSuccess()) {
                 fault = written.cause();
                 close();
-            }
-        });
+              }
+            });
+  }
+
+  @Override
+  protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+    if (transfer == null || response.decoderResult().isFailure()) {
+      close();
+      return;
     }
-
-    @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-        if (transfer == null || response.decoderResult().isFailure()) {
-            close();
-            return;
-        }
-        if (HttpStatusClass.valueOf(response.status().code()) == HttpStatusClass.INFORMATIONAL) {
-            return;
-        }
-        Transfer answered = transfer;
-        transfer = null;
-        boolean keep = HttpUtil.isKeepAlive(response) && !decoder.hasMore();
-        answered.answered(response);
-        if (keep) {
-            pool.release(this);
-        } else {
-            close();
-        }
-    }
-
-    @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        fault = cause;
-        ctx.close();
-    }
-
-    /** Ends the connection from this side. */
-    void close() {
-        endedHere = true;
-        context.close();
+    if (HttpStatusClass.valueOf(response.status().code()) == HttpStatusClass.INFORMATIONAL) {
+      return;
     }
-
-    boolean endedHere() {
-        return endedHere;
+    Transfer answered = transfer;
+    transfer = null;
+    boolean keep = HttpUtil.isKeepAlive(response) && !decoder.hasMore();
+    answered.answered(response);
+    if (keep) {
+      pool.release(this);
+    } else {
+      close();
     }
-
-    /** The one place where a connection ends, from whichever side. */
-    private void ended() {
-        pool.ended(this);
-        Transfer broken = transfer;
-        transfer = null;
-        if (broken != null) {
-            // Netty closes the channel first and fails the write that broke it behind that: its cause counts here.
-            context.executor().execute(() -> broken.broken(FaultOrigin.of(fault)));
-        }
+  }
+
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    fault = cause;
+    ctx.close();
+  }
+
+  /** Ends the connection from this side. */
+  void close() {
+    endedHere = true;
+    context.close();
+  }
+
+  boolean endedHere() {
+    return endedHere;
+  }
+
+  /** The one place where a connection ends, from whichever side. */
+  private void ended() {
+    pool.ended(this);
+    Transfer broken = transfer;
+    transfer = null;
+    if (broken != null) {
+      // Netty closes the channel first and fails the write that broke it behind that: its cause
+      // counts here.
+      context.executor().execute(() -> broken.broken(FaultOrigin.of(fault)));
     }
+  }
 }
--- a/node/src/main/java/ferngrade/node/Attempt.java
+++ b/node/src/main/java/ferngrade/node/Attempt.java
@@ -4,59 +4,68 @@
 
 /** One sending of a request to a worker. */
 final class Attempt {
-    final Exchange exchange;
-    final int number;
-    final long worker;
-    /** The list's entry at the time of the send; null if the list holds none. */
-    final Member member;
-    final double sentAt;
-    Workers.Sending sending;
-    Timers.Timer timeout;
-    Timers.Timer acceptance;
-    boolean written;
-    boolean ended;
-    /** The worker has told of it by a call-back. */
-    boolean calledBack;
-    /** It ended without the worker's word, so that the worker may run it yet. */
-    private boolean doubtful;
-    /** Its end has proven that the worker did not run it. */
-    private boolean neverRan;
-
-    Attempt(Exchange exchange, long worker, Member member, double sentAt) {
-        this.exchange = exchange;
-        this.number = exchange.attempts.size();
-        this.worker = worker;
-        this.member = member;
-        this.sentAt = sentAt;
-    }
+  final Exchange exchange;
+  final int number;
+  final long worker;
 
-    /** The attempt has ended; nothing that was to end it runs any more. */
-    void ended(Outcome outcome) {
-        ended = true;
-        neverRan = outcome.neverRan;
-        doubtful = written && (outcome == Outcome.TIMEOUT || outcome == Outcome.CANCELLED || outcome == Outcome.RESET);
-        if (timeout != null) {
-            timeout.cancel();
-            acceptance.cancel();
-        }
-    }
+  /** The list's entry at the time of the send; null if the list holds none. */
+  final Member member;
 
-    /**
-     * True while the worker must not get the request (again): the attempt is out there, or may be, or the worker
-     * has called back about it. A repeat of that call-back could not be told from news of a new attempt, and would
-     * end it.
-     */
-    boolean bars() {
-        return !ended || calledBack || doubtful;
-    }
+  final double sentAt;
+  Workers.Sending sending;
+  Timers.Timer timeout;
+  Timers.Timer acceptance;
+  boolean written;
+  boolean ended;
 
-    /** Written and not ended: what a call-back can be about. */
-    boolean running() {
-        return written && !ended;
-    }
+  /** The worker has told of it by a call-back. */
+  boolean calledBack;
+
+  /** It ended without the worker's word, so that the worker may run it yet. */
+  private boolean doubtful;
 
-    /** True unless it is known that the worker has not run the job by this attempt. */
-    boolean mayHaveRun() {
-        return written && !neverRan;
+  /** Its end has proven that the worker did not run it. */
+  private boolean neverRan;
+
+  Attempt(Exchange exchange, long worker, Member member, double sentAt) {
+    this.exchange = exchange;
+    this.number = exchange.attempts.size();
+    this.worker = worker;
+    this.member = member;
+    this.sentAt = sentAt;
+  }
+
+  /** The attempt has ended; nothing that was to end it runs any more. */
+  void ended(Outcome outcome) {
+    ended = true;
+    neverRan = outcome.neverRan;
+    doubtful =
+        written
+            && (outcome == Outcome.TIMEOUT
+                || outcome == Outcome.CANCELLED
+                || outcome == Outcome.RESET);
+    if (timeout != null) {
+      timeout.cancel();
+      acceptance.cancel();
     }
+  }
+
+  /**
+   * True while the worker must not get the request (again): the attempt is out there, or may be, or
+   * the worker has called back about it. A repeat of that call-back could not be told from news of
+   * a new attempt, and would end it.
+   */
+  boolean bars() {
+    return !ended || calledBack || doubtful;
+  }
+
+  /** Written and not ended: what a call-back can be about. */
+  boolean running() {
+    return written && !ended;
+  }
+
+  /** True unless it is known that the worker has not run the job by this attempt. */
+  boolean mayHaveRun() {
+    return written && !neverRan;
+  }
 }
--- a/node/src/main/java/ferngrade/node/Log.java
+++ b/node/src/main/java/ferngrade/node/Log.java
@@ -5,56 +5,58 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' log, limited in rate so that no flood of bad input can fill it: one line a second of each kind
- * that others can bring about, and a bound on all lines together.
+ * The operators' log, limited in rate so that no flood of bad input can fill it: one line a second
+ * of each kind that others can bring about, and a bound on all lines together.
  */
 public final class Log {
-    private static final int LINES_A_SECOND = 20;
-
-    private final Clock clock;
-    private final Consumer<String> out;
-    /** The lines asked for in this second, by kind. */
-    private final Map<String, Integer> kinds = new HashMap<>();
-    private double second = Double.NEGATIVE_INFINITY;
-    private int lines;
-    private int dropped;
-
-    /** A log that hands its lines to {@code out}. */
-    public Log(Clock clock, Consumer<String> out) {
-        this.clock = clock;
-        this.out = out;
-    }
+  private static final int LINES_A_SECOND = 20;
+
+  private final Clock clock;
+  private final Consumer<String> out;
+
+  /** The lines asked for in this second, by kind. */
+  private final Map<String, Integer> kinds = new HashMap<>();
+
+  private double second = Double.NEGATIVE_INFINITY;
+  private int lines;
+  private int dropped;
+
+  /** A log that hands its lines to {@code out}. */
+  public Log(Clock clock, Consumer<String> out) {
+    this.clock = clock;
+    this.out = out;
+  }
 
-    /** Writes one line, unless this second has had its share of them. */
-    public void line(String text) {
-        turn();
-        if (lines++ < LINES_A_SECOND) {
-            out.accept(text);
-        } else {
-            dropped++;
-        }
+  /** Writes one line, unless this second has had its share of them. */
+  public void line(String text) {
+    turn();
+    if (lines++ < LINES_A_SECOND) {
+      out.accept(text);
+    } else {
+      dropped++;
     }
+  }
 
-    /** Writes one line, unless this second has had one of that kind, a short fixed name. */
-    public void line(String kind, String text) {
-        turn();
-        if (kinds.merge(kind, 1, Integer::sum) == 1) {
-            line(text);
-        } else {
-            dropped++;
-        }
+  /** Writes one line, unless this second has had one of that kind, a short fixed name. */
+  public void line(String kind, String text) {
+    turn();
+    if (kinds.merge(kind, 1, Integer::sum) == 1) {
+      line(text);
+    } else {
+      dropped++;
     }
+  }
 
-    private void turn() {
-        double now = clock.now();
-        if (now - second >= 1000) {
-            if (dropped > 0) {
-                out.accept(dropped + " lines left out");
-            }
-            second = now;
-            kinds.clear();
-            lines = 0;
-            dropped = 0;
-        }
+  private void turn() {
+    double now = clock.now();
+    if (now - second >= 1000) {
+      if (dropped > 0) {
+        out.accept(dropped + " lines left out");
+      }
+      second = now;
+      kinds.clear();
+      lines = 0;
+      dropped = 0;
     }
+  }
 }
--- a/node/src/main/java/ferngrade/node/Maintenance.java
+++ b/node/src/main/java/ferngrade/node/Maintenance.java
@@ -12,117 +12,126 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * The menu workers that operators have put in maintenance, laid over what the list says. The decisions are told
- * of such a worker as one that drains, whatever discovery says, until the operators take it back; it then comes
- * back as a process started at that moment, since operators restart it meanwhile and it returns cold. A set,
- * not a count: two calls out need one call back.
+ * The menu workers that operators have put in maintenance, laid over what the list says. The
+ * decisions are told of such a worker as one that drains, whatever discovery says, until the
+ * operators take it back; it then comes back as a process started at that moment, since operators
+ * restart it meanwhile and it returns cold. A set, not a count: two calls out need one call back.
  *
- * <p>No I/O and no clock: times come as arguments, by the node's monotonic clock, as do those of the list's entries.
+ * <p>No I/O and no clock: times come as arguments, by the node's monotonic clock, as do those of
+ * the list's entries.
  */
 public final class Maintenance {
-    private final Set<String> out = new TreeSet<>();
-    /** When each worker taken back returned; it counts as started then until the list tells of a later start. */
-    private final Map<String, Double> back = new HashMap<>();
-    /** The list's own entries, as last told, by name. */
-    private final Map<String, Member> listed = new HashMap<>();
+  private final Set<String> out = new TreeSet<>();
 
-    /** Lays maintenance over news of the list, and keeps the list's own word. */
-    List<Member> over(News news, List<Member> entries) {
-        if (news != News.CHANGES) {
-            listed.clear();
-        }
-        List<Member> told = new ArrayList<>(entries.size());
-        for (Member entry : entries) {
-            if (entry.worker().state() == State.GONE) {
-                listed.remove(entry.name());
-            } else {
-                listed.put(entry.name(), entry);
-            }
-            told.add(overlaid(entry));
-        }
-        return told;
-    }
+  /**
+   * When each worker taken back returned; it counts as started then until the list tells of a later
+   * start.
+   */
+  private final Map<String, Double> back = new HashMap<>();
 
-    private Member overlaid(Member entry) {
-        Worker worker = entry.worker();
-        if (worker.state() == State.GONE) {
-            return entry;
-        }
-        if (out.contains(entry.name())) {
-            return entry.with(State.DRAINING, worker.startedAt());
-        }
-        Double returned = back.get(entry.name());
-        if (returned == null) {
-            return entry;
-        }
-        if (worker.startedAt() >= returned) {
-            back.remove(entry.name());
-            return entry;
-        }
-        return entry.startedAt(returned);
-    }
+  /** The list's own entries, as last told, by name. */
+  private final Map<String, Member> listed = new HashMap<>();
 
-    /** True if the list holds this worker or it is in maintenance: operators may name it. */
-    public boolean knows(String name) {
-        return listed.containsKey(name) || out.contains(name);
+  /** Lays maintenance over news of the list, and keeps the list's own word. */
+  List<Member> over(News news, List<Member> entries) {
+    if (news != News.CHANGES) {
+      listed.clear();
     }
-
-    /**
-     * Puts a worker in maintenance. Returns the entry that the decisions are to be told now, or null where the
-     * list does not hold it at present.
-     */
-    Member take(String name) {
-        out.add(name);
-        back.remove(name);
-        Member entry = listed.get(name);
-        return entry == null ? null : overlaid(entry);
+    List<Member> told = new ArrayList<>(entries.size());
+    for (Member entry : entries) {
+      if (entry.worker().state() == State.GONE) {
+        listed.remove(entry.name());
+      } else {
+        listed.put(entry.name(), entry);
+      }
+      told.add(overlaid(entry));
     }
+    return told;
+  }
 
-    /** Takes a worker back at {@code now}; returns what the decisions are to be told, or null as above. */
-    Member giveBack(String name, double now) {
-        if (out.remove(name)) {
-            back.put(name, now);
-        }
-        Member entry = listed.get(name);
-        return entry == null ? null : overlaid(entry);
+  private Member overlaid(Member entry) {
+    Worker worker = entry.worker();
+    if (worker.state() == State.GONE) {
+      return entry;
     }
-
-    /** Listed workers in maintenance. */
-    public int listedOut() {
-        return (int) out.stream().filter(listed::containsKey).count();
+    if (out.contains(entry.name())) {
+      return entry.with(State.DRAINING, worker.startedAt());
     }
-
-    /** Listed workers, whatever their phase. */
-    public int listedAll() {
-        return listed.size();
+    Double returned = back.get(entry.name());
+    if (returned == null) {
+      return entry;
+    }
+    if (worker.startedAt() >= returned) {
+      back.remove(entry.name());
+      return entry;
     }
+    return entry.startedAt(returned);
+  }
 
-    /**
-     * What a later process takes over: names in maintenance, and when each worker taken back returned. Outside the
-     * node, as in a file, these are times of the wall clock.
-     */
-    public record Saved(Set<String> out, Map<String, Double> back) {
-        public Saved {
-            out = Set.copyOf(out);
-            back = Map.copyOf(back);
-        }
+  /** True if the list holds this worker or it is in maintenance: operators may name it. */
+  public boolean knows(String name) {
+    return listed.containsKey(name) || out.contains(name);
+  }
 
-        /** The same by another clock. */
-        Saved translated(DoubleUnaryOperator clock) {
-            Map<String, Double> times = new HashMap<>();
-            back.forEach((name, returned) -> times.put(name, clock.applyAsDouble(returned)));
-            return new Saved(out, times);
-        }
+  /**
+   * Puts a worker in maintenance. Returns the entry that the decisions are to be told now, or null
+   * where the list does not hold it at present.
+   */
+  Member take(String name) {
+    out.add(name);
+    back.remove(name);
+    Member entry = listed.get(name);
+    return entry == null ? null : overlaid(entry);
+  }
+
+  /**
+   * Takes a worker back at {@code now}; returns what the decisions are to be told, or null as
+   * above.
+   */
+  Member giveBack(String name, double now) {
+    if (out.remove(name)) {
+      back.put(name, now);
     }
+    Member entry = listed.get(name);
+    return entry == null ? null : overlaid(entry);
+  }
+
+  /** Listed workers in maintenance. */
+  public int listedOut() {
+    return (int) out.stream().filter(listed::containsKey).count();
+  }
+
+  /** Listed workers, whatever their phase. */
+  public int listedAll() {
+    return listed.size();
+  }
 
-    /** The state that a later process takes over. */
-    public Saved saved() {
-        return new Saved(out, back);
+  /**
+   * What a later process takes over: names in maintenance, and when each worker taken back
+   * returned. Outside the node, as in a file, these are times of the wall clock.
+   */
+  public record Saved(Set<String> out, Map<String, Double> back) {
+    public Saved {
+      out = Set.copyOf(out);
+      back = Map.copyOf(back);
     }
 
-    /** Takes over what an earlier process saved, beside what this one has. */
-    public void restore(Saved saved) {
-        out.addAll(saved.out());
-        back.putAll(saved.back());
+    /** The same by another clock. */
+    Saved translated(DoubleUnaryOperator clock) {
+      Map<String, Double> times = new HashMap<>();
+      back.forEach((name, returned) -> times.put(name, clock.applyAsDouble(returned)));
+      return new Saved(out, times);
     }
+  }
+
+  /** The state that a later process takes over. */
+  public Saved saved() {
+    return new Saved(out, back);
+  }
+
+  /** Takes over what an earlier process saved, beside what this one has. */
+  public void restore(Saved saved) {
+    out.addAll(saved.out());
+    back.putAll(saved.back());
+  }
 }
--- a/node/src/main/java/ferngrade/node/Member.java
+++ b/node/src/main/java/ferngrade/node/Member.java
@@ -4,16 +4,28 @@
 import ferngrade.Dispatcher.Worker;
 import java.net.InetSocketAddress;
 
-/** An entry of the worker list: its name, its address as seen from here, and what the module is told. */
+/**
+ * An entry of the worker list: its name, its address as seen from here, and what the module is
+ * told.
+ */
 public record Member(String name, InetSocketAddress address, Worker worker) {
-    /** The same entry with another start of its worker. */
-    Member startedAt(double startedAt) {
-        return with(worker.state(), startedAt);
-    }
+  /** The same entry with another start of its worker. */
+  Member startedAt(double startedAt) {
+    return with(worker.state(), startedAt);
+  }
 
-    /** The same entry with another state and start of its worker. */
-    Member with(State state, double startedAt) {
-        return new Member(name, address, new Worker(worker.id(), state, worker.zone(), worker.kind(), worker.cell(),
-                startedAt, worker.weight()));
-    }
+  /** The same entry with another state and start of its worker. */
+  Member with(State state, double startedAt) {
+    return new Member(
+        name,
+        address,
+        new Worker(
+            worker.id(),
+            state,
+            worker.zone(),
+            worker.kind(),
+            worker.cell(),
+            startedAt,
+            worker.weight()));
+  }
 }
--- a/node/src/main/java/ferngrade/node/Members.java
+++ b/node/src/main/java/ferngrade/node/Members.java
@@ -8,39 +8,40 @@
 
 /** The worker list as last told. */
 final class Members {
-    private final Map<Long, Member> byId = new HashMap<>();
+  private final Map<Long, Member> byId = new HashMap<>();
 
-    /** Takes in news; what a whole list leaves out is gone. */
-    void update(News news, List<Member> entries) {
-        if (news != News.CHANGES) {
-            byId.clear();
-        }
-        for (Member entry : entries) {
-            if (entry.worker().state() == State.GONE) {
-                byId.remove(entry.worker().id());
-            } else {
-                byId.put(entry.worker().id(), entry);
-            }
-        }
+  /** Takes in news; what a whole list leaves out is gone. */
+  void update(News news, List<Member> entries) {
+    if (news != News.CHANGES) {
+      byId.clear();
     }
-
-    boolean isEmpty() {
-        return byId.isEmpty();
+    for (Member entry : entries) {
+      if (entry.worker().state() == State.GONE) {
+        byId.remove(entry.worker().id());
+      } else {
+        byId.put(entry.worker().id(), entry);
+      }
     }
+  }
 
-    /** The worker's entry, or null if the list does not hold it. */
-    Member get(long id) {
-        return byId.get(id);
-    }
+  boolean isEmpty() {
+    return byId.isEmpty();
+  }
 
-    /**
-     * True while a job picked for this entry may go to it: not once it drains, is gone, has moved or has
-     * restarted, because the pick was made for the process that the entry spoke of.
-     */
-    boolean stands(Member entry) {
-        Member present = byId.get(entry.worker().id());
-        return present != null && present.worker().state() == State.READY
-                && present.worker().startedAt() == entry.worker().startedAt()
-                && present.address().equals(entry.address());
-    }
+  /** The worker's entry, or null if the list does not hold it. */
+  Member get(long id) {
+    return byId.get(id);
+  }
+
+  /**
+   * True while a job picked for this entry may go to it: not once it drains, is gone, has moved or
+   * has restarted, because the pick was made for the process that the entry spoke of.
+   */
+  boolean stands(Member entry) {
+    Member present = byId.get(entry.worker().id());
+    return present != null
+        && present.worker().state() == State.READY
+        && present.worker().startedAt() == entry.worker().startedAt()
+        && present.address().equals(entry.address());
+  }
 }
--- a/node/src/main/java/ferngrade/node/News.java
+++ b/node/src/main/java/ferngrade/node/News.java
@@ -3,11 +3,18 @@
 import ferngrade.Dispatcher.Report;
 
 /**
- * What a worker tells of a job that it has taken: the request's id, the worker's name, what happened, the
- * share done, and the result where it is done.
+ * What a worker tells of a job that it has taken: the request's id, the worker's name, what
+ * happened, the share done, and the result where it is done.
  */
-public record News(String id, String from, State state, double share, String result,
-        Report report) {
-    /** What happened to the job. */
-    public enum State { STARTED, RUNNING, DONE, FAILED, RETURNED, LOST }
+public record News(
+    String id, String from, State state, double share, String result, Report report) {
+  /** What happened to the job. */
+  public enum State {
+    STARTED,
+    RUNNING,
+    DONE,
+    FAILED,
+    RETURNED,
+    LOST
+  }
 }
--- a/node/src/main/java/ferngrade/node/Peers.java
+++ b/node/src/main/java/ferngrade/node/Peers.java
@@ -3,6 +3,6 @@
 /** The way to the other nodes of the tier; messages may be lost. */
 @FunctionalInterface
 public interface Peers {
-    /** Sends at most 256 bytes to the peer with this number, or to all if it is negative. */
-    void tell(int peer, byte[] message);
+  /** Sends at most 256 bytes to the peer with this number, or to all if it is negative. */
+  void tell(int peer, byte[] message);
 }
--- a/node/src/main/java/ferngrade/node/Timers.java
+++ b/node/src/main/java/ferngrade/node/Timers.java
@@ -3,84 +3,92 @@
 import java.util.NavigableSet;
 import java.util.TreeSet;
 
-/** All timers of a node, on its {@link Clock}. Something outside calls {@link #run} when the next is due. */
+/**
+ * All timers of a node, on its {@link Clock}. Something outside calls {@link #run} when the next is
+ * due.
+ */
 public final class Timers {
-    private final Clock clock;
-    private final Waker waker;
-    private final NavigableSet<Timer> queue = new TreeSet<>();
-    private long sequence;
-    private double wakeAt = Double.POSITIVE_INFINITY;
+  private final Clock clock;
+  private final Waker waker;
+  private final NavigableSet<Timer> queue = new TreeSet<>();
+  private long sequence;
+  private double wakeAt = Double.POSITIVE_INFINITY;
 
-    /** Calls back later, on the node's thread. */
-    @FunctionalInterface
-    public interface Waker {
-        /** Runs this after so many milliseconds; what was asked for before is run too, in its time. */
-        void wakeAfter(double millis, Runnable run);
-    }
-
-    /** One timer, which can be called off. */
-    public final class Timer implements Comparable<Timer> {
-        private final double due;
-        private final long order = sequence++;
-        private final Runnable task;
-
-        private Timer(double due, Runnable task) {
-            this.due = due;
-            this.task = task;
-        }
+  /** Calls back later, on the node's thread. */
+  @FunctionalInterface
+  public interface Waker {
+    /** Runs this after so many milliseconds; what was asked for before is run too, in its time. */
+    void wakeAfter(double millis, Runnable run);
+  }
 
-        /** Calls the timer off; no effect once it has run. */
-        public void cancel() {
-            queue.remove(this);
-        }
+  /** One timer, which can be called off. */
+  public final class Timer implements Comparable<Timer> {
+    private final double due;
+    private final long order = sequence++;
+    private final Runnable task;
 
-        @Override
-        public int compareTo(Timer other) {
-            int byTime = Double.compare(due, other.due);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
-        }
+    private Timer(double due, Runnable task) {
+      this.due = due;
+      this.task = task;
     }
 
-    /** Timers on this clock, woken by {@code waker}. */
-    public Timers(Clock clock, Waker waker) {
-        this.clock = clock;
-        this.waker = waker;
+    /** Calls the timer off; no effect once it has run. */
+    public void cancel() {
+      queue.remove(this);
     }
 
-    /** Runs the task after this many milliseconds, at once in the next {@link #run} if they are none. */
-    public Timer after(double millis, Runnable task) {
-        Timer timer = new Timer(clock.now() + Math.max(0, millis), task);
-        queue.add(timer);
-        wake();
-        return timer;
+    @Override
+    public int compareTo(Timer other) {
+      int byTime = Double.compare(due, other.due);
+      return byTime != 0 ? byTime : Long.compare(order, other.order);
     }
+  }
+
+  /** Timers on this clock, woken by {@code waker}. */
+  public Timers(Clock clock, Waker waker) {
+    this.clock = clock;
+    this.waker = waker;
+  }
+
+  /**
+   * Runs the task after this many milliseconds, at once in the next {@link #run} if they are none.
+   */
+  public Timer after(double millis, Runnable task) {
+    Timer timer = new Timer(clock.now() + Math.max(0, millis), task);
+    queue.add(timer);
+    wake();
+    return timer;
+  }
 
-    /** Runs everything that is due. A task set meanwhile waits for the next call, so that this one ends. */
-    public void run() {
-        wakeAt = Double.POSITIVE_INFINITY;
-        double now = clock.now();
-        long set = sequence;
-        while (!queue.isEmpty() && queue.first().due <= now && queue.first().order < set) {
-            queue.pollFirst().task.run();
-        }
-        wake();
+  /**
+   * Runs everything that is due. A task set meanwhile waits for the next call, so that this one
+   * ends.
+   */
+  public void run() {
+    wakeAt = Double.POSITIVE_INFINITY;
+    double now = clock.now();
+    long set = sequence;
+    while (!queue.isEmpty() && queue.first().due <= now && queue.first().order < set) {
+      queue.pollFirst().task.run();
     }
+    wake();
+  }
 
-    private void wake() {
-        if (!queue.isEmpty() && queue.first().due < wakeAt) {
-            double at = queue.first().due;
-            wakeAt = at;
-            waker.wakeAfter(Math.max(0, at - clock.now()), () -> woken(at));
-        }
+  private void wake() {
+    if (!queue.isEmpty() && queue.first().due < wakeAt) {
+      double at = queue.first().due;
+      wakeAt = at;
+      waker.wakeAfter(Math.max(0, at - clock.now()), () -> woken(at));
     }
+  }
 
-    /**
-     * A wake-up that an earlier one has overtaken does nothing: if each of them set up the next, their number would
-     * grow with every timer that is due before all others, and never fall.
-     */
-    private void woken(double at) {
-        if (at == wakeAt) {
-            run();
-        }
+  /**
+   * A wake-up that an earlier one has overtaken does nothing: if each of them set up the next,
+   * their number would grow with every timer that is due before all others, and never fall.
+   */
+  private void woken(double at) {
+    if (at == wakeAt) {
+      run();
     }
+  }
 }
--- a/node/src/main/java/ferngrade/wire/WireHost.java
+++ b/node/src/main/java/ferngrade/wire/WireHost.java
@@ -20,283 +20,284 @@
 
 /** Hosts decision modules behind the simulator's wire; it translates and decides nothing. */
 public final class WireHost {
-    private static final int LISTS = 16;
+  private static final int LISTS = 16;
 
-    private final WireReader in;
-    private final WireWriter out;
-    private final Map<String, Seat> seats = new HashMap<>();
-    private final List<List<Worker>> lists = new ArrayList<>();
-    private Seat seat;
-    private double now;
+  private final WireReader in;
+  private final WireWriter out;
+  private final Map<String, Seat> seats = new HashMap<>();
+  private final List<List<Worker>> lists = new ArrayList<>();
+  private Seat seat;
+  private double now;
 
-    /** One instance's place: its module, if it runs, and the way out for its actions. */
-    private static final class Seat {
-        private final WireWriter.Instance actions;
-        private Dispatcher module;
+  /** One instance's place: its module, if it runs, and the way out for its actions. */
+  private static final class Seat {
+    private final WireWriter.Instance actions;
+    private Dispatcher module;
 
-        Seat(WireWriter.Instance actions) {
-            this.actions = actions;
-        }
+    Seat(WireWriter.Instance actions) {
+      this.actions = actions;
     }
+  }
 
-    WireHost(InputStream in, OutputStream out) {
-        this.in = new WireReader(in);
-        this.out = new WireWriter(out);
-        for (int i = 0; i < LISTS; i++) {
-            lists.add(null);
-        }
+  WireHost(InputStream in, OutputStream out) {
+    this.in = new WireReader(in);
+    this.out = new WireWriter(out);
+    for (int i = 0; i < LISTS; i++) {
+      lists.add(null);
     }
+  }
 
-    /** Serves the wire on these streams until the input ends. */
-    public static void run(InputStream in, OutputStream out) throws IOException {
-        new WireHost(in, out).run();
-    }
+  /** Serves the wire on these streams until the input ends. */
+  public static void run(InputStream in, OutputStream out) throws IOException {
+    new WireHost(in, out).run();
+  }
 
-    void run() throws IOException {
-        boolean inBatch = false;
-        while (in.nextLine()) {
-            String message = in.message();
-            if (message.equals("BEGIN_BATCH")) {
-                if (inBatch) {
-                    throw in.wrong("BEGIN_BATCH inside a batch");
-                }
-                now = in.number("Clock");
-                inBatch = true;
-                seat = null;
-            } else if (message.isEmpty()) {
-                continue;
-            } else if (!inBatch) {
-                throw in.wrong(message + " outside a batch");
-            } else if (message.equals("FLUSH")) {
-                inBatch = false;
-                out.flush();
-            } else {
-                event(message);
-            }
-        }
+  void run() throws IOException {
+    boolean inBatch = false;
+    while (in.nextLine()) {
+      String message = in.message();
+      if (message.equals("BEGIN_BATCH")) {
         if (inBatch) {
-            throw in.wrong("the input ends inside a batch");
+          throw in.wrong("BEGIN_BATCH inside a batch");
         }
+        now = in.number("Clock");
+        inBatch = true;
+        seat = null;
+      } else if (message.isEmpty()) {
+        continue;
+      } else if (!inBatch) {
+        throw in.wrong(message + " outside a batch");
+      } else if (message.equals("FLUSH")) {
+        inBatch = false;
+        out.flush();
+      } else {
+        event(message);
+      }
     }
-
-    private void event(String message) throws IOException {
-        if (message.equals("ON")) {
-            seat = seats.computeIfAbsent(in.text("Who"), name -> new Seat(out.new Instance(name)));
-        } else if (message.equals("CENSUS")) {
-            census();
-        } else {
-            if (seat == null) {
-                throw in.wrong(message + " before any ON");
-            }
-            try {
-                addressed(message);
-            } catch (WireException malformed) {
-                throw malformed;
-            } catch (RuntimeException crash) {
-                StackTraceElement[] trace = crash.getStackTrace();
-                seat.actions.bailOut(message + ": " + crash + (trace.length > 0 ? " at " + trace[0] : ""));
-            }
-        }
+    if (inBatch) {
+      throw in.wrong("the input ends inside a batch");
     }
+  }
 
-    private void addressed(String message) {
-        switch (message) {
-            case "CONFIGURE" -> configure();
-            case "HALT" -> seat.module = null;
-            case "INGRESS" -> ingress();
-            case "UPDATE_OF" -> update();
-            case "RESOLVED" -> resolved();
-            case "BEGUN" -> {
-                String id = in.text("Id");
-                module().streaming(now, id, in.index("N"));
-            }
-            case "GONE" -> module().abandoned(now, in.text("Id"));
-            case "REMINDER" -> module().timer(now, in.whole("Token"));
-            case "MEMBERS" -> members();
-            case "HEARD" -> heard();
-            case "SAMPLED" -> sampled();
-            default -> { }
-        }
+  private void event(String message) throws IOException {
+    if (message.equals("ON")) {
+      seat = seats.computeIfAbsent(in.text("Who"), name -> new Seat(out.new Instance(name)));
+    } else if (message.equals("CENSUS")) {
+      census();
+    } else {
+      if (seat == null) {
+        throw in.wrong(message + " before any ON");
+      }
+      try {
+        addressed(message);
+      } catch (WireException malformed) {
+        throw malformed;
+      } catch (RuntimeException crash) {
+        StackTraceElement[] trace = crash.getStackTrace();
+        seat.actions.bailOut(message + ": " + crash + (trace.length > 0 ? " at " + trace[0] : ""));
+      }
     }
+  }
 
-    private Dispatcher module() {
-        if (seat.module == null) {
-            throw in.wrong(in.message() + " for an instance that does not run");
-        }
-        return seat.module;
+  private void addressed(String message) {
+    switch (message) {
+      case "CONFIGURE" -> configure();
+      case "HALT" -> seat.module = null;
+      case "INGRESS" -> ingress();
+      case "UPDATE_OF" -> update();
+      case "RESOLVED" -> resolved();
+      case "BEGUN" -> {
+        String id = in.text("Id");
+        module().streaming(now, id, in.index("N"));
+      }
+      case "GONE" -> module().abandoned(now, in.text("Id"));
+      case "REMINDER" -> module().timer(now, in.whole("Token"));
+      case "MEMBERS" -> members();
+      case "HEARD" -> heard();
+      case "SAMPLED" -> sampled();
+      default -> {}
     }
+  }
 
-    private void configure() {
-        long seed = in.whole("Entropy");
-        SettingsMapping settings = new SettingsMapping();
-        try {
-            for (String pair = in.text(); pair != null; pair = in.text()) {
-                settings.put(pair);
-            }
-            seat.module = new Choice(settings.build(), seed, now, seat.actions);
-        } catch (IllegalArgumentException invalid) {
-            throw in.wrong("Env", invalid.getMessage());
-        }
+  private Dispatcher module() {
+    if (seat.module == null) {
+      throw in.wrong(in.message() + " for an instance that does not run");
     }
+    return seat.module;
+  }
 
-    private void ingress() {
-        String id = in.text("Id");
-        int jobClass = in.index("Class");
-        int tenant = (int) in.whole("Customer", 0);
-        long object = in.whole("TargetKey", 0);
-        double due = in.number("Due");
-        double work = in.number("Predicted", 0);
-        double slots = in.number("CoresNeeded", 1);
-        double memory = in.number("Memory", 0);
-        long marks = in.whole("Attrs", 0);
-        try {
-            Job job = new Job(id, jobClass, tenant, due, (marks & 1) == 0 ? 0 : work, slots, memory,
-                    object);
-            module().arrived(now, job);
-        } catch (IllegalArgumentException invalid) {
-            throw in.wrong("fields", invalid.getMessage());
-        }
+  private void configure() {
+    long seed = in.whole("Entropy");
+    SettingsMapping settings = new SettingsMapping();
+    try {
+      for (String pair = in.text(); pair != null; pair = in.text()) {
+        settings.put(pair);
+      }
+      seat.module = new Choice(settings.build(), seed, now, seat.actions);
+    } catch (IllegalArgumentException invalid) {
+      throw in.wrong("Env", invalid.getMessage());
     }
+  }
 
-    private void update() {
-        String id = in.text("Id");
-        int attempt = in.index("N");
-        in.whole("Runner");
-        long sort = in.whole("Sort", 0);
-        double level = in.number("Level", 0);
-        if (sort == 1) {
-            module().started(now, id, attempt);
-        } else if (sort == 2) {
-            module().progressed(now, id, attempt, level);
-        }
+  private void ingress() {
+    String id = in.text("Id");
+    int jobClass = in.index("Class");
+    int tenant = (int) in.whole("Customer", 0);
+    long object = in.whole("TargetKey", 0);
+    double due = in.number("Due");
+    double work = in.number("Predicted", 0);
+    double slots = in.number("CoresNeeded", 1);
+    double memory = in.number("Memory", 0);
+    long marks = in.whole("Attrs", 0);
+    try {
+      Job job =
+          new Job(id, jobClass, tenant, due, (marks & 1) == 0 ? 0 : work, slots, memory, object);
+      module().arrived(now, job);
+    } catch (IllegalArgumentException invalid) {
+      throw in.wrong("fields", invalid.getMessage());
     }
+  }
 
-    private void resolved() {
-        String id = in.text("Id");
-        in.whole("Runner");
-        in.whole("Note", 0);
-        int attempt = in.index("N");
-        Outcome outcome = outcome();
-        double took = in.number("TimeTaken", 0);
-        boolean over = in.flag("Over");
-        module().ended(now, id, attempt, outcome, took, over, report());
+  private void update() {
+    String id = in.text("Id");
+    int attempt = in.index("N");
+    in.whole("Runner");
+    long sort = in.whole("Sort", 0);
+    double level = in.number("Level", 0);
+    if (sort == 1) {
+      module().started(now, id, attempt);
+    } else if (sort == 2) {
+      module().progressed(now, id, attempt, level);
     }
+  }
 
-    private void sampled() {
-        long worker = in.whole("Runner");
-        Outcome outcome = outcome();
-        module().checked(now, worker, outcome, in.number("TimeTaken", 0), report());
-    }
+  private void resolved() {
+    String id = in.text("Id");
+    in.whole("Runner");
+    in.whole("Note", 0);
+    int attempt = in.index("N");
+    Outcome outcome = outcome();
+    double took = in.number("TimeTaken", 0);
+    boolean over = in.flag("Over");
+    module().ended(now, id, attempt, outcome, took, over, report());
+  }
 
-    private Outcome outcome() {
-        String word = in.text("Reason");
-        return switch (word) {
-            case "ok" -> Outcome.OK;
-            case "error" -> Outcome.ERROR;
-            case "full" -> Outcome.FULL;
-            case "timeout" -> Outcome.TIMEOUT;
-            case "connect_failed" -> Outcome.CONNECT_FAILED;
-            case "reset" -> Outcome.RESET;
-            case "cancelled" -> Outcome.CANCELLED;
-            case "moot" -> Outcome.NEVER_SENT;
-            default -> throw in.wrong("Reason", "is unknown: " + word);
-        };
-    }
+  private void sampled() {
+    long worker = in.whole("Runner");
+    Outcome outcome = outcome();
+    module().checked(now, worker, outcome, in.number("TimeTaken", 0), report());
+  }
 
-    private Report report() {
-        String gauge = in.text();
-        if (gauge == null) {
-            return Report.NONE;
-        }
-        double slots = Double.NaN;
-        double memory = Double.NaN;
-        double queued = Double.NaN;
-        double held = Double.NaN;
-        for (String pair : gauge.split(",")) {
-            int colon = pair.indexOf(':');
-            String name = pair.substring(0, Math.max(colon, 0));
-            switch (name) {
-                case "x0" -> slots = gaugeValue(pair, colon);
-                case "x1" -> memory = gaugeValue(pair, colon);
-                case "pending" -> queued = gaugeValue(pair, colon);
-                case "busy_reqs" -> held = gaugeValue(pair, colon);
-                default -> { }
-            }
-        }
-        return new Report(slots, memory, queued, held);
-    }
+  private Outcome outcome() {
+    String word = in.text("Reason");
+    return switch (word) {
+      case "ok" -> Outcome.OK;
+      case "error" -> Outcome.ERROR;
+      case "full" -> Outcome.FULL;
+      case "timeout" -> Outcome.TIMEOUT;
+      case "connect_failed" -> Outcome.CONNECT_FAILED;
+      case "reset" -> Outcome.RESET;
+      case "cancelled" -> Outcome.CANCELLED;
+      case "moot" -> Outcome.NEVER_SENT;
+      default -> throw in.wrong("Reason", "is unknown: " + word);
+    };
+  }
 
-    private double gaugeValue(String pair, int colon) {
-        try {
-            return Double.parseDouble(pair.substring(colon + 1));
-        } catch (NumberFormatException notANumber) {
-            throw in.wrong("Gauge", "is not a number: " + pair);
-        }
+  private Report report() {
+    String gauge = in.text();
+    if (gauge == null) {
+      return Report.NONE;
     }
+    double slots = Double.NaN;
+    double memory = Double.NaN;
+    double queued = Double.NaN;
+    double held = Double.NaN;
+    for (String pair : gauge.split(",")) {
+      int colon = pair.indexOf(':');
+      String name = pair.substring(0, Math.max(colon, 0));
+      switch (name) {
+        case "x0" -> slots = gaugeValue(pair, colon);
+        case "x1" -> memory = gaugeValue(pair, colon);
+        case "pending" -> queued = gaugeValue(pair, colon);
+        case "busy_reqs" -> held = gaugeValue(pair, colon);
+        default -> {}
+      }
+    }
+    return new Report(slots, memory, queued, held);
+  }
 
-    private void census() throws IOException {
-        int ref = listNumber();
-        int count = in.index("Hosts");
-        List<Worker> workers = new ArrayList<>(Math.min(count, 4096));
-        for (int i = 0; i < count; i++) {
-            if (!in.nextLine() || !in.message().equals("ROW")) {
-                throw in.wrong("CENSUS of " + count + " entries has only " + i);
-            }
-            double startedAt = in.number("ReadyAt", 0);
-            State state = state(in.text("Status"));
-            int cell = (int) in.whole("Cohort", 0);
-            int kind = (int) in.whole("Kind", 0);
-            long id = in.whole("Runner");
-            int zone = (int) in.whole("Area", 0);
-            workers.add(new Worker(id, state, zone, kind, cell, startedAt, in.number("Weight", 1)));
-        }
-        lists.set(ref, workers);
+  private double gaugeValue(String pair, int colon) {
+    try {
+      return Double.parseDouble(pair.substring(colon + 1));
+    } catch (NumberFormatException notANumber) {
+      throw in.wrong("Gauge", "is not a number: " + pair);
     }
+  }
 
-    private State state(String word) {
-        return switch (word) {
-            case "Ready" -> State.READY;
-            case "Terminating" -> State.DRAINING;
-            case "Gone" -> State.GONE;
-            default -> throw in.wrong("Status", "is unknown: " + word);
-        };
+  private void census() throws IOException {
+    int ref = listNumber();
+    int count = in.index("Hosts");
+    List<Worker> workers = new ArrayList<>(Math.min(count, 4096));
+    for (int i = 0; i < count; i++) {
+      if (!in.nextLine() || !in.message().equals("ROW")) {
+        throw in.wrong("CENSUS of " + count + " entries has only " + i);
+      }
+      double startedAt = in.number("ReadyAt", 0);
+      State state = state(in.text("Status"));
+      int cell = (int) in.whole("Cohort", 0);
+      int kind = (int) in.whole("Kind", 0);
+      long id = in.whole("Runner");
+      int zone = (int) in.whole("Area", 0);
+      workers.add(new Worker(id, state, zone, kind, cell, startedAt, in.number("Weight", 1)));
     }
+    lists.set(ref, workers);
+  }
 
-    private int listNumber() {
-        int ref = in.index("Ref");
-        if (ref >= LISTS) {
-            throw in.wrong("Ref", "is out of range: " + ref);
-        }
-        return ref;
+  private State state(String word) {
+    return switch (word) {
+      case "Ready" -> State.READY;
+      case "Terminating" -> State.DRAINING;
+      case "Gone" -> State.GONE;
+      default -> throw in.wrong("Status", "is unknown: " + word);
+    };
+  }
+
+  private int listNumber() {
+    int ref = in.index("Ref");
+    if (ref >= LISTS) {
+      throw in.wrong("Ref", "is out of range: " + ref);
     }
+    return ref;
+  }
 
-    private void members() {
-        String mode = in.text("Mode");
-        in.whole("Version", 0);
-        if (mode.equals("Error")) {
-            module().listFailed(now);
-            return;
-        }
-        News news = switch (mode) {
-            case "Partial" -> News.CHANGES;
-            case "Complete" -> News.WHOLE;
-            case "Persisted" -> News.STORED;
-            default -> throw in.wrong("Mode", "is unknown: " + mode);
+  private void members() {
+    String mode = in.text("Mode");
+    in.whole("Version", 0);
+    if (mode.equals("Error")) {
+      module().listFailed(now);
+      return;
+    }
+    News news =
+        switch (mode) {
+          case "Partial" -> News.CHANGES;
+          case "Complete" -> News.WHOLE;
+          case "Persisted" -> News.STORED;
+          default -> throw in.wrong("Mode", "is unknown: " + mode);
         };
-        List<Worker> workers = lists.get(listNumber());
-        if (workers == null) {
-            throw in.wrong("Ref", "names a list that never came");
-        }
-        module().members(now, news, workers);
+    List<Worker> workers = lists.get(listNumber());
+    if (workers == null) {
+      throw in.wrong("Ref", "names a list that never came");
     }
+    module().members(now, news, workers);
+  }
 
-    private void heard() {
-        int from = in.index("Author");
-        String body = in.text();
-        try {
-            module().heard(now, from, body == null ? new byte[0] : Base64.getDecoder().decode(body));
-        } catch (IllegalArgumentException notBase64) {
-            throw in.wrong("Body", "is not base64");
-        }
+  private void heard() {
+    int from = in.index("Author");
+    String body = in.text();
+    try {
+      module().heard(now, from, body == null ? new byte[0] : Base64.getDecoder().decode(body));
+    } catch (IllegalArgumentException notBase64) {
+      throw in.wrong("Body", "is not base64");
     }
+  }
 }
--- a/node/src/main/java/ferngrade/wire/WireWriter.java
+++ b/node/src/main/java/ferngrade/wire/WireWriter.java
@@ -9,160 +9,160 @@
 
 /** Gathers the actions of all instances of one batch; {@link #flush} sends them as one reply. */
 final class WireWriter {
-    private final OutputStream out;
-    private byte[] buffer = new byte[1 << 16];
-    private int length;
-    private Instance current;
-
-    WireWriter(OutputStream out) {
-        this.out = out;
-    }
-
-    void flush() throws IOException {
-        put("NEXT\n");
-        out.write(buffer, 0, length);
-        out.flush();
-        length = 0;
-        current = null;
-    }
-
-    /** The actions of one instance, as lines below its CONTEXT line. */
-    final class Instance implements Actions {
-        private final String name;
-
-        Instance(String name) {
-            this.name = name;
-        }
-
-        @Override
-        public void send(String id, long worker, double timeout) {
-            begin("ISSUE ").put(id).space().put(worker).space().millis(timeout).line();
-        }
-
-        @Override
-        public void refuse(String id, double retryAfter) {
-            begin("PUSH_BACK ").put(id);
-            if (retryAfter > 0) {
-                space().millis(retryAfter);
-            }
-            line();
-        }
-
-        @Override
-        public void fail(String id) {
-            begin("FAIL ").put(id).line();
-        }
-
-        @Override
-        public void cancel(String id, int attempt) {
-            begin("REVOKE ").put(id).space().put(attempt).line();
-        }
-
-        @Override
-        public void check(long worker) {
-            begin("SOUND_OUT ").put(worker).line();
-        }
-
-        @Override
-        public void tell(int peer, byte[] message) {
-            String body = message.length == 0 ? "-" : Base64.getEncoder().encodeToString(message);
-            begin("SIGNAL ").put(peer).space().put(body).line();
-        }
-
-        @Override
-        public void timer(double after, long token) {
-            begin("WAKE_AT ").millis(after).space().put(token).line();
-        }
-
-        @Override
-        public void watch() {
-            begin("FOLLOW 1").line();
-        }
-
-        @Override
-        public void log(String text) {
-            begin("RECORD ").put(text.replace('\n', ' ').replace('\r', ' ')).line();
-        }
-
-        void bailOut(String text) {
-            begin("BAIL_OUT ").put(text.replace('\n', ' ').replace('\r', ' ')).line();
-        }
-
-        private WireWriter begin(String word) {
-            if (current != this) {
-                current = this;
-                put("CONTEXT ").put(name).line();
-            }
-            return put(word);
-        }
-    }
-
-    private WireWriter put(String text) {
-        int size = text.length();
-        room(size * 3);
-        for (int i = 0; i < size; i++) {
-            char c = text.charAt(i);
-            if (c >= 0x80) {
-                return rest(text.substring(i));
-            }
-            buffer[length++] = (byte) c;
-        }
-        return this;
-    }
-
-    private WireWriter rest(String text) {
-        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        room(bytes.length);
-        System.arraycopy(bytes, 0, buffer, length, bytes.length);
-        length += bytes.length;
-        return this;
-    }
-
-    private WireWriter put(long value) {
-        if (value < 0) {
-            return put(Long.toString(value));
-        }
-        room(20);
-        int digits = 1;
-        for (long rest = value; rest >= 10; rest /= 10) {
-            digits++;
-        }
-        long rest = value;
-        for (int i = length + digits - 1; i >= length; i--) {
-            buffer[i] = (byte) ('0' + rest % 10);
-            rest /= 10;
-        }
-        length += digits;
-        return this;
-    }
-
-    /** A time in ms with three decimals, the simulator's microsecond. */
-    private WireWriter millis(double value) {
-        long micros = Math.round(value * 1000);
-        if (micros < 0) {
-            return put(Double.toString(value));
-        }
-        put(micros / 1000);
-        long rest = micros % 1000;
-        room(4);
-        buffer[length++] = '.';
-        buffer[length++] = (byte) ('0' + rest / 100);
-        buffer[length++] = (byte) ('0' + rest / 10 % 10);
-        buffer[length++] = (byte) ('0' + rest % 10);
-        return this;
-    }
-
-    private WireWriter space() {
-        return put(" ");
-    }
-
-    private void line() {
-        put("\n");
-    }
-
-    private void room(int more) {
-        if (buffer.length - length < more) {
-            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + more));
-        }
+  private final OutputStream out;
+  private byte[] buffer = new byte[1 << 16];
+  private int length;
+  private Instance current;
+
+  WireWriter(OutputStream out) {
+    this.out = out;
+  }
+
+  void flush() throws IOException {
+    put("NEXT\n");
+    out.write(buffer, 0, length);
+    out.flush();
+    length = 0;
+    current = null;
+  }
+
+  /** The actions of one instance, as lines below its CONTEXT line. */
+  final class Instance implements Actions {
+    private final String name;
+
+    Instance(String name) {
+      this.name = name;
     }
+
+    @Override
+    public void send(String id, long worker, double timeout) {
+      begin("ISSUE ").put(id).space().put(worker).space().millis(timeout).line();
+    }
+
+    @Override
+    public void refuse(String id, double retryAfter) {
+      begin("PUSH_BACK ").put(id);
+      if (retryAfter > 0) {
+        space().millis(retryAfter);
+      }
+      line();
+    }
+
+    @Override
+    public void fail(String id) {
+      begin("FAIL ").put(id).line();
+    }
+
+    @Override
+    public void cancel(String id, int attempt) {
+      begin("REVOKE ").put(id).space().put(attempt).line();
+    }
+
+    @Override
+    public void check(long worker) {
+      begin("SOUND_OUT ").put(worker).line();
+    }
+
+    @Override
+    public void tell(int peer, byte[] message) {
+      String body = message.length == 0 ? "-" : Base64.getEncoder().encodeToString(message);
+      begin("SIGNAL ").put(peer).space().put(body).line();
+    }
+
+    @Override
+    public void timer(double after, long token) {
+      begin("WAKE_AT ").millis(after).space().put(token).line();
+    }
+
+    @Override
+    public void watch() {
+      begin("FOLLOW 1").line();
+    }
+
+    @Override
+    public void log(String text) {
+      begin("RECORD ").put(text.replace('\n', ' ').replace('\r', ' ')).line();
+    }
+
+    void bailOut(String text) {
+      begin("BAIL_OUT ").put(text.replace('\n', ' ').replace('\r', ' ')).line();
+    }
+
+    private WireWriter begin(String word) {
+      if (current != this) {
+        current = this;
+        put("CONTEXT ").put(name).line();
+      }
+      return put(word);
+    }
+  }
+
+  private WireWriter put(String text) {
+    int size = text.length();
+    room(size * 3);
+    for (int i = 0; i < size; i++) {
+      char c = text.charAt(i);
+      if (c >= 0x80) {
+        return rest(text.substring(i));
+      }
+      buffer[length++] = (byte) c;
+    }
+    return this;
+  }
+
+  private WireWriter rest(String text) {
+    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    room(bytes.length);
+    System.arraycopy(bytes, 0, buffer, length, bytes.length);
+    length += bytes.length;
+    return this;
+  }
+
+  private WireWriter put(long value) {
+    if (value < 0) {
+      return put(Long.toString(value));
+    }
+    room(20);
+    int digits = 1;
+    for (long rest = value; rest >= 10; rest /= 10) {
+      digits++;
+    }
+    long rest = value;
+    for (int i = length + digits - 1; i >= length; i--) {
+      buffer[i] = (byte) ('0' + rest % 10);
+      rest /= 10;
+    }
+    length += digits;
+    return this;
+  }
+
+  /** A time in ms with three decimals, the simulator's microsecond. */
+  private WireWriter millis(double value) {
+    long micros = Math.round(value * 1000);
+    if (micros < 0) {
+      return put(Double.toString(value));
+    }
+    put(micros / 1000);
+    long rest = micros % 1000;
+    room(4);
+    buffer[length++] = '.';
+    buffer[length++] = (byte) ('0' + rest / 100);
+    buffer[length++] = (byte) ('0' + rest / 10 % 10);
+    buffer[length++] = (byte) ('0' + rest % 10);
+    return this;
+  }
+
+  private WireWriter space() {
+    return put(" ");
+  }
+
+  private void line() {
+    put("\n");
+  }
+
+  private void room(int more) {
+    if (buffer.length - length < more) {
+      buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + more));
+    }
+  }
 }
--- a/node/src/test/java/ferngrade/cli/HandoverTest.java
+++ b/node/src/test/java/ferngrade/cli/HandoverTest.java
@@ -9,19 +9,21 @@
 import org.junit.jupiter.api.Test;
 
 class HandoverTest {
-    @Test
-    void withoutTheVariableTheNodeBindsItsOwnSocket() throws ConfigException {
-        assertNull(Handover.fromEnvironment(Map.of()).accepted());
-    }
+  @Test
+  void withoutTheVariableTheNodeBindsItsOwnSocket() throws ConfigException {
+    assertNull(Handover.fromEnvironment(Map.of()).accepted());
+  }
 
-    @Test
-    void aDescriptorThatIsNoListeningSocketEndsTheStartWithItsReason() {
-        // Under the test runner descriptor 0 is a pipe, not a socket.
-        ConfigException zero = assertThrows(ConfigException.class,
-                () -> Handover.fromEnvironment(Map.of("LB_ACCEPT_FD", "0")));
-        assertTrue(zero.getMessage().contains("not a listening TCP socket"), zero.getMessage());
-        ConfigException other = assertThrows(ConfigException.class,
-                () -> Handover.fromEnvironment(Map.of("LB_ACCEPT_FD", "3")));
-        assertTrue(other.getMessage().contains("only 0"), other.getMessage());
-    }
+  @Test
+  void aDescriptorThatIsNoListeningSocketEndsTheStartWithItsReason() {
+    // Under the test runner descriptor 0 is a pipe, not a socket.
+    ConfigException zero =
+        assertThrows(
+            ConfigException.class, () -> Handover.fromEnvironment(Map.of("LB_ACCEPT_FD", "0")));
+    assertTrue(zero.getMessage().contains("not a listening TCP socket"), zero.getMessage());
+    ConfigException other =
+        assertThrows(
+            ConfigException.class, () -> Handover.fromEnvironment(Map.of("LB_ACCEPT_FD", "3")));
+    assertTrue(other.getMessage().contains("only 0"), other.getMessage());
+  }
 }
--- a/node/src/test/java/ferngrade/cli/HangupTest.java
+++ b/node/src/test/java/ferngrade/cli/HangupTest.java
@@ -4,13 +4,13 @@
 
 /** The signal that asks for the configuration to be read anew. */
 public class HangupTest {
-    @Test(timeOut = 30_000)
-    public void signalIsToldEachTimeAndDoesNotEndTheProgram() throws Exception {
-        Hangup hangup = Hangup.caught();
-        for (int time = 0; time < 2; time++) {
-            String self = Long.toString(ProcessHandle.current().pid());
-            new ProcessBuilder("kill", "-HUP", self).start().waitFor();
-            hangup.await();
-        }
+  @Test(timeOut = 30_000)
+  public void signalIsToldEachTimeAndDoesNotEndTheProgram() throws Exception {
+    Hangup hangup = Hangup.caught();
+    for (int time = 0; time < 2; time++) {
+      String self = Long.toString(ProcessHandle.current().pid());
+      new ProcessBuilder("kill", "-HUP", self).start().waitFor();
+      hangup.await();
     }
+  }
 }
--- a/node/src/test/java/ferngrade/net/AdminStoriesTest.java
+++ b/node/src/test/java/ferngrade/net/AdminStoriesTest.java
@@ -33,355 +33,402 @@
 /** Stories of operators' calls to a whole node on loopback sockets. */
 @Test(timeOut = 30_000)
 public class AdminStoriesTest {
-    private static final GoldenFile GOLDEN = GoldenFile.open("admin-http.txt");
-    private static final String UNKNOWN_NEWS = "{\"id\":\"nobody\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"x\"}";
-    private ServerSocket worker;
-    private ServerSocket discovery;
-    private final List<NodeServer> nodes = new ArrayList<>();
+  private static final GoldenFile GOLDEN = GoldenFile.open("admin-http.txt");
+  private static final String UNKNOWN_NEWS =
+      "{\"id\":\"nobody\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"x\"}";
+  private ServerSocket worker;
+  private ServerSocket discovery;
+  private final List<NodeServer> nodes = new ArrayList<>();
 
-    @BeforeMethod
-    public void listen() throws IOException {
-        worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        worker.setSoTimeout(10_000);
-        discovery.setSoTimeout(10_000);
-    }
+  @BeforeMethod
+  public void listen() throws IOException {
+    worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    worker.setSoTimeout(10_000);
+    discovery.setSoTimeout(10_000);
+  }
 
-    @AfterMethod(alwaysRun = true)
-    public void end() throws Exception {
-        worker.close();
-        discovery.close();
-        for (NodeServer node : nodes) {
-            node.stop(0);
-        }
-        nodes.clear();
+  @AfterMethod(alwaysRun = true)
+  public void end() throws Exception {
+    worker.close();
+    discovery.close();
+    for (NodeServer node : nodes) {
+      node.stop(0);
     }
+    nodes.clear();
+  }
 
-    @Test
-    public void aCallCutAtEveryByteIsAnsweredWhole() throws Exception {
-        NodeServer node = start(NodeServer.Platform.NONE);
-        byte[] call = "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-        try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort())) {
-            OutputStream out = caller.getOutputStream();
-            for (byte each : call) {
-                out.write(each);
-                out.flush();
-            }
-            Message answer = new RawHttp(caller).read();
-            assertEquals(answer.status(), 200);
-            assertTrue(answer.body().contains("served.order=0\n"), answer.body());
-            assertTrue(answer.body().matches("(?s).*\nmenu_workers_known=[12]\n.*"), answer.body());
-            assertEquals(answer.headers().get("Connection"), "close");
-        }
+  @Test
+  public void aCallCutAtEveryByteIsAnsweredWhole() throws Exception {
+    NodeServer node = start(NodeServer.Platform.NONE);
+    byte[] call = "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    try (Socket caller =
+        new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort())) {
+      OutputStream out = caller.getOutputStream();
+      for (byte each : call) {
+        out.write(each);
+        out.flush();
+      }
+      Message answer = new RawHttp(caller).read();
+      assertEquals(answer.status(), 200);
+      assertTrue(answer.body().contains("served.order=0\n"), answer.body());
+      assertTrue(answer.body().matches("(?s).*\nmenu_workers_known=[12]\n.*"), answer.body());
+      assertEquals(answer.headers().get("Connection"), "close");
     }
+  }
 
-    @Test
-    public void silentCallersAreEndedAndCostNobodyElse() throws Exception {
-        NodeServer node = start(NodeServer.Platform.NONE);
-        List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 20; i++) {
-            silent.add(new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort()));
-        }
-        assertEquals(call(node, "GET /-/ready").status(), 200);
-        for (Socket each : silent) {
-            each.setSoTimeout(5_000);
-            // Ended by the node: the oldest as others came, the rest once their second was up.
-            assertEquals(each.getInputStream().read(), -1);
-            each.close();
-        }
+  @Test
+  public void silentCallersAreEndedAndCostNobodyElse() throws Exception {
+    NodeServer node = start(NodeServer.Platform.NONE);
+    List<Socket> silent = new ArrayList<>();
+    for (int i = 0; i < 20; i++) {
+      silent.add(new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort()));
     }
-
-    @Test
-    public void wrongCallsGetTheirNo() throws Exception {
-        NodeServer node = start(NodeServer.Platform.NONE);
-        assertEquals(call(node, "GET /-/nowhere").status(), 404);
-        assertEquals(call(node, "GET /-/menu-workers/s-1/explode").status(), 404);
-        assertEquals(call(node, "POST /-/metrics").status(), 405);
-        assertEquals(call(node, "GET /-/drain").status(), 405);
-        assertEquals(call(node, "GET /-/menu-workers/s-1/disable").status(), 405);
-        try (RawHttp caller = RawHttp.to(node.adminAddress())) {
-            assertEquals(caller.write("NONSENSE\r\n\r\n").read().status(), 400);
-            assertNull(caller.read());
-        }
+    assertEquals(call(node, "GET /-/ready").status(), 200);
+    for (Socket each : silent) {
+      each.setSoTimeout(5_000);
+      // Ended by the node: the oldest as others came, the rest once their second was up.
+      assertEquals(each.getInputStream().read(), -1);
+      each.close();
     }
+  }
 
-    @Test
-    public void twoCallsOutNeedOneBackAndUnknownWorkersAreOwedANo() throws Exception {
-        NodeServer node = start(NodeServer.Platform.NONE);
-        assertEquals(call(node, "POST /-/menu-workers/s-9/disable").status(), 404);
-        assertEquals(call(node, "POST /-/menu-workers/s-9/enable").status(), 404);
-        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
-        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
-        assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
-        // The only worker is out: the job is not sent to it.
-        try (RawHttp client = RawHttp.to(node.address())) {
-            assertEquals(client.write(RawHttp.message(job("a"), "")).read().status(), 503);
-        }
-        assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
-        String figures = call(node, "GET /-/metrics").body();
-        assertTrue(figures.contains("menu_workers_excluded=0\n"), figures);
-        assertTrue(figures.contains("refused.order=1\n"), figures);
+  @Test
+  public void wrongCallsGetTheirNo() throws Exception {
+    NodeServer node = start(NodeServer.Platform.NONE);
+    assertEquals(call(node, "GET /-/nowhere").status(), 404);
+    assertEquals(call(node, "GET /-/menu-workers/s-1/explode").status(), 404);
+    assertEquals(call(node, "POST /-/metrics").status(), 405);
+    assertEquals(call(node, "GET /-/drain").status(), 405);
+    assertEquals(call(node, "GET /-/menu-workers/s-1/disable").status(), 405);
+    try (RawHttp caller = RawHttp.to(node.adminAddress())) {
+      assertEquals(caller.write("NONSENSE\r\n\r\n").read().status(), 400);
+      assertNull(caller.read());
     }
+  }
 
-    @Test
-    public void drainEndsAKeptConnectionAfterItsJobAndResumeIsReadyAgain() throws Exception {
-        NodeServer node = start(NodeServer.Platform.NONE);
-        try (RawHttp client = RawHttp.to(node.address()); RawHttp idle = RawHttp.to(node.address())) {
-            assertEquals(idle.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status(), 200);
-            client.write(RawHttp.message(job("a"), ""));
-            RawHttp worked = new RawHttp(worker.accept());
-            worked.read();
-            assertEquals(call(node, "POST /-/drain").status(), 200);
-            assertEquals(call(node, "GET /-/ready").status(), 503);
-            worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(callBack(node.address(), "a"), 204);
-            // The one with a job ends behind its answer; the one that stood idle is ended too.
-            Message answer = client.read();
-            assertEquals(answer.status(), 200);
-            assertEquals(answer.headers().get("Connection"), "close");
-            assertNull(client.read());
-            assertNull(idle.read());
-            assertEquals(call(node, "POST /-/resume").status(), 200);
-            assertEquals(call(node, "GET /-/ready").status(), 200);
-        }
+  @Test
+  public void twoCallsOutNeedOneBackAndUnknownWorkersAreOwedANo() throws Exception {
+    NodeServer node = start(NodeServer.Platform.NONE);
+    assertEquals(call(node, "POST /-/menu-workers/s-9/disable").status(), 404);
+    assertEquals(call(node, "POST /-/menu-workers/s-9/enable").status(), 404);
+    assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+    assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+    assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+    // The only worker is out: the job is not sent to it.
+    try (RawHttp client = RawHttp.to(node.address())) {
+      assertEquals(client.write(RawHttp.message(job("a"), "")).read().status(), 503);
     }
+    assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
+    String figures = call(node, "GET /-/metrics").body();
+    assertTrue(figures.contains("menu_workers_excluded=0\n"), figures);
+    assertTrue(figures.contains("refused.order=1\n"), figures);
+  }
 
-    @Test
-    public void resumeBeforeTheDrainHasSettledKeepsConnectionsAgain() throws Exception {
-        NodeServer node = start(NodeServer.Platform.NONE);
-        try (RawHttp client = RawHttp.to(node.address())) {
-            assertEquals(call(node, "POST /-/drain").status(), 200);
-            assertEquals(call(node, "POST /-/resume").status(), 200);
-            assertEquals(call(node, "GET /-/ready").status(), 200);
-            client.write(RawHttp.message(job("a"), ""));
-            RawHttp worked = new RawHttp(worker.accept());
-            worked.read();
-            worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-            assertEquals(callBack(node.address(), "a"), 204);
-            Message answer = client.read();
-            assertEquals(answer.status(), 200);
-            assertNull(answer.headers().get("Connection"));
-            assertEquals(client.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status(), 200);
-        }
+  @Test
+  public void drainEndsAKeptConnectionAfterItsJobAndResumeIsReadyAgain() throws Exception {
+    NodeServer node = start(NodeServer.Platform.NONE);
+    try (RawHttp client = RawHttp.to(node.address());
+        RawHttp idle = RawHttp.to(node.address())) {
+      assertEquals(idle.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status(), 200);
+      client.write(RawHttp.message(job("a"), ""));
+      RawHttp worked = new RawHttp(worker.accept());
+      worked.read();
+      assertEquals(call(node, "POST /-/drain").status(), 200);
+      assertEquals(call(node, "GET /-/ready").status(), 503);
+      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+      assertEquals(callBack(node.address(), "a"), 204);
+      // The one with a job ends behind its answer; the one that stood idle is ended too.
+      Message answer = client.read();
+      assertEquals(answer.status(), 200);
+      assertEquals(answer.headers().get("Connection"), "close");
+      assertNull(client.read());
+      assertNull(idle.read());
+      assertEquals(call(node, "POST /-/resume").status(), 200);
+      assertEquals(call(node, "GET /-/ready").status(), 200);
     }
+  }
 
-    @Test
-    public void maintenancePassesToTheNextProcessOnTheSocketHandedOver() throws Exception {
-        Path folder = Files.createTempDirectory("handover");
-        ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
-                InetAddress.getLoopbackAddress(), 0));
-        NodeServer old = start(new NodeServer.Platform(clients, folder));
-        assertEquals(call(old, "POST /-/menu-workers/s-1/disable").status(), 200);
-        NodeServer next = start(new NodeServer.Platform(clients, folder));
-        assertTrue(call(next, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
-        // A call-back that the process which gets it never had is handed to the other one, which says it has none
-        // either: the worker is told that it was taken, and tries no more.
-        assertEquals(callBack(next.address(), "nobody"), 204);
-        // The other process says no to one that it did not have.
-        try (RawHttp caller = RawHttp.to(old.adminAddress())) {
-            assertEquals(caller.write(RawHttp.message("POST /-/news HTTP/1.1", UNKNOWN_NEWS)).read().status(), 404);
-        }
+  @Test
+  public void resumeBeforeTheDrainHasSettledKeepsConnectionsAgain() throws Exception {
+    NodeServer node = start(NodeServer.Platform.NONE);
+    try (RawHttp client = RawHttp.to(node.address())) {
+      assertEquals(call(node, "POST /-/drain").status(), 200);
+      assertEquals(call(node, "POST /-/resume").status(), 200);
+      assertEquals(call(node, "GET /-/ready").status(), 200);
+      client.write(RawHttp.message(job("a"), ""));
+      RawHttp worked = new RawHttp(worker.accept());
+      worked.read();
+      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+      assertEquals(callBack(node.address(), "a"), 204);
+      Message answer = client.read();
+      assertEquals(answer.status(), 200);
+      assertNull(answer.headers().get("Connection"));
+      assertEquals(client.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status(), 200);
     }
+  }
 
-    @Test
-    public void aCallBackThatCannotBeHandedOnComesAgain() throws Exception {
-        Path folder = Files.createTempDirectory("gone");
-        int gone;
-        try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            gone = closed.getLocalPort();
-        }
-        Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + gone);
-        ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
-                InetAddress.getLoopbackAddress(), 0));
-        NodeServer node = start(new NodeServer.Platform(clients, folder));
-        try (RawHttp caller = RawHttp.to(node.address())) {
-            Message answer = caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_NEWS)).read();
-            assertEquals(answer.status(), 503);
-            assertEquals(answer.headers().get("Connection"), "close");
-        }
+  @Test
+  public void maintenancePassesToTheNextProcessOnTheSocketHandedOver() throws Exception {
+    Path folder = Files.createTempDirectory("handover");
+    ServerSocketChannel clients =
+        ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    NodeServer old = start(new NodeServer.Platform(clients, folder));
+    assertEquals(call(old, "POST /-/menu-workers/s-1/disable").status(), 200);
+    NodeServer next = start(new NodeServer.Platform(clients, folder));
+    assertTrue(call(next, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+    // A call-back that the process which gets it never had is handed to the other one, which says
+    // it has none
+    // either: the worker is told that it was taken, and tries no more.
+    assertEquals(callBack(next.address(), "nobody"), 204);
+    // The other process says no to one that it did not have.
+    try (RawHttp caller = RawHttp.to(old.adminAddress())) {
+      assertEquals(
+          caller.write(RawHttp.message("POST /-/news HTTP/1.1", UNKNOWN_NEWS)).read().status(),
+          404);
     }
+  }
 
-    @Test
-    public void aTornFileOfAnEarlierProcessIsLeftAside() throws Exception {
-        Path folder = Files.createTempDirectory("torn");
-        Files.writeString(folder.resolve("ferngrade-maintenance.json"), "{\"out\":[\"s-1\"");
-        NodeServer node = start(new NodeServer.Platform(null, folder));
-        assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=0\n"));
-        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
-        assertEquals(Files.readString(folder.resolve("ferngrade-maintenance.json")), "{\"out\":[\"s-1\"],\"back\":{}}");
+  @Test
+  public void aCallBackThatCannotBeHandedOnComesAgain() throws Exception {
+    Path folder = Files.createTempDirectory("gone");
+    int gone;
+    try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      gone = closed.getLocalPort();
     }
-
-    @Test
-    public void changeThatIsNotStoredIsOwedANoAndHoldsAndIsStoredOnceTheDiskWorksAgain() throws Exception {
-        Path folder = Files.createTempDirectory("fails");
-        NodeServer node = start(new NodeServer.Platform(null, folder));
-        Files.delete(folder);
-        Message answer = call(node, "POST /-/menu-workers/s-1/disable");
-        assertEquals(answer.status(), 503);
-        assertEquals(answer.body(), "taken out: s-1, in this process only: not stored yet, a later process may not know of it\n");
-        assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
-        // Stored without another call.
-        Files.createDirectory(folder);
-        while (!Files.exists(folder.resolve("ferngrade-maintenance.json"))) {
-            Thread.onSpinWait();
-        }
-        NodeServer next = start(new NodeServer.Platform(null, folder));
-        assertTrue(call(next, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+    Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + gone);
+    ServerSocketChannel clients =
+        ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    NodeServer node = start(new NodeServer.Platform(clients, folder));
+    try (RawHttp caller = RawHttp.to(node.address())) {
+      Message answer =
+          caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_NEWS)).read();
+      assertEquals(answer.status(), 503);
+      assertEquals(answer.headers().get("Connection"), "close");
     }
+  }
+
+  @Test
+  public void aTornFileOfAnEarlierProcessIsLeftAside() throws Exception {
+    Path folder = Files.createTempDirectory("torn");
+    Files.writeString(folder.resolve("ferngrade-maintenance.json"), "{\"out\":[\"s-1\"");
+    NodeServer node = start(new NodeServer.Platform(null, folder));
+    assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=0\n"));
+    assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+    assertEquals(
+        Files.readString(folder.resolve("ferngrade-maintenance.json")),
+        "{\"out\":[\"s-1\"],\"back\":{}}");
+  }
 
-    @Test
-    public void yesComesOnlyOnceTheFolderIsSyncedAndWithinTheSecondThatACallerWaitsANo() throws Exception {
-        assertTrue(Admin.STORE_TIMEOUT + 150 < 1000, "with a node that is held up meanwhile");
-        FaultyFileOperations files = new FaultyFileOperations();
-        NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
-        files.fail(Operation.SYNC_FOLDER, FaultyFileOperations.error("Input/output error"));
-        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 503);
-        files.heal();
-        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
-        assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
+  @Test
+  public void changeThatIsNotStoredIsOwedANoAndHoldsAndIsStoredOnceTheDiskWorksAgain()
+      throws Exception {
+    Path folder = Files.createTempDirectory("fails");
+    NodeServer node = start(new NodeServer.Platform(null, folder));
+    Files.delete(folder);
+    Message answer = call(node, "POST /-/menu-workers/s-1/disable");
+    assertEquals(answer.status(), 503);
+    assertEquals(
+        answer.body(),
+        "taken out: s-1, in this process only: not stored yet, a later process may not know of"
+            + " it\n");
+    assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+    // Stored without another call.
+    Files.createDirectory(folder);
+    while (!Files.exists(folder.resolve("ferngrade-maintenance.json"))) {
+      Thread.onSpinWait();
     }
+    NodeServer next = start(new NodeServer.Platform(null, folder));
+    assertTrue(call(next, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+  }
 
-    @Test
-    public void diskThatFailsForAMomentIsNoReasonForANo() throws Exception {
-        FaultyFileOperations files = new FaultyFileOperations();
-        NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
-        files.fail(Operation.SYNC_FOLDER, () -> {
-            files.heal();
-            throw new FileSystemException("Input/output error");
+  @Test
+  public void yesComesOnlyOnceTheFolderIsSyncedAndWithinTheSecondThatACallerWaitsANo()
+      throws Exception {
+    assertTrue(Admin.STORE_TIMEOUT + 150 < 1000, "with a node that is held up meanwhile");
+    FaultyFileOperations files = new FaultyFileOperations();
+    NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
+    files.fail(Operation.SYNC_FOLDER, FaultyFileOperations.error("Input/output error"));
+    assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 503);
+    files.heal();
+    assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+    assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
+  }
+
+  @Test
+  public void diskThatFailsForAMomentIsNoReasonForANo() throws Exception {
+    FaultyFileOperations files = new FaultyFileOperations();
+    NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
+    files.fail(
+        Operation.SYNC_FOLDER,
+        () -> {
+          files.heal();
+          throw new FileSystemException("Input/output error");
         });
-        assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
-        assertEquals(files.failures(), 1);
-    }
+    assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+    assertEquals(files.failures(), 1);
+  }
 
-    @Test
-    public void adminAddressIsStoredOnceTheDiskWorksAgain() throws Exception {
-        FaultyFileOperations files = new FaultyFileOperations();
-        files.fail(Operation.CREATE, FaultyFileOperations.error("No space left on device"));
-        ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
-                InetAddress.getLoopbackAddress(), 0));
-        NodeServer node = start(new NodeServer.Platform(clients, Path.of("/state"), files));
-        while (files.failures() < 2) {
-            Thread.onSpinWait();
-        }
-        files.heal();
-        String own = "127.0.0.1:" + node.adminAddress().getPort();
-        while (!own.equals(adminFile(files))) {
-            Thread.onSpinWait();
-        }
+  @Test
+  public void adminAddressIsStoredOnceTheDiskWorksAgain() throws Exception {
+    FaultyFileOperations files = new FaultyFileOperations();
+    files.fail(Operation.CREATE, FaultyFileOperations.error("No space left on device"));
+    ServerSocketChannel clients =
+        ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    NodeServer node = start(new NodeServer.Platform(clients, Path.of("/state"), files));
+    while (files.failures() < 2) {
+      Thread.onSpinWait();
     }
-
-    private static String adminFile(FaultyFileOperations files) throws IOException {
-        try {
-            return new String(files.read(Path.of("/state/ferngrade-admin.txt")), StandardCharsets.UTF_8);
-        } catch (NoSuchFileException none) {
-            return null;
-        }
+    files.heal();
+    String own = "127.0.0.1:" + node.adminAddress().getPort();
+    while (!own.equals(adminFile(files))) {
+      Thread.onSpinWait();
     }
+  }
 
-    @Test
-    public void filesTornAtAnyByteAreNoReasonNotToStart() throws Exception {
-        Path folder = Files.createTempDirectory("torn");
-        String saved = "{\"out\":[\"s-1\"],\"back\":{\"s-2\":900}}";
-        String admin = "127.0.0.1:9600";
-        ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
-                InetAddress.getLoopbackAddress(), 0));
-        for (int length = 0; length < saved.length(); length += 5) {
-            Files.writeString(folder.resolve("ferngrade-maintenance.json"), saved.substring(0, length));
-            Files.writeString(folder.resolve("ferngrade-admin.txt"), admin.substring(0, Math.min(length, admin.length())));
-            NodeServer node = start(new NodeServer.Platform(clients, folder));
-            assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=0\n"), "at byte " + length);
-        }
+  private static String adminFile(FaultyFileOperations files) throws IOException {
+    try {
+      return new String(files.read(Path.of("/state/ferngrade-admin.txt")), StandardCharsets.UTF_8);
+    } catch (NoSuchFileException none) {
+      return null;
     }
+  }
 
-    private static Message call(NodeServer node, String line) throws IOException {
-        try (RawHttp caller = RawHttp.to(node.adminAddress())) {
-            return caller.write(line + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n").read();
-        }
+  @Test
+  public void filesTornAtAnyByteAreNoReasonNotToStart() throws Exception {
+    Path folder = Files.createTempDirectory("torn");
+    String saved = "{\"out\":[\"s-1\"],\"back\":{\"s-2\":900}}";
+    String admin = "127.0.0.1:9600";
+    ServerSocketChannel clients =
+        ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    for (int length = 0; length < saved.length(); length += 5) {
+      Files.writeString(folder.resolve("ferngrade-maintenance.json"), saved.substring(0, length));
+      Files.writeString(
+          folder.resolve("ferngrade-admin.txt"),
+          admin.substring(0, Math.min(length, admin.length())));
+      NodeServer node = start(new NodeServer.Platform(clients, folder));
+      assertTrue(
+          call(node, "GET /-/metrics").body().contains("menu_workers_excluded=0\n"),
+          "at byte " + length);
     }
+  }
 
-    private static int callBack(InetSocketAddress address, String id) throws IOException {
-        try (RawHttp caller = RawHttp.to(address)) {
-            String body = "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"soup\"}";
-            return caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", body)).read().status();
-        }
+  private static Message call(NodeServer node, String line) throws IOException {
+    try (RawHttp caller = RawHttp.to(node.adminAddress())) {
+      return caller.write(line + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n").read();
     }
+  }
 
-    private NodeServer start(NodeServer.Platform platform) throws Exception {
-        if (!nodes.isEmpty()) {
-            // Each node has a discovery of its own: a silent watch of an earlier one is opened anew meanwhile.
-            discovery.close();
-            discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-            discovery.setSoTimeout(10_000);
-        }
-        Clock clock = Clock.system();
-        NodeServer node = NodeServer.start(config(), platform, clock, new Log(clock, line -> { }));
-        nodes.add(node);
-        RawHttp watch = new RawHttp(discovery.accept());
-        watch.read();
-        String list = "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"s-1\",\"host_port\":"
-                + "\"127.0.0.1:" + worker.getLocalPort() + "\",\"locality\":\"z\",\"flavor\":\"k\",\"phase\":\"active\"},"
-                + "{\"id\":\"s-2\",\"host_port\":7,\"phase\":\"active\"}]}\n";
-        watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeStory.chunk(list));
-        while (!call(node, "GET /-/metrics").body().contains("menu_workers_known=1\n")) {
-            Thread.onSpinWait();
-        }
-        return node;
+  private static int callBack(InetSocketAddress address, String id) throws IOException {
+    try (RawHttp caller = RawHttp.to(address)) {
+      String body =
+          "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"soup\"}";
+      return caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", body)).read().status();
     }
+  }
 
-    private NodeConfig config() throws Exception {
-        String config = "{'name':'n0','listen':'127.0.0.1:0','admin':'127.0.0.1:0','discovery':'127.0.0.1:"
-                + discovery.getLocalPort() + "','seed':'7','limits':{'sockets':64},'settings':{'Zones':['z'],"
-                + "'Kinds':['k'],'Tenants':[{'Name':'t','Share':1}],'Extra':{'TellsStart':true},"
-                + "'Ceilings':{'MostTries':5,'RetryAfter':true,'MaxRetryAfter':2000},"
-                + "'Classes':[{'Name':'order','Effect':'at_most_once','Deadline':9000.0}]}}";
-        var json = Json.parse(config.replace('\'', '"')).asObject();
-        return NodeConfig.read(json);
+  private NodeServer start(NodeServer.Platform platform) throws Exception {
+    if (!nodes.isEmpty()) {
+      // Each node has a discovery of its own: a silent watch of an earlier one is opened anew
+      // meanwhile.
+      discovery.close();
+      discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+      discovery.setSoTimeout(10_000);
     }
-
-    private static String job(String id) {
-        return "POST /api HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\nReq-Owner: t\r\nReq-Deadline: 9000m";
+    Clock clock = Clock.system();
+    NodeServer node = NodeServer.start(config(), platform, clock, new Log(clock, line -> {}));
+    nodes.add(node);
+    RawHttp watch = new RawHttp(discovery.accept());
+    watch.read();
+    String list =
+        "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"s-1\",\"host_port\":"
+            + "\"127.0.0.1:"
+            + worker.getLocalPort()
+            + "\",\"locality\":\"z\",\"flavor\":\"k\",\"phase\":\"active\"},"
+            + "{\"id\":\"s-2\",\"host_port\":7,\"phase\":\"active\"}]}\n";
+    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeStory.chunk(list));
+    while (!call(node, "GET /-/metrics").body().contains("menu_workers_known=1\n")) {
+      Thread.onSpinWait();
     }
+    return node;
+  }
 
-    @Test
-    public void answersHaveTheRecordedBytes() throws Exception {
-        NodeServer node = start(NodeServer.Platform.NONE);
-        String[] calls = {"GET /-/ready", "GET /-/metrics", "POST /-/menu-workers/s-1/disable", "GET /-/metrics",
-            "POST /-/menu-workers/s-1/enable", "POST /-/menu-workers/s-9/enable", "GET /-/drain", "GET /-/nowhere",
-            "POST /-/drain", "GET /-/ready", "POST /-/resume", "POST /-/sibling", "POST /-/news"};
-        for (int i = 0; i < calls.length; i++) {
-            try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort())) {
-                RawBytes.write(caller, calls[i] + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-                GOLDEN.verifyLines(String.format("%02d-%s", i, calls[i].replace(' ', '-')), RawBytes.read(caller));
-            }
-        }
+  private NodeConfig config() throws Exception {
+    String config =
+        "{'name':'n0','listen':'127.0.0.1:0','admin':'127.0.0.1:0','discovery':'127.0.0.1:"
+            + discovery.getLocalPort()
+            + "','seed':'7','limits':{'sockets':64},'settings':{'Zones':['z'],"
+            + "'Kinds':['k'],'Tenants':[{'Name':'t','Share':1}],'Extra':{'TellsStart':true},"
+            + "'Ceilings':{'MostTries':5,'RetryAfter':true,'MaxRetryAfter':2000},"
+            + "'Classes':[{'Name':'order','Effect':'at_most_once','Deadline':9000.0}]}}";
+    var json = Json.parse(config.replace('\'', '"')).asObject();
+    return NodeConfig.read(json);
+  }
+
+  private static String job(String id) {
+    return "POST /api HTTP/1.1\r\nReq-Id: "
+        + id
+        + "\r\nReq-Kind: order\r\nReq-Owner: t\r\nReq-Deadline: 9000m";
+  }
+
+  @Test
+  public void answersHaveTheRecordedBytes() throws Exception {
+    NodeServer node = start(NodeServer.Platform.NONE);
+    String[] calls = {
+      "GET /-/ready",
+      "GET /-/metrics",
+      "POST /-/menu-workers/s-1/disable",
+      "GET /-/metrics",
+      "POST /-/menu-workers/s-1/enable",
+      "POST /-/menu-workers/s-9/enable",
+      "GET /-/drain",
+      "GET /-/nowhere",
+      "POST /-/drain",
+      "GET /-/ready",
+      "POST /-/resume",
+      "POST /-/sibling",
+      "POST /-/news"
+    };
+    for (int i = 0; i < calls.length; i++) {
+      try (Socket caller =
+          new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort())) {
+        RawBytes.write(caller, calls[i] + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+        GOLDEN.verifyLines(
+            String.format("%02d-%s", i, calls[i].replace(' ', '-')), RawBytes.read(caller));
+      }
     }
+  }
 
-    @Test
-    public void callsBetweenTwoProcessesOfANodeAndTheirFilesHaveTheRecordedForms() throws Exception {
-        Path folder = Files.createTempDirectory("recorded");
-        try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + other.getLocalPort());
-            Files.writeString(folder.resolve("ferngrade-maintenance.json"), "{\"out\":[\"s-1\"],\"back\":{\"s-3\":1.5E12}}");
-            ServerSocketChannel clients = ServerSocketChannel.open().bind(new InetSocketAddress(
-                    InetAddress.getLoopbackAddress(), 0));
-            NodeServer node = start(new NodeServer.Platform(clients, folder));
-            try (Socket told = other.accept()) {
-                GOLDEN.verifyLines("handover-address", RawBytes.read(told));
-            }
-            try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), node.address().getPort())) {
-                RawBytes.write(caller, RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_NEWS));
-                try (Socket relayed = other.accept()) {
-                    GOLDEN.verifyLines("handover-call-back", RawBytes.read(relayed));
-                }
-            }
-            // Written on a thread of its own, synced and renamed; a story that waits in vain is ended.
-            String own = "127.0.0.1:" + node.adminAddress().getPort();
-            while (!Files.readString(folder.resolve("ferngrade-admin.txt")).equals(own)) {
-                Thread.onSpinWait();
-            }
-            assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
-            assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
-            GOLDEN.verify("maintenance-file", Files.readString(folder.resolve("ferngrade-maintenance.json")));
+  @Test
+  public void callsBetweenTwoProcessesOfANodeAndTheirFilesHaveTheRecordedForms() throws Exception {
+    Path folder = Files.createTempDirectory("recorded");
+    try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+      Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + other.getLocalPort());
+      Files.writeString(
+          folder.resolve("ferngrade-maintenance.json"),
+          "{\"out\":[\"s-1\"],\"back\":{\"s-3\":1.5E12}}");
+      ServerSocketChannel clients =
+          ServerSocketChannel.open()
+              .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      NodeServer node = start(new NodeServer.Platform(clients, folder));
+      try (Socket told = other.accept()) {
+        GOLDEN.verifyLines("handover-address", RawBytes.read(told));
+      }
+      try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), node.address().getPort())) {
+        RawBytes.write(caller, RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_NEWS));
+        try (Socket relayed = other.accept()) {
+          GOLDEN.verifyLines("handover-call-back", RawBytes.read(relayed));
         }
+      }
+      // Written on a thread of its own, synced and renamed; a story that waits in vain is ended.
+      String own = "127.0.0.1:" + node.adminAddress().getPort();
+      while (!Files.readString(folder.resolve("ferngrade-admin.txt")).equals(own)) {
+        Thread.onSpinWait();
+      }
+      assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+      assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
+      GOLDEN.verify(
+          "maintenance-file", Files.readString(folder.resolve("ferngrade-maintenance.json")));
     }
+  }
 }
--- a/node/src/test/java/ferngrade/net/FaultOriginTest.java
+++ b/node/src/test/java/ferngrade/net/FaultOriginTest.java
@@ -16,38 +16,49 @@
 
 /** Whose fault an error is, by the types and texts that the runtime and Netty give it. */
 public class FaultOriginTest {
-    @DataProvider
-    public Object[][] errors() {
-        return new Object[][] {
-            {Errno.EADDRNOTAVAIL.ofConnect(), FaultOrigin.LOCAL},
-            {Errno.ENETUNREACH.ofConnect(), FaultOrigin.LOCAL},
-            {Errno.ENOBUFS.ofTransfer(), FaultOrigin.LOCAL},
-            {Errno.ENOMEM.ofTransfer(), FaultOrigin.LOCAL},
-            {new ChannelException("Failed to open a socket.", Errno.EMFILE.ofConnect()), FaultOrigin.LOCAL},
-            {new ChannelException("Failed to open a socket.", Errno.ENFILE.ofConnect()), FaultOrigin.LOCAL},
-            // As Netty adds the address to what a dial fails by.
-            {new SocketException("Cannot assign requested address: /127.0.0.1:9"), FaultOrigin.LOCAL},
-            {new ConnectException("Connection refused: /127.0.0.1:9"), FaultOrigin.PEER},
-            {new ConnectTimeoutException("connection timed out after 100 ms: /127.0.0.1:9"), FaultOrigin.PEER},
-            {Errno.ETIMEDOUT.ofConnect(), FaultOrigin.PEER},
-            {Errno.EHOSTUNREACH.ofConnect(), FaultOrigin.PEER},
-            {Errno.ETIMEDOUT.ofTransfer(), FaultOrigin.UNKNOWN},
-            {Errno.EHOSTUNREACH.ofTransfer(), FaultOrigin.UNKNOWN},
-            {Errno.ECONNRESET.ofTransfer(), FaultOrigin.UNKNOWN},
-            {new IOException((String) null), FaultOrigin.UNKNOWN},
-            {new IllegalStateException("Too many open files, says a program"), FaultOrigin.UNKNOWN},
-            {null, FaultOrigin.UNKNOWN},
-        };
-    }
+  @DataProvider
+  public Object[][] errors() {
+    return new Object[][] {
+      {Errno.EADDRNOTAVAIL.ofConnect(), FaultOrigin.LOCAL},
+      {Errno.ENETUNREACH.ofConnect(), FaultOrigin.LOCAL},
+      {Errno.ENOBUFS.ofTransfer(), FaultOrigin.LOCAL},
+      {Errno.ENOMEM.ofTransfer(), FaultOrigin.LOCAL},
+      {
+        new ChannelException("Failed to open a socket.", Errno.EMFILE.ofConnect()),
+        FaultOrigin.LOCAL
+      },
+      {
+        new ChannelException("Failed to open a socket.", Errno.ENFILE.ofConnect()),
+        FaultOrigin.LOCAL
+      },
+      // As Netty adds the address to what a dial fails by.
+      {new SocketException("Cannot assign requested address: /127.0.0.1:9"), FaultOrigin.LOCAL},
+      {new ConnectException("Connection refused: /127.0.0.1:9"), FaultOrigin.PEER},
+      {
+        new ConnectTimeoutException("connection timed out after 100 ms: /127.0.0.1:9"),
+        FaultOrigin.PEER
+      },
+      {Errno.ETIMEDOUT.ofConnect(), FaultOrigin.PEER},
+      {Errno.EHOSTUNREACH.ofConnect(), FaultOrigin.PEER},
+      {Errno.ETIMEDOUT.ofTransfer(), FaultOrigin.UNKNOWN},
+      {Errno.EHOSTUNREACH.ofTransfer(), FaultOrigin.UNKNOWN},
+      {Errno.ECONNRESET.ofTransfer(), FaultOrigin.UNKNOWN},
+      {new IOException((String) null), FaultOrigin.UNKNOWN},
+      {new IllegalStateException("Too many open files, says a program"), FaultOrigin.UNKNOWN},
+      {null, FaultOrigin.UNKNOWN},
+    };
+  }
 
-    @Test(dataProvider = "errors")
-    public void errorIsSortedByItsTypeAndText(Throwable error, FaultOrigin origin) {
-        assertEquals(FaultOrigin.of(error), origin);
-    }
+  @Test(dataProvider = "errors")
+  public void errorIsSortedByItsTypeAndText(Throwable error, FaultOrigin origin) {
+    assertEquals(FaultOrigin.of(error), origin);
+  }
 
-    @Test
-    public void addressInUseIsNoPassingLack() {
-        assertFalse(FaultOrigin.isPassingLack(new ExecutionException(new BindException("Address already in use"))));
-        assertTrue(FaultOrigin.isPassingLack(new ExecutionException(Errno.EMFILE.ofConnect())));
-    }
+  @Test
+  public void addressInUseIsNoPassingLack() {
+    assertFalse(
+        FaultOrigin.isPassingLack(
+            new ExecutionException(new BindException("Address already in use"))));
+    assertTrue(FaultOrigin.isPassingLack(new ExecutionException(Errno.EMFILE.ofConnect())));
+  }
 }
--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -15,139 +15,169 @@
 
 /** A whole node on loopback sockets, against a worker and a discovery that the story speaks for. */
 abstract class NodeStory {
-    /** The worker that the list names; the story accepts and speaks for it. */
-    ServerSocket worker;
-    ServerSocket discovery;
-    /** What the clock of a node says that was started on it, ms. */
-    volatile double now;
-    /** Discovery's end of the node's watch, where the node was started with a list. */
-    RawHttp watch;
-    NodeServer node;
-    /** What the node's channels are made by; a story that makes them fail sets it before the start. */
-    ChannelProvider channels = ChannelProvider.SOCKETS;
-
-    @BeforeMethod
-    public void listen() throws IOException {
-        now = 1_000_000;
-        worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        worker.setSoTimeout(10_000);
-        discovery.setSoTimeout(10_000);
-    }
-
-    @AfterMethod(alwaysRun = true, timeOut = 10_000)
-    public void end() throws Exception {
-        worker.close();
-        discovery.close();
-        node.stop(0);
-    }
-
-    void stop() {
-        try {
-            node.stop();
-        } catch (InterruptedException interrupted) {
-            throw new IllegalStateException(interrupted);
-        }
-    }
-
-    static void awaitReadiness(RawHttp client, int status) throws IOException {
-        while (client.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status() != status) {
-            Thread.onSpinWait();
-        }
-    }
-
-    /** Starts a node whose discovery has told this list, or is left to the story. */
-    void start(String list) throws Exception {
-        start(list, Clock.system());
-    }
-
-    void start(String list, Clock clock) throws Exception {
-        start(list, config(discovery.getLocalPort(), null), clock, line -> { });
-    }
-
-    /** Starts a node with this configuration, whose log goes to {@code log}; see {@link #start(String)}. */
-    void start(String list, NodeConfig config, Clock clock, Consumer<String> log) throws Exception {
-        node = NodeServer.start(config, NodeServer.Platform.NONE, clock, new Log(clock, log::accept), channels);
-        if (list != null) {
-            watch = new RawHttp(discovery.accept());
-            watch.read();
-            watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list + "\n"));
-            try (RawHttp client = RawHttp.to(node.address())) {
-                awaitReadiness(client, 200);
-            }
-        }
-    }
-
-    void start(NodeConfig config, Clock clock) throws Exception {
-        start(null, config, clock, line -> { });
-    }
-
-    /**
-     * Returns once the node has done what the bytes and closes before this call ask for: its loop reads those no
-     * later than the first of these requests, and carries out what follows before it reads the second.
-     */
-    void settled() throws IOException {
-        try (RawHttp other = RawHttp.to(node.address())) {
-            for (int i = 0; i < 3; i++) {
-                other.write("GET /-/ready HTTP/1.1\r\n\r\n").read();
-            }
-        }
-    }
-
-    static NodeConfig config(int discoveryPort, String known) throws Exception {
-        return config(discoveryPort, known, "push");
-    }
-
-    static NodeConfig config(int discoveryPort, String known, String mode) throws Exception {
-        return NodeConfig.read(configuration(discoveryPort, known, mode));
-    }
-
-    /** The same with one deadline for all classes, ms. */
-    static NodeConfig config(int discoveryPort, String known, String mode, double deadline) throws Exception {
-        JsonObject json = configuration(discoveryPort, known, mode);
-        json.get("settings").asObject().get("Classes").asArray()
-                .forEach(each -> each.asObject().set("Deadline", deadline));
-        return NodeConfig.read(json);
-    }
-
-    /** The same as the platform writes it into a file. */
-    static JsonObject configuration(int discoveryPort, String known, String mode) {
-        String config = "{'name':'n0','listen':'127.0.0.1:0','admin':'127.0.0.1:0','discovery':'127.0.0.1:" + discoveryPort
-                + "','seed':'7','limits':{'sockets':64},'settings':{'Discovery':'" + mode + "','Zones':['z'],'Kinds':['k'],'Tenants':[{'Name':'t','Share':1}],"
-                + "'Extra':{'TellsStart':true},'Ceilings':{'MostTries':5,'ConnectTimeout':5000,'RetryAfter':true,'MaxRetryAfter':2000},"
-                + "'Classes':[{'Name':'order','Effect':'at_most_once','Deadline':9000.0},"
-                + "{'Name':'plan','Effect':'deduplicated','KeyScope':'all'},"
-                + "{'Name':'draft','Effect':'idempotent','Deadline':9000.0}]}}";
-        var json = Json.parse(config.replace('\'', '"')).asObject();
-        if (known != null) {
-            json.set("known", Json.parse(known));
-        }
-        return json;
-    }
-
-    String list(int revision, String phase) {
-        return "{\"revision\":" + revision + ",\"complete\":true,\"members\":[{\"id\":\"s-1\",\"host_port\":\"127.0.0.1:"
-                + worker.getLocalPort() + "\",\"locality\":\"z\",\"flavor\":\"k\",\"phase\":\"" + phase + "\"},"
-                + "{\"id\":\"s-2\",\"host_port\":7,\"phase\":\"active\"}]}";
-    }
-
-    static String job(String target, String id, String kind) {
-        return target + " HTTP/1.1\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind
-                + "\r\nReq-Owner: t\r\nReq-Deadline: 9000m";
-    }
-
-    static String chunk(String text) {
-        return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
-    }
-
-    int callBack(String id, String rest) throws IOException {
-        return callBack(node.address(), id, rest);
-    }
-
-    static int callBack(InetSocketAddress address, String id, String rest) throws IOException {
-        try (RawHttp caller = RawHttp.to(address)) {
-            String body = "{\"id\":\"" + id + "\",\"from\":\"s-1\"," + rest + "}";
-            return caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", body)).read().status();
-        }
-    }
+  /** The worker that the list names; the story accepts and speaks for it. */
+  ServerSocket worker;
+
+  ServerSocket discovery;
+
+  /** What the clock of a node says that was started on it, ms. */
+  volatile double now;
+
+  /** Discovery's end of the node's watch, where the node was started with a list. */
+  RawHttp watch;
+
+  NodeServer node;
+
+  /**
+   * What the node's channels are made by; a story that makes them fail sets it before the start.
+   */
+  ChannelProvider channels = ChannelProvider.SOCKETS;
+
+  @BeforeMethod
+  public void listen() throws IOException {
+    now = 1_000_000;
+    worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    worker.setSoTimeout(10_000);
+    discovery.setSoTimeout(10_000);
+  }
+
+  @AfterMethod(alwaysRun = true, timeOut = 10_000)
+  public void end() throws Exception {
+    worker.close();
+    discovery.close();
+    node.stop(0);
+  }
+
+  void stop() {
+    try {
+      node.stop();
+    } catch (InterruptedException interrupted) {
+      throw new IllegalStateException(interrupted);
+    }
+  }
+
+  static void awaitReadiness(RawHttp client, int status) throws IOException {
+    while (client.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status() != status) {
+      Thread.onSpinWait();
+    }
+  }
+
+  /** Starts a node whose discovery has told this list, or is left to the story. */
+  void start(String list) throws Exception {
+    start(list, Clock.system());
+  }
+
+  void start(String list, Clock clock) throws Exception {
+    start(list, config(discovery.getLocalPort(), null), clock, line -> {});
+  }
+
+  /**
+   * Starts a node with this configuration, whose log goes to {@code log}; see {@link
+   * #start(String)}.
+   */
+  void start(String list, NodeConfig config, Clock clock, Consumer<String> log) throws Exception {
+    node =
+        NodeServer.start(
+            config, NodeServer.Platform.NONE, clock, new Log(clock, log::accept), channels);
+    if (list != null) {
+      watch = new RawHttp(discovery.accept());
+      watch.read();
+      watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list + "\n"));
+      try (RawHttp client = RawHttp.to(node.address())) {
+        awaitReadiness(client, 200);
+      }
+    }
+  }
+
+  void start(NodeConfig config, Clock clock) throws Exception {
+    start(null, config, clock, line -> {});
+  }
+
+  /**
+   * Returns once the node has done what the bytes and closes before this call ask for: its loop
+   * reads those no later than the first of these requests, and carries out what follows before it
+   * reads the second.
+   */
+  void settled() throws IOException {
+    try (RawHttp other = RawHttp.to(node.address())) {
+      for (int i = 0; i < 3; i++) {
+        other.write("GET /-/ready HTTP/1.1\r\n\r\n").read();
+      }
+    }
+  }
+
+  static NodeConfig config(int discoveryPort, String known) throws Exception {
+    return config(discoveryPort, known, "push");
+  }
+
+  static NodeConfig config(int discoveryPort, String known, String mode) throws Exception {
+    return NodeConfig.read(configuration(discoveryPort, known, mode));
+  }
+
+  /** The same with one deadline for all classes, ms. */
+  static NodeConfig config(int discoveryPort, String known, String mode, double deadline)
+      throws Exception {
+    JsonObject json = configuration(discoveryPort, known, mode);
+    json.get("settings")
+        .asObject()
+        .get("Classes")
+        .asArray()
+        .forEach(each -> each.asObject().set("Deadline", deadline));
+    return NodeConfig.read(json);
+  }
+
+  /** The same as the platform writes it into a file. */
+  static JsonObject configuration(int discoveryPort, String known, String mode) {
+    String config =
+        "{'name':'n0','listen':'127.0.0.1:0','admin':'127.0.0.1:0','discovery':'127.0.0.1:"
+            + discoveryPort
+            + "','seed':'7','limits':{'sockets':64},'settings':{'Discovery':'"
+            + mode
+            + "','Zones':['z'],'Kinds':['k'],'Tenants':[{'Name':'t','Share':1}],"
+            + "'Extra':{'TellsStart':true},'Ceilings':{'MostTries':5,'ConnectTimeout':5000,'RetryAfter':true,'MaxRetryAfter':2000},"
+            + "'Classes':[{'Name':'order','Effect':'at_most_once','Deadline':9000.0},"
+            + "{'Name':'plan','Effect':'deduplicated','KeyScope':'all'},"
+            + "{'Name':'draft','Effect':'idempotent','Deadline':9000.0}]}}";
+    var json = Json.parse(config.replace('\'', '"')).asObject();
+    if (known != null) {
+      json.set("known", Json.parse(known));
+    }
+    return json;
+  }
+
+  String list(int revision, String phase) {
+    return "{\"revision\":"
+        + revision
+        + ",\"complete\":true,\"members\":[{\"id\":\"s-1\",\"host_port\":\"127.0.0.1:"
+        + worker.getLocalPort()
+        + "\",\"locality\":\"z\",\"flavor\":\"k\",\"phase\":\""
+        + phase
+        + "\"},"
+        + "{\"id\":\"s-2\",\"host_port\":7,\"phase\":\"active\"}]}";
+  }
+
+  static String job(String target, String id, String kind) {
+    return target
+        + " HTTP/1.1\r\nReq-Id: "
+        + id
+        + "\r\nReq-Kind: "
+        + kind
+        + "\r\nReq-Owner: t\r\nReq-Deadline: 9000m";
+  }
+
+  static String chunk(String text) {
+    return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+  }
+
+  int callBack(String id, String rest) throws IOException {
+    return callBack(node.address(), id, rest);
+  }
+
+  static int callBack(InetSocketAddress address, String id, String rest) throws IOException {
+    try (RawHttp caller = RawHttp.to(address)) {
+      String body = "{\"id\":\"" + id + "\",\"from\":\"s-1\"," + rest + "}";
+      return caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", body)).read().status();
+    }
+  }
 }
--- a/node/src/test/java/ferngrade/net/RawHttp.java
+++ b/node/src/test/java/ferngrade/net/RawHttp.java
@@ -9,70 +9,74 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One end of a connection that speaks byte by byte what a story tells it to; reads give up after 10 s. */
+/**
+ * One end of a connection that speaks byte by byte what a story tells it to; reads give up after 10
+ * s.
+ */
 final class RawHttp implements AutoCloseable {
-    private final Socket socket;
-    private final InputStream in;
+  private final Socket socket;
+  private final InputStream in;
 
-    /** A message as it came: its first line, its headers and its body. */
-    record Message(String start, Map<String, String> headers, String body) {
-        int status() {
-            return Integer.parseInt(start.split(" ")[1]);
-        }
+  /** A message as it came: its first line, its headers and its body. */
+  record Message(String start, Map<String, String> headers, String body) {
+    int status() {
+      return Integer.parseInt(start.split(" ")[1]);
     }
+  }
 
-    RawHttp(Socket socket) throws IOException {
-        this.socket = socket;
-        socket.setSoTimeout(10_000);
-        in = new BufferedInputStream(socket.getInputStream());
-    }
+  RawHttp(Socket socket) throws IOException {
+    this.socket = socket;
+    socket.setSoTimeout(10_000);
+    in = new BufferedInputStream(socket.getInputStream());
+  }
 
-    static RawHttp to(InetSocketAddress address) throws IOException {
-        return new RawHttp(new Socket(address.getAddress(), address.getPort()));
-    }
+  static RawHttp to(InetSocketAddress address) throws IOException {
+    return new RawHttp(new Socket(address.getAddress(), address.getPort()));
+  }
 
-    RawHttp write(String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
-        return this;
-    }
+  RawHttp write(String text) throws IOException {
+    socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
+    return this;
+  }
 
-    /** The next message; null at the end of the connection. */
-    Message read() throws IOException {
-        String start = line();
-        if (start == null) {
-            return null;
-        }
-        Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String line = line(); line != null && !line.isEmpty(); line = line()) {
-            headers.put(line.substring(0, line.indexOf(':')), line.substring(line.indexOf(':') + 1).strip());
-        }
-        byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("Content-Length", "0")));
-        return new Message(start, headers, new String(body, StandardCharsets.UTF_8));
+  /** The next message; null at the end of the connection. */
+  Message read() throws IOException {
+    String start = line();
+    if (start == null) {
+      return null;
     }
-
-    private String line() throws IOException {
-        StringBuilder line = new StringBuilder();
-        for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0) {
-                return null;
-            }
-            line.append((char) c);
-        }
-        return line.toString().strip();
+    Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+    for (String line = line(); line != null && !line.isEmpty(); line = line()) {
+      headers.put(
+          line.substring(0, line.indexOf(':')), line.substring(line.indexOf(':') + 1).strip());
     }
+    byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("Content-Length", "0")));
+    return new Message(start, headers, new String(body, StandardCharsets.UTF_8));
+  }
 
-    /** A message with a body and its length. */
-    static String message(String head, String body) {
-        return head + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+  private String line() throws IOException {
+    StringBuilder line = new StringBuilder();
+    for (int c = in.read(); c != '\n'; c = in.read()) {
+      if (c < 0) {
+        return null;
+      }
+      line.append((char) c);
     }
+    return line.toString().strip();
+  }
 
-    /** Ends this side. */
-    void end() throws IOException {
-        socket.close();
-    }
+  /** A message with a body and its length. */
+  static String message(String head, String body) {
+    return head + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+  }
 
-    @Override
-    public void close() throws IOException {
-        socket.close();
-    }
+  /** Ends this side. */
+  void end() throws IOException {
+    socket.close();
+  }
+
+  @Override
+  public void close() throws IOException {
+    socket.close();
+  }
 }
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -33,325 +33,346 @@
 /** Attempts on their way to a scripted worker, on a clock that the story sets. */
 @Test(timeOut = 30_000)
 public class WorkerClientTest {
-    private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-
-    private static final int SMALL_BUFFER = 2048;
-
-    private BlockingQueue<String> told;
-    private MultiThreadIoEventLoopGroup group;
-    private EventLoop loop;
-    private volatile double now;
-    private volatile boolean wanted;
-    private ServerSocket worker;
-    private Timers timers;
-    private ConnectionPool pool;
-    private WorkerClient client;
-    private FaultInjectingChannels faults;
-
-    @BeforeMethod
-    public void start() throws Exception {
-        told = new LinkedBlockingQueue<>();
-        faults = new FaultInjectingChannels();
-        group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        loop = group.next();
-        now = 0;
-        wanted = true;
-        worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        worker.setSoTimeout(10_000);
-        loop.submit(() -> {
-            timers = new Timers(() -> now, (millis, run) -> { });
-            pool = new ConnectionPool(() -> now, timers, 60_000, 2);
-            client = new WorkerClient(group, () -> now, timers, pool, 100,
-                    new Log(() -> now, line -> { }), faults);
-        }).get();
+  private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+
+  private static final int SMALL_BUFFER = 2048;
+
+  private BlockingQueue<String> told;
+  private MultiThreadIoEventLoopGroup group;
+  private EventLoop loop;
+  private volatile double now;
+  private volatile boolean wanted;
+  private ServerSocket worker;
+  private Timers timers;
+  private ConnectionPool pool;
+  private WorkerClient client;
+  private FaultInjectingChannels faults;
+
+  @BeforeMethod
+  public void start() throws Exception {
+    told = new LinkedBlockingQueue<>();
+    faults = new FaultInjectingChannels();
+    group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    loop = group.next();
+    now = 0;
+    wanted = true;
+    worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    worker.setSoTimeout(10_000);
+    loop.submit(
+            () -> {
+              timers = new Timers(() -> now, (millis, run) -> {});
+              pool = new ConnectionPool(() -> now, timers, 60_000, 2);
+              client =
+                  new WorkerClient(
+                      group, () -> now, timers, pool, 100, new Log(() -> now, line -> {}), faults);
+            })
+        .get();
+  }
+
+  @AfterMethod(alwaysRun = true)
+  public void end() throws Exception {
+    worker.close();
+    // Not before the loop has ended may the next story start: its queue must hear of its own sends
+    // only.
+    group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
+  }
+
+  @Test
+  public void jobGivenUpAfterItWasTakenIsDeletedAndOneBeforeEndsItsConnection() throws Exception {
+    Workers.Sending taken = send("a");
+    RawHttp first = new RawHttp(worker.accept());
+    first.read();
+    first.write(TAKEN);
+    pooled();
+    now += 100;
+    loop.submit(() -> taken.giveUp(() -> {})).get();
+    Message delete = first.read();
+    assertEquals(delete.start(), "DELETE /jobs/a HTTP/1.1");
+    first.write("HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n");
+    pooled();
+    now += 100;
+    Workers.Sending waiting = send("b");
+    assertEquals(first.read().headers().get("Req-Id"), "b");
+    loop.submit(() -> waiting.giveUp(() -> {})).get();
+    assertNull(first.read());
+  }
+
+  @Test
+  public void idleConnectionIsEndedWellBeforeTheWorkersLimit() throws Exception {
+    send("a");
+    RawHttp first = new RawHttp(worker.accept());
+    first.read();
+    first.write(TAKEN);
+    pooled();
+    now = 30_000;
+    loop.submit(timers::run).get();
+    assertNull(first.read());
+  }
+
+  @Test
+  public void workerThatEndsIdleConnectionsEarlyIsSentNothingOverOldOnes() throws Exception {
+    send("a");
+    try (RawHttp first = new RawHttp(worker.accept())) {
+      first.read();
+      first.write(TAKEN);
+      pooled();
+      now = 400;
     }
-
-    @AfterMethod(alwaysRun = true)
-    public void end() throws Exception {
-        worker.close();
-        // Not before the loop has ended may the next story start: its queue must hear of its own sends only.
-        group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
-    }
-
-    @Test
-    public void jobGivenUpAfterItWasTakenIsDeletedAndOneBeforeEndsItsConnection() throws Exception {
-        Workers.Sending taken = send("a");
-        RawHttp first = new RawHttp(worker.accept());
-        first.read();
-        first.write(TAKEN);
-        pooled();
-        now += 100;
-        loop.submit(() -> taken.giveUp(() -> { })).get();
-        Message delete = first.read();
-        assertEquals(delete.start(), "DELETE /jobs/a HTTP/1.1");
-        first.write("HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n");
-        pooled();
-        now += 100;
-        Workers.Sending waiting = send("b");
-        assertEquals(first.read().headers().get("Req-Id"), "b");
-        loop.submit(() -> waiting.giveUp(() -> { })).get();
-        assertNull(first.read());
-    }
-
-    @Test
-    public void idleConnectionIsEndedWellBeforeTheWorkersLimit() throws Exception {
-        send("a");
-        RawHttp first = new RawHttp(worker.accept());
-        first.read();
-        first.write(TAKEN);
-        pooled();
-        now = 30_000;
-        loop.submit(timers::run).get();
-        assertNull(first.read());
-    }
-
-    @Test
-    public void workerThatEndsIdleConnectionsEarlyIsSentNothingOverOldOnes() throws Exception {
-        send("a");
-        try (RawHttp first = new RawHttp(worker.accept())) {
-            first.read();
-            first.write(TAKEN);
-            pooled();
-            now = 400;
-        }
-        while (loop.submit(pool::idle).get() > 0) {
-            Thread.onSpinWait();
-        }
-        send("b");
-        RawHttp second = new RawHttp(worker.accept());
-        second.read();
-        second.write(TAKEN);
-        pooled();
-        // The first had lasted for 400 ms: this one is not trusted after 200.
-        now = 650;
-        send("c");
-        RawHttp third = new RawHttp(worker.accept());
-        assertEquals(third.read().headers().get("Req-Id"), "c");
-        assertNull(second.read());
-        third.write(TAKEN);
-        pooled();
-        now = 700;
-        send("d");
-        assertEquals(third.read().headers().get("Req-Id"), "d");
-    }
-
-    @Test
-    public void connectionThatEndsBeforeThe202IsAReset() throws Exception {
-        send("a");
-        RawHttp first = new RawHttp(worker.accept());
-        first.read();
-        first.close();
-        assertEquals(told.take(), "written");
-        assertEquals(told.take(), "RESET");
-    }
-
-    @Test
-    public void connectThatIsNotAnsweredRunsOutAndNothingWasWritten() throws Exception {
-        // A machine that has vanished: the queue of the listener is full, so that connects hang unanswered.
-        List<Socket> queue = new ArrayList<>();
-        for (int i = 0; i < 2; i++) {
-            queue.add(new Socket(worker.getInetAddress(), worker.getLocalPort()));
-        }
-        send("a");
-        assertEquals(told.take(), "CONNECT_FAILED");
-        for (Socket each : queue) {
-            each.close();
-        }
-    }
-
-    @Test
-    public void sendThatIsNoLongerWantedWritesNothingOnceItsConnectionIsUp() throws Exception {
-        wanted = false;
-        send("a");
-        RawHttp first = new RawHttp(worker.accept());
-        assertEquals(told.take(), "NEVER_SENT");
-        wanted = true;
-        pooled();
-        now += 100;
-        send("b");
-        assertEquals(first.read().headers().get("Req-Id"), "b");
-    }
-
-    /** The worker's machine resets the connection while the request's bytes are on their way: it cannot have begun. */
-    @Test
-    public void resetInsideARequestsBytesIsAFailedConnect() throws Exception {
-        faults.sendBuffer = SMALL_BUFFER;
-        try (ServerSocket narrow = new ServerSocket()) {
-            narrow.setReceiveBufferSize(SMALL_BUFFER);
-            narrow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            Call large = new Call("a", "POST", "/api", null, new byte[Front.MOST_BODY]);
-            InetSocketAddress address = (InetSocketAddress) narrow.getLocalSocketAddress();
-            loop.submit(() -> client.send(large, address, 1000, new Teller())).get();
-            Socket connection = narrow.accept();
-            assertEquals(connection.getInputStream().read(), 'P', "it has begun to come in");
-            connection.setSoLinger(true, 0);
-            connection.close();
-            assertEquals(told.take(), "CONNECT_FAILED");
-        }
-    }
-
-    /** The idle connection that carries a cancellation is closed by the worker at that moment: it is said once more. */
-    @Test
-    public void deleteUnderWhichAnIdleConnectionClosesIsSaidAgainOnANewOne() throws Exception {
-        Workers.Sending taken = send("a");
-        RawHttp first = new RawHttp(worker.accept());
-        first.read();
-        first.write(TAKEN);
-        pooled();
-        now += 100;
-        loop.submit(() -> {
-            first.end();
-            taken.giveUp(() -> told.add("deleted"));
-            return null;
-        }).get();
-        assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
-        assertEquals(told.take(), "written");
-        assertEquals(told.take(), "deleted");
-        assertTrue(told.isEmpty(), "once");
-    }
-
-    /** What is left of an attempt's time once its connection is up, and what the worker is told. */
-    @DataProvider
-    public Object[][] rests() {
-        return new Object[][] {{1, "1m"}, {20, "15m"}, {150, "140m"}, {1000, "990m"}};
+    while (loop.submit(pool::idle).get() > 0) {
+      Thread.onSpinWait();
     }
-
-    @Test(dataProvider = "rests")
-    public void workerIsToldLessThanWhatIsLeftWhenTheConnectionIsUp(int left, String header) throws Exception {
-        sendAndPass(1000 - left);
-        assertEquals(new RawHttp(worker.accept()).read().headers().get("Req-Deadline"), header);
-    }
-
-    @Test
-    public void attemptWhoseTimeIsUpBeforeItsConnectionIsBegunNoMore() throws Exception {
-        sendAndPass(1000);
-        assertEquals(told.take(), "NEVER_SENT");
-    }
-
-    /** Sends, and lets time pass before the loop can hear that the connection is up. */
-    private void sendAndPass(double millis) throws Exception {
-        loop.submit(() -> {
-            begin("a");
-            now += millis;
-        }).get();
+    send("b");
+    RawHttp second = new RawHttp(worker.accept());
+    second.read();
+    second.write(TAKEN);
+    pooled();
+    // The first had lasted for 400 ms: this one is not trusted after 200.
+    now = 650;
+    send("c");
+    RawHttp third = new RawHttp(worker.accept());
+    assertEquals(third.read().headers().get("Req-Id"), "c");
+    assertNull(second.read());
+    third.write(TAKEN);
+    pooled();
+    now = 700;
+    send("d");
+    assertEquals(third.read().headers().get("Req-Id"), "d");
+  }
+
+  @Test
+  public void connectionThatEndsBeforeThe202IsAReset() throws Exception {
+    send("a");
+    RawHttp first = new RawHttp(worker.accept());
+    first.read();
+    first.close();
+    assertEquals(told.take(), "written");
+    assertEquals(told.take(), "RESET");
+  }
+
+  @Test
+  public void connectThatIsNotAnsweredRunsOutAndNothingWasWritten() throws Exception {
+    // A machine that has vanished: the queue of the listener is full, so that connects hang
+    // unanswered.
+    List<Socket> queue = new ArrayList<>();
+    for (int i = 0; i < 2; i++) {
+      queue.add(new Socket(worker.getInetAddress(), worker.getLocalPort()));
     }
-
-    @Test
-    public void connectionsBeyondTheBoundAreNotOpened() throws Exception {
-        // All in one go: none of them is up yet when the third is turned down.
-        loop.submit(() -> List.of("a", "b", "c").forEach(this::begin)).get();
-        assertEquals(told.take(), "NEVER_SENT");
-        assertEquals(told.take(), "written");
-        assertEquals(told.take(), "written");
+    send("a");
+    assertEquals(told.take(), "CONNECT_FAILED");
+    for (Socket each : queue) {
+      each.close();
     }
-
-    @DataProvider
-    public Object[][] transferFaults() {
-        return new Object[][] {
-            {SystemCall.READ, Errno.ETIMEDOUT, List.of("written", "RESET")},
-            {SystemCall.READ, Errno.EHOSTUNREACH, List.of("written", "RESET")},
-            {SystemCall.READ, Errno.ECONNRESET, List.of("written", "RESET")},
-            // It may have run, but the worker is not to blame.
-            {SystemCall.READ, Errno.ENOMEM, List.of("written", "CANCELLED")},
-            {SystemCall.READ, Errno.ENOBUFS, List.of("written", "CANCELLED")},
-            {SystemCall.WRITE, Errno.ETIMEDOUT, List.of("CONNECT_FAILED")},
-            {SystemCall.WRITE, Errno.EHOSTUNREACH, List.of("CONNECT_FAILED")},
-        };
+  }
+
+  @Test
+  public void sendThatIsNoLongerWantedWritesNothingOnceItsConnectionIsUp() throws Exception {
+    wanted = false;
+    send("a");
+    RawHttp first = new RawHttp(worker.accept());
+    assertEquals(told.take(), "NEVER_SENT");
+    wanted = true;
+    pooled();
+    now += 100;
+    send("b");
+    assertEquals(first.read().headers().get("Req-Id"), "b");
+  }
+
+  /**
+   * The worker's machine resets the connection while the request's bytes are on their way: it
+   * cannot have begun.
+   */
+  @Test
+  public void resetInsideARequestsBytesIsAFailedConnect() throws Exception {
+    faults.sendBuffer = SMALL_BUFFER;
+    try (ServerSocket narrow = new ServerSocket()) {
+      narrow.setReceiveBufferSize(SMALL_BUFFER);
+      narrow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      Call large = new Call("a", "POST", "/api", null, new byte[Front.MOST_BODY]);
+      InetSocketAddress address = (InetSocketAddress) narrow.getLocalSocketAddress();
+      loop.submit(() -> client.send(large, address, 1000, new Teller())).get();
+      Socket connection = narrow.accept();
+      assertEquals(connection.getInputStream().read(), 'P', "it has begun to come in");
+      connection.setSoLinger(true, 0);
+      connection.close();
+      assertEquals(told.take(), "CONNECT_FAILED");
     }
-
-    @Test(dataProvider = "transferFaults")
-    public void connectionThatASystemCallBreaksEndsItsAttempt(SystemCall call, Errno errno, List<String> heard)
-            throws Exception {
-        faults.fail(Purpose.WORKERS, call, errno, FaultInjectingChannels.once());
-        send("a");
-        RawHttp first = new RawHttp(worker.accept());
-        if (call == SystemCall.READ) {
-            first.read();
-            first.write(TAKEN);
-        }
-        for (String each : heard) {
-            assertEquals(told.take(), each);
-        }
+  }
+
+  /**
+   * The idle connection that carries a cancellation is closed by the worker at that moment: it is
+   * said once more.
+   */
+  @Test
+  public void deleteUnderWhichAnIdleConnectionClosesIsSaidAgainOnANewOne() throws Exception {
+    Workers.Sending taken = send("a");
+    RawHttp first = new RawHttp(worker.accept());
+    first.read();
+    first.write(TAKEN);
+    pooled();
+    now += 100;
+    loop.submit(
+            () -> {
+              first.end();
+              taken.giveUp(() -> told.add("deleted"));
+              return null;
+            })
+        .get();
+    assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
+    assertEquals(told.take(), "written");
+    assertEquals(told.take(), "deleted");
+    assertTrue(told.isEmpty(), "once");
+  }
+
+  /** What is left of an attempt's time once its connection is up, and what the worker is told. */
+  @DataProvider
+  public Object[][] rests() {
+    return new Object[][] {{1, "1m"}, {20, "15m"}, {150, "140m"}, {1000, "990m"}};
+  }
+
+  @Test(dataProvider = "rests")
+  public void workerIsToldLessThanWhatIsLeftWhenTheConnectionIsUp(int left, String header)
+      throws Exception {
+    sendAndPass(1000 - left);
+    assertEquals(new RawHttp(worker.accept()).read().headers().get("Req-Deadline"), header);
+  }
+
+  @Test
+  public void attemptWhoseTimeIsUpBeforeItsConnectionIsBegunNoMore() throws Exception {
+    sendAndPass(1000);
+    assertEquals(told.take(), "NEVER_SENT");
+  }
+
+  /** Sends, and lets time pass before the loop can hear that the connection is up. */
+  private void sendAndPass(double millis) throws Exception {
+    loop.submit(
+            () -> {
+              begin("a");
+              now += millis;
+            })
+        .get();
+  }
+
+  @Test
+  public void connectionsBeyondTheBoundAreNotOpened() throws Exception {
+    // All in one go: none of them is up yet when the third is turned down.
+    loop.submit(() -> List.of("a", "b", "c").forEach(this::begin)).get();
+    assertEquals(told.take(), "NEVER_SENT");
+    assertEquals(told.take(), "written");
+    assertEquals(told.take(), "written");
+  }
+
+  @DataProvider
+  public Object[][] transferFaults() {
+    return new Object[][] {
+      {SystemCall.READ, Errno.ETIMEDOUT, List.of("written", "RESET")},
+      {SystemCall.READ, Errno.EHOSTUNREACH, List.of("written", "RESET")},
+      {SystemCall.READ, Errno.ECONNRESET, List.of("written", "RESET")},
+      // It may have run, but the worker is not to blame.
+      {SystemCall.READ, Errno.ENOMEM, List.of("written", "CANCELLED")},
+      {SystemCall.READ, Errno.ENOBUFS, List.of("written", "CANCELLED")},
+      {SystemCall.WRITE, Errno.ETIMEDOUT, List.of("CONNECT_FAILED")},
+      {SystemCall.WRITE, Errno.EHOSTUNREACH, List.of("CONNECT_FAILED")},
+    };
+  }
+
+  @Test(dataProvider = "transferFaults")
+  public void connectionThatASystemCallBreaksEndsItsAttempt(
+      SystemCall call, Errno errno, List<String> heard) throws Exception {
+    faults.fail(Purpose.WORKERS, call, errno, FaultInjectingChannels.once());
+    send("a");
+    RawHttp first = new RawHttp(worker.accept());
+    if (call == SystemCall.READ) {
+      first.read();
+      first.write(TAKEN);
     }
-
-    @DataProvider
-    public Object[][] dialCalls() {
-        return new Object[][] {{SystemCall.SOCKET}, {SystemCall.CONNECT}};
+    for (String each : heard) {
+      assertEquals(told.take(), each);
     }
-
-    @Test(dataProvider = "dialCalls")
-    public void checkThatThisMachineFailsSaysNothingOfTheWorker(SystemCall call) throws Exception {
-        faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
-        InetSocketAddress address = new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
-        loop.submit(() -> client.check(address, (outcome, report) -> told.add(outcome.name()))).get();
-        passUntilTold();
-        assertEquals(told.take(), "NEVER_SENT");
-    }
-
-    @Test(dataProvider = "dialCalls")
-    public void attemptThatThisMachineFailsToItsEndIsNeverSent(SystemCall call) throws Exception {
-        faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
-        Workers.Sending sending = send("a");
-        passUntilTold();
-        assertEquals(told.take(), "NEVER_SENT");
-        assertTrue(sending.delayedLocally());
-        assertTrue(faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF, "tries in its 1000 ms: " + faults.raised);
-    }
-
-    @Test
-    public void attemptNotWantedAnyMoreIsNotDialledAgain() throws Exception {
-        faults.fail(Purpose.WORKERS, SystemCall.CONNECT, Errno.ENOBUFS, FaultInjectingChannels.once());
-        wanted = false;
-        send("a");
-        passUntilTold();
-        assertEquals(told.take(), "NEVER_SENT");
-        assertEquals(faults.raised.get(), 1);
-    }
-
-    /** Lets the time of the node pass, a backoff at a time, until an end is told. */
-    private void passUntilTold() throws Exception {
-        while (told.isEmpty()) {
-            loop.submit(() -> {
+  }
+
+  @DataProvider
+  public Object[][] dialCalls() {
+    return new Object[][] {{SystemCall.SOCKET}, {SystemCall.CONNECT}};
+  }
+
+  @Test(dataProvider = "dialCalls")
+  public void checkThatThisMachineFailsSaysNothingOfTheWorker(SystemCall call) throws Exception {
+    faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
+    InetSocketAddress address =
+        new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
+    loop.submit(() -> client.check(address, (outcome, report) -> told.add(outcome.name()))).get();
+    passUntilTold();
+    assertEquals(told.take(), "NEVER_SENT");
+  }
+
+  @Test(dataProvider = "dialCalls")
+  public void attemptThatThisMachineFailsToItsEndIsNeverSent(SystemCall call) throws Exception {
+    faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
+    Workers.Sending sending = send("a");
+    passUntilTold();
+    assertEquals(told.take(), "NEVER_SENT");
+    assertTrue(sending.delayedLocally());
+    assertTrue(
+        faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF, "tries in its 1000 ms: " + faults.raised);
+  }
+
+  @Test
+  public void attemptNotWantedAnyMoreIsNotDialledAgain() throws Exception {
+    faults.fail(Purpose.WORKERS, SystemCall.CONNECT, Errno.ENOBUFS, FaultInjectingChannels.once());
+    wanted = false;
+    send("a");
+    passUntilTold();
+    assertEquals(told.take(), "NEVER_SENT");
+    assertEquals(faults.raised.get(), 1);
+  }
+
+  /** Lets the time of the node pass, a backoff at a time, until an end is told. */
+  private void passUntilTold() throws Exception {
+    while (told.isEmpty()) {
+      loop.submit(
+              () -> {
                 now += Dialer.BACKOFF;
                 timers.run();
-            }).get();
-        }
+              })
+          .get();
     }
-
-    private Workers.Sending send(String id) throws Exception {
-        return loop.submit(() -> begin(id)).get();
+  }
+
+  private Workers.Sending send(String id) throws Exception {
+    return loop.submit(() -> begin(id)).get();
+  }
+
+  private Workers.Sending begin(String id) {
+    Call call = new Call(id, "POST", "/api", null, new byte[0]);
+    InetSocketAddress address =
+        new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
+    return client.send(call, address, 1000, new Teller());
+  }
+
+  /** Waits until the worker's last answer has been read and the connection stands idle. */
+  private void pooled() throws Exception {
+    while (loop.submit(pool::idle).get() == 0) {
+      Thread.onSpinWait();
     }
+  }
 
-    private Workers.Sending begin(String id) {
-        Call call = new Call(id, "POST", "/api", null, new byte[0]);
-        InetSocketAddress address = new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
-        return client.send(call, address, 1000, new Teller());
+  private final class Teller implements Workers.Listener {
+    @Override
+    public boolean mayStart() {
+      return wanted;
     }
 
-    /** Waits until the worker's last answer has been read and the connection stands idle. */
-    private void pooled() throws Exception {
-        while (loop.submit(pool::idle).get() == 0) {
-            Thread.onSpinWait();
-        }
+    @Override
+    public void written() {
+      told.add("written");
     }
 
-    private final class Teller implements Workers.Listener {
-        @Override
-        public boolean mayStart() {
-            return wanted;
-        }
-
-        @Override
-        public void written() {
-            told.add("written");
-        }
-
-        @Override
-        public void taken() { }
+    @Override
+    public void taken() {}
 
-        @Override
-        public void ended(Outcome outcome, Report report) {
-            told.add(outcome.name());
-        }
+    @Override
+    public void ended(Outcome outcome, Report report) {
+      told.add(outcome.name());
     }
+  }
 }
