--- a/node/src/test/java/ferngrade/node/MaintenanceTest.java
+++ b/node/src/test/java/ferngrade/node/MaintenanceTest.java
@@ -13,70 +13,91 @@
 import org.junit.jupiter.api.Test;
 
 class MaintenanceTest {
-    private static Member entry(String name, State state, double startedAt) {
-        return new Member(name, new InetSocketAddress("127.0.0.1", 9000),
-                new Worker(name.hashCode(), state, 0, 0, 0, startedAt, 1));
-    }
+  private static Member entry(String name, State state, double startedAt) {
+    return new Member(
+        name,
+        new InetSocketAddress("127.0.0.1", 9000),
+        new Worker(name.hashCode(), state, 0, 0, 0, startedAt, 1));
+  }
 
-    private final Maintenance maintenance = new Maintenance();
+  private final Maintenance maintenance = new Maintenance();
 
-    @Test
-    void aNameThatNobodyHasIsUnknownAndChangesNothing() {
-        maintenance.over(News.WHOLE, List.of(entry("s-1", State.READY, 0)));
-        assertFalse(maintenance.knows("s-9"));
-        assertTrue(maintenance.knows("s-1"));
-        assertEquals(0, maintenance.listedOut());
-    }
+  @Test
+  void aNameThatNobodyHasIsUnknownAndChangesNothing() {
+    maintenance.over(News.WHOLE, List.of(entry("s-1", State.READY, 0)));
+    assertFalse(maintenance.knows("s-9"));
+    assertTrue(maintenance.knows("s-1"));
+    assertEquals(0, maintenance.listedOut());
+  }
 
-    @Test
-    void aWorkerTakenOutStaysOutWhateverTheListSaysLater() {
-        maintenance.over(News.WHOLE, List.of(entry("s-1", State.READY, 0), entry("s-2", State.READY, 0)));
-        assertEquals(State.DRAINING, maintenance.take("s-1").worker().state());
-        // Discovery lists it anew as active, whole and as a change, and even after it was gone for a while.
-        for (News news : List.of(News.WHOLE, News.CHANGES, News.STORED)) {
-            List<Member> told = maintenance.over(news, List.of(entry("s-1", State.READY, 0)));
-            assertEquals(State.DRAINING, told.get(0).worker().state(), news.name());
-        }
-        maintenance.over(News.CHANGES, List.of(entry("s-1", State.GONE, 0)));
-        assertTrue(maintenance.knows("s-1"));
-        assertNull(maintenance.giveBack("s-9", 5));
-        List<Member> relisted = maintenance.over(News.CHANGES, List.of(entry("s-1", State.READY, 0)));
-        assertEquals(State.DRAINING, relisted.get(0).worker().state());
+  @Test
+  void aWorkerTakenOutStaysOutWhateverTheListSaysLater() {
+    maintenance.over(
+        News.WHOLE, List.of(entry("s-1", State.READY, 0), entry("s-2", State.READY, 0)));
+    assertEquals(State.DRAINING, maintenance.take("s-1").worker().state());
+    // Discovery lists it anew as active, whole and as a change, and even after it was gone for a
+    // while.
+    for (News news : List.of(News.WHOLE, News.CHANGES, News.STORED)) {
+      List<Member> told = maintenance.over(news, List.of(entry("s-1", State.READY, 0)));
+      assertEquals(State.DRAINING, told.get(0).worker().state(), news.name());
     }
+    maintenance.over(News.CHANGES, List.of(entry("s-1", State.GONE, 0)));
+    assertTrue(maintenance.knows("s-1"));
+    assertNull(maintenance.giveBack("s-9", 5));
+    List<Member> relisted = maintenance.over(News.CHANGES, List.of(entry("s-1", State.READY, 0)));
+    assertEquals(State.DRAINING, relisted.get(0).worker().state());
+  }
 
-    @Test
-    void twoCallsOutNeedOneCallBackAndTheReturnIsCold() {
-        maintenance.over(News.WHOLE, List.of(entry("s-1", State.READY, 100)));
-        maintenance.take("s-1");
-        maintenance.take("s-1");
-        assertEquals(1, maintenance.listedOut());
-        Member back = maintenance.giveBack("s-1", 5000);
-        assertEquals(State.READY, back.worker().state());
-        assertEquals(5000, back.worker().startedAt());
-        assertEquals(0, maintenance.listedOut());
-        // The list's older start does not make it warm again; a later start of its own counts.
-        assertEquals(5000, maintenance.over(News.CHANGES, List.of(entry("s-1", State.READY, 100))).get(0)
-                .worker().startedAt());
-        assertEquals(7000, maintenance.over(News.CHANGES, List.of(entry("s-1", State.READY, 7000))).get(0)
-                .worker().startedAt());
-        assertEquals(100, maintenance.over(News.CHANGES, List.of(entry("s-1", State.READY, 100))).get(0)
-                .worker().startedAt());
-    }
+  @Test
+  void twoCallsOutNeedOneCallBackAndTheReturnIsCold() {
+    maintenance.over(News.WHOLE, List.of(entry("s-1", State.READY, 100)));
+    maintenance.take("s-1");
+    maintenance.take("s-1");
+    assertEquals(1, maintenance.listedOut());
+    Member back = maintenance.giveBack("s-1", 5000);
+    assertEquals(State.READY, back.worker().state());
+    assertEquals(5000, back.worker().startedAt());
+    assertEquals(0, maintenance.listedOut());
+    // The list's older start does not make it warm again; a later start of its own counts.
+    assertEquals(
+        5000,
+        maintenance
+            .over(News.CHANGES, List.of(entry("s-1", State.READY, 100)))
+            .get(0)
+            .worker()
+            .startedAt());
+    assertEquals(
+        7000,
+        maintenance
+            .over(News.CHANGES, List.of(entry("s-1", State.READY, 7000)))
+            .get(0)
+            .worker()
+            .startedAt());
+    assertEquals(
+        100,
+        maintenance
+            .over(News.CHANGES, List.of(entry("s-1", State.READY, 100)))
+            .get(0)
+            .worker()
+            .startedAt());
+  }
 
-    @Test
-    void aLaterProcessTakesOverWhatIsOutAndWhatCameBack() {
-        maintenance.over(News.WHOLE, List.of(entry("s-1", State.READY, 0), entry("s-2", State.READY, 0)));
-        maintenance.take("s-1");
-        maintenance.take("s-2");
-        maintenance.giveBack("s-2", 900);
-        Maintenance later = new Maintenance();
-        later.restore(maintenance.saved());
-        List<Member> told = later.over(News.STORED, List.of(entry("s-1", State.READY, 0),
-                entry("s-2", State.READY, 0)));
-        assertEquals(State.DRAINING, told.get(0).worker().state());
-        assertEquals(State.READY, told.get(1).worker().state());
-        assertEquals(900, told.get(1).worker().startedAt());
-        assertEquals(1, later.listedOut());
-        assertEquals(2, later.listedAll());
-    }
+  @Test
+  void aLaterProcessTakesOverWhatIsOutAndWhatCameBack() {
+    maintenance.over(
+        News.WHOLE, List.of(entry("s-1", State.READY, 0), entry("s-2", State.READY, 0)));
+    maintenance.take("s-1");
+    maintenance.take("s-2");
+    maintenance.giveBack("s-2", 900);
+    Maintenance later = new Maintenance();
+    later.restore(maintenance.saved());
+    List<Member> told =
+        later.over(
+            News.STORED, List.of(entry("s-1", State.READY, 0), entry("s-2", State.READY, 0)));
+    assertEquals(State.DRAINING, told.get(0).worker().state());
+    assertEquals(State.READY, told.get(1).worker().state());
+    assertEquals(900, told.get(1).worker().startedAt());
+    assertEquals(1, later.listedOut());
+    assertEquals(2, later.listedAll());
+  }
 }
--- a/node/src/test/java/ferngrade/node/NodeTest.java
+++ b/node/src/test/java/ferngrade/node/NodeTest.java
@@ -22,391 +22,421 @@
 
 /** The node between a scripted module and scripted workers, on a clock that the test sets. */
 public class NodeTest {
-    private final List<String> heard = new ArrayList<>();
-    private final List<String> answers = new ArrayList<>();
-    private final List<String> given = new ArrayList<>();
-    private final List<Workers.Listener> sent = new ArrayList<>();
-    private final Deque<Runnable> tasks = new ArrayDeque<>();
-    private double now;
-    private Timers timers;
-    private Actions actions;
-    private Node node;
-
-    @BeforeMethod
-    public void start() {
-        List.of(heard, answers, given, sent).forEach(List::clear);
-        tasks.clear();
-        now = 1000;
-        Clock clock = () -> now;
-        timers = new Timers(clock, (millis, run) -> { });
-        node = new Node(new Node.Surroundings(clock, timers, tasks::add, new ScriptedWorkers(),
-                (peer, message) -> { }, new Log(clock, line -> { })), new Node.Room(2, 100, 700), asked -> {
-                    actions = asked;
-                    return new Recorder();
-                });
-        node.members(Dispatcher.News.WHOLE, List.of(member("s-1", 1, State.READY, 0), member("s-2", 2, State.READY, 0)));
-        run();
+  private final List<String> heard = new ArrayList<>();
+  private final List<String> answers = new ArrayList<>();
+  private final List<String> given = new ArrayList<>();
+  private final List<Workers.Listener> sent = new ArrayList<>();
+  private final Deque<Runnable> tasks = new ArrayDeque<>();
+  private double now;
+  private Timers timers;
+  private Actions actions;
+  private Node node;
+
+  @BeforeMethod
+  public void start() {
+    List.of(heard, answers, given, sent).forEach(List::clear);
+    tasks.clear();
+    now = 1000;
+    Clock clock = () -> now;
+    timers = new Timers(clock, (millis, run) -> {});
+    node =
+        new Node(
+            new Node.Surroundings(
+                clock,
+                timers,
+                tasks::add,
+                new ScriptedWorkers(),
+                (peer, message) -> {},
+                new Log(clock, line -> {})),
+            new Node.Room(2, 100, 700),
+            asked -> {
+              actions = asked;
+              return new Recorder();
+            });
+    node.members(
+        Dispatcher.News.WHOLE,
+        List.of(member("s-1", 1, State.READY, 0), member("s-2", 2, State.READY, 0)));
+    run();
+  }
+
+  @Test
+  public void callBackBeforeThe202ServesAndItsRepeatsDoNothing() {
+    out("a", 1);
+    say("a", "s-1", News.State.DONE);
+    say("a", "s-1", News.State.DONE);
+    say("a", "s-1", News.State.LOST);
+    assertEquals(answers, List.of("served r"));
+    assertEquals(heard, List.of("arrived a", "ended a/0 OK over"));
+    assertEquals(node.open(), 0);
+  }
+
+  @Test
+  public void newsOfUnknownJobsAndFromOtherWorkersIsIgnored() {
+    out("a", 1);
+    say("b", "s-1", News.State.DONE);
+    say("a", "s-2", News.State.DONE);
+    say("a", "s-9", News.State.STARTED);
+    assertEquals(heard, List.of("arrived a"));
+    assertEquals(answers, List.of());
+  }
+
+  @Test
+  public void newsFromAnEarlierAttemptsWorkerDoesNotEndTheNewOne() {
+    out("a", 1);
+    say("a", "s-1", News.State.RETURNED);
+    send("a", 2);
+    sent.get(1).written();
+    say("a", "s-1", News.State.RETURNED);
+    assertEquals(heard, List.of("arrived a", "ended a/0 FULL"));
+    say("a", "s-2", News.State.DONE);
+    assertEquals(answers, List.of("served r"));
+  }
+
+  @Test
+  public void workerThatCalledBackDoesNotGetTheRequestAgain() {
+    out("a", 1);
+    say("a", "s-1", News.State.RETURNED);
+    send("a", 1);
+    assertEquals(sent.size(), 1);
+    assertEquals(heard.get(2), "ended a/1 NEVER_SENT");
+  }
+
+  @Test
+  public void workerHoldsOneAttemptOfARequestAtATime() {
+    out("a", 1);
+    send("a", 1);
+    assertEquals(sent.size(), 1);
+    assertEquals(heard.get(1), "ended a/1 NEVER_SENT");
+  }
+
+  /**
+   * Its connection broke, or was closed by us: whether the worker runs the job yet, nobody knows.
+   */
+  @Test
+  public void workerThatMayStillRunAnAttemptDoesNotGetTheRequestAgain() {
+    request("a", 21_000);
+    send("a", 1);
+    sent.get(0).written();
+    sent.get(0).ended(Outcome.RESET, Report.NONE);
+    run();
+    send("a", 1);
+    assertEquals(sent.size(), 1);
+    send("a", 2);
+    sent.get(1).written();
+    actions.cancel("a", 2);
+    turn();
+    send("a", 2);
+    assertEquals(sent.size(), 2);
+    request("b", 21_000);
+    send("b", 1);
+    sent.get(2).ended(Outcome.CONNECT_FAILED, Report.NONE);
+    run();
+    send("b", 1);
+    assertEquals(sent.size(), 4, "what was never written bars nobody");
+  }
+
+  @Test
+  public void clientThatGoesBetweenTwoAttemptsOrWhileItWaitsHasNoneBegun() {
+    out("a", 1);
+    node.clientGone("a");
+    say("a", "s-1", News.State.RETURNED);
+    send("a", 2);
+    request("b", 21_000);
+    node.clientGone("b");
+    send("b", 2);
+    assertEquals(sent.size(), 1);
+    assertEquals(answers, List.of());
+    assertEquals(
+        heard,
+        List.of("arrived a", "abandoned a", "ended a/0 FULL over", "arrived b", "abandoned b"));
+  }
+
+  /**
+   * A worker begins with the last byte: an attempt that is dialled, or written in part, must not
+   * come to that.
+   */
+  @Test
+  public void clientThatGoesBeforeAnAttemptIsWhollyWrittenHasItGivenUp() {
+    out("a", 1);
+    send("a", 2);
+    node.clientGone("a");
+    run();
+    assertEquals(given, List.of("a"), "the hedged request alone");
+    assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/1 NEVER_SENT over"));
+  }
+
+  @Test
+  public void callBackAfterTheResetOfItsAttemptChangesNothing() {
+    out("a", 1);
+    sent.get(0).ended(Outcome.RESET, Report.NONE);
+    run();
+    say("a", "s-1", News.State.DONE);
+    say("a", "s-1", News.State.FAILED);
+    assertEquals(heard, List.of("arrived a", "ended a/0 RESET"));
+    assertEquals(answers, List.of());
+  }
+
+  @Test
+  public void secondCopyStillOnItsWayBeginsNoMoreOnceTheFirstIsServed() {
+    out("a", 1);
+    send("a", 2);
+    assertTrue(sent.get(1).mayStart());
+    say("a", "s-1", News.State.DONE);
+    assertFalse(sent.get(1).mayStart());
+  }
+
+  @Test
+  public void timeOutGivesUpAndSaysWhetherItMayHaveRun() {
+    out("a", 1);
+    request("b", 1100);
+    send("b", 2);
+    pass(100);
+    assertEquals(given, List.of("a", "b"));
+    assertEquals(heard.subList(2, 4), List.of("ended a/0 TIMEOUT", "ended b/0 CONNECT_FAILED"));
+  }
+
+  @Test
+  public void jobThatItsWorkerDoesNotTakeIsGivenUpWellBeforeItsEnd() {
+    for (String id : List.of("hangs", "taken")) {
+      request(id, 21_000);
+      send(id, 1);
+      sent.get(sent.size() - 1).written();
+    }
+    sent.get(1).taken();
+    pass(1000);
+    assertEquals(given, List.of("hangs"));
+    assertEquals(heard.subList(2, heard.size()), List.of("ended hangs/0 TIMEOUT"));
+  }
+
+  @Test
+  public void jobThatWasCalledBackAboutCountsAsTakenWithoutTheWorkersWord() {
+    request("a", 21_000);
+    send("a", 1);
+    sent.get(0).written();
+    say("a", "s-1", News.State.STARTED);
+    pass(1000);
+    assertEquals(given, List.of());
+  }
+
+  @Test
+  public void cancelGivesUpOnceAndTheAttemptEndsOnce() {
+    out("a", 1);
+    actions.cancel("a", 0);
+    actions.cancel("a", 0);
+    turn();
+    say("a", "s-1", News.State.DONE);
+    assertEquals(given, List.of("a"));
+    assertEquals(heard, List.of("arrived a", "ended a/0 CANCELLED"));
+  }
+
+  @Test
+  public void clientThatGoesAwayGetsNoAnswerAndItsAttemptIsStillReported() {
+    out("a", 1);
+    node.clientGone("a");
+    run();
+    say("a", "s-1", News.State.DONE);
+    assertEquals(answers, List.of());
+    assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/0 OK over"));
+    assertEquals(node.open(), 0);
+  }
+
+  @Test
+  public void finalAnswerIsGivenOnceAndAtOnce() {
+    request("a", 5000);
+    actions.refuse("a", 500);
+    actions.fail("a");
+    turn();
+    assertEquals(answers, List.of("refused 500.0"));
+    assertEquals(node.open(), 0);
+  }
+
+  @Test
+  public void idOfARequestThatEndedIsNotTakenAgainUntilOthersHavePushedItOut() {
+    for (String id : List.of("a", "b", "c")) {
+      request(id, 5000);
+      actions.refuse(id, 0);
+      turn();
+      assertFalse(node.request(job(id, 5000), call(id), new Answers()), id);
+    }
+    assertEquals(answers, List.of("refused 0.0", "refused 0.0", "refused 0.0"));
+    // The memory holds as many ids as the table, two here.
+    request("a", 5000);
+  }
+
+  @Test
+  public void requestThatTheModuleForgetsFailsAtItsEnd() {
+    request("a", 1100);
+    pass(100);
+    assertEquals(answers, List.of());
+    pass(10);
+    assertEquals(answers, List.of("failed"));
+    assertEquals(node.open(), 0);
+  }
+
+  @Test
+  public void sendWaitingOnAConnectStopsWhenItsWorkerDrainsRestartsOrMoves() {
+    out("a", 1);
+    assertTrue(sent.get(0).mayStart());
+    Member ready = member("s-1", 1, State.READY, 0);
+    for (Member changed :
+        List.of(
+            member("s-1", 1, State.DRAINING, 0),
+            member("s-1", 1, State.GONE, 0),
+            member("s-1", 1, State.READY, 900),
+            new Member("s-1", new InetSocketAddress("127.0.0.9", 9), ready.worker()))) {
+      node.members(Dispatcher.News.CHANGES, List.of(changed));
+      assertFalse(sent.get(0).mayStart(), changed.toString());
+      node.members(Dispatcher.News.CHANGES, List.of(ready));
+      assertTrue(sent.get(0).mayStart());
+    }
+    node.members(Dispatcher.News.WHOLE, List.of(member("s-2", 2, State.READY, 0)));
+    assertFalse(sent.get(0).mayStart());
+  }
+
+  @Test
+  public void fullTableRefusesWithoutTheModuleAndAnIdInUseIsNotTaken() {
+    request("a", 5000);
+    request("b", 5000);
+    request("c", 5000);
+    assertEquals(answers, List.of("refused 700.0"));
+    assertFalse(node.request(job("a", 5000), call("a"), new Answers()));
+    assertEquals(heard, List.of("arrived a", "arrived b"));
+  }
+
+  private void out(String id, long worker) {
+    request(id, 1100);
+    send(id, worker);
+    sent.get(sent.size() - 1).written();
+  }
+
+  private void request(String id, double due) {
+    assertTrue(node.request(job(id, due), call(id), new Answers()));
+    run();
+  }
+
+  private void send(String id, long worker) {
+    actions.send(id, worker, 0);
+    turn();
+  }
+
+  private void say(String id, String from, News.State state) {
+    node.news(new News(id, from, state, 0, "r", Report.NONE));
+    run();
+  }
+
+  /** What the module asks for goes out with the next turn; any event brings one about. */
+  private void turn() {
+    node.heard(0, new byte[0]);
+    run();
+  }
+
+  private void pass(double millis) {
+    now += millis;
+    timers.run();
+    run();
+  }
+
+  private void run() {
+    while (!tasks.isEmpty()) {
+      tasks.poll().run();
+    }
+  }
+
+  private static Job job(String id, double due) {
+    return new Job(id, 0, 0, due, 0, 1, 0, 0);
+  }
+
+  private static Call call(String id) {
+    return new Call(id, "POST", "/api", null, new byte[0]);
+  }
+
+  private static Member member(String name, long id, State state, double startedAt) {
+    return new Member(
+        name,
+        new InetSocketAddress("127.0.0.1", (int) id),
+        new Worker(id, state, 0, 0, 0, startedAt, 1));
+  }
+
+  private final class Answers implements Reply {
+    @Override
+    public void served(String result) {
+      answers.add("served " + result);
+    }
+
+    @Override
+    public void refused(double retryAfter) {
+      answers.add("refused " + retryAfter);
+    }
+
+    @Override
+    public void failed() {
+      answers.add("failed");
+    }
+  }
+
+  private final class ScriptedWorkers implements Workers {
+    @Override
+    public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
+      sent.add(listener);
+      return told -> {
+        given.add(call.id());
+        told.run();
+      };
+    }
+
+    @Override
+    public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
+      listener.accept(Outcome.OK, Report.NONE);
     }
+  }
 
-    @Test
-    public void callBackBeforeThe202ServesAndItsRepeatsDoNothing() {
-        out("a", 1);
-        say("a", "s-1", News.State.DONE);
-        say("a", "s-1", News.State.DONE);
-        say("a", "s-1", News.State.LOST);
-        assertEquals(answers, List.of("served r"));
-        assertEquals(heard, List.of("arrived a", "ended a/0 OK over"));
-        assertEquals(node.open(), 0);
+  private final class Recorder implements Dispatcher {
+    @Override
+    public void arrived(double time, Job job) {
+      heard.add("arrived " + job.id());
     }
 
-    @Test
-    public void newsOfUnknownJobsAndFromOtherWorkersIsIgnored() {
-        out("a", 1);
-        say("b", "s-1", News.State.DONE);
-        say("a", "s-2", News.State.DONE);
-        say("a", "s-9", News.State.STARTED);
-        assertEquals(heard, List.of("arrived a"));
-        assertEquals(answers, List.of());
+    @Override
+    public void started(double time, String id, int attempt) {
+      heard.add("started " + id + "/" + attempt);
     }
 
-    @Test
-    public void newsFromAnEarlierAttemptsWorkerDoesNotEndTheNewOne() {
-        out("a", 1);
-        say("a", "s-1", News.State.RETURNED);
-        send("a", 2);
-        sent.get(1).written();
-        say("a", "s-1", News.State.RETURNED);
-        assertEquals(heard, List.of("arrived a", "ended a/0 FULL"));
-        say("a", "s-2", News.State.DONE);
-        assertEquals(answers, List.of("served r"));
-    }
-
-    @Test
-    public void workerThatCalledBackDoesNotGetTheRequestAgain() {
-        out("a", 1);
-        say("a", "s-1", News.State.RETURNED);
-        send("a", 1);
-        assertEquals(sent.size(), 1);
-        assertEquals(heard.get(2), "ended a/1 NEVER_SENT");
-    }
-
-    @Test
-    public void workerHoldsOneAttemptOfARequestAtATime() {
-        out("a", 1);
-        send("a", 1);
-        assertEquals(sent.size(), 1);
-        assertEquals(heard.get(1), "ended a/1 NEVER_SENT");
-    }
-
-    /** Its connection broke, or was closed by us: whether the worker runs the job yet, nobody knows. */
-    @Test
-    public void workerThatMayStillRunAnAttemptDoesNotGetTheRequestAgain() {
-        request("a", 21_000);
-        send("a", 1);
-        sent.get(0).written();
-        sent.get(0).ended(Outcome.RESET, Report.NONE);
-        run();
-        send("a", 1);
-        assertEquals(sent.size(), 1);
-        send("a", 2);
-        sent.get(1).written();
-        actions.cancel("a", 2);
-        turn();
-        send("a", 2);
-        assertEquals(sent.size(), 2);
-        request("b", 21_000);
-        send("b", 1);
-        sent.get(2).ended(Outcome.CONNECT_FAILED, Report.NONE);
-        run();
-        send("b", 1);
-        assertEquals(sent.size(), 4, "what was never written bars nobody");
-    }
-
-    @Test
-    public void clientThatGoesBetweenTwoAttemptsOrWhileItWaitsHasNoneBegun() {
-        out("a", 1);
-        node.clientGone("a");
-        say("a", "s-1", News.State.RETURNED);
-        send("a", 2);
-        request("b", 21_000);
-        node.clientGone("b");
-        send("b", 2);
-        assertEquals(sent.size(), 1);
-        assertEquals(answers, List.of());
-        assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/0 FULL over", "arrived b", "abandoned b"));
-    }
-
-    /** A worker begins with the last byte: an attempt that is dialled, or written in part, must not come to that. */
-    @Test
-    public void clientThatGoesBeforeAnAttemptIsWhollyWrittenHasItGivenUp() {
-        out("a", 1);
-        send("a", 2);
-        node.clientGone("a");
-        run();
-        assertEquals(given, List.of("a"), "the hedged request alone");
-        assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/1 NEVER_SENT over"));
-    }
+    @Override
+    public void progressed(double time, String id, int attempt, double share) {}
 
-    @Test
-    public void callBackAfterTheResetOfItsAttemptChangesNothing() {
-        out("a", 1);
-        sent.get(0).ended(Outcome.RESET, Report.NONE);
-        run();
-        say("a", "s-1", News.State.DONE);
-        say("a", "s-1", News.State.FAILED);
-        assertEquals(heard, List.of("arrived a", "ended a/0 RESET"));
-        assertEquals(answers, List.of());
-    }
+    @Override
+    public void streaming(double time, String id, int attempt) {}
 
-    @Test
-    public void secondCopyStillOnItsWayBeginsNoMoreOnceTheFirstIsServed() {
-        out("a", 1);
-        send("a", 2);
-        assertTrue(sent.get(1).mayStart());
-        say("a", "s-1", News.State.DONE);
-        assertFalse(sent.get(1).mayStart());
+    @Override
+    public void ended(
+        double time,
+        String id,
+        int attempt,
+        Outcome outcome,
+        double took,
+        boolean over,
+        Report report) {
+      heard.add("ended " + id + "/" + attempt + " " + outcome + (over ? " over" : ""));
     }
 
-    @Test
-    public void timeOutGivesUpAndSaysWhetherItMayHaveRun() {
-        out("a", 1);
-        request("b", 1100);
-        send("b", 2);
-        pass(100);
-        assertEquals(given, List.of("a", "b"));
-        assertEquals(heard.subList(2, 4), List.of("ended a/0 TIMEOUT", "ended b/0 CONNECT_FAILED"));
+    @Override
+    public void abandoned(double time, String id) {
+      heard.add("abandoned " + id);
     }
 
-    @Test
-    public void jobThatItsWorkerDoesNotTakeIsGivenUpWellBeforeItsEnd() {
-        for (String id : List.of("hangs", "taken")) {
-            request(id, 21_000);
-            send(id, 1);
-            sent.get(sent.size() - 1).written();
-        }
-        sent.get(1).taken();
-        pass(1000);
-        assertEquals(given, List.of("hangs"));
-        assertEquals(heard.subList(2, heard.size()), List.of("ended hangs/0 TIMEOUT"));
-    }
+    @Override
+    public void members(double time, Dispatcher.News news, List<Worker> workers) {}
 
-    @Test
-    public void jobThatWasCalledBackAboutCountsAsTakenWithoutTheWorkersWord() {
-        request("a", 21_000);
-        send("a", 1);
-        sent.get(0).written();
-        say("a", "s-1", News.State.STARTED);
-        pass(1000);
-        assertEquals(given, List.of());
-    }
+    @Override
+    public void listFailed(double time) {}
 
-    @Test
-    public void cancelGivesUpOnceAndTheAttemptEndsOnce() {
-        out("a", 1);
-        actions.cancel("a", 0);
-        actions.cancel("a", 0);
-        turn();
-        say("a", "s-1", News.State.DONE);
-        assertEquals(given, List.of("a"));
-        assertEquals(heard, List.of("arrived a", "ended a/0 CANCELLED"));
-    }
+    @Override
+    public void checked(double time, long worker, Outcome outcome, double took, Report report) {}
 
-    @Test
-    public void clientThatGoesAwayGetsNoAnswerAndItsAttemptIsStillReported() {
-        out("a", 1);
-        node.clientGone("a");
-        run();
-        say("a", "s-1", News.State.DONE);
-        assertEquals(answers, List.of());
-        assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/0 OK over"));
-        assertEquals(node.open(), 0);
-    }
+    @Override
+    public void heard(double time, int from, byte[] message) {}
 
-    @Test
-    public void finalAnswerIsGivenOnceAndAtOnce() {
-        request("a", 5000);
-        actions.refuse("a", 500);
-        actions.fail("a");
-        turn();
-        assertEquals(answers, List.of("refused 500.0"));
-        assertEquals(node.open(), 0);
-    }
-
-    @Test
-    public void idOfARequestThatEndedIsNotTakenAgainUntilOthersHavePushedItOut() {
-        for (String id : List.of("a", "b", "c")) {
-            request(id, 5000);
-            actions.refuse(id, 0);
-            turn();
-            assertFalse(node.request(job(id, 5000), call(id), new Answers()), id);
-        }
-        assertEquals(answers, List.of("refused 0.0", "refused 0.0", "refused 0.0"));
-        // The memory holds as many ids as the table, two here.
-        request("a", 5000);
-    }
-
-    @Test
-    public void requestThatTheModuleForgetsFailsAtItsEnd() {
-        request("a", 1100);
-        pass(100);
-        assertEquals(answers, List.of());
-        pass(10);
-        assertEquals(answers, List.of("failed"));
-        assertEquals(node.open(), 0);
-    }
-
-    @Test
-    public void sendWaitingOnAConnectStopsWhenItsWorkerDrainsRestartsOrMoves() {
-        out("a", 1);
-        assertTrue(sent.get(0).mayStart());
-        Member ready = member("s-1", 1, State.READY, 0);
-        for (Member changed : List.of(member("s-1", 1, State.DRAINING, 0), member("s-1", 1, State.GONE, 0),
-                member("s-1", 1, State.READY, 900),
-                new Member("s-1", new InetSocketAddress("127.0.0.9", 9), ready.worker()))) {
-            node.members(Dispatcher.News.CHANGES, List.of(changed));
-            assertFalse(sent.get(0).mayStart(), changed.toString());
-            node.members(Dispatcher.News.CHANGES, List.of(ready));
-            assertTrue(sent.get(0).mayStart());
-        }
-        node.members(Dispatcher.News.WHOLE, List.of(member("s-2", 2, State.READY, 0)));
-        assertFalse(sent.get(0).mayStart());
-    }
-
-    @Test
-    public void fullTableRefusesWithoutTheModuleAndAnIdInUseIsNotTaken() {
-        request("a", 5000);
-        request("b", 5000);
-        request("c", 5000);
-        assertEquals(answers, List.of("refused 700.0"));
-        assertFalse(node.request(job("a", 5000), call("a"), new Answers()));
-        assertEquals(heard, List.of("arrived a", "arrived b"));
-    }
-
-    private void out(String id, long worker) {
-        request(id, 1100);
-        send(id, worker);
-        sent.get(sent.size() - 1).written();
-    }
-
-    private void request(String id, double due) {
-        assertTrue(node.request(job(id, due), call(id), new Answers()));
-        run();
-    }
-
-    private void send(String id, long worker) {
-        actions.send(id, worker, 0);
-        turn();
-    }
-
-    private void say(String id, String from, News.State state) {
-        node.news(new News(id, from, state, 0, "r", Report.NONE));
-        run();
-    }
-
-    /** What the module asks for goes out with the next turn; any event brings one about. */
-    private void turn() {
-        node.heard(0, new byte[0]);
-        run();
-    }
-
-    private void pass(double millis) {
-        now += millis;
-        timers.run();
-        run();
-    }
-
-    private void run() {
-        while (!tasks.isEmpty()) {
-            tasks.poll().run();
-        }
-    }
-
-    private static Job job(String id, double due) {
-        return new Job(id, 0, 0, due, 0, 1, 0, 0);
-    }
-
-    private static Call call(String id) {
-        return new Call(id, "POST", "/api", null, new byte[0]);
-    }
-
-    private static Member member(String name, long id, State state, double startedAt) {
-        return new Member(name, new InetSocketAddress("127.0.0.1", (int) id), new Worker(id, state, 0, 0, 0, startedAt, 1));
-    }
-
-    private final class Answers implements Reply {
-        @Override
-        public void served(String result) {
-            answers.add("served " + result);
-        }
-
-        @Override
-        public void refused(double retryAfter) {
-            answers.add("refused " + retryAfter);
-        }
-
-        @Override
-        public void failed() {
-            answers.add("failed");
-        }
-    }
-
-    private final class ScriptedWorkers implements Workers {
-        @Override
-        public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
-            sent.add(listener);
-            return told -> {
-                given.add(call.id());
-                told.run();
-            };
-        }
-
-        @Override
-        public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
-            listener.accept(Outcome.OK, Report.NONE);
-        }
-    }
-
-    private final class Recorder implements Dispatcher {
-        @Override
-        public void arrived(double time, Job job) {
-            heard.add("arrived " + job.id());
-        }
-
-        @Override
-        public void started(double time, String id, int attempt) {
-            heard.add("started " + id + "/" + attempt);
-        }
-
-        @Override
-        public void progressed(double time, String id, int attempt, double share) { }
-
-        @Override
-        public void streaming(double time, String id, int attempt) { }
-
-        @Override
-        public void ended(double time, String id, int attempt, Outcome outcome, double took, boolean over,
-                Report report) {
-            heard.add("ended " + id + "/" + attempt + " " + outcome + (over ? " over" : ""));
-        }
-
-        @Override
-        public void abandoned(double time, String id) {
-            heard.add("abandoned " + id);
-        }
-
-        @Override
-        public void members(double time, Dispatcher.News news, List<Worker> workers) { }
-
-        @Override
-        public void listFailed(double time) { }
-
-        @Override
-        public void checked(double time, long worker, Outcome outcome, double took, Report report) { }
-
-        @Override
-        public void heard(double time, int from, byte[] message) { }
-
-        @Override
-        public void timer(double time, long token) { }
-    }
+    @Override
+    public void timer(double time, long token) {}
+  }
 }
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
@@ -22,133 +22,167 @@
 import org.testng.annotations.Test;
 
 /**
- * What the decisions send a worker that joins and warms up, at 200 requests a second and with both machines' wall
- * clocks stepped at some moment before: the same as without a step.
+ * What the decisions send a worker that joins and warms up, at 200 requests a second and with both
+ * machines' wall clocks stepped at some moment before: the same as without a step.
  */
 public class SlowStartAcrossStepsTest {
-    private static final double START = 1_700_000_000_000.0;
-    private static final int SECONDS_OBSERVED = 10;
-    private static final double PAUSE = 5;
-    private static final double SERVICE = 20;
-
-    /** When the step comes. */
-    private enum Moment {
-        BEFORE_THE_FIRST_LIST, BEFORE_THE_WORKER_STARTS, BETWEEN_ITS_START_AND_ITS_LISTING, WHILE_IT_WARMS_UP
+  private static final double START = 1_700_000_000_000.0;
+  private static final int SECONDS_OBSERVED = 10;
+  private static final double PAUSE = 5;
+  private static final double SERVICE = 20;
+
+  /** When the step comes. */
+  private enum Moment {
+    BEFORE_THE_FIRST_LIST,
+    BEFORE_THE_WORKER_STARTS,
+    BETWEEN_ITS_START_AND_ITS_LISTING,
+    WHILE_IT_WARMS_UP
+  }
+
+  /** Whose wall clock is stepped: of all machines, or of this one alone. */
+  private enum Stepped {
+    ALL,
+    THIS_ONE
+  }
+
+  @DataProvider
+  public Object[][] cases() {
+    return Arrays.stream(SettableClock.steps())
+        .flatMap(
+            step ->
+                Arrays.stream(Moment.values())
+                    .flatMap(
+                        moment ->
+                            Arrays.stream(Stepped.values())
+                                .map(who -> new Object[] {step[0], moment, who})))
+        .toArray(Object[][]::new);
+  }
+
+  @Test(dataProvider = "cases")
+  public void joinedWorkersSlowStartGoesAsWithoutAStep(double step, Moment moment, Stepped who) {
+    int[] without = new Run().sends(0, moment, who);
+    assertTrue(
+        without[0] > 0 && without[0] < without[SECONDS_OBSERVED - 1] / 2, Arrays.toString(without));
+    assertEquals(new Run().sends(step, moment, who), without);
+  }
+
+  /** A node with the module's own decisions, between two workers that serve all they get. */
+  private static final class Run implements Workers {
+    private final SettableClock clock = new SettableClock(START);
+    private final Timers timers = new Timers(clock, (millis, run) -> {});
+    private final Deque<Runnable> tasks = new ArrayDeque<>();
+    private final int[] sent = new int[SECONDS_OBSERVED];
+    private final Node node;
+    private double step;
+    private Moment moment;
+
+    /** The wall clock of the workers' machines, less the monotonic one here. */
+    private double theirsAhead;
+
+    private double joinedAt = Double.NaN;
+    private int requests;
+
+    Run() {
+      SettingsMapping settings = new SettingsMapping();
+      settings.put(
+          Json.parse(
+                  """
+                  {"Balancers":1,"Zones":["z"],"Kinds":["k"],"Tenants":[{"Name":"t","Share":1}],
+                  "Rules":{"StartCapacity":0.1,"Cold":6000,"FallMultiple":1.5,"TipAfter":500},
+                  "Classes":[{"Name":"draft","Effect":"idempotent","Deadline":1000.0}]}""")
+              .asObject());
+      node =
+          new Node(
+              new Node.Surroundings(
+                  clock,
+                  timers,
+                  tasks::add,
+                  this,
+                  (peer, message) -> {},
+                  new Log(clock, line -> {})),
+              new Node.Room(1000, 1_000_000, 0),
+              actions -> new Choice(settings.build(), 7, clock.now(), actions));
     }
 
-    /** Whose wall clock is stepped: of all machines, or of this one alone. */
-    private enum Stepped { ALL, THIS_ONE }
-
-    @DataProvider
-    public Object[][] cases() {
-        return Arrays.stream(SettableClock.steps()).flatMap(step -> Arrays.stream(Moment.values())
-                .flatMap(moment -> Arrays.stream(Stepped.values()).map(who -> new Object[] {step[0], moment, who})))
-                .toArray(Object[][]::new);
+    int[] sends(double by, Moment when, Stepped who) {
+      step = by;
+      moment = when;
+      at(Moment.BEFORE_THE_FIRST_LIST, who);
+      node.members(Dispatcher.News.WHOLE, List.of(entry(1, 0)));
+      traffic(20_000);
+      at(Moment.BEFORE_THE_WORKER_STARTS, who);
+      double listedStart = clock.now() + theirsAhead;
+      at(Moment.BETWEEN_ITS_START_AND_ITS_LISTING, who);
+      traffic(100);
+      joinedAt = clock.now();
+      node.members(Dispatcher.News.CHANGES, List.of(entry(2, listedStart)));
+      traffic(1_000);
+      at(Moment.WHILE_IT_WARMS_UP, who);
+      node.members(Dispatcher.News.WHOLE, List.of(entry(1, 0), entry(2, listedStart)));
+      traffic(SECONDS_OBSERVED * 1000 - 1_000 - PAUSE);
+      return sent;
     }
 
-    @Test(dataProvider = "cases")
-    public void joinedWorkersSlowStartGoesAsWithoutAStep(double step, Moment moment, Stepped who) {
-        int[] without = new Run().sends(0, moment, who);
-        assertTrue(without[0] > 0 && without[0] < without[SECONDS_OBSERVED - 1] / 2, Arrays.toString(without));
-        assertEquals(new Run().sends(step, moment, who), without);
+    private void at(Moment here, Stepped who) {
+      if (moment == here) {
+        clock.step(step);
+        theirsAhead += who == Stepped.ALL ? step : 0;
+      }
     }
 
-    /** A node with the module's own decisions, between two workers that serve all they get. */
-    private static final class Run implements Workers {
-        private final SettableClock clock = new SettableClock(START);
-        private final Timers timers = new Timers(clock, (millis, run) -> { });
-        private final Deque<Runnable> tasks = new ArrayDeque<>();
-        private final int[] sent = new int[SECONDS_OBSERVED];
-        private final Node node;
-        private double step;
-        private Moment moment;
-        /** The wall clock of the workers' machines, less the monotonic one here. */
-        private double theirsAhead;
-        private double joinedAt = Double.NaN;
-        private int requests;
-
-        Run() {
-            SettingsMapping settings = new SettingsMapping();
-            settings.put(Json.parse("""
-                    {"Balancers":1,"Zones":["z"],"Kinds":["k"],"Tenants":[{"Name":"t","Share":1}],
-                    "Rules":{"StartCapacity":0.1,"Cold":6000,"FallMultiple":1.5,"TipAfter":500},
-                    "Classes":[{"Name":"draft","Effect":"idempotent","Deadline":1000.0}]}""").asObject());
-            node = new Node(new Node.Surroundings(clock, timers, tasks::add, this, (peer, message) -> { },
-                    new Log(clock, line -> { })), new Node.Room(1000, 1_000_000, 0),
-                    actions -> new Choice(settings.build(), 7, clock.now(), actions));
-        }
-
-        int[] sends(double by, Moment when, Stepped who) {
-            step = by;
-            moment = when;
-            at(Moment.BEFORE_THE_FIRST_LIST, who);
-            node.members(Dispatcher.News.WHOLE, List.of(entry(1, 0)));
-            traffic(20_000);
-            at(Moment.BEFORE_THE_WORKER_STARTS, who);
-            double listedStart = clock.now() + theirsAhead;
-            at(Moment.BETWEEN_ITS_START_AND_ITS_LISTING, who);
-            traffic(100);
-            joinedAt = clock.now();
-            node.members(Dispatcher.News.CHANGES, List.of(entry(2, listedStart)));
-            traffic(1_000);
-            at(Moment.WHILE_IT_WARMS_UP, who);
-            node.members(Dispatcher.News.WHOLE, List.of(entry(1, 0), entry(2, listedStart)));
-            traffic(SECONDS_OBSERVED * 1000 - 1_000 - PAUSE);
-            return sent;
-        }
-
-        private void at(Moment here, Stepped who) {
-            if (moment == here) {
-                clock.step(step);
-                theirsAhead += who == Stepped.ALL ? step : 0;
-            }
-        }
-
-        private static Member entry(int id, double listedStart) {
-            return new Member("s-" + id, new InetSocketAddress("127.0.0.1", id),
-                    new Worker(id, State.READY, 0, 0, 0, listedStart, 1));
-        }
+    private static Member entry(int id, double listedStart) {
+      return new Member(
+          "s-" + id,
+          new InetSocketAddress("127.0.0.1", id),
+          new Worker(id, State.READY, 0, 0, 0, listedStart, 1));
+    }
 
-        private void traffic(double millis) {
-            for (double passed = 0; passed < millis; passed += PAUSE) {
-                clock.pass(PAUSE);
-                timers.run();
-                String id = "r" + requests++;
-                node.request(new Job(id, 0, 0, clock.now() + 1000, 0, 1, 0, 0),
-                        new Call(id, "POST", "/api", null, new byte[0]), new Unheard());
-                while (!tasks.isEmpty()) {
-                    tasks.poll().run();
-                }
-            }
+    private void traffic(double millis) {
+      for (double passed = 0; passed < millis; passed += PAUSE) {
+        clock.pass(PAUSE);
+        timers.run();
+        String id = "r" + requests++;
+        node.request(
+            new Job(id, 0, 0, clock.now() + 1000, 0, 1, 0, 0),
+            new Call(id, "POST", "/api", null, new byte[0]),
+            new Unheard());
+        while (!tasks.isEmpty()) {
+          tasks.poll().run();
         }
+      }
+    }
 
-        @Override
-        public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
-            if (worker.getPort() == 2) {
-                sent[(int) ((clock.now() - joinedAt) / 1000)]++;
-            }
-            listener.written();
-            listener.taken();
-            timers.after(SERVICE, () -> node.news(new News(call.id(), "s-" + worker.getPort(), News.State.DONE, 1, "r",
-                    Report.NONE)));
-            return told -> { };
-        }
+    @Override
+    public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
+      if (worker.getPort() == 2) {
+        sent[(int) ((clock.now() - joinedAt) / 1000)]++;
+      }
+      listener.written();
+      listener.taken();
+      timers.after(
+          SERVICE,
+          () ->
+              node.news(
+                  new News(
+                      call.id(), "s-" + worker.getPort(), News.State.DONE, 1, "r", Report.NONE)));
+      return told -> {};
+    }
 
-        @Override
-        public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
-            listener.accept(Outcome.OK, Report.NONE);
-        }
+    @Override
+    public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
+      listener.accept(Outcome.OK, Report.NONE);
     }
+  }
 
-    /** The client of a request, whose answer does not matter here. */
-    private static final class Unheard implements Reply {
-        @Override
-        public void served(String result) { }
+  /** The client of a request, whose answer does not matter here. */
+  private static final class Unheard implements Reply {
+    @Override
+    public void served(String result) {}
 
-        @Override
-        public void refused(double retryAfter) { }
+    @Override
+    public void refused(double retryAfter) {}
 
-        @Override
-        public void failed() { }
-    }
+    @Override
+    public void failed() {}
+  }
 }
--- a/test-support/src/main/java/ferngrade/golden/GoldenFile.java
+++ b/test-support/src/main/java/ferngrade/golden/GoldenFile.java
@@ -11,91 +11,98 @@
 import java.util.TreeMap;
 
 /**
- * Recorded values, one per line as {@code name value}, in a test resource of the module under test. A test compares them
- * with what the code produces now, so that a refactoring which changes a stored or transmitted form fails.
+ * Recorded values, one per line as {@code name value}, in a test resource of the module under test.
+ * A test compares them with what the code produces now, so that a refactoring which changes a
+ * stored or transmitted form fails.
  *
- * <p>Values are compared unless the system property {@value #RECORD_PROPERTY} names this very file; then the values are
- * written to the module's {@code src/test/resources/golden} instead. Belongs to one thread.
+ * <p>Values are compared unless the system property {@value #RECORD_PROPERTY} names this very file;
+ * then the values are written to the module's {@code src/test/resources/golden} instead. Belongs to
+ * one thread.
  */
 public final class GoldenFile {
-    /** The system property that names the one file to record anew. */
-    public static final String RECORD_PROPERTY = "golden.record";
+  /** The system property that names the one file to record anew. */
+  public static final String RECORD_PROPERTY = "golden.record";
 
-    private static final String RESOURCE_FOLDER = "golden";
-    private static final Path SOURCE_FOLDER = Path.of("src", "test", "resources", RESOURCE_FOLDER);
+  private static final String RESOURCE_FOLDER = "golden";
+  private static final Path SOURCE_FOLDER = Path.of("src", "test", "resources", RESOURCE_FOLDER);
 
-    private final String fileName;
-    private final boolean recording;
-    private final Map<String, String> values = new TreeMap<>();
+  private final String fileName;
+  private final boolean recording;
+  private final Map<String, String> values = new TreeMap<>();
 
-    private GoldenFile(String fileName) {
-        this.fileName = fileName;
-        this.recording = fileName.equals(System.getProperty(RECORD_PROPERTY));
-    }
+  private GoldenFile(String fileName) {
+    this.fileName = fileName;
+    this.recording = fileName.equals(System.getProperty(RECORD_PROPERTY));
+  }
 
-    /** Opens the golden file of this name; a file that does not exist is an error unless it is being recorded. */
-    public static GoldenFile open(String fileName) {
-        GoldenFile file = new GoldenFile(fileName);
-        if (!file.recording) {
-            file.load();
-        }
-        return file;
+  /**
+   * Opens the golden file of this name; a file that does not exist is an error unless it is being
+   * recorded.
+   */
+  public static GoldenFile open(String fileName) {
+    GoldenFile file = new GoldenFile(fileName);
+    if (!file.recording) {
+      file.load();
     }
+    return file;
+  }
 
-    private void load() {
-        try (InputStream in = GoldenFile.class.getResourceAsStream("/" + RESOURCE_FOLDER + "/" + fileName)) {
-            if (in == null) {
-                throw new IllegalStateException("no golden file " + fileName);
-            }
-            for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
-                int space = line.indexOf(' ');
-                values.put(line.substring(0, space), line.substring(space + 1));
-            }
-        } catch (IOException unreadable) {
-            throw new UncheckedIOException(unreadable);
-        }
+  private void load() {
+    try (InputStream in =
+        GoldenFile.class.getResourceAsStream("/" + RESOURCE_FOLDER + "/" + fileName)) {
+      if (in == null) {
+        throw new IllegalStateException("no golden file " + fileName);
+      }
+      for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
+        int space = line.indexOf(' ');
+        values.put(line.substring(0, space), line.substring(space + 1));
+      }
+    } catch (IOException unreadable) {
+      throw new UncheckedIOException(unreadable);
     }
+  }
 
-    /** Compares a text without line breaks with the recorded one, or records it. */
-    public void verify(String name, String actual) {
-        if (recording) {
-            values.put(name, actual);
-            save();
-            return;
-        }
-        String expected = values.get(name);
-        if (!actual.equals(expected)) {
-            throw new AssertionError(fileName + ", " + name + ": expected " + expected + " but was " + actual);
-        }
+  /** Compares a text without line breaks with the recorded one, or records it. */
+  public void verify(String name, String actual) {
+    if (recording) {
+      values.put(name, actual);
+      save();
+      return;
     }
-
-    /** Compares bytes with the recorded ones, or records them. */
-    public void verify(String name, byte[] actual) {
-        verify(name, HexFormat.of().formatHex(actual));
+    String expected = values.get(name);
+    if (!actual.equals(expected)) {
+      throw new AssertionError(
+          fileName + ", " + name + ": expected " + expected + " but was " + actual);
     }
+  }
 
-    /** Compares a text of several lines, line by line, or records it; line breaks count. */
-    public void verifyLines(String name, String actual) {
-        verify(name, actual.replace("\\", "\\\\").replace("\r", "\\r").replace("\n", "\\n"));
-    }
+  /** Compares bytes with the recorded ones, or records them. */
+  public void verify(String name, byte[] actual) {
+    verify(name, HexFormat.of().formatHex(actual));
+  }
+
+  /** Compares a text of several lines, line by line, or records it; line breaks count. */
+  public void verifyLines(String name, String actual) {
+    verify(name, actual.replace("\\", "\\\\").replace("\r", "\\r").replace("\n", "\\n"));
+  }
 
-    /** The recorded bytes of this name. */
-    public byte[] bytes(String name) {
-        String hex = values.get(name);
-        if (hex == null) {
-            throw new AssertionError(fileName + " has no value " + name);
-        }
-        return HexFormat.of().parseHex(hex);
+  /** The recorded bytes of this name. */
+  public byte[] bytes(String name) {
+    String hex = values.get(name);
+    if (hex == null) {
+      throw new AssertionError(fileName + " has no value " + name);
     }
+    return HexFormat.of().parseHex(hex);
+  }
 
-    private void save() {
-        StringBuilder text = new StringBuilder();
-        values.forEach((name, value) -> text.append(name).append(' ').append(value).append('\n'));
-        try {
-            Files.createDirectories(SOURCE_FOLDER);
-            Files.writeString(SOURCE_FOLDER.resolve(fileName), text);
-        } catch (IOException unwritable) {
-            throw new UncheckedIOException(unwritable);
-        }
+  private void save() {
+    StringBuilder text = new StringBuilder();
+    values.forEach((name, value) -> text.append(name).append(' ').append(value).append('\n'));
+    try {
+      Files.createDirectories(SOURCE_FOLDER);
+      Files.writeString(SOURCE_FOLDER.resolve(fileName), text);
+    } catch (IOException unwritable) {
+      throw new UncheckedIOException(unwritable);
     }
+  }
 }
--- a/trials/src/main/java/ferngrade/trials/UdpRelay.java
+++ b/trials/src/main/java/ferngrade/trials/UdpRelay.java
@@ -13,99 +13,108 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One directed link for datagrams: what comes from its one end goes on to the other, and what the other answers to it goes
- * back. It can lose, repeat, delay and so reorder them. All but the switches belongs to the group's one thread.
+ * One directed link for datagrams: what comes from its one end goes on to the other, and what the
+ * other answers to it goes back. It can lose, repeat, delay and so reorder them. All but the
+ * switches belongs to the group's one thread.
  */
 final class UdpRelay {
-    private static final double LOST = 0.2;
-    private static final double REPEATED = 0.2;
-    private static final double LATE = 0.3;
-    private static final int LATE_MS = 150;
+  private static final double LOST = 0.2;
+  private static final double REPEATED = 0.2;
+  private static final double LATE = 0.3;
+  private static final int LATE_MS = 150;
 
-    private final Channel channel;
-    private final SplittableRandom chance;
-    private InetSocketAddress from;
-    private volatile InetSocketAddress target;
-    private volatile boolean silent;
-    private volatile boolean scrambled;
-    /** The last that passed, for whoever wants to send it again. */
-    private volatile byte[] last;
+  private final Channel channel;
+  private final SplittableRandom chance;
+  private InetSocketAddress from;
+  private volatile InetSocketAddress target;
+  private volatile boolean silent;
+  private volatile boolean scrambled;
 
-    UdpRelay(EventLoopGroup group, long seed) throws InterruptedException {
-        this.chance = new SplittableRandom(seed);
-        this.channel = new Bootstrap().group(group).channel(NioDatagramChannel.class).handler(new Pipe())
-                .bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel();
-    }
+  /** The last that passed, for whoever wants to send it again. */
+  private volatile byte[] last;
 
-    InetSocketAddress address() {
-        return (InetSocketAddress) channel.localAddress();
-    }
+  UdpRelay(EventLoopGroup group, long seed) throws InterruptedException {
+    this.chance = new SplittableRandom(seed);
+    this.channel =
+        new Bootstrap()
+            .group(group)
+            .channel(NioDatagramChannel.class)
+            .handler(new Pipe())
+            .bind(new InetSocketAddress("127.0.0.1", 0))
+            .sync()
+            .channel();
+  }
 
-    /** What comes goes there from now on. */
-    void to(InetSocketAddress address) {
-        target = address;
-    }
+  InetSocketAddress address() {
+    return (InetSocketAddress) channel.localAddress();
+  }
 
-    /** Whether all is lost. */
-    void silent(boolean now) {
-        silent = now;
-    }
+  /** What comes goes there from now on. */
+  void to(InetSocketAddress address) {
+    target = address;
+  }
 
-    /** Whether datagrams are lost, repeated and delayed by chance. */
-    void scrambled(boolean now) {
-        scrambled = now;
-    }
+  /** Whether all is lost. */
+  void silent(boolean now) {
+    silent = now;
+  }
 
-    /** The last datagram that came this way, null before the first. */
-    byte[] last() {
-        return last;
-    }
+  /** Whether datagrams are lost, repeated and delayed by chance. */
+  void scrambled(boolean now) {
+    scrambled = now;
+  }
 
-    /** Sends this to the end, as though it had come this way. */
-    void inject(byte[] datagram) {
-        channel.eventLoop().execute(() -> write(target, datagram));
-    }
+  /** The last datagram that came this way, null before the first. */
+  byte[] last() {
+    return last;
+  }
 
-    private void write(InetSocketAddress to, byte[] datagram) {
-        channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(datagram), to),
-                channel.voidPromise());
-    }
+  /** Sends this to the end, as though it had come this way. */
+  void inject(byte[] datagram) {
+    channel.eventLoop().execute(() -> write(target, datagram));
+  }
 
-    void close() {
-        channel.close();
-    }
+  private void write(InetSocketAddress to, byte[] datagram) {
+    channel.writeAndFlush(
+        new DatagramPacket(Unpooled.wrappedBuffer(datagram), to), channel.voidPromise());
+  }
 
-    private final class Pipe extends SimpleChannelInboundHandler<DatagramPacket> {
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            InetSocketAddress to = target;
-            if (to == null) {
-                return;
-            }
-            boolean back = packet.sender().equals(to);
-            if (!back) {
-                from = packet.sender();
-            }
-            InetSocketAddress next = back ? from : to;
-            if (next == null || silent || scrambled && chance.nextDouble() < LOST) {
-                return;
-            }
-            byte[] bytes = new byte[packet.content().readableBytes()];
-            packet.content().readBytes(bytes);
-            last = back ? last : bytes;
-            int copies = scrambled && chance.nextDouble() < REPEATED ? 2 : 1;
-            for (int i = 0; i < copies; i++) {
-                if (scrambled && chance.nextDouble() < LATE) {
-                    ctx.executor().schedule(() -> write(next, bytes), chance.nextInt(LATE_MS), TimeUnit.MILLISECONDS);
-                } else {
-                    write(next, bytes);
-                }
-            }
-        }
+  void close() {
+    channel.close();
+  }
 
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Whoever is not there takes nothing.
+  private final class Pipe extends SimpleChannelInboundHandler<DatagramPacket> {
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
+      InetSocketAddress to = target;
+      if (to == null) {
+        return;
+      }
+      boolean back = packet.sender().equals(to);
+      if (!back) {
+        from = packet.sender();
+      }
+      InetSocketAddress next = back ? from : to;
+      if (next == null || silent || scrambled && chance.nextDouble() < LOST) {
+        return;
+      }
+      byte[] bytes = new byte[packet.content().readableBytes()];
+      packet.content().readBytes(bytes);
+      last = back ? last : bytes;
+      int copies = scrambled && chance.nextDouble() < REPEATED ? 2 : 1;
+      for (int i = 0; i < copies; i++) {
+        if (scrambled && chance.nextDouble() < LATE) {
+          ctx.executor()
+              .schedule(() -> write(next, bytes), chance.nextInt(LATE_MS), TimeUnit.MILLISECONDS);
+        } else {
+          write(next, bytes);
         }
+      }
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+      // Whoever is not there takes nothing.
     }
+  }
 }
--- a/trials/src/test/java/ferngrade/trials/ArchitectureTest.java
+++ b/trials/src/test/java/ferngrade/trials/ArchitectureTest.java
@@ -10,21 +10,35 @@
 
 /** What the boundaries of the fleet's modules cannot hold. */
 class ArchitectureTest {
-    private static final JavaClasses CLASSES = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("ferngrade");
+  private static final JavaClasses CLASSES =
+      new ClassFileImporter()
+          .withImportOption(new ImportOption.DoNotIncludeTests())
+          .importPackages("ferngrade");
 
-    @Test
-    void whoOwnsADutyIsDecidedWithoutClockSocketFileOrThread() {
-        noClasses().that().resideInAPackage("ferngrade.duty")
-                .should().dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio.channels..",
-                        "java.nio.file..", "java.io..", "java.time..", "java.util.concurrent..", "io.netty..")
-                .orShould().callMethod(System.class, "nanoTime").orShould().callMethod(System.class,
-                        "currentTimeMillis")
-                .check(CLASSES);
-    }
+  @Test
+  void whoOwnsADutyIsDecidedWithoutClockSocketFileOrThread() {
+    noClasses()
+        .that()
+        .resideInAPackage("ferngrade.duty")
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage(
+            "java.net..",
+            "java.nio.channels..",
+            "java.nio.file..",
+            "java.io..",
+            "java.time..",
+            "java.util.concurrent..",
+            "io.netty..")
+        .orShould()
+        .callMethod(System.class, "nanoTime")
+        .orShould()
+        .callMethod(System.class, "currentTimeMillis")
+        .check(CLASSES);
+  }
 
-    @Test
-    void packagesFormNoCircle() {
-        slices().matching("ferngrade.(*)..").should().beFreeOfCycles().check(CLASSES);
-    }
+  @Test
+  void packagesFormNoCircle() {
+    slices().matching("ferngrade.(*)..").should().beFreeOfCycles().check(CLASSES);
+  }
 }
--- a/trials/src/test/java/ferngrade/trials/SmallCasesTest.java
+++ b/trials/src/test/java/ferngrade/trials/SmallCasesTest.java
@@ -8,18 +8,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** All that can happen in the small; deeper explorations are played by {@code lab trial --small}. */
+/**
+ * All that can happen in the small; deeper explorations are played by {@code lab trial --small}.
+ */
 class SmallCasesTest {
-    @Test
-    void nothingThatCanHappenBreaksARule() {
-        SmallCases.Result result = SmallCases.explore(2, 1, 7, false, Mutant.NONE);
-        assertNull(result.broken());
-        assertTrue(result.states() > 1_000, "states " + result.states());
-    }
+  @Test
+  void nothingThatCanHappenBreaksARule() {
+    SmallCases.Result result = SmallCases.explore(2, 1, 7, false, Mutant.NONE);
+    assertNull(result.broken());
+    assertTrue(result.states() > 1_000, "states " + result.states());
+  }
 
-    @ParameterizedTest
-    @CsvSource({"NO_EPOCH_CHECK,fenced", "HOLD_FROM_ANSWER,one owner", "NO_DRIFT_BOUND,one owner"})
-    void aGuardThatIsMissingIsFound(Mutant mutant, String rule) {
-        assertEquals(rule, SmallCases.explore(2, 1, 10, true, mutant).broken());
-    }
+  @ParameterizedTest
+  @CsvSource({"NO_EPOCH_CHECK,fenced", "HOLD_FROM_ANSWER,one owner", "NO_DRIFT_BOUND,one owner"})
+  void aGuardThatIsMissingIsFound(Mutant mutant, String rule) {
+    assertEquals(rule, SmallCases.explore(2, 1, 10, true, mutant).broken());
+  }
 }
--- a/trials/src/test/java/ferngrade/trials/TrialRunTest.java
+++ b/trials/src/test/java/ferngrade/trials/TrialRunTest.java
@@ -14,38 +14,55 @@
 
 /** Trials of several processes of the program. */
 class TrialRunTest {
-    private static final List<String> PROGRAM = List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-Xmx64m", "-XX:+UseSerialGC",
-            "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("surefire.test.class.path",
-                    System.getProperty("java.class.path")), "ferngrade.Main");
+  private static final List<String> PROGRAM =
+      List.of(
+          Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+          "-Xmx64m",
+          "-XX:+UseSerialGC",
+          "-XX:TieredStopAtLevel=1",
+          "-cp",
+          System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
+          "ferngrade.Main");
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    private List<Breach> play(String name, Mutant mutant) throws Exception {
-        return new TrialRun(TrialFile.shipped(name), 1, mutant, PROGRAM, folder).run().breaches();
-    }
+  private List<Breach> play(String name, Mutant mutant) throws Exception {
+    return new TrialRun(TrialFile.shipped(name), 1, mutant, PROGRAM, folder).run().breaches();
+  }
 
-    @ParameterizedTest
-    @ValueSource(strings = {"owner-killed", "owner-stopped", "late-effect", "lost-disk", "taken-in-anew", "disk-full", "bit-turned",
-        "forged", "list-asked-once"})
-    void itHolds(String name) throws Exception {
-        assertEquals(List.of(), play(name, Mutant.NONE));
-    }
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "owner-killed",
+        "owner-stopped",
+        "late-effect",
+        "lost-disk",
+        "taken-in-anew",
+        "disk-full",
+        "bit-turned",
+        "forged",
+        "list-asked-once"
+      })
+  void itHolds(String name) throws Exception {
+    assertEquals(List.of(), play(name, Mutant.NONE));
+  }
 
-    @Test
-    void aTakerThatLooksAtNoEpochIsFound() throws Exception {
-        List<Breach> breaches = play("late-effect", Mutant.NO_EPOCH_CHECK);
-        assertTrue(breaches.stream().anyMatch(each -> each.rule().equals("fenced")), breaches.toString());
-    }
+  @Test
+  void aTakerThatLooksAtNoEpochIsFound() throws Exception {
+    List<Breach> breaches = play("late-effect", Mutant.NO_EPOCH_CHECK);
+    assertTrue(
+        breaches.stream().anyMatch(each -> each.rule().equals("fenced")), breaches.toString());
+  }
 
-    @Test
-    void everyTrialThatIsListedCanBeReadAndAWrongOneIsSaidWithItsLine() throws FileException {
-        for (String name : TrialFile.SHIPPED) {
-            assertEquals(name, TrialFile.shipped(name).name());
-        }
-        FileException bad = assertThrows(FileException.class,
-                () -> TrialFile.read("t.toml", "name = \"x\"\n[[step]]\nwho = \"a\"\ndo = \"sing\"\n"));
-        assertTrue(bad.getMessage().startsWith("t.toml:4: step[0].do is unknown"), bad.getMessage());
+  @Test
+  void everyTrialThatIsListedCanBeReadAndAWrongOneIsSaidWithItsLine() throws FileException {
+    for (String name : TrialFile.SHIPPED) {
+      assertEquals(name, TrialFile.shipped(name).name());
     }
+    FileException bad =
+        assertThrows(
+            FileException.class,
+            () -> TrialFile.read("t.toml", "name = \"x\"\n[[step]]\nwho = \"a\"\ndo = \"sing\"\n"));
+    assertTrue(bad.getMessage().startsWith("t.toml:4: step[0].do is unknown"), bad.getMessage());
+  }
 }
