--- a/node/src/test/java/ferngrade/net/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/net/DepartedClientTest.java
@@ -54,10 +54,8 @@
   private CountDownLatch release;
 
   @Override
-  void start(NodeConfig config, Clock clock) throws Exception {
-    node =
-        NodeServer.start(
-            config, clock, new Log(clock, line -> {}), (told, at, actions) -> scripted(actions));
+  NodeServer startServer(NodeConfig config, Clock clock, Log log) throws Exception {
+    return NodeServer.start(config, clock, log, (told, at, actions) -> scripted(actions));
   }
 
   /** Sends each request to the first worker, and "a" once more, by the cause of this run. */
--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -77,9 +77,7 @@
    * #start(String)}.
    */
   void start(String list, NodeConfig config, Clock clock, Consumer<String> log) throws Exception {
-    node =
-        NodeServer.start(
-            config, NodeServer.Platform.NONE, clock, new Log(clock, log::accept), channels);
+    node = startServer(config, clock, new Log(clock, log::accept));
     if (list != null) {
       watch = new RawHttp(discovery.accept());
       watch.read();
@@ -90,6 +88,11 @@
     }
   }
 
+  /** Starts the server itself; overridden where a story brings decisions of its own. */
+  NodeServer startServer(NodeConfig config, Clock clock, Log log) throws Exception {
+    return NodeServer.start(config, NodeServer.Platform.NONE, clock, log, channels);
+  }
+
   void start(NodeConfig config, Clock clock) throws Exception {
     start(null, config, clock, line -> {});
   }
