--- a/decisions/src/main/java/ferngrade/Choice.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Choice.java
@@ -1,12 +1,12 @@
-package ferngrade;
-
-import ferngrade.Notes.Attempt;
-import ferngrade.Notes.Group;
-import ferngrade.Notes.Node;
-import ferngrade.Notes.Peer;
-import ferngrade.Notes.Request;
-import ferngrade.Notes.Share;
-import ferngrade.Notes.Zone;
+package ferngrade.dispatch;
+
+import ferngrade.dispatch.Notes.Attempt;
+import ferngrade.dispatch.Notes.Group;
+import ferngrade.dispatch.Notes.Node;
+import ferngrade.dispatch.Notes.Peer;
+import ferngrade.dispatch.Notes.Request;
+import ferngrade.dispatch.Notes.Share;
+import ferngrade.dispatch.Notes.Zone;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
--- a/decisions/src/main/java/ferngrade/Notes.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Notes.java
@@ -1,9 +1,9 @@
-package ferngrade;
+package ferngrade.dispatch;
 
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.JobClass;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.JobClass;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/decisions/src/main/java/ferngrade/PeerGraph.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
@@ -1,4 +1,4 @@
-package ferngrade;
+package ferngrade.dispatch;
 
 import java.util.Arrays;
 import java.util.stream.IntStream;
--- a/decisions/src/main/java/ferngrade/PeerMessage.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerMessage.java
@@ -1,6 +1,6 @@
-package ferngrade;
+package ferngrade.dispatch;
 
-import ferngrade.Notes.Peer;
+import ferngrade.dispatch.Notes.Peer;
 import java.nio.ByteBuffer;
 
 /**
--- a/decisions/src/main/java/ferngrade/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -1,7 +1,7 @@
-package ferngrade;
+package ferngrade.dispatch;
 
-import ferngrade.Dispatcher.ColdRule;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.ColdRule;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
--- a/decisions/src/test/java/ferngrade/BudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
@@ -1,15 +1,15 @@
-package ferngrade;
+package ferngrade.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
-import ferngrade.Dispatcher.Scope;
-import ferngrade.Dispatcher.Tenant;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/decisions/src/test/java/ferngrade/Fixture.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
@@ -1,17 +1,17 @@
-package ferngrade;
-
-import ferngrade.Dispatcher.Actions;
-import ferngrade.Dispatcher.ColdRule;
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.Goal;
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.JobClass;
-import ferngrade.Dispatcher.Limits;
-import ferngrade.Dispatcher.Scope;
-import ferngrade.Dispatcher.Settings;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Tenant;
-import ferngrade.Dispatcher.Worker;
+package ferngrade.dispatch;
+
+import ferngrade.dispatch.Dispatcher.Actions;
+import ferngrade.dispatch.Dispatcher.ColdRule;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Goal;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.JobClass;
+import ferngrade.dispatch.Dispatcher.Limits;
+import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.Settings;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Tenant;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/decisions/src/test/java/ferngrade/ModuleLimitsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ModuleLimitsTest.java
@@ -1,4 +1,4 @@
-package ferngrade;
+package ferngrade.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,7 +11,7 @@
 
 /** The limits that keep the module readable. */
 class ModuleLimitsTest {
-  private static final Path FOLDER = Path.of("src/main/java/ferngrade");
+  private static final Path FOLDER = Path.of("src/main/java/ferngrade/dispatch");
 
   /** The policy files that deploy/balancer.toml names. */
   private static List<String> module() throws IOException {
--- a/decisions/src/test/java/ferngrade/PeerMessageTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/PeerMessageTest.java
@@ -1,4 +1,4 @@
-package ferngrade;
+package ferngrade.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/decisions/src/test/java/ferngrade/RandomStreamTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
@@ -1,21 +1,21 @@
-package ferngrade;
+package ferngrade.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.Goal;
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.JobClass;
-import ferngrade.Dispatcher.Limits;
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
-import ferngrade.Dispatcher.Scope;
-import ferngrade.Dispatcher.Settings;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Tenant;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Goal;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.JobClass;
+import ferngrade.dispatch.Dispatcher.Limits;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.Settings;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Tenant;
+import ferngrade.dispatch.Dispatcher.Worker;
 import ferngrade.golden.GoldenFile;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/decisions/src/test/java/ferngrade/ReportsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
@@ -1,19 +1,19 @@
-package ferngrade;
+package ferngrade.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.Goal;
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.JobClass;
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
-import ferngrade.Dispatcher.Scope;
-import ferngrade.Dispatcher.Settings;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Goal;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.JobClass;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.Settings;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
--- a/decisions/src/test/java/ferngrade/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -1,4 +1,4 @@
-package ferngrade;
+package ferngrade.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,14 +6,14 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
-import ferngrade.Dispatcher.Scope;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Tenant;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Tenant;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/decisions/src/test/java/ferngrade/SlowStartTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartTest.java
@@ -1,12 +1,12 @@
-package ferngrade;
+package ferngrade.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.ColdRule;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.ColdRule;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/durable/src/main/java/ferngrade/durable/Entry.java
+++ b/durable/src/main/java/ferngrade/durable/Entry.java
@@ -1,6 +1,6 @@
 package ferngrade.durable;
 
-import ferngrade.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Effect;
 import java.util.Arrays;
 import java.util.Objects;
 
--- a/durable/src/main/java/ferngrade/durable/Job.java
+++ b/durable/src/main/java/ferngrade/durable/Job.java
@@ -1,6 +1,6 @@
 package ferngrade.durable;
 
-import ferngrade.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Effect;
 
 /** A durable job as the ledger has it. Only {@link Ledger} changes it. */
 public final class Job {
--- a/durable/src/test/java/ferngrade/durable/CrashPointTest.java
+++ b/durable/src/test/java/ferngrade/durable/CrashPointTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Effect;
 import ferngrade.durable.FaultyDisk.DiskFault;
 import ferngrade.durable.FaultyDisk.Errno;
 import ferngrade.durable.FaultyDisk.Operation;
--- a/durable/src/test/java/ferngrade/durable/LedgerExplorationTest.java
+++ b/durable/src/test/java/ferngrade/durable/LedgerExplorationTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Effect;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/durable/src/test/java/ferngrade/durable/LogFileGoldenTest.java
+++ b/durable/src/test/java/ferngrade/durable/LogFileGoldenTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import ferngrade.Dispatcher.Effect;
 import ferngrade.cli.Cli;
+import ferngrade.dispatch.Dispatcher.Effect;
 import ferngrade.golden.GoldenFile;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/durable/src/test/java/ferngrade/durable/StoreCommandTest.java
+++ b/durable/src/test/java/ferngrade/durable/StoreCommandTest.java
@@ -7,8 +7,8 @@
 
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
-import ferngrade.Dispatcher.Effect;
 import ferngrade.cli.Cli;
+import ferngrade.dispatch.Dispatcher.Effect;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/durable/src/test/java/ferngrade/durable/StoreTest.java
+++ b/durable/src/test/java/ferngrade/durable/StoreTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Effect;
 import ferngrade.durable.FaultyDisk.Errno;
 import ferngrade.durable.FaultyDisk.Operation;
 import java.io.IOException;
--- a/emulator/src/main/java/ferngrade/emulator/ClassSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/ClassSpec.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.JobClass;
-import ferngrade.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.JobClass;
+import ferngrade.dispatch.Dispatcher.Scope;
 
 /**
  * One class of jobs: what the decisions are told of it, and how much work its jobs bring.
--- a/emulator/src/main/java/ferngrade/emulator/Clients.java
+++ b/emulator/src/main/java/ferngrade/emulator/Clients.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Scope;
 import ferngrade.emulator.Request.Answer;
 import java.util.Arrays;
 import java.util.List;
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import ferngrade.node.Member;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/emulator/src/main/java/ferngrade/emulator/Fleet.java
+++ b/emulator/src/main/java/ferngrade/emulator/Fleet.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.State;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
+++ b/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.Actions;
+import ferngrade.dispatch.Dispatcher.Actions;
 
 /** Passes everything that a module asks for on, for those that change one thing. */
 class ForwardingActions implements Actions {
--- a/emulator/src/main/java/ferngrade/emulator/KeyWindows.java
+++ b/emulator/src/main/java/ferngrade/emulator/KeyWindows.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.Scope;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/emulator/src/main/java/ferngrade/emulator/MutantModule.java
+++ b/emulator/src/main/java/ferngrade/emulator/MutantModule.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher;
+import ferngrade.dispatch.Dispatcher;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/emulator/src/main/java/ferngrade/emulator/Observer.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observer.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.State;
 import ferngrade.emulator.Request.Answer;
 
 /**
--- a/emulator/src/main/java/ferngrade/emulator/Plan.java
+++ b/emulator/src/main/java/ferngrade/emulator/Plan.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.State;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
--- a/emulator/src/main/java/ferngrade/emulator/Policy.java
+++ b/emulator/src/main/java/ferngrade/emulator/Policy.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher;
-import ferngrade.Dispatcher.Actions;
-import ferngrade.Dispatcher.Settings;
+import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.Dispatcher.Actions;
+import ferngrade.dispatch.Dispatcher.Settings;
 
 /** A way to decide, which an emulated node is started with. */
 @FunctionalInterface
--- a/emulator/src/main/java/ferngrade/emulator/Roll.java
+++ b/emulator/src/main/java/ferngrade/emulator/Roll.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.State;
 import ferngrade.node.Member;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/emulator/src/main/java/ferngrade/emulator/Scenario.java
+++ b/emulator/src/main/java/ferngrade/emulator/Scenario.java
@@ -1,11 +1,11 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.ColdRule;
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.Goal;
-import ferngrade.Dispatcher.Limits;
-import ferngrade.Dispatcher.Settings;
-import ferngrade.Dispatcher.Tenant;
+import ferngrade.dispatch.Dispatcher.ColdRule;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Goal;
+import ferngrade.dispatch.Dispatcher.Limits;
+import ferngrade.dispatch.Dispatcher.Settings;
+import ferngrade.dispatch.Dispatcher.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator;
 
-import ferngrade.Choice;
-import ferngrade.Dispatcher;
-import ferngrade.Dispatcher.Job;
+import ferngrade.dispatch.Choice;
+import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.Dispatcher.Job;
 import ferngrade.emulator.Request.Answer;
 import ferngrade.node.Call;
 import ferngrade.node.Log;
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
 import ferngrade.node.Call;
 import ferngrade.node.News;
 import ferngrade.node.News.State;
--- a/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Report;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/emulator/src/main/java/ferngrade/emulator/judge/DrainJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/DrainJudge.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator.judge;
 
-import ferngrade.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.State;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Request;
 import ferngrade.emulator.Scenario;
--- a/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator.judge;
 
-import ferngrade.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Outcome;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Request;
 import ferngrade.emulator.Request.Answer;
--- a/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator.judge;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Scope;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Scope;
 import ferngrade.emulator.ClassSpec;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Request;
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator.policy;
 
-import ferngrade.Dispatcher;
+import ferngrade.dispatch.Dispatcher;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -1,11 +1,11 @@
 package ferngrade.emulator.policy;
 
-import ferngrade.Choice;
-import ferngrade.Dispatcher;
-import ferngrade.Dispatcher.Actions;
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.Settings;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Choice;
+import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.Dispatcher.Actions;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.Settings;
+import ferngrade.dispatch.Dispatcher.Worker;
 import ferngrade.emulator.Policy;
 import ferngrade.emulator.Truth;
 import java.util.LinkedHashMap;
--- a/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator.socket;
 
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.State;
 import ferngrade.node.Member;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator.socket;
 
 import com.eclipsesource.json.JsonObject;
-import ferngrade.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.News;
 import ferngrade.emulator.Clients;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Fleet;
--- a/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator.socket;
 
 import com.eclipsesource.json.JsonObject;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Network;
 import ferngrade.emulator.Request;
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Outcome;
 import ferngrade.emulator.Fault.Kind;
 import ferngrade.emulator.Request.Answer;
 import ferngrade.emulator.judge.Bench;
--- a/lab/src/main/java/ferngrade/lab/GraphCommand.java
+++ b/lab/src/main/java/ferngrade/lab/GraphCommand.java
@@ -1,7 +1,7 @@
 package ferngrade.lab;
 
-import ferngrade.Choice;
-import ferngrade.Dispatcher;
+import ferngrade.dispatch.Choice;
+import ferngrade.dispatch.Dispatcher;
 import ferngrade.emulator.Scenario;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/lab/src/main/java/ferngrade/lab/Statistics.java
+++ b/lab/src/main/java/ferngrade/lab/Statistics.java
@@ -1,6 +1,6 @@
 package ferngrade.lab;
 
-import ferngrade.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Outcome;
 import ferngrade.emulator.ClassSpec;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Observer;
--- a/lab/src/main/java/ferngrade/lab/StoreCommand.java
+++ b/lab/src/main/java/ferngrade/lab/StoreCommand.java
@@ -1,6 +1,6 @@
 package ferngrade.lab;
 
-import ferngrade.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Effect;
 import ferngrade.durable.Entry;
 import ferngrade.durable.FolderDisk;
 import ferngrade.durable.Journal;
--- a/node/src/main/java/ferngrade/config/MemberReader.java
+++ b/node/src/main/java/ferngrade/config/MemberReader.java
@@ -2,8 +2,8 @@
 
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import ferngrade.node.Member;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -2,9 +2,9 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.ParseException;
-import ferngrade.Dispatcher.News;
 import ferngrade.config.MemberReader;
 import ferngrade.config.MemberReader.MemberList;
+import ferngrade.dispatch.Dispatcher.News;
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Log;
 import ferngrade.node.Node;
--- a/node/src/main/java/ferngrade/net/LoadReport.java
+++ b/node/src/main/java/ferngrade/net/LoadReport.java
@@ -1,6 +1,6 @@
 package ferngrade.net;
 
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Report;
 
 /**
  * Reads load reports of the form {@code queue=2,x0=3}; what it cannot read counts as not reported.
--- a/node/src/main/java/ferngrade/net/NewsReader.java
+++ b/node/src/main/java/ferngrade/net/NewsReader.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Report;
 import ferngrade.node.News;
 import java.util.Locale;
 
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -1,13 +1,13 @@
 package ferngrade.net;
 
-import ferngrade.Choice;
-import ferngrade.Dispatcher;
-import ferngrade.Dispatcher.Actions;
-import ferngrade.Dispatcher.JobClass;
-import ferngrade.Dispatcher.News;
 import ferngrade.config.MaintenanceCodec;
 import ferngrade.config.MemberReader;
 import ferngrade.config.NodeConfig;
+import ferngrade.dispatch.Choice;
+import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.Dispatcher.Actions;
+import ferngrade.dispatch.Dispatcher.JobClass;
+import ferngrade.dispatch.Dispatcher.News;
 import ferngrade.node.Clock;
 import ferngrade.node.FileOperations;
 import ferngrade.node.Log;
--- a/node/src/main/java/ferngrade/net/RequestReader.java
+++ b/node/src/main/java/ferngrade/net/RequestReader.java
@@ -1,10 +1,10 @@
 package ferngrade.net;
 
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.JobClass;
-import ferngrade.Dispatcher.Settings;
-import ferngrade.Dispatcher.Tenant;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.JobClass;
+import ferngrade.dispatch.Dispatcher.Settings;
+import ferngrade.dispatch.Dispatcher.Tenant;
 import ferngrade.node.Call;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.FullHttpRequest;
--- a/node/src/main/java/ferngrade/net/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/net/ShutdownBudget.java
@@ -1,8 +1,8 @@
 package ferngrade.net;
 
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.JobClass;
-import ferngrade.Dispatcher.Settings;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.JobClass;
+import ferngrade.dispatch.Dispatcher.Settings;
 
 /**
  * The phases of a graceful shutdown, as instants on the node's clock, counted from the signal. The
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -1,7 +1,7 @@
 package ferngrade.net;
 
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Call;
 import ferngrade.node.Clock;
--- a/node/src/main/java/ferngrade/node/Attempt.java
+++ b/node/src/main/java/ferngrade/node/Attempt.java
@@ -1,6 +1,6 @@
 package ferngrade.node;
 
-import ferngrade.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Outcome;
 
 /** One sending of a request to a worker. */
 final class Attempt {
--- a/node/src/main/java/ferngrade/node/Exchange.java
+++ b/node/src/main/java/ferngrade/node/Exchange.java
@@ -1,6 +1,6 @@
 package ferngrade.node;
 
-import ferngrade.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.Job;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/node/src/main/java/ferngrade/node/Member.java
+++ b/node/src/main/java/ferngrade/node/Member.java
@@ -1,7 +1,7 @@
 package ferngrade.node;
 
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.net.InetSocketAddress;
 
 /**
--- a/node/src/main/java/ferngrade/node/Members.java
+++ b/node/src/main/java/ferngrade/node/Members.java
@@ -1,7 +1,7 @@
 package ferngrade.node;
 
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.State;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/node/src/main/java/ferngrade/node/News.java
+++ b/node/src/main/java/ferngrade/node/News.java
@@ -1,6 +1,6 @@
 package ferngrade.node;
 
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Report;
 
 /**
  * What a worker tells of a job that it has taken: the request's id, the worker's name, what
--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/Node.java
@@ -1,12 +1,12 @@
 package ferngrade.node;
 
-import ferngrade.Dispatcher;
-import ferngrade.Dispatcher.Actions;
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.Dispatcher.Actions;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -1,8 +1,8 @@
 package ferngrade.node;
 
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/node/src/main/java/ferngrade/node/Workers.java
+++ b/node/src/main/java/ferngrade/node/Workers.java
@@ -1,7 +1,7 @@
 package ferngrade.node;
 
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
 
--- a/node/src/main/java/ferngrade/wire/WireHost.java
+++ b/node/src/main/java/ferngrade/wire/WireHost.java
@@ -1,14 +1,14 @@
 package ferngrade.wire;
 
-import ferngrade.Choice;
-import ferngrade.Dispatcher;
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
 import ferngrade.config.SettingsMapping;
+import ferngrade.dispatch.Choice;
+import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
--- a/node/src/main/java/ferngrade/wire/WireWriter.java
+++ b/node/src/main/java/ferngrade/wire/WireWriter.java
@@ -1,6 +1,6 @@
 package ferngrade.wire;
 
-import ferngrade.Dispatcher.Actions;
+import ferngrade.dispatch.Dispatcher.Actions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
--- a/node/src/test/java/ferngrade/ArchitectureTest.java
+++ b/node/src/test/java/ferngrade/ArchitectureTest.java
@@ -19,11 +19,11 @@
   void decisionsReadNoClockAndTouchNoSocketFileOrThread() {
     noClasses()
         .that()
-        .haveFullyQualifiedName("ferngrade.Choice")
+        .haveFullyQualifiedName("ferngrade.dispatch.Choice")
         .or()
-        .haveFullyQualifiedName("ferngrade.Dispatcher")
+        .haveFullyQualifiedName("ferngrade.dispatch.Dispatcher")
         .or()
-        .haveNameMatching("ferngrade\\.Notes.*")
+        .haveNameMatching("ferngrade\\.dispatch\\.Notes.*")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -5,8 +5,8 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-import ferngrade.Dispatcher.Effect;
-import ferngrade.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Dispatcher.State;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
--- a/node/src/test/java/ferngrade/net/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/net/DepartedClientTest.java
@@ -2,12 +2,12 @@
 
 import static org.testng.Assert.assertEquals;
 
-import ferngrade.Dispatcher;
-import ferngrade.Dispatcher.Actions;
-import ferngrade.Dispatcher.Job;
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Worker;
 import ferngrade.config.NodeConfig;
+import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.Dispatcher.Actions;
+import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Worker;
 import ferngrade.node.Clock;
 import ferngrade.node.Log;
 import java.io.IOException;
--- a/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
@@ -6,10 +6,10 @@
 import static org.testng.Assert.assertTrue;
 
 import com.eclipsesource.json.Json;
-import ferngrade.Choice;
-import ferngrade.Dispatcher.News;
 import ferngrade.config.MemberReader;
 import ferngrade.config.SettingsMapping;
+import ferngrade.dispatch.Choice;
+import ferngrade.dispatch.Dispatcher.News;
 import ferngrade.node.Log;
 import ferngrade.node.Node;
 import ferngrade.node.Timers;
--- a/node/src/test/java/ferngrade/net/LateReadTest.java
+++ b/node/src/test/java/ferngrade/net/LateReadTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 
 import com.eclipsesource.json.Json;
-import ferngrade.Dispatcher;
-import ferngrade.Dispatcher.Job;
 import ferngrade.config.NodeConfig;
+import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.Dispatcher.Job;
 import ferngrade.node.Log;
 import io.netty.channel.SelectStrategy;
 import java.lang.reflect.Proxy;
--- a/node/src/test/java/ferngrade/net/RequestReaderTest.java
+++ b/node/src/test/java/ferngrade/net/RequestReaderTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertNotEquals;
 
 import com.eclipsesource.json.Json;
-import ferngrade.Dispatcher.Job;
 import ferngrade.config.SettingsMapping;
+import ferngrade.dispatch.Dispatcher.Job;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import ferngrade.Dispatcher.Outcome;
-import ferngrade.Dispatcher.Report;
+import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.Dispatcher.Report;
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.net.FaultInjectingChannels.SystemCall;
 import ferngrade.net.RawHttp.Message;
--- a/node/src/test/java/ferngrade/node/MaintenanceTest.java
+++ b/node/src/test/java/ferngrade/node/MaintenanceTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/node/src/test/java/ferngrade/node/StartTimesTest.java
+++ b/node/src/test/java/ferngrade/node/StartTimesTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
 
-import ferngrade.Dispatcher.News;
-import ferngrade.Dispatcher.State;
-import ferngrade.Dispatcher.Worker;
+import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Dispatcher.Worker;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
