--- a/agreement/src/main/java/ferngrade/agreement/DiskSuspension.java
+++ b/agreement/src/main/java/ferngrade/agreement/DiskSuspension.java
@@ -1,6 +1,6 @@
 package ferngrade.agreement;
 
-import ferngrade.durable.Backoff;
+import ferngrade.jobstore.Backoff;
 import ferngrade.node.Timers;
 import io.microraft.impl.task.FlushTask;
 import java.io.IOException;
--- a/agreement/src/main/java/ferngrade/agreement/VoterLog.java
+++ b/agreement/src/main/java/ferngrade/agreement/VoterLog.java
@@ -1,9 +1,9 @@
 package ferngrade.agreement;
 
 import ferngrade.codec.Codec;
-import ferngrade.durable.Batch;
-import ferngrade.durable.DamagedException;
-import ferngrade.durable.Disk;
+import ferngrade.jobstore.Batch;
+import ferngrade.jobstore.DamagedException;
+import ferngrade.jobstore.Disk;
 import io.microraft.model.impl.log.DefaultSnapshotEntryOrBuilder;
 import io.microraft.model.impl.persistence.DefaultRaftTermPersistentStateOrBuilder;
 import io.microraft.model.log.LogEntry;
--- a/agreement/src/test/java/ferngrade/agreement/LogFormatGoldenTest.java
+++ b/agreement/src/test/java/ferngrade/agreement/LogFormatGoldenTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import ferngrade.codec.Codec;
-import ferngrade.durable.FaultyDisk;
 import ferngrade.golden.GoldenFile;
+import ferngrade.jobstore.FaultyDisk;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.impl.groupop.DefaultUpdateRaftGroupMembersOpOrBuilder;
--- a/agreement/src/test/java/ferngrade/agreement/VoterDiskFaultTest.java
+++ b/agreement/src/test/java/ferngrade/agreement/VoterDiskFaultTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.codec.Codec;
-import ferngrade.durable.FaultyDisk;
-import ferngrade.durable.FaultyDisk.Errno;
-import ferngrade.durable.FaultyDisk.Operation;
+import ferngrade.jobstore.FaultyDisk;
+import ferngrade.jobstore.FaultyDisk.Errno;
+import ferngrade.jobstore.FaultyDisk.Operation;
 import ferngrade.node.Timers;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/agreement/src/test/java/ferngrade/agreement/VoterLogTest.java
+++ b/agreement/src/test/java/ferngrade/agreement/VoterLogTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.codec.Codec;
-import ferngrade.durable.DamagedException;
-import ferngrade.durable.FaultyDisk;
-import ferngrade.durable.FaultyDisk.DiskFault;
-import ferngrade.durable.FaultyDisk.Errno;
-import ferngrade.durable.FaultyDisk.Operation;
+import ferngrade.jobstore.DamagedException;
+import ferngrade.jobstore.FaultyDisk;
+import ferngrade.jobstore.FaultyDisk.DiskFault;
+import ferngrade.jobstore.FaultyDisk.Errno;
+import ferngrade.jobstore.FaultyDisk.Operation;
 import io.microraft.model.impl.log.DefaultLogEntryOrBuilder;
 import io.microraft.model.impl.log.DefaultRaftGroupMembersViewOrBuilder;
 import io.microraft.model.impl.log.DefaultSnapshotChunkOrBuilder;
--- a/durable/src/main/java/ferngrade/durable/Backoff.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Backoff.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 /** How long to wait before the next retry: twice as long each time, up to a bound. */
 public final class Backoff {
--- a/durable/src/main/java/ferngrade/durable/Batch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Batch.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
--- a/durable/src/main/java/ferngrade/durable/EntryCodec.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/EntryCodec.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 import ferngrade.dispatch.Dispatcher.Effect;
 import java.io.ByteArrayInputStream;
--- a/durable/src/main/java/ferngrade/durable/FolderDisk.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FolderDisk.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/durable/src/main/java/ferngrade/durable/JobState.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobState.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 /**
  * Where a durable job stands. Each state says what is known of its work; a job leaves {@link #DONE}
--- a/durable/src/main/java/ferngrade/durable/RetryTimer.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/RetryTimer.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 /** Runs something later, by a clock that never jumps. */
 @FunctionalInterface
--- a/durable/src/main/java/ferngrade/durable/StoreCommand.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 import ferngrade.cli.Cli;
 import ferngrade.cli.SubCommand;
--- a/durable/src/main/java/ferngrade/durable/StoreUnavailableException.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreUnavailableException.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 /** A store takes no new job at present; nothing of the job was kept. */
 public final class StoreUnavailableException extends Exception {
--- a/durable/src/test/java/ferngrade/durable/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.durable.FaultyDisk.DiskFault;
-import ferngrade.durable.FaultyDisk.Errno;
-import ferngrade.durable.FaultyDisk.Operation;
-import ferngrade.durable.FaultyDisk.PowerLost;
+import ferngrade.jobstore.FaultyDisk.DiskFault;
+import ferngrade.jobstore.FaultyDisk.Errno;
+import ferngrade.jobstore.FaultyDisk.Operation;
+import ferngrade.jobstore.FaultyDisk.PowerLost;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/durable/src/test/java/ferngrade/durable/LedgerExplorationTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/LedgerExplorationTest.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
--- a/durable/src/test/java/ferngrade/durable/StoreCommandTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
@@ -1,4 +1,4 @@
-package ferngrade.durable;
+package ferngrade.jobstore;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -143,6 +143,6 @@
         .callMethod(System.class, "nanoTime")
         .orShould()
         .callMethod(System.class, "currentTimeMillis")
-        .check(new ClassFileImporter().importPackages("ferngrade.durable"));
+        .check(new ClassFileImporter().importPackages("ferngrade.jobstore"));
   }
 }
--- a/lab/src/main/java/ferngrade/lab/StoreCommand.java
+++ b/lab/src/main/java/ferngrade/lab/StoreCommand.java
@@ -1,11 +1,11 @@
 package ferngrade.lab;
 
 import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.durable.Entry;
-import ferngrade.durable.FolderDisk;
-import ferngrade.durable.Journal;
-import ferngrade.durable.Ledger;
-import ferngrade.durable.Store;
+import ferngrade.jobstore.Entry;
+import ferngrade.jobstore.FolderDisk;
+import ferngrade.jobstore.Journal;
+import ferngrade.jobstore.Ledger;
+import ferngrade.jobstore.Store;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
--- a/trials/src/main/java/ferngrade/trials/HurtMember.java
+++ b/trials/src/main/java/ferngrade/trials/HurtMember.java
@@ -1,9 +1,9 @@
 package ferngrade.trials;
 
-import ferngrade.durable.Disk;
 import ferngrade.fleet.FleetFile;
 import ferngrade.fleet.MemberProcess;
 import ferngrade.fleet.MemberProcess.Empty;
+import ferngrade.jobstore.Disk;
 import ferngrade.node.Clock;
 import ferngrade.toml.FileException;
 import java.io.BufferedReader;
--- a/trials/src/main/java/ferngrade/trials/VirtualFleet.java
+++ b/trials/src/main/java/ferngrade/trials/VirtualFleet.java
@@ -1,11 +1,11 @@
 package ferngrade.trials;
 
-import ferngrade.durable.DamagedException;
-import ferngrade.durable.FaultyDisk;
 import ferngrade.duty.Fence;
 import ferngrade.duty.Recurring;
 import ferngrade.duty.Shard;
 import ferngrade.emulator.VirtualTime;
+import ferngrade.jobstore.DamagedException;
+import ferngrade.jobstore.FaultyDisk;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
