--- a/agreement/src/main/java/ferngrade/agreement/DiskSuspension.java
+++ b/consensus/src/main/java/ferngrade/consensus/DiskSuspension.java
@@ -1,4 +1,4 @@
-package ferngrade.agreement;
+package ferngrade.consensus;
 
 import ferngrade.jobstore.Backoff;
 import ferngrade.node.Timers;
--- a/agreement/src/main/java/ferngrade/agreement/Endpoint.java
+++ b/consensus/src/main/java/ferngrade/consensus/Endpoint.java
@@ -1,4 +1,4 @@
-package ferngrade.agreement;
+package ferngrade.consensus;
 
 import io.microraft.RaftEndpoint;
 
--- a/agreement/src/main/java/ferngrade/agreement/Machine.java
+++ b/consensus/src/main/java/ferngrade/consensus/Machine.java
@@ -1,4 +1,4 @@
-package ferngrade.agreement;
+package ferngrade.consensus;
 
 /**
  * What is made of the log: the same at every member that has applied the same part of it. It reads
--- a/agreement/src/main/java/ferngrade/agreement/NewTerm.java
+++ b/consensus/src/main/java/ferngrade/consensus/NewTerm.java
@@ -1,4 +1,4 @@
-package ferngrade.agreement;
+package ferngrade.consensus;
 
 /** The first entry of a leader: once it is agreed on, everything before it is too. */
 record NewTerm() {}
--- a/agreement/src/main/java/ferngrade/agreement/VoterLog.java
+++ b/consensus/src/main/java/ferngrade/consensus/VoterLog.java
@@ -1,4 +1,4 @@
-package ferngrade.agreement;
+package ferngrade.consensus;
 
 import ferngrade.codec.Codec;
 import ferngrade.jobstore.Batch;
--- a/agreement/src/test/java/ferngrade/agreement/LogFormatGoldenTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
@@ -1,4 +1,4 @@
-package ferngrade.agreement;
+package ferngrade.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/agreement/src/test/java/ferngrade/agreement/VoterLogTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/VoterLogTest.java
@@ -1,4 +1,4 @@
-package ferngrade.agreement;
+package ferngrade.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/duty/src/main/java/ferngrade/duty/DutyTable.java
+++ b/duty/src/main/java/ferngrade/duty/DutyTable.java
@@ -1,6 +1,6 @@
 package ferngrade.duty;
 
-import ferngrade.agreement.Machine;
+import ferngrade.consensus.Machine;
 import ferngrade.duty.Command.Begun;
 import ferngrade.duty.Command.Opened;
 import ferngrade.duty.Command.Verdict;
--- a/duty/src/test/java/ferngrade/duty/CommandGoldenTest.java
+++ b/duty/src/test/java/ferngrade/duty/CommandGoldenTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import ferngrade.agreement.LogFormat;
 import ferngrade.codec.Codec;
+import ferngrade.consensus.LogFormat;
 import ferngrade.golden.GoldenFile;
 import java.io.IOException;
 import java.util.HashSet;
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -1,9 +1,9 @@
 package ferngrade.fleet;
 
-import ferngrade.agreement.LogFormat;
-import ferngrade.agreement.Voter;
-import ferngrade.agreement.VoterLog;
 import ferngrade.codec.Codec;
+import ferngrade.consensus.LogFormat;
+import ferngrade.consensus.Voter;
+import ferngrade.consensus.VoterLog;
 import ferngrade.duty.Command;
 import ferngrade.duty.DutyTable;
 import ferngrade.duty.Holder;
--- a/trials/src/main/java/ferngrade/trials/VirtualMember.java
+++ b/trials/src/main/java/ferngrade/trials/VirtualMember.java
@@ -1,10 +1,10 @@
 package ferngrade.trials;
 
-import ferngrade.agreement.LogFormat;
-import ferngrade.agreement.Machine;
-import ferngrade.agreement.Voter;
-import ferngrade.agreement.VoterLog;
 import ferngrade.codec.Codec;
+import ferngrade.consensus.LogFormat;
+import ferngrade.consensus.Machine;
+import ferngrade.consensus.Voter;
+import ferngrade.consensus.VoterLog;
 import ferngrade.duty.Command;
 import ferngrade.duty.DutyTable;
 import ferngrade.duty.Holder;
