--- a/fleet/src/main/java/ferngrade/fleet/FleetFile.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetFile.java
@@ -1,10 +1,10 @@
 package ferngrade.fleet;
 
 import ferngrade.config.MemberReader;
-import ferngrade.duty.Holder;
-import ferngrade.duty.Recurring;
-import ferngrade.duty.Shard;
-import ferngrade.duty.TierList;
+import ferngrade.lease.Holder;
+import ferngrade.lease.Recurring;
+import ferngrade.lease.Shard;
+import ferngrade.lease.TierList;
 import ferngrade.toml.FileException;
 import ferngrade.toml.Section;
 import java.io.IOException;
--- a/fleet/src/main/java/ferngrade/fleet/ListDuty.java
+++ b/fleet/src/main/java/ferngrade/fleet/ListDuty.java
@@ -1,9 +1,9 @@
 package ferngrade.fleet;
 
 import ferngrade.codec.Codec;
-import ferngrade.duty.TierList;
-import ferngrade.duty.TierList.Fed;
-import ferngrade.duty.TierList.Whole;
+import ferngrade.lease.TierList;
+import ferngrade.lease.TierList.Fed;
+import ferngrade.lease.TierList.Whole;
 import ferngrade.node.Clock;
 import java.io.IOException;
 import java.util.List;
--- a/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import ferngrade.codec.Codec;
-import ferngrade.duty.DutyTable.Session;
-import ferngrade.duty.DutyTable.Slot;
-import ferngrade.duty.Shard;
-import ferngrade.duty.TierList;
 import ferngrade.golden.GoldenFile;
+import ferngrade.lease.DutyTable.Session;
+import ferngrade.lease.DutyTable.Slot;
+import ferngrade.lease.Shard;
+import ferngrade.lease.TierList;
 import ferngrade.membership.News;
 import ferngrade.membership.Seal;
 import ferngrade.membership.Standing;
--- a/fleet/src/test/java/ferngrade/fleet/JobSenderTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/JobSenderTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.sun.net.httpserver.HttpServer;
-import ferngrade.duty.Recurring;
 import ferngrade.fleet.FleetFile.Effect;
 import ferngrade.fleet.FleetFile.Job;
+import ferngrade.lease.Recurring;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/duty/src/main/java/ferngrade/duty/DutyTable.java
+++ b/lease/src/main/java/ferngrade/lease/DutyTable.java
@@ -1,9 +1,9 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
 import ferngrade.consensus.Machine;
-import ferngrade.duty.Command.Begun;
-import ferngrade.duty.Command.Opened;
-import ferngrade.duty.Command.Verdict;
+import ferngrade.lease.Command.Begun;
+import ferngrade.lease.Command.Opened;
+import ferngrade.lease.Command.Verdict;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/duty/src/main/java/ferngrade/duty/Holder.java
+++ b/lease/src/main/java/ferngrade/lease/Holder.java
@@ -1,7 +1,7 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
-import ferngrade.duty.DutyTable.Session;
-import ferngrade.duty.DutyTable.Slot;
+import ferngrade.lease.DutyTable.Session;
+import ferngrade.lease.DutyTable.Slot;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/duty/src/main/java/ferngrade/duty/Performer.java
+++ b/lease/src/main/java/ferngrade/lease/Performer.java
@@ -1,6 +1,6 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
-import ferngrade.duty.DutyTable.Slot;
+import ferngrade.lease.DutyTable.Slot;
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 
--- a/duty/src/main/java/ferngrade/duty/Recurring.java
+++ b/lease/src/main/java/ferngrade/lease/Recurring.java
@@ -1,6 +1,6 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
-import ferngrade.duty.DutyTable.Slot;
+import ferngrade.lease.DutyTable.Slot;
 
 /**
  * A job that is put in again and again: what its owner has to do now. Due times are whole multiples
--- a/duty/src/main/java/ferngrade/duty/Shard.java
+++ b/lease/src/main/java/ferngrade/lease/Shard.java
@@ -1,4 +1,4 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
 /**
  * One part of a duty, which has at most one owner; a duty that is not split has the part 0 alone.
--- a/duty/src/main/java/ferngrade/duty/TierList.java
+++ b/lease/src/main/java/ferngrade/lease/TierList.java
@@ -1,4 +1,4 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
 import java.util.OptionalLong;
 
--- a/duty/src/test/java/ferngrade/duty/DutyTableTest.java
+++ b/lease/src/test/java/ferngrade/lease/DutyTableTest.java
@@ -1,4 +1,4 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.duty.Command.Begun;
-import ferngrade.duty.Command.Opened;
-import ferngrade.duty.Command.Verdict;
-import ferngrade.duty.DutyTable.Slot;
+import ferngrade.lease.Command.Begun;
+import ferngrade.lease.Command.Opened;
+import ferngrade.lease.Command.Verdict;
+import ferngrade.lease.DutyTable.Slot;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/duty/src/test/java/ferngrade/duty/HolderTest.java
+++ b/lease/src/test/java/ferngrade/lease/HolderTest.java
@@ -1,4 +1,4 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/duty/src/test/java/ferngrade/duty/RecurringTest.java
+++ b/lease/src/test/java/ferngrade/lease/RecurringTest.java
@@ -1,11 +1,11 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.duty.Command.Opened;
-import ferngrade.duty.Recurring.Step;
+import ferngrade.lease.Command.Opened;
+import ferngrade.lease.Recurring.Step;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/duty/src/test/java/ferngrade/duty/TierListTest.java
+++ b/lease/src/test/java/ferngrade/lease/TierListTest.java
@@ -1,12 +1,12 @@
-package ferngrade.duty;
+package ferngrade.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.duty.TierList.Fed;
-import ferngrade.duty.TierList.Whole;
+import ferngrade.lease.TierList.Fed;
+import ferngrade.lease.TierList.Whole;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.OptionalLong;
--- a/trials/src/main/java/ferngrade/trials/SmallWorld.java
+++ b/trials/src/main/java/ferngrade/trials/SmallWorld.java
@@ -1,10 +1,10 @@
 package ferngrade.trials;
 
-import ferngrade.duty.Command;
-import ferngrade.duty.DutyTable;
-import ferngrade.duty.Fence;
-import ferngrade.duty.Holder;
-import ferngrade.duty.Shard;
+import ferngrade.lease.Command;
+import ferngrade.lease.DutyTable;
+import ferngrade.lease.Fence;
+import ferngrade.lease.Holder;
+import ferngrade.lease.Shard;
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
 import java.util.ArrayList;
--- a/trials/src/main/java/ferngrade/trials/Taker.java
+++ b/trials/src/main/java/ferngrade/trials/Taker.java
@@ -2,7 +2,7 @@
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-import ferngrade.duty.Fence;
+import ferngrade.lease.Fence;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashSet;
--- a/trials/src/main/java/ferngrade/trials/VirtualFleet.java
+++ b/trials/src/main/java/ferngrade/trials/VirtualFleet.java
@@ -1,11 +1,11 @@
 package ferngrade.trials;
 
-import ferngrade.duty.Fence;
-import ferngrade.duty.Recurring;
-import ferngrade.duty.Shard;
 import ferngrade.emulator.VirtualTime;
 import ferngrade.jobstore.DamagedException;
 import ferngrade.jobstore.FaultyDisk;
+import ferngrade.lease.Fence;
+import ferngrade.lease.Recurring;
+import ferngrade.lease.Shard;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/trials/src/test/java/ferngrade/trials/ArchitectureTest.java
+++ b/trials/src/test/java/ferngrade/trials/ArchitectureTest.java
@@ -19,7 +19,7 @@
   void whoOwnsADutyIsDecidedWithoutClockSocketFileOrThread() {
     noClasses()
         .that()
-        .resideInAPackage("ferngrade.duty")
+        .resideInAPackage("ferngrade.lease")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
