--- a/trials/src/main/java/ferngrade/trials/Breach.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Breach.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 /** Something that must hold and did not: when, ms from the start, which rule, and what was seen. */
 public record Breach(double at, String rule, String seen) {
--- a/trials/src/main/java/ferngrade/trials/History.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/History.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedWriter;
--- a/trials/src/main/java/ferngrade/trials/HurtMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/HurtMember.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import ferngrade.fleet.FleetFile;
 import ferngrade.fleet.MemberProcess;
--- a/trials/src/main/java/ferngrade/trials/Judges.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Judges.java
@@ -1,6 +1,6 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
-import ferngrade.trials.History.Event;
+import ferngrade.faulttest.History.Event;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/trials/src/main/java/ferngrade/trials/Lister.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Lister.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
--- a/trials/src/main/java/ferngrade/trials/Mutant.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 /**
  * The program broken on purpose, one guard at a time: trials that cannot find these prove nothing.
--- a/trials/src/main/java/ferngrade/trials/Network.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Network.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/trials/src/main/java/ferngrade/trials/ProcessMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ProcessMember.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import ferngrade.config.MemberReader;
 import java.io.BufferedReader;
--- a/trials/src/main/java/ferngrade/trials/SmallCases.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/SmallCases.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/trials/src/main/java/ferngrade/trials/SmallWorld.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/SmallWorld.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import ferngrade.lease.Command;
 import ferngrade.lease.DutyTable;
--- a/trials/src/main/java/ferngrade/trials/Standstill.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Standstill.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/trials/src/main/java/ferngrade/trials/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import ferngrade.toml.FileException;
 import ferngrade.toml.Section;
--- a/trials/src/main/java/ferngrade/trials/TrialRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
@@ -1,8 +1,8 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
-import ferngrade.trials.History.Event;
-import ferngrade.trials.TrialFile.Sign;
-import ferngrade.trials.TrialFile.Step;
+import ferngrade.faulttest.History.Event;
+import ferngrade.faulttest.TrialFile.Sign;
+import ferngrade.faulttest.TrialFile.Step;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
--- a/trials/src/main/java/ferngrade/trials/UdpRelay.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/UdpRelay.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
--- a/trials/src/main/java/ferngrade/trials/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import ferngrade.emulator.VirtualTime;
 import ferngrade.jobstore.DamagedException;
--- a/trials/src/main/java/ferngrade/trials/VirtualMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import ferngrade.codec.Codec;
 import ferngrade.consensus.LogFormat;
--- a/trials/src/test/java/ferngrade/trials/ArchitectureTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
--- a/trials/src/test/java/ferngrade/trials/VirtualFleetTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/VirtualFleetTest.java
@@ -1,4 +1,4 @@
-package ferngrade.trials;
+package ferngrade.faulttest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/lab/src/main/java/ferngrade/lab/SwarmCommand.java
+++ b/lab/src/main/java/ferngrade/lab/SwarmCommand.java
@@ -1,6 +1,6 @@
 package ferngrade.lab;
 
-import ferngrade.trials.VirtualSwarm;
+import ferngrade.faulttest.VirtualSwarm;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
--- a/lab/src/main/java/ferngrade/lab/TrialCommand.java
+++ b/lab/src/main/java/ferngrade/lab/TrialCommand.java
@@ -1,17 +1,17 @@
 package ferngrade.lab;
 
 import ferngrade.cli.Cli;
+import ferngrade.faulttest.Breach;
+import ferngrade.faulttest.History.Event;
+import ferngrade.faulttest.Judges;
+import ferngrade.faulttest.Mutant;
+import ferngrade.faulttest.SmallCases;
+import ferngrade.faulttest.TrialFile;
+import ferngrade.faulttest.TrialRun;
+import ferngrade.faulttest.VirtualFleet;
+import ferngrade.faulttest.VirtualSwarm;
 import ferngrade.toml.FileException;
 import ferngrade.toml.Section;
-import ferngrade.trials.Breach;
-import ferngrade.trials.History.Event;
-import ferngrade.trials.Judges;
-import ferngrade.trials.Mutant;
-import ferngrade.trials.SmallCases;
-import ferngrade.trials.TrialFile;
-import ferngrade.trials.TrialRun;
-import ferngrade.trials.VirtualFleet;
-import ferngrade.trials.VirtualSwarm;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
