--- a/lab/src/main/java/ferngrade/lab/Charts.java
+++ b/experiment/src/main/java/ferngrade/experiment/Charts.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import java.awt.BasicStroke;
 import java.awt.Color;
--- a/lab/src/main/java/ferngrade/lab/Estimate.java
+++ b/experiment/src/main/java/ferngrade/experiment/Estimate.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
--- a/lab/src/main/java/ferngrade/lab/Fields.java
+++ b/experiment/src/main/java/ferngrade/experiment/Fields.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import ferngrade.emulator.Quantity;
--- a/lab/src/main/java/ferngrade/lab/Laboratory.java
+++ b/experiment/src/main/java/ferngrade/experiment/Laboratory.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/ferngrade/lab/Progress.java
+++ b/experiment/src/main/java/ferngrade/experiment/Progress.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import java.io.PrintStream;
 import me.tongfei.progressbar.ProgressBar;
--- a/lab/src/main/java/ferngrade/lab/ReportCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/ReportCommand.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import ferngrade.cli.Cli;
 import ferngrade.toml.FileException;
--- a/lab/src/main/java/ferngrade/lab/SearchCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/SearchCommand.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
--- a/lab/src/main/java/ferngrade/lab/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import ferngrade.dispatch.Dispatcher.Outcome;
 import ferngrade.emulator.ClassSpec;
--- a/lab/src/main/java/ferngrade/lab/StoreCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import ferngrade.dispatch.Dispatcher.Effect;
 import ferngrade.jobstore.Entry;
--- a/lab/src/main/java/ferngrade/lab/SwarmCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/SwarmCommand.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import ferngrade.faulttest.VirtualSwarm;
 import java.io.IOException;
--- a/lab/src/main/java/ferngrade/lab/Trial.java
+++ b/experiment/src/main/java/ferngrade/experiment/Trial.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import ferngrade.emulator.Mutation;
 import ferngrade.emulator.Observer;
--- a/lab/src/test/java/ferngrade/lab/ArchitectureTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
--- a/lab/src/test/java/ferngrade/lab/GraphCommandTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/lab/src/test/java/ferngrade/lab/ResultsGoldenTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ResultsGoldenTest.java
@@ -1,4 +1,4 @@
-package ferngrade.lab;
+package ferngrade.experiment;
 
 import ferngrade.golden.GoldenFile;
 import java.nio.file.Files;
