--- a/emulator/src/main/java/ferngrade/emulator/socket/HttpListener.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/HttpListener.java
@@ -13,6 +13,7 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.util.concurrent.GlobalEventExecutor;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
@@ -53,7 +54,8 @@
 
   /** Listens at a free port; called off the loop. */
   void listen() throws InterruptedException {
-    listener = bootstrap.bind(new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+    listener =
+        bootstrap.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
     address = (InetSocketAddress) listener.localAddress();
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/socket/PeerRelay.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/PeerRelay.java
@@ -9,6 +9,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.nio.NioDatagramChannel;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -47,7 +48,7 @@
                         pass(sender, receiver, packet.content());
                       }
                     })
-                .bind(new InetSocketAddress("127.0.0.1", 0))
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel());
       }
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -30,6 +30,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.URI;
+import java.net.UnknownHostException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -138,16 +139,21 @@
 
   private static InetSocketAddress freeTcp() throws IOException {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return new InetSocketAddress("127.0.0.1", free.getLocalPort());
+      return new InetSocketAddress(numericLoopback(), free.getLocalPort());
     }
   }
 
   private static InetSocketAddress freeUdp() throws IOException {
     try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-      return new InetSocketAddress("127.0.0.1", free.getLocalPort());
+      return new InetSocketAddress(numericLoopback(), free.getLocalPort());
     }
   }
 
+  /** 127.0.0.1 without a host name: a node writes the address it was given into Host headers. */
+  private static InetAddress numericLoopback() throws UnknownHostException {
+    return InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
+  }
+
   private EmulatedWorker worker(int number) {
     return fleet.all().get(number);
   }
--- a/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
@@ -12,6 +12,7 @@
 import ferngrade.membership.Seal;
 import ferngrade.membership.Standing;
 import java.io.DataInputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -114,9 +115,11 @@
           new Links(
               seal,
               "a",
-              Map.of("b", new InetSocketAddress("127.0.0.1", listener.getLocalPort())),
+              Map.of(
+                  "b",
+                  new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort())),
               (from, message) -> {})) {
-        links.start(new InetSocketAddress("127.0.0.1", 0));
+        links.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         try (Socket accepted = listener.accept()) {
           byte[] frame = firstFrame(links, accepted);
           GOLDEN.verify("frame", frame);
--- a/fleet/src/test/java/ferngrade/fleet/JobSenderTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/JobSenderTest.java
@@ -8,6 +8,7 @@
 import ferngrade.fleet.FleetFile.Effect;
 import ferngrade.fleet.FleetFile.Job;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -37,7 +38,8 @@
   /** A target that answers with these codes, one after another, the last for ever. */
   private InetSocketAddress target(String name, String retryAfter, int... codes)
       throws IOException {
-    HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 8);
+    HttpServer server =
+        HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8);
     int[] next = new int[1];
     server.createContext(
         "/api",
--- a/fleet/src/test/java/ferngrade/fleet/LinksTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/LinksTest.java
@@ -6,6 +6,7 @@
 import ferngrade.membership.Seal;
 import java.io.DataOutputStream;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -43,13 +44,13 @@
   }
 
   private static InetSocketAddress any() {
-    return new InetSocketAddress("127.0.0.1", 0);
+    return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 
   /** An address at which nobody listens. */
   private static InetSocketAddress nobody() throws IOException {
     try (ServerSocket free = new ServerSocket(0)) {
-      return new InetSocketAddress("127.0.0.1", free.getLocalPort());
+      return new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
     }
   }
 
--- a/node/src/test/java/ferngrade/node/MaintenanceTest.java
+++ b/node/src/test/java/ferngrade/node/MaintenanceTest.java
@@ -8,6 +8,7 @@
 import ferngrade.Dispatcher.News;
 import ferngrade.Dispatcher.State;
 import ferngrade.Dispatcher.Worker;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,7 +17,7 @@
   private static Member entry(String name, State state, double startedAt) {
     return new Member(
         name,
-        new InetSocketAddress("127.0.0.1", 9000),
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), 9000),
         new Worker(name.hashCode(), state, 0, 0, 0, startedAt, 1));
   }
 
--- a/node/src/test/java/ferngrade/node/NodeTest.java
+++ b/node/src/test/java/ferngrade/node/NodeTest.java
@@ -11,6 +11,7 @@
 import ferngrade.Dispatcher.Report;
 import ferngrade.Dispatcher.State;
 import ferngrade.Dispatcher.Worker;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -353,7 +354,7 @@
   private static Member member(String name, long id, State state, double startedAt) {
     return new Member(
         name,
-        new InetSocketAddress("127.0.0.1", (int) id),
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), (int) id),
         new Worker(id, state, 0, 0, 0, startedAt, 1));
   }
 
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
@@ -12,6 +12,7 @@
 import ferngrade.Dispatcher.State;
 import ferngrade.Dispatcher.Worker;
 import ferngrade.config.SettingsMapping;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -133,7 +134,7 @@
     private static Member entry(int id, double listedStart) {
       return new Member(
           "s-" + id,
-          new InetSocketAddress("127.0.0.1", id),
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), id),
           new Worker(id, State.READY, 0, 0, 0, listedStart, 1));
     }
 
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
@@ -11,6 +11,7 @@
 import ferngrade.Dispatcher.State;
 import ferngrade.Dispatcher.Worker;
 import ferngrade.config.SettingsMapping;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -133,7 +134,9 @@
 
     private static Member entry(int id, State state) {
       return new Member(
-          "s-" + id, new InetSocketAddress("127.0.0.1", id), new Worker(id, state, 0, 0, 0, 0, 1));
+          "s-" + id,
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), id),
+          new Worker(id, state, 0, 0, 0, 0, 1));
     }
 
     private void request(String id, int jobClass) {
--- a/node/src/test/java/ferngrade/node/StartTimesTest.java
+++ b/node/src/test/java/ferngrade/node/StartTimesTest.java
@@ -6,6 +6,7 @@
 import ferngrade.Dispatcher.News;
 import ferngrade.Dispatcher.State;
 import ferngrade.Dispatcher.Worker;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.testng.annotations.BeforeMethod;
@@ -33,7 +34,7 @@
   private static Member entry(long id, double listedStart) {
     return new Member(
         "s-" + id,
-        new InetSocketAddress("127.0.0.1", (int) id),
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), (int) id),
         new Worker(id, State.READY, 0, 0, 0, listedStart, 1));
   }
 
--- a/trials/src/main/java/ferngrade/trials/Lister.java
+++ b/trials/src/main/java/ferngrade/trials/Lister.java
@@ -4,6 +4,7 @@
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.io.OutputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
@@ -26,7 +27,7 @@
 
   Lister(History history) throws IOException {
     this.history = history;
-    this.server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 64);
+    this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
     server.setExecutor(threads);
     server.createContext("/api/targets", this::watch);
     server.start();
--- a/trials/src/main/java/ferngrade/trials/Relay.java
+++ b/trials/src/main/java/ferngrade/trials/Relay.java
@@ -15,6 +15,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.GlobalEventExecutor;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -73,7 +74,7 @@
                     accepted(channel);
                   }
                 })
-            .bind(new InetSocketAddress("127.0.0.1", 0))
+            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
             .sync()
             .channel();
   }
--- a/trials/src/main/java/ferngrade/trials/Taker.java
+++ b/trials/src/main/java/ferngrade/trials/Taker.java
@@ -4,6 +4,7 @@
 import com.sun.net.httpserver.HttpServer;
 import ferngrade.duty.Fence;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.HashSet;
 import java.util.Map;
@@ -26,7 +27,7 @@
   Taker(History history, boolean fenced) throws IOException {
     this.history = history;
     this.fenced = fenced;
-    this.server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 64);
+    this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
     server.setExecutor(one);
     server.createContext("/api", this::take);
     server.start();
--- a/trials/src/main/java/ferngrade/trials/UdpRelay.java
+++ b/trials/src/main/java/ferngrade/trials/UdpRelay.java
@@ -8,6 +8,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
 import io.netty.channel.socket.nio.NioDatagramChannel;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
@@ -40,7 +41,7 @@
             .group(group)
             .channel(NioDatagramChannel.class)
             .handler(new Pipe())
-            .bind(new InetSocketAddress("127.0.0.1", 0))
+            .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
             .sync()
             .channel();
   }
@@ -95,7 +96,7 @@
         from = packet.sender();
       }
       InetSocketAddress next = back ? from : to;
-      if (next == null || silent || scrambled && chance.nextDouble() < LOST) {
+      if (next == null || silent || (scrambled && chance.nextDouble() < LOST)) {
         return;
       }
       byte[] bytes = new byte[packet.content().readableBytes()];
