--- a/decisions/src/main/java/ferngrade/Choice.java
+++ b/decisions/src/main/java/ferngrade/Choice.java
@@ -334,7 +334,7 @@
     // The start is generous until a first cut shows a limit. A dispatcher that waits for its
     // clients sees
     // no demand for some cycles; growing from the floor then refuses them on an idle fleet.
-    if (Double.isNaN(slice) || change >= 0 && lastCut == Double.NEGATIVE_INFINITY) {
+    if (Double.isNaN(slice) || (change >= 0 && lastCut == Double.NEGATIVE_INFINITY)) {
       slice = Double.isNaN(slice) ? most : Math.max(most, slice);
     }
     // Only growth stops at the bound: cutting to it would destroy what peers pass through this
@@ -482,10 +482,11 @@
     for (int part = 0; part < 2; part++) {
       List<Node> pool = part == 0 ? local : remote;
       int size = pool.size();
-      int looks = whole || object && size <= OBJECT_SCAN ? size : Math.min(size, SCAN);
+      int looks = whole || (object && size <= OBJECT_SCAN) ? size : Math.min(size, SCAN);
       for (int i = 0; i < looks; i++) {
         Node node = pool.get(looks == size ? i : random.nextInt(size));
-        if (!permitted(request, bound, node, now) || !desperate && !inFavour(request, node, now)) {
+        if (!permitted(request, bound, node, now)
+            || (!desperate && !inFavour(request, node, now))) {
           continue;
         }
         double cost = cost(request, node, now) + random.nextDouble();
@@ -646,7 +647,7 @@
         || onTrial
         || shunned
         || tried
-        || !crowded && hopeless(request, node, now)) {
+        || (!crowded && hopeless(request, node, now))) {
       return false;
     }
     Zone zone = zone(node.entry.zone());
@@ -1108,7 +1109,7 @@
       double known = node.group.slots;
       node.group.slots = Math.max(1, known + (known == 1 ? 1 : LEARN) * (slots - known));
     }
-    if (report.freeMemory() <= 0 || Double.isNaN(report.held()) && report.freeSlots() < 1) {
+    if (report.freeMemory() <= 0 || (Double.isNaN(report.held()) && report.freeSlots() < 1)) {
       node.holdUntil = Math.max(node.holdUntil, now + service / 4);
     }
   }
--- a/decisions/src/test/java/ferngrade/BudgetTest.java
+++ b/decisions/src/test/java/ferngrade/BudgetTest.java
@@ -172,7 +172,7 @@
       choice.arrived(510, Fixture.job("stuck" + i, 0, 9_000));
     }
     List<long[]> due = out.timers.stream().filter(timer -> timer[1] >= 16).toList();
-    due.forEach(timer -> choice.timer(510 + timer[0], timer[1]));
+    due.forEach(timer -> choice.timer((double) (510 + timer[0]), timer[1]));
     choice.timer(1_000, CYCLE);
     assertTrue(choice.slice() < before, choice.slice() + " after " + before);
   }
--- a/decisions/src/test/java/ferngrade/RandomStreamTest.java
+++ b/decisions/src/test/java/ferngrade/RandomStreamTest.java
@@ -309,7 +309,7 @@
       list.replaceAll((id, worker) -> Fixture.with(worker, State.GONE, worker.startedAt()));
     }
     for (long id = 0; id < WORKERS; id++) {
-      if (news == News.CHANGES && random.nextInt(4) > 0 || random.nextInt(10) == 0) {
+      if ((news == News.CHANGES && random.nextInt(4) > 0) || random.nextInt(10) == 0) {
         continue;
       }
       State state =
--- a/decisions/src/test/java/ferngrade/RulesTest.java
+++ b/decisions/src/test/java/ferngrade/RulesTest.java
@@ -170,7 +170,7 @@
         outcome == Outcome.FULL
             || outcome == Outcome.CONNECT_FAILED
             || outcome == Outcome.NEVER_SENT;
-    if (effect == Effect.UNSAFE && !proof || outcome == Outcome.UNUSABLE) {
+    if ((effect == Effect.UNSAFE && !proof) || outcome == Outcome.UNUSABLE) {
       assertEquals(1, out.sends.size(), what);
       assertEquals(List.of("r"), out.failed, what);
       return;
@@ -187,7 +187,7 @@
       choice.ended(40, "r", 2, Outcome.FULL, 10, false, Report.NONE);
     }
     boolean mayRefuse =
-        proof || effect == Effect.SAFE || effect == Effect.KEYED && scope == Scope.ALL;
+        proof || effect == Effect.SAFE || (effect == Effect.KEYED && scope == Scope.ALL);
     assertEquals(mayRefuse ? List.of("r") : List.of(), out.refused, what);
     assertEquals(mayRefuse ? List.of() : List.of("r"), out.failed, what);
   }
--- a/durable/src/main/java/ferngrade/durable/Ledger.java
+++ b/durable/src/main/java/ferngrade/durable/Ledger.java
@@ -124,9 +124,9 @@
   private static boolean mayRun(Job job, double at) {
     return Double.isNaN(job.firstDoubtfulAt)
         || job.effect() == Effect.SAFE
-        || job.effect() == Effect.KEYED
+        || (job.effect() == Effect.KEYED
             && at >= job.firstDoubtfulAt
-            && at < job.firstDoubtfulAt + job.accepted().window();
+            && at < job.firstDoubtfulAt + job.accepted().window());
   }
 
   /** The holder says that it has begun. */
@@ -224,7 +224,7 @@
     double since = since(job);
     boolean allowed =
         job.effect() == Effect.SAFE
-            || job.effect() == Effect.KEYED && next < since + job.accepted().window();
+            || (job.effect() == Effect.KEYED && next < since + job.accepted().window());
     if (allowed && job.leases < terms.mostLeases()) {
       return apply(
           new Entry.Doubted(job.id(), job.token, since),
@@ -312,7 +312,7 @@
       return Change.refused(Refusal.UNKNOWN);
     }
     boolean never = Double.isNaN(job.firstDoubtfulAt);
-    if (job.state != JobState.FAILED || !never && job.effect() != Effect.SAFE) {
+    if (job.state != JobState.FAILED || (!never && job.effect() != Effect.SAFE)) {
       return Change.refused(Refusal.NOT_NOW);
     }
     Entry.Accepted first = job.accepted();
--- a/durable/src/test/java/ferngrade/durable/CrashPointTest.java
+++ b/durable/src/test/java/ferngrade/durable/CrashPointTest.java
@@ -305,12 +305,12 @@
                                 > 0);
         assertTrue(
             old
-                || file.equals(
+                || (file.equals(
                         files.stream()
                             .filter(name -> name.startsWith("log-"))
                             .reduce((a, b) -> b)
                             .orElseThrow())
-                    && (offset >= last || disk.read(file).length == Journal.HEADER),
+                    && (offset >= last || disk.read(file).length == Journal.HEADER)),
             "seed " + seed + ": " + file + " at " + offset + " was passed over in silence");
       } catch (DamagedException damaged) {
         found++;
--- a/duty/src/main/java/ferngrade/duty/DutyTable.java
+++ b/duty/src/main/java/ferngrade/duty/DutyTable.java
@@ -273,7 +273,7 @@
       Session best = best(slot);
       Session owner = sessions.get(slot.owner());
       boolean releasing =
-          best != null && best.id() != slot.owner() || best == null && owner.draining();
+          (best != null && best.id() != slot.owner()) || (best == null && owner.draining());
       if (releasing != slot.releasing()) {
         slots.put(slot.shard(), slot.asked(releasing));
       }
--- a/duty/src/main/java/ferngrade/duty/Recurring.java
+++ b/duty/src/main/java/ferngrade/duty/Recurring.java
@@ -59,6 +59,6 @@
       return new Decision(Step.WAIT, slot.due());
     }
     boolean late = wall - due > ON_TIME * every;
-    return new Decision(slot.due() == 0 || late && !missed ? Step.SKIP : Step.BEGIN, due);
+    return new Decision(slot.due() == 0 || (late && !missed) ? Step.SKIP : Step.BEGIN, due);
   }
 }
--- a/duty/src/test/java/ferngrade/duty/DutiesAcrossStepsTest.java
+++ b/duty/src/test/java/ferngrade/duty/DutiesAcrossStepsTest.java
@@ -43,7 +43,7 @@
     }
 
     private void propose(Command command) {
-      holder.answered(now, command, table.apply(++index, command));
+      holder.answered((double) now, command, table.apply(++index, command));
     }
 
     @Override
@@ -62,8 +62,8 @@
     }
 
     void tick() {
-      holder.tick(now, wall(), table);
-      performer.look(now, wall());
+      holder.tick((double) now, wall(), table);
+      performer.look((double) now, wall());
     }
   }
 
@@ -126,7 +126,9 @@
     for (; now < until; now += 250) {
       members.forEach(Member::tick);
       members.forEach(
-          each -> assertTrue(now < 1_000 || each.holder.holds(now), "its lease ended at " + now));
+          each ->
+              assertTrue(
+                  now < 1_000 || each.holder.holds((double) now), "its lease ended at " + now));
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/Clients.java
+++ b/emulator/src/main/java/ferngrade/emulator/Clients.java
@@ -280,7 +280,7 @@
     observer.ended(now, request, answer);
     boolean harmless = answer == Answer.REFUSED || answer == Answer.UNREACHED;
     boolean bad = answer == Answer.FAILED || answer == Answer.BROKEN;
-    if (harmless || bad && repeatable(request)) {
+    if (harmless || (bad && repeatable(request))) {
       retry(request, retryAfter);
     }
   }
@@ -289,7 +289,7 @@
   private boolean repeatable(Request request) {
     ClassSpec each = spec.classes.get(request.jobClass);
     boolean keyed = each.effect == Effect.KEYED && each.scope == Scope.ALL;
-    return each.effect == Effect.SAFE || keyed && time.now() < request.first.due + each.window;
+    return each.effect == Effect.SAFE || (keyed && time.now() < request.first.due + each.window);
   }
 
   private void retry(Request last, double retryAfter) {
--- a/emulator/src/main/java/ferngrade/emulator/Network.java
+++ b/emulator/src/main/java/ferngrade/emulator/Network.java
@@ -53,7 +53,7 @@
    * another.
    */
   public double datagram(int from, int to) {
-    boolean lost = !open(from, to) || spec.loss > 0 && chance.nextDouble() < spec.loss;
+    boolean lost = !open(from, to) || (spec.loss > 0 && chance.nextDouble() < spec.loss);
     return lost ? NEVER : jittered(spec.peer);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -13,7 +13,6 @@
 import java.util.IdentityHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.BiConsumer;
 
@@ -29,7 +28,7 @@
 
   private final VirtualRun run;
   private final VirtualNode node;
-  private final Map<EmulatedWorker, Link> links = new IdentityHashMap<>();
+  private final IdentityHashMap<EmulatedWorker, Link> links = new IdentityHashMap<>();
   private final Set<Transfer> unanswered = new LinkedHashSet<>();
   private boolean closed;
 
--- a/emulator/src/main/java/ferngrade/emulator/judge/AnswerJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/AnswerJudge.java
@@ -5,7 +5,6 @@
 import ferngrade.emulator.Request.Answer;
 import java.util.HashSet;
 import java.util.IdentityHashMap;
-import java.util.Map;
 import java.util.Set;
 
 /** Each request that a node has taken gets exactly one final answer, before its client gives up. */
@@ -16,7 +15,7 @@
    */
   private static final double HELD_UP = Clients.ANSWER_SLACK / 2;
 
-  private final Map<Request, State> owed = new IdentityHashMap<>();
+  private final IdentityHashMap<Request, State> owed = new IdentityHashMap<>();
 
   private final Set<Integer> still = new HashSet<>();
 
--- a/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
@@ -18,7 +18,7 @@
   private static final double PROMPT = 100;
 
   private final double allowed;
-  private final Map<Request, Double> lastEvent = new IdentityHashMap<>();
+  private final IdentityHashMap<Request, Double> lastEvent = new IdentityHashMap<>();
   private final Map<Integer, Double> resumed = new HashMap<>();
 
   /** A judge for nodes with the scenario's round. */
--- a/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
@@ -11,7 +11,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
  * Nothing that may have run goes out again unless its class allows it; a worker has one attempt of
@@ -19,7 +18,7 @@
  */
 public final class RepeatJudge extends Judge {
   private final Scenario scenario;
-  private final Map<Request, List<Sent>> sent = new IdentityHashMap<>();
+  private final IdentityHashMap<Request, List<Sent>> sent = new IdentityHashMap<>();
 
   private static final class Sent {
     final EmulatedWorker worker;
@@ -70,8 +69,8 @@
     }
     boolean group =
         spec.scope == Scope.ALL
-            || spec.scope == Scope.ZONE && doubtful.worker.zone == worker.zone
-            || spec.scope == Scope.CELL && doubtful.worker.cell == worker.cell;
+            || (spec.scope == Scope.ZONE && doubtful.worker.zone == worker.zone)
+            || (spec.scope == Scope.CELL && doubtful.worker.cell == worker.cell);
     return spec.effect == Effect.KEYED && group && now <= doubtful.at + spec.window;
   }
 
@@ -91,7 +90,7 @@
     List<Sent> before = sent.remove(request);
     ClassSpec spec = scenario.workload.classes.get(request.jobClass);
     boolean harmless =
-        spec.effect == Effect.SAFE || spec.effect == Effect.KEYED && spec.scope == Scope.ALL;
+        spec.effect == Effect.SAFE || (spec.effect == Effect.KEYED && spec.scope == Scope.ALL);
     if (answer == Answer.REFUSED
         && before != null
         && !harmless
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -74,7 +74,7 @@
     JobClass jobClass = settings.classes().get(request.job.jobClass());
     boolean harmless =
         jobClass.effect() == Effect.SAFE
-            || jobClass.effect() == Effect.KEYED && jobClass.scope() == Scope.ALL;
+            || (jobClass.effect() == Effect.KEYED && jobClass.scope() == Scope.ALL);
     if (harmless || !request.doubtful) {
       actions.refuse(request.job.id(), 0);
     } else {
--- a/emulator/src/test/java/ferngrade/emulator/VirtualTimeTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualTimeTest.java
@@ -35,7 +35,7 @@
       Ran after = ran.get(i);
       assertEquals(
           true,
-          before.at < after.at || before.at == after.at && before.order < after.order,
+          before.at < after.at || (before.at == after.at && before.order < after.order),
           before + " before " + after);
     }
     assertEquals(2 * delays.size(), ran.size());
--- a/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
@@ -170,7 +170,7 @@
         FleetFile file, String only, String method, String call, Duration patience)
         throws InterruptedException {
       for (FleetFile.Member each : file.members()) {
-        if (each.admin() == null || only != null && !each.name().equals(only)) {
+        if (each.admin() == null || (only != null && !each.name().equals(only))) {
           continue;
         }
         URI uri =
--- a/fleet/src/main/java/ferngrade/fleet/JobSender.java
+++ b/fleet/src/main/java/ferngrade/fleet/JobSender.java
@@ -111,7 +111,7 @@
                   answer != null
                       ? answer.statusCode() == 503 || answer.statusCode() == 429
                       : neverSent(failure);
-              if (untaken || answer == null && job.effect() != Effect.UNSAFE) {
+              if (untaken || (answer == null && job.effect() != Effect.UNSAFE)) {
                 long shortest = Math.min(pause, answer == null ? PAUSE : asked(answer));
                 boolean roundOver = (number + 1) % targets.size() == 0;
                 Executor next =
--- a/lab/src/main/java/ferngrade/lab/Charts.java
+++ b/lab/src/main/java/ferngrade/lab/Charts.java
@@ -159,7 +159,7 @@
     // The sum dwarfs the slices of a larger tier.
     boolean few = names.stream().filter(name -> name.startsWith("slice ")).count() <= FEW_SETTINGS;
     names.stream()
-        .filter(name -> name.startsWith("slice ") || few && name.equals("budget"))
+        .filter(name -> name.startsWith("slice ") || (few && name.equals("budget")))
         .forEach(name -> slices.put(name, first.get(name)));
     draw(
         "slices-over-time" + suffix,
--- a/lab/src/main/java/ferngrade/lab/Estimate.java
+++ b/lab/src/main/java/ferngrade/lab/Estimate.java
@@ -24,7 +24,7 @@
             ? Double.POSITIVE_INFINITY
             : new TDistribution(count - 1).inverseCumulativeProbability(TAIL)
                 * summary.getStandardDeviation()
-                / Math.sqrt(count);
+                / Math.sqrt((double) count);
     return new Estimate(summary.getMean(), half, count);
   }
 
--- a/membership/src/main/java/ferngrade/membership/Message.java
+++ b/membership/src/main/java/ferngrade/membership/Message.java
@@ -26,10 +26,10 @@
           && self.usable()
           && news.stream().allMatch(each -> each != null && each.usable())
           && (!(message instanceof Sync sync)
-              || sync.all() != null
-                  && sync.all().stream().allMatch(each -> each != null && each.usable()))
+              || (sync.all() != null
+                  && sync.all().stream().allMatch(each -> each != null && each.usable())))
           && (!(message instanceof PingFor asked)
-              || asked.name() != null && asked.address() != null);
+              || (asked.name() != null && asked.address() != null));
     }
   }
 
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -409,7 +409,7 @@
   }
 
   /** A health check. */
-  private final class Check extends Transfer {
+  private static final class Check extends Transfer {
     private final InetSocketAddress worker;
     private final BiConsumer<Outcome, Report> listener;
     private WorkerConnection carrier;
--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -77,9 +77,7 @@
    * #start(String)}.
    */
   void start(String list, NodeConfig config, Clock clock, Consumer<String> log) throws Exception {
-    node =
-        NodeServer.start(
-            config, NodeServer.Platform.NONE, clock, new Log(clock, log::accept), channels);
+    node = NodeServer.start(config, NodeServer.Platform.NONE, clock, new Log(clock, log), channels);
     if (list != null) {
       watch = new RawHttp(discovery.accept());
       watch.read();
--- a/node/src/test/java/ferngrade/node/StateFileTest.java
+++ b/node/src/test/java/ferngrade/node/StateFileTest.java
@@ -162,7 +162,8 @@
           List.of(disk.afterKill(), disk.afterPowerFailure(true), disk.afterPowerFailure(false))) {
         StateFile later = new StateFile(PATH, left, this::schedule, log::add);
         String found = later.read();
-        assertTrue(found.equals(NEW) || !completed && found.equals(OLD), operations + ": " + found);
+        assertTrue(
+            found.equals(NEW) || (!completed && found.equals(OLD)), operations + ": " + found);
         // What is left over keeps nobody from writing.
         later.write("later", () -> {});
         attempt();
