--- a/durable/src/main/java/ferngrade/durable/Store.java
+++ b/durable/src/main/java/ferngrade/durable/Store.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.Semaphore;
+import java.util.concurrent.atomic.AtomicLong;
 
 /**
  * A ledger and its log, with a thread for the disk: the owner's thread makes changes, and hears
@@ -41,7 +42,7 @@
   private final Thread diskThread = new Thread(this::write, "store");
   private final Journal.Recovery recovery;
   private volatile Thread compactor;
-  private volatile long syncs;
+  private final AtomicLong syncs = new AtomicLong();
   private volatile IOException compactionFailure;
 
   /** Belongs to the disk's thread. */
@@ -149,7 +150,7 @@
 
   /** The syncs so far. */
   public long syncs() {
-    return syncs;
+    return syncs.get();
   }
 
   /**
@@ -198,7 +199,7 @@
     while (true) {
       try {
         journal.commit(entries);
-        syncs = syncs + 1;
+        syncs.incrementAndGet();
         return true;
       } catch (IOException | RuntimeException broken) {
         IOException failure = broken instanceof IOException io ? io : new IOException(broken);
--- a/node/src/test/java/ferngrade/net/CrossingsTest.java
+++ b/node/src/test/java/ferngrade/net/CrossingsTest.java
@@ -90,7 +90,7 @@
     try (RawHttp worked = new RawHttp(worker.accept());
         RawHttp client = RawHttp.to(node.address())) {
       settled();
-      now += 100;
+      advance(100);
       client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
       Message first = worked.read();
       assertEquals(first.headers().get("Req-Id"), "b");
@@ -112,7 +112,7 @@
     settled();
     assertEquals(callBack("a", DONE), 204);
     settled();
-    now += 100;
+    advance(100);
     try (RawHttp client = RawHttp.to(node.address())) {
       client.write(RawHttp.message(job("POST /api", "c", "order"), ""));
       assertEquals(worked.read().headers().get("Req-Id"), "c");
@@ -130,7 +130,7 @@
       worked.read();
       worked.write(TAKEN);
       settled();
-      now += 3000;
+      advance(3000);
       callBack("a", DONE);
       assertEquals(worked.read().headers().get("Req-Deadline"), "5990m");
     }
@@ -158,7 +158,7 @@
       settled();
       worked.write(together ? "" : leftover);
       settled();
-      now += 100;
+      advance(100);
       client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
       RawHttp fresh = new RawHttp(worker.accept());
       assertEquals(fresh.read().headers().get("Req-Id"), "b");
@@ -179,7 +179,7 @@
       callBack("a", DONE);
       assertEquals(client.read().status(), 200);
       settled();
-      now += 10;
+      advance(10);
       client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
       RawHttp fresh = new RawHttp(worker.accept());
       assertEquals(fresh.read().headers().get("Req-Id"), "b");
@@ -211,7 +211,7 @@
         RawHttp hung = came.getValue();
         hung.read();
         // The timer asks the clock once a second of the machine has passed.
-        now += 1000;
+        advance(1000);
         RawHttp told = new RawHttp(first.accept());
         assertEquals(told.read().start(), "DELETE /jobs/a HTTP/1.1");
         assertEquals(new RawHttp(second.accept()).read().headers().get("Req-Id"), "a");
@@ -229,7 +229,7 @@
       worked.read();
       worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 5\r\n\r\nab");
       settled();
-      now += 1000;
+      advance(1000);
       assertNull(worked.read());
       assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
       assertEquals(client.read().status(), 502, "it may have run, and may not run twice");
@@ -250,7 +250,7 @@
       crowd.add(RawHttp.to(node.address()));
     }
     settled();
-    now += 100;
+    advance(100);
     RawHttp again = new RawHttp(discovery.accept());
     assertEquals(again.read().start(), "GET /api/targets?watch=1&from=1 HTTP/1.1");
     again.write(
@@ -296,7 +296,7 @@
       assertEquals(client.read().status(), 503);
       watch.write(chunk(list(3, "active") + "\n"));
       settled();
-      now += 100;
+      advance(100);
       client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
       assertEquals(worked.read().headers().get("Req-Id"), "b");
     }
@@ -393,7 +393,7 @@
     try (RawHttp client = RawHttp.to(node.address())) {
       awaitReadiness(client, 503);
     }
-    now += 700;
+    advance(700);
     first.get(20, TimeUnit.SECONDS);
     second.get(20, TimeUnit.SECONDS);
     node.reload(config(discovery.getLocalPort(), null));
@@ -427,7 +427,7 @@
     new RawHttp(discovery.accept()).read();
     try (RawHttp client = RawHttp.to(node.address())) {
       assertEquals(client.write(READY).read().status(), 503);
-      now += 300;
+      advance(300);
       awaitReadiness(client, 200);
     }
   }
--- a/node/src/test/java/ferngrade/net/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/net/DepartedClientTest.java
@@ -144,14 +144,14 @@
         RawHttp worked = new RawHttp(worker.accept());
         assertEquals(worked.read().headers().get("Req-Id"), "a");
         settled();
-        now += 100;
+        advance(100);
         worked.write(by == Cause.DECLINED_ATTEMPT ? DECLINED : "");
       }
       held.await();
       leave(leaving, how);
       release.countDown();
       settled();
-      now += 100;
+      advance(100);
       try (RawHttp client = RawHttp.to(node.address())) {
         client.write(RawHttp.message(job("POST /api", "b", "draft"), ""));
         // The connection that was dialled for the attempt: kept, as nothing was written to it.
@@ -179,7 +179,7 @@
       callBack("first", "\"state\":\"done\",\"result\":\"soup\"");
       assertEquals(client.read().body(), "soup");
       settled();
-      now += 100;
+      advance(100);
       // Its connection is idle now: the next attempt is written in the turn in which it is decided.
       client.write(RawHttp.message(job("POST /api", "a", "draft"), ""));
       held.await();
@@ -188,7 +188,7 @@
       assertEquals(client.read().status(), 503);
       watch.write(chunk(list(3, "active") + "\n"));
       settled();
-      now += 100;
+      advance(100);
       client.write(RawHttp.message(job("POST /api", "b", "draft"), ""));
       assertEquals(worked.read().headers().get("Req-Id"), "b");
     }
--- a/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
@@ -54,6 +54,11 @@
             .get();
   }
 
+  /** Lets time pass on the clock; the test and the loop may both do so. */
+  private synchronized void advance(double millis) {
+    now += millis;
+  }
+
   @AfterMethod
   public void end() throws Exception {
     discovery.close();
@@ -96,7 +101,7 @@
     double until = now + millis;
     while (loop.submit(
                 () -> {
-                  now += 100;
+                  advance(100);
                   timers.run();
                   return now;
                 })
@@ -247,7 +252,7 @@
   public void agentThatStaysSilentIsAskedAgainAfterNoLongerThanATenthOfASecond() throws Exception {
     for (int i = 0; i < 5; i++) {
       try (RawHttp silent = accept(WHOLE)) {
-        now += 1_000;
+        advance(1_000);
         loop.submit(timers::run).get();
         assertNull(silent.read());
       }
--- a/node/src/test/java/ferngrade/net/LateReadTest.java
+++ b/node/src/test/java/ferngrade/net/LateReadTest.java
@@ -47,6 +47,11 @@
             (told, at, actions) -> refusing(actions));
   }
 
+  /** Lets time pass on the clock; the test and the loop may both do so. */
+  private synchronized void advance(double millis) {
+    now += millis;
+  }
+
   @AfterMethod(alwaysRun = true)
   public void end() throws Exception {
     node.stop(0);
@@ -113,7 +118,7 @@
     hold();
     try (RawHttp held = client == null ? RawHttp.to(node.address()) : client) {
       held.write(job("b"));
-      now += BUSY;
+      advance(BUSY);
       release.countDown();
       held.read();
       assertEquals(jobs.take().due(), 1000 + DEADLINE, how);
@@ -124,9 +129,9 @@
   public void aLoopThatWaitedTakesNoTimeFromTheRequestThatWakesIt() throws Exception {
     Arrivals arrivals = new Arrivals(() -> now);
     assertEquals(arrivals.calculateStrategy(() -> 0, false), SelectStrategy.SELECT);
-    now += BUSY;
+    advance(BUSY);
     assertEquals(arrivals.since(), 1000 + BUSY);
-    now += BUSY;
+    advance(BUSY);
     assertEquals(arrivals.since(), 1000 + BUSY, "the turn began when its wait was over");
     assertEquals(arrivals.calculateStrategy(() -> 1, false), 1);
     assertEquals(arrivals.since(), 1000 + BUSY, "what came while the turn before was at work");
--- a/node/src/test/java/ferngrade/net/LittleTimeTest.java
+++ b/node/src/test/java/ferngrade/net/LittleTimeTest.java
@@ -35,7 +35,7 @@
       client.write(RawHttp.message(head, ""));
       String told = new RawHttp(worker.accept()).read().headers().get("Req-Deadline");
       assertTrue(Integer.parseInt(told.replace("m", "")) <= left, told);
-      now += left + 10;
+      advance(left + 10);
       assertEquals(client.read().status(), 502);
     }
   }
--- a/node/src/test/java/ferngrade/net/NodeStoriesTest.java
+++ b/node/src/test/java/ferngrade/net/NodeStoriesTest.java
@@ -59,7 +59,7 @@
       callBack("a", "\"state\":\"done\",\"result\":\"one\"");
       assertEquals(client.read().status(), 200);
       settled();
-      now += 100;
+      advance(100);
       client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
       assertEquals(pooled.read().headers().get("Req-Id"), "b");
       pooled.close();
@@ -91,12 +91,12 @@
         worked.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
       }
       assertEquals(client.read().status(), 503);
-      now += 100;
+      advance(100);
       client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
       worked.read();
       worked.write("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n");
       assertEquals(client.read().status(), 502);
-      now += 100;
+      advance(100);
       client.write(RawHttp.message(job("POST /api", "c", "order"), ""));
       worked.read();
       worked.write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -49,6 +49,11 @@
     node.stop(0);
   }
 
+  /** Lets time pass on the clock of the node, which its loops read. */
+  final synchronized void advance(double millis) {
+    now += millis;
+  }
+
   void stop() {
     try {
       node.stop();
--- a/node/src/test/java/ferngrade/net/ReadRequestTest.java
+++ b/node/src/test/java/ferngrade/net/ReadRequestTest.java
@@ -125,7 +125,7 @@
         assertEquals(client.read().body(), "soup");
       }
       settled();
-      now += 1750;
+      advance(1750);
       assertEquals(rest(client), List.of(408));
     }
   }
--- a/node/src/test/java/ferngrade/net/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/net/ShutdownTest.java
@@ -157,7 +157,7 @@
     Hold stopping = hold(STOPPING);
     CompletableFuture<Void> stopped = inBackground(() -> node.stop(grace));
     stopping.reached.await();
-    now += heldUp;
+    advance(heldUp);
     stopping.released.countDown();
     return stopped;
   }
@@ -243,7 +243,7 @@
     for (int i = 0; i < 100; i++) {
       sendingOn.write(request("more" + i, "order", 9000));
     }
-    now += 4000;
+    advance(4000);
     over(stopped);
     assertNull(
         sendingOn.read(), "an end and no reset, though nothing was read before the process ended");
@@ -280,7 +280,7 @@
     assertEquals(last.status(), REFUSED);
     assertEquals(last.headers().get("Connection"), "close");
     assertNull(client.read());
-    now += 4000;
+    advance(4000);
     over(stopped);
   }
 
@@ -308,7 +308,7 @@
     CompletableFuture<Void> stopped =
         inBackground(() -> node.stopAndExit(() -> exiting.set(Thread.currentThread())));
     stopping.reached.await();
-    now += 4000;
+    advance(4000);
     over(stopped);
     assertSame(exiting.get(), loop.get(), "no thread but this one is in a system call");
   }
--- a/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
@@ -171,10 +171,10 @@
   private void passOutage(double faultEnds) throws Exception {
     settled();
     while (now < faultEnds) {
-      now += SERVICE_BACK;
+      advance(SERVICE_BACK);
       settled();
     }
-    now += SERVICE_BACK;
+    advance(SERVICE_BACK);
   }
 
   @Test(dataProvider = "sendFaults")
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -69,6 +69,11 @@
         .get();
   }
 
+  /** Lets time pass on the clock; the test and the loop may both do so. */
+  private synchronized void advance(double millis) {
+    now += millis;
+  }
+
   @AfterMethod(alwaysRun = true)
   public void end() throws Exception {
     worker.close();
@@ -84,13 +89,13 @@
     first.read();
     first.write(TAKEN);
     pooled();
-    now += 100;
+    advance(100);
     loop.submit(() -> taken.giveUp(() -> {})).get();
     Message delete = first.read();
     assertEquals(delete.start(), "DELETE /jobs/a HTTP/1.1");
     first.write("HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n");
     pooled();
-    now += 100;
+    advance(100);
     Workers.Sending waiting = send("b");
     assertEquals(first.read().headers().get("Req-Id"), "b");
     loop.submit(() -> waiting.giveUp(() -> {})).get();
@@ -172,7 +177,7 @@
     assertEquals(told.take(), "NEVER_SENT");
     wanted = true;
     pooled();
-    now += 100;
+    advance(100);
     send("b");
     assertEquals(first.read().headers().get("Req-Id"), "b");
   }
@@ -209,7 +214,7 @@
     first.read();
     first.write(TAKEN);
     pooled();
-    now += 100;
+    advance(100);
     loop.submit(
             () -> {
               first.end();
@@ -247,7 +252,7 @@
     loop.submit(
             () -> {
               begin("a");
-              now += millis;
+              advance(millis);
             })
         .get();
   }
@@ -331,7 +336,7 @@
     while (told.isEmpty()) {
       loop.submit(
               () -> {
-                now += Dialer.BACKOFF;
+                advance(Dialer.BACKOFF);
                 timers.run();
               })
           .get();
