--- a/lab/src/main/java/ferngrade/lab/ExperimentReader.java
+++ b/lab/src/main/java/ferngrade/lab/ExperimentReader.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.fasterxml.jackson.dataformat.toml.TomlMapper;
 import ferngrade.emulator.ClassSpec;
 import ferngrade.emulator.Fault;
 import ferngrade.emulator.KindSpec;
@@ -25,8 +24,6 @@
 
 /** Reads experiments. What a file leaves out is as in {@link Scenario#standard}. */
 public final class ExperimentReader {
-  private static final TomlMapper TOML = new TomlMapper();
-
   private final String file;
   private final Path folder;
   private final TomlLines lines;
@@ -144,7 +141,7 @@
    */
   private static void set(Section top, ObjectNode root, String paths, JsonNode value)
       throws FileException {
-    String[] all = paths.split("\\s*,\\s*");
+    String[] all = paths.split("\\s*,\\s*", 0);
     if (all.length > 1 && (!value.isArray() || value.size() != all.length)) {
       throw top.bad("sweep." + paths, "needs a list of " + all.length + " values for each setting");
     }
@@ -165,7 +162,7 @@
 
   private static void put(Section top, ObjectNode root, String path, JsonNode value)
       throws FileException {
-    String[] steps = path.split("\\.");
+    String[] steps = path.split("\\.", 0);
     JsonNode at = root;
     for (int i = 0; i < steps.length - 1; i++) {
       boolean item = at.isArray();
@@ -293,7 +290,7 @@
       if (row.isEmpty() || row.startsWith("#")) {
         continue;
       }
-      String[] cells = row.split("\\s*,\\s*");
+      String[] cells = row.split("\\s*,\\s*", 0);
       String where = folder.resolve(name).getFileName() + ":" + (i + 1);
       try {
         double at = Double.parseDouble(cells[0]);
--- a/node/src/main/java/ferngrade/net/LoadReport.java
+++ b/node/src/main/java/ferngrade/net/LoadReport.java
@@ -16,7 +16,7 @@
     double memory = Double.NaN;
     double queued = Double.NaN;
     double held = Double.NaN;
-    for (String pair : text.split(",")) {
+    for (String pair : text.split(",", 0)) {
       int equals = pair.indexOf('=');
       switch (pair.substring(0, Math.max(0, equals)).strip()) {
         case "x0" -> slots = value(pair, equals);
--- a/node/src/main/java/ferngrade/net/RequestReader.java
+++ b/node/src/main/java/ferngrade/net/RequestReader.java
@@ -170,7 +170,7 @@
   private static Map<String, Double> extras(String text) throws BadRequestException {
     Map<String, Double> extras = new HashMap<>();
     if (text != null && !text.isBlank()) {
-      for (String pair : text.split(",")) {
+      for (String pair : text.split(",", 0)) {
         int equals = pair.indexOf('=');
         String name = pair.substring(0, Math.max(0, equals)).strip();
         if (name.equals("slots") || name.equals("memory")) {
--- a/node/src/main/java/ferngrade/wire/WireHost.java
+++ b/node/src/main/java/ferngrade/wire/WireHost.java
@@ -212,7 +212,7 @@
     double memory = Double.NaN;
     double queued = Double.NaN;
     double held = Double.NaN;
-    for (String pair : gauge.split(",")) {
+    for (String pair : gauge.split(",", 0)) {
       int colon = pair.indexOf(':');
       String name = pair.substring(0, Math.max(colon, 0));
       switch (name) {
--- a/node/src/test/java/ferngrade/net/HandOverProcessTest.java
+++ b/node/src/test/java/ferngrade/net/HandOverProcessTest.java
@@ -86,7 +86,7 @@
     while (admin().equals(earlier)) {
       Thread.onSpinWait();
     }
-    String[] address = admin().split(":");
+    String[] address = admin().split(":", 2);
     try (RawHttp operator =
         RawHttp.to(new InetSocketAddress(address[0], Integer.parseInt(address[1])))) {
       awaitReadiness(operator, 200);
--- a/node/src/test/java/ferngrade/net/RawHttp.java
+++ b/node/src/test/java/ferngrade/net/RawHttp.java
@@ -20,7 +20,7 @@
   /** A message as it came: its first line, its headers and its body. */
   record Message(String start, Map<String, String> headers, String body) {
     int status() {
-      return Integer.parseInt(start.split(" ")[1]);
+      return Integer.parseInt(start.split(" ", 3)[1]);
     }
   }
 
--- a/node/src/test/java/ferngrade/wire/WireHostTest.java
+++ b/node/src/test/java/ferngrade/wire/WireHostTest.java
@@ -58,7 +58,7 @@
                 + "FLUSH\nBEGIN_BATCH 12.5\nON dispatcher_0\n"
                 + "INGRESS c:b 0 0 - 5012.5\nFLUSH\nBEGIN_BATCH 20\nON dispatcher_0\n"
                 + "UPDATE_OF c:b 0 51530247 1 -\nRESOLVED c:b 51530247 - 0 ok 7.5 1 -\nFLUSH\n");
-    String[] replies = reply.split("NEXT\n");
+    String[] replies = reply.split("NEXT\n", 0);
     assertTrue(replies[0].startsWith("CONTEXT dispatcher_0\nWAKE_AT "), replies[0]);
     assertTrue(
         replies[1].startsWith("CONTEXT dispatcher_0\nISSUE c:b 51530247 0.000\nWAKE_AT "),
@@ -167,7 +167,7 @@
   private static List<String> of(int me, String reply) {
     List<String> lines = new ArrayList<>();
     boolean mine = false;
-    for (String line : reply.split("\n")) {
+    for (String line : reply.split("\n", 0)) {
       if (line.startsWith("CONTEXT ")) {
         mine = line.equals("CONTEXT dispatcher_" + me);
       } else if (mine && !line.equals("NEXT")) {
--- a/test-support/src/main/java/ferngrade/golden/GoldenFile.java
+++ b/test-support/src/main/java/ferngrade/golden/GoldenFile.java
@@ -53,7 +53,7 @@
       if (in == null) {
         throw new IllegalStateException("no golden file " + fileName);
       }
-      for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
+      for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n", 0)) {
         int space = line.indexOf(' ');
         values.put(line.substring(0, space), line.substring(space + 1));
       }
--- a/trials/src/main/java/ferngrade/trials/HurtMember.java
+++ b/trials/src/main/java/ferngrade/trials/HurtMember.java
@@ -59,7 +59,7 @@
     try (BufferedReader lines =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-        String[] words = line.split(" ");
+        String[] words = line.split(" ", 0);
         switch (words[0]) {
           case "jump" -> clocks.jump(Long.parseLong(words[1]));
           case "rate" -> clocks.rate(Double.parseDouble(words[1]));
