--- a/agreement/src/main/java/ferngrade/agreement/Voter.java
+++ b/agreement/src/main/java/ferngrade/agreement/Voter.java
@@ -309,7 +309,7 @@
    * Has another voter that is up lead, if this one does: a leader that just ends leaves all waiting
    * for an election.
    */
-  public void yield(Predicate<String> up) {
+  public void transferLeadership(Predicate<String> up) {
     node.getCommittedMembers().getVotingMembers().stream()
         .filter(each -> !each.equals(self) && up.test(((Endpoint) each).member()))
         .findFirst()
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -487,7 +487,7 @@
       timers.after(5, this::whenLeft);
     } else if (name.equals(voter.view().leader())) {
       // A leader that ends before another has taken its place leaves all waiting for an election.
-      voter.yield(
+      voter.transferLeadership(
           other ->
               table.sessions().stream().anyMatch(each -> each.member().equals(other))
                   && (membership == null || membership.alive(other)));
