--- a/codec/src/test/java/ferngrade/codec/CodecTest.java
+++ b/codec/src/test/java/ferngrade/codec/CodecTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.io.IOException;
+import java.util.BitSet;
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -22,7 +23,7 @@
     byte[] bytes = codec.write(value);
     assertEquals(value, codec.read(bytes, 0, bytes.length));
     assertThrows(IOException.class, () -> codec.read(bytes, 0, bytes.length - 1));
-    assertThrows(IllegalArgumentException.class, () -> codec.write(new StringBuilder()));
+    assertThrows(IllegalArgumentException.class, () -> codec.write(new BitSet()));
   }
 
   @Property
--- a/decisions/src/test/java/ferngrade/BudgetTest.java
+++ b/decisions/src/test/java/ferngrade/BudgetTest.java
@@ -80,7 +80,6 @@
     }
     exchange(pair, out);
     double before = pair.get(0).slice() + pair.get(1).slice();
-    double first = pair.get(0).slice();
     // Slices stand at the slack bound, where nothing grows; the second asks for more, the first as
     // before.
     arrive(pair.get(0), out.get(0), 20, 0, 600, Outcome.OK);
@@ -88,7 +87,7 @@
     pair.forEach(choice -> choice.timer(1_000, CYCLE));
     assertEquals(before, pair.get(0).slice() + pair.get(1).slice(), before * 0.25);
     exchange(pair, out);
-    first = pair.get(0).slice();
+    double first = pair.get(0).slice();
     double second = pair.get(1).slice();
     arrive(pair.get(1), out.get(1), 30, 0, 1_100, Outcome.OK);
     pair.forEach(choice -> choice.timer(1_500, CYCLE));
--- a/decisions/src/test/java/ferngrade/RandomStreamTest.java
+++ b/decisions/src/test/java/ferngrade/RandomStreamTest.java
@@ -38,7 +38,6 @@
   private final Map<Long, Worker> list = new HashMap<>();
   private final List<double[]> timers = new ArrayList<>();
   private double now;
-  private int answers;
   private int sends;
   private boolean secondCopies;
   private ActionDigest digest;
@@ -127,7 +126,6 @@
       assertTrue(!entry.answered, "answered twice: " + id);
       assertTrue(now <= entry.due + 8, "answered late: " + id);
       entry.answered = true;
-      answers++;
     }
 
     @Override
--- a/decisions/src/test/java/ferngrade/RulesTest.java
+++ b/decisions/src/test/java/ferngrade/RulesTest.java
@@ -262,7 +262,7 @@
   @Test
   void coldWorkerGetsNoMoreThanItsBudgetFromAllDispatchersTogether() {
     for (int of : new int[] {1, 3, 4, 30, 40, 100}) {
-      int sent = 0;
+      long sent = 0;
       double served = 0;
       for (int me = 0; me < of; me++) {
         Fixture.Recorder each = new Fixture.Recorder();
--- a/durable/src/main/java/ferngrade/durable/Batch.java
+++ b/durable/src/main/java/ferngrade/durable/Batch.java
@@ -33,7 +33,8 @@
     if (length < 0 || length > MOST || length > in.capacity() - at - HEADER) {
       return -1;
     }
-    return in.getInt(at + 4) == checksum(in.array(), at + 8, 8 + length, length) ? length : -1;
+    int from = in.arrayOffset() + at + 8;
+    return in.getInt(at + 4) == checksum(in.array(), from, 8 + length, length) ? length : -1;
   }
 
   /** The number of the batch at an offset where one can be read. */
--- a/durable/src/main/java/ferngrade/durable/JournalReader.java
+++ b/durable/src/main/java/ferngrade/durable/JournalReader.java
@@ -251,7 +251,7 @@
       throw damage;
     }
     if (last) {
-      cut = in.capacity() - at;
+      cut = (long) in.capacity() - at;
       cutFile = name;
     } else {
       tear = damage;
--- a/emulator/src/main/java/ferngrade/emulator/Plan.java
+++ b/emulator/src/main/java/ferngrade/emulator/Plan.java
@@ -183,7 +183,8 @@
     int batches = Math.max(1, (replaced + batch - 1) / batch);
     for (int i = 0; i < replaced; i++) {
       EmulatedWorker worker = old.get(i);
-      time.after(fault.length() * (i / batch) / batches, () -> retire(worker, true));
+      int batchesBefore = i / batch;
+      time.after(fault.length() * batchesBefore / batches, () -> retire(worker, true));
     }
     return () -> {};
   }
--- a/emulator/src/main/java/ferngrade/emulator/Roll.java
+++ b/emulator/src/main/java/ferngrade/emulator/Roll.java
@@ -132,8 +132,7 @@
         spec.weightLate,
         () -> {
           // What has changed otherwise meanwhile was told already, and stands.
-          List<Member> standing =
-              changes.stream().filter(each -> listed.get(each.worker().id()) == each).toList();
+          List<Member> standing = changes.stream().filter(this::stillListed).toList();
           if (silent == 0) {
             teller.tell(News.CHANGES, standing, ++revision, spec.spread);
           }
@@ -141,6 +140,12 @@
     time.after(spec.weightPeriod, () -> renewWeights(fleet));
   }
 
+  /** Whether the list still holds this very entry, and not a later one of the same content. */
+  @SuppressWarnings("ReferenceEquality") // a later entry may be equal, and is announced on its own
+  private boolean stillListed(Member entry) {
+    return listed.get(entry.worker().id()) == entry;
+  }
+
   void silence(boolean begins) {
     silent += begins ? 1 : -1;
     while (silent == 0 && !heldBack.isEmpty()) {
--- a/lab/src/main/java/ferngrade/lab/Progress.java
+++ b/lab/src/main/java/ferngrade/lab/Progress.java
@@ -1,19 +1,19 @@
 package ferngrade.lab;
 
-import java.io.PrintStream;
+import java.util.function.Consumer;
 import me.tongfei.progressbar.ProgressBar;
 import me.tongfei.progressbar.ProgressBarBuilder;
 import me.tongfei.progressbar.ProgressBarStyle;
 
 /** Says how far an experiment is: a bar on a terminal, a line for each tenth elsewhere. */
 final class Progress implements AutoCloseable {
-  private final PrintStream out;
+  private final Consumer<String> lines;
   private final int all;
   private final ProgressBar bar;
   private int done;
 
-  Progress(String name, int all, boolean terminal, PrintStream out) {
-    this.out = out;
+  Progress(String name, int all, boolean terminal, Consumer<String> lines) {
+    this.lines = lines;
     this.all = all;
     this.bar =
         terminal
@@ -30,7 +30,7 @@
     if (bar != null) {
       bar.step();
     } else if (done == all || done * 10 / all > (done - 1) * 10 / all) {
-      out.println(done + " of " + all + " runs");
+      lines.accept(done + " of " + all + " runs");
     }
   }
 
--- a/lab/src/main/java/ferngrade/lab/RunCommand.java
+++ b/lab/src/main/java/ferngrade/lab/RunCommand.java
@@ -2,11 +2,13 @@
 
 import ferngrade.cli.Cli;
 import ferngrade.toml.FileException;
+import java.io.Console;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
+import java.util.function.Consumer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -85,9 +87,9 @@
     Runtime.getRuntime().addShutdownHook(hook);
     try {
       List<Trial.Result> trials;
+      Consumer<String> progressLines = System.out::println;
       try (Progress progress =
-          new Progress(
-              experiment.name(), experiment.trials(), System.console() != null, System.out)) {
+          new Progress(experiment.name(), experiment.trials(), onTerminal(), progressLines)) {
         trials =
             sockets
                 ? onSockets.run(experiment, each -> progress.step())
@@ -109,6 +111,24 @@
     }
   }
 
+  private static boolean onTerminal() {
+    return isTerminal(System.console());
+  }
+
+  /** Java 22 and later have a console without a terminal too, and can tell the two apart. */
+  private static boolean isTerminal(Console console) {
+    if (console == null) {
+      return false;
+    }
+    try {
+      return (boolean) Console.class.getMethod("isTerminal").invoke(console);
+    } catch (NoSuchMethodException beforeJava22) {
+      return true;
+    } catch (ReflectiveOperationException unexpected) {
+      throw new IllegalStateException(unexpected);
+    }
+  }
+
   static void summary(Results results) {
     for (Results.Cell cell : results.cells()) {
       long breaches = results.of(cell).values().stream().mapToLong(Trial.Result::allBreaches).sum();
--- a/trials/src/main/java/ferngrade/trials/History.java
+++ b/trials/src/main/java/ferngrade/trials/History.java
@@ -40,7 +40,13 @@
 
   /** Waits until something is added, for so many ms at the most. */
   synchronized void await(double millis) throws InterruptedException {
-    wait(Math.max(1, (long) millis));
+    int known = events.size();
+    long left = Math.max(1, (long) millis);
+    double end = now() + left;
+    while (events.size() == known && left > 0) {
+      wait(left);
+      left = (long) Math.ceil(end - now());
+    }
   }
 
   /** Writes one JSON object a line. */
--- a/trials/src/main/java/ferngrade/trials/VirtualSwarm.java
+++ b/trials/src/main/java/ferngrade/trials/VirtualSwarm.java
@@ -38,7 +38,6 @@
   private final List<String> names = new ArrayList<>();
   private final Map<String, One> members = new TreeMap<>();
   private final Set<String> cuts = new HashSet<>();
-  private final Set<String> lively = new HashSet<>();
   private final List<Sent> kept = new ArrayList<>();
   private final List<Breach> breaches = new ArrayList<>();
   private double loss;
