--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeStory.java
@@ -49,6 +49,11 @@
     node.stop(0);
   }
 
+  /** Lets time pass on the clock of the node, which its loops read. */
+  final synchronized void advance(double millis) {
+    now += millis;
+  }
+
   void stop() {
     try {
       node.stop();
@@ -77,7 +82,7 @@
    * #start(String)}.
    */
   void start(String list, NodeConfig config, Clock clock, Consumer<String> log) throws Exception {
-    node = startServer(config, clock, new Log(clock, log::accept));
+    node = startServer(config, clock, new Log(clock, log));
     if (list != null) {
       watch = new RawHttp(discovery.accept());
       watch.read();
