--- a/dispatch/src/main/java/ferngrade/dispatch/Notes.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Notes.java
@@ -1,15 +1,14 @@
 package ferngrade.dispatch;
 
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** What one dispatcher keeps note of: data only, every decision over it is {@link Choice}'s. */
+/**
+ * What one dispatcher keeps note of: data only, every decision over it is {@link
+ * ThrottlingDispatcher}'s.
+ */
 final class Notes {
   private Notes() {}
 
@@ -50,7 +49,7 @@
     double starts;
 
     double startRate;
-    final Objects objects = new Objects();
+    final ObjectAffinity objects = new ObjectAffinity();
 
     Node(Worker entry, int classes) {
       this.shunnedUntil = new double[classes];
@@ -90,7 +89,7 @@
     final double sentAt;
     double startedAt = Double.NaN;
     boolean late;
-    Outcome outcome;
+    AttemptOutcome outcome;
 
     Attempt(Node node, double sentAt) {
       this.node = node;
--- a/dispatch/src/main/java/ferngrade/dispatch/Objects.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
@@ -8,7 +8,7 @@
  * Where an object must be fetched, all dispatchers lean to the same worker for it, so that their
  * jobs meet there.
  */
-final class Objects {
+final class ObjectAffinity {
   /**
    * Objects kept for each slot: each fetch brings one, and few workers keep more than they run
    * jobs.
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -1,7 +1,5 @@
 package ferngrade.dispatch;
 
-import ferngrade.dispatch.Dispatcher.ColdRule;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -39,12 +37,12 @@
   /** Spreads the first turns of workers; odd and not a divisor of common fleet sizes. */
   private static final long TURN_STRIDE = 31;
 
-  private final ColdRule rule;
+  private final SlowStartPolicy rule;
   private final int me;
   private final int dispatchers;
   private final Map<Long, Account> accounts = new HashMap<>();
 
-  SlowStart(ColdRule rule, int me, int dispatchers) {
+  SlowStart(SlowStartPolicy rule, int me, int dispatchers) {
     this.rule = rule;
     this.me = me;
     this.dispatchers = dispatchers;
--- a/dispatch/src/main/java/ferngrade/dispatch/Choice.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -24,7 +24,7 @@
  * an attempt ends badly, the guard that says whether it may go out again. Nothing here reads a
  * clock; time comes with events.
  */
-public final class Choice implements Dispatcher {
+public final class ThrottlingDispatcher implements Dispatcher {
   // ---- Constants ----
 
   /**
@@ -203,7 +203,7 @@
   private static final long WATCH_TOKEN = 2;
   private static final long FIRST_JOB_TOKEN = 16;
 
-  private final Settings settings;
+  private final DispatcherSettings settings;
   private final Actions actions;
   private final SplittableRandom random;
   private final SlowStart slowStart;
@@ -218,7 +218,7 @@
   private long served;
 
   /** Starts a dispatcher's decisions at {@code now}; the seed is its only source of chance. */
-  public Choice(Settings settings, long seed, double now, Actions actions) {
+  public ThrottlingDispatcher(DispatcherSettings settings, long seed, double now, Actions actions) {
     this.settings = settings;
     this.actions = actions;
     this.random = new SplittableRandom(seed);
@@ -306,7 +306,7 @@
     for (Node node : nodes.values()) {
       node.startRate += START_WEIGHT * (node.starts / seconds - node.startRate);
       node.starts = 0;
-      boolean ready = node.told && node.entry.state() == State.READY;
+      boolean ready = node.told && node.entry.state() == WorkerState.READY;
       if (ready && node.ejectedUntil <= now && !silent(zone(node.entry.zone()), now)) {
         double capacity =
             node.group.size * (cold(node, now) ? slowStart.warmth(node.entry, now) : 1);
@@ -589,7 +589,7 @@
     Attempt attempt = request.attempts.get(request.attempts.size() - 1);
     watch(lateAfter(request, node), now -> countLate(attempt));
     boolean movable =
-        request.jobClass.effect() != Effect.UNSAFE && settings.limits().secondCopies();
+        request.jobClass.effect() != Idempotency.UNSAFE && settings.limits().secondCopies();
     if (movable && request.attempts.size() < settings.limits().tries()) {
       double least = 2 * settings.roundMs() + 2 * trip(node);
       watch(Math.max(least, PATIENCE * slack(request, node)), now -> move(request, now));
@@ -769,7 +769,7 @@
         : request.attempts.get(number);
   }
 
-  private void learn(Request request, Attempt attempt, Outcome outcome, double now) {
+  private void learn(Request request, Attempt attempt, AttemptOutcome outcome, double now) {
     Node node = attempt.node;
     switch (outcome) {
       case OK -> {
@@ -806,9 +806,9 @@
         }
       }
       case ERROR, RESET, CONNECT_FAILED -> {
-        if (outcome == Outcome.ERROR) {
+        if (outcome == AttemptOutcome.ERROR) {
           signOfLife(node, now);
-        } else if (outcome == Outcome.CONNECT_FAILED) {
+        } else if (outcome == AttemptOutcome.CONNECT_FAILED) {
           zone(node.entry.zone()).unreachable++;
         }
         // None of these trims: they speak of one worker. Late starts show what the others cannot
@@ -877,13 +877,17 @@
 
   /** The first attempt that may have run; for a keyed request it names the group and the window. */
   private static Attempt firstDoubtful(Request request) {
-    return request.attempts.stream().filter(Choice::mayHaveRun).findFirst().orElse(null);
+    return request.attempts.stream()
+        .filter(ThrottlingDispatcher::mayHaveRun)
+        .findFirst()
+        .orElse(null);
   }
 
   /** Null if the request may go anywhere, else the attempt whose worker's group it must stay in. */
   private static Attempt binding(Request request) {
     boolean keyed =
-        request.jobClass.effect() == Effect.KEYED && request.jobClass.scope() != Scope.ALL;
+        request.jobClass.effect() == Idempotency.KEYED
+            && request.jobClass.scope() != IdempotencyScope.ALL;
     return keyed ? firstDoubtful(request) : null;
   }
 
@@ -907,14 +911,15 @@
   }
 
   private static boolean mayRefuse(Request request) {
-    Effect effect = request.jobClass.effect();
-    boolean anywhere = effect == Effect.KEYED && request.jobClass.scope() == Scope.ALL;
-    return effect == Effect.SAFE || anywhere || firstDoubtful(request) == null;
+    Idempotency effect = request.jobClass.effect();
+    boolean anywhere =
+        effect == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
+    return effect == Idempotency.SAFE || anywhere || firstDoubtful(request) == null;
   }
 
-  private static boolean sameGroup(Attempt bound, Node node, Scope scope) {
+  private static boolean sameGroup(Attempt bound, Node node, IdempotencyScope scope) {
     Worker first = bound.node.entry;
-    return scope == Scope.ZONE
+    return scope == IdempotencyScope.ZONE
         ? first.zone() == node.entry.zone()
         : first.cell() == node.entry.cell();
   }
@@ -922,7 +927,7 @@
   /** Rules that no wish for a better pick may bend: kind, key group, drain and cold start. */
   private boolean permitted(Request request, Attempt bound, Node node, double now) {
     int kind = request.jobClass.kind();
-    return node.entry.state() == State.READY
+    return node.entry.state() == WorkerState.READY
         && (kind < 0 || kind == node.entry.kind())
         && (bound == null || sameGroup(bound, node, request.jobClass.scope()))
         && coldAllows(request, node, now);
@@ -967,10 +972,10 @@
       double now,
       String id,
       int number,
-      Outcome outcome,
+      AttemptOutcome outcome,
       double took,
       boolean over,
-      Report report) {
+      LoadReport report) {
     Attempt attempt = attempt(id, number);
     if (attempt == null || attempt.outcome != null) {
       return;
@@ -986,9 +991,9 @@
     if (request.over) {
       keepOnly(request, number);
       forget(request);
-    } else if (outcome == Outcome.TIMEOUT && now >= request.job.due() - settings.roundMs()) {
+    } else if (outcome == AttemptOutcome.TIMEOUT && now >= request.job.due() - settings.roundMs()) {
       answer(request, 0);
-    } else if (request.out == 0 && outcome == Outcome.UNUSABLE) {
+    } else if (request.out == 0 && outcome == AttemptOutcome.UNUSABLE) {
       // Tried elsewhere, one bad request would bring as many workers under suspicion as it has
       // tries.
       request.over = true;
@@ -1011,8 +1016,8 @@
   // ---- Membership and cold starts ----
 
   @Override
-  public void members(double now, News news, List<Worker> workers) {
-    if (news != News.CHANGES) {
+  public void members(double now, EndpointListUpdate news, List<Worker> workers) {
+    if (news != EndpointListUpdate.CHANGES) {
       nodes.values().forEach(node -> node.told = false);
     }
     for (Worker entry : workers) {
@@ -1024,7 +1029,7 @@
         nodes.put(entry.id(), node);
       }
       node.entry = entry;
-      node.told = entry.state() != State.GONE;
+      node.told = entry.state() != WorkerState.GONE;
       node.group = zone(entry.zone()).groups.computeIfAbsent(entry.kind(), key -> new Group());
       node.group.size = Math.max(node.group.size, entry.weight());
       node.load = entry.weight() > 0 ? node.group.size / entry.weight() - 1 : 0;
@@ -1039,7 +1044,7 @@
     local = new ArrayList<>();
     remote = new ArrayList<>();
     for (Node node : nodes.values()) {
-      if (node.told && node.entry.state() == State.READY) {
+      if (node.told && node.entry.state() == WorkerState.READY) {
         (node.entry.zone() == settings.zone() ? local : remote).add(node);
       }
     }
@@ -1103,7 +1108,7 @@
    * slots are learned. A worker without memory, or slots where that is not told, is passed over for
    * a moment.
    */
-  private void readReport(Node node, Report report, double now) {
+  private void readReport(Node node, LoadReport report, double now) {
     if (!settings.liveWeights() && report.held() >= 0 && report.freeSlots() >= FREE) {
       double slots = report.freeSlots() + report.held();
       double known = node.group.slots;
--- a/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
@@ -4,12 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -19,25 +13,33 @@
   private static final long CYCLE = 1;
   private int ids;
 
-  private static Choice dispatcher(int me, int of, Fixture.Recorder actions, List<Tenant> tenants) {
-    Choice choice =
-        new Choice(
-            Fixture.settings(me, of, Fixture.jobClass(Effect.UNSAFE, Scope.ALL), tenants, false),
+  private static ThrottlingDispatcher dispatcher(
+      int me, int of, Fixture.Recorder actions, List<Tenant> tenants) {
+    ThrottlingDispatcher choice =
+        new ThrottlingDispatcher(
+            Fixture.settings(
+                me, of, Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL), tenants, false),
             me,
             0,
             actions);
-    choice.members(0, News.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
+    choice.members(
+        0, EndpointListUpdate.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
     return choice;
   }
 
   private void arrive(
-      Choice choice, Fixture.Recorder actions, int count, int tenant, double now, Outcome outcome) {
+      ThrottlingDispatcher choice,
+      Fixture.Recorder actions,
+      int count,
+      int tenant,
+      double now,
+      AttemptOutcome outcome) {
     for (int i = 0; i < count; i++) {
       String id = "r" + ids++;
       int before = actions.sends.size();
       choice.arrived(now, Fixture.job(id, tenant, now + 5_000));
       for (int n = 0; actions.sends.size() > before + n; n++) {
-        choice.ended(now, id, n, outcome, 1, outcome == Outcome.OK, Report.NONE);
+        choice.ended(now, id, n, outcome, 1, outcome == AttemptOutcome.OK, LoadReport.NONE);
       }
     }
   }
@@ -45,24 +47,29 @@
   @Test
   void waterLevelMatchesHandComputedCases() {
     double[] equal = {1, 1, 1};
-    assertEquals(Double.POSITIVE_INFINITY, Choice.waterLevel(10, new double[] {2, 3, 5}, equal));
-    assertEquals(4, Choice.waterLevel(10, new double[] {2, 9, 9}, equal), 1e-9);
-    assertEquals(10.0 / 3, Choice.waterLevel(10, new double[] {5, 9, 9}, equal), 1e-9);
-    assertEquals(2, Choice.waterLevel(12, new double[] {100, 100}, new double[] {4, 2}), 1e-9);
-    assertEquals(10, Choice.waterLevel(12, new double[] {100, 2}, new double[] {1, 1}), 1e-9);
-    assertEquals(0, Choice.waterLevel(0, new double[] {1}, new double[] {1}), 1e-9);
+    assertEquals(
+        Double.POSITIVE_INFINITY,
+        ThrottlingDispatcher.waterLevel(10, new double[] {2, 3, 5}, equal));
+    assertEquals(4, ThrottlingDispatcher.waterLevel(10, new double[] {2, 9, 9}, equal), 1e-9);
+    assertEquals(
+        10.0 / 3, ThrottlingDispatcher.waterLevel(10, new double[] {5, 9, 9}, equal), 1e-9);
+    assertEquals(
+        2, ThrottlingDispatcher.waterLevel(12, new double[] {100, 100}, new double[] {4, 2}), 1e-9);
+    assertEquals(
+        10, ThrottlingDispatcher.waterLevel(12, new double[] {100, 2}, new double[] {1, 1}), 1e-9);
+    assertEquals(0, ThrottlingDispatcher.waterLevel(0, new double[] {1}, new double[] {1}), 1e-9);
   }
 
   @Test
   void aDispatcherThatWaitedForItsClientsRefusesNothingOnAnIdleFleet() {
     Fixture.Recorder out = new Fixture.Recorder();
-    Choice choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
     double now = 0;
     for (int cycle = 0; cycle < 40; cycle++) {
       now += 500;
       choice.timer(now, CYCLE);
       if (cycle >= 8) {
-        arrive(choice, out, cycle, 0, now + 1, Outcome.OK);
+        arrive(choice, out, cycle, 0, now + 1, AttemptOutcome.OK);
       }
     }
     assertEquals(List.of(), out.refused);
@@ -71,25 +78,25 @@
   @Test
   void peerStepMovesSlotsToTheAskingPeerAndKeepsTheSum() {
     List<Fixture.Recorder> out = List.of(new Fixture.Recorder(), new Fixture.Recorder());
-    List<Choice> pair = new ArrayList<>();
+    List<ThrottlingDispatcher> pair = new ArrayList<>();
     List<Tenant> tenants = List.of(new Tenant("a", 1, 10));
     for (int me = 0; me < 2; me++) {
       pair.add(dispatcher(me, 2, out.get(me), tenants));
-      arrive(pair.get(me), out.get(me), 20, 0, 100, Outcome.OK);
+      arrive(pair.get(me), out.get(me), 20, 0, 100, AttemptOutcome.OK);
       pair.get(me).timer(500, CYCLE);
     }
     exchange(pair, out);
     double before = pair.get(0).slice() + pair.get(1).slice();
     // Slices stand at the slack bound, where nothing grows; the second asks for more, the first as
     // before.
-    arrive(pair.get(0), out.get(0), 20, 0, 600, Outcome.OK);
-    arrive(pair.get(1), out.get(1), 20, 0, 600, Outcome.OK);
+    arrive(pair.get(0), out.get(0), 20, 0, 600, AttemptOutcome.OK);
+    arrive(pair.get(1), out.get(1), 20, 0, 600, AttemptOutcome.OK);
     pair.forEach(choice -> choice.timer(1_000, CYCLE));
     assertEquals(before, pair.get(0).slice() + pair.get(1).slice(), before * 0.25);
     exchange(pair, out);
     double first = pair.get(0).slice();
     double second = pair.get(1).slice();
-    arrive(pair.get(1), out.get(1), 30, 0, 1_100, Outcome.OK);
+    arrive(pair.get(1), out.get(1), 30, 0, 1_100, AttemptOutcome.OK);
     pair.forEach(choice -> choice.timer(1_500, CYCLE));
     exchange(pair, out);
     pair.forEach(choice -> choice.timer(2_000, CYCLE));
@@ -98,7 +105,7 @@
         "slots move to the one that asks");
   }
 
-  private static void exchange(List<Choice> pair, List<Fixture.Recorder> out) {
+  private static void exchange(List<ThrottlingDispatcher> pair, List<Fixture.Recorder> out) {
     for (int me = 0; me < 2; me++) {
       byte[] last = out.get(me).told.get(out.get(me).told.size() - 1);
       assertTrue(last.length <= 256);
@@ -109,9 +116,9 @@
   @Test
   void sliceIsBoundedWhenPeersFallSilentAndGarbageIsIgnored() {
     Fixture.Recorder out = new Fixture.Recorder();
-    Choice choice = dispatcher(0, 3, out, List.of(new Tenant("a", 1, 10)));
+    ThrottlingDispatcher choice = dispatcher(0, 3, out, List.of(new Tenant("a", 1, 10)));
     for (int cycle = 1; cycle < 60; cycle++) {
-      arrive(choice, out, 20, 0, cycle * 500 - 10, Outcome.OK);
+      arrive(choice, out, 20, 0, cycle * 500 - 10, AttemptOutcome.OK);
       choice.heard(cycle * 500 - 5, 1, new byte[] {1, 2, 3});
       choice.heard(cycle * 500 - 5, 99, new byte[16]);
       choice.heard(
@@ -124,16 +131,16 @@
   @Test
   void sliceIsTrimmedByRefusalsAndGrowsBack() {
     Fixture.Recorder out = new Fixture.Recorder();
-    Choice choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
-    arrive(choice, out, 50, 0, 10, Outcome.OK);
+    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    arrive(choice, out, 50, 0, 10, AttemptOutcome.OK);
     choice.timer(500, CYCLE);
     double generous = choice.slice();
     assertTrue(generous > 100, "a slice starts generous");
-    arrive(choice, out, 50, 0, 510, Outcome.FULL);
+    arrive(choice, out, 50, 0, 510, AttemptOutcome.FULL);
     choice.timer(1_000, CYCLE);
     double trimmed = choice.slice();
     assertTrue(trimmed < generous / 2, "refusals trim");
-    arrive(choice, out, 50, 0, 1_010, Outcome.OK);
+    arrive(choice, out, 50, 0, 1_010, AttemptOutcome.OK);
     choice.timer(1_500, CYCLE);
     assertTrue(choice.slice() > trimmed, "acceptance grows");
   }
@@ -145,14 +152,14 @@
   @Test
   void lateStartOfAJobSentBeforeTheLastCutDoesNotCutAgain() {
     Fixture.Recorder out = new Fixture.Recorder();
-    Choice choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
     for (int i = 0; i < 6; i++) {
       choice.arrived(10, Fixture.job("old" + i, 0, 9_000));
     }
-    arrive(choice, out, 50, 0, 20, Outcome.FULL);
+    arrive(choice, out, 50, 0, 20, AttemptOutcome.FULL);
     choice.timer(500, CYCLE);
     double cut = choice.slice();
-    arrive(choice, out, 50, 0, 600, Outcome.OK);
+    arrive(choice, out, 50, 0, 600, AttemptOutcome.OK);
     for (int i = 0; i < 6; i++) {
       choice.started(900, "old" + i, 0);
     }
@@ -163,8 +170,8 @@
   @Test
   void jobsThatHaveNotStartedInTimeCutTheSliceBeforeTheyStart() {
     Fixture.Recorder out = new Fixture.Recorder();
-    Choice choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
-    arrive(choice, out, 50, 0, 10, Outcome.OK);
+    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    arrive(choice, out, 50, 0, 10, AttemptOutcome.OK);
     choice.timer(500, CYCLE);
     double before = choice.slice();
     for (int i = 0; i < 50; i++) {
@@ -179,13 +186,13 @@
   @Test
   void fewLateJobsOfFewDoNotCutASliceThatCarriedManyBefore() {
     Fixture.Recorder out = new Fixture.Recorder();
-    Choice choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
     for (int cycle = 1; cycle <= 10; cycle++) {
-      arrive(choice, out, 20, 0, cycle * 500 - 10, Outcome.OK);
+      arrive(choice, out, 20, 0, cycle * 500 - 10, AttemptOutcome.OK);
       choice.timer(cycle * 500, CYCLE);
     }
     double before = choice.slice();
-    arrive(choice, out, 2, 0, 5_010, Outcome.OK);
+    arrive(choice, out, 2, 0, 5_010, AttemptOutcome.OK);
     choice.arrived(5_020, Fixture.job("late", 0, 14_000));
     long token = out.timers.get(out.timers.size() - 1)[1];
     choice.timer(5_400, token);
@@ -196,22 +203,28 @@
   @Test
   void excessTenantIsRefusedUnsentAndTheOtherServed() {
     Fixture.Recorder out = new Fixture.Recorder();
-    Choice choice =
+    ThrottlingDispatcher choice =
         dispatcher(0, 1, out, List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 10)));
     for (int cycle = 1; cycle <= 6; cycle++) {
-      arrive(choice, out, 100, 0, cycle * 500 - 20, cycle < 3 ? Outcome.FULL : Outcome.OK);
-      arrive(choice, out, 5, 1, cycle * 500 - 10, Outcome.OK);
+      arrive(
+          choice,
+          out,
+          100,
+          0,
+          cycle * 500 - 20,
+          cycle < 3 ? AttemptOutcome.FULL : AttemptOutcome.OK);
+      arrive(choice, out, 5, 1, cycle * 500 - 10, AttemptOutcome.OK);
       choice.timer(cycle * 500, CYCLE);
     }
     out.refused.clear();
     int sends = out.sends.size();
     int firstOfSmall = ids;
     for (int i = 0; i < 5; i++) {
-      arrive(choice, out, 1, 1, 3_010 + i * 90, Outcome.OK);
+      arrive(choice, out, 1, 1, 3_010 + i * 90, AttemptOutcome.OK);
     }
     assertEquals(
         List.of(), out.refused, "the small tenant is under its level from r" + firstOfSmall);
-    arrive(choice, out, 500, 0, 3_480, Outcome.OK);
+    arrive(choice, out, 500, 0, 3_480, AttemptOutcome.OK);
     assertTrue(out.refused.size() > 300, "refused " + out.refused.size());
     assertTrue(out.sends.size() - sends < 200, "sent " + (out.sends.size() - sends));
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
@@ -1,48 +1,37 @@
 package ferngrade.dispatch;
 
 import ferngrade.dispatch.Dispatcher.Actions;
-import ferngrade.dispatch.Dispatcher.ColdRule;
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Goal;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.Limits;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Tenant;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Settings, workers and a recorder of actions for hand-written event sequences. */
 final class Fixture {
-  static final ColdRule COLD = new ColdRule(0.2, 20_000, 3, 3_000);
+  static final SlowStartPolicy COLD = new SlowStartPolicy(0.2, 20_000, 3, 3_000);
 
   private Fixture() {}
 
-  static JobClass jobClass(Effect effect, Scope scope) {
+  static JobClass jobClass(Idempotency effect, IdempotencyScope scope) {
     return new JobClass("job", effect, scope, 7_500, 100, 2, 5_000, 1, 0, -1, 0);
   }
 
-  static Settings settings(int me, int dispatchers, JobClass jobClass) {
+  static DispatcherSettings settings(int me, int dispatchers, JobClass jobClass) {
     return settings(me, dispatchers, jobClass, List.of(new Tenant("a", 1, 10)), false);
   }
 
-  static Settings settings(
+  static DispatcherSettings settings(
       int me, int dispatchers, JobClass jobClass, List<Tenant> tenants, boolean secondCopies) {
     return settings(me, dispatchers, jobClass, tenants, secondCopies, false);
   }
 
-  static Settings settings(
+  static DispatcherSettings settings(
       int me,
       int dispatchers,
       JobClass jobClass,
       List<Tenant> tenants,
       boolean secondCopies,
       boolean loads) {
-    Limits limits = new Limits(3, secondCopies, true, true, true, 1_000);
-    return new Settings(
+    DeploymentLimits limits = new DeploymentLimits(3, secondCopies, true, true, true, 1_000);
+    return new DispatcherSettings(
         me,
         dispatchers,
         0,
@@ -55,14 +44,14 @@
         true,
         loads,
         0.01,
-        new Goal(0.5, 0.2));
+        new ServiceObjective(0.5, 0.2));
   }
 
   static Worker worker(long id, int zone, int cell) {
-    return new Worker(id, State.READY, zone, 0, cell, 0, 1);
+    return new Worker(id, WorkerState.READY, zone, 0, cell, 0, 1);
   }
 
-  static Worker with(Worker worker, State state, double startedAt) {
+  static Worker with(Worker worker, WorkerState state, double startedAt) {
     return new Worker(
         worker.id(),
         state,
--- a/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
@@ -3,15 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Tenant;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -27,19 +18,19 @@
   private static final int WORKERS = 8;
   private static final double SIZE = 8;
   private final Fixture.Recorder out = new Fixture.Recorder();
-  private Choice choice = choice(0, 4);
+  private ThrottlingDispatcher choice = choice(0, 4);
   private final Deque<String> running = new ArrayDeque<>();
   private final double[] load = new double[WORKERS];
   private final Set<Integer> gone = new HashSet<>();
   private int ids;
   private double now;
 
-  private Choice choice(int me, int dispatchers) {
-    return new Choice(
+  private ThrottlingDispatcher choice(int me, int dispatchers) {
+    return new ThrottlingDispatcher(
         Fixture.settings(
             me,
             dispatchers,
-            Fixture.jobClass(Effect.UNSAFE, Scope.ALL),
+            Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL),
             List.of(new Tenant("a", 1, 10)),
             true,
             true),
@@ -51,10 +42,10 @@
   private void list() {
     List<Worker> entries = new ArrayList<>();
     for (int i = 0; i < WORKERS; i++) {
-      State state = gone.contains(i) ? State.GONE : State.READY;
+      WorkerState state = gone.contains(i) ? WorkerState.GONE : WorkerState.READY;
       entries.add(new Worker(i, state, 0, 0, 0, 0, SIZE / (1 + load[i])));
     }
-    choice.members(now, News.CHANGES, entries);
+    choice.members(now, EndpointListUpdate.CHANGES, entries);
   }
 
   /**
@@ -75,7 +66,7 @@
           running.add(id);
         }
         if (running.size() > 5) {
-          choice.ended(now + 1, running.poll(), 0, Outcome.OK, 1, true, Report.NONE);
+          choice.ended(now + 1, running.poll(), 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
         }
       }
       choice.timer(now, CYCLE);
@@ -165,16 +156,16 @@
   void jobsSpreadBeforeTheFastWorkersGetMoreHoweverLargeTheListSaysTheyAre() {
     List<Worker> entries = new ArrayList<>();
     for (int i = 0; i < WORKERS; i++) {
-      entries.add(new Worker(i, State.READY, 0, i % 2, 0, 0, SIZE));
+      entries.add(new Worker(i, WorkerState.READY, 0, i % 2, 0, 0, SIZE));
     }
-    choice.members(now, News.STORED, entries);
+    choice.members(now, EndpointListUpdate.STORED, entries);
     for (int i = 0; i < 40; i++) {
       String id = "w" + i;
       choice.arrived(now, new Job(id, 0, 0, now + 10_000, 1000, 1, 0, 0));
       choice.started(now, id, 0);
       double took = out.last().worker() % 2 == 0 ? 500 : 1000;
       now += took;
-      choice.ended(now, id, 0, Outcome.OK, took, true, Report.NONE);
+      choice.ended(now, id, 0, AttemptOutcome.OK, took, true, LoadReport.NONE);
     }
     int from = out.sends.size();
     for (int i = 0; i < WORKERS; i++) {
--- a/dispatch/src/test/java/ferngrade/dispatch/ObjectsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
@@ -5,18 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Goal;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Tenant;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -25,7 +13,7 @@
  * Where jobs go that need an object, what reports tell of a worker's size, and which class goes
  * first.
  */
-class ObjectsTest {
+class ObjectAffinityTest {
   private static final List<Worker> FLEET =
       List.of(
           Fixture.worker(1, 0, 0),
@@ -33,38 +21,42 @@
           Fixture.worker(3, 0, 1),
           Fixture.worker(4, 0, 2));
   private static final double WORK = 300;
-  private static final Report FOUR_SLOTS = new Report(3, 3, Double.NaN, 1);
+  private static final LoadReport FOUR_SLOTS = new LoadReport(3, 3, Double.NaN, 1);
 
   private final Fixture.Recorder out = new Fixture.Recorder();
   private double now = 1000;
   private int ids;
 
-  private Choice choice(int me, Effect effect) {
-    Choice choice =
-        new Choice(
+  private ThrottlingDispatcher choice(int me, Idempotency effect) {
+    ThrottlingDispatcher choice =
+        new ThrottlingDispatcher(
             Fixture.settings(
-                me, 4, Fixture.jobClass(effect, Scope.ZONE), List.of(new Tenant("a", 1, 10)), true),
+                me,
+                4,
+                Fixture.jobClass(effect, IdempotencyScope.ZONE),
+                List.of(new Tenant("a", 1, 10)),
+                true),
             7 + me,
             0,
             out);
-    choice.members(0, News.STORED, FLEET);
+    choice.members(0, EndpointListUpdate.STORED, FLEET);
     return choice;
   }
 
   /** Sends a job and returns its worker. */
-  private long send(Choice choice, long object) {
+  private long send(ThrottlingDispatcher choice, long object) {
     choice.arrived(now, new Job("r" + ids++, 0, 0, now + 5_000, WORK, 1, 0, object));
     return out.last().worker();
   }
 
-  private void serve(Choice choice, Report report) {
+  private void serve(ThrottlingDispatcher choice, LoadReport report) {
     now += WORK;
-    choice.ended(now, "r" + (ids - 1), 0, Outcome.OK, WORK, true, report);
+    choice.ended(now, "r" + (ids - 1), 0, AttemptOutcome.OK, WORK, true, report);
   }
 
   /** Its workers have told their slots, and one job of each of many objects has been served. */
-  private Choice warm(int me) {
-    Choice choice = choice(me, Effect.SAFE);
+  private ThrottlingDispatcher warm(int me) {
+    ThrottlingDispatcher choice = choice(me, Idempotency.SAFE);
     for (int i = 0; i < 40; i++) {
       send(choice, 100 + i);
       serve(choice, FOUR_SLOTS);
@@ -74,7 +66,7 @@
 
   @Test
   void aJobGoesWhereItsObjectWentBefore() {
-    Choice choice = warm(0);
+    ThrottlingDispatcher choice = warm(0);
     long holder = send(choice, 5);
     serve(choice, FOUR_SLOTS);
     for (int i = 0; i < 20; i++) {
@@ -96,7 +88,7 @@
 
   @Test
   void aCrowdedHolderIsPassedOver() {
-    Choice choice = warm(0);
+    ThrottlingDispatcher choice = warm(0);
     List<Long> workers = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       workers.add(send(choice, 5));
@@ -106,11 +98,12 @@
 
   @Test
   void theOnlyHolderDrainsAndAnotherTakesItsObject() {
-    Choice choice = warm(0);
+    ThrottlingDispatcher choice = warm(0);
     long holder = send(choice, 5);
     serve(choice, FOUR_SLOTS);
     Worker entry = FLEET.stream().filter(each -> each.id() == holder).findFirst().orElseThrow();
-    choice.members(now, News.CHANGES, List.of(Fixture.with(entry, State.DRAINING, 0)));
+    choice.members(
+        now, EndpointListUpdate.CHANGES, List.of(Fixture.with(entry, WorkerState.DRAINING, 0)));
     long next = send(choice, 5);
     assertNotEquals(holder, next);
     serve(choice, FOUR_SLOTS);
@@ -119,10 +112,10 @@
 
   @Test
   void aRestartedHolderHasNothingAtHand() {
-    Objects kept = new Objects();
+    ObjectAffinity kept = new ObjectAffinity();
     kept.use(5, 4);
     assertEquals(0, kept.missing(5, 1));
-    assertTrue(new Objects().missing(5, 1) > 0.8);
+    assertTrue(new ObjectAffinity().missing(5, 1) > 0.8);
     for (long object = 10; object < 14; object++) {
       kept.use(object, 4);
     }
@@ -132,20 +125,21 @@
 
   @Test
   void aKeyedJobsSecondCopyStaysInItsSiteThoughItsObjectLiesElsewhere() {
-    Choice choice =
-        new Choice(
+    ThrottlingDispatcher choice =
+        new ThrottlingDispatcher(
             Fixture.settings(
                 0,
                 1,
-                Fixture.jobClass(Effect.KEYED, Scope.ZONE),
+                Fixture.jobClass(Idempotency.KEYED, IdempotencyScope.ZONE),
                 List.of(new Tenant("a", 1, 10)),
                 true),
             7,
             0,
             out);
-    choice.members(0, News.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(4, 1, 2)));
+    choice.members(
+        0, EndpointListUpdate.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(4, 1, 2)));
     long first = send(choice, 5);
-    choice.ended(now + 5, "r0", 0, Outcome.RESET, 5, false, Report.NONE);
+    choice.ended(now + 5, "r0", 0, AttemptOutcome.RESET, 5, false, LoadReport.NONE);
     assertTrue(out.sends.stream().allMatch(send -> send.worker() == first), "" + out.sends);
   }
 
@@ -153,10 +147,10 @@
   void aReportThatIsNoneOrWildChangesNothing() {
     for (double wild :
         new double[] {-1, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, Double.NaN, 1e300}) {
-      Report report = new Report(wild, wild, wild, wild);
+      LoadReport report = new LoadReport(wild, wild, wild, wild);
       assertTrue(Double.isNaN(report.held()) && Double.isNaN(report.freeSlots()), "" + report);
       out.sends.clear();
-      Choice choice = choice(0, Effect.SAFE);
+      ThrottlingDispatcher choice = choice(0, Idempotency.SAFE);
       for (int i = 0; i < 40; i++) {
         send(choice, 0);
         serve(choice, report);
@@ -167,7 +161,7 @@
 
   @Test
   void nobodyIsEjectedWhereAllAreSlowAtOnce() {
-    Choice choice = warm(0);
+    ThrottlingDispatcher choice = warm(0);
     int first = ids;
     for (int i = 0; i < 32; i++) {
       send(choice, 100 + i);
@@ -178,25 +172,34 @@
       if (i < first + 24) {
         choice.started(now + 1000, "r" + i, 0);
         choice.ended(
-            now + 1000 + 4 * WORK, "r" + i, 0, Outcome.OK, 1000 + 4 * WORK, true, FOUR_SLOTS);
+            now + 1000 + 4 * WORK,
+            "r" + i,
+            0,
+            AttemptOutcome.OK,
+            1000 + 4 * WORK,
+            true,
+            FOUR_SLOTS);
       } else {
-        choice.ended(now + 5_000, "r" + i, 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
+        choice.ended(
+            now + 5_000, "r" + i, 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
       }
     }
     assertEquals(0, choice.excluded(now + 5_000));
   }
 
   /** The share of each class that is taken of 40 jobs each, offered at several times the slice. */
-  private double[] taken(Goal goal) {
+  private double[] taken(ServiceObjective goal) {
     List<JobClass> classes =
         List.of(
-            new JobClass("low", Effect.SAFE, Scope.ALL, 0, 100, 2, 5_000, 2, 0.5, -1, 0),
-            new JobClass("high", Effect.SAFE, Scope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0));
+            new JobClass(
+                "low", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 2, 0.5, -1, 0),
+            new JobClass(
+                "high", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0));
     Fixture.Recorder actions = new Fixture.Recorder();
-    Settings from = Fixture.settings(0, 1, classes.get(0));
-    Choice choice =
-        new Choice(
-            new Settings(
+    DispatcherSettings from = Fixture.settings(0, 1, classes.get(0));
+    ThrottlingDispatcher choice =
+        new ThrottlingDispatcher(
+            new DispatcherSettings(
                 0,
                 1,
                 0,
@@ -213,7 +216,7 @@
             7,
             0,
             actions);
-    choice.members(0, News.STORED, FLEET);
+    choice.members(0, EndpointListUpdate.STORED, FLEET);
     double[] taken = new double[2];
     double at = 0;
     for (int cycle = 0; cycle < 20; cycle++) {
@@ -226,7 +229,8 @@
         // The fleet turns two in three away, so that the slice settles below what is asked.
         boolean full = i % 3 != 0;
         for (int n = 0; actions.sends.size() > before + n; n++) {
-          choice.ended(at, id, n, full ? Outcome.FULL : Outcome.OK, 1, !full, Report.NONE);
+          choice.ended(
+              at, id, n, full ? AttemptOutcome.FULL : AttemptOutcome.OK, 1, !full, LoadReport.NONE);
         }
         taken[i % 4 == 0 ? 1 : 0] += cycle >= 10 && sent ? 1.0 / (i % 4 == 0 ? 50 : 150) : 0;
       }
@@ -237,13 +241,14 @@
 
   @Test
   void theWorthiestClassGoesFirstWhereTheWholeWeighsMost() {
-    double[] taken = taken(new Goal(0.5, 0.2));
+    double[] taken = taken(new ServiceObjective(0.5, 0.2));
     assertTrue(taken[1] > 2 * taken[0], "low " + taken[0] + ", high " + taken[1]);
   }
 
   @Test
   void noClassGoesFirstWhereTheWorstClassWeighsMostOrNothingIsTold() {
-    for (Goal goal : List.of(new Goal(0.4, 0.9), new Goal(0, 0))) {
+    for (ServiceObjective goal :
+        List.of(new ServiceObjective(0.4, 0.9), new ServiceObjective(0, 0))) {
       double[] taken = taken(goal);
       assertFalse(taken[1] > 1.5 * taken[0], goal + ": low " + taken[0] + ", high " + taken[1]);
     }
--- a/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
@@ -3,19 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Goal;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.Limits;
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Tenant;
-import ferngrade.dispatch.Dispatcher.Worker;
 import ferngrade.golden.GoldenFile;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -48,7 +35,7 @@
     private final double due;
     private final List<Long> workers = new ArrayList<>();
     private final List<Double> sentAt = new ArrayList<>();
-    private final List<Outcome> ends = new ArrayList<>();
+    private final List<AttemptOutcome> ends = new ArrayList<>();
     private boolean answered;
 
     Entry(JobClass jobClass, double due) {
@@ -58,9 +45,11 @@
 
     int firstDoubtful() {
       for (int i = 0; i < ends.size(); i++) {
-        Outcome end = ends.get(i);
+        AttemptOutcome end = ends.get(i);
         boolean proof =
-            end == Outcome.FULL || end == Outcome.CONNECT_FAILED || end == Outcome.NEVER_SENT;
+            end == AttemptOutcome.FULL
+                || end == AttemptOutcome.CONNECT_FAILED
+                || end == AttemptOutcome.NEVER_SENT;
         if (!proof) {
           return i;
         }
@@ -76,13 +65,13 @@
       Entry entry = open.get(id);
       assertTrue(!entry.answered, "sent after its answer: " + id);
       assertEquals(
-          State.READY, list.get(worker).state(), "sent to a worker that drains or is gone");
+          WorkerState.READY, list.get(worker).state(), "sent to a worker that drains or is gone");
       assertTrue(entry.workers.size() < 3, "too many attempts");
       int doubtful = entry.firstDoubtful();
       if (doubtful >= 0) {
-        assertTrue(entry.jobClass.effect() != Effect.UNSAFE, "unsafe sent again");
+        assertTrue(entry.jobClass.effect() != Idempotency.UNSAFE, "unsafe sent again");
         assertTrue(secondCopies || !entry.ends.contains(null), "two attempts out");
-        if (entry.jobClass.effect() == Effect.KEYED) {
+        if (entry.jobClass.effect() == Idempotency.KEYED) {
           inGroup(entry, doubtful, worker);
         }
       }
@@ -95,10 +84,12 @@
     private void inGroup(Entry entry, int doubtful, long worker) {
       Worker first = list.get(entry.workers.get(doubtful));
       Worker then = list.get(worker);
-      Scope scope = entry.jobClass.scope();
+      IdempotencyScope scope = entry.jobClass.scope();
       boolean same =
-          scope == Scope.ALL
-              || (scope == Scope.ZONE ? first.zone() == then.zone() : first.cell() == then.cell());
+          scope == IdempotencyScope.ALL
+              || (scope == IdempotencyScope.ZONE
+                  ? first.zone() == then.zone()
+                  : first.cell() == then.cell());
       assertTrue(same, "keyed repeat left its group");
       assertTrue(
           now <= entry.sentAt.get(doubtful) + entry.jobClass.window(),
@@ -110,9 +101,11 @@
       digest.add(2, id, 0, retryAfter);
       Entry entry = open.get(id);
       answer(entry, id);
-      boolean all = entry.jobClass.effect() == Effect.KEYED && entry.jobClass.scope() == Scope.ALL;
+      boolean all =
+          entry.jobClass.effect() == Idempotency.KEYED
+              && entry.jobClass.scope() == IdempotencyScope.ALL;
       assertTrue(
-          entry.firstDoubtful() < 0 || entry.jobClass.effect() == Effect.SAFE || all,
+          entry.firstDoubtful() < 0 || entry.jobClass.effect() == Idempotency.SAFE || all,
           "refused in doubt");
     }
 
@@ -192,28 +185,28 @@
     list.clear();
     timers.clear();
     now = 0;
-    for (Effect effect : Effect.values()) {
-      for (Scope scope : Scope.values()) {
+    for (Idempotency effect : Idempotency.values()) {
+      for (IdempotencyScope scope : IdempotencyScope.values()) {
         classes.add(new JobClass("c", effect, scope, 300, 50, 2, DEADLINE, 1, 0, -1, 0));
       }
     }
-    Settings settings =
-        new Settings(
+    DispatcherSettings settings =
+        new DispatcherSettings(
             0,
             9,
             0,
             2,
             classes,
             List.of(new Tenant("a", 0.7, 9), new Tenant("b", 0, 0)),
-            new Limits(3, secondCopies, true, false, true, 0),
+            new DeploymentLimits(3, secondCopies, true, false, true, 0),
             Fixture.COLD,
             seed % 3 == 0,
             true,
             live,
             0.05,
-            new Goal(0.5, 0.2));
-    Choice choice = new Choice(settings, seed, now, new Checker());
-    members(choice, random, News.STORED);
+            new ServiceObjective(0.5, 0.2));
+    ThrottlingDispatcher choice = new ThrottlingDispatcher(settings, seed, now, new Checker());
+    members(choice, random, EndpointListUpdate.STORED);
     for (int i = 0; i < 1_500; i++) {
       now += random.nextInt(live ? 12 : 4);
       fireTimers(choice);
@@ -225,7 +218,7 @@
     open.forEach((id, entry) -> assertTrue(entry.answered, "never answered: " + id));
   }
 
-  private void event(Choice choice, Random random, String id) {
+  private void event(ThrottlingDispatcher choice, Random random, String id) {
     int kind = random.nextInt(20);
     if (kind < 9) {
       int jobClass = random.nextInt(classes.size());
@@ -245,7 +238,10 @@
     } else if (kind < 18) {
       resolveOne(choice, random);
     } else if (kind == 18) {
-      members(choice, random, random.nextBoolean() ? News.CHANGES : News.WHOLE);
+      members(
+          choice,
+          random,
+          random.nextBoolean() ? EndpointListUpdate.CHANGES : EndpointListUpdate.WHOLE);
     } else {
       byte[] noise = new byte[random.nextInt(24)];
       random.nextBytes(noise);
@@ -253,7 +249,7 @@
     }
   }
 
-  private void resolveOne(Choice choice, Random random) {
+  private void resolveOne(ThrottlingDispatcher choice, Random random) {
     List<String> ids =
         open.keySet().stream().sorted().filter(id -> open.get(id).ends.contains(null)).toList();
     if (ids.isEmpty()) {
@@ -268,50 +264,53 @@
       entry.answered = true;
       choice.abandoned(now, id);
     } else {
-      Outcome[] outcomes = Outcome.values();
+      AttemptOutcome[] outcomes = AttemptOutcome.values();
       end(choice, id, attempt, outcomes[random.nextInt(outcomes.length)]);
     }
   }
 
-  private void end(Choice choice, String id, int attempt, Outcome outcome) {
+  private void end(ThrottlingDispatcher choice, String id, int attempt, AttemptOutcome outcome) {
     Entry entry = open.get(id);
     entry.ends.set(attempt, outcome);
-    boolean over = entry.answered || outcome == Outcome.OK;
+    boolean over = entry.answered || outcome == AttemptOutcome.OK;
     entry.answered = over;
-    choice.ended(now, id, attempt, outcome, now - entry.sentAt.get(attempt), over, Report.NONE);
+    choice.ended(now, id, attempt, outcome, now - entry.sentAt.get(attempt), over, LoadReport.NONE);
   }
 
-  private void expire(Choice choice) {
+  private void expire(ThrottlingDispatcher choice) {
     for (String id : open.keySet().stream().sorted().toList()) {
       Entry entry = open.get(id);
       for (int i = 0; i < entry.ends.size(); i++) {
         if (now >= entry.due && entry.ends.get(i) == null) {
           double real = now;
           now = Math.min(now, entry.due + 2);
-          end(choice, id, i, Outcome.TIMEOUT);
+          end(choice, id, i, AttemptOutcome.TIMEOUT);
           now = real;
         }
       }
     }
   }
 
-  private void fireTimers(Choice choice) {
+  private void fireTimers(ThrottlingDispatcher choice) {
     List<double[]> due = timers.stream().filter(timer -> timer[0] <= now).toList();
     timers.removeAll(due);
     due.forEach(timer -> choice.timer(now, (long) timer[1]));
   }
 
-  private void members(Choice choice, Random random, News news) {
+  private void members(ThrottlingDispatcher choice, Random random, EndpointListUpdate news) {
     List<Worker> entries = new ArrayList<>();
-    if (news != News.CHANGES) {
-      list.replaceAll((id, worker) -> Fixture.with(worker, State.GONE, worker.startedAt()));
+    if (news != EndpointListUpdate.CHANGES) {
+      list.replaceAll((id, worker) -> Fixture.with(worker, WorkerState.GONE, worker.startedAt()));
     }
     for (long id = 0; id < WORKERS; id++) {
-      if ((news == News.CHANGES && random.nextInt(4) > 0) || random.nextInt(10) == 0) {
+      if ((news == EndpointListUpdate.CHANGES && random.nextInt(4) > 0)
+          || random.nextInt(10) == 0) {
         continue;
       }
-      State state =
-          random.nextInt(5) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
+      WorkerState state =
+          random.nextInt(5) > 0
+              ? WorkerState.READY
+              : random.nextBoolean() ? WorkerState.DRAINING : WorkerState.GONE;
       double startedAt = random.nextInt(3) == 0 ? Math.max(0, now - random.nextInt(30_000)) : 0;
       Worker worker =
           new Worker(
--- a/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
@@ -4,16 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Goal;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
@@ -27,7 +17,7 @@
   private static final int WORKERS = 4;
   private static final int SLOTS = 4;
   private static final double WORK = 300;
-  private static final Report FREE = new Report(SLOTS - 1, SLOTS - 1, Double.NaN, 1);
+  private static final LoadReport FREE = new LoadReport(SLOTS - 1, SLOTS - 1, Double.NaN, 1);
 
   private final Fixture.Recorder out = new Fixture.Recorder();
   private final SplittableRandom random = new SplittableRandom(11);
@@ -36,16 +26,16 @@
   private final double[][] slotFree = new double[WORKERS + 1][SLOTS];
   private final double[] slowness = {1, 1, 1, 1, 1};
   private final int[] given = new int[WORKERS + 1];
-  private Choice choice;
+  private ThrottlingDispatcher choice;
   private int seen;
 
   private record Event(double at, Runnable run) {}
 
   private void start(JobClass... classes) {
-    Settings from = Fixture.settings(0, 1, classes[0]);
+    DispatcherSettings from = Fixture.settings(0, 1, classes[0]);
     choice =
-        new Choice(
-            new Settings(
+        new ThrottlingDispatcher(
+            new DispatcherSettings(
                 0,
                 1,
                 0,
@@ -58,7 +48,7 @@
                 true,
                 false,
                 0,
-                new Goal(0.5, 0.2)),
+                new ServiceObjective(0.5, 0.2)),
             7,
             0,
             out);
@@ -68,7 +58,7 @@
             Fixture.worker(2, 0, 0),
             Fixture.worker(3, 0, 1),
             Fixture.worker(4, 0, 2));
-    choice.members(0, News.STORED, fleet);
+    choice.members(0, EndpointListUpdate.STORED, fleet);
   }
 
   /**
@@ -120,7 +110,8 @@
           new Event(
               ends,
               () -> {
-                choice.ended(ends, send.id(), (int) attempts, Outcome.OK, ends - now, true, FREE);
+                choice.ended(
+                    ends, send.id(), (int) attempts, AttemptOutcome.OK, ends - now, true, FREE);
                 carryOut(ends, work);
               }));
     }
@@ -128,7 +119,7 @@
 
   @Test
   void aWorkerEightTimesSlowerThatReportsFreeGetsFarLessThanAnEvenShare() {
-    start(Fixture.jobClass(Effect.UNSAFE, Scope.ALL));
+    start(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
     play(0, 8_000, 40, 0, 1);
     slowness[2] = 8;
     play(8_000, 12_000, 40, 0, 1);
@@ -142,7 +133,7 @@
 
   @Test
   void aFewJobsTwentyTimesAsCostlyEjectNobodyAndRefuseNobodyOnAnIdleFleet() {
-    start(Fixture.jobClass(Effect.UNSAFE, Scope.ALL));
+    start(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
     play(0, 30_000, 60, 0.02, 20);
     assertEquals(0, choice.excluded(30_000));
     assertTrue(
@@ -156,12 +147,13 @@
 
   @Test
   void aWorkerWithoutMemoryIsPassedOverForAMomentThoughItsSlotsAreFree() {
-    start(Fixture.jobClass(Effect.UNSAFE, Scope.ALL));
+    start(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
     double now = 100;
     choice.arrived(now, new Job("first", 0, 0, now + 5_000, WORK, 1, 0, 0));
     long full = out.last().worker();
     now += 100;
-    choice.ended(now, "first", 0, Outcome.OK, 100, true, new Report(SLOTS - 1, 0, Double.NaN, 1));
+    choice.ended(
+        now, "first", 0, AttemptOutcome.OK, 100, true, new LoadReport(SLOTS - 1, 0, Double.NaN, 1));
     for (int i = 0; i < 12; i++) {
       choice.arrived(now, new Job("next" + i, 0, 0, now + 5_000, WORK, 1, 0, 0));
       assertFalse(out.last().worker() == full, "a worker without memory got a job");
@@ -176,8 +168,12 @@
    */
   @Test
   void whichClassGoesFirstFollowsTheWorkOfTheLastHalfMinute() {
-    JobClass low = new JobClass("low", Effect.SAFE, Scope.ALL, 0, 100, 2, 5_000, 2, 0.5, -1, 0);
-    JobClass high = new JobClass("high", Effect.SAFE, Scope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0);
+    JobClass low =
+        new JobClass(
+            "low", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 2, 0.5, -1, 0);
+    JobClass high =
+        new JobClass(
+            "high", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0);
     start(low, high);
     // Two minutes of nothing but the worthy class: then nobody can go before anybody, and the
     // worthy has no gain.
@@ -199,7 +195,14 @@
     choice.arrived(now, new Job(id, jobClass, 0, now + 5_000, WORK, 1, 0, 0));
     boolean sent = out.sends.size() > before;
     for (int n = 0; out.sends.size() > before + n; n++) {
-      choice.ended(now, id, n, accepted ? Outcome.OK : Outcome.FULL, 1, accepted, Report.NONE);
+      choice.ended(
+          now,
+          id,
+          n,
+          accepted ? AttemptOutcome.OK : AttemptOutcome.FULL,
+          1,
+          accepted,
+          LoadReport.NONE);
     }
     if (now % 500 < 10) {
       choice.timer(now, 1);
--- a/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -6,14 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Tenant;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -33,9 +25,10 @@
 
   private final Fixture.Recorder out = new Fixture.Recorder();
 
-  private Choice choice(Effect effect, Scope scope, boolean secondCopies) {
-    Choice choice =
-        new Choice(
+  private ThrottlingDispatcher choice(
+      Idempotency effect, IdempotencyScope scope, boolean secondCopies) {
+    ThrottlingDispatcher choice =
+        new ThrottlingDispatcher(
             Fixture.settings(
                 0,
                 1,
@@ -45,7 +38,7 @@
             7,
             0,
             out);
-    choice.members(0, News.STORED, FLEET);
+    choice.members(0, EndpointListUpdate.STORED, FLEET);
     return choice;
   }
 
@@ -55,7 +48,7 @@
 
   @Test
   void movesStayWithinTheirBudgetWhenEveryQueueIsDeep() {
-    Choice choice = choice(Effect.KEYED, Scope.ALL, true);
+    ThrottlingDispatcher choice = choice(Idempotency.KEYED, IdempotencyScope.ALL, true);
     for (int i = 0; i < 100; i++) {
       choice.arrived(10 + i, Fixture.job("r" + i, 0, 5_000));
     }
@@ -72,9 +65,9 @@
 
   @Test
   void requestThatAWorkerCannotUseFailsAtOnceAndThrowsNoSuspicionOnTheWorker() {
-    Choice choice = choice(Effect.KEYED, Scope.ALL, true);
+    ThrottlingDispatcher choice = choice(Idempotency.KEYED, IdempotencyScope.ALL, true);
     choice.arrived(10, Fixture.job("bad", 0, 5_000));
-    choice.ended(12, "bad", 0, Outcome.UNUSABLE, 2, false, Report.NONE);
+    choice.ended(12, "bad", 0, AttemptOutcome.UNUSABLE, 2, false, LoadReport.NONE);
     assertEquals(List.of("bad"), out.failed);
     assertEquals(1, out.sends.size());
     long worker = out.last().worker();
@@ -88,10 +81,11 @@
   void workerThatHangsOnOneClassGetsNoMoreOfItAndKeepsTheOthers() {
     var classes =
         List.of(
-            Fixture.jobClass(Effect.UNSAFE, Scope.ALL), Fixture.jobClass(Effect.SAFE, Scope.ALL));
-    Choice choice =
-        new Choice(
-            new Dispatcher.Settings(
+            Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL),
+            Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL));
+    ThrottlingDispatcher choice =
+        new ThrottlingDispatcher(
+            new DispatcherSettings(
                 0,
                 1,
                 0,
@@ -104,17 +98,17 @@
                 true,
                 true,
                 0.01,
-                new Dispatcher.Goal(0.5, 0.2)),
+                new ServiceObjective(0.5, 0.2)),
             7,
             0,
             out);
-    choice.members(0, News.STORED, FLEET);
+    choice.members(0, EndpointListUpdate.STORED, FLEET);
     choice.arrived(10, Fixture.job("hangs", 0, 5_010));
     long worker = out.last().worker();
     choice.progressed(500, "hangs", 0, 0.1);
-    choice.ended(1_010, "hangs", 0, Outcome.TIMEOUT, 1_000, false, Report.NONE);
+    choice.ended(1_010, "hangs", 0, AttemptOutcome.TIMEOUT, 1_000, false, LoadReport.NONE);
     for (int i = 0; i < 60; i++) {
-      choice.arrived(1_020, new Dispatcher.Job("r" + i, i % 2, 0, 6_000, 0, 1, 0, 0));
+      choice.arrived(1_020, new Job("r" + i, i % 2, 0, 6_000, 0, 1, 0, 0));
     }
     List<Fixture.Send> toIt =
         out.sends.stream().skip(1).filter(send -> send.worker() == worker).toList();
@@ -126,14 +120,14 @@
 
   @Test
   void workerThatWorksIsNotEjectedWhenAJobRunsOutOfTimeInItsQueue() {
-    Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
-    choice.members(5, News.WHOLE, FLEET.subList(0, 1));
+    ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
+    choice.members(5, EndpointListUpdate.WHOLE, FLEET.subList(0, 1));
     choice.arrived(10, Fixture.job("waits", 0, 5_010));
     choice.arrived(20, Fixture.job("runs", 0, 5_020));
     choice.started(4_000, "runs", 0);
-    choice.members(5_000, News.WHOLE, FLEET.subList(0, 2));
-    choice.ended(5_010, "waits", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
-    choice.ended(5_011, "runs", 0, Outcome.OK, 5_000, true, Report.NONE);
+    choice.members(5_000, EndpointListUpdate.WHOLE, FLEET.subList(0, 2));
+    choice.ended(5_010, "waits", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
+    choice.ended(5_011, "runs", 0, AttemptOutcome.OK, 5_000, true, LoadReport.NONE);
     for (int i = 0; i < 20; i++) {
       choice.arrived(5_020 + i, Fixture.job("next" + i, 0, 9_000));
     }
@@ -146,10 +140,10 @@
 
   @Test
   void everyOutcomeOfEveryEffectAndScopeIsAnsweredAsTheClassAllows() {
-    for (Effect effect : Effect.values()) {
-      for (Scope scope : Scope.values()) {
-        for (Outcome outcome : Outcome.values()) {
-          if (outcome != Outcome.OK) {
+    for (Idempotency effect : Idempotency.values()) {
+      for (IdempotencyScope scope : IdempotencyScope.values()) {
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
+          if (outcome != AttemptOutcome.OK) {
             oneOutcome(effect, scope, outcome);
           }
         }
@@ -157,57 +151,61 @@
     }
   }
 
-  private void oneOutcome(Effect effect, Scope scope, Outcome outcome) {
+  private void oneOutcome(Idempotency effect, IdempotencyScope scope, AttemptOutcome outcome) {
     String what = effect + " " + scope + " " + outcome;
     out.sends.clear();
     out.failed.clear();
     out.refused.clear();
-    Choice choice = choice(effect, scope, false);
+    ThrottlingDispatcher choice = choice(effect, scope, false);
     choice.arrived(10, Fixture.job("r", 0, 5_010));
     Worker first = entry(out.last().worker());
-    choice.ended(20, "r", 0, outcome, 10, false, Report.NONE);
+    choice.ended(20, "r", 0, outcome, 10, false, LoadReport.NONE);
     boolean proof =
-        outcome == Outcome.FULL
-            || outcome == Outcome.CONNECT_FAILED
-            || outcome == Outcome.NEVER_SENT;
-    if ((effect == Effect.UNSAFE && !proof) || outcome == Outcome.UNUSABLE) {
+        outcome == AttemptOutcome.FULL
+            || outcome == AttemptOutcome.CONNECT_FAILED
+            || outcome == AttemptOutcome.NEVER_SENT;
+    if ((effect == Idempotency.UNSAFE && !proof) || outcome == AttemptOutcome.UNUSABLE) {
       assertEquals(1, out.sends.size(), what);
       assertEquals(List.of("r"), out.failed, what);
       return;
     }
     assertEquals(2, out.sends.size(), what);
-    if (effect == Effect.KEYED && !proof && scope != Scope.ALL) {
+    if (effect == Idempotency.KEYED && !proof && scope != IdempotencyScope.ALL) {
       Worker second = entry(out.last().worker());
       boolean same =
-          scope == Scope.ZONE ? first.zone() == second.zone() : first.cell() == second.cell();
+          scope == IdempotencyScope.ZONE
+              ? first.zone() == second.zone()
+              : first.cell() == second.cell();
       assertTrue(same, what + " left its group: " + second);
     }
-    choice.ended(30, "r", 1, Outcome.FULL, 10, false, Report.NONE);
+    choice.ended(30, "r", 1, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
     if (out.sends.size() == 3) {
-      choice.ended(40, "r", 2, Outcome.FULL, 10, false, Report.NONE);
+      choice.ended(40, "r", 2, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
     }
     boolean mayRefuse =
-        proof || effect == Effect.SAFE || (effect == Effect.KEYED && scope == Scope.ALL);
+        proof
+            || effect == Idempotency.SAFE
+            || (effect == Idempotency.KEYED && scope == IdempotencyScope.ALL);
     assertEquals(mayRefuse ? List.of("r") : List.of(), out.refused, what);
     assertEquals(mayRefuse ? List.of() : List.of("r"), out.failed, what);
   }
 
   @Test
   void keyedRepeatIsNotSentAfterItsWindow() {
-    Choice choice = choice(Effect.KEYED, Scope.ZONE, false);
+    ThrottlingDispatcher choice = choice(Idempotency.KEYED, IdempotencyScope.ZONE, false);
     choice.arrived(10, Fixture.job("r", 0, 60_000));
-    choice.ended(7_600, "r", 0, Outcome.RESET, 7_590, false, Report.NONE);
+    choice.ended(7_600, "r", 0, AttemptOutcome.RESET, 7_590, false, LoadReport.NONE);
     assertEquals(1, out.sends.size());
     assertEquals(List.of("r"), out.failed);
   }
 
   @Test
   void timeoutAtTheDeadlineIsAnsweredAtOnceAndOnlyOnce() {
-    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
     choice.arrived(10, Fixture.job("r", 0, 5_010));
-    choice.ended(5_010, "r", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
+    choice.ended(5_010, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
     assertEquals(1, out.refused.size() + out.failed.size());
-    choice.ended(5_012, "r", 0, Outcome.TIMEOUT, 5_000, false, Report.NONE);
+    choice.ended(5_012, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
     choice.abandoned(5_014, "r");
     assertEquals(1, out.refused.size() + out.failed.size());
     assertEquals(1, out.sends.size());
@@ -215,27 +213,29 @@
 
   @Test
   void abandonedRequestIsNeitherSentNorAnswered() {
-    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
     choice.arrived(10, Fixture.job("r", 0, 5_010));
     choice.abandoned(20, "r");
-    choice.ended(30, "r", 0, Outcome.FULL, 20, true, Report.NONE);
+    choice.ended(30, "r", 0, AttemptOutcome.FULL, 20, true, LoadReport.NONE);
     assertEquals(1, out.sends.size());
     assertEquals(0, out.refused.size() + out.failed.size());
   }
 
   @Test
   void drainingGoneAndMissingWorkersGetNothingAtOnce() {
-    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
     choice.members(
         5,
-        News.CHANGES,
-        List.of(Fixture.with(entry(1), State.DRAINING, 0), Fixture.with(entry(2), State.GONE, 0)));
+        EndpointListUpdate.CHANGES,
+        List.of(
+            Fixture.with(entry(1), WorkerState.DRAINING, 0),
+            Fixture.with(entry(2), WorkerState.GONE, 0)));
     Set<Long> used = use(choice, 60, 10);
     assertFalse(used.contains(1L) || used.contains(2L), "used " + used);
-    choice.members(6, News.WHOLE, List.of(entry(5), entry(6)));
+    choice.members(6, EndpointListUpdate.WHOLE, List.of(entry(5), entry(6)));
     used = use(choice, 60, 20);
     assertEquals(Set.of(5L, 6L), used);
-    choice.members(7, News.WHOLE, List.of());
+    choice.members(7, EndpointListUpdate.WHOLE, List.of());
     out.refused.clear();
     assertEquals(Set.of(), use(choice, 3, 30));
     assertEquals(3, out.refused.size());
@@ -243,7 +243,7 @@
 
   private int ids;
 
-  private Set<Long> use(Choice choice, int jobs, double now) {
+  private Set<Long> use(ThrottlingDispatcher choice, int jobs, double now) {
     Set<Long> used = new HashSet<>();
     for (int i = 0; i < jobs; i++) {
       int before = out.sends.size();
@@ -266,19 +266,22 @@
       double served = 0;
       for (int me = 0; me < of; me++) {
         Fixture.Recorder each = new Fixture.Recorder();
-        Choice choice =
-            new Choice(
-                Fixture.settings(me, of, Fixture.jobClass(Effect.SAFE, Scope.ALL)), me, 0, each);
+        ThrottlingDispatcher choice =
+            new ThrottlingDispatcher(
+                Fixture.settings(me, of, Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL)),
+                me,
+                0,
+                each);
         List<Worker> fleet =
             new ArrayList<>(List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
-        choice.members(0, News.STORED, fleet);
+        choice.members(0, EndpointListUpdate.STORED, fleet);
         // Each dispatcher carries 40/of jobs a second for 10 s, so a worker is known to carry 20.
         double gap = 1_000.0 * of / 40;
         int n = 0;
         double nextCycle = 500;
         for (double now = gap; now < 10_000; now += gap, n++) {
           choice.arrived(now, Fixture.job("w" + n, 0, now + 5_000));
-          choice.ended(now, "w" + n, 0, Outcome.OK, 1, true, Report.NONE);
+          choice.ended(now, "w" + n, 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
           while (nextCycle < now) {
             choice.timer(now, 1);
             nextCycle += 500;
@@ -286,13 +289,15 @@
         }
         served += n;
         choice.members(
-            10_000, News.CHANGES, List.of(new Worker(9, State.READY, 0, 0, 0, 10_000, 1)));
+            10_000,
+            EndpointListUpdate.CHANGES,
+            List.of(new Worker(9, WorkerState.READY, 0, 0, 0, 10_000, 1)));
         each.sends.clear();
         for (double now = 10_000; now < 13_000; now += 20) {
           String id = "c" + now;
           choice.arrived(now, Fixture.job(id, 0, now + 5_000));
           if (!each.sends.isEmpty() && each.last().id().equals(id) && each.last().worker() == 9) {
-            choice.ended(now, id, 0, Outcome.FULL, 1, false, Report.NONE);
+            choice.ended(now, id, 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
           }
         }
         sent += each.sends.stream().filter(send -> send.worker() == 9).count();
@@ -306,10 +311,10 @@
 
   @Test
   void fullWorkerIsHeldBackThoughItHoldsNothing() {
-    Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
+    ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
     choice.arrived(10, Fixture.job("a", 0, 5_010));
     long full = out.last().worker();
-    choice.ended(10, "a", 0, Outcome.FULL, 1, false, Report.NONE);
+    choice.ended(10, "a", 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
     for (int i = 0; i < 5; i++) {
       choice.arrived(11, Fixture.job("b" + i, 0, 5_011));
       assertNotEquals(full, out.last().worker());
@@ -318,14 +323,14 @@
 
   @Test
   void workerThatReportsNoRoomIsPassedOver() {
-    for (Report none :
+    for (LoadReport none :
         List.of(
-            new Report(0, Double.NaN, Double.NaN, Double.NaN),
-            new Report(Double.NaN, 0, Double.NaN, Double.NaN))) {
-      Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
+            new LoadReport(0, Double.NaN, Double.NaN, Double.NaN),
+            new LoadReport(Double.NaN, 0, Double.NaN, Double.NaN))) {
+      ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
       choice.arrived(10, Fixture.job("a", 0, 5_010));
       long busy = out.last().worker();
-      choice.ended(200, "a", 0, Outcome.OK, 190, true, none);
+      choice.ended(200, "a", 0, AttemptOutcome.OK, 190, true, none);
       assertFalse(use(choice, 20, 201).contains(busy));
       assertTrue(use(choice, 40, 400).contains(busy));
     }
@@ -338,10 +343,13 @@
       List<Long> runs = new ArrayList<>();
       for (int run = 0; run < 2; run++) {
         Fixture.Recorder each = new Fixture.Recorder();
-        Choice choice =
-            new Choice(
-                Fixture.settings(0, 1, Fixture.jobClass(Effect.SAFE, Scope.ALL)), seed, 0, each);
-        choice.members(0, News.STORED, FLEET);
+        ThrottlingDispatcher choice =
+            new ThrottlingDispatcher(
+                Fixture.settings(0, 1, Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL)),
+                seed,
+                0,
+                each);
+        choice.members(0, EndpointListUpdate.STORED, FLEET);
         choice.arrived(10, Fixture.job("a", 0, 5_010));
         runs.add(each.last().worker());
       }
@@ -353,10 +361,10 @@
 
   @Test
   void failingWorkerIsLeftOutAndReturnsByTrial() {
-    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
     choice.arrived(10, Fixture.job("a", 0, 5_010));
     long bad = out.last().worker();
-    choice.ended(12, "a", 0, Outcome.ERROR, 2, false, Report.NONE);
+    choice.ended(12, "a", 0, AttemptOutcome.ERROR, 2, false, LoadReport.NONE);
     assertFalse(use(choice, 30, 20).contains(bad));
     assertTrue(use(choice, 30, 3_000).contains(bad));
   }
@@ -367,19 +375,19 @@
    */
   @Test
   void zoneThatRefusesConnectionsIsLeftAsAWhole() {
-    Choice choice = choice(Effect.UNSAFE, Scope.ALL, false);
+    ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
     List<Worker> fleet = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       fleet.add(Fixture.worker(100 + i, i % 2, 0));
     }
-    choice.members(1, News.WHOLE, fleet);
+    choice.members(1, EndpointListUpdate.WHOLE, fleet);
     int lost = 0;
     for (int i = 0; i < 60; i++) {
       String id = "z" + i;
       choice.arrived(10 + i, Fixture.job(id, 0, 5_010));
       for (int n = 0; n < 3 && out.last().id().equals(id) && out.last().worker() % 2 == 0; n++) {
         lost++;
-        choice.ended(10 + i, id, n, Outcome.CONNECT_FAILED, 1, false, Report.NONE);
+        choice.ended(10 + i, id, n, AttemptOutcome.CONNECT_FAILED, 1, false, LoadReport.NONE);
       }
     }
     assertTrue(lost >= 1 && lost <= 6, "connections tried into the lost zone: " + lost);
@@ -387,7 +395,7 @@
 
   @Test
   void repeatableJobStuckInAQueueIsTriedElsewhereAndTheFirstStartWins() {
-    Choice choice = choice(Effect.SAFE, Scope.ALL, true);
+    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, true);
     choice.arrived(10, Fixture.job("r", 0, 5_010));
     long token = out.timers.get(out.timers.size() - 1)[1];
     long first = out.last().worker();
@@ -396,15 +404,15 @@
     assertNotEquals(first, out.last().worker());
     choice.started(205, "r", 1);
     assertEquals(List.of("r/0"), out.cancelled);
-    choice.ended(205, "r", 0, Outcome.CANCELLED, 195, false, Report.NONE);
+    choice.ended(205, "r", 0, AttemptOutcome.CANCELLED, 195, false, LoadReport.NONE);
     assertEquals(2, out.sends.size(), "a given-up place is not sent again");
-    choice.ended(300, "r", 1, Outcome.OK, 100, true, Report.NONE);
+    choice.ended(300, "r", 1, AttemptOutcome.OK, 100, true, LoadReport.NONE);
     assertEquals(0, out.refused.size() + out.failed.size());
   }
 
   @Test
   void unsafeJobNeverHasTwoAttemptsOut() {
-    Choice choice = choice(Effect.UNSAFE, Scope.ALL, true);
+    ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, true);
     choice.arrived(10, Fixture.job("r", 0, 5_010));
     for (long[] timer : new ArrayList<>(out.timers)) {
       choice.timer(400, timer[1]);
@@ -419,13 +427,13 @@
     Exception me =
         assertThrows(
             IllegalArgumentException.class,
-            () -> Fixture.settings(3, 3, Fixture.jobClass(Effect.SAFE, Scope.ALL)));
+            () -> Fixture.settings(3, 3, Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL)));
     assertTrue(me.getMessage().contains("Settings.me"));
-    Choice choice = choice(Effect.SAFE, Scope.ALL, false);
+    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
     Exception range =
         assertThrows(
             IllegalArgumentException.class,
-            () -> choice.arrived(1, new Dispatcher.Job("x", 9, 0, 10, 0, 1, 0, 0)));
+            () -> choice.arrived(1, new Job("x", 9, 0, 10, 0, 1, 0, 0)));
     assertTrue(range.getMessage().contains("Job.jobClass"));
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -2,19 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.ColdRule;
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Goal;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.Limits;
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Tenant;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -49,7 +36,7 @@
    * job.
    */
   private record Deployment(
-      int dispatchers, int workers, double size, double meanWork, ColdRule rule) {}
+      int dispatchers, int workers, double size, double meanWork, SlowStartPolicy rule) {}
 
   /** Dispatchers and workers that share one event queue. */
   private static final class Fleet {
@@ -57,7 +44,7 @@
     final SplittableRandom random = new SplittableRandom(5);
     final PriorityQueue<Event> events =
         new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    final List<Choice> dispatchers = new ArrayList<>();
+    final List<ThrottlingDispatcher> dispatchers = new ArrayList<>();
     final double[] held;
     final List<Arrival> arrivals = new ArrayList<>();
 
@@ -94,14 +81,14 @@
     }
 
     private void add(int me) {
-      Limits limits = new Limits(3, true, true, true, false, 1_000);
-      Settings settings =
-          new Settings(
+      DeploymentLimits limits = new DeploymentLimits(3, true, true, true, false, 1_000);
+      DispatcherSettings settings =
+          new DispatcherSettings(
               me,
               deployment.dispatchers(),
               0,
               2,
-              List.of(Fixture.jobClass(Effect.SAFE, Scope.ALL)),
+              List.of(Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL)),
               List.of(new Tenant("a", 1, 10)),
               limits,
               deployment.rule(),
@@ -109,18 +96,18 @@
               true,
               true,
               0.01,
-              new Goal(0.5, 0.2));
-      Choice choice = new Choice(settings, me, 0, new Host(this, me));
+              new ServiceObjective(0.5, 0.2));
+      ThrottlingDispatcher choice = new ThrottlingDispatcher(settings, me, 0, new Host(this, me));
       dispatchers.add(choice);
       double told = RESTART + (0.9 + 0.1 * random.nextDouble()) * toldAfter;
-      choice.members(0, News.STORED, list(0));
+      choice.members(0, EndpointListUpdate.STORED, list(0));
       after(random.nextDouble() * 500, () -> tell(choice, told));
       after(random.nextDouble() * gap(), () -> arrive(me));
     }
 
-    private void tell(Choice choice, double told) {
+    private void tell(ThrottlingDispatcher choice, double told) {
       boolean knows = now >= told;
-      choice.members(now, News.CHANGES, list(knows ? RESTART : 0));
+      choice.members(now, EndpointListUpdate.CHANGES, list(knows ? RESTART : 0));
       after(knows || now + 500 < told ? 500 : told - now, () -> tell(choice, told));
     }
 
@@ -129,7 +116,8 @@
       for (int i = 0; i < held.length; i++) {
         double load = held[i] / deployment.size();
         double start = i == RESTARTED ? startedAt : 0;
-        entries.add(new Worker(i, State.READY, 0, 0, 0, start, deployment.size() / (1 + load)));
+        entries.add(
+            new Worker(i, WorkerState.READY, 0, 0, 0, start, deployment.size() / (1 + load)));
       }
       return entries;
     }
@@ -164,10 +152,10 @@
       if (worker == RESTARTED && now >= RESTART) {
         arrivals.add(new Arrival(now, work));
       }
-      Choice choice = dispatchers.get(me);
+      ThrottlingDispatcher choice = dispatchers.get(me);
       int kind = attempts++ % 10;
       if (kind == 0) {
-        choice.ended(now, id, attempt, Outcome.FULL, 1, false, Report.NONE);
+        choice.ended(now, id, attempt, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
         return;
       }
       held[worker]++;
@@ -176,7 +164,7 @@
           (kind == 1 ? deployment.meanWork() : 0) + work,
           () -> {
             held[worker]--;
-            choice.ended(now, id, attempt, Outcome.OK, work, true, Report.NONE);
+            choice.ended(now, id, attempt, AttemptOutcome.OK, work, true, LoadReport.NONE);
           });
     }
 
@@ -200,7 +188,7 @@
 
     /** N requests of mean work, and the slack over them. */
     private double limit(double at) {
-      ColdRule rule = deployment.rule();
+      SlowStartPolicy rule = deployment.rule();
       double warmth =
           rule.startCapacity() + (1 - rule.startCapacity()) * (at - RESTART) / rule.coldMs();
       double n =
@@ -252,13 +240,13 @@
     public void log(String line) {}
   }
 
-  private static final ColdRule RULE = new ColdRule(0.2, 20_000, 3, 3_000);
-  private static final ColdRule STRICT = new ColdRule(0.2, 20_000, 1.5, 3_000);
+  private static final SlowStartPolicy RULE = new SlowStartPolicy(0.2, 20_000, 3, 3_000);
+  private static final SlowStartPolicy STRICT = new SlowStartPolicy(0.2, 20_000, 1.5, 3_000);
 
   /**
    * Under it a window holds less than one request of mean work, for as long as these tests last.
    */
-  private static final ColdRule TINY = new ColdRule(0.01, 600_000, 1.5, 3_000);
+  private static final SlowStartPolicy TINY = new SlowStartPolicy(0.01, 600_000, 1.5, 3_000);
 
   private static Fleet play(Deployment deployment, double heavier, double toldAfter) {
     Fleet fleet = new Fleet(deployment, heavier, toldAfter);
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartTest.java
@@ -4,9 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.ColdRule;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -18,14 +15,14 @@
  * The budgets of workers that are warming up, where every dispatcher always has a request for them.
  */
 class SlowStartTest {
-  private static final ColdRule RULE = new ColdRule(0.2, 20_000, 3, 3_000);
+  private static final SlowStartPolicy RULE = new SlowStartPolicy(0.2, 20_000, 3, 3_000);
   private static final double START = 1_000;
   private static final double STEP = 10;
 
   private record Sent(double at, double cost) {}
 
   private static Worker worker(double startedAt) {
-    return new Worker(9, State.READY, 0, 0, 0, startedAt, 1);
+    return new Worker(9, WorkerState.READY, 0, 0, 0, startedAt, 1);
   }
 
   private static double limit(double capacity, double at) {
@@ -136,7 +133,7 @@
     SlowStart slowStart = new SlowStart(RULE, 0, 100);
     assertTrue(slowStart.allows(worker(0), 1e6, 0, START));
     assertTrue(slowStart.allows(worker(START), 1e6, 0, START + RULE.coldMs()));
-    SlowStart none = new SlowStart(new ColdRule(1, 0, 1, 1_000), 0, 100);
+    SlowStart none = new SlowStart(new SlowStartPolicy(1, 0, 1, 1_000), 0, 100);
     assertTrue(none.allows(worker(START), 1e6, 0, START));
     assertEquals(1, none.warmth(worker(START), START));
   }
--- a/emulator/src/main/java/ferngrade/emulator/ClassSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/ClassSpec.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.IdempotencyScope;
+import ferngrade.dispatch.JobClass;
 
 /**
  * One class of jobs: what the decisions are told of it, and how much work its jobs bring.
@@ -24,8 +24,8 @@
   public double hintNoise = 0.3;
 
   public double attemptNoise = 0.3;
-  public Effect effect = Effect.UNSAFE;
-  public Scope scope = Scope.ALL;
+  public Idempotency effect = Idempotency.UNSAFE;
+  public IdempotencyScope scope = IdempotencyScope.ALL;
 
   @Quantity(Quantity.Measure.TIME)
   public double window = 15_000;
--- a/emulator/src/main/java/ferngrade/emulator/Clients.java
+++ b/emulator/src/main/java/ferngrade/emulator/Clients.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.IdempotencyScope;
 import ferngrade.emulator.Request.Answer;
 import java.util.Arrays;
 import java.util.List;
@@ -217,7 +217,7 @@
     boolean within = allowances.length == 0 || ++spent[tenant] <= Math.max(1, allowances[tenant]);
     double worth = each.worth * work * (within ? 1 : spec.overShareWorth);
     String key =
-        each.effect == Effect.KEYED ? "k" + Long.toHexString(idBase << 32 | numbers) : null;
+        each.effect == Idempotency.KEYED ? "k" + Long.toHexString(idBase << 32 | numbers) : null;
     Request request =
         new Request(
             id(),
@@ -288,8 +288,9 @@
   /** True if a client may ask again although the first may have run. */
   private boolean repeatable(Request request) {
     ClassSpec each = spec.classes.get(request.jobClass);
-    boolean keyed = each.effect == Effect.KEYED && each.scope == Scope.ALL;
-    return each.effect == Effect.SAFE || (keyed && time.now() < request.first.due + each.window);
+    boolean keyed = each.effect == Idempotency.KEYED && each.scope == IdempotencyScope.ALL;
+    return each.effect == Idempotency.SAFE
+        || (keyed && time.now() < request.first.due + each.window);
   }
 
   private void retry(Request last, double retryAfter) {
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.node.Member;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -30,7 +30,7 @@
   /** Where it is reached: a made-up address in virtual time, where it listens on sockets. */
   public final InetSocketAddress address;
 
-  State phase = State.READY;
+  WorkerState phase = WorkerState.READY;
 
   /** Its machine says nothing any more. */
   boolean vanished;
--- a/emulator/src/main/java/ferngrade/emulator/Fleet.java
+++ b/emulator/src/main/java/ferngrade/emulator/Fleet.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.WorkerState;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -94,7 +94,7 @@
             spec.priority,
             request.object,
             scenario.workload.fetch * scenario.workload.meanWork());
-    if (spec.effect != Effect.KEYED || request.key == null) {
+    if (spec.effect != Idempotency.KEYED || request.key == null) {
       return worker.model.offer(asked, informed, ear);
     }
     String key = KeyWindows.name(spec.scope, worker.zone, worker.cell, request.key);
@@ -136,7 +136,7 @@
 
   /** Those that are in service: listed as ready, and up. */
   public List<EmulatedWorker> serving() {
-    return all.stream().filter(each -> each.phase == State.READY && each.model.up()).toList();
+    return all.stream().filter(each -> each.phase == WorkerState.READY && each.model.up()).toList();
   }
 
   /** Repeats that workers have dropped. */
--- a/emulator/src/main/java/ferngrade/emulator/KeyWindows.java
+++ b/emulator/src/main/java/ferngrade/emulator/KeyWindows.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.IdempotencyScope;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -45,7 +45,7 @@
   }
 
   /** The group's own name of a key. */
-  static String name(Scope scope, int zone, int cell, String key) {
+  static String name(IdempotencyScope scope, int zone, int cell, String key) {
     return switch (scope) {
       case ALL -> key;
       case ZONE -> "z" + zone + ":" + key;
--- a/emulator/src/main/java/ferngrade/emulator/MutantModule.java
+++ b/emulator/src/main/java/ferngrade/emulator/MutantModule.java
@@ -1,6 +1,12 @@
 package ferngrade.emulator;
 
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -63,10 +69,10 @@
       double now,
       String id,
       int attempt,
-      Outcome outcome,
+      AttemptOutcome outcome,
       double took,
       boolean over,
-      Report report) {
+      LoadReport report) {
     if (attempt == 0) {
       sent.remove(id);
     }
@@ -79,9 +85,9 @@
   }
 
   @Override
-  public void members(double now, News news, List<Worker> workers) {
+  public void members(double now, EndpointListUpdate news, List<Worker> workers) {
     workers.stream()
-        .filter(each -> each.state() == State.READY)
+        .filter(each -> each.state() == WorkerState.READY)
         .findFirst()
         .ifPresent(each -> other = each.id());
     whole.members(
@@ -109,7 +115,8 @@
   }
 
   @Override
-  public void checked(double now, long worker, Outcome outcome, double took, Report report) {
+  public void checked(
+      double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {
     whole.checked(now, worker, outcome, took, report);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/Observer.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observer.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.Request.Answer;
 
 /**
@@ -33,7 +33,7 @@
 
   /** The node knows how an attempt ended, or has given it up (TIMEOUT or CANCELLED). */
   default void attemptOver(
-      double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {}
+      double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {}
 
   /**
    * An attempt has reached a worker that is still cold; {@code informed}: the node knew of its
@@ -45,7 +45,8 @@
   default void started(double now, EmulatedWorker worker, String id) {}
 
   /** The list told a node of a worker. */
-  default void told(double now, int node, EmulatedWorker worker, State state, double startedAt) {}
+  default void told(
+      double now, int node, EmulatedWorker worker, WorkerState state, double startedAt) {}
 
   /**
    * A cold worker has fallen over; {@code informedShare} of the pressure came from nodes that knew
--- a/emulator/src/main/java/ferngrade/emulator/Observers.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observers.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.Request.Answer;
 import java.util.List;
 
@@ -65,7 +65,7 @@
 
   @Override
   public void attemptOver(
-      double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
+      double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     for (Observer each : all) {
       each.attemptOver(now, node, worker, request, outcome);
     }
@@ -86,7 +86,8 @@
   }
 
   @Override
-  public void told(double now, int node, EmulatedWorker worker, State state, double startedAt) {
+  public void told(
+      double now, int node, EmulatedWorker worker, WorkerState state, double startedAt) {
     for (Observer each : all) {
       each.told(now, node, worker, state, startedAt);
     }
--- a/emulator/src/main/java/ferngrade/emulator/Plan.java
+++ b/emulator/src/main/java/ferngrade/emulator/Plan.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.WorkerState;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -202,10 +202,10 @@
 
   /** Drains a worker and ends its process; a successor on a new machine starts cold. */
   private void retire(EmulatedWorker worker, boolean replace) {
-    if (worker.phase != State.READY || !worker.model.up()) {
+    if (worker.phase != WorkerState.READY || !worker.model.up()) {
       return;
     }
-    worker.phase = State.DRAINING;
+    worker.phase = WorkerState.DRAINING;
     worker.model.drain();
     roll.changed(worker, false);
     time.after(DRAIN, () -> end(worker, replace));
@@ -230,7 +230,7 @@
   }
 
   private void gone(EmulatedWorker worker) {
-    worker.phase = State.GONE;
+    worker.phase = WorkerState.GONE;
     roll.changed(worker, false);
   }
 
@@ -242,7 +242,7 @@
   }
 
   private void restart(EmulatedWorker worker) {
-    worker.phase = State.READY;
+    worker.phase = WorkerState.READY;
     worker.model.restart();
     levers.workerUp(worker);
     roll.changed(worker, true);
--- a/emulator/src/main/java/ferngrade/emulator/Roll.java
+++ b/emulator/src/main/java/ferngrade/emulator/Roll.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.node.Member;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -33,7 +33,7 @@
   @FunctionalInterface
   public interface Teller {
     /** Tells all nodes. */
-    void tell(News news, List<Member> entries, long revision, double spread);
+    void tell(EndpointListUpdate news, List<Member> entries, long revision, double spread);
   }
 
   /** Discovery of this fleet, which {@code teller} brings to the nodes. */
@@ -70,7 +70,7 @@
 
   /** The worker has changed, and discovery will notice. */
   void changed(EmulatedWorker worker, boolean added) {
-    if (worker.phase == State.DRAINING && chance.nextDouble() < lies) {
+    if (worker.phase == WorkerState.DRAINING && chance.nextDouble() < lies) {
       return;
     }
     double late =
@@ -89,25 +89,27 @@
       return;
     }
     List<Member> before = list();
-    if (entry.worker().state() == State.GONE) {
+    if (entry.worker().state() == WorkerState.GONE) {
       listed.remove(entry.worker().id());
     } else {
       listed.put(entry.worker().id(), entry);
     }
     revision++;
     List<Member> change = List.of(entry);
-    teller.tell(News.CHANGES, change, revision, spec.spread);
+    teller.tell(EndpointListUpdate.CHANGES, change, revision, spec.spread);
     if (chance.nextDouble() < spec.repeats) {
-      time.after(REPEAT_AFTER, () -> teller.tell(News.CHANGES, change, revision, spec.spread));
+      time.after(
+          REPEAT_AFTER,
+          () -> teller.tell(EndpointListUpdate.CHANGES, change, revision, spec.spread));
     }
     if (chance.nextDouble() < spec.stale) {
       time.after(
           REPEAT_AFTER,
           () -> {
-            teller.tell(News.WHOLE, before, revision - 1, spec.spread);
+            teller.tell(EndpointListUpdate.WHOLE, before, revision - 1, spec.spread);
             time.after(
                 REPEAT_AFTER + spec.spread,
-                () -> teller.tell(News.WHOLE, list(), revision, spec.spread));
+                () -> teller.tell(EndpointListUpdate.WHOLE, list(), revision, spec.spread));
           });
     }
   }
@@ -134,7 +136,7 @@
           // What has changed otherwise meanwhile was told already, and stands.
           List<Member> standing = changes.stream().filter(this::stillListed).toList();
           if (silent == 0) {
-            teller.tell(News.CHANGES, standing, ++revision, spec.spread);
+            teller.tell(EndpointListUpdate.CHANGES, standing, ++revision, spec.spread);
           }
         });
     time.after(spec.weightPeriod, () -> renewWeights(fleet));
--- a/emulator/src/main/java/ferngrade/emulator/Scenario.java
+++ b/emulator/src/main/java/ferngrade/emulator/Scenario.java
@@ -1,11 +1,11 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.ColdRule;
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Goal;
-import ferngrade.dispatch.Dispatcher.Limits;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.Tenant;
+import ferngrade.dispatch.DeploymentLimits;
+import ferngrade.dispatch.DispatcherSettings;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.ServiceObjective;
+import ferngrade.dispatch.SlowStartPolicy;
+import ferngrade.dispatch.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -83,7 +83,7 @@
     ClassSpec plan = new ClassSpec();
     plan.name = "plan";
     plan.share = 0.65;
-    plan.effect = Effect.KEYED;
+    plan.effect = Idempotency.KEYED;
     plan.worth = 5;
     plan.priority = 1;
     ClassSpec order = new ClassSpec();
@@ -157,30 +157,30 @@
   }
 
   /** What the node with this number is told of the deployment. */
-  public Settings settings(int node) {
+  public DispatcherSettings settings(int node) {
     return settings(node, allowances());
   }
 
   /** The same for those who ask for many nodes: the allowances go through the whole fleet. */
-  Settings settings(int node, double[] allowances) {
+  DispatcherSettings settings(int node, double[] allowances) {
     List<Tenant> tenants = new ArrayList<>();
     for (int i = 0; i < workload.tenants.size(); i++) {
       TenantSpec each = workload.tenants.get(i);
       tenants.add(new Tenant(each.name, each.share, allowances[i]));
     }
-    return new Settings(
+    return new DispatcherSettings(
         node,
         nodes,
         zoneOfNode(node),
         roundMs,
         workload.classes.stream().map(ClassSpec::jobClass).toList(),
         tenants,
-        new Limits(tries, secondCopies, cancel, true, peers, retryAfterMax),
-        new ColdRule(startCapacity, coldMs, fallMultiple, tipMs),
+        new DeploymentLimits(tries, secondCopies, cancel, true, peers, retryAfterMax),
+        new SlowStartPolicy(startCapacity, coldMs, fallMultiple, tipMs),
         false,
         true,
         discovery.weightPeriod > 0,
         crossCharge,
-        new Goal(0, 0));
+        new ServiceObjective(0, 0));
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/TraceHash.java
+++ b/emulator/src/main/java/ferngrade/emulator/TraceHash.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.Request.Answer;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
@@ -92,7 +92,7 @@
 
   @Override
   public void attemptOver(
-      double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
+      double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     note(7, now, request.id, worker.id, code(outcome));
   }
 
@@ -102,7 +102,8 @@
   }
 
   @Override
-  public void told(double now, int node, EmulatedWorker worker, State state, double startedAt) {
+  public void told(
+      double now, int node, EmulatedWorker worker, WorkerState state, double startedAt) {
     note(9, now, worker.name, node * 8L + code(state), startedAt);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -1,8 +1,9 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Choice;
 import ferngrade.dispatch.Dispatcher;
-import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.ThrottlingDispatcher;
 import ferngrade.emulator.Request.Answer;
 import ferngrade.node.Call;
 import ferngrade.node.Log;
@@ -53,7 +54,7 @@
 
   /** The slice of the budget that it holds; NaN where its decisions know of none. */
   double slice() {
-    return up && module instanceof Choice choice ? choice.slice() : Double.NaN;
+    return up && module instanceof ThrottlingDispatcher choice ? choice.slice() : Double.NaN;
   }
 
   // ---- The process ----
@@ -79,7 +80,7 @@
             ROOM,
             actions -> module(actions, seed));
     run.observer.node(time.now(), number, true);
-    hear(Dispatcher.News.STORED, known);
+    hear(EndpointListUpdate.STORED, known);
   }
 
   private Dispatcher module(Dispatcher.Actions actions, long seed) {
@@ -174,9 +175,9 @@
     }
   }
 
-  void hear(Dispatcher.News news, List<Member> entries) {
+  void hear(EndpointListUpdate news, List<Member> entries) {
     double now = run.time.now();
-    boolean late = run.mutation == Mutation.LATE_DRAIN && news == Dispatcher.News.CHANGES;
+    boolean late = run.mutation == Mutation.LATE_DRAIN && news == EndpointListUpdate.CHANGES;
     if (run.tells(news, entries)) {
       for (Member entry : entries) {
         run.observer.told(
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.Request.Answer;
 import ferngrade.node.Member;
 import java.util.ArrayList;
@@ -79,7 +79,7 @@
     List<Member> known = roll.list();
     for (VirtualNode node : nodes) {
       node.start(known);
-      node.hear(News.WHOLE, known);
+      node.hear(EndpointListUpdate.WHOLE, known);
     }
     time.after(SAMPLE, this::sample);
     plan.begin();
@@ -184,7 +184,7 @@
 
   // ---- Discovery and peers ----
 
-  private void spread(News news, List<Member> entries, long revision, double spread) {
+  private void spread(EndpointListUpdate news, List<Member> entries, long revision, double spread) {
     for (VirtualNode node : nodes) {
       // The same delay for a node each time, so that its news stay in their order.
       double late = spread * (node.number + 1) / nodes.size();
@@ -196,8 +196,8 @@
    * Whole lists are told entry by entry only in small fleets, and never at a start: nothing in them
    * is an end.
    */
-  boolean tells(News news, List<Member> entries) {
-    return news == News.CHANGES || entries.size() <= MOST_SAMPLED;
+  boolean tells(EndpointListUpdate news, List<Member> entries) {
+    return news == EndpointListUpdate.CHANGES || entries.size() <= MOST_SAMPLED;
   }
 
   boolean informed(int node, EmulatedWorker worker) {
@@ -235,7 +235,7 @@
     if (!started.up()) {
       started.start(roll.list());
       if (!roll.silent()) {
-        started.hear(News.WHOLE, roll.list());
+        started.hear(EndpointListUpdate.WHOLE, roll.list());
       }
       believedDown.remove(started);
     }
@@ -281,7 +281,7 @@
     @Override
     public double finishIn(long worker, double work) {
       EmulatedWorker each = fleet.byId(worker);
-      if (each.vanished || each.phase != State.READY) {
+      if (each.vanished || each.phase != WorkerState.READY) {
         return Double.POSITIVE_INFINITY;
       }
       return each.model.finishIn(work) + each.inFlight / Math.max(1e-9, each.model.capacity());
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.LoadReport;
 import ferngrade.node.Call;
 import ferngrade.node.News;
 import ferngrade.node.News.State;
@@ -96,9 +96,10 @@
     double back = run.network.stream(worker.zone, node.zone);
     boolean silent = worker.vanished || there + back == Network.NEVER;
     if (silent) {
-      run.time.after(spec.connectTimeout, node.here(() -> transfer.over(Outcome.CONNECT_FAILED)));
+      run.time.after(
+          spec.connectTimeout, node.here(() -> transfer.over(AttemptOutcome.CONNECT_FAILED)));
     } else if (!worker.model.up() || worker.connections >= worker.mostConnections) {
-      run.time.after(there + back, node.here(() -> transfer.over(Outcome.CONNECT_FAILED)));
+      run.time.after(there + back, node.here(() -> transfer.over(AttemptOutcome.CONNECT_FAILED)));
     } else {
       worker.connections++;
       transfer.connected = true;
@@ -116,7 +117,7 @@
   }
 
   @Override
-  public void check(InetSocketAddress address, BiConsumer<Outcome, Report> listener) {
+  public void check(InetSocketAddress address, BiConsumer<AttemptOutcome, LoadReport> listener) {
     EmulatedWorker worker = run.fleet.at(address);
     double way =
         run.network.stream(node.zone, worker.zone) + run.network.stream(worker.zone, node.zone);
@@ -126,12 +127,12 @@
         node.here(
             () -> {
               if (silent) {
-                listener.accept(Outcome.TIMEOUT, Report.NONE);
+                listener.accept(AttemptOutcome.TIMEOUT, LoadReport.NONE);
               } else if (!worker.model.up()) {
-                listener.accept(Outcome.CONNECT_FAILED, Report.NONE);
+                listener.accept(AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
               } else {
                 worker.model.burden(1);
-                listener.accept(Outcome.OK, worker.model.report());
+                listener.accept(AttemptOutcome.OK, worker.model.report());
               }
             }));
   }
@@ -163,7 +164,7 @@
       }
       if (!listener.mayStart()) {
         release(worker);
-        over(Outcome.NEVER_SENT);
+        over(AttemptOutcome.NEVER_SENT);
         return;
       }
       written = true;
@@ -197,14 +198,14 @@
     }
 
     /** The attempt has ended as the transport sees it. */
-    void over(Outcome outcome) {
+    void over(AttemptOutcome outcome) {
       if (!over && !givenUp) {
         end(outcome);
-        listener.ended(outcome, Report.NONE);
+        listener.ended(outcome, LoadReport.NONE);
       }
     }
 
-    private void end(Outcome outcome) {
+    private void end(AttemptOutcome outcome) {
       over = true;
       unanswered.remove(this);
       run.observer.attemptOver(run.time.now(), node.number, worker, request, outcome);
@@ -213,7 +214,7 @@
     void reset() {
       if (!taken) {
         disconnect();
-        over(Outcome.RESET);
+        over(AttemptOutcome.RESET);
       }
     }
 
@@ -243,7 +244,7 @@
       } else if (written) {
         disconnect();
       }
-      end(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
+      end(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
     }
 
     // -- The worker's end --
@@ -275,7 +276,7 @@
             () -> {
               if (!givenUp && !over) {
                 release(worker);
-                over(Outcome.FULL);
+                over(AttemptOutcome.FULL);
               }
             });
       }
@@ -288,7 +289,7 @@
       }
     }
 
-    private void callBack(State state, double share, Outcome outcome, int tries) {
+    private void callBack(State state, double share, AttemptOutcome outcome, int tries) {
       if (worker.vanished) {
         return;
       }
@@ -308,7 +309,7 @@
               state == State.DONE ? "done" : "",
               outcome != null && worker.model.reportsWithAnswers()
                   ? worker.model.report()
-                  : Report.NONE);
+                  : LoadReport.NONE);
       run.time.after(
           way,
           node.here(
@@ -338,22 +339,22 @@
 
     @Override
     public void done() {
-      callBack(State.DONE, 1, Outcome.OK, 0);
+      callBack(State.DONE, 1, AttemptOutcome.OK, 0);
     }
 
     @Override
     public void failed() {
-      callBack(State.FAILED, 0, Outcome.ERROR, 0);
+      callBack(State.FAILED, 0, AttemptOutcome.ERROR, 0);
     }
 
     @Override
     public void returned() {
-      callBack(State.RETURNED, 0, Outcome.FULL, 0);
+      callBack(State.RETURNED, 0, AttemptOutcome.FULL, 0);
     }
 
     @Override
     public void lost() {
-      callBack(State.LOST, 0, Outcome.RESET, 0);
+      callBack(State.LOST, 0, AttemptOutcome.RESET, 0);
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.LoadReport;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -47,7 +47,7 @@
   private Scheduler.Handle next;
   private Scheduler.Handle pausing;
   private double reportedAt = Double.NEGATIVE_INFINITY;
-  private Report report = Report.NONE;
+  private LoadReport report = LoadReport.NONE;
 
   /** Hears what becomes of one job; the last call is the job's end. */
   public interface Ear {
@@ -271,12 +271,12 @@
   }
 
   /** Its load report, which is as old as its period lets it be, and noisy. */
-  public Report report() {
+  public LoadReport report() {
     double now = time.now();
     if (now - reportedAt >= kind.reportPeriod) {
       reportedAt = now;
       report =
-          new Report(
+          new LoadReport(
               noisy(freeSlots()),
               Double.NaN,
               noisy(waiting.size()),
--- a/emulator/src/main/java/ferngrade/emulator/judge/DrainJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/DrainJudge.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator.judge;
 
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Request;
 import ferngrade.emulator.Scenario;
@@ -24,9 +24,10 @@
   }
 
   @Override
-  public void told(double now, int node, EmulatedWorker worker, State state, double startedAt) {
+  public void told(
+      double now, int node, EmulatedWorker worker, WorkerState state, double startedAt) {
     Told about = new Told(node, worker.id);
-    if (state == State.READY) {
+    if (state == WorkerState.READY) {
       ends.remove(about);
     } else {
       ends.putIfAbsent(about, now);
--- a/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator.judge;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Request;
 import ferngrade.emulator.Request.Answer;
@@ -39,7 +39,7 @@
 
   @Override
   public void attemptOver(
-      double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
+      double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     lastEvent.computeIfPresent(request, (key, before) -> now);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator.judge;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.IdempotencyScope;
 import ferngrade.emulator.ClassSpec;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Request;
@@ -64,23 +64,23 @@
   }
 
   private static boolean allows(ClassSpec spec, Sent doubtful, EmulatedWorker worker, double now) {
-    if (spec.effect == Effect.SAFE) {
+    if (spec.effect == Idempotency.SAFE) {
       return true;
     }
     boolean group =
-        spec.scope == Scope.ALL
-            || (spec.scope == Scope.ZONE && doubtful.worker.zone == worker.zone)
-            || (spec.scope == Scope.CELL && doubtful.worker.cell == worker.cell);
-    return spec.effect == Effect.KEYED && group && now <= doubtful.at + spec.window;
+        spec.scope == IdempotencyScope.ALL
+            || (spec.scope == IdempotencyScope.ZONE && doubtful.worker.zone == worker.zone)
+            || (spec.scope == IdempotencyScope.CELL && doubtful.worker.cell == worker.cell);
+    return spec.effect == Idempotency.KEYED && group && now <= doubtful.at + spec.window;
   }
 
   @Override
   public void attemptOver(
-      double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
+      double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     for (Sent each : sent.getOrDefault(request, List.of())) {
       if (each.worker == worker && each.out) {
         each.out = false;
-        each.neverRan = outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED;
+        each.neverRan = outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.CONNECT_FAILED;
       }
     }
   }
@@ -90,7 +90,8 @@
     List<Sent> before = sent.remove(request);
     ClassSpec spec = scenario.workload.classes.get(request.jobClass);
     boolean harmless =
-        spec.effect == Effect.SAFE || (spec.effect == Effect.KEYED && spec.scope == Scope.ALL);
+        spec.effect == Idempotency.SAFE
+            || (spec.effect == Idempotency.KEYED && spec.scope == IdempotencyScope.ALL);
     if (answer == Answer.REFUSED
         && before != null
         && !harmless
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -1,6 +1,16 @@
 package ferngrade.emulator.policy;
 
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.DispatcherSettings;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.IdempotencyScope;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.JobClass;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,7 +25,7 @@
  * alone.
  */
 abstract class PlainPolicy implements Dispatcher {
-  private final Settings settings;
+  private final DispatcherSettings settings;
   private final Actions actions;
   private final Map<Long, Worker> listed = new HashMap<>();
   private final Map<Long, Integer> held = new HashMap<>();
@@ -32,7 +42,7 @@
     }
   }
 
-  PlainPolicy(Settings settings, Actions actions) {
+  PlainPolicy(DispatcherSettings settings, Actions actions) {
     this.settings = settings;
     this.actions = actions;
   }
@@ -73,8 +83,8 @@
     open.remove(request.job.id());
     JobClass jobClass = settings.classes().get(request.job.jobClass());
     boolean harmless =
-        jobClass.effect() == Effect.SAFE
-            || (jobClass.effect() == Effect.KEYED && jobClass.scope() == Scope.ALL);
+        jobClass.effect() == Idempotency.SAFE
+            || (jobClass.effect() == Idempotency.KEYED && jobClass.scope() == IdempotencyScope.ALL);
     if (harmless || !request.doubtful) {
       actions.refuse(request.job.id(), 0);
     } else {
@@ -87,17 +97,17 @@
       double now,
       String id,
       int attempt,
-      Outcome outcome,
+      AttemptOutcome outcome,
       double took,
       boolean over,
-      Report report) {
+      LoadReport report) {
     Open request = open.get(id);
     if (request == null) {
       return;
     }
     held.merge(request.tried.get(attempt), -1, Integer::sum);
     request.doubtful |= !outcome.neverRan;
-    if (over || outcome == Outcome.OK) {
+    if (over || outcome == AttemptOutcome.OK) {
       open.remove(id);
     } else if (request.doubtful) {
       answer(request);
@@ -107,14 +117,14 @@
   }
 
   @Override
-  public final void members(double now, News news, List<Worker> workers) {
-    if (news != News.CHANGES) {
+  public final void members(double now, EndpointListUpdate news, List<Worker> workers) {
+    if (news != EndpointListUpdate.CHANGES) {
       listed.clear();
     }
     workers.forEach(worker -> listed.put(worker.id(), worker));
     ready =
         listed.values().stream()
-            .filter(worker -> worker.state() == State.READY)
+            .filter(worker -> worker.state() == WorkerState.READY)
             .sorted(Comparator.comparingLong(Worker::id))
             .toList();
   }
@@ -135,7 +145,8 @@
   public final void listFailed(double now) {}
 
   @Override
-  public final void checked(double now, long worker, Outcome outcome, double took, Report report) {}
+  public final void checked(
+      double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {}
 
   @Override
   public final void heard(double now, int from, byte[] message) {}
--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -1,11 +1,11 @@
 package ferngrade.emulator.policy;
 
-import ferngrade.dispatch.Choice;
-import ferngrade.dispatch.Dispatcher;
 import ferngrade.dispatch.Dispatcher.Actions;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.DispatcherSettings;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.JobClass;
+import ferngrade.dispatch.ThrottlingDispatcher;
+import ferngrade.dispatch.Worker;
 import ferngrade.emulator.Policy;
 import ferngrade.emulator.Truth;
 import java.util.LinkedHashMap;
@@ -22,7 +22,8 @@
   static {
     ALL.put(
         "module",
-        (settings, seed, now, actions, truth) -> new Choice(settings, seed, now, actions));
+        (settings, seed, now, actions, truth) ->
+            new ThrottlingDispatcher(settings, seed, now, actions));
     ALL.put(
         "random", (settings, seed, now, actions, truth) -> new RandomPick(settings, seed, actions));
     ALL.put(
@@ -63,7 +64,7 @@
   private static final class RandomPick extends PlainPolicy {
     private final UniformRandomProvider chance;
 
-    RandomPick(Settings settings, long seed, Actions actions) {
+    RandomPick(DispatcherSettings settings, long seed, Actions actions) {
       super(settings, actions);
       this.chance = stream(seed);
     }
@@ -77,7 +78,7 @@
   private static final class RoundRobin extends PlainPolicy {
     private int next;
 
-    RoundRobin(Settings settings, long seed, Actions actions) {
+    RoundRobin(DispatcherSettings settings, long seed, Actions actions) {
       super(settings, actions);
       this.next = stream(seed).nextInt(1 << 16);
     }
@@ -91,7 +92,7 @@
   private static final class LeastLoaded extends PlainPolicy {
     private final UniformRandomProvider chance;
 
-    LeastLoaded(Settings settings, long seed, Actions actions) {
+    LeastLoaded(DispatcherSettings settings, long seed, Actions actions) {
       super(settings, actions);
       this.chance = stream(seed);
     }
@@ -114,7 +115,7 @@
   private static final class TwoChoices extends PlainPolicy {
     private final UniformRandomProvider chance;
 
-    TwoChoices(Settings settings, long seed, Actions actions) {
+    TwoChoices(DispatcherSettings settings, long seed, Actions actions) {
       super(settings, actions);
       this.chance = stream(seed);
     }
@@ -132,10 +133,10 @@
    * refused.
    */
   private static final class AllSeeing extends PlainPolicy {
-    private final Settings settings;
+    private final DispatcherSettings settings;
     private final Truth truth;
 
-    AllSeeing(Settings settings, Actions actions, Truth truth) {
+    AllSeeing(DispatcherSettings settings, Actions actions, Truth truth) {
       super(settings, actions);
       this.settings = settings;
       this.truth = truth;
@@ -153,7 +154,7 @@
           best = worker;
         }
       }
-      Dispatcher.JobClass jobClass = settings.classes().get(job.jobClass());
+      JobClass jobClass = settings.classes().get(job.jobClass());
       return least > jobClass.aim() + jobClass.stretch() * work ? null : best;
     }
   }
--- a/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator.socket;
 
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.node.Member;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -52,20 +52,22 @@
   }
 
   /** Tells the node of changes, or the whole list. */
-  void tell(News news, List<Member> entries, long revision) {
+  void tell(EndpointListUpdate news, List<Member> entries, long revision) {
     watchers.forEach(each -> tell(each, news, entries, revision));
   }
 
-  private void tell(Channel watcher, News news, List<Member> entries, long revision) {
+  private void tell(Channel watcher, EndpointListUpdate news, List<Member> entries, long revision) {
     double now = run.time.now();
     for (Member entry : entries) {
-      State state = entry.worker().state();
-      if (news == News.CHANGES || state != State.READY) {
+      WorkerState state = entry.worker().state();
+      if (news == EndpointListUpdate.CHANGES || state != WorkerState.READY) {
         run.observer.told(
             now, node, run.fleet.byId(entry.worker().id()), state, entry.worker().startedAt());
       }
     }
-    write(watcher, NodeFile.list(run.scenario, entries, revision, news != News.CHANGES) + "\n");
+    write(
+        watcher,
+        NodeFile.list(run.scenario, entries, revision, news != EndpointListUpdate.CHANGES) + "\n");
   }
 
   private static void write(Channel watcher, String line) {
@@ -84,7 +86,7 @@
       HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       ctx.writeAndFlush(head);
-      tell(ctx.channel(), News.WHOLE, run.roll.list(), run.roll.revision());
+      tell(ctx.channel(), EndpointListUpdate.WHOLE, run.roll.list(), run.roll.revision());
       watchers.add(ctx.channel());
     }
 
--- a/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
@@ -3,9 +3,9 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.ClassSpec;
 import ferngrade.emulator.KindSpec;
 import ferngrade.emulator.Scenario;
@@ -125,7 +125,7 @@
                 .add("ClassPriority", priorities));
   }
 
-  private static String effect(Effect effect) {
+  private static String effect(Idempotency effect) {
     return switch (effect) {
       case SAFE -> "idempotent";
       case KEYED -> "deduplicated";
@@ -161,7 +161,7 @@
         .add("members", entries);
   }
 
-  private static String phase(State state) {
+  private static String phase(WorkerState state) {
     return switch (state) {
       case READY -> "active";
       case DRAINING -> "leaving";
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator.socket;
 
 import com.eclipsesource.json.JsonObject;
-import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.emulator.Clients;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Fleet;
@@ -300,7 +300,7 @@
 
   // ---- Discovery ----
 
-  private void spread(News news, List<Member> entries, long revision, double spread) {
+  private void spread(EndpointListUpdate news, List<Member> entries, long revision, double spread) {
     for (int i = 0; i < discoveries.size(); i++) {
       DiscoverySocket discovery = discoveries.get(i);
       time.after(
--- a/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator.socket;
 
 import com.eclipsesource.json.JsonObject;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.LoadReport;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Network;
 import ferngrade.emulator.Request;
@@ -50,7 +50,7 @@
       run.givenUp(path.substring("/jobs/".length()), worker);
       answer(ctx, HttpResponseStatus.OK, "");
     } else if (path.equals("/-/load") || path.equals("/-/healthy")) {
-      Report report = worker.model.report();
+      LoadReport report = worker.model.report();
       answer(
           ctx,
           HttpResponseStatus.OK,
@@ -92,7 +92,7 @@
           if (taken) {
             answer(ctx, HttpResponseStatus.ACCEPTED, "");
           } else {
-            attempt.over(Outcome.FULL);
+            attempt.over(AttemptOutcome.FULL);
             FullHttpResponse full = response(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
             full.headers().set("Srv-Declined", "1");
             ctx.writeAndFlush(full);
@@ -110,7 +110,7 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     if (current != null) {
       // Closed before the 202: the node has given it up, or the process has died.
-      current.over(worker.model.up() ? Outcome.TIMEOUT : Outcome.RESET);
+      current.over(worker.model.up() ? AttemptOutcome.TIMEOUT : AttemptOutcome.RESET);
       current = null;
     }
   }
@@ -139,17 +139,17 @@
 
     Attempt(Request request) {
       this.request = request;
-      run.out(request.id, worker, () -> over(Outcome.TIMEOUT));
+      run.out(request.id, worker, () -> over(AttemptOutcome.TIMEOUT));
     }
 
-    void over(Outcome outcome) {
+    void over(AttemptOutcome outcome) {
       if (!over) {
         over = true;
         run.observer.attemptOver(run.time.now(), request.node(), worker, request, outcome);
       }
     }
 
-    private void callBack(String state, JsonObject more, Outcome outcome, int tries) {
+    private void callBack(String state, JsonObject more, AttemptOutcome outcome, int tries) {
       if (worker.vanished()) {
         return;
       }
@@ -200,7 +200,7 @@
           });
     }
 
-    private void again(String state, JsonObject more, Outcome outcome, int tries) {
+    private void again(String state, JsonObject more, AttemptOutcome outcome, int tries) {
       if (tries < CALLBACK_TRIES) {
         run.time.after(CALLBACK_AGAIN, () -> callBack(state, more, outcome, tries + 1));
       }
@@ -223,22 +223,22 @@
 
     @Override
     public void done() {
-      callBack("done", news("done").add("result", "done " + request.id), Outcome.OK, 0);
+      callBack("done", news("done").add("result", "done " + request.id), AttemptOutcome.OK, 0);
     }
 
     @Override
     public void failed() {
-      callBack("failed", news("failed"), Outcome.ERROR, 0);
+      callBack("failed", news("failed"), AttemptOutcome.ERROR, 0);
     }
 
     @Override
     public void returned() {
-      callBack("returned", news("returned"), Outcome.FULL, 0);
+      callBack("returned", news("returned"), AttemptOutcome.FULL, 0);
     }
 
     @Override
     public void lost() {
-      callBack("lost", news("lost"), Outcome.RESET, 0);
+      callBack("lost", news("lost"), AttemptOutcome.RESET, 0);
     }
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Scope;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.IdempotencyScope;
 import ferngrade.emulator.Fault.Kind;
 import ferngrade.emulator.policy.Policies;
 import ferngrade.golden.GoldenFile;
@@ -61,9 +61,9 @@
   /** Jobs that may run again: retries within the groups of their keys, and hedged requests. */
   private static Scenario retries() {
     Scenario scenario = small();
-    scenario.workload.classes.forEach(each -> each.effect = Effect.SAFE);
-    scenario.workload.classes.get(0).effect = Effect.KEYED;
-    scenario.workload.classes.get(0).scope = Scope.ZONE;
+    scenario.workload.classes.forEach(each -> each.effect = Idempotency.SAFE);
+    scenario.workload.classes.get(0).effect = Idempotency.KEYED;
+    scenario.workload.classes.get(0).scope = IdempotencyScope.ZONE;
     scenario.network.loss = 0.02;
     scenario.network.reset = 0.02;
     scenario.kinds.forEach(kind -> kind.errorRate = 0.05);
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.emulator.Fault.Kind;
 import ferngrade.emulator.Request.Answer;
 import ferngrade.emulator.judge.Bench;
@@ -219,8 +219,12 @@
               new Observer() {
                 @Override
                 public void attemptOver(
-                    double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
-                  if (outcome == Outcome.TIMEOUT) {
+                    double now,
+                    int node,
+                    EmulatedWorker worker,
+                    Request request,
+                    AttemptOutcome outcome) {
+                  if (outcome == AttemptOutcome.TIMEOUT) {
                     timeouts.add(now - VirtualRun.START);
                   }
                 }
--- a/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
@@ -1,7 +1,7 @@
 package ferngrade.experiment;
 
-import ferngrade.dispatch.Choice;
 import ferngrade.dispatch.Dispatcher;
+import ferngrade.dispatch.ThrottlingDispatcher;
 import ferngrade.emulator.Scenario;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -117,7 +117,7 @@
     List<Integer> told = new ArrayList<>();
     List<Long> timers = new ArrayList<>();
     Dispatcher module =
-        new Choice(
+        new ThrottlingDispatcher(
             scenario.settings(node),
             1,
             0,
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -1,6 +1,6 @@
 package ferngrade.experiment;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.emulator.ClassSpec;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.Observer;
@@ -136,9 +136,9 @@
 
   @Override
   public void attemptOver(
-      double now, int node, EmulatedWorker worker, Request request, Outcome outcome) {
-    if (outcome.neverRan && outcome != Outcome.NEVER_SENT) {
-      sentWork -= outcome == Outcome.FULL ? request.work : 0;
+      double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
+    if (outcome.neverRan && outcome != AttemptOutcome.NEVER_SENT) {
+      sentWork -= outcome == AttemptOutcome.FULL ? request.work : 0;
     }
   }
 
--- a/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
@@ -1,6 +1,6 @@
 package ferngrade.experiment;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import ferngrade.jobstore.Entry;
 import ferngrade.jobstore.FolderDisk;
 import ferngrade.jobstore.Journal;
@@ -152,7 +152,7 @@
     long began = System.nanoTime();
     String id = "j" + jobs[0] + "-" + began;
     store.commit(
-        store.ledger().accept(id, Effect.UNSAFE, "", 0, new byte[PAYLOAD], 0),
+        store.ledger().accept(id, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD], 0),
         () -> {
           jobs[0]++;
           latency.recordValue(Math.min(60_000_000L, (System.nanoTime() - began) / 1000));
@@ -169,7 +169,7 @@
       List<Entry> batch = new ArrayList<>();
       for (int i = 0; i < open; i++) {
         batch.addAll(
-            ledger.accept("job-" + i, Effect.UNSAFE, "", 0, new byte[PAYLOAD], 0).entries());
+            ledger.accept("job-" + i, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD], 0).entries());
         if (i % 10 == 0) {
           batch.addAll(ledger.lease("job-" + i, "w", 0, 0).entries());
         }
--- a/jobstore/src/main/java/ferngrade/jobstore/Entry.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Entry.java
@@ -1,6 +1,6 @@
 package ferngrade.jobstore;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import java.util.Arrays;
 import java.util.Objects;
 
@@ -18,7 +18,13 @@
    * is requeued.
    */
   record Accepted(
-      String id, Effect effect, String key, double window, int attempts, double at, byte[] payload)
+      String id,
+      Idempotency effect,
+      String key,
+      double window,
+      int attempts,
+      double at,
+      byte[] payload)
       implements Entry {
     @Override
     public boolean equals(Object other) {
--- a/jobstore/src/main/java/ferngrade/jobstore/EntryCodec.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/EntryCodec.java
@@ -1,6 +1,6 @@
 package ferngrade.jobstore;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -118,7 +118,7 @@
     };
   }
 
-  private static int effectCode(Effect effect) {
+  private static int effectCode(Idempotency effect) {
     return switch (effect) {
       case SAFE -> SAFE;
       case KEYED -> KEYED;
@@ -126,11 +126,11 @@
     };
   }
 
-  private static Effect effect(int code) throws IOException {
+  private static Idempotency effect(int code) throws IOException {
     return switch (code) {
-      case SAFE -> Effect.SAFE;
-      case KEYED -> Effect.KEYED;
-      case UNSAFE -> Effect.UNSAFE;
+      case SAFE -> Idempotency.SAFE;
+      case KEYED -> Idempotency.KEYED;
+      case UNSAFE -> Idempotency.UNSAFE;
       default -> throw new IOException("no class has the effect " + code);
     };
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/Job.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Job.java
@@ -1,6 +1,6 @@
 package ferngrade.jobstore;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 
 /** A durable job as the ledger has it. Only {@link Ledger} changes it. */
 public final class Job {
@@ -40,7 +40,7 @@
     return accepted.id();
   }
 
-  public Effect effect() {
+  public Idempotency effect() {
     return accepted.effect();
   }
 
--- a/jobstore/src/main/java/ferngrade/jobstore/Ledger.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Ledger.java
@@ -1,6 +1,6 @@
 package ferngrade.jobstore;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -97,7 +97,7 @@
 
   /** Takes a client's job. */
   public Change accept(
-      String id, Effect effect, String key, double window, byte[] payload, double at) {
+      String id, Idempotency effect, String key, double window, byte[] payload, double at) {
     if (jobs.containsKey(id)) {
       return Change.refused(Refusal.KNOWN);
     }
@@ -123,8 +123,8 @@
 
   private static boolean mayRun(Job job, double at) {
     return Double.isNaN(job.firstDoubtfulAt)
-        || job.effect() == Effect.SAFE
-        || (job.effect() == Effect.KEYED
+        || job.effect() == Idempotency.SAFE
+        || (job.effect() == Idempotency.KEYED
             && at >= job.firstDoubtfulAt
             && at < job.firstDoubtfulAt + job.accepted().window());
   }
@@ -223,8 +223,8 @@
     double next = at + backoff(job, jitter);
     double since = since(job);
     boolean allowed =
-        job.effect() == Effect.SAFE
-            || (job.effect() == Effect.KEYED && next < since + job.accepted().window());
+        job.effect() == Idempotency.SAFE
+            || (job.effect() == Idempotency.KEYED && next < since + job.accepted().window());
     if (allowed && job.leases < terms.mostLeases()) {
       return apply(
           new Entry.Doubted(job.id(), job.token, since),
@@ -257,7 +257,7 @@
     for (Job job : List.copyOf(jobs.values())) {
       boolean out = job.state == JobState.LEASED || job.state == JobState.STARTED;
       if (out && monotonic >= job.leaseEnds) {
-        if (job.effect() == Effect.UNSAFE) {
+        if (job.effect() == Idempotency.UNSAFE) {
           entries.addAll(apply(new Entry.Doubted(job.id(), job.token, since(job))).entries());
           job.leaseEnds = monotonic + terms.doubt();
         } else {
@@ -312,7 +312,7 @@
       return Change.refused(Refusal.UNKNOWN);
     }
     boolean never = Double.isNaN(job.firstDoubtfulAt);
-    if (job.state != JobState.FAILED || (!never && job.effect() != Effect.SAFE)) {
+    if (job.state != JobState.FAILED || (!never && job.effect() != Idempotency.SAFE)) {
       return Change.refused(Refusal.NOT_NOW);
     }
     Entry.Accepted first = job.accepted();
--- a/jobstore/src/main/java/ferngrade/jobstore/Store.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Store.java
@@ -1,6 +1,6 @@
 package ferngrade.jobstore;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -130,7 +130,7 @@
    */
   public Ledger.Change accept(
       String id,
-      Effect effect,
+      Idempotency effect,
       String key,
       double window,
       byte[] payload,
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import ferngrade.jobstore.FaultyDisk.DiskFault;
 import ferngrade.jobstore.FaultyDisk.Errno;
 import ferngrade.jobstore.FaultyDisk.Operation;
@@ -120,7 +120,7 @@
 
     private void take() throws IOException {
       String id = "j" + numbers++;
-      Effect effect = Effect.values()[chance.nextInt(3)];
+      Idempotency effect = Idempotency.values()[chance.nextInt(3)];
       Ledger.Change change =
           ledger.accept(id, effect, "k" + id, 1000, new byte[chance.nextInt(40)], clock);
       commit(change);
@@ -193,13 +193,13 @@
         assertEquals(answer, job.result(), "the answer of " + id + " has changed");
       }
       boolean mayHaveRun = world.runs.getOrDefault(id, 0) > 0;
-      if (mayHaveRun && job.effect() == Effect.UNSAFE && job.state() == JobState.ACCEPTED) {
+      if (mayHaveRun && job.effect() == Idempotency.UNSAFE && job.state() == JobState.ACCEPTED) {
         assertFalse(
             life.ledger.lease(id, "again", 1e15, 0).allowed(),
             id + " has run and would start again");
       }
       assertTrue(
-          world.runs.getOrDefault(id, 0) <= 1 || job.effect() != Effect.UNSAFE,
+          world.runs.getOrDefault(id, 0) <= 1 || job.effect() != Idempotency.UNSAFE,
           id + " has run twice");
     }
     assertTrue(life.ledger.highestToken() >= world.highest, "tokens would be given out again");
@@ -371,7 +371,7 @@
     World world = new World();
     Life life = new Life(disk, world, new SplittableRandom(1), 1e12, 0);
     life.play(50);
-    Ledger.Change change = life.ledger.accept("late", Effect.UNSAFE, "", 0, new byte[9], 1e12);
+    Ledger.Change change = life.ledger.accept("late", Idempotency.UNSAFE, "", 0, new byte[9], 1e12);
     long before = life.journal.logNumber();
     disk.fill(true);
     for (int i = 0; i < 3; i++) {
--- a/jobstore/src/test/java/ferngrade/jobstore/DiskFaultTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/DiskFaultTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import ferngrade.jobstore.FaultyDisk.DiskFault;
 import ferngrade.jobstore.FaultyDisk.Errno;
 import ferngrade.jobstore.FaultyDisk.Operation;
@@ -41,7 +41,7 @@
 
   private static List<Entry> job(String id) {
     return new Ledger(TERMS)
-        .accept(id, Effect.KEYED, "key " + id, 50, new byte[] {1, 2, 3}, 7)
+        .accept(id, Idempotency.KEYED, "key " + id, 50, new byte[] {1, 2, 3}, 7)
         .entries();
   }
 
@@ -171,7 +171,8 @@
   void filesAreByteForByteAsBeforeAndAreRead() throws IOException {
     Ledger ledger = new Ledger(TERMS);
     Journal journal = open(disk, LARGE_LOG);
-    journal.commit(ledger.accept("a", Effect.KEYED, "k", 50, new byte[] {1, 2, 3}, 7).entries());
+    journal.commit(
+        ledger.accept("a", Idempotency.KEYED, "k", 50, new byte[] {1, 2, 3}, 7).entries());
     journal.commit(ledger.lease("a", "w", 8, 0).entries());
     String log = Journal.name("log-", 1);
     String written = HexFormat.of().formatHex(disk.read(log));
--- a/jobstore/src/test/java/ferngrade/jobstore/LedgerExplorationTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/LedgerExplorationTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -69,7 +69,8 @@
 
   private record Explored(int states, String broken) {}
 
-  private static Explored explore(Supplier<Ledger> ledgers, Effect effect, int jobs, int expiries) {
+  private static Explored explore(
+      Supplier<Ledger> ledgers, Idempotency effect, int jobs, int expiries) {
     Deque<State> open = new ArrayDeque<>();
     Set<String> seen = new HashSet<>();
     State start = new State();
@@ -83,7 +84,7 @@
     while (!open.isEmpty()) {
       State state = open.poll();
       for (int j = 0; j < jobs; j++) {
-        if (state.runs[j] > 1 && effect == Effect.UNSAFE) {
+        if (state.runs[j] > 1 && effect == Idempotency.UNSAFE) {
           return new Explored(seen.size(), "j" + j + " ran twice: " + state.key());
         }
       }
@@ -170,9 +171,10 @@
 
   @Test
   void noUnsafeJobRunsTwiceInAnyState() {
-    Explored one = explore(() -> new Ledger(TERMS), Effect.UNSAFE, 1, 2);
+    Explored one = explore(() -> new Ledger(TERMS), Idempotency.UNSAFE, 1, 2);
     Explored two =
-        explore(() -> new Ledger(new Ledger.Terms(100, 100, 1e18, 2, 0, 0)), Effect.UNSAFE, 2, 1);
+        explore(
+            () -> new Ledger(new Ledger.Terms(100, 100, 1e18, 2, 0, 0)), Idempotency.UNSAFE, 2, 1);
     System.out.println("states: " + one.states() + " with one job, " + two.states() + " with two");
     assertNull(one.broken());
     assertNull(two.broken());
@@ -190,7 +192,7 @@
                     return true;
                   }
                 },
-            Effect.UNSAFE,
+            Idempotency.UNSAFE,
             1,
             2);
     assertNotNull(mutant.broken());
@@ -199,8 +201,8 @@
   @Test
   void aSnapshotIsTheLedgerThatItWasMadeFrom() {
     Ledger ledger = new Ledger(TERMS);
-    ledger.accept("a", Effect.KEYED, "k", 500, new byte[] {1, 2}, AT);
-    ledger.accept("b", Effect.UNSAFE, "", 0, new byte[0], AT);
+    ledger.accept("a", Idempotency.KEYED, "k", 500, new byte[] {1, 2}, AT);
+    ledger.accept("b", Idempotency.UNSAFE, "", 0, new byte[0], AT);
     ledger.lease("a", "w", AT, 0);
     ledger.failed("a", 1, "broken", AT + 1, 0.5);
     ledger.lease("b", "w", AT, 0);
--- a/jobstore/src/test/java/ferngrade/jobstore/LogFileGoldenTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/LogFileGoldenTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import ferngrade.cli.Cli;
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import ferngrade.golden.GoldenFile;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -32,7 +32,7 @@
   private static Map<String, Entry> entries() {
     Map<String, Entry> entries = new LinkedHashMap<>();
     int number = 0;
-    for (Effect effect : Effect.values()) {
+    for (Idempotency effect : Idempotency.values()) {
       entries.put(
           "accepted-" + number,
           new Entry.Accepted("job-" + number, effect, "key", 7_500.5, 2, 1.79e12, PAYLOAD));
@@ -86,7 +86,7 @@
   private static FaultyDisk filled() throws IOException {
     FaultyDisk disk = new FaultyDisk(1, 0);
     try (Journal journal = Journal.open(disk, 1 << 20, entry -> {}, found -> {})) {
-      journal.commit(new ArrayList<>(entries().values()).subList(0, Effect.values().length));
+      journal.commit(new ArrayList<>(entries().values()).subList(0, Idempotency.values().length));
       journal.commit(
           List.of(
               new Entry.Leased("job-0", "worker-1", 11, 1.79e12 + 1),
--- a/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import ferngrade.cli.Cli;
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -34,8 +34,8 @@
     Ledger ledger = new Ledger(TERMS);
     try (FolderDisk disk = FolderDisk.hold(store);
         Journal journal = Journal.open(disk, 1 << 20, ledger::replay, found -> {})) {
-      journal.commit(ledger.accept("a", Effect.UNSAFE, "", 0, new byte[100], 1).entries());
-      journal.commit(ledger.accept("b", Effect.KEYED, "k", 50, new byte[100], 1).entries());
+      journal.commit(ledger.accept("a", Idempotency.UNSAFE, "", 0, new byte[100], 1).entries());
+      journal.commit(ledger.accept("b", Idempotency.KEYED, "k", 50, new byte[100], 1).entries());
       journal.commit(ledger.lease("a", "w1", 2, 0).entries());
       journal.commit(ledger.lease("b", "w2", 2, 0).entries());
       journal.commit(ledger.done("b", 2, "cooked", 3).entries());
--- a/jobstore/src/test/java/ferngrade/jobstore/StoreTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StoreTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Effect;
+import ferngrade.dispatch.Idempotency;
 import ferngrade.jobstore.FaultyDisk.Errno;
 import ferngrade.jobstore.FaultyDisk.Operation;
 import java.io.IOException;
@@ -54,7 +54,7 @@
   }
 
   private static Ledger.Change accept(Store store, String id) {
-    return store.ledger().accept(id, Effect.UNSAFE, "", 0, new byte[50], 1);
+    return store.ledger().accept(id, Idempotency.UNSAFE, "", 0, new byte[50], 1);
   }
 
   @Test
@@ -79,14 +79,14 @@
   }
 
   private void accept(Store store, String id, List<String> told) throws StoreUnavailableException {
-    store.accept(id, Effect.UNSAFE, "", 0, new byte[50], 1, () -> told.add(id));
+    store.accept(id, Idempotency.UNSAFE, "", 0, new byte[50], 1, () -> told.add(id));
   }
 
   private static StoreUnavailableException.Reason refusal(Store store, String id) {
     StoreUnavailableException refused =
         assertThrows(
             StoreUnavailableException.class,
-            () -> store.accept(id, Effect.UNSAFE, "", 0, new byte[50], 1, () -> {}));
+            () -> store.accept(id, Idempotency.UNSAFE, "", 0, new byte[50], 1, () -> {}));
     assertNull(store.ledger().job(id), "nothing is kept of a job that was refused");
     return refused.reason();
   }
--- a/node/src/main/java/ferngrade/config/MemberReader.java
+++ b/node/src/main/java/ferngrade/config/MemberReader.java
@@ -2,8 +2,8 @@
 
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import ferngrade.node.Member;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -98,11 +98,11 @@
     return hash >>> 1;
   }
 
-  private static State state(String phase) {
+  private static WorkerState state(String phase) {
     return switch (phase) {
-      case "active" -> State.READY;
-      case "leaving" -> State.DRAINING;
-      case "left" -> State.GONE;
+      case "active" -> WorkerState.READY;
+      case "leaving" -> WorkerState.DRAINING;
+      case "left" -> WorkerState.GONE;
       default -> throw new IllegalArgumentException("phase is unknown: " + phase);
     };
   }
--- a/node/src/main/java/ferngrade/config/NodeConfig.java
+++ b/node/src/main/java/ferngrade/config/NodeConfig.java
@@ -5,7 +5,7 @@
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
 import ferngrade.config.MemberReader.MemberList;
-import ferngrade.dispatch.Dispatcher.Settings;
+import ferngrade.dispatch.DispatcherSettings;
 import java.io.IOException;
 import java.io.Reader;
 import java.net.InetSocketAddress;
@@ -33,7 +33,7 @@
     List<InetSocketAddress> peers,
     InetSocketAddress peersAll,
     MemberList known,
-    Settings settings,
+    DispatcherSettings settings,
     MemberReader memberReader,
     double connectTimeout,
     double connectionIdle,
@@ -105,7 +105,7 @@
       throw new ConfigException("settings", "is missing or not an object");
     }
     mapping.put(nested.asObject());
-    Settings settings;
+    DispatcherSettings settings;
     double connectTimeout = number(mapping, "Ceilings.ConnectTimeout", 1000);
     try {
       settings = mapping.build(connectTimeout + HOLD_UP);
--- a/node/src/main/java/ferngrade/config/SettingsMapping.java
+++ b/node/src/main/java/ferngrade/config/SettingsMapping.java
@@ -5,23 +5,23 @@
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import ferngrade.dispatch.Dispatcher.ColdRule;
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Goal;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.Limits;
-import ferngrade.dispatch.Dispatcher.Scope;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.Tenant;
+import ferngrade.dispatch.DeploymentLimits;
+import ferngrade.dispatch.DispatcherSettings;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.IdempotencyScope;
+import ferngrade.dispatch.JobClass;
+import ferngrade.dispatch.ServiceObjective;
+import ferngrade.dispatch.SlowStartPolicy;
+import ferngrade.dispatch.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * The one mapping from the names of settings to the module's {@link Settings}, used for the
- * simulator's wire and for a node's configuration alike. Paths that it does not know are ignored;
- * what is out of range ends in an {@link IllegalArgumentException} that names the path.
+ * The one mapping from the names of settings to the module's {@link DispatcherSettings}, used for
+ * the simulator's wire and for a node's configuration alike. Paths that it does not know are
+ * ignored; what is out of range ends in an {@link IllegalArgumentException} that names the path.
  */
 public final class SettingsMapping {
   private final Map<String, String> values = new HashMap<>();
@@ -88,7 +88,7 @@
   }
 
   /** The settings as far as they were taken in. */
-  public Settings build() {
+  public DispatcherSettings build() {
     return build(0);
   }
 
@@ -97,24 +97,24 @@
    * written: the idempotency windows count from then on, and so are shorter by that for whoever
    * decides on a repeat.
    */
-  public Settings build(double transit) {
+  public DispatcherSettings build(double transit) {
     boolean peers = flag("Ceilings.PeerMessages");
     double retryAfter = flag("Ceilings.RetryAfter") ? number("Ceilings.MaxRetryAfter", 0) : 0;
-    Limits limits =
-        new Limits(
+    DeploymentLimits limits =
+        new DeploymentLimits(
             (int) number("Ceilings.MostTries", 1),
             flag("Ceilings.SecondCopies"),
             flag("Ceilings.Cancel"),
             flag("Ceilings.Probes"),
             peers,
             retryAfter);
-    ColdRule cold =
-        new ColdRule(
+    SlowStartPolicy cold =
+        new SlowStartPolicy(
             number("Rules.StartCapacity", 1),
             number("Rules.Cold", 0),
             number("Rules.FallMultiple", 1),
             number("Rules.TipAfter", 1000));
-    return new Settings(
+    return new DispatcherSettings(
         (int) number("Me", 0),
         (int) number("Balancers", 1),
         (int) number("Locality", 0),
@@ -127,7 +127,7 @@
         flag("Extra.TellsStart"),
         "live".equals(values.get("WeightKind")),
         number("Charges.CrossZone", 0),
-        new Goal(number("ResultMix.Whole", 0), number("ResultMix.WorstClass", 0)));
+        new ServiceObjective(number("ResultMix.Whole", 0), number("ResultMix.WorstClass", 0)));
   }
 
   private List<JobClass> classes(double transit) {
@@ -169,22 +169,22 @@
     return tenants;
   }
 
-  private Effect effect(String path) {
+  private Idempotency effect(String path) {
     String word = values.getOrDefault(path, "at_most_once");
     return switch (word) {
-      case "idempotent" -> Effect.SAFE;
-      case "deduplicated" -> Effect.KEYED;
-      case "at_most_once" -> Effect.UNSAFE;
+      case "idempotent" -> Idempotency.SAFE;
+      case "deduplicated" -> Idempotency.KEYED;
+      case "at_most_once" -> Idempotency.UNSAFE;
       default -> throw new IllegalArgumentException(path + " is unknown: " + word);
     };
   }
 
-  private Scope scope(String path) {
+  private IdempotencyScope scope(String path) {
     String word = values.getOrDefault(path, "cell");
     return switch (word) {
-      case "all" -> Scope.ALL;
-      case "zone" -> Scope.ZONE;
-      case "cell" -> Scope.CELL;
+      case "all" -> IdempotencyScope.ALL;
+      case "zone" -> IdempotencyScope.ZONE;
+      case "cell" -> IdempotencyScope.CELL;
       default -> throw new IllegalArgumentException(path + " is unknown: " + word);
     };
   }
--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.ParseException;
 import ferngrade.config.MemberReader;
 import ferngrade.config.MemberReader.MemberList;
-import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Log;
 import ferngrade.node.Node;
@@ -280,7 +280,8 @@
       listed = true;
       whenListed.run();
     }
-    node.members(list.complete() ? News.WHOLE : News.CHANGES, list.members());
+    node.members(
+        list.complete() ? EndpointListUpdate.WHOLE : EndpointListUpdate.CHANGES, list.members());
   }
 
   /** Passes the answer's body on as it comes. */
--- a/node/src/main/java/ferngrade/net/FrontHandler.java
+++ b/node/src/main/java/ferngrade/net/FrontHandler.java
@@ -1,6 +1,6 @@
 package ferngrade.net;
 
-import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Job;
 import ferngrade.node.Clock;
 import ferngrade.node.Log;
 import ferngrade.node.Node;
--- a/node/src/main/java/ferngrade/net/LoadReport.java
+++ b/node/src/main/java/ferngrade/net/LoadReportParser.java
@@ -1,16 +1,16 @@
 package ferngrade.net;
 
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.LoadReport;
 
 /**
  * Reads load reports of the form {@code queue=2,x0=3}; what it cannot read counts as not reported.
  */
-final class LoadReport {
-  private LoadReport() {}
+final class LoadReportParser {
+  private LoadReportParser() {}
 
-  static Report parse(String text) {
+  static LoadReport parse(String text) {
     if (text == null || text.isBlank()) {
-      return Report.NONE;
+      return LoadReport.NONE;
     }
     double slots = Double.NaN;
     double memory = Double.NaN;
@@ -26,7 +26,7 @@
         default -> {}
       }
     }
-    return new Report(slots, memory, queued, held);
+    return new LoadReport(slots, memory, queued, held);
   }
 
   private static double value(String pair, int equals) {
--- a/node/src/main/java/ferngrade/net/NewsReader.java
+++ b/node/src/main/java/ferngrade/net/NewsReader.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.LoadReport;
 import ferngrade.node.News;
 import java.util.Locale;
 
@@ -46,10 +46,10 @@
    * A report that cannot be read costs only itself: what the call-back tells of the job still
    * counts.
    */
-  private static Report load(JsonValue load) {
+  private static LoadReport load(JsonValue load) {
     return load == null || !load.isObject()
-        ? Report.NONE
-        : new Report(
+        ? LoadReport.NONE
+        : new LoadReport(
             figure(load, "x0"),
             figure(load, "x1"),
             figure(load, "queue"),
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -3,11 +3,11 @@
 import ferngrade.config.MaintenanceCodec;
 import ferngrade.config.MemberReader;
 import ferngrade.config.NodeConfig;
-import ferngrade.dispatch.Choice;
 import ferngrade.dispatch.Dispatcher;
 import ferngrade.dispatch.Dispatcher.Actions;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.JobClass;
+import ferngrade.dispatch.ThrottlingDispatcher;
 import ferngrade.node.Clock;
 import ferngrade.node.FileOperations;
 import ferngrade.node.Log;
@@ -163,7 +163,8 @@
         platform,
         clock,
         log,
-        (told, now, actions) -> new Choice(told.settings(), told.seed(), now, actions),
+        (told, now, actions) ->
+            new ThrottlingDispatcher(told.settings(), told.seed(), now, actions),
         channels);
   }
 
@@ -323,7 +324,7 @@
    */
   private void keep(Node node, List<Member> stored) {
     if (config.settings().asks()) {
-      node.members(News.STORED, stored);
+      node.members(EndpointListUpdate.STORED, stored);
     } else {
       node.stored(stored);
     }
--- a/node/src/main/java/ferngrade/net/RequestReader.java
+++ b/node/src/main/java/ferngrade/net/RequestReader.java
@@ -1,10 +1,10 @@
 package ferngrade.net;
 
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.Settings;
-import ferngrade.dispatch.Dispatcher.Tenant;
+import ferngrade.dispatch.DispatcherSettings;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.JobClass;
+import ferngrade.dispatch.Tenant;
 import ferngrade.node.Call;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -48,11 +48,11 @@
   /** The cookie that names what a request is about. */
   private static final String OBJECT = "obj";
 
-  private final Settings settings;
+  private final DispatcherSettings settings;
   private final Map<String, Integer> classes;
   private final Map<String, Integer> tenants;
 
-  RequestReader(Settings settings) {
+  RequestReader(DispatcherSettings settings) {
     this.settings = settings;
     this.classes = positions(settings.classes().stream().map(JobClass::name).toList());
     this.tenants = positions(settings.tenants().stream().map(Tenant::name).toList());
@@ -77,7 +77,7 @@
     }
     int jobClass = position(classes, headers, Headers.KIND);
     String key = one(headers, Headers.REPEAT_KEY);
-    boolean keyed = settings.classes().get(jobClass).effect() == Effect.KEYED;
+    boolean keyed = settings.classes().get(jobClass).effect() == Idempotency.KEYED;
     // Without a key workers could not drop a repeat, and the module relies on that they do.
     if (key == null ? keyed : !KEY.matcher(key).matches()) {
       throw new BadRequestException(Headers.REPEAT_KEY + " is missing or not plain");
--- a/node/src/main/java/ferngrade/net/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/net/ShutdownBudget.java
@@ -1,8 +1,8 @@
 package ferngrade.net;
 
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.JobClass;
-import ferngrade.dispatch.Dispatcher.Settings;
+import ferngrade.dispatch.DispatcherSettings;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.JobClass;
 
 /**
  * The phases of a graceful shutdown, as instants on the node's clock, counted from the signal. The
@@ -55,7 +55,7 @@
    * The budget of a shutdown that was asked for at {@code signalled}, ms, in a deployment with
    * these settings.
    */
-  static ShutdownBudget of(double signalled, Settings settings) {
+  static ShutdownBudget of(double signalled, DispatcherSettings settings) {
     double deadline = settings.classes().stream().mapToDouble(JobClass::deadline).max().orElse(0);
     double kill = signalled + Math.min(LONGEST_DEADLINE, deadline) + KILL_AFTER_DEADLINE;
     double end = kill - HELD_UP - WRITING;
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -1,7 +1,7 @@
 package ferngrade.net;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.LoadReport;
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Call;
 import ferngrade.node.Clock;
@@ -78,7 +78,7 @@
   }
 
   @Override
-  public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
+  public void check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener) {
     Check check = new Check(worker, listener);
     check.patienceTimer = timers.after(CHECK_PATIENCE, check::unanswered);
     start(worker, check);
@@ -96,7 +96,7 @@
   private void dial(InetSocketAddress worker, Transfer transfer) {
     if (!pool.reserve()) {
       log.line("no connection", "no connection left for " + worker);
-      transfer.notConnected(Outcome.NEVER_SENT);
+      transfer.notConnected(AttemptOutcome.NEVER_SENT);
     } else {
       dialer.dial(worker, transfer.patience(), new TransferDial(worker, transfer));
     }
@@ -134,7 +134,7 @@
       pool.unreserve();
       log.line("unreachable", "worker cannot be reached: " + cause.getMessage());
       transfer.notConnected(
-          origin == FaultOrigin.LOCAL ? Outcome.NEVER_SENT : Outcome.CONNECT_FAILED);
+          origin == FaultOrigin.LOCAL ? AttemptOutcome.NEVER_SENT : AttemptOutcome.CONNECT_FAILED);
     }
   }
 
@@ -174,7 +174,7 @@
     /** The connection ended before the answer; LOCAL: by a lack of this machine. */
     abstract void broken(FaultOrigin origin);
 
-    abstract void notConnected(Outcome outcome);
+    abstract void notConnected(AttemptOutcome outcome);
   }
 
   /** An attempt: written once, and taken by the worker with a 202. */
@@ -218,7 +218,7 @@
       // Read as late as can be: a dial may have taken all the time that there was.
       double left = until - clock.now();
       if (!wanted || left <= 0) {
-        end(Outcome.NEVER_SENT, Report.NONE);
+        end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
         return null;
       }
       FullHttpRequest request =
@@ -253,19 +253,19 @@
       if (stage == Stage.OVER) {
         return;
       }
-      Report report = LoadReport.parse(response.headers().get(Headers.LOAD));
+      LoadReport report = LoadReportParser.parse(response.headers().get(Headers.LOAD));
       int status = response.status().code();
       if (status == 202) {
         stage = Stage.TAKEN;
         listener.taken();
       } else if ((status == 503 || status == 504)
           && "1".equals(response.headers().get(Headers.DECLINED))) {
-        end(Outcome.FULL, report);
+        end(AttemptOutcome.FULL, report);
       } else {
         log.line(
             "worker's answer", "worker " + worker + " answered " + status + " to job " + call.id());
         boolean unusable = HttpStatusClass.valueOf(status) == HttpStatusClass.CLIENT_ERROR;
-        end(unusable ? Outcome.UNUSABLE : Outcome.ERROR, report);
+        end(unusable ? AttemptOutcome.UNUSABLE : AttemptOutcome.ERROR, report);
       }
     }
 
@@ -275,9 +275,9 @@
       // Before the last byte the worker cannot have begun; from then on nobody knows.
       boolean mayRun = stage == Stage.WRITTEN;
       if (origin != FaultOrigin.LOCAL) {
-        end(mayRun ? Outcome.RESET : Outcome.CONNECT_FAILED, Report.NONE);
+        end(mayRun ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
       } else if (mayRun) {
-        end(Outcome.CANCELLED, Report.NONE);
+        end(AttemptOutcome.CANCELLED, LoadReport.NONE);
       } else if (stage == Stage.WRITING) {
         stage = Stage.DIALLED;
         delayedLocally = true;
@@ -289,16 +289,16 @@
       if (wanted()) {
         start(worker, this);
       } else {
-        end(Outcome.NEVER_SENT, Report.NONE);
+        end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
       }
     }
 
     @Override
-    void notConnected(Outcome outcome) {
-      end(outcome, Report.NONE);
+    void notConnected(AttemptOutcome outcome) {
+      end(outcome, LoadReport.NONE);
     }
 
-    private void end(Outcome outcome, Report report) {
+    private void end(AttemptOutcome outcome, LoadReport report) {
       if (stage != Stage.OVER) {
         stage = Stage.OVER;
         listener.ended(outcome, report);
@@ -396,7 +396,7 @@
     }
 
     @Override
-    void notConnected(Outcome outcome) {
+    void notConnected(AttemptOutcome outcome) {
       say();
     }
 
@@ -411,12 +411,12 @@
   /** A health check. */
   private static final class Check extends Transfer {
     private final InetSocketAddress worker;
-    private final BiConsumer<Outcome, Report> listener;
+    private final BiConsumer<AttemptOutcome, LoadReport> listener;
     private WorkerConnection carrier;
     private Timers.Timer patienceTimer;
     private boolean finished;
 
-    Check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
+    Check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener) {
       this.worker = worker;
       this.listener = listener;
     }
@@ -432,7 +432,7 @@
     }
 
     void unanswered() {
-      finish(delayedLocally ? Outcome.NEVER_SENT : Outcome.TIMEOUT, Report.NONE);
+      finish(delayedLocally ? AttemptOutcome.NEVER_SENT : AttemptOutcome.TIMEOUT, LoadReport.NONE);
     }
 
     @Override
@@ -450,22 +450,24 @@
       carrier = null;
       boolean healthy = response.status().code() == 200;
       finish(
-          healthy ? Outcome.OK : Outcome.ERROR,
-          LoadReport.parse(response.content().toString(StandardCharsets.UTF_8)));
+          healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR,
+          LoadReportParser.parse(response.content().toString(StandardCharsets.UTF_8)));
     }
 
     @Override
     void broken(FaultOrigin origin) {
       carrier = null;
-      finish(origin == FaultOrigin.LOCAL ? Outcome.NEVER_SENT : Outcome.RESET, Report.NONE);
+      finish(
+          origin == FaultOrigin.LOCAL ? AttemptOutcome.NEVER_SENT : AttemptOutcome.RESET,
+          LoadReport.NONE);
     }
 
     @Override
-    void notConnected(Outcome outcome) {
-      finish(outcome, Report.NONE);
+    void notConnected(AttemptOutcome outcome) {
+      finish(outcome, LoadReport.NONE);
     }
 
-    private void finish(Outcome outcome, Report report) {
+    private void finish(AttemptOutcome outcome, LoadReport report) {
       if (!finished) {
         finished = true;
         patienceTimer.cancel();
--- a/node/src/main/java/ferngrade/node/Attempt.java
+++ b/node/src/main/java/ferngrade/node/Attempt.java
@@ -1,6 +1,6 @@
 package ferngrade.node;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
+import ferngrade.dispatch.AttemptOutcome;
 
 /** One sending of a request to a worker. */
 final class Attempt {
@@ -36,14 +36,14 @@
   }
 
   /** The attempt has ended; nothing that was to end it runs any more. */
-  void ended(Outcome outcome) {
+  void ended(AttemptOutcome outcome) {
     ended = true;
     neverRan = outcome.neverRan;
     doubtful =
         written
-            && (outcome == Outcome.TIMEOUT
-                || outcome == Outcome.CANCELLED
-                || outcome == Outcome.RESET);
+            && (outcome == AttemptOutcome.TIMEOUT
+                || outcome == AttemptOutcome.CANCELLED
+                || outcome == AttemptOutcome.RESET);
     if (timeout != null) {
       timeout.cancel();
       acceptance.cancel();
--- a/node/src/main/java/ferngrade/node/Exchange.java
+++ b/node/src/main/java/ferngrade/node/Exchange.java
@@ -1,6 +1,6 @@
 package ferngrade.node;
 
-import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Job;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/node/src/main/java/ferngrade/node/Maintenance.java
+++ b/node/src/main/java/ferngrade/node/Maintenance.java
@@ -1,8 +1,8 @@
 package ferngrade.node;
 
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -33,13 +33,13 @@
   private final Map<String, Member> listed = new HashMap<>();
 
   /** Lays maintenance over news of the list, and keeps the list's own word. */
-  List<Member> over(News news, List<Member> entries) {
-    if (news != News.CHANGES) {
+  List<Member> over(EndpointListUpdate news, List<Member> entries) {
+    if (news != EndpointListUpdate.CHANGES) {
       listed.clear();
     }
     List<Member> told = new ArrayList<>(entries.size());
     for (Member entry : entries) {
-      if (entry.worker().state() == State.GONE) {
+      if (entry.worker().state() == WorkerState.GONE) {
         listed.remove(entry.name());
       } else {
         listed.put(entry.name(), entry);
@@ -51,11 +51,11 @@
 
   private Member overlaid(Member entry) {
     Worker worker = entry.worker();
-    if (worker.state() == State.GONE) {
+    if (worker.state() == WorkerState.GONE) {
       return entry;
     }
     if (out.contains(entry.name())) {
-      return entry.with(State.DRAINING, worker.startedAt());
+      return entry.with(WorkerState.DRAINING, worker.startedAt());
     }
     Double returned = back.get(entry.name());
     if (returned == null) {
--- a/node/src/main/java/ferngrade/node/Member.java
+++ b/node/src/main/java/ferngrade/node/Member.java
@@ -1,7 +1,7 @@
 package ferngrade.node;
 
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.net.InetSocketAddress;
 
 /**
@@ -15,7 +15,7 @@
   }
 
   /** The same entry with another state and start of its worker. */
-  Member with(State state, double startedAt) {
+  Member with(WorkerState state, double startedAt) {
     return new Member(
         name,
         address,
--- a/node/src/main/java/ferngrade/node/Members.java
+++ b/node/src/main/java/ferngrade/node/Members.java
@@ -1,7 +1,7 @@
 package ferngrade.node;
 
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.WorkerState;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -11,12 +11,12 @@
   private final Map<Long, Member> byId = new HashMap<>();
 
   /** Takes in news; what a whole list leaves out is gone. */
-  void update(News news, List<Member> entries) {
-    if (news != News.CHANGES) {
+  void update(EndpointListUpdate news, List<Member> entries) {
+    if (news != EndpointListUpdate.CHANGES) {
       byId.clear();
     }
     for (Member entry : entries) {
-      if (entry.worker().state() == State.GONE) {
+      if (entry.worker().state() == WorkerState.GONE) {
         byId.remove(entry.worker().id());
       } else {
         byId.put(entry.worker().id(), entry);
@@ -40,7 +40,7 @@
   boolean stands(Member entry) {
     Member present = byId.get(entry.worker().id());
     return present != null
-        && present.worker().state() == State.READY
+        && present.worker().state() == WorkerState.READY
         && present.worker().startedAt() == entry.worker().startedAt()
         && present.address().equals(entry.address());
   }
--- a/node/src/main/java/ferngrade/node/News.java
+++ b/node/src/main/java/ferngrade/node/News.java
@@ -1,13 +1,13 @@
 package ferngrade.node;
 
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.LoadReport;
 
 /**
  * What a worker tells of a job that it has taken: the request's id, the worker's name, what
  * happened, the share done, and the result where it is done.
  */
 public record News(
-    String id, String from, State state, double share, String result, Report report) {
+    String id, String from, State state, double share, String result, LoadReport report) {
   /** What happened to the job. */
   public enum State {
     STARTED,
--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/Node.java
@@ -1,12 +1,13 @@
 package ferngrade.node;
 
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.Dispatcher;
 import ferngrade.dispatch.Dispatcher.Actions;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -161,7 +162,7 @@
       // any more.
       exchange.attempts.stream()
           .filter(attempt -> !attempt.written)
-          .forEach(attempt -> giveUp(attempt, Outcome.CANCELLED, Outcome.NEVER_SENT));
+          .forEach(attempt -> giveUp(attempt, AttemptOutcome.CANCELLED, AttemptOutcome.NEVER_SENT));
     }
   }
 
@@ -198,11 +199,11 @@
               if (!attempt.ended) {
                 exchange.served(news.result());
               }
-              end(attempt, Outcome.OK, news.report());
+              end(attempt, AttemptOutcome.OK, news.report());
             }
-            case FAILED -> end(attempt, Outcome.ERROR, news.report());
-            case RETURNED -> end(attempt, Outcome.FULL, news.report());
-            case LOST -> end(attempt, Outcome.RESET, news.report());
+            case FAILED -> end(attempt, AttemptOutcome.ERROR, news.report());
+            case RETURNED -> end(attempt, AttemptOutcome.FULL, news.report());
+            case LOST -> end(attempt, AttemptOutcome.RESET, news.report());
             default -> throw new IllegalStateException("no such state: " + news.state());
           }
         });
@@ -210,7 +211,7 @@
   }
 
   /** News of the worker list, whose start times are by the wall clock. */
-  public void members(Dispatcher.News news, List<Member> entries) {
+  public void members(EndpointListUpdate news, List<Member> entries) {
     stored = null;
     tell(news, maintenance.over(news, startTimes.translate(news, entries)));
   }
@@ -229,7 +230,7 @@
     stored = entries;
   }
 
-  private void tell(Dispatcher.News news, List<Member> entries) {
+  private void tell(EndpointListUpdate news, List<Member> entries) {
     // Known at once, not with the next batch: the drain rule counts from the telling.
     members.update(news, entries);
     List<Worker> told = entries.stream().map(Member::worker).toList();
@@ -246,7 +247,7 @@
     }
     Member entry = maintenance.take(name);
     if (entry != null) {
-      tell(Dispatcher.News.CHANGES, List.of(entry));
+      tell(EndpointListUpdate.CHANGES, List.of(entry));
     }
     return true;
   }
@@ -260,7 +261,7 @@
     }
     Member entry = maintenance.giveBack(name, clock.now());
     if (entry != null) {
-      tell(Dispatcher.News.CHANGES, List.of(entry));
+      tell(EndpointListUpdate.CHANGES, List.of(entry));
     }
     return true;
   }
@@ -288,7 +289,7 @@
    */
   public void sourceSilent() {
     if (stored != null) {
-      members(Dispatcher.News.STORED, stored);
+      members(EndpointListUpdate.STORED, stored);
     }
   }
 
@@ -364,7 +365,11 @@
     exchange.givenUp();
     module.abandoned(clock.now(), exchange.job.id());
     running.forEach(
-        each -> end(each, each.written ? Outcome.CANCELLED : Outcome.NEVER_SENT, Report.NONE));
+        each ->
+            end(
+                each,
+                each.written ? AttemptOutcome.CANCELLED : AttemptOutcome.NEVER_SENT,
+                LoadReport.NONE));
     release(exchange);
   }
 
@@ -376,7 +381,7 @@
     }
   }
 
-  private void end(Attempt attempt, Outcome outcome, Report report) {
+  private void end(Attempt attempt, AttemptOutcome outcome, LoadReport report) {
     if (attempt.ended) {
       return;
     }
@@ -414,13 +419,14 @@
         || left <= 0
         || barred
         || member == null
-        || member.worker().state() != State.READY) {
-      offer(() -> end(attempt, Outcome.NEVER_SENT, Report.NONE));
+        || member.worker().state() != WorkerState.READY) {
+      offer(() -> end(attempt, AttemptOutcome.NEVER_SENT, LoadReport.NONE));
       return;
     }
     double patience = timeout > 0 ? Math.min(timeout, left) : left;
     attempt.timeout =
-        timers.after(patience, () -> giveUp(attempt, Outcome.TIMEOUT, Outcome.CONNECT_FAILED));
+        timers.after(
+            patience, () -> giveUp(attempt, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECT_FAILED));
     attempt.acceptance = timers.after(ACCEPTANCE, () -> notAccepted(attempt));
     attempt.sending =
         workers.send(exchange.call, member.address(), patience, new Listener(attempt));
@@ -429,17 +435,20 @@
   private void cancel(String id, int number) {
     Exchange exchange = exchanges.get(id);
     if (exchange != null && number < exchange.attempts.size()) {
-      giveUp(exchange.attempts.get(number), Outcome.CANCELLED, Outcome.NEVER_SENT);
+      giveUp(exchange.attempts.get(number), AttemptOutcome.CANCELLED, AttemptOutcome.NEVER_SENT);
     }
   }
 
-  private void giveUp(Attempt attempt, Outcome ifWritten, Outcome ifNot) {
+  private void giveUp(Attempt attempt, AttemptOutcome ifWritten, AttemptOutcome ifNot) {
     if (!attempt.ended && attempt.sending != null) {
       offer(
           () -> {
             if (!attempt.ended) {
               attempt.sending.giveUp(() -> {});
-              end(attempt, attempt.written ? ifWritten : unwritten(attempt, ifNot), Report.NONE);
+              end(
+                  attempt,
+                  attempt.written ? ifWritten : unwritten(attempt, ifNot),
+                  LoadReport.NONE);
             }
           });
     }
@@ -449,8 +458,8 @@
    * How an attempt ends that was not written: a worker is not to blame for what this machine
    * lacked.
    */
-  private static Outcome unwritten(Attempt attempt, Outcome otherwise) {
-    return attempt.sending.delayedLocally() ? Outcome.NEVER_SENT : otherwise;
+  private static AttemptOutcome unwritten(Attempt attempt, AttemptOutcome otherwise) {
+    return attempt.sending.delayedLocally() ? AttemptOutcome.NEVER_SENT : otherwise;
   }
 
   /**
@@ -468,9 +477,9 @@
                       end(
                           attempt,
                           attempt.written
-                              ? Outcome.TIMEOUT
-                              : unwritten(attempt, Outcome.CONNECT_FAILED),
-                          Report.NONE)));
+                              ? AttemptOutcome.TIMEOUT
+                              : unwritten(attempt, AttemptOutcome.CONNECT_FAILED),
+                          LoadReport.NONE)));
     }
   }
 
@@ -519,7 +528,7 @@
     }
 
     @Override
-    public void ended(Outcome outcome, Report report) {
+    public void ended(AttemptOutcome outcome, LoadReport report) {
       offer(() -> end(attempt, outcome, report));
     }
   }
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -1,8 +1,8 @@
 package ferngrade.node;
 
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -82,7 +82,7 @@
   }
 
   /** The entries of a list that came now, with start times by the monotonic clock. */
-  List<Member> translate(News news, List<Member> entries) {
+  List<Member> translate(EndpointListUpdate news, List<Member> entries) {
     double now = clock.now();
     measure();
     List<Member> translated = new ArrayList<>(entries.size());
@@ -90,7 +90,7 @@
       translated.add(translate(entry, now));
     }
     forgetOldest(Math.max(LEAST_REMEMBERED, 2 * entries.size()));
-    if (news != News.STORED) {
+    if (news != EndpointListUpdate.STORED) {
       lastTold = now;
     }
     return translated;
@@ -140,7 +140,7 @@
     Incarnation incarnation = known.get(worker.id());
     if (incarnation == null || incarnation.listedStart() != listedStart) {
       incarnation = new Incarnation(listedStart, apart(startedAt(listedStart, now), incarnation));
-      if (worker.state() != State.GONE) {
+      if (worker.state() != WorkerState.GONE) {
         known.put(worker.id(), incarnation);
       }
     }
--- a/node/src/main/java/ferngrade/node/Workers.java
+++ b/node/src/main/java/ferngrade/node/Workers.java
@@ -1,7 +1,7 @@
 package ferngrade.node;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.LoadReport;
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
 
@@ -14,7 +14,7 @@
   Sending send(Call call, InetSocketAddress worker, double patience, Listener listener);
 
   /** Asks a worker for its health and load; the answer goes to the listener. */
-  void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener);
+  void check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener);
 
   /** One call on its way. */
   interface Sending {
@@ -45,6 +45,6 @@
     void taken();
 
     /** The attempt has ended; a call that the worker has taken ends by its call-back instead. */
-    void ended(Outcome outcome, Report report);
+    void ended(AttemptOutcome outcome, LoadReport report);
   }
 }
--- a/node/src/main/java/ferngrade/wire/WireHost.java
+++ b/node/src/main/java/ferngrade/wire/WireHost.java
@@ -1,14 +1,14 @@
 package ferngrade.wire;
 
 import ferngrade.config.SettingsMapping;
-import ferngrade.dispatch.Choice;
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.Dispatcher;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.dispatch.ThrottlingDispatcher;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -133,7 +133,7 @@
       for (String pair = in.text(); pair != null; pair = in.text()) {
         settings.put(pair);
       }
-      seat.module = new Choice(settings.build(), seed, now, seat.actions);
+      seat.module = new ThrottlingDispatcher(settings.build(), seed, now, seat.actions);
     } catch (IllegalArgumentException invalid) {
       throw in.wrong("Env", invalid.getMessage());
     }
@@ -176,7 +176,7 @@
     in.whole("Runner");
     in.whole("Note", 0);
     int attempt = in.index("N");
-    Outcome outcome = outcome();
+    AttemptOutcome outcome = outcome();
     double took = in.number("TimeTaken", 0);
     boolean over = in.flag("Over");
     module().ended(now, id, attempt, outcome, took, over, report());
@@ -184,29 +184,29 @@
 
   private void sampled() {
     long worker = in.whole("Runner");
-    Outcome outcome = outcome();
+    AttemptOutcome outcome = outcome();
     module().checked(now, worker, outcome, in.number("TimeTaken", 0), report());
   }
 
-  private Outcome outcome() {
+  private AttemptOutcome outcome() {
     String word = in.text("Reason");
     return switch (word) {
-      case "ok" -> Outcome.OK;
-      case "error" -> Outcome.ERROR;
-      case "full" -> Outcome.FULL;
-      case "timeout" -> Outcome.TIMEOUT;
-      case "connect_failed" -> Outcome.CONNECT_FAILED;
-      case "reset" -> Outcome.RESET;
-      case "cancelled" -> Outcome.CANCELLED;
-      case "moot" -> Outcome.NEVER_SENT;
+      case "ok" -> AttemptOutcome.OK;
+      case "error" -> AttemptOutcome.ERROR;
+      case "full" -> AttemptOutcome.FULL;
+      case "timeout" -> AttemptOutcome.TIMEOUT;
+      case "connect_failed" -> AttemptOutcome.CONNECT_FAILED;
+      case "reset" -> AttemptOutcome.RESET;
+      case "cancelled" -> AttemptOutcome.CANCELLED;
+      case "moot" -> AttemptOutcome.NEVER_SENT;
       default -> throw in.wrong("Reason", "is unknown: " + word);
     };
   }
 
-  private Report report() {
+  private LoadReport report() {
     String gauge = in.text();
     if (gauge == null) {
-      return Report.NONE;
+      return LoadReport.NONE;
     }
     double slots = Double.NaN;
     double memory = Double.NaN;
@@ -223,7 +223,7 @@
         default -> {}
       }
     }
-    return new Report(slots, memory, queued, held);
+    return new LoadReport(slots, memory, queued, held);
   }
 
   private double gaugeValue(String pair, int colon) {
@@ -243,7 +243,7 @@
         throw in.wrong("CENSUS of " + count + " entries has only " + i);
       }
       double startedAt = in.number("ReadyAt", 0);
-      State state = state(in.text("Status"));
+      WorkerState state = state(in.text("Status"));
       int cell = (int) in.whole("Cohort", 0);
       int kind = (int) in.whole("Kind", 0);
       long id = in.whole("Runner");
@@ -253,11 +253,11 @@
     lists.set(ref, workers);
   }
 
-  private State state(String word) {
+  private WorkerState state(String word) {
     return switch (word) {
-      case "Ready" -> State.READY;
-      case "Terminating" -> State.DRAINING;
-      case "Gone" -> State.GONE;
+      case "Ready" -> WorkerState.READY;
+      case "Terminating" -> WorkerState.DRAINING;
+      case "Gone" -> WorkerState.GONE;
       default -> throw in.wrong("Status", "is unknown: " + word);
     };
   }
@@ -277,11 +277,11 @@
       module().listFailed(now);
       return;
     }
-    News news =
+    EndpointListUpdate news =
         switch (mode) {
-          case "Partial" -> News.CHANGES;
-          case "Complete" -> News.WHOLE;
-          case "Persisted" -> News.STORED;
+          case "Partial" -> EndpointListUpdate.CHANGES;
+          case "Complete" -> EndpointListUpdate.WHOLE;
+          case "Persisted" -> EndpointListUpdate.STORED;
           default -> throw in.wrong("Mode", "is unknown: " + mode);
         };
     List<Worker> workers = lists.get(listNumber());
--- a/node/src/test/java/ferngrade/ArchitectureTest.java
+++ b/node/src/test/java/ferngrade/ArchitectureTest.java
@@ -19,7 +19,7 @@
   void decisionsReadNoClockAndTouchNoSocketFileOrThread() {
     noClasses()
         .that()
-        .haveFullyQualifiedName("ferngrade.dispatch.Choice")
+        .haveFullyQualifiedName("ferngrade.dispatch.ThrottlingDispatcher")
         .or()
         .haveFullyQualifiedName("ferngrade.dispatch.Dispatcher")
         .or()
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -5,8 +5,8 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-import ferngrade.dispatch.Dispatcher.Effect;
-import ferngrade.dispatch.Dispatcher.State;
+import ferngrade.dispatch.Idempotency;
+import ferngrade.dispatch.WorkerState;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -32,14 +32,14 @@
   public void nestedSettingsBecomeTheModules() throws ConfigException {
     NodeConfig config = NodeConfig.read(Json.parse(GOOD).asObject());
     assertEquals(config.settings().classes().size(), 2);
-    assertEquals(config.settings().classes().get(0).effect(), Effect.KEYED);
+    assertEquals(config.settings().classes().get(0).effect(), Idempotency.KEYED);
     assertEquals(config.settings().classes().get(1).stretch(), 1.75);
     assertEquals(config.settings().limits().retryAfterMax(), 2000.0);
     assertEquals(config.connectionIdle(), 60000.0);
     assertEquals(config.sockets(), 512);
     assertEquals(config.peers().size(), 2);
     var member = config.known().members().get(0);
-    assertEquals(member.worker().state(), State.DRAINING);
+    assertEquals(member.worker().state(), WorkerState.DRAINING);
     assertEquals(member.worker().zone(), 1);
     assertEquals(member.worker().kind(), 1);
     assertEquals(member.worker().startedAt(), 7.0);
--- a/node/src/test/java/ferngrade/net/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/net/DepartedClientTest.java
@@ -3,11 +3,11 @@
 import static org.testng.Assert.assertEquals;
 
 import ferngrade.config.NodeConfig;
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.Dispatcher;
 import ferngrade.dispatch.Dispatcher.Actions;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.Worker;
 import ferngrade.node.Clock;
 import ferngrade.node.Log;
 import java.io.IOException;
@@ -72,10 +72,10 @@
                 }
                 case "arrived" -> arrived(((Job) with[1]).id(), actions);
                 case "ended" -> {
-                  if (with[3] == Outcome.NEVER_SENT) {
+                  if (with[3] == AttemptOutcome.NEVER_SENT) {
                     actions.refuse((String) with[1], 0);
                   }
-                  if (cause == Cause.DECLINED_ATTEMPT && with[3] == Outcome.FULL) {
+                  if (cause == Cause.DECLINED_ATTEMPT && with[3] == AttemptOutcome.FULL) {
                     hold();
                     actions.send("a", workers.get(0), 0);
                   }
--- a/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
@@ -8,8 +8,8 @@
 import com.eclipsesource.json.Json;
 import ferngrade.config.MemberReader;
 import ferngrade.config.SettingsMapping;
-import ferngrade.dispatch.Choice;
-import ferngrade.dispatch.Dispatcher.News;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.ThrottlingDispatcher;
 import ferngrade.node.Log;
 import ferngrade.node.Node;
 import ferngrade.node.Timers;
@@ -162,7 +162,7 @@
   @Test(timeOut = 30_000)
   public void discoverySilentFromBeforeTheStartIsAskedAgainAfterASecond() throws Exception {
     try (RawHttp silent = accept(WHOLE)) {
-      loop.submit(() -> node.members(News.STORED, List.of())).get();
+      loop.submit(() -> node.members(EndpointListUpdate.STORED, List.of())).get();
       now = 1_100;
       loop.submit(timers::run).get();
       assertNull(silent.read());
@@ -313,7 +313,7 @@
         new Node(
             new Node.Surroundings(() -> now, timers, loop, null, (peer, message) -> {}, log),
             new Node.Room(1, 1, 0),
-            actions -> new Choice(settings.build(), 7, now, actions));
+            actions -> new ThrottlingDispatcher(settings.build(), 7, now, actions));
     new DiscoveryWatch(
             group,
             discovery,
--- a/node/src/test/java/ferngrade/net/LateReadTest.java
+++ b/node/src/test/java/ferngrade/net/LateReadTest.java
@@ -5,7 +5,7 @@
 import com.eclipsesource.json.Json;
 import ferngrade.config.NodeConfig;
 import ferngrade.dispatch.Dispatcher;
-import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Job;
 import ferngrade.node.Log;
 import io.netty.channel.SelectStrategy;
 import java.lang.reflect.Proxy;
--- a/node/src/test/java/ferngrade/net/RequestReaderTest.java
+++ b/node/src/test/java/ferngrade/net/RequestReaderTest.java
@@ -5,7 +5,7 @@
 
 import com.eclipsesource.json.Json;
 import ferngrade.config.SettingsMapping;
-import ferngrade.dispatch.Dispatcher.Job;
+import ferngrade.dispatch.Job;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
--- a/node/src/test/java/ferngrade/net/ShutdownBudgetTest.java
+++ b/node/src/test/java/ferngrade/net/ShutdownBudgetTest.java
@@ -53,7 +53,7 @@
         budget.tooLittleFor(SIGNALLED + 5000, SIGNALLED), "it is cut short, with enough left");
   }
 
-  private static ferngrade.dispatch.Dispatcher.Settings settings(double deadline) throws Exception {
+  private static ferngrade.dispatch.DispatcherSettings settings(double deadline) throws Exception {
     NodeConfig config = NodeStory.config(1, null, "push", deadline);
     return config.settings();
   }
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -4,8 +4,8 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.LoadReport;
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.net.FaultInjectingChannels.SystemCall;
 import ferngrade.net.RawHttp.Message;
@@ -376,7 +376,7 @@
     public void taken() {}
 
     @Override
-    public void ended(Outcome outcome, Report report) {
+    public void ended(AttemptOutcome outcome, LoadReport report) {
       told.add(outcome.name());
     }
   }
