--- a/node/src/test/java/ferngrade/node/MaintenanceTest.java
+++ b/node/src/test/java/ferngrade/node/MaintenanceTest.java
@@ -5,16 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class MaintenanceTest {
-  private static Member entry(String name, State state, double startedAt) {
+  private static Member entry(String name, WorkerState state, double startedAt) {
     return new Member(
         name,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 9000),
@@ -25,7 +25,7 @@
 
   @Test
   void aNameThatNobodyHasIsUnknownAndChangesNothing() {
-    maintenance.over(News.WHOLE, List.of(entry("s-1", State.READY, 0)));
+    maintenance.over(EndpointListUpdate.WHOLE, List.of(entry("s-1", WorkerState.READY, 0)));
     assertFalse(maintenance.knows("s-9"));
     assertTrue(maintenance.knows("s-1"));
     assertEquals(0, maintenance.listedOut());
@@ -34,50 +34,53 @@
   @Test
   void aWorkerTakenOutStaysOutWhateverTheListSaysLater() {
     maintenance.over(
-        News.WHOLE, List.of(entry("s-1", State.READY, 0), entry("s-2", State.READY, 0)));
-    assertEquals(State.DRAINING, maintenance.take("s-1").worker().state());
+        EndpointListUpdate.WHOLE,
+        List.of(entry("s-1", WorkerState.READY, 0), entry("s-2", WorkerState.READY, 0)));
+    assertEquals(WorkerState.DRAINING, maintenance.take("s-1").worker().state());
     // Discovery lists it anew as active, whole and as a change, and even after it was gone for a
     // while.
-    for (News news : List.of(News.WHOLE, News.CHANGES, News.STORED)) {
-      List<Member> told = maintenance.over(news, List.of(entry("s-1", State.READY, 0)));
-      assertEquals(State.DRAINING, told.get(0).worker().state(), news.name());
+    for (EndpointListUpdate news :
+        List.of(EndpointListUpdate.WHOLE, EndpointListUpdate.CHANGES, EndpointListUpdate.STORED)) {
+      List<Member> told = maintenance.over(news, List.of(entry("s-1", WorkerState.READY, 0)));
+      assertEquals(WorkerState.DRAINING, told.get(0).worker().state(), news.name());
     }
-    maintenance.over(News.CHANGES, List.of(entry("s-1", State.GONE, 0)));
+    maintenance.over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.GONE, 0)));
     assertTrue(maintenance.knows("s-1"));
     assertNull(maintenance.giveBack("s-9", 5));
-    List<Member> relisted = maintenance.over(News.CHANGES, List.of(entry("s-1", State.READY, 0)));
-    assertEquals(State.DRAINING, relisted.get(0).worker().state());
+    List<Member> relisted =
+        maintenance.over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 0)));
+    assertEquals(WorkerState.DRAINING, relisted.get(0).worker().state());
   }
 
   @Test
   void twoCallsOutNeedOneCallBackAndTheReturnIsCold() {
-    maintenance.over(News.WHOLE, List.of(entry("s-1", State.READY, 100)));
+    maintenance.over(EndpointListUpdate.WHOLE, List.of(entry("s-1", WorkerState.READY, 100)));
     maintenance.take("s-1");
     maintenance.take("s-1");
     assertEquals(1, maintenance.listedOut());
     Member back = maintenance.giveBack("s-1", 5000);
-    assertEquals(State.READY, back.worker().state());
+    assertEquals(WorkerState.READY, back.worker().state());
     assertEquals(5000, back.worker().startedAt());
     assertEquals(0, maintenance.listedOut());
     // The list's older start does not make it warm again; a later start of its own counts.
     assertEquals(
         5000,
         maintenance
-            .over(News.CHANGES, List.of(entry("s-1", State.READY, 100)))
+            .over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 100)))
             .get(0)
             .worker()
             .startedAt());
     assertEquals(
         7000,
         maintenance
-            .over(News.CHANGES, List.of(entry("s-1", State.READY, 7000)))
+            .over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 7000)))
             .get(0)
             .worker()
             .startedAt());
     assertEquals(
         100,
         maintenance
-            .over(News.CHANGES, List.of(entry("s-1", State.READY, 100)))
+            .over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 100)))
             .get(0)
             .worker()
             .startedAt());
@@ -86,7 +89,8 @@
   @Test
   void aLaterProcessTakesOverWhatIsOutAndWhatCameBack() {
     maintenance.over(
-        News.WHOLE, List.of(entry("s-1", State.READY, 0), entry("s-2", State.READY, 0)));
+        EndpointListUpdate.WHOLE,
+        List.of(entry("s-1", WorkerState.READY, 0), entry("s-2", WorkerState.READY, 0)));
     maintenance.take("s-1");
     maintenance.take("s-2");
     maintenance.giveBack("s-2", 900);
@@ -94,9 +98,10 @@
     later.restore(maintenance.saved());
     List<Member> told =
         later.over(
-            News.STORED, List.of(entry("s-1", State.READY, 0), entry("s-2", State.READY, 0)));
-    assertEquals(State.DRAINING, told.get(0).worker().state());
-    assertEquals(State.READY, told.get(1).worker().state());
+            EndpointListUpdate.STORED,
+            List.of(entry("s-1", WorkerState.READY, 0), entry("s-2", WorkerState.READY, 0)));
+    assertEquals(WorkerState.DRAINING, told.get(0).worker().state());
+    assertEquals(WorkerState.READY, told.get(1).worker().state());
     assertEquals(900, told.get(1).worker().startedAt());
     assertEquals(1, later.listedOut());
     assertEquals(2, later.listedAll());
--- a/node/src/test/java/ferngrade/node/NodeTest.java
+++ b/node/src/test/java/ferngrade/node/NodeTest.java
@@ -4,13 +4,14 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
+import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.Dispatcher;
 import ferngrade.dispatch.Dispatcher.Actions;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -55,8 +56,8 @@
               return new Recorder();
             });
     node.members(
-        Dispatcher.News.WHOLE,
-        List.of(member("s-1", 1, State.READY, 0), member("s-2", 2, State.READY, 0)));
+        EndpointListUpdate.WHOLE,
+        List.of(member("s-1", 1, WorkerState.READY, 0), member("s-2", 2, WorkerState.READY, 0)));
     run();
   }
 
@@ -118,7 +119,7 @@
     request("a", 21_000);
     send("a", 1);
     sent.get(0).written();
-    sent.get(0).ended(Outcome.RESET, Report.NONE);
+    sent.get(0).ended(AttemptOutcome.RESET, LoadReport.NONE);
     run();
     send("a", 1);
     assertEquals(sent.size(), 1);
@@ -130,7 +131,7 @@
     assertEquals(sent.size(), 2);
     request("b", 21_000);
     send("b", 1);
-    sent.get(2).ended(Outcome.CONNECT_FAILED, Report.NONE);
+    sent.get(2).ended(AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
     run();
     send("b", 1);
     assertEquals(sent.size(), 4, "what was never written bars nobody");
@@ -169,7 +170,7 @@
   @Test
   public void callBackAfterTheResetOfItsAttemptChangesNothing() {
     out("a", 1);
-    sent.get(0).ended(Outcome.RESET, Report.NONE);
+    sent.get(0).ended(AttemptOutcome.RESET, LoadReport.NONE);
     run();
     say("a", "s-1", News.State.DONE);
     say("a", "s-1", News.State.FAILED);
@@ -278,19 +279,19 @@
   public void sendWaitingOnAConnectStopsWhenItsWorkerDrainsRestartsOrMoves() {
     out("a", 1);
     assertTrue(sent.get(0).mayStart());
-    Member ready = member("s-1", 1, State.READY, 0);
+    Member ready = member("s-1", 1, WorkerState.READY, 0);
     for (Member changed :
         List.of(
-            member("s-1", 1, State.DRAINING, 0),
-            member("s-1", 1, State.GONE, 0),
-            member("s-1", 1, State.READY, 900),
+            member("s-1", 1, WorkerState.DRAINING, 0),
+            member("s-1", 1, WorkerState.GONE, 0),
+            member("s-1", 1, WorkerState.READY, 900),
             new Member("s-1", new InetSocketAddress("127.0.0.9", 9), ready.worker()))) {
-      node.members(Dispatcher.News.CHANGES, List.of(changed));
+      node.members(EndpointListUpdate.CHANGES, List.of(changed));
       assertFalse(sent.get(0).mayStart(), changed.toString());
-      node.members(Dispatcher.News.CHANGES, List.of(ready));
+      node.members(EndpointListUpdate.CHANGES, List.of(ready));
       assertTrue(sent.get(0).mayStart());
     }
-    node.members(Dispatcher.News.WHOLE, List.of(member("s-2", 2, State.READY, 0)));
+    node.members(EndpointListUpdate.WHOLE, List.of(member("s-2", 2, WorkerState.READY, 0)));
     assertFalse(sent.get(0).mayStart());
   }
 
@@ -321,7 +322,7 @@
   }
 
   private void say(String id, String from, News.State state) {
-    node.news(new News(id, from, state, 0, "r", Report.NONE));
+    node.news(new News(id, from, state, 0, "r", LoadReport.NONE));
     run();
   }
 
@@ -351,7 +352,7 @@
     return new Call(id, "POST", "/api", null, new byte[0]);
   }
 
-  private static Member member(String name, long id, State state, double startedAt) {
+  private static Member member(String name, long id, WorkerState state, double startedAt) {
     return new Member(
         name,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), (int) id),
@@ -386,8 +387,8 @@
     }
 
     @Override
-    public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
-      listener.accept(Outcome.OK, Report.NONE);
+    public void check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener) {
+      listener.accept(AttemptOutcome.OK, LoadReport.NONE);
     }
   }
 
@@ -413,10 +414,10 @@
         double time,
         String id,
         int attempt,
-        Outcome outcome,
+        AttemptOutcome outcome,
         double took,
         boolean over,
-        Report report) {
+        LoadReport report) {
       heard.add("ended " + id + "/" + attempt + " " + outcome + (over ? " over" : ""));
     }
 
@@ -426,13 +427,14 @@
     }
 
     @Override
-    public void members(double time, Dispatcher.News news, List<Worker> workers) {}
+    public void members(double time, EndpointListUpdate news, List<Worker> workers) {}
 
     @Override
     public void listFailed(double time) {}
 
     @Override
-    public void checked(double time, long worker, Outcome outcome, double took, Report report) {}
+    public void checked(
+        double time, long worker, AttemptOutcome outcome, double took, LoadReport report) {}
 
     @Override
     public void heard(double time, int from, byte[] message) {}
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
@@ -5,13 +5,13 @@
 
 import com.eclipsesource.json.Json;
 import ferngrade.config.SettingsMapping;
-import ferngrade.dispatch.Choice;
-import ferngrade.dispatch.Dispatcher;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.dispatch.ThrottlingDispatcher;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -102,24 +102,24 @@
                   (peer, message) -> {},
                   new Log(clock, line -> {})),
               new Node.Room(1000, 1_000_000, 0),
-              actions -> new Choice(settings.build(), 7, clock.now(), actions));
+              actions -> new ThrottlingDispatcher(settings.build(), 7, clock.now(), actions));
     }
 
     int[] sends(double by, Moment when, Stepped who) {
       step = by;
       moment = when;
       at(Moment.BEFORE_THE_FIRST_LIST, who);
-      node.members(Dispatcher.News.WHOLE, List.of(entry(1, 0)));
+      node.members(EndpointListUpdate.WHOLE, List.of(entry(1, 0)));
       traffic(20_000);
       at(Moment.BEFORE_THE_WORKER_STARTS, who);
       double listedStart = clock.now() + theirsAhead;
       at(Moment.BETWEEN_ITS_START_AND_ITS_LISTING, who);
       traffic(100);
       joinedAt = clock.now();
-      node.members(Dispatcher.News.CHANGES, List.of(entry(2, listedStart)));
+      node.members(EndpointListUpdate.CHANGES, List.of(entry(2, listedStart)));
       traffic(1_000);
       at(Moment.WHILE_IT_WARMS_UP, who);
-      node.members(Dispatcher.News.WHOLE, List.of(entry(1, 0), entry(2, listedStart)));
+      node.members(EndpointListUpdate.WHOLE, List.of(entry(1, 0), entry(2, listedStart)));
       traffic(SECONDS_OBSERVED * 1000 - 1_000 - PAUSE);
       return sent;
     }
@@ -135,7 +135,7 @@
       return new Member(
           "s-" + id,
           new InetSocketAddress(InetAddress.getLoopbackAddress(), id),
-          new Worker(id, State.READY, 0, 0, 0, listedStart, 1));
+          new Worker(id, WorkerState.READY, 0, 0, 0, listedStart, 1));
     }
 
     private void traffic(double millis) {
@@ -165,13 +165,18 @@
           () ->
               node.news(
                   new News(
-                      call.id(), "s-" + worker.getPort(), News.State.DONE, 1, "r", Report.NONE)));
+                      call.id(),
+                      "s-" + worker.getPort(),
+                      News.State.DONE,
+                      1,
+                      "r",
+                      LoadReport.NONE)));
       return told -> {};
     }
 
     @Override
-    public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
-      listener.accept(Outcome.OK, Report.NONE);
+    public void check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener) {
+      listener.accept(AttemptOutcome.OK, LoadReport.NONE);
     }
   }
 
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
@@ -4,13 +4,13 @@
 
 import com.eclipsesource.json.Json;
 import ferngrade.config.SettingsMapping;
-import ferngrade.dispatch.Choice;
-import ferngrade.dispatch.Dispatcher;
-import ferngrade.dispatch.Dispatcher.Job;
-import ferngrade.dispatch.Dispatcher.Outcome;
-import ferngrade.dispatch.Dispatcher.Report;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Job;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.dispatch.ThrottlingDispatcher;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -94,28 +94,28 @@
                   (peer, message) -> {},
                   new Log(clock, line -> {})),
               new Node.Room(100, 100_000, 700),
-              actions -> new Choice(settings.build(), 7, clock.now(), actions));
+              actions -> new ThrottlingDispatcher(settings.build(), 7, clock.now(), actions));
     }
 
     /** All of it; a point at which the step may come lies between any two events. */
     List<String> events() {
       point();
-      list(State.READY);
+      list(WorkerState.READY);
       point();
       request("keyed", 0);
       pass(100);
-      last.ended(Outcome.RESET, Report.NONE);
+      last.ended(AttemptOutcome.RESET, LoadReport.NONE);
       run();
       pass(20);
-      node.news(new News("keyed", lastWorker, News.State.DONE, 1, "r", Report.NONE));
+      node.news(new News("keyed", lastWorker, News.State.DONE, 1, "r", LoadReport.NONE));
       run();
       request("outside", 0);
       pass(500);
-      last.ended(Outcome.RESET, Report.NONE);
+      last.ended(AttemptOutcome.RESET, LoadReport.NONE);
       run();
       request("hangs", 1);
       pass(1_000);
-      list(State.DRAINING);
+      list(WorkerState.DRAINING);
       request("drained", 1);
       pass(100);
       return events;
@@ -127,12 +127,12 @@
       }
     }
 
-    private void list(State state) {
-      node.members(Dispatcher.News.WHOLE, List.of(entry(1, state), entry(2, state)));
+    private void list(WorkerState state) {
+      node.members(EndpointListUpdate.WHOLE, List.of(entry(1, state), entry(2, state)));
       run();
     }
 
-    private static Member entry(int id, State state) {
+    private static Member entry(int id, WorkerState state) {
       return new Member(
           "s-" + id,
           new InetSocketAddress(InetAddress.getLoopbackAddress(), id),
@@ -181,8 +181,8 @@
     }
 
     @Override
-    public void check(InetSocketAddress worker, BiConsumer<Outcome, Report> listener) {
-      listener.accept(Outcome.OK, Report.NONE);
+    public void check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener) {
+      listener.accept(AttemptOutcome.OK, LoadReport.NONE);
     }
 
     /** Notes the answer to one request. */
--- a/node/src/test/java/ferngrade/node/StartTimesTest.java
+++ b/node/src/test/java/ferngrade/node/StartTimesTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
 
-import ferngrade.dispatch.Dispatcher.News;
-import ferngrade.dispatch.Dispatcher.State;
-import ferngrade.dispatch.Dispatcher.Worker;
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Worker;
+import ferngrade.dispatch.WorkerState;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -35,93 +35,95 @@
     return new Member(
         "s-" + id,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), (int) id),
-        new Worker(id, State.READY, 0, 0, 0, listedStart, 1));
+        new Worker(id, WorkerState.READY, 0, 0, 0, listedStart, 1));
   }
 
-  private double translated(News news, Member entry) {
+  private double translated(EndpointListUpdate news, Member entry) {
     return times.translate(news, List.of(entry)).get(0).worker().startedAt();
   }
 
   /** The age, ms, that a worker is given which this list is the first to hold. */
-  private double age(News news, long id, double listedStart) {
+  private double age(EndpointListUpdate news, long id, double listedStart) {
     return clock.now() - translated(news, entry(id, listedStart));
   }
 
   @Test
   public void withoutAStepEntriesPassAsTheyAre() {
     List<Member> list = List.of(entry(1, 0), entry(2, START - 70_000), entry(3, START));
-    assertEquals(times.translate(News.WHOLE, list), list);
+    assertEquals(times.translate(EndpointListUpdate.WHOLE, list), list);
   }
 
   @Test(dataProvider = "steps")
   public void stepBeforeTheFirstListOfBothMachinesIsTakenOut(double step) {
     clock.step(step);
-    assertEquals(age(News.WHOLE, 1, clock.wall() - 2_000), 2_000.0);
-    assertEquals(translated(News.WHOLE, entry(2, 0)), 0.0);
+    assertEquals(age(EndpointListUpdate.WHOLE, 1, clock.wall() - 2_000), 2_000.0);
+    assertEquals(translated(EndpointListUpdate.WHOLE, entry(2, 0)), 0.0);
   }
 
   @Test(dataProvider = "steps")
   public void stepBetweenTwoListsOfBothMachinesIsTakenOut(double step) {
-    translated(News.WHOLE, entry(1, 0));
+    translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
     clock.step(step);
     clock.pass(60_000);
-    assertEquals(age(News.CHANGES, 2, clock.wall() - 300), 300.0);
+    assertEquals(age(EndpointListUpdate.CHANGES, 2, clock.wall() - 300), 300.0);
   }
 
   @Test(dataProvider = "steps")
   public void stepOfThisMachineAloneDoesNotCount(double step) {
-    translated(News.WHOLE, entry(1, 0));
+    translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
     clock.step(step);
     clock.pass(60_000);
-    assertEquals(age(News.CHANGES, 2, clock.now() - 300), 300.0);
+    assertEquals(age(EndpointListUpdate.CHANGES, 2, clock.now() - 300), 300.0);
   }
 
   @Test(dataProvider = "steps")
   public void stepOfAWorkersMachineAloneLeavesItNoOlderThanAListWithoutIt(double step) {
-    translated(News.WHOLE, entry(1, 0));
+    translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
     times.unchanged();
     clock.pass(300);
-    double age = age(News.CHANGES, 2, clock.now() - 300 + step);
+    double age = age(EndpointListUpdate.CHANGES, 2, clock.now() - 300 + step);
     assertEquals(age, step > 0 ? 0.0 : Math.min(300 - step, 6_300));
   }
 
   @Test(dataProvider = "steps")
   public void stepDuringASilenceOfTheListIsTakenOutThoughStartsFromBeforeItComeLater(double step) {
-    translated(News.WHOLE, entry(1, 0));
+    translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
     double noted = clock.wall() - 200;
     clock.step(step);
     clock.pass(100);
-    assertEquals(age(News.CHANGES, 2, noted), 300.0);
+    assertEquals(age(EndpointListUpdate.CHANGES, 2, noted), 300.0);
   }
 
   @Test(dataProvider = "steps")
   public void startOnceKnownStaysThroughStepsAndAbsences(double step) {
     Member listed = entry(1, START - 2_000);
-    double start = translated(News.STORED, listed);
-    for (News news : List.of(News.WHOLE, News.CHANGES, News.WHOLE)) {
+    double start = translated(EndpointListUpdate.STORED, listed);
+    for (EndpointListUpdate news :
+        List.of(EndpointListUpdate.WHOLE, EndpointListUpdate.CHANGES, EndpointListUpdate.WHOLE)) {
       clock.step(step);
       clock.pass(10_000);
       assertEquals(translated(news, listed), start, news.name());
-      translated(News.WHOLE, entry(2, 0));
+      translated(EndpointListUpdate.WHOLE, entry(2, 0));
     }
-    assertEquals(translated(News.WHOLE, listed), start, "it was left out for a time");
+    assertEquals(translated(EndpointListUpdate.WHOLE, listed), start, "it was left out for a time");
   }
 
   @Test(dataProvider = "steps")
   public void restartIsSeenThoughTheBoundsPutBothStartsOnOneMoment(double step) {
     clock.step(step);
-    double first = translated(News.WHOLE, entry(1, clock.now() + 10 * HOUR));
-    assertNotEquals(translated(News.CHANGES, entry(1, clock.now() + 11 * HOUR)), first);
+    double first = translated(EndpointListUpdate.WHOLE, entry(1, clock.now() + 10 * HOUR));
+    assertNotEquals(
+        translated(EndpointListUpdate.CHANGES, entry(1, clock.now() + 11 * HOUR)), first);
   }
 
   @Test(dataProvider = "steps")
   public void startAheadOfBothClocksIsNotAheadOfTheList(double step) {
     clock.step(step);
-    assertEquals(age(News.WHOLE, 1, clock.wall() + 20 * HOUR), 0.0);
+    assertEquals(age(EndpointListUpdate.WHOLE, 1, clock.wall() + 20 * HOUR), 0.0);
   }
 
   @Test
@@ -129,7 +131,7 @@
     for (int i = 0; i < 100; i++) {
       clock.step(i % 2 == 0 ? HOUR : -HOUR);
       clock.pass(5_000);
-      assertEquals(age(News.CHANGES, i + 1, clock.wall() - 10), 10.0);
+      assertEquals(age(EndpointListUpdate.CHANGES, i + 1, clock.wall() - 10), 10.0);
     }
   }
 
