--- a/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
@@ -2,7 +2,7 @@
 
 import ferngrade.dispatch.Worker;
 import ferngrade.dispatch.WorkerState;
-import ferngrade.node.Member;
+import ferngrade.node.Endpoint;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -87,11 +87,11 @@
    * The truth, as an entry of the worker list: its weight is its size, lowered by the jobs held for
    * each core.
    */
-  Member entry() {
+  Endpoint entry() {
     int held = model.up() ? model.running() + model.waiting() : 0;
     Worker worker =
         new Worker(id, phase, zone, kind, cell, model.startedAt(), size / (1 + held / cores));
-    return new Member(name, address, worker);
+    return new Endpoint(name, address, worker);
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/Mutation.java
+++ b/emulator/src/main/java/ferngrade/emulator/Mutation.java
@@ -1,6 +1,6 @@
 package ferngrade.emulator;
 
-import ferngrade.node.Reply;
+import ferngrade.node.ResponseHandler;
 
 /**
  * A program that is broken on purpose, to show that a judge sees it. Each breaks a node at the seam
@@ -28,11 +28,11 @@
    * The way back to a client, broken where this breaks it; {@code count} counts the replies of the
    * node.
    */
-  Reply reply(Reply whole, Scheduler time, long count) {
+  ResponseHandler reply(ResponseHandler whole, Scheduler time, long count) {
     return switch (this) {
       case LOST_ANSWER -> count % 100 == 0 ? nowhere() : whole;
       case HELD_REFUSAL ->
-          new Reply() {
+          new ResponseHandler() {
             @Override
             public void served(String result) {
               whole.served(result);
@@ -52,8 +52,8 @@
     };
   }
 
-  private static Reply nowhere() {
-    return new Reply() {
+  private static ResponseHandler nowhere() {
+    return new ResponseHandler() {
       @Override
       public void served(String result) {}
 
--- a/emulator/src/main/java/ferngrade/emulator/Roll.java
+++ b/emulator/src/main/java/ferngrade/emulator/Roll.java
@@ -2,7 +2,7 @@
 
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.dispatch.WorkerState;
-import ferngrade.node.Member;
+import ferngrade.node.Endpoint;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -22,7 +22,7 @@
   private final Scheduler time;
   private final UniformRandomProvider chance;
   private final Teller teller;
-  private final Map<Long, Member> listed = new LinkedHashMap<>();
+  private final Map<Long, Endpoint> listed = new LinkedHashMap<>();
   private final Deque<Runnable> heldBack = new ArrayDeque<>();
   private double lastNotice = Double.NEGATIVE_INFINITY;
   private int silent;
@@ -33,7 +33,7 @@
   @FunctionalInterface
   public interface Teller {
     /** Tells all nodes. */
-    void tell(EndpointListUpdate news, List<Member> entries, long revision, double spread);
+    void tell(EndpointListUpdate news, List<Endpoint> entries, long revision, double spread);
   }
 
   /** Discovery of this fleet, which {@code teller} brings to the nodes. */
@@ -54,7 +54,7 @@
   }
 
   /** The list as discovery has it at present. */
-  public List<Member> list() {
+  public List<Endpoint> list() {
     return List.copyOf(listed.values());
   }
 
@@ -77,25 +77,25 @@
         added
             ? Draw.between(chance, spec.addLeast, spec.addMost)
             : Draw.between(chance, spec.noticeLeast, spec.noticeMost);
-    Member entry = worker.entry();
+    Endpoint entry = worker.entry();
     // One feed in one order: what is noticed later is not told earlier.
     lastNotice = Math.max(lastNotice, time.now() + late);
     time.after(lastNotice - time.now(), () -> notice(entry));
   }
 
-  private void notice(Member entry) {
+  private void notice(Endpoint entry) {
     if (silent > 0) {
       heldBack.add(() -> notice(entry));
       return;
     }
-    List<Member> before = list();
+    List<Endpoint> before = list();
     if (entry.worker().state() == WorkerState.GONE) {
       listed.remove(entry.worker().id());
     } else {
       listed.put(entry.worker().id(), entry);
     }
     revision++;
-    List<Member> change = List.of(entry);
+    List<Endpoint> change = List.of(entry);
     teller.tell(EndpointListUpdate.CHANGES, change, revision, spec.spread);
     if (chance.nextDouble() < spec.repeats) {
       time.after(
@@ -118,11 +118,11 @@
    * A live weight falls with the jobs that a worker holds; it is renewed now and then, and late.
    */
   private void renewWeights(Fleet fleet) {
-    List<Member> changes = new ArrayList<>();
+    List<Endpoint> changes = new ArrayList<>();
     for (EmulatedWorker worker : fleet.all()) {
-      Member known = listed.get(worker.id);
+      Endpoint known = listed.get(worker.id);
       if (known != null && worker.model.up()) {
-        Member entry = worker.entry();
+        Endpoint entry = worker.entry();
         if (entry.worker().state() == known.worker().state()
             && entry.worker().startedAt() == known.worker().startedAt()) {
           listed.put(worker.id, entry);
@@ -134,7 +134,7 @@
         spec.weightLate,
         () -> {
           // What has changed otherwise meanwhile was told already, and stands.
-          List<Member> standing = changes.stream().filter(this::stillListed).toList();
+          List<Endpoint> standing = changes.stream().filter(this::stillListed).toList();
           if (silent == 0) {
             teller.tell(EndpointListUpdate.CHANGES, standing, ++revision, spec.spread);
           }
@@ -144,7 +144,7 @@
 
   /** Whether the list still holds this very entry, and not a later one of the same content. */
   @SuppressWarnings("ReferenceEquality") // a later entry may be equal, and is announced on its own
-  private boolean stillListed(Member entry) {
+  private boolean stillListed(Endpoint entry) {
     return listed.get(entry.worker().id()) == entry;
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -5,13 +5,13 @@
 import ferngrade.dispatch.Job;
 import ferngrade.dispatch.ThrottlingDispatcher;
 import ferngrade.emulator.Request.Answer;
-import ferngrade.node.Call;
-import ferngrade.node.Log;
-import ferngrade.node.Member;
-import ferngrade.node.News;
-import ferngrade.node.Node;
-import ferngrade.node.Reply;
+import ferngrade.node.Endpoint;
+import ferngrade.node.JobRequest;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
+import ferngrade.node.ResponseHandler;
 import ferngrade.node.Timers;
+import ferngrade.node.WorkerCallback;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -20,14 +20,15 @@
 import java.util.Map;
 
 /**
- * One node's process in virtual time: the program's own {@link Node} and decisions, unchanged, on
- * an emulated machine that can die, start again and stand still.
+ * One node's process in virtual time: the program's own {@link RequestCoordinator} and decisions,
+ * unchanged, on an emulated machine that can die, start again and stand still.
  */
 final class VirtualNode {
   private static final byte[] NO_BODY = new byte[0];
 
   /** What a node may hold; the machine's memory is not what these runs are about. */
-  private static final Node.Room ROOM = new Node.Room(200_000, 1L << 40, 500);
+  private static final RequestCoordinator.RequestLimits ROOM =
+      new RequestCoordinator.RequestLimits(200_000, 1L << 40, 500);
 
   final int number;
   final int zone;
@@ -35,7 +36,7 @@
   private final Map<String, Request> held = new HashMap<>();
   private final Deque<Runnable> deferred = new ArrayDeque<>();
   private VirtualWorkers transport;
-  private Node node;
+  private RequestCoordinator node;
   private Dispatcher module;
   private int incarnation;
   private boolean up;
@@ -59,7 +60,7 @@
 
   // ---- The process ----
 
-  void start(List<Member> known) {
+  void start(List<Endpoint> known) {
     up = true;
     incarnation++;
     deferred.clear();
@@ -69,14 +70,14 @@
     transport = new VirtualWorkers(run, this);
     long seed = run.streams.seed("node-" + number + "-" + incarnation);
     node =
-        new Node(
-            new Node.Surroundings(
+        new RequestCoordinator(
+            new RequestCoordinator.Surroundings(
                 time,
                 timers,
                 task -> time.after(0, here(task)),
                 transport,
                 (peer, message) -> run.tell(this, peer, message),
-                new Log(time, line -> {})),
+                new RateLimitedLog(time, line -> {})),
             ROOM,
             actions -> module(actions, seed));
     run.observer.node(time.now(), number, true);
@@ -162,8 +163,8 @@
             spec.slots,
             0,
             run.scenario.workload.tellObjects ? request.object : 0);
-    Call call = new Call(request.id, "POST", "/api", request.key, NO_BODY);
-    Reply reply = run.mutation.reply(new ClientReply(request), run.time, replies++);
+    JobRequest call = new JobRequest(request.id, "POST", "/api", request.key, NO_BODY);
+    ResponseHandler reply = run.mutation.reply(new ClientReply(request), run.time, replies++);
     if (!node.request(job, call, reply)) {
       answer(request, Answer.FAILED, 0);
     }
@@ -175,11 +176,11 @@
     }
   }
 
-  void hear(EndpointListUpdate news, List<Member> entries) {
+  void hear(EndpointListUpdate news, List<Endpoint> entries) {
     double now = run.time.now();
     boolean late = run.mutation == Mutation.LATE_DRAIN && news == EndpointListUpdate.CHANGES;
     if (run.tells(news, entries)) {
-      for (Member entry : entries) {
+      for (Endpoint entry : entries) {
         run.observer.told(
             now,
             number,
@@ -206,7 +207,7 @@
   }
 
   /** A worker's call-back; false: it fits nothing that this process knows. */
-  boolean hear(News news) {
+  boolean hear(WorkerCallback news) {
     return node.news(news);
   }
 
@@ -226,7 +227,7 @@
   }
 
   /** The way back to one client. */
-  private final class ClientReply implements Reply {
+  private final class ClientReply implements ResponseHandler {
     private final Request request;
 
     ClientReply(Request request) {
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -3,7 +3,7 @@
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.Request.Answer;
-import ferngrade.node.Member;
+import ferngrade.node.Endpoint;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -76,7 +76,7 @@
 
   /** Plays the run to its end: until the last client has its answer or has left. */
   public void run() {
-    List<Member> known = roll.list();
+    List<Endpoint> known = roll.list();
     for (VirtualNode node : nodes) {
       node.start(known);
       node.hear(EndpointListUpdate.WHOLE, known);
@@ -184,7 +184,8 @@
 
   // ---- Discovery and peers ----
 
-  private void spread(EndpointListUpdate news, List<Member> entries, long revision, double spread) {
+  private void spread(
+      EndpointListUpdate news, List<Endpoint> entries, long revision, double spread) {
     for (VirtualNode node : nodes) {
       // The same delay for a node each time, so that its news stay in their order.
       double late = spread * (node.number + 1) / nodes.size();
@@ -196,7 +197,7 @@
    * Whole lists are told entry by entry only in small fleets, and never at a start: nothing in them
    * is an end.
    */
-  boolean tells(EndpointListUpdate news, List<Member> entries) {
+  boolean tells(EndpointListUpdate news, List<Endpoint> entries) {
     return news == EndpointListUpdate.CHANGES || entries.size() <= MOST_SAMPLED;
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -2,10 +2,10 @@
 
 import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.LoadReport;
-import ferngrade.node.Call;
-import ferngrade.node.News;
-import ferngrade.node.News.State;
-import ferngrade.node.Workers;
+import ferngrade.node.JobRequest;
+import ferngrade.node.WorkerCallback;
+import ferngrade.node.WorkerCallback.State;
+import ferngrade.node.WorkerTransport;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -19,7 +19,7 @@
 /**
  * The way from one node to the workers in virtual time: connections, delays, losses and silence.
  */
-final class VirtualWorkers implements Workers {
+final class VirtualWorkers implements WorkerTransport {
   /** How often and for how long a worker tries a call-back that is not answered. */
   private static final int CALLBACK_TRIES = 10;
 
@@ -73,7 +73,8 @@
   }
 
   @Override
-  public Sending send(Call call, InetSocketAddress address, double patience, Listener listener) {
+  public AttemptHandle send(
+      JobRequest call, InetSocketAddress address, double patience, Listener listener) {
     EmulatedWorker worker = run.fleet.at(address);
     Transfer transfer = new Transfer(worker, node.held(call.id()), listener);
     Link link = links.get(worker);
@@ -138,7 +139,7 @@
   }
 
   /** One attempt on its way. */
-  private final class Transfer implements Sending, WorkerModel.Ear {
+  private final class Transfer implements AttemptHandle, WorkerModel.Ear {
     private final EmulatedWorker worker;
     private final Request request;
     private final Listener listener;
@@ -300,8 +301,8 @@
         }
         return;
       }
-      News news =
-          new News(
+      WorkerCallback news =
+          new WorkerCallback(
               request.id,
               worker.name,
               state,
--- a/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
@@ -2,7 +2,7 @@
 
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.dispatch.WorkerState;
-import ferngrade.node.Member;
+import ferngrade.node.Endpoint;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -52,13 +52,14 @@
   }
 
   /** Tells the node of changes, or the whole list. */
-  void tell(EndpointListUpdate news, List<Member> entries, long revision) {
+  void tell(EndpointListUpdate news, List<Endpoint> entries, long revision) {
     watchers.forEach(each -> tell(each, news, entries, revision));
   }
 
-  private void tell(Channel watcher, EndpointListUpdate news, List<Member> entries, long revision) {
+  private void tell(
+      Channel watcher, EndpointListUpdate news, List<Endpoint> entries, long revision) {
     double now = run.time.now();
-    for (Member entry : entries) {
+    for (Endpoint entry : entries) {
       WorkerState state = entry.worker().state();
       if (news == EndpointListUpdate.CHANGES || state != WorkerState.READY) {
         run.observer.told(
--- a/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
@@ -10,7 +10,7 @@
 import ferngrade.emulator.KindSpec;
 import ferngrade.emulator.Scenario;
 import ferngrade.emulator.TenantSpec;
-import ferngrade.node.Member;
+import ferngrade.node.Endpoint;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.Locale;
@@ -140,9 +140,10 @@
   }
 
   /** A worker list in discovery's form. */
-  static JsonObject list(Scenario scenario, List<Member> members, long revision, boolean complete) {
+  static JsonObject list(
+      Scenario scenario, List<Endpoint> members, long revision, boolean complete) {
     JsonArray entries = new JsonArray();
-    for (Member member : members) {
+    for (Endpoint member : members) {
       Worker worker = member.worker();
       entries.add(
           new JsonObject()
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -14,7 +14,7 @@
 import ferngrade.emulator.Roll;
 import ferngrade.emulator.Scenario;
 import ferngrade.emulator.Streams;
-import ferngrade.node.Member;
+import ferngrade.node.Endpoint;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -300,7 +300,8 @@
 
   // ---- Discovery ----
 
-  private void spread(EndpointListUpdate news, List<Member> entries, long revision, double spread) {
+  private void spread(
+      EndpointListUpdate news, List<Endpoint> entries, long revision, double spread) {
     for (int i = 0; i < discoveries.size(); i++) {
       DiscoverySocket discovery = discoveries.get(i);
       time.after(
--- a/experiment/src/main/java/ferngrade/experiment/LoadCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/LoadCommand.java
@@ -1,7 +1,7 @@
 package ferngrade.experiment;
 
 import ferngrade.cli.Cli;
-import ferngrade.config.MemberReader;
+import ferngrade.config.EndpointListParser;
 import ferngrade.emulator.Scenario;
 import ferngrade.emulator.socket.LoadRun;
 import ferngrade.toml.FileException;
@@ -43,7 +43,7 @@
     try {
       scenario = ExperimentReader.read(file).points().get(0).scenario();
       for (String target : targets) {
-        InetSocketAddress address = MemberReader.address(target);
+        InetSocketAddress address = EndpointListParser.address(target);
         if (!address.getAddress().isLoopbackAddress()) {
           throw new IllegalArgumentException("is not a loopback address: " + target);
         }
--- a/experiment/src/main/java/ferngrade/experiment/NodeCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/NodeCommand.java
@@ -6,7 +6,7 @@
 import ferngrade.emulator.policy.Policies;
 import ferngrade.net.NodeServer;
 import ferngrade.node.Clock;
-import ferngrade.node.Log;
+import ferngrade.node.RateLimitedLog;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import picocli.CommandLine.Command;
@@ -32,8 +32,8 @@
       return Cli.BAD_CONFIG;
     }
     Clock clock = Clock.system();
-    Log log =
-        new Log(
+    RateLimitedLog log =
+        new RateLimitedLog(
             clock,
             line -> System.err.printf("%.3f %s %s%n", clock.now() / 1000, config.name(), line));
     NodeServer server =
--- a/faulttest/src/main/java/ferngrade/faulttest/ProcessMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ProcessMember.java
@@ -1,6 +1,6 @@
 package ferngrade.faulttest;
 
-import ferngrade.config.MemberReader;
+import ferngrade.config.EndpointListParser;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -94,8 +94,10 @@
         if (own && parts[2].equals("listening")) {
           listAt = details.get("list");
           listens.at(
-              MemberReader.address(details.get("address")),
-              details.containsKey("gossip") ? MemberReader.address(details.get("gossip")) : null);
+              EndpointListParser.address(details.get("address")),
+              details.containsKey("gossip")
+                  ? EndpointListParser.address(details.get("gossip"))
+                  : null);
         }
         history.add(name, own ? parts[2] : "said", details);
       }
--- a/fleet/src/main/java/ferngrade/fleet/FleetFile.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetFile.java
@@ -1,6 +1,6 @@
 package ferngrade.fleet;
 
-import ferngrade.config.MemberReader;
+import ferngrade.config.EndpointListParser;
 import ferngrade.lease.Holder;
 import ferngrade.lease.Recurring;
 import ferngrade.lease.Shard;
@@ -223,7 +223,7 @@
   private static InetSocketAddress address(Section section, String key, String text)
       throws FileException {
     try {
-      return MemberReader.address(text);
+      return EndpointListParser.address(text);
     } catch (IllegalArgumentException wrong) {
       throw section.bad(key, "is no address: \"" + text + "\"");
     }
--- a/fleet/src/main/java/ferngrade/fleet/Membership.java
+++ b/fleet/src/main/java/ferngrade/fleet/Membership.java
@@ -1,7 +1,7 @@
 package ferngrade.fleet;
 
 import ferngrade.codec.Codec;
-import ferngrade.config.MemberReader;
+import ferngrade.config.EndpointListParser;
 import ferngrade.membership.Message;
 import ferngrade.membership.Message.Letter;
 import ferngrade.membership.News;
@@ -194,7 +194,7 @@
       // by.
       InetSocketAddress to = name == null ? null : others.get(name);
       try {
-        InetSocketAddress end = to != null ? to : MemberReader.address(address);
+        InetSocketAddress end = to != null ? to : EndpointListParser.address(address);
         Membership.this.send(end, seal.close(text(end), codec.write(letter)));
       } catch (IllegalArgumentException noAddress) {
         refuse(name + ", who says that its address is " + address);
--- a/node/src/main/java/ferngrade/cli/Hangup.java
+++ b/node/src/main/java/ferngrade/cli/ReloadSignal.java
@@ -9,21 +9,21 @@
  * SIGHUP, which asks for the configuration to be read anew. Left alone, the runtime ends on it as
  * on SIGTERM. Signals that come while an earlier one is being answered count as one.
  */
-final class Hangup {
+final class ReloadSignal {
   private final Semaphore pending = new Semaphore(0);
 
   /**
    * Catches the signal from here on. The runtime's only way to do so is {@code sun.misc.Signal},
    * whose use by name is a warning that no compiler option takes back; hence the detour.
    */
-  static Hangup caught() {
-    Hangup hangup = new Hangup();
+  static ReloadSignal caught() {
+    ReloadSignal hangup = new ReloadSignal();
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
       Object releasing =
           Proxy.newProxyInstance(
-              Hangup.class.getClassLoader(),
+              ReloadSignal.class.getClassLoader(),
               new Class<?>[] {handler},
               (proxy, method, arguments) -> hangup.called(proxy, method, arguments));
       signal
--- a/node/src/main/java/ferngrade/cli/Serve.java
+++ b/node/src/main/java/ferngrade/cli/Serve.java
@@ -4,7 +4,7 @@
 import ferngrade.config.NodeConfig;
 import ferngrade.net.NodeServer;
 import ferngrade.node.Clock;
-import ferngrade.node.Log;
+import ferngrade.node.RateLimitedLog;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -22,7 +22,7 @@
   @Override
   public Integer call() throws InterruptedException {
     // First of all: a SIGHUP that came while the node still starts would end it.
-    Hangup hangup = Hangup.caught();
+    ReloadSignal hangup = ReloadSignal.caught();
     NodeConfig config;
     try {
       config = NodeConfig.fromEnvironment(System.getenv());
@@ -32,14 +32,14 @@
     }
     NodeServer.Platform platform;
     try {
-      platform = Handover.fromEnvironment(System.getenv());
+      platform = SocketHandover.fromEnvironment(System.getenv());
     } catch (ConfigException bad) {
       System.err.println("ferngrade: " + bad.getMessage());
       return Cli.BAD_CONFIG;
     }
     Clock clock = Clock.system();
-    Log log =
-        new Log(
+    RateLimitedLog log =
+        new RateLimitedLog(
             clock,
             line -> System.err.printf("%.3f %s %s%n", clock.now() / 1000, config.name(), line));
     NodeServer server;
--- a/node/src/main/java/ferngrade/cli/Handover.java
+++ b/node/src/main/java/ferngrade/cli/SocketHandover.java
@@ -15,8 +15,8 @@
  * LB_ACCEPT_FD} names it, so that an upgrade never refuses a client, and {@code TMPDIR}, which the
  * next process shares.
  */
-final class Handover {
-  private Handover() {}
+final class SocketHandover {
+  private SocketHandover() {}
 
   /**
    * Reads the variables; a socket named but not handed over is a configuration that cannot be used.
--- a/node/src/main/java/ferngrade/cli/WireHostCommand.java
+++ b/node/src/main/java/ferngrade/cli/WireHostCommand.java
@@ -1,7 +1,7 @@
 package ferngrade.cli;
 
-import ferngrade.wire.WireException;
-import ferngrade.wire.WireHost;
+import ferngrade.simulator.SimulatorHost;
+import ferngrade.simulator.WireException;
 import java.io.FileDescriptor;
 import java.io.FileOutputStream;
 import java.io.IOException;
@@ -17,7 +17,7 @@
   @Override
   public Integer call() {
     try (OutputStream out = new FileOutputStream(FileDescriptor.out)) {
-      WireHost.run(System.in, out);
+      SimulatorHost.run(System.in, out);
       return 0;
     } catch (WireException | IOException broken) {
       System.err.println("ferngrade: " + broken.getMessage());
--- a/node/src/main/java/ferngrade/config/MemberReader.java
+++ b/node/src/main/java/ferngrade/config/EndpointListParser.java
@@ -4,13 +4,13 @@
 import com.eclipsesource.json.JsonValue;
 import ferngrade.dispatch.Worker;
 import ferngrade.dispatch.WorkerState;
-import ferngrade.node.Member;
+import ferngrade.node.Endpoint;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Reads worker lists in discovery's form. */
-public final class MemberReader {
+public final class EndpointListParser {
   /** No machine is larger, in standard cores. */
   private static final double MOST_SIZE = 10_000;
 
@@ -22,10 +22,10 @@
    * out.
    */
   public record MemberList(
-      long revision, boolean complete, List<Member> members, List<String> faults) {}
+      long revision, boolean complete, List<Endpoint> members, List<String> faults) {}
 
   /** A reader that knows the settings' names of zones and kinds. */
-  public MemberReader(List<String> zones, List<String> kinds) {
+  public EndpointListParser(List<String> zones, List<String> kinds) {
     this.zones = zones;
     this.kinds = kinds;
   }
@@ -34,7 +34,7 @@
   public MemberList read(JsonValue json) {
     try {
       JsonObject list = object(json);
-      List<Member> members = new ArrayList<>();
+      List<Endpoint> members = new ArrayList<>();
       List<String> faults = new ArrayList<>();
       for (JsonValue entry : present(list, "members").asArray()) {
         try {
@@ -66,7 +66,7 @@
     return value;
   }
 
-  private Member member(JsonObject entry) {
+  private Endpoint member(JsonObject entry) {
     String name = present(entry, "id").asString();
     double size = entry.getDouble("size", 1);
     // The largest size of a kind stands for its idle workers: one wild figure would make all others
@@ -83,7 +83,7 @@
             entry.getInt("cell", 0),
             entry.getDouble("up_since_ms", 0),
             size);
-    return new Member(name, address(present(entry, "host_port").asString()), worker);
+    return new Endpoint(name, address(present(entry, "host_port").asString()), worker);
   }
 
   /**
--- a/node/src/main/java/ferngrade/config/MaintenanceCodec.java
+++ b/node/src/main/java/ferngrade/config/MaintenanceCodec.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import ferngrade.node.Maintenance;
+import ferngrade.node.MaintenanceOverrides;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -18,7 +18,7 @@
   private MaintenanceCodec() {}
 
   /** The file's text. */
-  public static String write(Maintenance.Saved saved) {
+  public static String write(MaintenanceOverrides.Saved saved) {
     JsonArray out = new JsonArray();
     saved.out().stream().sorted().forEach(out::add);
     JsonObject back = new JsonObject();
@@ -30,7 +30,7 @@
    * Reads a file's text; throws {@link IllegalArgumentException} for text that is no such state,
    * torn or not.
    */
-  public static Maintenance.Saved read(String text) {
+  public static MaintenanceOverrides.Saved read(String text) {
     try {
       JsonObject json = Json.parse(text).asObject();
       Set<String> out = new HashSet<>();
@@ -41,7 +41,7 @@
       for (JsonObject.Member each : json.get("back").asObject()) {
         back.put(each.getName(), each.getValue().asDouble());
       }
-      return new Maintenance.Saved(out, back);
+      return new MaintenanceOverrides.Saved(out, back);
     } catch (RuntimeException malformed) {
       throw new IllegalArgumentException(
           "not a saved maintenance: " + malformed.getMessage(), malformed);
--- a/node/src/main/java/ferngrade/config/NodeConfig.java
+++ b/node/src/main/java/ferngrade/config/NodeConfig.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-import ferngrade.config.MemberReader.MemberList;
+import ferngrade.config.EndpointListParser.MemberList;
 import ferngrade.dispatch.DispatcherSettings;
 import java.io.IOException;
 import java.io.Reader;
@@ -34,7 +34,7 @@
     InetSocketAddress peersAll,
     MemberList known,
     DispatcherSettings settings,
-    MemberReader memberReader,
+    EndpointListParser memberReader,
     double connectTimeout,
     double connectionIdle,
     int mostOpen,
@@ -112,7 +112,8 @@
     } catch (IllegalArgumentException invalid) {
       throw new ConfigException("settings:", invalid.getMessage());
     }
-    MemberReader reader = new MemberReader(mapping.list("Zones"), mapping.list("Kinds"));
+    EndpointListParser reader =
+        new EndpointListParser(mapping.list("Zones"), mapping.list("Kinds"));
     List<InetSocketAddress> peers = new ArrayList<>();
     JsonValue addresses = json.get("peers");
     if (addresses != null && addresses.isArray()) {
@@ -171,7 +172,7 @@
 
   private static InetSocketAddress address(String field, JsonValue value) throws ConfigException {
     try {
-      return MemberReader.address(value.asString());
+      return EndpointListParser.address(value.asString());
     } catch (IllegalArgumentException | UnsupportedOperationException invalid) {
       throw new ConfigException(field, invalid.getMessage());
     }
@@ -200,7 +201,8 @@
     return (int) limit.asDouble();
   }
 
-  private static MemberList known(JsonObject json, MemberReader reader) throws ConfigException {
+  private static MemberList known(JsonObject json, EndpointListParser reader)
+      throws ConfigException {
     JsonValue known = json.get("known");
     if (known == null || known.isNull()) {
       return null;
--- a/node/src/main/java/ferngrade/net/Admin.java
+++ b/node/src/main/java/ferngrade/net/Admin.java
@@ -1,14 +1,14 @@
 package ferngrade.net;
 
+import ferngrade.config.EndpointListParser;
 import ferngrade.config.MaintenanceCodec;
-import ferngrade.config.MemberReader;
 import ferngrade.net.ChannelProvider.Purpose;
-import ferngrade.node.Figures;
-import ferngrade.node.Log;
-import ferngrade.node.News;
-import ferngrade.node.Node;
-import ferngrade.node.StateFile;
+import ferngrade.node.AtomicFile;
+import ferngrade.node.NodeMetrics;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
+import ferngrade.node.WorkerCallback;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -44,14 +44,14 @@
   /** The largest call, in bytes: calls carry no bodies worth the name. */
   static final int MOST_CALL = 4096;
 
-  private final Node node;
-  private final Front front;
-  private final Sibling sibling;
+  private final RequestCoordinator node;
+  private final HttpFrontend front;
+  private final UpgradePeer sibling;
   private final List<String> classes;
-  private final StateFile state;
+  private final AtomicFile state;
   private final Executor loop;
   private final Timers timers;
-  private final Log log;
+  private final RateLimitedLog log;
   private final int most;
   private final IntSupplier reloadsOk;
   private final IntSupplier reloadsFailed;
@@ -62,15 +62,15 @@
    * process.
    */
   record Parts(
-      Node node,
-      Front front,
-      Sibling sibling,
+      RequestCoordinator node,
+      HttpFrontend front,
+      UpgradePeer sibling,
       List<String> classes,
-      StateFile state,
+      AtomicFile state,
       IntSupplier reloadsOk,
       IntSupplier reloadsFailed) {}
 
-  Admin(Parts parts, Executor loop, Timers timers, Log log, int most) {
+  Admin(Parts parts, Executor loop, Timers timers, RateLimitedLog log, int most) {
     this.node = parts.node();
     this.front = parts.front();
     this.sibling = parts.sibling();
@@ -135,7 +135,7 @@
    * has or had the job, and so took the news.
    */
   boolean news(String body) throws BadRequestException {
-    News news = NewsReader.read(body);
+    WorkerCallback news = WorkerCallbackParser.read(body);
     if (!node.knowsOf(news.id())) {
       return false;
     }
@@ -151,7 +151,7 @@
     if (sibling == null) {
       return false;
     }
-    sibling.at(MemberReader.address(address.trim()));
+    sibling.at(EndpointListParser.address(address.trim()));
     return true;
   }
 
@@ -209,7 +209,7 @@
 
   /** The figures in the operators' form, a {@code name=value} a line. */
   String figures() {
-    Figures.Snapshot now = node.figures();
+    NodeMetrics.Snapshot now = node.figures();
     StringBuilder text = new StringBuilder(256);
     for (int i = 0; i < classes.size(); i++) {
       line(text, "served." + classes.get(i), count(now.served(), i));
--- a/node/src/main/java/ferngrade/net/Arrivals.java
+++ b/node/src/main/java/ferngrade/net/ArrivalClock.java
@@ -11,7 +11,7 @@
  * work: what one turn reads has come after the turn before had looked. Belongs to the event loop,
  * whose turns it sees begin.
  */
-final class Arrivals implements SelectStrategyFactory, SelectStrategy {
+final class ArrivalClock implements SelectStrategyFactory, SelectStrategy {
   private final Clock clock;
   private long turn;
 
@@ -27,7 +27,7 @@
 
   private double began = Double.NaN;
 
-  Arrivals(Clock clock) {
+  ArrivalClock(Clock clock) {
     this.clock = clock;
     this.looked = clock.now();
     this.lookedBefore = looked;
--- a/node/src/main/java/ferngrade/net/FrontHandler.java
+++ b/node/src/main/java/ferngrade/net/ClientConnectionHandler.java
@@ -2,9 +2,9 @@
 
 import ferngrade.dispatch.Job;
 import ferngrade.node.Clock;
-import ferngrade.node.Log;
-import ferngrade.node.Node;
-import ferngrade.node.Reply;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
+import ferngrade.node.ResponseHandler;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
@@ -35,7 +35,7 @@
  * as long as it likes. It ends behind the answers to all requests that have been read whole by
  * then, as a request that was read is owed one.
  */
-final class FrontHandler extends ChannelInboundHandlerAdapter {
+final class ClientConnectionHandler extends ChannelInboundHandlerAdapter {
   /**
    * Bytes read of a connection that is to end anyway, while it has a request in work, before the
    * rest is left to its sender. Till then all is read: a client that closes is heard of by reading
@@ -43,11 +43,11 @@
    */
   private static final int MAX_READ_WHILE_CLOSING = 256 << 10;
 
-  private final Front front;
-  private final Node node;
+  private final HttpFrontend front;
+  private final RequestCoordinator node;
   private final RequestReader reader;
   private final Clock clock;
-  private final Log log;
+  private final RateLimitedLog log;
 
   /** What has been read behind the request in work. */
   private final PipelinedRequests waiting;
@@ -75,7 +75,7 @@
 
   private boolean proven;
   private String taken;
-  private final Arrivals arrivals;
+  private final ArrivalClock arrivals;
 
   /**
    * Since when this connection may have waited to be accepted, and the loop's turn in which it was.
@@ -97,13 +97,13 @@
     ENDING
   }
 
-  FrontHandler(
-      Front front,
-      Node node,
+  ClientConnectionHandler(
+      HttpFrontend front,
+      RequestCoordinator node,
       RequestReader reader,
       Clock clock,
-      Log log,
-      Arrivals arrivals,
+      RateLimitedLog log,
+      ArrivalClock arrivals,
       double opened) {
     this.front = front;
     this.waiting = new PipelinedRequests(front);
@@ -123,7 +123,7 @@
         firstBytes(),
         decoder,
         new HttpResponseEncoder(),
-        new BodyAggregator(Front.MOST_BODY),
+        new BodyAggregator(HttpFrontend.MOST_BODY),
         this);
   }
 
@@ -144,7 +144,7 @@
         decoding = false;
         received = decoder.holdsPartialRequest();
         if (state == State.RESTING && received) {
-          front.receives(FrontHandler.this);
+          front.receives(ClientConnectionHandler.this);
         }
         respondDeferred();
       }
@@ -203,7 +203,7 @@
     busy();
     error(
         HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-        "a body holds at most " + Front.MOST_BODY + " bytes");
+        "a body holds at most " + HttpFrontend.MOST_BODY + " bytes");
   }
 
   private void busy() {
@@ -246,7 +246,7 @@
       error(HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
     } else if (path.equals("/_jobs/news")) {
       String body = request.content().toString(StandardCharsets.UTF_8);
-      news(NewsReader.read(body), body);
+      news(WorkerCallbackParser.read(body), body);
     } else {
       job(request, since);
     }
@@ -258,7 +258,7 @@
    * cannot be done it gets 503 and a close, so that the worker's next try comes on a new
    * connection, which the other process may accept.
    */
-  private void news(ferngrade.node.News news, String body) {
+  private void news(ferngrade.node.WorkerCallback news, String body) {
     if (front.sibling() != null && !node.knowsOf(news.id())) {
       front
           .sibling()
@@ -478,7 +478,7 @@
   }
 
   /** The way back over this connection. */
-  private final class HttpReply implements Reply {
+  private final class HttpReply implements ResponseHandler {
     @Override
     public void served(String result) {
       answer(HttpResponseStatus.OK, result);
--- a/node/src/main/java/ferngrade/net/Bounds.java
+++ b/node/src/main/java/ferngrade/net/ConnectionLimits.java
@@ -7,7 +7,7 @@
  * {@code workers}: those opened to workers. {@code waiting}: bytes of bodies that may wait behind
  * requests in work.
  */
-record Bounds(int front, int jobs, int owing, int workers, long waiting) {
+record ConnectionLimits(int front, int jobs, int owing, int workers, long waiting) {
   /**
    * Descriptors of the runtime itself, the listeners, discovery (two while it moves) and the peers.
    */
@@ -35,13 +35,13 @@
   private static final double OWING = 0.25;
 
   /** The bounds within so many descriptors and so much memory. */
-  static Bounds within(int sockets, int memoryMb) {
+  static ConnectionLimits within(int sockets, int memoryMb) {
     int usable = (int) (sockets * (1 - SPARE)) - OWN;
     int workers = (int) (WORKERS * usable);
     int front = usable - workers;
     // Each that owes a request may hold most of a body: together at most a sixteenth of the memory.
-    int bodies = (memoryMb << 20) / 16 / Front.MOST_BODY;
-    return new Bounds(
+    int bodies = (memoryMb << 20) / 16 / HttpFrontend.MOST_BODY;
+    return new ConnectionLimits(
         front,
         (int) (JOBS * front),
         Math.min((int) (OWING * front), bodies),
--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -2,12 +2,12 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.ParseException;
-import ferngrade.config.MemberReader;
-import ferngrade.config.MemberReader.MemberList;
+import ferngrade.config.EndpointListParser;
+import ferngrade.config.EndpointListParser.MemberList;
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.net.ChannelProvider.Purpose;
-import ferngrade.node.Log;
-import ferngrade.node.Node;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -82,10 +82,10 @@
   private static final int LONGEST_LINE = 1 << 20;
 
   private final InetSocketAddress discovery;
-  private final MemberReader reader;
-  private final Node node;
+  private final EndpointListParser reader;
+  private final RequestCoordinator node;
   private final Timers timers;
-  private final Log log;
+  private final RateLimitedLog log;
   private final double retryMost;
   private final Runnable whenListed;
   private final Dialer dialer;
@@ -93,7 +93,7 @@
   /** The connection whose word counts, null while there is none. */
   private Channel channel;
 
-  private ObjectLines lines;
+  private JsonObjectFramer lines;
   private long revision;
   private boolean listed;
 
@@ -111,10 +111,10 @@
   DiscoveryWatch(
       EventLoopGroup group,
       InetSocketAddress discovery,
-      MemberReader reader,
-      Node node,
+      EndpointListParser reader,
+      RequestCoordinator node,
       Timers timers,
-      Log log,
+      RateLimitedLog log,
       double retryMost,
       Runnable whenListed,
       ChannelProvider channels) {
@@ -198,7 +198,7 @@
 
   private void watch(Channel opened) {
     channel = opened;
-    lines = new ObjectLines(LONGEST_LINE);
+    lines = new JsonObjectFramer(LONGEST_LINE);
     // Only a list from discovery has a version to go on from: the stored one may be of another
     // life.
     boolean on = listed && !anew;
--- a/node/src/main/java/ferngrade/net/Front.java
+++ b/node/src/main/java/ferngrade/net/HttpFrontend.java
@@ -3,8 +3,8 @@
 import ferngrade.net.AcceptSwitch.Reason;
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Clock;
-import ferngrade.node.Log;
-import ferngrade.node.Node;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
@@ -31,7 +31,7 @@
  * brought a job or a call-back may stand idle for as long as there is room: a client that finds it
  * closed has lost its request.
  */
-final class Front {
+final class HttpFrontend {
   /** The largest body, in bytes. */
   static final int MOST_BODY = 64 << 10;
 
@@ -56,17 +56,17 @@
    */
   private static final int ACCEPTS = 16;
 
-  private final Bounds bounds;
-  private final Sibling sibling;
+  private final ConnectionLimits bounds;
+  private final UpgradePeer sibling;
   private final ChannelProvider channels;
   private final Clock clock;
-  private final Arrivals arrivals;
+  private final ArrivalClock arrivals;
   private final Timers timers;
-  private final Set<FrontHandler> open = new LinkedHashSet<>();
-  private final Set<FrontHandler> idle = new LinkedHashSet<>();
+  private final Set<ClientConnectionHandler> open = new LinkedHashSet<>();
+  private final Set<ClientConnectionHandler> idle = new LinkedHashSet<>();
 
   /** What owes something, and since when; the oldest comes first. */
-  private final Map<FrontHandler, Double> owing = new LinkedHashMap<>();
+  private final Map<ClientConnectionHandler, Double> owing = new LinkedHashMap<>();
 
   private final AcceptSwitch acceptSwitch;
   private Channel listener;
@@ -105,12 +105,12 @@
     ENDED
   }
 
-  Front(
-      Bounds bounds,
+  HttpFrontend(
+      ConnectionLimits bounds,
       Clock clock,
-      Arrivals arrivals,
+      ArrivalClock arrivals,
       Timers timers,
-      Sibling sibling,
+      UpgradePeer sibling,
       ChannelProvider channels) {
     this.sibling = sibling;
     this.channels = channels;
@@ -129,9 +129,9 @@
       EventLoopGroup group,
       InetSocketAddress address,
       ServerSocketChannel taken,
-      Node node,
+      RequestCoordinator node,
       RequestReader reader,
-      Log log) {
+      RateLimitedLog log) {
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(group)
@@ -153,7 +153,8 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                new FrontHandler(Front.this, node, reader, clock, log, arrivals, waiting)
+                new ClientConnectionHandler(
+                        HttpFrontend.this, node, reader, clock, log, arrivals, waiting)
                     .addTo(channel.pipeline());
               }
             });
@@ -205,7 +206,7 @@
    * The other process of this node, while two share the clients' socket; null where the socket is
    * its own.
    */
-  Sibling sibling() {
+  UpgradePeer sibling() {
     return sibling;
   }
 
@@ -233,7 +234,7 @@
    */
   void drainForOperators() {
     drained = true;
-    new ArrayList<>(idle).forEach(FrontHandler::shut);
+    new ArrayList<>(idle).forEach(ClientConnectionHandler::shut);
   }
 
   /** Operators take clients again. */
@@ -250,7 +251,7 @@
     if (stage.compareTo(Stage.FINISHING) < 0) {
       stage = Stage.FINISHING;
       whenDone = done;
-      new ArrayList<>(idle).forEach(FrontHandler::shut);
+      new ArrayList<>(idle).forEach(ClientConnectionHandler::shut);
       at(budget.unfinishedUntil(), this::refuseUnfinished);
       at(budget.end(), this::ended);
       checkDone();
@@ -283,14 +284,14 @@
     checkDone();
   }
 
-  void opened(FrontHandler connection) {
+  void opened(ClientConnectionHandler connection) {
     open.add(connection);
     owes(connection);
     makeRoom();
   }
 
   /** From now on the connection owes something; one that owed before starts anew. */
-  void owes(FrontHandler connection) {
+  void owes(ClientConnectionHandler connection) {
     idle.remove(connection);
     owing.remove(connection);
     if (!open.contains(connection)) {
@@ -313,19 +314,19 @@
   }
 
   /** The connection's first bytes of a request have come. */
-  void receives(FrontHandler connection) {
+  void receives(ClientConnectionHandler connection) {
     if (!owing.containsKey(connection)) {
       owes(connection);
     }
   }
 
   /** A whole request has come. */
-  void busy(FrontHandler connection) {
+  void busy(ClientConnectionHandler connection) {
     idle.remove(connection);
     owing.remove(connection);
   }
 
-  void idle(FrontHandler connection) {
+  void idle(ClientConnectionHandler connection) {
     if (finishing() || drained) {
       connection.shut();
     } else if (connection.proven()) {
@@ -335,7 +336,7 @@
     }
   }
 
-  void closed(FrontHandler connection) {
+  void closed(ClientConnectionHandler connection) {
     open.remove(connection);
     idle.remove(connection);
     owing.remove(connection);
@@ -370,7 +371,7 @@
     acceptSwitch.pause(Reason.FULL, open.size() >= bounds.front());
   }
 
-  private void end(FrontHandler connection) {
+  private void end(ClientConnectionHandler connection) {
     idle.remove(connection);
     owing.remove(connection);
     connection.endForRoom();
@@ -378,14 +379,14 @@
 
   private void sweep() {
     double limit = clock.now() - PATIENCE;
-    List<FrontHandler> late = new ArrayList<>();
-    for (Map.Entry<FrontHandler, Double> each : owing.entrySet()) {
+    List<ClientConnectionHandler> late = new ArrayList<>();
+    for (Map.Entry<ClientConnectionHandler, Double> each : owing.entrySet()) {
       if (each.getValue() > limit) {
         break;
       }
       late.add(each.getKey());
     }
-    late.forEach(FrontHandler::late);
+    late.forEach(ClientConnectionHandler::late);
     timers.after(SWEEP, this::sweep);
   }
 
@@ -408,7 +409,8 @@
   private void linger() {
     stage = Stage.LINGERING;
     listener.close();
-    new ArrayList<>(open).stream().filter(FrontHandler::resting).forEach(FrontHandler::shut);
+    new ArrayList<>(open)
+        .stream().filter(ClientConnectionHandler::resting).forEach(ClientConnectionHandler::shut);
   }
 
   /**
@@ -419,7 +421,7 @@
     if (stage == Stage.FINISHING) {
       linger();
     }
-    new ArrayList<>(open).forEach(FrontHandler::refuseUnfinished);
+    new ArrayList<>(open).forEach(ClientConnectionHandler::refuseUnfinished);
   }
 
   private void ended() {
--- a/node/src/main/java/ferngrade/net/ObjectLines.java
+++ b/node/src/main/java/ferngrade/net/JsonObjectFramer.java
@@ -5,14 +5,14 @@
  * blank line between objects is a sign of life; within one it means that the rest of that will not
  * come.
  */
-final class ObjectLines {
+final class JsonObjectFramer {
   private final int longest;
   private final StringBuilder object = new StringBuilder();
   private int depth;
   private boolean text;
 
   /** Objects of at most so many characters. */
-  ObjectLines(int longest) {
+  JsonObjectFramer(int longest) {
     this.longest = longest;
   }
 
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -1,19 +1,19 @@
 package ferngrade.net;
 
+import ferngrade.config.EndpointListParser;
 import ferngrade.config.MaintenanceCodec;
-import ferngrade.config.MemberReader;
 import ferngrade.config.NodeConfig;
 import ferngrade.dispatch.Dispatcher;
 import ferngrade.dispatch.Dispatcher.Actions;
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.dispatch.JobClass;
 import ferngrade.dispatch.ThrottlingDispatcher;
+import ferngrade.node.AtomicFile;
 import ferngrade.node.Clock;
+import ferngrade.node.Endpoint;
 import ferngrade.node.FileOperations;
-import ferngrade.node.Log;
-import ferngrade.node.Member;
-import ferngrade.node.Node;
-import ferngrade.node.StateFile;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
 import ferngrade.node.TaskScheduler;
 import ferngrade.node.Timers;
 import io.netty.channel.ChannelFuture;
@@ -68,16 +68,16 @@
   private final Platform platform;
   private final ChannelProvider channels;
   private final Clock clock;
-  private final Log log;
+  private final RateLimitedLog log;
   private final Decisions decisions;
-  private final Arrivals arrivals;
+  private final ArrivalClock arrivals;
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final Timers timers;
-  private final Bounds bounds;
-  private final Front front;
-  private final Sibling sibling;
-  private Node node;
+  private final ConnectionLimits bounds;
+  private final HttpFrontend front;
+  private final UpgradePeer sibling;
+  private RequestCoordinator node;
   private Discovery discovery;
   private final CountDownLatch finished = new CountDownLatch(1);
   private io.netty.channel.Channel adminChannel;
@@ -104,7 +104,7 @@
       NodeConfig config,
       Platform platform,
       Clock clock,
-      Log log,
+      RateLimitedLog log,
       Decisions decisions,
       ChannelProvider channels) {
     this.channels = channels;
@@ -113,7 +113,7 @@
     this.config = config;
     this.clock = clock;
     this.log = log;
-    this.arrivals = new Arrivals(clock);
+    this.arrivals = new ArrivalClock(clock);
     this.group =
         new MultiThreadIoEventLoopGroup(
             1, NioIoHandler.newFactory(SelectorProvider.provider(), arrivals));
@@ -129,11 +129,11 @@
                     },
                     (long) Math.ceil(millis * 1000),
                     TimeUnit.MICROSECONDS));
-    this.bounds = Bounds.within(config.sockets(), config.memoryMb());
+    this.bounds = ConnectionLimits.within(config.sockets(), config.memoryMb());
     // Only a process on a handed socket can have another beside it.
     this.sibling =
-        platform.accepted() == null ? null : new Sibling(group, timers, log, null, channels);
-    this.front = new Front(bounds, clock, arrivals, timers, sibling, channels);
+        platform.accepted() == null ? null : new UpgradePeer(group, timers, log, null, channels);
+    this.front = new HttpFrontend(bounds, clock, arrivals, timers, sibling, channels);
   }
 
   /** Starts the decisions of a node, which ask for what they want done by these actions. */
@@ -144,19 +144,24 @@
   }
 
   /** Starts a node, which listens when this returns; an address in use ends in an exception. */
-  public static NodeServer start(NodeConfig config, Clock clock, Log log) throws Exception {
+  public static NodeServer start(NodeConfig config, Clock clock, RateLimitedLog log)
+      throws Exception {
     return start(config, Platform.NONE, clock, log);
   }
 
   /** Starts a node with what the platform hands over. */
-  public static NodeServer start(NodeConfig config, Platform platform, Clock clock, Log log)
-      throws Exception {
+  public static NodeServer start(
+      NodeConfig config, Platform platform, Clock clock, RateLimitedLog log) throws Exception {
     return start(config, platform, clock, log, ChannelProvider.SOCKETS);
   }
 
   /** Starts a node on channels of the caller's making. */
   static NodeServer start(
-      NodeConfig config, Platform platform, Clock clock, Log log, ChannelProvider channels)
+      NodeConfig config,
+      Platform platform,
+      Clock clock,
+      RateLimitedLog log,
+      ChannelProvider channels)
       throws Exception {
     return start(
         config,
@@ -172,8 +177,8 @@
    * Starts a node round other decisions than the module's, for those that hold the two against each
    * other.
    */
-  public static NodeServer start(NodeConfig config, Clock clock, Log log, Decisions decisions)
-      throws Exception {
+  public static NodeServer start(
+      NodeConfig config, Clock clock, RateLimitedLog log, Decisions decisions) throws Exception {
     return start(config, Platform.NONE, clock, log, decisions, ChannelProvider.SOCKETS);
   }
 
@@ -185,7 +190,7 @@
       NodeConfig config,
       Platform platform,
       Clock clock,
-      Log log,
+      RateLimitedLog log,
       Decisions decisions,
       ChannelProvider channels)
       throws Exception {
@@ -206,7 +211,7 @@
       NodeConfig config,
       Platform platform,
       Clock clock,
-      Log log,
+      RateLimitedLog log,
       Decisions decisions,
       ChannelProvider channels)
       throws Exception {
@@ -230,9 +235,9 @@
     }
   }
 
-  private Node.Room room() {
+  private RequestCoordinator.RequestLimits room() {
     long bytes = ((long) config.memoryMb() << 20) / 16;
-    return new Node.Room(
+    return new RequestCoordinator.RequestLimits(
         Math.min(config.mostOpen(), REQUESTS_A_MB * config.memoryMb()),
         bytes,
         Math.min(FULL_RETRY, config.settings().limits().retryAfterMax()));
@@ -245,12 +250,12 @@
         new WorkerClient(group, clock, timers, pool, config.connectTimeout(), log, channels);
     UdpPeers peers = new UdpPeers(config.peers(), config.peersAll(), log, channels);
     node =
-        new Node(
-            new Node.Surroundings(clock, timers, loop, workers, peers, log),
+        new RequestCoordinator(
+            new RequestCoordinator.Surroundings(clock, timers, loop, workers, peers, log),
             room(),
             actions -> decisions.start(config, clock.now(), actions));
     TaskScheduler writer = TaskScheduler.onDaemonThread("state-file");
-    StateFile state = platform.state() == null ? null : stateFile(MAINTENANCE_FILE, writer);
+    AtomicFile state = platform.state() == null ? null : stateFile(MAINTENANCE_FILE, writer);
     restore(node, state);
     if (config.known() != null) {
       keep(node, config.known().members());
@@ -281,7 +286,7 @@
       adminChannel = listening.channel();
       bound.add(listening);
       if (platform.state() != null && sibling != null) {
-        StateFile here = stateFile(ADMIN_FILE, writer);
+        AtomicFile here = stateFile(ADMIN_FILE, writer);
         findSibling(here);
         listening.addListener(
             done -> {
@@ -313,8 +318,8 @@
     return bound;
   }
 
-  private StateFile stateFile(String name, TaskScheduler writer) {
-    return new StateFile(platform.state().resolve(name), platform.files(), writer, this::report);
+  private AtomicFile stateFile(String name, TaskScheduler writer) {
+    return new AtomicFile(platform.state().resolve(name), platform.files(), writer, this::report);
   }
 
   /**
@@ -322,7 +327,7 @@
    * answers at once: the stored list waits for that. Where discovery is asked, nothing counts
    * before its answer, which may take long.
    */
-  private void keep(Node node, List<Member> stored) {
+  private void keep(RequestCoordinator node, List<Endpoint> stored) {
     if (config.settings().asks()) {
       node.members(EndpointListUpdate.STORED, stored);
     } else {
@@ -334,11 +339,11 @@
    * Reads where an earlier process of this node takes calls, before this one says where it does;
    * that process may still run beside this one on the clients' socket.
    */
-  private void findSibling(StateFile here) {
+  private void findSibling(AtomicFile here) {
     try {
       String earlier = here.read();
       if (earlier != null) {
-        sibling.at(MemberReader.address(earlier.trim()));
+        sibling.at(EndpointListParser.address(earlier.trim()));
       }
     } catch (IOException | IllegalArgumentException unusable) {
       log.line("the address of an earlier process is left aside: " + unusable.getMessage());
@@ -350,7 +355,7 @@
    * torn or foreign file among others, is said in the log and left aside: the node starts without
    * it.
    */
-  private void restore(Node node, StateFile state) {
+  private void restore(RequestCoordinator node, AtomicFile state) {
     if (state == null) {
       return;
     }
--- a/node/src/main/java/ferngrade/net/PipelinedRequests.java
+++ b/node/src/main/java/ferngrade/net/PipelinedRequests.java
@@ -14,7 +14,7 @@
   /** Requests that may wait. */
   private static final int MAX_WAITING = 64;
 
-  private final Front front;
+  private final HttpFrontend front;
   private final Deque<Entry> waiting = new ArrayDeque<>();
   private int rejected;
 
@@ -36,7 +36,7 @@
   }
 
   /** The bytes that wait count in the front's room for them. */
-  PipelinedRequests(Front front) {
+  PipelinedRequests(HttpFrontend front) {
     this.front = front;
   }
 
--- a/node/src/main/java/ferngrade/net/RequestReader.java
+++ b/node/src/main/java/ferngrade/net/RequestReader.java
@@ -5,7 +5,7 @@
 import ferngrade.dispatch.Job;
 import ferngrade.dispatch.JobClass;
 import ferngrade.dispatch.Tenant;
-import ferngrade.node.Call;
+import ferngrade.node.JobRequest;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -102,8 +102,8 @@
         object(headers.get(HttpHeaderNames.COOKIE)));
   }
 
-  static Call call(FullHttpRequest request, String id) {
-    return new Call(
+  static JobRequest call(FullHttpRequest request, String id) {
+    return new JobRequest(
         id,
         request.method().name(),
         request.uri(),
--- a/node/src/main/java/ferngrade/net/UdpPeers.java
+++ b/node/src/main/java/ferngrade/net/UdpPeers.java
@@ -1,7 +1,7 @@
 package ferngrade.net;
 
-import ferngrade.node.Log;
-import ferngrade.node.Peers;
+import ferngrade.node.PeerTransport;
+import ferngrade.node.RateLimitedLog;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -19,19 +19,22 @@
 import java.util.function.BiConsumer;
 
 /** Messages between nodes, one datagram each. */
-final class UdpPeers implements Peers {
+final class UdpPeers implements PeerTransport {
   /** The longest datagram that the tier permits. */
   private static final int LONGEST = 256;
 
   private final List<InetSocketAddress> addresses;
   private final InetSocketAddress all;
-  private final Log log;
+  private final RateLimitedLog log;
   private final ChannelProvider channels;
   private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
   private Channel channel;
 
   UdpPeers(
-      List<InetSocketAddress> addresses, InetSocketAddress all, Log log, ChannelProvider channels) {
+      List<InetSocketAddress> addresses,
+      InetSocketAddress all,
+      RateLimitedLog log,
+      ChannelProvider channels) {
     this.channels = channels;
     this.addresses = addresses;
     this.all = all;
--- a/node/src/main/java/ferngrade/net/Sibling.java
+++ b/node/src/main/java/ferngrade/net/UpgradePeer.java
@@ -1,7 +1,7 @@
 package ferngrade.net;
 
 import ferngrade.net.ChannelProvider.Purpose;
-import ferngrade.node.Log;
+import ferngrade.node.RateLimitedLog;
 import ferngrade.node.Timers;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -30,7 +30,7 @@
  * call-back is handed to the other process at its operators' address. Each learns of the other: the
  * later one reads the earlier one's address from the shared folder and tells it its own.
  */
-final class Sibling {
+final class UpgradePeer {
   /** How long a hand-over may take, ms: the worker waits for its answer meanwhile. */
   private static final double PATIENCE = 500;
 
@@ -44,14 +44,14 @@
 
   private final EventLoopGroup group;
   private final Timers timers;
-  private final Log log;
+  private final RateLimitedLog log;
   private final ChannelProvider channels;
   private InetSocketAddress address;
 
-  Sibling(
+  UpgradePeer(
       EventLoopGroup group,
       Timers timers,
-      Log log,
+      RateLimitedLog log,
       InetSocketAddress address,
       ChannelProvider channels) {
     this.channels = channels;
--- a/node/src/main/java/ferngrade/net/NewsReader.java
+++ b/node/src/main/java/ferngrade/net/WorkerCallbackParser.java
@@ -5,24 +5,25 @@
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
 import ferngrade.dispatch.LoadReport;
-import ferngrade.node.News;
+import ferngrade.node.WorkerCallback;
 import java.util.Locale;
 
 /** Reads workers' call-backs. */
-final class NewsReader {
-  private NewsReader() {}
+final class WorkerCallbackParser {
+  private WorkerCallbackParser() {}
 
-  static News read(String body) throws BadRequestException {
+  static WorkerCallback read(String body) throws BadRequestException {
     try {
       JsonObject json = Json.parse(body).asObject();
-      News.State state = News.State.valueOf(text(json, "state").toUpperCase(Locale.ROOT));
+      WorkerCallback.State state =
+          WorkerCallback.State.valueOf(text(json, "state").toUpperCase(Locale.ROOT));
       JsonValue result = json.get("result");
-      if (state == News.State.DONE && result == null) {
+      if (state == WorkerCallback.State.DONE && result == null) {
         throw new BadRequestException("a job that is done has a result");
       }
       String given =
           result == null ? "" : result.isString() ? result.asString() : result.toString();
-      return new News(
+      return new WorkerCallback(
           text(json, "id"),
           text(json, "from"),
           state,
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/net/WorkerClient.java
@@ -3,11 +3,11 @@
 import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.LoadReport;
 import ferngrade.net.ChannelProvider.Purpose;
-import ferngrade.node.Call;
 import ferngrade.node.Clock;
-import ferngrade.node.Log;
+import ferngrade.node.JobRequest;
+import ferngrade.node.RateLimitedLog;
 import ferngrade.node.Timers;
-import ferngrade.node.Workers;
+import ferngrade.node.WorkerTransport;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -24,7 +24,7 @@
 import java.util.function.BiConsumer;
 
 /** Carries attempts, their cancellations and health checks to workers over pooled connections. */
-final class WorkerClient implements Workers {
+final class WorkerClient implements WorkerTransport {
   /** How long a health check may take, ms. */
   private static final double CHECK_PATIENCE = 300;
 
@@ -34,7 +34,7 @@
   private final Clock clock;
   private final Timers timers;
   private final ConnectionPool pool;
-  private final Log log;
+  private final RateLimitedLog log;
   private final Dialer dialer;
   private Runnable beforeAttempt = () -> {};
 
@@ -44,7 +44,7 @@
       Timers timers,
       ConnectionPool pool,
       double connectTimeout,
-      Log log,
+      RateLimitedLog log,
       ChannelProvider channels) {
     this.clock = clock;
     this.timers = timers;
@@ -71,8 +71,9 @@
   }
 
   @Override
-  public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
-    JobTransfer transfer = new JobTransfer(call, worker, clock.now() + patience, listener);
+  public AttemptHandle send(
+      JobRequest call, InetSocketAddress worker, double patience, Listener listener) {
+    AttemptExchange transfer = new AttemptExchange(call, worker, clock.now() + patience, listener);
     start(worker, transfer);
     return transfer;
   }
@@ -84,7 +85,7 @@
     start(worker, check);
   }
 
-  private void start(InetSocketAddress worker, Transfer transfer) {
+  private void start(InetSocketAddress worker, HttpExchange transfer) {
     WorkerConnection idle = pool.take(worker);
     if (idle != null) {
       idle.begin(transfer);
@@ -93,7 +94,7 @@
     }
   }
 
-  private void dial(InetSocketAddress worker, Transfer transfer) {
+  private void dial(InetSocketAddress worker, HttpExchange transfer) {
     if (!pool.reserve()) {
       log.line("no connection", "no connection left for " + worker);
       transfer.notConnected(AttemptOutcome.NEVER_SENT);
@@ -105,9 +106,9 @@
   /** Dials for a transfer, in the place of the pool that is reserved for it. */
   private final class TransferDial implements Dialer.Listener {
     private final InetSocketAddress worker;
-    private final Transfer transfer;
+    private final HttpExchange transfer;
 
-    TransferDial(InetSocketAddress worker, Transfer transfer) {
+    TransferDial(InetSocketAddress worker, HttpExchange transfer) {
       this.worker = worker;
       this.transfer = transfer;
     }
@@ -148,7 +149,7 @@
   }
 
   /** One request to a worker and its answer. */
-  abstract static class Transfer {
+  abstract static class HttpExchange {
     /**
      * It waits, or has waited, for what this machine lacks: not to have got through is not the
      * worker's fault.
@@ -178,15 +179,15 @@
   }
 
   /** An attempt: written once, and taken by the worker with a 202. */
-  private final class JobTransfer extends Transfer implements Sending {
-    private final Call call;
+  private final class AttemptExchange extends HttpExchange implements AttemptHandle {
+    private final JobRequest call;
     private final InetSocketAddress worker;
     private final double until;
     private final Listener listener;
     private WorkerConnection carrier;
     private Stage stage = Stage.DIALLED;
 
-    JobTransfer(Call call, InetSocketAddress worker, double until, Listener listener) {
+    AttemptExchange(JobRequest call, InetSocketAddress worker, double until, Listener listener) {
       this.call = call;
       this.worker = worker;
       this.until = until;
@@ -225,7 +226,7 @@
           WorkerClient.request(
               HttpMethod.valueOf(call.method()), call.target(), worker, call.body());
       request.headers().set(Headers.ID, call.id());
-      request.headers().set(Headers.DEADLINE, ToldDeadline.header(left));
+      request.headers().set(Headers.DEADLINE, WorkerDeadline.header(left));
       request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
       if (call.repeatKey() != null) {
         request.headers().set(Headers.REPEAT_KEY, call.repeatKey());
@@ -337,7 +338,7 @@
    * Tells a worker that nobody waits for a job any more. Nothing depends on its answer; {@code
    * told} runs once, when the word is written or cannot be.
    */
-  private final class Cancellation extends Transfer {
+  private final class Cancellation extends HttpExchange {
     private final InetSocketAddress worker;
     private final String id;
     private final Runnable told;
@@ -409,7 +410,7 @@
   }
 
   /** A health check. */
-  private static final class Check extends Transfer {
+  private static final class Check extends HttpExchange {
     private final InetSocketAddress worker;
     private final BiConsumer<AttemptOutcome, LoadReport> listener;
     private WorkerConnection carrier;
--- a/node/src/main/java/ferngrade/net/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/net/WorkerConnection.java
@@ -1,6 +1,6 @@
 package ferngrade.net;
 
-import ferngrade.net.WorkerClient.Transfer;
+import ferngrade.net.WorkerClient.HttpExchange;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandler;
 import io.netty.channel.ChannelInboundHandlerAdapter;
@@ -28,7 +28,7 @@
   private InetSocketAddress worker;
 
   /** What the connection carries, null while it is idle. */
-  private Transfer transfer;
+  private HttpExchange transfer;
 
   /** When the connection was put back into the pool. */
   double idleSince;
@@ -58,7 +58,7 @@
         idleGuard(),
         new HttpRequestEncoder(),
         decoder,
-        new HttpObjectAggregator(Front.MOST_BODY),
+        new HttpObjectAggregator(HttpFrontend.MOST_BODY),
         this);
   }
 
@@ -95,7 +95,7 @@
     return context.channel().isActive();
   }
 
-  void begin(Transfer next) {
+  void begin(HttpExchange next) {
     FullHttpRequest request = next.request();
     if (request == null) {
       pool.release(this);
@@ -125,7 +125,7 @@
     if (HttpStatusClass.valueOf(response.status().code()) == HttpStatusClass.INFORMATIONAL) {
       return;
     }
-    Transfer answered = transfer;
+    HttpExchange answered = transfer;
     transfer = null;
     boolean keep = HttpUtil.isKeepAlive(response) && !decoder.hasMore();
     answered.answered(response);
@@ -155,7 +155,7 @@
   /** The one place where a connection ends, from whichever side. */
   private void ended() {
     pool.ended(this);
-    Transfer broken = transfer;
+    HttpExchange broken = transfer;
     transfer = null;
     if (broken != null) {
       // Netty closes the channel first and fails the write that broke it behind that: its cause
--- a/node/src/main/java/ferngrade/net/ToldDeadline.java
+++ b/node/src/main/java/ferngrade/net/WorkerDeadline.java
@@ -6,7 +6,7 @@
  * reading its clock and writing. The latter fits into the slack that workers' deadlines are given;
  * the former has to be taken off.
  */
-final class ToldDeadline {
+final class WorkerDeadline {
   /**
    * What a request may have spent under way from its client, ms, and the most of a short rest that
    * is given up for it.
@@ -15,7 +15,7 @@
 
   private static final double MAX_SHARE = 0.25;
 
-  private ToldDeadline() {}
+  private WorkerDeadline() {}
 
   /**
    * The header for an attempt that the node waits for {@code left} ms more, which is above zero.
--- a/node/src/main/java/ferngrade/node/StateFile.java
+++ b/node/src/main/java/ferngrade/node/AtomicFile.java
@@ -21,7 +21,7 @@
  * content has replaced meanwhile is not written any more. Every attempt begins with a new temporary
  * file, since nothing is known of what the disk holds of a file whose sync has failed.
  */
-public final class StateFile {
+public final class AtomicFile {
   /** The pause after a first failure, ms; it doubles with each further one. */
   static final long RETRY_MIN = 20;
 
@@ -47,7 +47,8 @@
    * The file at {@code path}, whose folder must exist. {@code log} gets a line when writes begin to
    * fail and when they succeed again; it is called on the scheduler's thread.
    */
-  public StateFile(Path path, FileOperations files, TaskScheduler scheduler, Consumer<String> log) {
+  public AtomicFile(
+      Path path, FileOperations files, TaskScheduler scheduler, Consumer<String> log) {
     this.path = path;
     // Two processes of a node may run at once: neither may write into the other's temporary file.
     this.temporary =
--- a/node/src/main/java/ferngrade/node/Attempt.java
+++ b/node/src/main/java/ferngrade/node/Attempt.java
@@ -4,15 +4,15 @@
 
 /** One sending of a request to a worker. */
 final class Attempt {
-  final Exchange exchange;
+  final PendingRequest exchange;
   final int number;
   final long worker;
 
   /** The list's entry at the time of the send; null if the list holds none. */
-  final Member member;
+  final Endpoint member;
 
   final double sentAt;
-  Workers.Sending sending;
+  WorkerTransport.AttemptHandle sending;
   Timers.Timer timeout;
   Timers.Timer acceptance;
   boolean written;
@@ -27,7 +27,7 @@
   /** Its end has proven that the worker did not run it. */
   private boolean neverRan;
 
-  Attempt(Exchange exchange, long worker, Member member, double sentAt) {
+  Attempt(PendingRequest exchange, long worker, Endpoint member, double sentAt) {
     this.exchange = exchange;
     this.number = exchange.attempts.size();
     this.worker = worker;
--- a/node/src/main/java/ferngrade/node/Member.java
+++ b/node/src/main/java/ferngrade/node/Endpoint.java
@@ -8,15 +8,15 @@
  * An entry of the worker list: its name, its address as seen from here, and what the module is
  * told.
  */
-public record Member(String name, InetSocketAddress address, Worker worker) {
+public record Endpoint(String name, InetSocketAddress address, Worker worker) {
   /** The same entry with another start of its worker. */
-  Member startedAt(double startedAt) {
+  Endpoint startedAt(double startedAt) {
     return with(worker.state(), startedAt);
   }
 
   /** The same entry with another state and start of its worker. */
-  Member with(WorkerState state, double startedAt) {
-    return new Member(
+  Endpoint with(WorkerState state, double startedAt) {
+    return new Endpoint(
         name,
         address,
         new Worker(
--- a/node/src/main/java/ferngrade/node/Members.java
+++ b/node/src/main/java/ferngrade/node/EndpointList.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 
 /** The worker list as last told. */
-final class Members {
-  private final Map<Long, Member> byId = new HashMap<>();
+final class EndpointList {
+  private final Map<Long, Endpoint> byId = new HashMap<>();
 
   /** Takes in news; what a whole list leaves out is gone. */
-  void update(EndpointListUpdate news, List<Member> entries) {
+  void update(EndpointListUpdate news, List<Endpoint> entries) {
     if (news != EndpointListUpdate.CHANGES) {
       byId.clear();
     }
-    for (Member entry : entries) {
+    for (Endpoint entry : entries) {
       if (entry.worker().state() == WorkerState.GONE) {
         byId.remove(entry.worker().id());
       } else {
@@ -29,7 +29,7 @@
   }
 
   /** The worker's entry, or null if the list does not hold it. */
-  Member get(long id) {
+  Endpoint get(long id) {
     return byId.get(id);
   }
 
@@ -37,8 +37,8 @@
    * True while a job picked for this entry may go to it: not once it drains, is gone, has moved or
    * has restarted, because the pick was made for the process that the entry spoke of.
    */
-  boolean stands(Member entry) {
-    Member present = byId.get(entry.worker().id());
+  boolean stands(Endpoint entry) {
+    Endpoint present = byId.get(entry.worker().id());
     return present != null
         && present.worker().state() == WorkerState.READY
         && present.worker().startedAt() == entry.worker().startedAt()
--- a/node/src/main/java/ferngrade/node/Maintenance.java
+++ b/node/src/main/java/ferngrade/node/MaintenanceOverrides.java
@@ -20,7 +20,7 @@
  * <p>No I/O and no clock: times come as arguments, by the node's monotonic clock, as do those of
  * the list's entries.
  */
-public final class Maintenance {
+public final class MaintenanceOverrides {
   private final Set<String> out = new TreeSet<>();
 
   /**
@@ -30,15 +30,15 @@
   private final Map<String, Double> back = new HashMap<>();
 
   /** The list's own entries, as last told, by name. */
-  private final Map<String, Member> listed = new HashMap<>();
+  private final Map<String, Endpoint> listed = new HashMap<>();
 
   /** Lays maintenance over news of the list, and keeps the list's own word. */
-  List<Member> over(EndpointListUpdate news, List<Member> entries) {
+  List<Endpoint> over(EndpointListUpdate news, List<Endpoint> entries) {
     if (news != EndpointListUpdate.CHANGES) {
       listed.clear();
     }
-    List<Member> told = new ArrayList<>(entries.size());
-    for (Member entry : entries) {
+    List<Endpoint> told = new ArrayList<>(entries.size());
+    for (Endpoint entry : entries) {
       if (entry.worker().state() == WorkerState.GONE) {
         listed.remove(entry.name());
       } else {
@@ -49,7 +49,7 @@
     return told;
   }
 
-  private Member overlaid(Member entry) {
+  private Endpoint overlaid(Endpoint entry) {
     Worker worker = entry.worker();
     if (worker.state() == WorkerState.GONE) {
       return entry;
@@ -77,10 +77,10 @@
    * Puts a worker in maintenance. Returns the entry that the decisions are to be told now, or null
    * where the list does not hold it at present.
    */
-  Member take(String name) {
+  Endpoint take(String name) {
     out.add(name);
     back.remove(name);
-    Member entry = listed.get(name);
+    Endpoint entry = listed.get(name);
     return entry == null ? null : overlaid(entry);
   }
 
@@ -88,11 +88,11 @@
    * Takes a worker back at {@code now}; returns what the decisions are to be told, or null as
    * above.
    */
-  Member giveBack(String name, double now) {
+  Endpoint giveBack(String name, double now) {
     if (out.remove(name)) {
       back.put(name, now);
     }
-    Member entry = listed.get(name);
+    Endpoint entry = listed.get(name);
     return entry == null ? null : overlaid(entry);
   }
 
--- a/node/src/main/java/ferngrade/node/Figures.java
+++ b/node/src/main/java/ferngrade/node/NodeMetrics.java
@@ -8,7 +8,7 @@
  * and what is listed is not counted here but looked up when asked for, so that nothing is kept
  * twice. One thread owns it, the node's.
  */
-public final class Figures {
+public final class NodeMetrics {
   private long[] served = new long[0];
   private long[] refused = new long[0];
   private long[] failed = new long[0];
--- a/node/src/main/java/ferngrade/node/Peers.java
+++ b/node/src/main/java/ferngrade/node/PeerTransport.java
@@ -2,7 +2,7 @@
 
 /** The way to the other nodes of the tier; messages may be lost. */
 @FunctionalInterface
-public interface Peers {
+public interface PeerTransport {
   /** Sends at most 256 bytes to the peer with this number, or to all if it is negative. */
   void tell(int peer, byte[] message);
 }
--- a/node/src/main/java/ferngrade/node/Exchange.java
+++ b/node/src/main/java/ferngrade/node/PendingRequest.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /** One client's request: its attempts, and whether its final answer has been given. */
-final class Exchange {
+final class PendingRequest {
   final Job job;
-  final Call call;
+  final JobRequest call;
   final List<Attempt> attempts = new ArrayList<>(2);
   int out;
   Timers.Timer guard;
-  private final Reply reply;
-  private final Figures figures;
+  private final ResponseHandler reply;
+  private final NodeMetrics figures;
   private boolean over;
 
   /** The final answer goes to {@code reply}, and is counted in {@code figures}. */
-  Exchange(Job job, Call call, Reply reply, Figures figures) {
+  PendingRequest(Job job, JobRequest call, ResponseHandler reply, NodeMetrics figures) {
     this.job = job;
     this.call = call;
     this.reply = reply;
--- a/node/src/main/java/ferngrade/node/Log.java
+++ b/node/src/main/java/ferngrade/node/RateLimitedLog.java
@@ -8,7 +8,7 @@
  * The operators' log, limited in rate so that no flood of bad input can fill it: one line a second
  * of each kind that others can bring about, and a bound on all lines together.
  */
-public final class Log {
+public final class RateLimitedLog {
   private static final int LINES_A_SECOND = 20;
 
   private final Clock clock;
@@ -22,7 +22,7 @@
   private int dropped;
 
   /** A log that hands its lines to {@code out}. */
-  public Log(Clock clock, Consumer<String> out) {
+  public RateLimitedLog(Clock clock, Consumer<String> out) {
     this.clock = clock;
     this.out = out;
   }
--- a/node/src/main/java/ferngrade/node/Node.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -23,7 +23,7 @@
  *
  * <p>All methods belong to one thread, the one on which {@code loop} runs its tasks.
  */
-public final class Node {
+public final class RequestCoordinator {
   /**
    * How long a worker may take to say that it has taken a job, ms; it does so before it begins. One
    * that does not, say because it hangs on all jobs of a class, would hold the job until its end,
@@ -38,20 +38,20 @@
   private final Clock clock;
   private final Timers timers;
   private final Executor loop;
-  private final Workers workers;
-  private final Peers peers;
-  private final Log log;
-  private final Room room;
+  private final WorkerTransport workers;
+  private final PeerTransport peers;
+  private final RateLimitedLog log;
+  private final RequestLimits room;
   private final Dispatcher module;
-  private final Members members = new Members();
+  private final EndpointList members = new EndpointList();
   private final StartTimes startTimes;
-  private final Map<String, Exchange> exchanges = new HashMap<>();
+  private final Map<String, PendingRequest> exchanges = new HashMap<>();
   private final RecentIds finished;
-  private final Maintenance maintenance = new Maintenance();
-  private final Figures figures = new Figures();
+  private final MaintenanceOverrides maintenance = new MaintenanceOverrides();
+  private final NodeMetrics figures = new NodeMetrics();
 
   /** The list of an earlier process while nothing has been told; null from then on. */
-  private List<Member> stored;
+  private List<Endpoint> stored;
 
   private long bytes;
   private List<Runnable> ready = new ArrayList<>();
@@ -63,16 +63,22 @@
 
   /** The parties around a node. {@code loop} runs tasks later, in order, on the node's thread. */
   public record Surroundings(
-      Clock clock, Timers timers, Executor loop, Workers workers, Peers peers, Log log) {}
+      Clock clock,
+      Timers timers,
+      Executor loop,
+      WorkerTransport workers,
+      PeerTransport peers,
+      RateLimitedLog log) {}
 
   /**
    * What the node may hold at a time, so that its memory stays bounded: requests, and bytes of
    * their bodies. Beyond that requests are refused with {@code retryAfter} ms, 0 for no advice.
    */
-  public record Room(int requests, long bytes, double retryAfter) {}
+  public record RequestLimits(int requests, long bytes, double retryAfter) {}
 
   /** A node around the module that {@code start} makes, within this room. */
-  public Node(Surroundings around, Room room, Function<Actions, Dispatcher> start) {
+  public RequestCoordinator(
+      Surroundings around, RequestLimits room, Function<Actions, Dispatcher> start) {
     this.clock = around.clock();
     this.timers = around.timers();
     this.loop = around.loop();
@@ -102,7 +108,7 @@
    * Takes a request; exactly one method of {@code reply} will be called. False: its id has been
    * used.
    */
-  public boolean request(Job job, Call call, Reply reply) {
+  public boolean request(Job job, JobRequest call, ResponseHandler reply) {
     if (exchanges.containsKey(job.id()) || finished.contains(job.id())) {
       return false;
     }
@@ -110,7 +116,7 @@
       refuseForRoom(job, reply);
       return true;
     }
-    Exchange exchange = new Exchange(job, call, reply, figures);
+    PendingRequest exchange = new PendingRequest(job, call, reply, figures);
     exchanges.put(job.id(), exchange);
     bytes += call.body().length;
     exchange.guard = timers.after(job.due() - clock.now() + GUARD, () -> overdue(exchange));
@@ -119,7 +125,7 @@
   }
 
   /** Refuses a request that the module is not to see, because there is no room for it. */
-  public void refuseForRoom(Job job, Reply reply) {
+  public void refuseForRoom(Job job, ResponseHandler reply) {
     refuse(job, reply, room.retryAfter());
   }
 
@@ -127,7 +133,7 @@
    * Refuses a request that the module is not to see, say because the node stops; {@code retryAfter}
    * in ms.
    */
-  public void refuse(Job job, Reply reply, double retryAfter) {
+  public void refuse(Job job, ResponseHandler reply, double retryAfter) {
     figures.refused(job.jobClass());
     reply.refused(retryAfter);
   }
@@ -150,7 +156,7 @@
 
   /** The client of this request has gone. */
   public void clientGone(String id) {
-    Exchange exchange = exchanges.get(id);
+    PendingRequest exchange = exchanges.get(id);
     if (exchange != null && !exchange.over()) {
       exchange.abandoned();
       offer(
@@ -175,8 +181,8 @@
    * A worker's word on a job; false: it fits no attempt that is out, is old or unknown, and
    * ignored.
    */
-  public boolean news(News news) {
-    Exchange exchange = exchanges.get(news.id());
+  public boolean news(WorkerCallback news) {
+    PendingRequest exchange = exchanges.get(news.id());
     Attempt attempt = exchange == null ? null : exchange.writtenTo(news.from());
     if (attempt == null) {
       return false;
@@ -211,7 +217,7 @@
   }
 
   /** News of the worker list, whose start times are by the wall clock. */
-  public void members(EndpointListUpdate news, List<Member> entries) {
+  public void members(EndpointListUpdate news, List<Endpoint> entries) {
     stored = null;
     tell(news, maintenance.over(news, startTimes.translate(news, entries)));
   }
@@ -226,14 +232,14 @@
    * holds counts as told from this process's first moment: so it counts only once the source could
    * not be heard.
    */
-  public void stored(List<Member> entries) {
+  public void stored(List<Endpoint> entries) {
     stored = entries;
   }
 
-  private void tell(EndpointListUpdate news, List<Member> entries) {
+  private void tell(EndpointListUpdate news, List<Endpoint> entries) {
     // Known at once, not with the next batch: the drain rule counts from the telling.
     members.update(news, entries);
-    List<Worker> told = entries.stream().map(Member::worker).toList();
+    List<Worker> told = entries.stream().map(Endpoint::worker).toList();
     offer(() -> module.members(clock.now(), news, told));
   }
 
@@ -245,7 +251,7 @@
     if (!maintenance.knows(name)) {
       return false;
     }
-    Member entry = maintenance.take(name);
+    Endpoint entry = maintenance.take(name);
     if (entry != null) {
       tell(EndpointListUpdate.CHANGES, List.of(entry));
     }
@@ -259,7 +265,7 @@
     if (!maintenance.knows(name)) {
       return false;
     }
-    Member entry = maintenance.giveBack(name, clock.now());
+    Endpoint entry = maintenance.giveBack(name, clock.now());
     if (entry != null) {
       tell(EndpointListUpdate.CHANGES, List.of(entry));
     }
@@ -267,17 +273,17 @@
   }
 
   /** What is in maintenance, for a later process to take over. */
-  public Maintenance.Saved maintenanceSaved() {
+  public MaintenanceOverrides.Saved maintenanceSaved() {
     return maintenance.saved().translated(startTimes::toWall);
   }
 
   /** Takes over the maintenance that an earlier process saved. */
-  public void restoreMaintenance(Maintenance.Saved saved) {
+  public void restoreMaintenance(MaintenanceOverrides.Saved saved) {
     maintenance.restore(saved.translated(startTimes::toMonotonic));
   }
 
   /** The figures for operators, as they stand now. */
-  public Figures.Snapshot figures() {
+  public NodeMetrics.Snapshot figures() {
     int inFlight = (int) exchanges.values().stream().filter(exchange -> !exchange.over()).count();
     return figures.snapshot(
         inFlight, maintenance.listedAll(), maintenance.listedOut() + module.excluded(clock.now()));
@@ -338,7 +344,7 @@
     }
   }
 
-  private void overdue(Exchange exchange) {
+  private void overdue(PendingRequest exchange) {
     if (ending) {
       // A process that ends may be held up just then: its attempts have run out of time in this
       // turn, too.
@@ -354,7 +360,7 @@
   }
 
   /** Gives the request up with all its attempts, and answers it by what they may have done. */
-  private void cutShort(Exchange exchange) {
+  private void cutShort(PendingRequest exchange) {
     if (exchange.over()) {
       return;
     }
@@ -373,7 +379,7 @@
     release(exchange);
   }
 
-  private void release(Exchange exchange) {
+  private void release(PendingRequest exchange) {
     if (exchange.over() && exchange.out == 0 && exchanges.remove(exchange.job.id(), exchange)) {
       exchange.guard.cancel();
       finished.add(exchange.job.id());
@@ -386,7 +392,7 @@
       return;
     }
     attempt.ended(outcome);
-    Exchange exchange = attempt.exchange;
+    PendingRequest exchange = attempt.exchange;
     exchange.out--;
     double now = clock.now();
     module.ended(
@@ -403,13 +409,13 @@
   // ---- What the module asks for ----
 
   private void send(String id, long worker, double timeout) {
-    Exchange exchange = exchanges.get(id);
+    PendingRequest exchange = exchanges.get(id);
     if (exchange == null) {
       log.line("send for a request that is over: " + id);
       return;
     }
     double now = clock.now();
-    Member member = members.get(worker);
+    Endpoint member = members.get(worker);
     boolean barred = exchange.barred(worker);
     Attempt attempt = new Attempt(exchange, worker, member, now);
     exchange.attempts.add(attempt);
@@ -433,7 +439,7 @@
   }
 
   private void cancel(String id, int number) {
-    Exchange exchange = exchanges.get(id);
+    PendingRequest exchange = exchanges.get(id);
     if (exchange != null && number < exchange.attempts.size()) {
       giveUp(exchange.attempts.get(number), AttemptOutcome.CANCELLED, AttemptOutcome.NEVER_SENT);
     }
@@ -484,7 +490,7 @@
   }
 
   private void check(long worker) {
-    Member member = members.get(worker);
+    Endpoint member = members.get(worker);
     if (member != null) {
       double asked = clock.now();
       workers.check(
@@ -499,7 +505,7 @@
   }
 
   /** Hears what becomes of one attempt on its way. */
-  private final class Listener implements Workers.Listener {
+  private final class Listener implements WorkerTransport.Listener {
     private final Attempt attempt;
 
     Listener(Attempt attempt) {
@@ -539,7 +545,7 @@
   private final class Requests implements Actions {
     @Override
     public void send(String id, long worker, double timeout) {
-      asked.add(() -> Node.this.send(id, worker, timeout));
+      asked.add(() -> RequestCoordinator.this.send(id, worker, timeout));
     }
 
     @Override
@@ -549,13 +555,13 @@
 
     @Override
     public void fail(String id) {
-      answer(id, Exchange::failed);
+      answer(id, PendingRequest::failed);
     }
 
-    private void answer(String id, Consumer<Exchange> how) {
+    private void answer(String id, Consumer<PendingRequest> how) {
       asked.add(
           () -> {
-            Exchange exchange = exchanges.get(id);
+            PendingRequest exchange = exchanges.get(id);
             if (exchange != null) {
               how.accept(exchange);
               release(exchange);
@@ -565,12 +571,12 @@
 
     @Override
     public void cancel(String id, int attempt) {
-      asked.add(() -> Node.this.cancel(id, attempt));
+      asked.add(() -> RequestCoordinator.this.cancel(id, attempt));
     }
 
     @Override
     public void check(long worker) {
-      asked.add(() -> Node.this.check(worker));
+      asked.add(() -> RequestCoordinator.this.check(worker));
     }
 
     @Override
--- a/node/src/main/java/ferngrade/node/Reply.java
+++ b/node/src/main/java/ferngrade/node/ResponseHandler.java
@@ -1,7 +1,7 @@
 package ferngrade.node;
 
 /** The way back to one client. The node calls exactly one of the methods, once. */
-public interface Reply {
+public interface ResponseHandler {
   /** Served: the result that a worker gave. */
   void served(String result);
 
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -82,11 +82,11 @@
   }
 
   /** The entries of a list that came now, with start times by the monotonic clock. */
-  List<Member> translate(EndpointListUpdate news, List<Member> entries) {
+  List<Endpoint> translate(EndpointListUpdate news, List<Endpoint> entries) {
     double now = clock.now();
     measure();
-    List<Member> translated = new ArrayList<>(entries.size());
-    for (Member entry : entries) {
+    List<Endpoint> translated = new ArrayList<>(entries.size());
+    for (Endpoint entry : entries) {
       translated.add(translate(entry, now));
     }
     forgetOldest(Math.max(LEAST_REMEMBERED, 2 * entries.size()));
@@ -130,7 +130,7 @@
     }
   }
 
-  private Member translate(Member entry, double now) {
+  private Endpoint translate(Endpoint entry, double now) {
     Worker worker = entry.worker();
     double listedStart = worker.startedAt();
     if (listedStart <= 0) {
--- a/node/src/main/java/ferngrade/node/News.java
+++ b/node/src/main/java/ferngrade/node/WorkerCallback.java
@@ -6,7 +6,7 @@
  * What a worker tells of a job that it has taken: the request's id, the worker's name, what
  * happened, the share done, and the result where it is done.
  */
-public record News(
+public record WorkerCallback(
     String id, String from, State state, double share, String result, LoadReport report) {
   /** What happened to the job. */
   public enum State {
--- a/node/src/main/java/ferngrade/node/Workers.java
+++ b/node/src/main/java/ferngrade/node/WorkerTransport.java
@@ -6,18 +6,18 @@
 import java.util.function.BiConsumer;
 
 /** The transport that carries attempts to workers. */
-public interface Workers {
+public interface WorkerTransport {
   /**
    * Sends the call to a worker; {@code patience} ms is how long the node will wait for its end.
    * What becomes of it goes to the listener, never from inside this method.
    */
-  Sending send(Call call, InetSocketAddress worker, double patience, Listener listener);
+  AttemptHandle send(JobRequest call, InetSocketAddress worker, double patience, Listener listener);
 
   /** Asks a worker for its health and load; the answer goes to the listener. */
   void check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener);
 
   /** One call on its way. */
-  interface Sending {
+  interface AttemptHandle {
     /**
      * Gives the attempt up, wherever it is; the listener hears no more of it. {@code told} runs
      * once, when the worker has been told so or cannot be; at once if it cannot have begun.
--- a/node/src/main/java/ferngrade/wire/WireHost.java
+++ b/node/src/main/java/ferngrade/simulator/SimulatorHost.java
@@ -1,4 +1,4 @@
-package ferngrade.wire;
+package ferngrade.simulator;
 
 import ferngrade.config.SettingsMapping;
 import ferngrade.dispatch.AttemptOutcome;
@@ -19,7 +19,7 @@
 import java.util.Map;
 
 /** Hosts decision modules behind the simulator's wire; it translates and decides nothing. */
-public final class WireHost {
+public final class SimulatorHost {
   private static final int LISTS = 16;
 
   private final WireReader in;
@@ -39,7 +39,7 @@
     }
   }
 
-  WireHost(InputStream in, OutputStream out) {
+  SimulatorHost(InputStream in, OutputStream out) {
     this.in = new WireReader(in);
     this.out = new WireWriter(out);
     for (int i = 0; i < LISTS; i++) {
@@ -49,7 +49,7 @@
 
   /** Serves the wire on these streams until the input ends. */
   public static void run(InputStream in, OutputStream out) throws IOException {
-    new WireHost(in, out).run();
+    new SimulatorHost(in, out).run();
   }
 
   void run() throws IOException {
--- a/node/src/main/java/ferngrade/wire/WireException.java
+++ b/node/src/main/java/ferngrade/simulator/WireException.java
@@ -1,4 +1,4 @@
-package ferngrade.wire;
+package ferngrade.simulator;
 
 /** Input that is not on the wire's terms; the message names the line and the field. */
 public final class WireException extends RuntimeException {
--- a/node/src/main/java/ferngrade/wire/WireReader.java
+++ b/node/src/main/java/ferngrade/simulator/WireReader.java
@@ -1,4 +1,4 @@
-package ferngrade.wire;
+package ferngrade.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/node/src/main/java/ferngrade/wire/WireWriter.java
+++ b/node/src/main/java/ferngrade/simulator/WireWriter.java
@@ -1,4 +1,4 @@
-package ferngrade.wire;
+package ferngrade.simulator;
 
 import ferngrade.dispatch.Dispatcher.Actions;
 import java.io.IOException;
--- a/node/src/test/java/ferngrade/cli/HangupTest.java
+++ b/node/src/test/java/ferngrade/cli/ReloadSignalTest.java
@@ -3,10 +3,10 @@
 import org.testng.annotations.Test;
 
 /** The signal that asks for the configuration to be read anew. */
-public class HangupTest {
+public class ReloadSignalTest {
   @Test(timeOut = 30_000)
   public void signalIsToldEachTimeAndDoesNotEndTheProgram() throws Exception {
-    Hangup hangup = Hangup.caught();
+    ReloadSignal hangup = ReloadSignal.caught();
     for (int time = 0; time < 2; time++) {
       String self = Long.toString(ProcessHandle.current().pid());
       new ProcessBuilder("kill", "-HUP", self).start().waitFor();
--- a/node/src/test/java/ferngrade/cli/HandoverTest.java
+++ b/node/src/test/java/ferngrade/cli/SocketHandoverTest.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class HandoverTest {
+class SocketHandoverTest {
   @Test
   void withoutTheVariableTheNodeBindsItsOwnSocket() throws ConfigException {
-    assertNull(Handover.fromEnvironment(Map.of()).accepted());
+    assertNull(SocketHandover.fromEnvironment(Map.of()).accepted());
   }
 
   @Test
@@ -19,11 +19,13 @@
     // Under the test runner descriptor 0 is a pipe, not a socket.
     ConfigException zero =
         assertThrows(
-            ConfigException.class, () -> Handover.fromEnvironment(Map.of("LB_ACCEPT_FD", "0")));
+            ConfigException.class,
+            () -> SocketHandover.fromEnvironment(Map.of("LB_ACCEPT_FD", "0")));
     assertTrue(zero.getMessage().contains("not a listening TCP socket"), zero.getMessage());
     ConfigException other =
         assertThrows(
-            ConfigException.class, () -> Handover.fromEnvironment(Map.of("LB_ACCEPT_FD", "3")));
+            ConfigException.class,
+            () -> SocketHandover.fromEnvironment(Map.of("LB_ACCEPT_FD", "3")));
     assertTrue(other.getMessage().contains("only 0"), other.getMessage());
   }
 }
--- a/node/src/test/java/ferngrade/config/MaintenanceCodecTest.java
+++ b/node/src/test/java/ferngrade/config/MaintenanceCodecTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import ferngrade.node.Maintenance;
+import ferngrade.node.MaintenanceOverrides;
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -11,14 +11,15 @@
 class MaintenanceCodecTest {
   @Test
   void whatIsWrittenReadsBackTheSame() {
-    Maintenance.Saved saved = new Maintenance.Saved(Set.of("s-1", "s-2"), Map.of("s-3", 1.5e12));
+    MaintenanceOverrides.Saved saved =
+        new MaintenanceOverrides.Saved(Set.of("s-1", "s-2"), Map.of("s-3", 1.5e12));
     assertEquals(saved, MaintenanceCodec.read(MaintenanceCodec.write(saved)));
   }
 
   @Test
   void theTextIsAsAnEarlierVersionWroteIt() {
-    Maintenance.Saved saved =
-        new Maintenance.Saved(
+    MaintenanceOverrides.Saved saved =
+        new MaintenanceOverrides.Saved(
             Set.of("s-2", "s-1", "a \"quoted\" one"), Map.of("s-3", 1_790_000_000_123.25));
     String recorded =
         "{\"out\":[\"a \\\"quoted\\\""
@@ -27,12 +28,13 @@
     assertEquals(saved, MaintenanceCodec.read(recorded));
     assertEquals(
         "{\"out\":[],\"back\":{}}",
-        MaintenanceCodec.write(new Maintenance.Saved(Set.of(), Map.of())));
+        MaintenanceCodec.write(new MaintenanceOverrides.Saved(Set.of(), Map.of())));
   }
 
   @Test
   void aTornOrForeignFileIsRefusedAtEveryCut() {
-    String whole = MaintenanceCodec.write(new Maintenance.Saved(Set.of("s-1"), Map.of("s-3", 7.0)));
+    String whole =
+        MaintenanceCodec.write(new MaintenanceOverrides.Saved(Set.of("s-1"), Map.of("s-3", 7.0)));
     for (int cut = 0; cut < whole.length(); cut++) {
       String torn = whole.substring(0, cut);
       assertThrows(IllegalArgumentException.class, () -> MaintenanceCodec.read(torn), torn);
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -47,8 +47,8 @@
 
   @Test
   public void listEntriesThatCannotBeUsedAreLeftOutAndTold() {
-    MemberReader.MemberList list =
-        new MemberReader(List.of("a"), List.of("fast"))
+    EndpointListParser.MemberList list =
+        new EndpointListParser(List.of("a"), List.of("fast"))
             .read(
                 Json.parse(
                     """
--- a/node/src/test/java/ferngrade/net/AdminStoriesTest.java
+++ b/node/src/test/java/ferngrade/net/AdminIntegrationTest.java
@@ -9,9 +9,9 @@
 import ferngrade.golden.GoldenFile;
 import ferngrade.net.RawHttp.Message;
 import ferngrade.node.Clock;
-import ferngrade.node.FaultyFileOperations;
-import ferngrade.node.FaultyFileOperations.Operation;
-import ferngrade.node.Log;
+import ferngrade.node.FaultInjectingFileOperations;
+import ferngrade.node.FaultInjectingFileOperations.Operation;
+import ferngrade.node.RateLimitedLog;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -32,7 +32,7 @@
 
 /** Stories of operators' calls to a whole node on loopback sockets. */
 @Test(timeOut = 30_000)
-public class AdminStoriesTest {
+public class AdminIntegrationTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("admin-http.txt");
   private static final String UNKNOWN_NEWS =
       "{\"id\":\"nobody\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"x\"}";
@@ -246,9 +246,9 @@
   public void yesComesOnlyOnceTheFolderIsSyncedAndWithinTheSecondThatACallerWaitsANo()
       throws Exception {
     assertTrue(Admin.STORE_TIMEOUT + 150 < 1000, "with a node that is held up meanwhile");
-    FaultyFileOperations files = new FaultyFileOperations();
+    FaultInjectingFileOperations files = new FaultInjectingFileOperations();
     NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
-    files.fail(Operation.SYNC_FOLDER, FaultyFileOperations.error("Input/output error"));
+    files.fail(Operation.SYNC_FOLDER, FaultInjectingFileOperations.error("Input/output error"));
     assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 503);
     files.heal();
     assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
@@ -257,7 +257,7 @@
 
   @Test
   public void diskThatFailsForAMomentIsNoReasonForANo() throws Exception {
-    FaultyFileOperations files = new FaultyFileOperations();
+    FaultInjectingFileOperations files = new FaultInjectingFileOperations();
     NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
     files.fail(
         Operation.SYNC_FOLDER,
@@ -271,8 +271,8 @@
 
   @Test
   public void adminAddressIsStoredOnceTheDiskWorksAgain() throws Exception {
-    FaultyFileOperations files = new FaultyFileOperations();
-    files.fail(Operation.CREATE, FaultyFileOperations.error("No space left on device"));
+    FaultInjectingFileOperations files = new FaultInjectingFileOperations();
+    files.fail(Operation.CREATE, FaultInjectingFileOperations.error("No space left on device"));
     ServerSocketChannel clients =
         ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     NodeServer node = start(new NodeServer.Platform(clients, Path.of("/state"), files));
@@ -286,7 +286,7 @@
     }
   }
 
-  private static String adminFile(FaultyFileOperations files) throws IOException {
+  private static String adminFile(FaultInjectingFileOperations files) throws IOException {
     try {
       return new String(files.read(Path.of("/state/ferngrade-admin.txt")), StandardCharsets.UTF_8);
     } catch (NoSuchFileException none) {
@@ -336,7 +336,8 @@
       discovery.setSoTimeout(10_000);
     }
     Clock clock = Clock.system();
-    NodeServer node = NodeServer.start(config(), platform, clock, new Log(clock, line -> {}));
+    NodeServer node =
+        NodeServer.start(config(), platform, clock, new RateLimitedLog(clock, line -> {}));
     nodes.add(node);
     RawHttp watch = new RawHttp(discovery.accept());
     watch.read();
@@ -346,7 +347,9 @@
             + worker.getLocalPort()
             + "\",\"locality\":\"z\",\"flavor\":\"k\",\"phase\":\"active\"},"
             + "{\"id\":\"s-2\",\"host_port\":7,\"phase\":\"active\"}]}\n";
-    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + NodeStory.chunk(list));
+    watch.write(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + NodeIntegrationFixture.chunk(list));
     while (!call(node, "GET /-/metrics").body().contains("menu_workers_known=1\n")) {
       Thread.onSpinWait();
     }
--- a/node/src/test/java/ferngrade/net/ClockStepsTest.java
+++ b/node/src/test/java/ferngrade/net/ClockStepsTest.java
@@ -14,7 +14,7 @@
  * real time.
  */
 @Test(timeOut = 30_000)
-public class ClockStepsTest extends NodeStory {
+public class ClockStepsTest extends NodeIntegrationFixture {
   private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
   private static final double GRACE = 50;
--- a/node/src/test/java/ferngrade/net/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/net/DepartedClientTest.java
@@ -9,7 +9,7 @@
 import ferngrade.dispatch.Job;
 import ferngrade.dispatch.Worker;
 import ferngrade.node.Clock;
-import ferngrade.node.Log;
+import ferngrade.node.RateLimitedLog;
 import java.io.IOException;
 import java.lang.reflect.Proxy;
 import java.net.InetAddress;
@@ -27,7 +27,7 @@
  * node goes on. The decisions are the test's.
  */
 @Test(timeOut = 30_000)
-public class DepartedClientTest extends NodeStory {
+public class DepartedClientTest extends NodeIntegrationFixture {
   private static final String DECLINED =
       "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
@@ -54,7 +54,7 @@
   private CountDownLatch release;
 
   @Override
-  NodeServer startServer(NodeConfig config, Clock clock, Log log) throws Exception {
+  NodeServer startServer(NodeConfig config, Clock clock, RateLimitedLog log) throws Exception {
     return NodeServer.start(config, clock, log, (told, at, actions) -> scripted(actions));
   }
 
--- a/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
@@ -6,12 +6,12 @@
 import static org.testng.Assert.assertTrue;
 
 import com.eclipsesource.json.Json;
-import ferngrade.config.MemberReader;
+import ferngrade.config.EndpointListParser;
 import ferngrade.config.SettingsMapping;
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.dispatch.ThrottlingDispatcher;
-import ferngrade.node.Log;
-import ferngrade.node.Node;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -33,7 +33,7 @@
   private EventLoop loop;
   private Timers timers;
   private ServerSocket discovery;
-  private Node node;
+  private RequestCoordinator node;
 
   @BeforeMethod
   public void listen() throws Exception {
@@ -300,7 +300,7 @@
     }
   }
 
-  private Node start(
+  private RequestCoordinator start(
       MultiThreadIoEventLoopGroup group,
       EventLoop loop,
       Timers timers,
@@ -308,16 +308,19 @@
     SettingsMapping settings = new SettingsMapping();
     settings.put(Json.parse("{\"Classes\":[{\"Name\":\"order\"}]}").asObject());
     ended.set(false);
-    Log log = new Log(() -> now, line -> ended.compareAndSet(false, line.contains("watch ended")));
-    Node node =
-        new Node(
-            new Node.Surroundings(() -> now, timers, loop, null, (peer, message) -> {}, log),
-            new Node.Room(1, 1, 0),
+    RateLimitedLog log =
+        new RateLimitedLog(
+            () -> now, line -> ended.compareAndSet(false, line.contains("watch ended")));
+    RequestCoordinator node =
+        new RequestCoordinator(
+            new RequestCoordinator.Surroundings(
+                () -> now, timers, loop, null, (peer, message) -> {}, log),
+            new RequestCoordinator.RequestLimits(1, 1, 0),
             actions -> new ThrottlingDispatcher(settings.build(), 7, now, actions));
     new DiscoveryWatch(
             group,
             discovery,
-            new MemberReader(List.of(), List.of()),
+            new EndpointListParser(List.of(), List.of()),
             node,
             timers,
             log,
--- a/node/src/test/java/ferngrade/net/HandOverProcessTest.java
+++ b/node/src/test/java/ferngrade/net/HandOverProcessTest.java
@@ -22,7 +22,7 @@
  * to them.
  */
 @Test(timeOut = 60_000)
-public class HandOverProcessTest extends NodeStory {
+public class HandOverProcessTest extends NodeIntegrationFixture {
   /** Ends the connection too, so that each job comes on one of its own. */
   private static final String TAKEN =
       "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
--- a/node/src/test/java/ferngrade/net/LateReadTest.java
+++ b/node/src/test/java/ferngrade/net/LateReadTest.java
@@ -6,7 +6,7 @@
 import ferngrade.config.NodeConfig;
 import ferngrade.dispatch.Dispatcher;
 import ferngrade.dispatch.Job;
-import ferngrade.node.Log;
+import ferngrade.node.RateLimitedLog;
 import io.netty.channel.SelectStrategy;
 import java.lang.reflect.Proxy;
 import java.util.concurrent.BlockingQueue;
@@ -43,7 +43,7 @@
         NodeServer.start(
             NodeConfig.read(Json.parse(config.replace('\'', '"')).asObject()),
             () -> now,
-            new Log(() -> now, this::log),
+            new RateLimitedLog(() -> now, this::log),
             (told, at, actions) -> refusing(actions));
   }
 
@@ -127,7 +127,7 @@
 
   @Test
   public void aLoopThatWaitedTakesNoTimeFromTheRequestThatWakesIt() throws Exception {
-    Arrivals arrivals = new Arrivals(() -> now);
+    ArrivalClock arrivals = new ArrivalClock(() -> now);
     assertEquals(arrivals.calculateStrategy(() -> 0, false), SelectStrategy.SELECT);
     advance(BUSY);
     assertEquals(arrivals.since(), 1000 + BUSY);
--- a/node/src/test/java/ferngrade/net/LittleTimeTest.java
+++ b/node/src/test/java/ferngrade/net/LittleTimeTest.java
@@ -13,7 +13,7 @@
  * in time.
  */
 @Test(timeOut = 30_000)
-public class LittleTimeTest extends NodeStory {
+public class LittleTimeTest extends NodeIntegrationFixture {
   @DataProvider
   public Object[][] requests() {
     List<Object[]> requests = new ArrayList<>();
--- a/node/src/test/java/ferngrade/net/NodeGoldenTest.java
+++ b/node/src/test/java/ferngrade/net/NodeGoldenTest.java
@@ -8,7 +8,7 @@
 
 /** What a node sends to workers and clients keeps the bytes that an earlier version sent. */
 @Test(timeOut = 30_000)
-public class NodeGoldenTest extends NodeStory {
+public class NodeGoldenTest extends NodeIntegrationFixture {
   private static final GoldenFile GOLDEN = GoldenFile.open("node-http.txt");
   private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
--- a/node/src/test/java/ferngrade/net/NodeStory.java
+++ b/node/src/test/java/ferngrade/net/NodeIntegrationFixture.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonObject;
 import ferngrade.config.NodeConfig;
 import ferngrade.node.Clock;
-import ferngrade.node.Log;
+import ferngrade.node.RateLimitedLog;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 
 /** A whole node on loopback sockets, against a worker and a discovery that the story speaks for. */
-abstract class NodeStory {
+abstract class NodeIntegrationFixture {
   /** The worker that the list names; the story accepts and speaks for it. */
   ServerSocket worker;
 
@@ -82,7 +82,7 @@
    * #start(String)}.
    */
   void start(String list, NodeConfig config, Clock clock, Consumer<String> log) throws Exception {
-    node = startServer(config, clock, new Log(clock, log));
+    node = startServer(config, clock, new RateLimitedLog(clock, log));
     if (list != null) {
       watch = new RawHttp(discovery.accept());
       watch.read();
@@ -94,7 +94,7 @@
   }
 
   /** Starts the server itself; overridden where a story brings decisions of its own. */
-  NodeServer startServer(NodeConfig config, Clock clock, Log log) throws Exception {
+  NodeServer startServer(NodeConfig config, Clock clock, RateLimitedLog log) throws Exception {
     return NodeServer.start(config, NodeServer.Platform.NONE, clock, log, channels);
   }
 
--- a/node/src/test/java/ferngrade/net/NodeStoriesTest.java
+++ b/node/src/test/java/ferngrade/net/NodeIntegrationTest.java
@@ -23,7 +23,7 @@
  * speaks for.
  */
 @Test(timeOut = 30_000)
-public class NodeStoriesTest extends NodeStory {
+public class NodeIntegrationTest extends NodeIntegrationFixture {
   @Test
   public void jobGoesThroughUnchangedAndItsResultComesBack() throws Exception {
     start(list(1, "active"));
--- a/node/src/test/java/ferngrade/net/CrossingsTest.java
+++ b/node/src/test/java/ferngrade/net/RaceConditionTest.java
@@ -28,7 +28,7 @@
  * which pair.
  */
 @Test(timeOut = 30_000)
-public class CrossingsTest extends NodeStory {
+public class RaceConditionTest extends NodeIntegrationFixture {
   private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
   private static final String DECLINED =
       "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
--- a/node/src/test/java/ferngrade/net/ReadRequestTest.java
+++ b/node/src/test/java/ferngrade/net/ReadRequestTest.java
@@ -15,7 +15,7 @@
  * one in time.
  */
 @Test(timeOut = 30_000)
-public class ReadRequestTest extends NodeStory {
+public class ReadRequestTest extends NodeIntegrationFixture {
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
   private static final String UNKNOWN_CLASS = RawHttp.message(job("POST /api", "u", "nothing"), "");
--- a/node/src/test/java/ferngrade/net/ShutdownBudgetTest.java
+++ b/node/src/test/java/ferngrade/net/ShutdownBudgetTest.java
@@ -54,7 +54,7 @@
   }
 
   private static ferngrade.dispatch.DispatcherSettings settings(double deadline) throws Exception {
-    NodeConfig config = NodeStory.config(1, null, "push", deadline);
+    NodeConfig config = NodeIntegrationFixture.config(1, null, "push", deadline);
     return config.settings();
   }
 }
--- a/node/src/test/java/ferngrade/net/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/net/ShutdownTest.java
@@ -30,7 +30,7 @@
  * moves it.
  */
 @Test(timeOut = 30_000)
-public class ShutdownTest extends NodeStory {
+public class ShutdownTest extends NodeIntegrationFixture {
   private static final double HELD_UP = 150;
   private static final double LATE_IN_THE_GRACE = 500;
   private static final int REFUSED = 503;
--- a/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
@@ -8,7 +8,7 @@
 import ferngrade.net.FaultInjectingChannels.SystemCall;
 import ferngrade.net.RawHttp.Message;
 import ferngrade.node.Clock;
-import ferngrade.node.Log;
+import ferngrade.node.RateLimitedLog;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -28,7 +28,7 @@
  * pays for it.
  */
 @Test(timeOut = 30_000)
-public class SystemCallFaultsTest extends NodeStory {
+public class SystemCallFaultsTest extends NodeIntegrationFixture {
   private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
@@ -265,7 +265,7 @@
             config(discovery.getLocalPort(), null),
             new NodeServer.Platform(clients, folder),
             () -> now,
-            new Log(() -> now, line -> {}),
+            new RateLimitedLog(() -> now, line -> {}),
             channels);
     return RawHttp.to(node.address());
   }
--- a/node/src/test/java/ferngrade/net/UdpPeersTest.java
+++ b/node/src/test/java/ferngrade/net/UdpPeersTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 
 import ferngrade.net.FaultInjectingChannels.SystemCall;
-import ferngrade.node.Log;
+import ferngrade.node.RateLimitedLog;
 import io.netty.channel.Channel;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -42,7 +42,10 @@
       List<InetSocketAddress> peers = List.of((InetSocketAddress) peer.getLocalSocketAddress());
       UdpPeers udp =
           new UdpPeers(
-              peers, null, new Log(() -> 0, line -> told.add("logged")), ChannelProvider.SOCKETS);
+              peers,
+              null,
+              new RateLimitedLog(() -> 0, line -> told.add("logged")),
+              ChannelProvider.SOCKETS);
       InetSocketAddress own =
           (InetSocketAddress)
               udp.listen(
@@ -99,7 +102,8 @@
       peer.setSoTimeout(10_000);
       List<InetSocketAddress> peers = List.of((InetSocketAddress) peer.getLocalSocketAddress());
       UdpPeers udp =
-          new UdpPeers(peers, null, new Log(() -> 0, line -> lines.incrementAndGet()), channels);
+          new UdpPeers(
+              peers, null, new RateLimitedLog(() -> 0, line -> lines.incrementAndGet()), channels);
       Channel channel =
           udp.listen(group, new InetSocketAddress(here, 0), (from, body) -> heard.add(body.length))
               .sync()
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/net/WorkerClientTest.java
@@ -9,10 +9,10 @@
 import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.net.FaultInjectingChannels.SystemCall;
 import ferngrade.net.RawHttp.Message;
-import ferngrade.node.Call;
-import ferngrade.node.Log;
+import ferngrade.node.JobRequest;
+import ferngrade.node.RateLimitedLog;
 import ferngrade.node.Timers;
-import ferngrade.node.Workers;
+import ferngrade.node.WorkerTransport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -64,7 +64,13 @@
               pool = new ConnectionPool(() -> now, timers, 60_000, 2);
               client =
                   new WorkerClient(
-                      group, () -> now, timers, pool, 100, new Log(() -> now, line -> {}), faults);
+                      group,
+                      () -> now,
+                      timers,
+                      pool,
+                      100,
+                      new RateLimitedLog(() -> now, line -> {}),
+                      faults);
             })
         .get();
   }
@@ -84,7 +90,7 @@
 
   @Test
   public void jobGivenUpAfterItWasTakenIsDeletedAndOneBeforeEndsItsConnection() throws Exception {
-    Workers.Sending taken = send("a");
+    WorkerTransport.AttemptHandle taken = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     first.write(TAKEN);
@@ -96,7 +102,7 @@
     first.write("HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n");
     pooled();
     advance(100);
-    Workers.Sending waiting = send("b");
+    WorkerTransport.AttemptHandle waiting = send("b");
     assertEquals(first.read().headers().get("Req-Id"), "b");
     loop.submit(() -> waiting.giveUp(() -> {})).get();
     assertNull(first.read());
@@ -192,7 +198,8 @@
     try (ServerSocket narrow = new ServerSocket()) {
       narrow.setReceiveBufferSize(SMALL_BUFFER);
       narrow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      Call large = new Call("a", "POST", "/api", null, new byte[Front.MOST_BODY]);
+      JobRequest large =
+          new JobRequest("a", "POST", "/api", null, new byte[HttpFrontend.MOST_BODY]);
       InetSocketAddress address = (InetSocketAddress) narrow.getLocalSocketAddress();
       loop.submit(() -> client.send(large, address, 1000, new Teller())).get();
       Socket connection = narrow.accept();
@@ -209,7 +216,7 @@
    */
   @Test
   public void deleteUnderWhichAnIdleConnectionClosesIsSaidAgainOnANewOne() throws Exception {
-    Workers.Sending taken = send("a");
+    WorkerTransport.AttemptHandle taken = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     first.write(TAKEN);
@@ -313,7 +320,7 @@
   @Test(dataProvider = "dialCalls")
   public void attemptThatThisMachineFailsToItsEndIsNeverSent(SystemCall call) throws Exception {
     faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
-    Workers.Sending sending = send("a");
+    WorkerTransport.AttemptHandle sending = send("a");
     passUntilTold();
     assertEquals(told.take(), "NEVER_SENT");
     assertTrue(sending.delayedLocally());
@@ -343,12 +350,12 @@
     }
   }
 
-  private Workers.Sending send(String id) throws Exception {
+  private WorkerTransport.AttemptHandle send(String id) throws Exception {
     return loop.submit(() -> begin(id)).get();
   }
 
-  private Workers.Sending begin(String id) {
-    Call call = new Call(id, "POST", "/api", null, new byte[0]);
+  private WorkerTransport.AttemptHandle begin(String id) {
+    JobRequest call = new JobRequest(id, "POST", "/api", null, new byte[0]);
     InetSocketAddress address =
         new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
     return client.send(call, address, 1000, new Teller());
@@ -361,7 +368,7 @@
     }
   }
 
-  private final class Teller implements Workers.Listener {
+  private final class Teller implements WorkerTransport.Listener {
     @Override
     public boolean mayStart() {
       return wanted;
--- a/node/src/test/java/ferngrade/node/StateFileTest.java
+++ b/node/src/test/java/ferngrade/node/AtomicFileTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.node.FaultyFileOperations.Operation;
+import ferngrade.node.FaultInjectingFileOperations.Operation;
 import java.io.IOException;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
@@ -20,17 +20,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A file that is replaced whole, on a disk that fails, with a schedule that the test runs. */
-class StateFileTest {
+class AtomicFileTest {
   private static final Path PATH = Path.of("/state/file");
   private static final String OLD = "{\"out\":[\"s-1\"],\"back\":{}}";
   private static final String NEW = "{\"out\":[\"s-1\",\"s-2\"],\"back\":{\"s-3\":900}}";
 
-  private final FaultyFileOperations files = new FaultyFileOperations();
+  private final FaultInjectingFileOperations files = new FaultInjectingFileOperations();
   private final Deque<Runnable> tasks = new ArrayDeque<>();
   private final List<Long> pauses = new ArrayList<>();
   private final List<String> log = new ArrayList<>();
   private final List<String> durable = new ArrayList<>();
-  private final StateFile file = new StateFile(PATH, files, this::schedule, log::add);
+  private final AtomicFile file = new AtomicFile(PATH, files, this::schedule, log::add);
 
   private void schedule(Runnable task, long delayMillis) {
     tasks.add(task);
@@ -50,7 +50,7 @@
     for (Operation operation : Operation.values()) {
       for (String message : List.of("No space left on device", "Input/output error")) {
         String content = operation + " " + message;
-        files.fail(operation, FaultyFileOperations.error(message));
+        files.fail(operation, FaultInjectingFileOperations.error(message));
         write(content);
         for (int i = 0; i < 20; i++) {
           attempt();
@@ -63,7 +63,7 @@
         assertEquals(content, file.read());
         assertEquals(
             content,
-            new StateFile(PATH, files.afterPowerFailure(false), this::schedule, log::add).read());
+            new AtomicFile(PATH, files.afterPowerFailure(false), this::schedule, log::add).read());
         assertTrue(tasks.isEmpty(), "nothing is left to do");
       }
     }
@@ -75,7 +75,7 @@
 
   @Test
   void pausesGrowToABoundAndBeginAnewAfterASuccess() {
-    files.fail(Operation.SYNC, FaultyFileOperations.error("Input/output error"));
+    files.fail(Operation.SYNC, FaultInjectingFileOperations.error("Input/output error"));
     write(NEW);
     for (int i = 0; i < 7; i++) {
       attempt();
@@ -84,15 +84,15 @@
     files.heal();
     attempt();
     pauses.clear();
-    files.fail(Operation.RENAME, FaultyFileOperations.error("Input/output error"));
+    files.fail(Operation.RENAME, FaultInjectingFileOperations.error("Input/output error"));
     write(OLD);
     attempt();
-    assertEquals(List.of(0L, StateFile.RETRY_MIN), pauses);
+    assertEquals(List.of(0L, AtomicFile.RETRY_MIN), pauses);
   }
 
   @Test
   void onlyTheNewestContentIsWrittenAndAllWhoWaitHearOfIt() throws IOException {
-    files.fail(Operation.WRITE, FaultyFileOperations.error("No space left on device"));
+    files.fail(Operation.WRITE, FaultInjectingFileOperations.error("No space left on device"));
     write("first");
     attempt();
     write("second");
@@ -142,7 +142,7 @@
     Path leftover = PATH.resolveSibling("file." + ProcessHandle.current().pid() + ".next");
     boolean completed = false;
     for (int operations = 0; !completed; operations++) {
-      FaultyFileOperations disk = new FaultyFileOperations();
+      FaultInjectingFileOperations disk = new FaultInjectingFileOperations();
       disk.put(PATH, OLD.getBytes(StandardCharsets.UTF_8));
       disk.put(
           leftover,
@@ -150,17 +150,17 @@
               .getBytes(StandardCharsets.UTF_8));
       disk.killAfter(operations);
       durable.clear();
-      StateFile writer = new StateFile(PATH, disk, this::schedule, log::add);
+      AtomicFile writer = new AtomicFile(PATH, disk, this::schedule, log::add);
       writer.write(NEW, () -> durable.add(NEW));
       try {
         attempt();
         completed = true;
-      } catch (FaultyFileOperations.Killed killed) {
+      } catch (FaultInjectingFileOperations.Killed killed) {
         assertTrue(durable.isEmpty(), "no yes before the end");
       }
-      for (FaultyFileOperations left :
+      for (FaultInjectingFileOperations left :
           List.of(disk.afterKill(), disk.afterPowerFailure(true), disk.afterPowerFailure(false))) {
-        StateFile later = new StateFile(PATH, left, this::schedule, log::add);
+        AtomicFile later = new AtomicFile(PATH, left, this::schedule, log::add);
         String found = later.read();
         assertTrue(
             found.equals(NEW) || (!completed && found.equals(OLD)), operations + ": " + found);
@@ -181,8 +181,8 @@
 
   @Test
   void realFolderTakesTheContentAndKeepsNoTemporaryFile(@TempDir Path folder) throws IOException {
-    StateFile real =
-        new StateFile(folder.resolve("file"), FileOperations.SYSTEM, this::schedule, log::add);
+    AtomicFile real =
+        new AtomicFile(folder.resolve("file"), FileOperations.SYSTEM, this::schedule, log::add);
     for (String content : List.of(OLD, NEW, "")) {
       real.write(content, () -> durable.add(content));
       attempt();
--- a/node/src/test/java/ferngrade/node/FaultyFileOperations.java
+++ b/node/src/test/java/ferngrade/node/FaultInjectingFileOperations.java
@@ -13,7 +13,7 @@
  * Files in memory, with what a kill and what a power failure leaves of them. Operations fail as
  * told; a write takes one byte at a time, so that a crash can come behind each.
  */
-public final class FaultyFileOperations implements FileOperations {
+public final class FaultInjectingFileOperations implements FileOperations {
   /** The operations that can fail. */
   public enum Operation {
     CREATE,
@@ -76,8 +76,8 @@
   }
 
   /** What a process finds that starts after a kill: all that was done. */
-  FaultyFileOperations afterKill() {
-    FaultyFileOperations left = new FaultyFileOperations();
+  FaultInjectingFileOperations afterKill() {
+    FaultInjectingFileOperations left = new FaultInjectingFileOperations();
     names.forEach((name, inode) -> left.put(name, inode.content.toByteArray()));
     return left;
   }
@@ -86,8 +86,8 @@
    * What it finds after a power failure: names as last synced or as last changed, contents as last
    * synced.
    */
-  FaultyFileOperations afterPowerFailure(boolean namesWritten) {
-    FaultyFileOperations left = new FaultyFileOperations();
+  FaultInjectingFileOperations afterPowerFailure(boolean namesWritten) {
+    FaultInjectingFileOperations left = new FaultInjectingFileOperations();
     (namesWritten ? names : syncedNames).forEach((name, inode) -> left.put(name, inode.synced));
     return left;
   }
--- a/node/src/test/java/ferngrade/node/MaintenanceTest.java
+++ b/node/src/test/java/ferngrade/node/MaintenanceOverridesTest.java
@@ -13,15 +13,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class MaintenanceTest {
-  private static Member entry(String name, WorkerState state, double startedAt) {
-    return new Member(
+class MaintenanceOverridesTest {
+  private static Endpoint entry(String name, WorkerState state, double startedAt) {
+    return new Endpoint(
         name,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 9000),
         new Worker(name.hashCode(), state, 0, 0, 0, startedAt, 1));
   }
 
-  private final Maintenance maintenance = new Maintenance();
+  private final MaintenanceOverrides maintenance = new MaintenanceOverrides();
 
   @Test
   void aNameThatNobodyHasIsUnknownAndChangesNothing() {
@@ -41,13 +41,13 @@
     // while.
     for (EndpointListUpdate news :
         List.of(EndpointListUpdate.WHOLE, EndpointListUpdate.CHANGES, EndpointListUpdate.STORED)) {
-      List<Member> told = maintenance.over(news, List.of(entry("s-1", WorkerState.READY, 0)));
+      List<Endpoint> told = maintenance.over(news, List.of(entry("s-1", WorkerState.READY, 0)));
       assertEquals(WorkerState.DRAINING, told.get(0).worker().state(), news.name());
     }
     maintenance.over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.GONE, 0)));
     assertTrue(maintenance.knows("s-1"));
     assertNull(maintenance.giveBack("s-9", 5));
-    List<Member> relisted =
+    List<Endpoint> relisted =
         maintenance.over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 0)));
     assertEquals(WorkerState.DRAINING, relisted.get(0).worker().state());
   }
@@ -58,7 +58,7 @@
     maintenance.take("s-1");
     maintenance.take("s-1");
     assertEquals(1, maintenance.listedOut());
-    Member back = maintenance.giveBack("s-1", 5000);
+    Endpoint back = maintenance.giveBack("s-1", 5000);
     assertEquals(WorkerState.READY, back.worker().state());
     assertEquals(5000, back.worker().startedAt());
     assertEquals(0, maintenance.listedOut());
@@ -94,9 +94,9 @@
     maintenance.take("s-1");
     maintenance.take("s-2");
     maintenance.giveBack("s-2", 900);
-    Maintenance later = new Maintenance();
+    MaintenanceOverrides later = new MaintenanceOverrides();
     later.restore(maintenance.saved());
-    List<Member> told =
+    List<Endpoint> told =
         later.over(
             EndpointListUpdate.STORED,
             List.of(entry("s-1", WorkerState.READY, 0), entry("s-2", WorkerState.READY, 0)));
--- a/node/src/test/java/ferngrade/node/NodeTest.java
+++ b/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
@@ -23,16 +23,16 @@
 import org.testng.annotations.Test;
 
 /** The node between a scripted module and scripted workers, on a clock that the test sets. */
-public class NodeTest {
+public class RequestCoordinatorTest {
   private final List<String> heard = new ArrayList<>();
   private final List<String> answers = new ArrayList<>();
   private final List<String> given = new ArrayList<>();
-  private final List<Workers.Listener> sent = new ArrayList<>();
+  private final List<WorkerTransport.Listener> sent = new ArrayList<>();
   private final Deque<Runnable> tasks = new ArrayDeque<>();
   private double now;
   private Timers timers;
   private Actions actions;
-  private Node node;
+  private RequestCoordinator node;
 
   @BeforeMethod
   public void start() {
@@ -42,15 +42,15 @@
     Clock clock = () -> now;
     timers = new Timers(clock, (millis, run) -> {});
     node =
-        new Node(
-            new Node.Surroundings(
+        new RequestCoordinator(
+            new RequestCoordinator.Surroundings(
                 clock,
                 timers,
                 tasks::add,
                 new ScriptedWorkers(),
                 (peer, message) -> {},
-                new Log(clock, line -> {})),
-            new Node.Room(2, 100, 700),
+                new RateLimitedLog(clock, line -> {})),
+            new RequestCoordinator.RequestLimits(2, 100, 700),
             asked -> {
               actions = asked;
               return new Recorder();
@@ -64,9 +64,9 @@
   @Test
   public void callBackBeforeThe202ServesAndItsRepeatsDoNothing() {
     out("a", 1);
-    say("a", "s-1", News.State.DONE);
-    say("a", "s-1", News.State.DONE);
-    say("a", "s-1", News.State.LOST);
+    say("a", "s-1", WorkerCallback.State.DONE);
+    say("a", "s-1", WorkerCallback.State.DONE);
+    say("a", "s-1", WorkerCallback.State.LOST);
     assertEquals(answers, List.of("served r"));
     assertEquals(heard, List.of("arrived a", "ended a/0 OK over"));
     assertEquals(node.open(), 0);
@@ -75,9 +75,9 @@
   @Test
   public void newsOfUnknownJobsAndFromOtherWorkersIsIgnored() {
     out("a", 1);
-    say("b", "s-1", News.State.DONE);
-    say("a", "s-2", News.State.DONE);
-    say("a", "s-9", News.State.STARTED);
+    say("b", "s-1", WorkerCallback.State.DONE);
+    say("a", "s-2", WorkerCallback.State.DONE);
+    say("a", "s-9", WorkerCallback.State.STARTED);
     assertEquals(heard, List.of("arrived a"));
     assertEquals(answers, List.of());
   }
@@ -85,19 +85,19 @@
   @Test
   public void newsFromAnEarlierAttemptsWorkerDoesNotEndTheNewOne() {
     out("a", 1);
-    say("a", "s-1", News.State.RETURNED);
+    say("a", "s-1", WorkerCallback.State.RETURNED);
     send("a", 2);
     sent.get(1).written();
-    say("a", "s-1", News.State.RETURNED);
+    say("a", "s-1", WorkerCallback.State.RETURNED);
     assertEquals(heard, List.of("arrived a", "ended a/0 FULL"));
-    say("a", "s-2", News.State.DONE);
+    say("a", "s-2", WorkerCallback.State.DONE);
     assertEquals(answers, List.of("served r"));
   }
 
   @Test
   public void workerThatCalledBackDoesNotGetTheRequestAgain() {
     out("a", 1);
-    say("a", "s-1", News.State.RETURNED);
+    say("a", "s-1", WorkerCallback.State.RETURNED);
     send("a", 1);
     assertEquals(sent.size(), 1);
     assertEquals(heard.get(2), "ended a/1 NEVER_SENT");
@@ -141,7 +141,7 @@
   public void clientThatGoesBetweenTwoAttemptsOrWhileItWaitsHasNoneBegun() {
     out("a", 1);
     node.clientGone("a");
-    say("a", "s-1", News.State.RETURNED);
+    say("a", "s-1", WorkerCallback.State.RETURNED);
     send("a", 2);
     request("b", 21_000);
     node.clientGone("b");
@@ -172,8 +172,8 @@
     out("a", 1);
     sent.get(0).ended(AttemptOutcome.RESET, LoadReport.NONE);
     run();
-    say("a", "s-1", News.State.DONE);
-    say("a", "s-1", News.State.FAILED);
+    say("a", "s-1", WorkerCallback.State.DONE);
+    say("a", "s-1", WorkerCallback.State.FAILED);
     assertEquals(heard, List.of("arrived a", "ended a/0 RESET"));
     assertEquals(answers, List.of());
   }
@@ -183,7 +183,7 @@
     out("a", 1);
     send("a", 2);
     assertTrue(sent.get(1).mayStart());
-    say("a", "s-1", News.State.DONE);
+    say("a", "s-1", WorkerCallback.State.DONE);
     assertFalse(sent.get(1).mayStart());
   }
 
@@ -215,7 +215,7 @@
     request("a", 21_000);
     send("a", 1);
     sent.get(0).written();
-    say("a", "s-1", News.State.STARTED);
+    say("a", "s-1", WorkerCallback.State.STARTED);
     pass(1000);
     assertEquals(given, List.of());
   }
@@ -226,7 +226,7 @@
     actions.cancel("a", 0);
     actions.cancel("a", 0);
     turn();
-    say("a", "s-1", News.State.DONE);
+    say("a", "s-1", WorkerCallback.State.DONE);
     assertEquals(given, List.of("a"));
     assertEquals(heard, List.of("arrived a", "ended a/0 CANCELLED"));
   }
@@ -236,7 +236,7 @@
     out("a", 1);
     node.clientGone("a");
     run();
-    say("a", "s-1", News.State.DONE);
+    say("a", "s-1", WorkerCallback.State.DONE);
     assertEquals(answers, List.of());
     assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/0 OK over"));
     assertEquals(node.open(), 0);
@@ -279,13 +279,13 @@
   public void sendWaitingOnAConnectStopsWhenItsWorkerDrainsRestartsOrMoves() {
     out("a", 1);
     assertTrue(sent.get(0).mayStart());
-    Member ready = member("s-1", 1, WorkerState.READY, 0);
-    for (Member changed :
+    Endpoint ready = member("s-1", 1, WorkerState.READY, 0);
+    for (Endpoint changed :
         List.of(
             member("s-1", 1, WorkerState.DRAINING, 0),
             member("s-1", 1, WorkerState.GONE, 0),
             member("s-1", 1, WorkerState.READY, 900),
-            new Member("s-1", new InetSocketAddress("127.0.0.9", 9), ready.worker()))) {
+            new Endpoint("s-1", new InetSocketAddress("127.0.0.9", 9), ready.worker()))) {
       node.members(EndpointListUpdate.CHANGES, List.of(changed));
       assertFalse(sent.get(0).mayStart(), changed.toString());
       node.members(EndpointListUpdate.CHANGES, List.of(ready));
@@ -321,8 +321,8 @@
     turn();
   }
 
-  private void say(String id, String from, News.State state) {
-    node.news(new News(id, from, state, 0, "r", LoadReport.NONE));
+  private void say(String id, String from, WorkerCallback.State state) {
+    node.news(new WorkerCallback(id, from, state, 0, "r", LoadReport.NONE));
     run();
   }
 
@@ -348,18 +348,18 @@
     return new Job(id, 0, 0, due, 0, 1, 0, 0);
   }
 
-  private static Call call(String id) {
-    return new Call(id, "POST", "/api", null, new byte[0]);
+  private static JobRequest call(String id) {
+    return new JobRequest(id, "POST", "/api", null, new byte[0]);
   }
 
-  private static Member member(String name, long id, WorkerState state, double startedAt) {
-    return new Member(
+  private static Endpoint member(String name, long id, WorkerState state, double startedAt) {
+    return new Endpoint(
         name,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), (int) id),
         new Worker(id, state, 0, 0, 0, startedAt, 1));
   }
 
-  private final class Answers implements Reply {
+  private final class Answers implements ResponseHandler {
     @Override
     public void served(String result) {
       answers.add("served " + result);
@@ -376,9 +376,10 @@
     }
   }
 
-  private final class ScriptedWorkers implements Workers {
+  private final class ScriptedWorkers implements WorkerTransport {
     @Override
-    public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
+    public AttemptHandle send(
+        JobRequest call, InetSocketAddress worker, double patience, Listener listener) {
       sent.add(listener);
       return told -> {
         given.add(call.id());
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
@@ -68,12 +68,12 @@
   }
 
   /** A node with the module's own decisions, between two workers that serve all they get. */
-  private static final class Run implements Workers {
+  private static final class Run implements WorkerTransport {
     private final SettableClock clock = new SettableClock(START);
     private final Timers timers = new Timers(clock, (millis, run) -> {});
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final int[] sent = new int[SECONDS_OBSERVED];
-    private final Node node;
+    private final RequestCoordinator node;
     private double step;
     private Moment moment;
 
@@ -93,15 +93,15 @@
                   "Classes":[{"Name":"draft","Effect":"idempotent","Deadline":1000.0}]}""")
               .asObject());
       node =
-          new Node(
-              new Node.Surroundings(
+          new RequestCoordinator(
+              new RequestCoordinator.Surroundings(
                   clock,
                   timers,
                   tasks::add,
                   this,
                   (peer, message) -> {},
-                  new Log(clock, line -> {})),
-              new Node.Room(1000, 1_000_000, 0),
+                  new RateLimitedLog(clock, line -> {})),
+              new RequestCoordinator.RequestLimits(1000, 1_000_000, 0),
               actions -> new ThrottlingDispatcher(settings.build(), 7, clock.now(), actions));
     }
 
@@ -131,8 +131,8 @@
       }
     }
 
-    private static Member entry(int id, double listedStart) {
-      return new Member(
+    private static Endpoint entry(int id, double listedStart) {
+      return new Endpoint(
           "s-" + id,
           new InetSocketAddress(InetAddress.getLoopbackAddress(), id),
           new Worker(id, WorkerState.READY, 0, 0, 0, listedStart, 1));
@@ -145,7 +145,7 @@
         String id = "r" + requests++;
         node.request(
             new Job(id, 0, 0, clock.now() + 1000, 0, 1, 0, 0),
-            new Call(id, "POST", "/api", null, new byte[0]),
+            new JobRequest(id, "POST", "/api", null, new byte[0]),
             new Unheard());
         while (!tasks.isEmpty()) {
           tasks.poll().run();
@@ -154,7 +154,8 @@
     }
 
     @Override
-    public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
+    public AttemptHandle send(
+        JobRequest call, InetSocketAddress worker, double patience, Listener listener) {
       if (worker.getPort() == 2) {
         sent[(int) ((clock.now() - joinedAt) / 1000)]++;
       }
@@ -164,10 +165,10 @@
           SERVICE,
           () ->
               node.news(
-                  new News(
+                  new WorkerCallback(
                       call.id(),
                       "s-" + worker.getPort(),
-                      News.State.DONE,
+                      WorkerCallback.State.DONE,
                       1,
                       "r",
                       LoadReport.NONE)));
@@ -181,7 +182,7 @@
   }
 
   /** The client of a request, whose answer does not matter here. */
-  private static final class Unheard implements Reply {
+  private static final class Unheard implements ResponseHandler {
     @Override
     public void served(String result) {}
 
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
@@ -60,12 +60,12 @@
   }
 
   /** One course of events at a node with the module's own decisions. */
-  private static final class Run implements Workers {
+  private static final class Run implements WorkerTransport {
     private final SettableClock clock = new SettableClock(START);
     private final Timers timers = new Timers(clock, (millis, run) -> {});
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final List<String> events = new ArrayList<>();
-    private final Node node;
+    private final RequestCoordinator node;
     private final double step;
     private final int point;
     private int passed;
@@ -85,15 +85,15 @@
 {"Name":"order","Effect":"at_most_once","Deadline":1000.0}]}""")
               .asObject());
       node =
-          new Node(
-              new Node.Surroundings(
+          new RequestCoordinator(
+              new RequestCoordinator.Surroundings(
                   clock,
                   timers,
                   tasks::add,
                   this,
                   (peer, message) -> {},
-                  new Log(clock, line -> {})),
-              new Node.Room(100, 100_000, 700),
+                  new RateLimitedLog(clock, line -> {})),
+              new RequestCoordinator.RequestLimits(100, 100_000, 700),
               actions -> new ThrottlingDispatcher(settings.build(), 7, clock.now(), actions));
     }
 
@@ -107,7 +107,9 @@
       last.ended(AttemptOutcome.RESET, LoadReport.NONE);
       run();
       pass(20);
-      node.news(new News("keyed", lastWorker, News.State.DONE, 1, "r", LoadReport.NONE));
+      node.news(
+          new WorkerCallback(
+              "keyed", lastWorker, WorkerCallback.State.DONE, 1, "r", LoadReport.NONE));
       run();
       request("outside", 0);
       pass(500);
@@ -132,8 +134,8 @@
       run();
     }
 
-    private static Member entry(int id, WorkerState state) {
-      return new Member(
+    private static Endpoint entry(int id, WorkerState state) {
+      return new Endpoint(
           "s-" + id,
           new InetSocketAddress(InetAddress.getLoopbackAddress(), id),
           new Worker(id, state, 0, 0, 0, 0, 1));
@@ -142,7 +144,7 @@
     private void request(String id, int jobClass) {
       node.request(
           new Job(id, jobClass, 0, clock.now() + 1000, 0, 1, 0, 0),
-          new Call(id, "POST", "/api", id, new byte[0]),
+          new JobRequest(id, "POST", "/api", id, new byte[0]),
           new Answers(id));
       run();
       point();
@@ -168,7 +170,8 @@
     }
 
     @Override
-    public Sending send(Call call, InetSocketAddress worker, double patience, Listener listener) {
+    public AttemptHandle send(
+        JobRequest call, InetSocketAddress worker, double patience, Listener listener) {
       lastWorker = "s-" + worker.getPort();
       event(call.id() + " to " + lastWorker + " for " + patience);
       last = listener;
@@ -186,7 +189,7 @@
     }
 
     /** Notes the answer to one request. */
-    private final class Answers implements Reply {
+    private final class Answers implements ResponseHandler {
       private final String id;
 
       Answers(String id) {
--- a/node/src/test/java/ferngrade/node/StartTimesTest.java
+++ b/node/src/test/java/ferngrade/node/StartTimesTest.java
@@ -31,14 +31,14 @@
     return SettableClock.steps();
   }
 
-  private static Member entry(long id, double listedStart) {
-    return new Member(
+  private static Endpoint entry(long id, double listedStart) {
+    return new Endpoint(
         "s-" + id,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), (int) id),
         new Worker(id, WorkerState.READY, 0, 0, 0, listedStart, 1));
   }
 
-  private double translated(EndpointListUpdate news, Member entry) {
+  private double translated(EndpointListUpdate news, Endpoint entry) {
     return times.translate(news, List.of(entry)).get(0).worker().startedAt();
   }
 
@@ -49,7 +49,7 @@
 
   @Test
   public void withoutAStepEntriesPassAsTheyAre() {
-    List<Member> list = List.of(entry(1, 0), entry(2, START - 70_000), entry(3, START));
+    List<Endpoint> list = List.of(entry(1, 0), entry(2, START - 70_000), entry(3, START));
     assertEquals(times.translate(EndpointListUpdate.WHOLE, list), list);
   }
 
@@ -100,7 +100,7 @@
 
   @Test(dataProvider = "steps")
   public void startOnceKnownStaysThroughStepsAndAbsences(double step) {
-    Member listed = entry(1, START - 2_000);
+    Endpoint listed = entry(1, START - 2_000);
     double start = translated(EndpointListUpdate.STORED, listed);
     for (EndpointListUpdate news :
         List.of(EndpointListUpdate.WHOLE, EndpointListUpdate.CHANGES, EndpointListUpdate.WHOLE)) {
--- a/node/src/test/java/ferngrade/wire/WireHostTest.java
+++ b/node/src/test/java/ferngrade/simulator/SimulatorHostTest.java
@@ -1,4 +1,4 @@
-package ferngrade.wire;
+package ferngrade.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter on hand-written lines. */
-class WireHostTest {
+class SimulatorHostTest {
   private static final String ENV =
       "Balancers=4 Ceilings.MostTries=3 Ceilings.PeerMessages=true Classes.count=1"
           + " Classes.0.Effect=idempotent Classes.0.GoalTime=100.0 Classes.0.Deadline=5000.0"
@@ -39,7 +39,7 @@
 
   private static String run(String input) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new WireHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+    new SimulatorHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
     return out.toString(StandardCharsets.UTF_8);
   }
 
