--- a/consensus/src/main/java/ferngrade/consensus/LogFormat.java
+++ b/consensus/src/main/java/ferngrade/consensus/LogFormat.java
@@ -30,13 +30,13 @@
 public final class LogFormat {
   private static final List<Class<?>> OWN =
       List.of(
-          Endpoint.class,
-          NewTerm.class,
-          VoterLog.CutFrom.class,
-          VoterLog.CutUntil.class,
-          VoterLog.DropChunks.class,
-          Voter.Forward.class,
-          Voter.Answered.class,
+          RaftMemberId.class,
+          NoOpEntry.class,
+          RaftLogStore.CutFrom.class,
+          RaftLogStore.CutUntil.class,
+          RaftLogStore.DropChunks.class,
+          RaftMember.Forward.class,
+          RaftMember.Answered.class,
           MembershipChangeMode.class,
           DefaultUpdateRaftGroupMembersOpOrBuilder.class,
           DefaultLogEntryOrBuilder.class,
@@ -55,8 +55,8 @@
           DefaultVoteResponseOrBuilder.class,
           DefaultRaftEndpointPersistentStateOrBuilder.class,
           DefaultRaftTermPersistentStateOrBuilder.class,
-          Voter.To.class,
-          Voter.Join.class);
+          RaftMember.To.class,
+          RaftMember.Join.class);
 
   private LogFormat() {}
 
--- a/consensus/src/main/java/ferngrade/consensus/VoterLog.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
@@ -1,9 +1,9 @@
 package ferngrade.consensus;
 
 import ferngrade.codec.Codec;
-import ferngrade.jobstore.Batch;
-import ferngrade.jobstore.DamagedException;
-import ferngrade.jobstore.Disk;
+import ferngrade.jobstore.CorruptLogException;
+import ferngrade.jobstore.LogBatch;
+import ferngrade.jobstore.Storage;
 import io.microraft.model.impl.log.DefaultSnapshotEntryOrBuilder;
 import io.microraft.model.impl.persistence.DefaultRaftTermPersistentStateOrBuilder;
 import io.microraft.model.log.LogEntry;
@@ -25,7 +25,7 @@
 
 /**
  * What a voter must not forget: who it is, its term and vote, the log and the last snapshot, on a
- * {@link Disk}. Each flush is one batch and one sync. A torn tail is cut; what was synced and
+ * {@link Storage}. Each flush is one batch and one sync. A torn tail is cut; what was synced and
  * cannot be read is an error with file and offset. A file whose write or sync has failed is neither
  * written nor synced again, since nobody knows what the disk holds of its end: everything is
  * refused until {@link #continueInNewFile} has written all that counts into the next file.
@@ -33,7 +33,7 @@
  * <p>The file is written anew, with a number one higher, once it has grown beyond its bound and a
  * snapshot stands for the log's beginning. Belongs to the voter's thread.
  */
-public final class VoterLog implements RaftStore, AutoCloseable {
+public final class RaftLogStore implements RaftStore, AutoCloseable {
   private static final String PREFIX = "voter-";
   private static final String UNFINISHED = ".tmp";
 
@@ -46,7 +46,7 @@
   /** The parts of the snapshot at this index are no longer wanted. */
   record DropChunks(long index) {}
 
-  private final Disk disk;
+  private final Storage disk;
   private final Codec codec;
   private final long fileBytes;
   private final Consumer<IOException> failed;
@@ -56,7 +56,7 @@
   private RaftEndpointPersistentState endpoint;
   private RaftGroupMembersView initial;
   private RaftTermPersistentState term;
-  private Disk.Appender file;
+  private Storage.Appender file;
   private long fileNumber;
   private long batch;
   private long written;
@@ -66,7 +66,7 @@
 
   private IOException broken;
 
-  private VoterLog(Disk disk, Codec codec, long fileBytes, Consumer<IOException> failed) {
+  private RaftLogStore(Storage disk, Codec codec, long fileBytes, Consumer<IOException> failed) {
     this.disk = disk;
     this.codec = codec;
     this.fileBytes = fileBytes;
@@ -77,9 +77,9 @@
    * Opens the log of a folder and recovers what it holds; {@code failed} is told of a write that
    * fails, after which the voter must take no part until {@link #continueInNewFile} has returned.
    */
-  public static VoterLog open(Disk disk, Codec codec, long fileBytes, Consumer<IOException> failed)
-      throws IOException {
-    VoterLog log = new VoterLog(disk, codec, fileBytes, failed);
+  public static RaftLogStore open(
+      Storage disk, Codec codec, long fileBytes, Consumer<IOException> failed) throws IOException {
+    RaftLogStore log = new RaftLogStore(disk, codec, fileBytes, failed);
     log.recover();
     return log;
   }
@@ -104,22 +104,22 @@
     ByteBuffer in = ByteBuffer.wrap(content);
     int at = 0;
     while (at < content.length) {
-      int length = Batch.lengthAt(in, at);
+      int length = LogBatch.lengthAt(in, at);
       if (length < 0) {
-        if (at == 0 || Batch.followed(in, at, batch)) {
-          throw new DamagedException(name, at, "a batch cannot be read, and it was synced");
+        if (at == 0 || LogBatch.followed(in, at, batch)) {
+          throw new CorruptLogException(name, at, "a batch cannot be read, and it was synced");
         }
         return;
       }
-      if (Batch.numberAt(in, at) != batch + 1 && at > 0) {
-        throw new DamagedException(name, at, "batch " + (batch + 1) + " is missing");
+      if (LogBatch.numberAt(in, at) != batch + 1 && at > 0) {
+        throw new CorruptLogException(name, at, "batch " + (batch + 1) + " is missing");
       }
-      batch = Batch.numberAt(in, at);
-      if (!(codec.read(content, at + Batch.HEADER, length) instanceof Collection<?> items)) {
-        throw new DamagedException(name, at, "a batch is no list");
+      batch = LogBatch.numberAt(in, at);
+      if (!(codec.read(content, at + LogBatch.HEADER, length) instanceof Collection<?> items)) {
+        throw new CorruptLogException(name, at, "a batch is no list");
       }
       items.forEach(this::apply);
-      at += Batch.HEADER + length;
+      at += LogBatch.HEADER + length;
     }
   }
 
@@ -271,11 +271,11 @@
     }
   }
 
-  private void write(Disk.Appender to, List<Object> items) throws IOException {
+  private void write(Storage.Appender to, List<Object> items) throws IOException {
     byte[] content = codec.write(items);
-    byte[] all = new byte[Batch.HEADER + content.length];
-    System.arraycopy(content, 0, all, Batch.HEADER, content.length);
-    Batch.frame(all, ++batch);
+    byte[] all = new byte[LogBatch.HEADER + content.length];
+    System.arraycopy(content, 0, all, LogBatch.HEADER, content.length);
+    LogBatch.frame(all, ++batch);
     to.append(all, all.length);
     to.sync();
     written += all.length;
@@ -302,7 +302,7 @@
     if (disk.list().contains(next + UNFINISHED)) {
       disk.delete(next + UNFINISHED);
     }
-    Disk.Appender begun = disk.create(next + UNFINISHED);
+    Storage.Appender begun = disk.create(next + UNFINISHED);
     try {
       written = 0;
       write(begun, all);
@@ -336,7 +336,7 @@
     }
   }
 
-  private static void closeQuietly(Disk.Appender file) {
+  private static void closeQuietly(Storage.Appender file) {
     try {
       file.close();
     } catch (IOException nothingNew) {
--- a/consensus/src/main/java/ferngrade/consensus/Voter.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -38,13 +38,13 @@
 /**
  * One member's part in the replicated log: a vote, or a copy that follows. What is proposed
  * anywhere goes to the leader; once a majority of the voters has it on disk, every member applies
- * it to its {@link Machine}.
+ * it to its {@link ReplicatedStateMachine}.
  *
  * <p>The algorithm is MicroRaft's; its time, chance, disk and messages come from here, so that it
  * runs in virtual time. It counts heartbeats in whole seconds: one of its seconds is a heartbeat of
  * {@link Terms}. All methods belong to the thread of {@code loop}.
  */
-public final class Voter {
+public final class RaftMember {
   /** Heartbeats without a word from a leader after which another is elected. */
   private static final int SILENT_BEATS = 5;
 
@@ -64,7 +64,7 @@
   /** Why a proposal comes back as unknown while the disk fails. */
   static final String DISK_FAILS = "this member's disk fails";
 
-  private final Endpoint self;
+  private final RaftMemberId self;
   private final String name;
   private final String fleet;
   private final Group group;
@@ -75,7 +75,7 @@
   private final Map<Long, Waiting> waiting = new HashMap<>();
   private final Clock clock;
   private final Terms terms;
-  private final DiskSuspension suspension;
+  private final StorageSuspension suspension;
   private long lastId;
   private double leaderHeard;
   private double campaigned;
@@ -142,10 +142,10 @@
   private record Waiting(Outcome outcome, Timers.Timer timer) {}
 
   /** A member of a group; it takes part from {@link #start} on. */
-  public Voter(
+  public RaftMember(
       String name,
       Group group,
-      Machine machine,
+      ReplicatedStateMachine machine,
       Kept kept,
       Surroundings around,
       Codec codec,
@@ -157,7 +157,7 @@
     this.timers = around.timers();
     this.clock = around.clock();
     this.terms = terms;
-    this.suspension = new DiskSuspension(around.timers(), around.loop());
+    this.suspension = new StorageSuspension(around.timers(), around.loop());
     this.codec = codec;
     this.links = links;
     double scale = terms.heartbeat() / 1000;
@@ -180,10 +180,12 @@
             .setRandom(new Random(around.seed()))
             .setClock(new Pace(around.clock(), scale));
     if (kept.restored() != null) {
-      this.self = (Endpoint) kept.restored().getLocalEndpointPersistentState().getLocalEndpoint();
+      this.self =
+          (RaftMemberId) kept.restored().getLocalEndpointPersistentState().getLocalEndpoint();
       builder.setRestoredState(kept.restored());
     } else {
-      this.self = kept.anew() == null ? new Endpoint(name) : Endpoint.anew(name, kept.anew());
+      this.self =
+          kept.anew() == null ? new RaftMemberId(name) : RaftMemberId.anew(name, kept.anew());
       builder
           .setLocalEndpoint(self)
           .setInitialGroupMembers(endpoints(group.members()), endpoints(group.voters()));
@@ -192,7 +194,7 @@
   }
 
   private static List<RaftEndpoint> endpoints(Collection<String> names) {
-    return names.stream().sorted().<RaftEndpoint>map(Endpoint::new).toList();
+    return names.stream().sorted().<RaftEndpoint>map(RaftMemberId::new).toList();
   }
 
   /** Begins to take part. */
@@ -210,7 +212,7 @@
    * it neither hears nor sends messages, and proposals come back as unknown. Called when a write of
    * {@code log} has failed; {@code over} is called when the disk works again.
    */
-  public void suspend(VoterLog log, Runnable over) {
+  public void suspend(RaftLogStore log, Runnable over) {
     suspension.begin(
         log::continueInNewFile,
         () -> {
@@ -239,7 +241,7 @@
   }
 
   /** Whether the log knows this endpoint, as a voter if its member is to be one. */
-  private boolean takenIn(Endpoint endpoint) {
+  private boolean takenIn(RaftMemberId endpoint) {
     RaftGroupMembers members = node.getCommittedMembers();
     return (group.voters().contains(endpoint.member())
             ? members.getVotingMembers()
@@ -257,7 +259,7 @@
    * first, for it has forgotten what it voted; then it learns, and then it votes. Each step is one
    * change that a majority has to agree on.
    */
-  private void takeIn(Endpoint endpoint) {
+  private void takeIn(RaftMemberId endpoint) {
     RaftGroupMembers members = node.getCommittedMembers();
     RaftGroupMembers effective = node.getEffectiveMembers();
     if (!leads() || takenIn(endpoint) || members.getLogIndex() != effective.getLogIndex()) {
@@ -267,7 +269,8 @@
         members.getMembers().stream()
             .filter(
                 each ->
-                    !each.equals(endpoint) && ((Endpoint) each).member().equals(endpoint.member()))
+                    !each.equals(endpoint)
+                        && ((RaftMemberId) each).member().equals(endpoint.member()))
             .findFirst()
             .orElse(null);
     MembershipChangeMode mode =
@@ -311,7 +314,7 @@
    */
   public void transferLeadership(Predicate<String> up) {
     node.getCommittedMembers().getVotingMembers().stream()
-        .filter(each -> !each.equals(self) && up.test(((Endpoint) each).member()))
+        .filter(each -> !each.equals(self) && up.test(((RaftMemberId) each).member()))
         .findFirst()
         .filter(other -> leads())
         .ifPresent(node::transferLeadership);
@@ -345,7 +348,7 @@
   public View view() {
     RaftTerm term = node.getTerm();
     RaftEndpoint leader = suspended() ? null : term.getLeaderEndpoint();
-    return new View(term.getTerm(), leader == null ? null : ((Endpoint) leader).member());
+    return new View(term.getTerm(), leader == null ? null : ((RaftMemberId) leader).member());
   }
 
   private boolean leads() {
@@ -382,7 +385,7 @@
         node.handle(raft);
       }
     } else if (read instanceof Join join) {
-      Endpoint endpoint = new Endpoint(String.valueOf(join.endpoint()));
+      RaftMemberId endpoint = new RaftMemberId(String.valueOf(join.endpoint()));
       if (endpoint.member().equals(from) && !endpoint.name().equals(from)) {
         takeIn(endpoint);
       }
@@ -531,7 +534,8 @@
         campaigned = clock.now();
       }
       links.send(
-          ((Endpoint) target).member(), codec.write(new To(((Endpoint) target).name(), message)));
+          ((RaftMemberId) target).member(),
+          codec.write(new To(((RaftMemberId) target).name(), message)));
     }
 
     @Override
@@ -540,10 +544,10 @@
     }
   }
 
-  private record Applied(Machine machine) implements StateMachine {
+  private record Applied(ReplicatedStateMachine machine) implements StateMachine {
     @Override
     public Object runOperation(long index, Object operation) {
-      return operation instanceof NewTerm ? null : machine.apply(index, operation);
+      return operation instanceof NoOpEntry ? null : machine.apply(index, operation);
     }
 
     @Override
@@ -558,7 +562,7 @@
 
     @Override
     public Object getNewTermOperation() {
-      return new NewTerm();
+      return new NoOpEntry();
     }
   }
 
--- a/consensus/src/main/java/ferngrade/consensus/Endpoint.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMemberId.java
@@ -7,7 +7,7 @@
  * after the loss of its disk is another one to the log, {@code name#nonce}, so that what the lost
  * disk had promised binds nobody and frees nobody.
  */
-record Endpoint(String name) implements RaftEndpoint {
+record RaftMemberId(String name) implements RaftEndpoint {
   private static final char ANEW = '#';
 
   @Override
@@ -22,7 +22,7 @@
   }
 
   /** A member that has lost its disk, as another one to the log. */
-  static Endpoint anew(String member, String nonce) {
-    return new Endpoint(member + ANEW + nonce);
+  static RaftMemberId anew(String member, String nonce) {
+    return new RaftMemberId(member + ANEW + nonce);
   }
 }
--- a/consensus/src/main/java/ferngrade/consensus/Machine.java
+++ b/consensus/src/main/java/ferngrade/consensus/ReplicatedStateMachine.java
@@ -4,7 +4,7 @@
  * What is made of the log: the same at every member that has applied the same part of it. It reads
  * no clock and draws nothing by chance.
  */
-public interface Machine {
+public interface ReplicatedStateMachine {
   /** Applies the command that stands at this index; the result goes to whoever proposed it. */
   Object apply(long index, Object command);
 
--- a/consensus/src/main/java/ferngrade/consensus/DiskSuspension.java
+++ b/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
@@ -15,7 +15,7 @@
  * with backoff. A task in which the write failed counts as lost, as a message that never came; only
  * the leader's flush is run again, since the algorithm waits for it before it submits another.
  */
-final class DiskSuspension {
+final class StorageSuspension {
   /** Ms until a failing disk is tried again: at first, and at the most. */
   private static final double RETRY_FIRST = 20;
 
@@ -34,7 +34,7 @@
   private final Deque<Runnable> held = new ArrayDeque<>();
   private boolean active;
 
-  DiskSuspension(Timers timers, Executor loop) {
+  StorageSuspension(Timers timers, Executor loop) {
     this.timers = timers;
     this.loop = loop;
   }
--- a/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
@@ -5,7 +5,7 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.golden.GoldenFile;
-import ferngrade.jobstore.FaultyDisk;
+import ferngrade.jobstore.FaultInjectingStorage;
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
 import io.microraft.model.impl.groupop.DefaultUpdateRaftGroupMembersOpOrBuilder;
@@ -44,8 +44,8 @@
  */
 class LogFormatGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("log-format.txt");
-  private static final Endpoint SELF = new Endpoint("a");
-  private static final Endpoint OTHER = Endpoint.anew("b", "0f1e");
+  private static final RaftMemberId SELF = new RaftMemberId("a");
+  private static final RaftMemberId OTHER = RaftMemberId.anew("b", "0f1e");
   private static final Set<RaftEndpoint> BOTH = new LinkedHashSet<>(List.of(SELF, OTHER));
   private static final String GROUP = "fleet";
   private static final RaftGroupMembersView MEMBERS =
@@ -90,15 +90,15 @@
   private static void putOwn(Map<String, Object> values) {
     values.put("endpoint", SELF);
     values.put("endpoint-anew", OTHER);
-    values.put("first-entry-of-term", new NewTerm());
-    values.put("cut-from", new VoterLog.CutFrom(40));
-    values.put("cut-until", new VoterLog.CutUntil(41));
-    values.put("drop-chunks", new VoterLog.DropChunks(42));
-    values.put("forward", new Voter.Forward(43, "command"));
-    values.put("answered", new Voter.Answered(44, true, "result"));
-    values.put("answered-unknown", new Voter.Answered(45, false, "why"));
-    values.put("addressed", new Voter.To("b#0f1e", "message"));
-    values.put("join", new Voter.Join("b#0f1e"));
+    values.put("first-entry-of-term", new NoOpEntry());
+    values.put("cut-from", new RaftLogStore.CutFrom(40));
+    values.put("cut-until", new RaftLogStore.CutUntil(41));
+    values.put("drop-chunks", new RaftLogStore.DropChunks(42));
+    values.put("forward", new RaftMember.Forward(43, "command"));
+    values.put("answered", new RaftMember.Answered(44, true, "result"));
+    values.put("answered-unknown", new RaftMember.Answered(45, false, "why"));
+    values.put("addressed", new RaftMember.To("b#0f1e", "message"));
+    values.put("join", new RaftMember.Join("b#0f1e"));
     int number = 0;
     for (MembershipChangeMode mode : MembershipChangeMode.values()) {
       values.put("change-mode-" + number++, mode);
@@ -108,7 +108,7 @@
   private static void putStored(Map<String, Object> values) {
     values.put("members", MEMBERS);
     values.put("entry", ENTRY);
-    values.put("entry-first-of-term", entry(21, new NewTerm()));
+    values.put("entry-first-of-term", entry(21, new NoOpEntry()));
     values.put(
         "entry-members",
         entry(
@@ -299,26 +299,26 @@
 
   @Test
   void theFileOfALogIsWrittenAndReadAsRecorded() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1, 0);
+    FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
     List<IOException> failures = new ArrayList<>();
-    VoterLog log = VoterLog.open(disk, codec, FILE_BYTES, failures::add);
+    RaftLogStore log = RaftLogStore.open(disk, codec, FILE_BYTES, failures::add);
     fill(log);
     log.close();
     GOLDEN.verify("file-names", disk.list().toString());
     String name = disk.list().get(0);
     GOLDEN.verify("file", disk.read(name));
 
-    FaultyDisk copy = new FaultyDisk(2, 0);
+    FaultInjectingStorage copy = new FaultInjectingStorage(2, 0);
     byte[] recorded = GOLDEN.bytes("file");
     copy.create(name).append(recorded, recorded.length);
-    check(VoterLog.open(copy, codec, FILE_BYTES, failures::add).restored());
+    check(RaftLogStore.open(copy, codec, FILE_BYTES, failures::add).restored());
     // Opened anew, it is one batch with all that still counts, in a file with the next number.
     GOLDEN.verify("file-names-reopened", copy.list().toString());
     GOLDEN.verify("file-reopened", copy.read(copy.list().get(0)));
     assertEquals(List.of(), failures);
   }
 
-  private static void fill(VoterLog log) throws IOException {
+  private static void fill(RaftLogStore log) throws IOException {
     log.persistAndFlushLocalEndpoint(
         new DefaultRaftEndpointPersistentStateOrBuilder()
             .setLocalEndpoint(SELF)
--- a/consensus/src/test/java/ferngrade/consensus/VoterLogTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.codec.Codec;
-import ferngrade.jobstore.DamagedException;
-import ferngrade.jobstore.FaultyDisk;
-import ferngrade.jobstore.FaultyDisk.DiskFault;
-import ferngrade.jobstore.FaultyDisk.Errno;
-import ferngrade.jobstore.FaultyDisk.Operation;
+import ferngrade.jobstore.CorruptLogException;
+import ferngrade.jobstore.FaultInjectingStorage;
+import ferngrade.jobstore.FaultInjectingStorage.DiskFault;
+import ferngrade.jobstore.FaultInjectingStorage.Errno;
+import ferngrade.jobstore.FaultInjectingStorage.Operation;
 import io.microraft.model.impl.log.DefaultLogEntryOrBuilder;
 import io.microraft.model.impl.log.DefaultRaftGroupMembersViewOrBuilder;
 import io.microraft.model.impl.log.DefaultSnapshotChunkOrBuilder;
@@ -29,24 +29,24 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** What a voter must not forget, on a disk that loses power, fills and rots. */
-class VoterLogTest {
+class RaftLogStoreTest {
   private static final RaftGroupMembersView MEMBERS =
       new DefaultRaftGroupMembersViewOrBuilder()
           .setLogIndex(0)
-          .setMembers(List.of(new Endpoint("a"), new Endpoint("b")))
-          .setVotingMembers(List.of(new Endpoint("a"), new Endpoint("b")))
+          .setMembers(List.of(new RaftMemberId("a"), new RaftMemberId("b")))
+          .setVotingMembers(List.of(new RaftMemberId("a"), new RaftMemberId("b")))
           .build();
 
   private final List<IOException> failures = new ArrayList<>();
 
-  private VoterLog open(FaultyDisk disk) throws IOException {
-    return VoterLog.open(disk, LogFormat.codec(List.of()), 4_000, failures::add);
+  private RaftLogStore open(FaultInjectingStorage disk) throws IOException {
+    return RaftLogStore.open(disk, LogFormat.codec(List.of()), 4_000, failures::add);
   }
 
-  private static void begin(VoterLog log) throws IOException {
+  private static void begin(RaftLogStore log) throws IOException {
     log.persistAndFlushLocalEndpoint(
         new DefaultRaftEndpointPersistentStateOrBuilder()
-            .setLocalEndpoint(new Endpoint("a"))
+            .setLocalEndpoint(new RaftMemberId("a"))
             .setVoting(true)
             .build());
     log.persistAndFlushInitialGroupMembers(MEMBERS);
@@ -56,18 +56,18 @@
     return new DefaultLogEntryOrBuilder().setIndex(index).setTerm(1).setOperation(what).build();
   }
 
-  private static void vote(VoterLog log, int term, String voted) throws IOException {
+  private static void vote(RaftLogStore log, int term, String voted) throws IOException {
     log.persistAndFlushTerm(
         new DefaultRaftTermPersistentStateOrBuilder()
             .setTerm(term)
-            .setVotedFor(new Endpoint(voted))
+            .setVotedFor(new RaftMemberId(voted))
             .build());
   }
 
   @Test
   void anEmptyDiskIsToldFromOneThatHoldsSomething() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1, 0);
-    VoterLog log = open(disk);
+    FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
+    RaftLogStore log = open(disk);
     assertNull(log.restored());
     begin(log);
     disk.powerUp();
@@ -79,9 +79,9 @@
   void whatWasFlushedIsThereAfterAnyLossOfPowerAndTheVoteTooAndWhatWasCutIsNot()
       throws IOException {
     for (long seed = 1; seed <= 300; seed++) {
-      FaultyDisk disk = new FaultyDisk(seed, 0);
+      FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
       SplittableRandom chance = new SplittableRandom(seed);
-      VoterLog log = open(disk);
+      RaftLogStore log = open(disk);
       begin(log);
       List<String> flushed = new ArrayList<>();
       int term = 0;
@@ -108,7 +108,7 @@
           vote(log, term + 1, "b");
           term++;
         }
-      } catch (FaultyDisk.PowerLost lost) {
+      } catch (FaultInjectingStorage.PowerLost lost) {
         assertEquals(1, failures.size(), "told once");
         assertThrows(IOException.class, log::flush, "nothing is written after a failure");
       }
@@ -131,8 +131,8 @@
 
   @Test
   void aSnapshotStandsForTheLogsBeginningAndTheFileIsWrittenAnew() throws IOException {
-    FaultyDisk disk = new FaultyDisk(3, 0);
-    VoterLog log = open(disk);
+    FaultInjectingStorage disk = new FaultInjectingStorage(3, 0);
+    RaftLogStore log = open(disk);
     begin(log);
     for (int i = 1; i <= 200; i++) {
       log.persistLogEntries(List.of(entry(i, "entry with some length to it " + i)));
@@ -163,8 +163,8 @@
 
   @Test
   void aFullDiskIsToldOnceAndNothingFollows() throws IOException {
-    FaultyDisk disk = new FaultyDisk(4, 0);
-    VoterLog log = open(disk);
+    FaultInjectingStorage disk = new FaultInjectingStorage(4, 0);
+    RaftLogStore log = open(disk);
     begin(log);
     disk.fill(true);
     assertThrows(IOException.class, () -> vote(log, 5, "b"));
@@ -176,7 +176,7 @@
   }
 
   /** Tries until the log is usable again; says how often that failed. */
-  private static int continueAfterFault(VoterLog log) throws IOException {
+  private static int continueAfterFault(RaftLogStore log) throws IOException {
     for (int failures = 0; ; failures++) {
       try {
         log.continueInNewFile();
@@ -190,7 +190,7 @@
   }
 
   /** Appends entries up to this index with a flush and a vote each, while the disk may fail. */
-  private static void append(VoterLog log, int from, int until) throws IOException {
+  private static void append(RaftLogStore log, int from, int until) throws IOException {
     for (int i = from; i <= until; i++) {
       try {
         log.persistLogEntries(List.of(entry(i, "entry " + i)));
@@ -206,7 +206,8 @@
     }
   }
 
-  private void assertHolds(FaultyDisk disk, int entries, String when) throws IOException {
+  private void assertHolds(FaultInjectingStorage disk, int entries, String when)
+      throws IOException {
     RestoredRaftState found = open(disk).restored();
     assertEquals(entries, found.getTermPersistentState().getTerm(), when);
     assertEquals(entries, found.getLogEntries().size(), when);
@@ -221,8 +222,8 @@
       throws IOException {
     for (Errno errno : Errno.values()) {
       for (int run = 0; run < 200; run++) {
-        FaultyDisk disk = new FaultyDisk(run, 0);
-        VoterLog log = VoterLog.open(disk, LogFormat.codec(List.of()), 300, failures::add);
+        FaultInjectingStorage disk = new FaultInjectingStorage(run, 0);
+        RaftLogStore log = RaftLogStore.open(disk, LogFormat.codec(List.of()), 300, failures::add);
         begin(log);
         log.persistSnapshotChunk(
             new DefaultSnapshotChunkOrBuilder()
@@ -254,8 +255,8 @@
   @Test
   void powerMayGoAtAnyStepWhileSyncsFail() throws IOException {
     for (int step = 0; step < 120; step++) {
-      FaultyDisk disk = new FaultyDisk(step, 0);
-      VoterLog log = open(disk);
+      FaultInjectingStorage disk = new FaultInjectingStorage(step, 0);
+      RaftLogStore log = open(disk);
       begin(log);
       disk.fail(Operation.SYNC, Errno.EIO, step % 7, 1 + step % 3);
       disk.losePowerAfter(step);
@@ -265,7 +266,7 @@
           append(log, flushed + 1, flushed + 1);
           flushed++;
         }
-      } catch (FaultyDisk.PowerLost lost) {
+      } catch (FaultInjectingStorage.PowerLost lost) {
         assertTrue(flushed < 10, "all was flushed before");
       }
       disk.heal();
@@ -283,8 +284,8 @@
   @Test
   void aWriteThatIsTornAtAnyByteIsWrittenAnewOrCut() throws IOException {
     for (int torn = 0; torn <= 60; torn++) {
-      FaultyDisk disk = new FaultyDisk(torn, 0);
-      VoterLog log = open(disk);
+      FaultInjectingStorage disk = new FaultInjectingStorage(torn, 0);
+      RaftLogStore log = open(disk);
       begin(log);
       append(log, 1, 2);
       disk.tearWritesAt(torn);
@@ -311,8 +312,8 @@
   void aBitTurnedOverInWhatWasSyncedIsSaidWithFileAndOffset() throws IOException {
     int said = 0;
     for (int offset = 0; offset < 200; offset += 5) {
-      FaultyDisk disk = new FaultyDisk(offset, 0);
-      VoterLog log = open(disk);
+      FaultInjectingStorage disk = new FaultInjectingStorage(offset, 0);
+      RaftLogStore log = open(disk);
       begin(log);
       for (int i = 1; i <= 5; i++) {
         // The last is long: what is turned over lies before it, and so was synced.
@@ -321,7 +322,7 @@
       }
       String file = disk.list().get(0);
       if (disk.flip(file, offset)) {
-        DamagedException damage = assertThrows(DamagedException.class, () -> open(disk));
+        CorruptLogException damage = assertThrows(CorruptLogException.class, () -> open(disk));
         assertEquals(file, damage.file());
         said++;
       }
@@ -338,8 +339,8 @@
 
   @Test
   void filesAreByteForByteAsBefore() throws IOException {
-    FaultyDisk disk = new FaultyDisk(6, 0);
-    VoterLog log = open(disk);
+    FaultInjectingStorage disk = new FaultInjectingStorage(6, 0);
+    RaftLogStore log = open(disk);
     begin(log);
     vote(log, 3, "b");
     log.persistLogEntries(List.of(entry(1, "x")));
--- a/consensus/src/test/java/ferngrade/consensus/VoterDiskFaultTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.codec.Codec;
-import ferngrade.jobstore.FaultyDisk;
-import ferngrade.jobstore.FaultyDisk.Errno;
-import ferngrade.jobstore.FaultyDisk.Operation;
+import ferngrade.jobstore.FaultInjectingStorage;
+import ferngrade.jobstore.FaultInjectingStorage.Errno;
+import ferngrade.jobstore.FaultInjectingStorage.Operation;
 import ferngrade.node.Timers;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Voters in virtual time whose disks fail for a while. */
-class VoterDiskFaultTest {
+class RaftMemberStorageFaultTest {
   private static final double HEARTBEAT = 100;
   private static final double MESSAGE = 2;
   private static final double PATIENCE = 1_000_000;
@@ -49,28 +49,28 @@
   }
 
   /** A voter, its disk, and the commands that it has applied. */
-  private final class Member implements Machine {
-    final FaultyDisk disk;
+  private final class Member implements ReplicatedStateMachine {
+    final FaultInjectingStorage disk;
     final List<Object> applied = new ArrayList<>();
-    final Voter voter;
-    private final VoterLog log;
+    final RaftMember voter;
+    private final RaftLogStore log;
     private int recoveries;
 
     Member(String name, List<String> names, long seed) throws IOException {
-      disk = new FaultyDisk(seed, 0);
+      disk = new FaultInjectingStorage(seed, 0);
       Codec codec = LogFormat.codec(List.of());
-      log = VoterLog.open(disk, codec, 1 << 16, failure -> failed());
+      log = RaftLogStore.open(disk, codec, 1 << 16, failure -> failed());
       Timers timers = new Timers(() -> now, (millis, run) -> after(millis + 1e-6, run));
       voter =
-          new Voter(
+          new RaftMember(
               name,
-              new Voter.Group("test", names, names),
+              new RaftMember.Group("test", names, names),
               this,
-              new Voter.Kept(log, log.restored(), null),
-              new Voter.Surroundings(() -> now, timers, task -> after(0, task), seed),
+              new RaftMember.Kept(log, log.restored(), null),
+              new RaftMember.Surroundings(() -> now, timers, task -> after(0, task), seed),
               codec,
               (to, message) -> after(MESSAGE, () -> members.get(to).voter.handle(name, message)),
-              new Voter.Terms(HEARTBEAT, 1000));
+              new RaftMember.Terms(HEARTBEAT, 1000));
       voter.start();
     }
 
@@ -82,7 +82,7 @@
       voter.propose(
           command,
           PATIENCE,
-          Voter.Outcome.of(
+          RaftMember.Outcome.of(
               result -> outcomes.add(command + " done"),
               why -> outcomes.add(command + " unknown: " + why)));
     }
@@ -133,7 +133,7 @@
     assertTrue(only.voter.suspended());
     only.propose("refused");
     run(100);
-    assertEquals(List.of("first done", "refused unknown: " + Voter.DISK_FAILS), outcomes);
+    assertEquals(List.of("first done", "refused unknown: " + RaftMember.DISK_FAILS), outcomes);
     assertEquals(List.of("first"), only.applied, "nothing is applied that is not on disk");
     run(1_000);
     assertFalse(only.voter.suspended());
@@ -141,13 +141,14 @@
     only.propose("last");
     run(1_000);
     assertEquals(
-        List.of("first done", "refused unknown: " + Voter.DISK_FAILS, "waits done", "last done"),
+        List.of(
+            "first done", "refused unknown: " + RaftMember.DISK_FAILS, "waits done", "last done"),
         outcomes);
     assertEquals(List.of("first", "waits", "last"), only.applied);
     only.disk.powerUp();
     assertEquals(
         List.of("first", "waits", "last"),
-        VoterLog.open(only.disk, LogFormat.codec(List.of()), 1 << 16, failure -> {})
+        RaftLogStore.open(only.disk, LogFormat.codec(List.of()), 1 << 16, failure -> {})
             .restored()
             .getLogEntries()
             .stream()
--- a/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
@@ -1,11 +1,11 @@
 package ferngrade.experiment;
 
 import ferngrade.dispatch.Idempotency;
-import ferngrade.jobstore.Entry;
-import ferngrade.jobstore.FolderDisk;
-import ferngrade.jobstore.Journal;
-import ferngrade.jobstore.Ledger;
-import ferngrade.jobstore.Store;
+import ferngrade.jobstore.FileSystemStorage;
+import ferngrade.jobstore.JobStore;
+import ferngrade.jobstore.JobTable;
+import ferngrade.jobstore.LogRecord;
+import ferngrade.jobstore.WriteAheadLog;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -34,7 +34,7 @@
     mixinStandardHelpOptions = true)
 final class StoreCommand implements Callable<Integer> {
   private static final int PAYLOAD = 200;
-  private static final Ledger.Terms TERMS = new Ledger.Terms(10_000, 10_000, 1e9, 3, 100, 1000);
+  private static final JobTable.Terms TERMS = new JobTable.Terms(10_000, 10_000, 1e9, 3, 100, 1000);
 
   @Option(
       names = "--dir",
@@ -106,9 +106,9 @@
     Histogram latency = new Histogram(60_000_000L, 3);
     long[] jobs = {0};
     boolean[] over = {false};
-    try (FolderDisk disk = FolderDisk.hold(folder);
-        Store store =
-            Store.open(
+    try (FileSystemStorage disk = FileSystemStorage.hold(folder);
+        JobStore store =
+            JobStore.open(
                 disk,
                 TERMS,
                 256 << 20,
@@ -148,7 +148,7 @@
     }
   }
 
-  private void hand(Store store, Histogram latency, long[] jobs, boolean[] over) {
+  private void hand(JobStore store, Histogram latency, long[] jobs, boolean[] over) {
     long began = System.nanoTime();
     String id = "j" + jobs[0] + "-" + began;
     store.commit(
@@ -163,10 +163,10 @@
   }
 
   private void restart() throws IOException {
-    Ledger ledger = new Ledger(TERMS);
-    try (FolderDisk disk = FolderDisk.hold(folder);
-        Journal journal = Journal.open(disk, 64 << 20, ledger::replay, found -> {})) {
-      List<Entry> batch = new ArrayList<>();
+    JobTable ledger = new JobTable(TERMS);
+    try (FileSystemStorage disk = FileSystemStorage.hold(folder);
+        WriteAheadLog journal = WriteAheadLog.open(disk, 64 << 20, ledger::replay, found -> {})) {
+      List<LogRecord> batch = new ArrayList<>();
       for (int i = 0; i < open; i++) {
         batch.addAll(
             ledger.accept("job-" + i, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD], 0).entries());
@@ -182,10 +182,10 @@
     }
     long bytes = size();
     restarted("from the logs", bytes);
-    try (FolderDisk disk = FolderDisk.hold(folder);
-        Journal journal = Journal.open(disk, 64 << 20, entry -> {}, found -> {})) {
+    try (FileSystemStorage disk = FileSystemStorage.hold(folder);
+        WriteAheadLog journal = WriteAheadLog.open(disk, 64 << 20, entry -> {}, found -> {})) {
       long began = System.nanoTime();
-      Journal.compact(disk, journal.logNumber());
+      WriteAheadLog.compact(disk, journal.logNumber());
       System.out.printf(
           "snapshot of %d open jobs: %.2f s%n", open, (System.nanoTime() - began) / 1e9);
     }
@@ -195,10 +195,10 @@
   private void restarted(String how, long bytes) throws IOException {
     System.gc();
     long before = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    Ledger recovered = new Ledger(TERMS);
+    JobTable recovered = new JobTable(TERMS);
     long began = System.nanoTime();
-    try (FolderDisk disk = FolderDisk.look(folder)) {
-      Journal.inspect(disk, recovered::replay);
+    try (FileSystemStorage disk = FileSystemStorage.look(folder)) {
+      WriteAheadLog.inspect(disk, recovered::replay);
     }
     double took = (System.nanoTime() - began) / 1e9;
     System.gc();
--- a/faulttest/src/main/java/ferngrade/faulttest/HurtMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/HurtMember.java
@@ -3,7 +3,7 @@
 import ferngrade.fleet.FleetFile;
 import ferngrade.fleet.MemberProcess;
 import ferngrade.fleet.MemberProcess.Empty;
-import ferngrade.jobstore.Disk;
+import ferngrade.jobstore.Storage;
 import ferngrade.node.Clock;
 import ferngrade.toml.FileException;
 import java.io.BufferedReader;
@@ -101,8 +101,8 @@
   }
 
   /** The disk, which is full or slow when told. */
-  private static Disk hurt(Disk disk) {
-    return new Disk() {
+  private static Storage hurt(Storage disk) {
+    return new Storage() {
       @Override
       public List<String> list() throws IOException {
         return disk.list();
@@ -135,8 +135,8 @@
     };
   }
 
-  private static Disk.Appender hurt(Disk.Appender to) {
-    return new Disk.Appender() {
+  private static Storage.Appender hurt(Storage.Appender to) {
+    return new Storage.Appender() {
       @Override
       public void append(byte[] bytes, int length) throws IOException {
         if (full) {
--- a/faulttest/src/main/java/ferngrade/faulttest/SmallWorld.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/SmallWorld.java
@@ -1,9 +1,9 @@
 package ferngrade.faulttest;
 
 import ferngrade.lease.Command;
-import ferngrade.lease.DutyTable;
-import ferngrade.lease.Fence;
-import ferngrade.lease.Holder;
+import ferngrade.lease.FencingGuard;
+import ferngrade.lease.LeaseHolder;
+import ferngrade.lease.LeaseTable;
 import ferngrade.lease.Shard;
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
@@ -72,8 +72,8 @@
   private final List<Proposal> proposals = new ArrayList<>();
   private final List<Effect> effects = new ArrayList<>();
   private final Map<Shard, Long> landed = new TreeMap<>();
-  private final Fence fence = new Fence();
-  private final DutyTable truth = new DutyTable();
+  private final FencingGuard fence = new FencingGuard();
+  private final LeaseTable truth = new LeaseTable();
   private double now;
   private int crashes;
   private String broken;
@@ -88,8 +88,8 @@
     /** When it looked last, and how much of the log it knew: looking again would change nothing. */
     String looked = "";
 
-    DutyTable table = new DutyTable();
-    Holder holder;
+    LeaseTable table = new LeaseTable();
+    LeaseHolder holder;
 
     Member(int number) {
       this.number = number;
@@ -97,13 +97,13 @@
       this.holder = holder();
     }
 
-    private Holder holder() {
+    private LeaseHolder holder() {
       double bound = mutant == Mutant.NO_DRIFT_BOUND ? 0 : DRIFT;
-      return new Holder(
+      return new LeaseHolder(
           "m" + number,
           "life" + life,
           shards,
-          new Holder.Terms(HOLD, bound),
+          new LeaseHolder.Terms(HOLD, bound),
           command -> proposals.add(new Proposal(number, life, clock(), command, false, null)));
     }
 
@@ -122,7 +122,7 @@
       life++;
       applied = 0;
       looked = "";
-      table = new DutyTable();
+      table = new LeaseTable();
       holder = holder();
     }
 
@@ -317,8 +317,8 @@
   }
 
   /** The fields that change; the class under test need not know that it is looked at. */
-  private static void picture(Holder holder, StringBuilder text) {
-    for (Field field : Holder.class.getDeclaredFields()) {
+  private static void picture(LeaseHolder holder, StringBuilder text) {
+    for (Field field : LeaseHolder.class.getDeclaredFields()) {
       try {
         field.setAccessible(true);
         Object value = field.get(holder);
--- a/faulttest/src/main/java/ferngrade/faulttest/Taker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Taker.java
@@ -2,7 +2,7 @@
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-import ferngrade.lease.Fence;
+import ferngrade.lease.FencingGuard;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -21,7 +21,7 @@
   private final HttpServer server;
   private final History history;
   private final boolean fenced;
-  private final Fence fence = new Fence();
+  private final FencingGuard fence = new FencingGuard();
   private final Set<String> keys = new HashSet<>();
 
   Taker(History history, boolean fenced) throws IOException {
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -1,10 +1,10 @@
 package ferngrade.faulttest;
 
 import ferngrade.emulator.VirtualTime;
-import ferngrade.jobstore.DamagedException;
-import ferngrade.jobstore.FaultyDisk;
-import ferngrade.lease.Fence;
-import ferngrade.lease.Recurring;
+import ferngrade.jobstore.CorruptLogException;
+import ferngrade.jobstore.FaultInjectingStorage;
+import ferngrade.lease.FencingGuard;
+import ferngrade.lease.RecurringSchedule;
 import ferngrade.lease.Shard;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -36,15 +36,15 @@
   final double heartbeat = 100;
   final double drift = 0.02;
   final List<String> names = new ArrayList<>();
-  final List<Recurring> jobs =
+  final List<RecurringSchedule> jobs =
       List.of(
-          new Recurring("sweep", 100, true, false),
-          new Recurring("roll", 100, true, true),
-          new Recurring("skip", 300, false, false));
-  final List<Shard> shards = jobs.stream().map(Recurring::shard).toList();
+          new RecurringSchedule("sweep", 100, true, false),
+          new RecurringSchedule("roll", 100, true, true),
+          new RecurringSchedule("skip", 300, false, false));
+  final List<Shard> shards = jobs.stream().map(RecurringSchedule::shard).toList();
   private final SplittableRandom chance;
   private final Map<String, VirtualMember> members = new HashMap<>();
-  private final Map<String, FaultyDisk> disks = new HashMap<>();
+  private final Map<String, FaultInjectingStorage> disks = new HashMap<>();
   private final Map<String, Double> rates = new HashMap<>();
   private final Map<String, Long> jumps = new HashMap<>();
   private final Set<String> cuts = new HashSet<>();
@@ -52,7 +52,7 @@
   private final Set<String> drained = new HashSet<>();
   private final Map<Integer, String> leaders = new HashMap<>();
   private final Map<Long, String> log = new HashMap<>();
-  private final Fence fence = new Fence();
+  private final FencingGuard fence = new FencingGuard();
   private final Map<String, Long> landed = new TreeMap<>();
   private final Map<String, Double> acted = new HashMap<>();
   private final Set<String> effects = new HashSet<>();
@@ -71,7 +71,7 @@
     for (int i = 0; i < size; i++) {
       String name = String.valueOf((char) ('a' + i));
       names.add(name);
-      disks.put(name, new FaultyDisk(chance.nextLong(), 0));
+      disks.put(name, new FaultInjectingStorage(chance.nextLong(), 0));
       rates.put(name, 1 + drift * (2 * chance.nextDouble() - 1));
     }
   }
@@ -93,7 +93,11 @@
     fleet.names.forEach(fleet::start);
     fleet.time.run(QUIET);
     // One that is left out when it is late is always late here.
-    fleet.judgeOwned(fleet.jobs.stream().filter(Recurring::missed).map(Recurring::shard).toList());
+    fleet.judgeOwned(
+        fleet.jobs.stream()
+            .filter(RecurringSchedule::missed)
+            .map(RecurringSchedule::shard)
+            .toList());
     return new Result(fleet.breaches, fleet.effects.size(), fleet.refused, fleet.time.ran());
   }
 
@@ -147,7 +151,7 @@
       // Its folder is locked.
       return;
     }
-    FaultyDisk disk = disks.get(name);
+    FaultInjectingStorage disk = disks.get(name);
     disk.powerUp();
     try {
       members.put(
@@ -159,7 +163,7 @@
               rates.get(name),
               ++processes * 7919 + 13,
               lost.contains(name) && mutant != Mutant.FORGOTTEN_VOTES));
-    } catch (DamagedException damaged) {
+    } catch (CorruptLogException damaged) {
       breach("disk", name + " cannot read what it synced: " + damaged.getMessage());
     } catch (IOException full) {
       time.after(AGAIN, () -> start(name));
@@ -254,17 +258,17 @@
   }
 
   /** Has a disk be full, or fail in its syncs and changes of names. */
-  private static void failDisk(FaultyDisk disk, boolean full) {
+  private static void failDisk(FaultInjectingStorage disk, boolean full) {
     if (full) {
       disk.fill(true);
       return;
     }
-    for (FaultyDisk.Operation each :
+    for (FaultInjectingStorage.Operation each :
         List.of(
-            FaultyDisk.Operation.SYNC,
-            FaultyDisk.Operation.RENAME,
-            FaultyDisk.Operation.SYNC_NAMES)) {
-      disk.fail(each, FaultyDisk.Errno.EIO, 0, Long.MAX_VALUE);
+            FaultInjectingStorage.Operation.SYNC,
+            FaultInjectingStorage.Operation.RENAME,
+            FaultInjectingStorage.Operation.SYNC_NAMES)) {
+      disk.fail(each, FaultInjectingStorage.Errno.EIO, 0, Long.MAX_VALUE);
     }
   }
 
@@ -273,7 +277,7 @@
     if (lost.isEmpty()) {
       lost.add(one);
       members.get(one).die();
-      disks.put(one, new FaultyDisk(chance.nextLong(), 0));
+      disks.put(one, new FaultInjectingStorage(chance.nextLong(), 0));
       time.after(down, () -> start(one));
     }
   }
@@ -310,7 +314,7 @@
    * An effect is on its way to whoever takes it, which looks at its epoch, and drops a repeat of a
    * job that may be put in again.
    */
-  void effect(String from, Recurring job, long epoch, long due, Consumer<String> result) {
+  void effect(String from, RecurringSchedule job, long epoch, long due, Consumer<String> result) {
     double delay =
         0.5 + chance.nextDouble() * 5 + (chance.nextInt(20) == 0 ? chance.nextDouble() * 4_000 : 0);
     Shard shard = job.shard();
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
@@ -2,15 +2,15 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.consensus.LogFormat;
-import ferngrade.consensus.Machine;
-import ferngrade.consensus.Voter;
-import ferngrade.consensus.VoterLog;
-import ferngrade.jobstore.FaultyDisk;
+import ferngrade.consensus.RaftLogStore;
+import ferngrade.consensus.RaftMember;
+import ferngrade.consensus.ReplicatedStateMachine;
+import ferngrade.jobstore.FaultInjectingStorage;
 import ferngrade.lease.Command;
-import ferngrade.lease.DutyTable;
-import ferngrade.lease.Holder;
-import ferngrade.lease.Performer;
-import ferngrade.lease.Recurring;
+import ferngrade.lease.LeaseHolder;
+import ferngrade.lease.LeaseTable;
+import ferngrade.lease.RecurringJobRunner;
+import ferngrade.lease.RecurringSchedule;
 import ferngrade.lease.Shard;
 import ferngrade.node.Clock;
 import ferngrade.node.Timers;
@@ -37,20 +37,25 @@
   private final VirtualFleet fleet;
   private final double rate;
   private final double began;
-  private final DutyTable table = new DutyTable();
-  private final Holder holder;
-  private final VoterLog log;
-  private final Voter voter;
+  private final LeaseTable table = new LeaseTable();
+  private final LeaseHolder holder;
+  private final RaftLogStore log;
+  private final RaftMember voter;
   private final Timers timers;
   private final Standstill process = new Standstill();
-  private final List<Performer> performers;
+  private final List<RecurringJobRunner> performers;
 
   /**
    * Starts a process of the member; its clock runs at this rate and from zero, and it may have lost
    * its disk.
    */
   VirtualMember(
-      VirtualFleet fleet, String name, FaultyDisk disk, double rate, long seed, boolean anew)
+      VirtualFleet fleet,
+      String name,
+      FaultInjectingStorage disk,
+      double rate,
+      long seed,
+      boolean anew)
       throws IOException {
     this.fleet = fleet;
     this.name = name;
@@ -64,26 +69,27 @@
             // ever.
             (millis, run) -> fleet.time.after(millis / rate + 1e-6, () -> enter(run)));
     Codec codec = LogFormat.codec(Command.CLASSES);
-    VoterLog log = VoterLog.open(disk, codec, 1 << 16, failure -> diskFailed());
+    RaftLogStore log = RaftLogStore.open(disk, codec, 1 << 16, failure -> diskFailed());
     this.log = log;
     RaftStore store = fleet.mutant == Mutant.UNSYNCED_VOTE ? unsyncedVotes(log) : log;
     this.voter =
-        new Voter(
+        new RaftMember(
             name,
-            new Voter.Group("trial", fleet.names, fleet.names),
+            new RaftMember.Group("trial", fleet.names, fleet.names),
             watched(),
-            new Voter.Kept(store, log.restored(), anew ? Long.toHexString(seed) : null),
-            new Voter.Surroundings(
+            new RaftMember.Kept(store, log.restored(), anew ? Long.toHexString(seed) : null),
+            new RaftMember.Surroundings(
                 clock, timers, task -> fleet.time.after(0, () -> enter(task)), seed),
             codec,
             (to, message) -> fleet.send(name, to, message),
-            new Voter.Terms(fleet.heartbeat, 400));
+            new RaftMember.Terms(fleet.heartbeat, 400));
     this.holder =
-        new Holder(
+        new LeaseHolder(
             name,
             Long.toHexString(seed),
             fleet.shards,
-            new Holder.Terms(fleet.hold, fleet.mutant == Mutant.NO_DRIFT_BOUND ? 0 : fleet.drift),
+            new LeaseHolder.Terms(
+                fleet.hold, fleet.mutant == Mutant.NO_DRIFT_BOUND ? 0 : fleet.drift),
             this::propose);
     this.performers = fleet.jobs.stream().map(this::performer).toList();
     voter.start();
@@ -96,7 +102,7 @@
   }
 
   /** The log writes the term and the vote, and syncs them with whatever comes later. */
-  private static RaftStore unsyncedVotes(VoterLog log) {
+  private static RaftStore unsyncedVotes(RaftLogStore log) {
     RaftTermPersistentState[] late = new RaftTermPersistentState[1];
     return (RaftStore)
         Proxy.newProxyInstance(
@@ -120,8 +126,8 @@
   }
 
   /** The table, with what it applies told to the judges. */
-  private Machine watched() {
-    return new Machine() {
+  private ReplicatedStateMachine watched() {
+    return new ReplicatedStateMachine() {
       @Override
       public Object apply(long index, Object command) {
         fleet.applied(index, command);
@@ -180,7 +186,7 @@
     enter(() -> voter.handle(from, message));
   }
 
-  Voter.View view() {
+  RaftMember.View view() {
     return voter.view();
   }
 
@@ -198,7 +204,7 @@
     voter.propose(
         command,
         PATIENCE,
-        Voter.Outcome.of(
+        RaftMember.Outcome.of(
             result ->
                 holder.answered(
                     fleet.mutant == Mutant.HOLD_FROM_ANSWER ? now() : asked, command, result),
@@ -216,18 +222,18 @@
   }
 
   /** The performer of one job, whose effects go to whoever takes them in this fleet. */
-  private Performer performer(Recurring job) {
-    Performer[] self = new Performer[1];
+  private RecurringJobRunner performer(RecurringSchedule job) {
+    RecurringJobRunner[] self = new RecurringJobRunner[1];
     self[0] =
-        new Performer(
+        new RecurringJobRunner(
             job,
             holder,
             table,
-            new Performer.Actions() {
+            new RecurringJobRunner.Actions() {
               @Override
               public void propose(Command command, Consumer<Object> done, Runnable unknown) {
                 fleet.judgeHold(VirtualMember.this, job.shard());
-                voter.propose(command, PATIENCE, Voter.Outcome.of(done, why -> unknown.run()));
+                voter.propose(command, PATIENCE, RaftMember.Outcome.of(done, why -> unknown.run()));
               }
 
               @Override
--- a/fleet/src/main/java/ferngrade/fleet/FleetFile.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetFile.java
@@ -1,10 +1,10 @@
 package ferngrade.fleet;
 
 import ferngrade.config.EndpointListParser;
-import ferngrade.lease.Holder;
-import ferngrade.lease.Recurring;
+import ferngrade.lease.EndpointListRelay;
+import ferngrade.lease.LeaseHolder;
+import ferngrade.lease.RecurringSchedule;
 import ferngrade.lease.Shard;
-import ferngrade.lease.TierList;
 import ferngrade.toml.FileException;
 import ferngrade.toml.Section;
 import java.io.IOException;
@@ -35,7 +35,7 @@
  */
 public record FleetFile(
     String name,
-    Holder.Terms terms,
+    LeaseHolder.Terms terms,
     double heartbeat,
     List<byte[]> keys,
     List<Member> members,
@@ -79,7 +79,7 @@
 
   /** A recurring job: when, and what a client would send; {@code deadline} is ms. */
   public record Job(
-      Recurring when,
+      RecurringSchedule when,
       Effect effect,
       String jobClass,
       String tenant,
@@ -132,7 +132,7 @@
     top.end();
     return new FleetFile(
         name,
-        new Holder.Terms(hold, drift),
+        new LeaseHolder.Terms(hold, drift),
         heartbeat,
         keys,
         List.copyOf(members),
@@ -193,7 +193,8 @@
     Missed missed = section.word("missed", Missed.class, Missed.ONCE);
     Job job =
         new Job(
-            new Recurring(name, (long) every, missed == Missed.ONCE, effect != Effect.UNSAFE),
+            new RecurringSchedule(
+                name, (long) every, missed == Missed.ONCE, effect != Effect.UNSAFE),
             effect,
             section.text("class", ""),
             section.text("tenant", ""),
@@ -211,7 +212,7 @@
     if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
       throw section.bad("name", "must be 1 to 64 letters, digits, dots, dashes or underscores");
     }
-    if (name.equals(TierList.SHARD.duty()) && section.has("every")) {
+    if (name.equals(EndpointListRelay.SHARD.duty()) && section.has("every")) {
       throw section.bad("name", "is the worker list's own: list");
     }
     if (!names.add(name)) {
@@ -238,7 +239,7 @@
   public List<Shard> shards() {
     return Stream.concat(
             jobs.stream().map(each -> each.when().shard()),
-            discovery == null ? Stream.empty() : Stream.of(TierList.SHARD))
+            discovery == null ? Stream.empty() : Stream.of(EndpointListRelay.SHARD))
         .toList();
   }
 }
--- a/fleet/src/main/java/ferngrade/fleet/FleetStatus.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetStatus.java
@@ -3,8 +3,8 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import ferngrade.lease.DutyTable.Session;
-import ferngrade.lease.DutyTable.Slot;
+import ferngrade.lease.LeaseTable.Session;
+import ferngrade.lease.LeaseTable.Slot;
 import java.util.List;
 
 /**
--- a/fleet/src/main/java/ferngrade/fleet/ListDuty.java
+++ b/fleet/src/main/java/ferngrade/fleet/ListDuty.java
@@ -1,9 +1,9 @@
 package ferngrade.fleet;
 
 import ferngrade.codec.Codec;
-import ferngrade.lease.TierList;
-import ferngrade.lease.TierList.Fed;
-import ferngrade.lease.TierList.Whole;
+import ferngrade.lease.EndpointListRelay;
+import ferngrade.lease.EndpointListRelay.Fed;
+import ferngrade.lease.EndpointListRelay.Whole;
 import ferngrade.node.Clock;
 import java.io.IOException;
 import java.util.List;
@@ -13,8 +13,8 @@
 import java.util.function.Consumer;
 
 /**
- * The worker list asked for once: what {@link TierList} decides, on sockets. Belongs to the
- * member's thread.
+ * The worker list asked for once: what {@link EndpointListRelay} decides, on sockets. Belongs to
+ * the member's thread.
  */
 final class ListDuty implements AutoCloseable {
   private final Codec codec = new Codec(List.of(Fed.class, Whole.class, Answer.class));
@@ -25,7 +25,7 @@
   private final Consumer<String> log;
   private final ListService service;
   private final ListWatch watch;
-  private final TierList list;
+  private final EndpointListRelay list;
   private String feeder;
 
   /** The whole list, which was asked for. */
@@ -47,7 +47,7 @@
     this.service =
         file.member(name).list() == null ? null : new ListService(file.member(name).list());
     this.watch = new ListWatch(file.discovery(), around.loop(), this::told);
-    this.list = new TierList(clock.now(), new Does());
+    this.list = new EndpointListRelay(clock.now(), new Does());
   }
 
   /**
@@ -106,7 +106,7 @@
     }
   }
 
-  private final class Does implements TierList.Actions {
+  private final class Does implements EndpointListRelay.Actions {
     @Override
     public void ask() {
       log.accept("list asking=yes");
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -2,17 +2,17 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.consensus.LogFormat;
-import ferngrade.consensus.Voter;
-import ferngrade.consensus.VoterLog;
+import ferngrade.consensus.RaftLogStore;
+import ferngrade.consensus.RaftMember;
 import ferngrade.fleet.FleetFile.Job;
-import ferngrade.jobstore.Disk;
-import ferngrade.jobstore.FolderDisk;
+import ferngrade.jobstore.FileSystemStorage;
+import ferngrade.jobstore.Storage;
 import ferngrade.lease.Command;
-import ferngrade.lease.DutyTable;
-import ferngrade.lease.Holder;
-import ferngrade.lease.Performer;
+import ferngrade.lease.EndpointListRelay;
+import ferngrade.lease.LeaseHolder;
+import ferngrade.lease.LeaseTable;
+import ferngrade.lease.RecurringJobRunner;
 import ferngrade.lease.Shard;
-import ferngrade.lease.TierList;
 import ferngrade.membership.Peer;
 import ferngrade.membership.Seal;
 import ferngrade.node.Clock;
@@ -62,20 +62,20 @@
       Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "member"));
   private final Clock clock;
   private final Timers timers;
-  private final DutyTable table = new DutyTable();
+  private final LeaseTable table = new LeaseTable();
   private final Map<Shard, Long> held = new HashMap<>();
-  private final Map<Shard, Performer> performers = new HashMap<>();
-  private final FolderDisk disk;
+  private final Map<Shard, RecurringJobRunner> performers = new HashMap<>();
+  private final FileSystemStorage disk;
   private final Links links;
-  private final VoterLog voterLog;
-  private final Voter voter;
-  private final Holder holder;
+  private final RaftLogStore voterLog;
+  private final RaftMember voter;
+  private final LeaseHolder holder;
   private final Membership membership;
   private final ListDuty list;
   private final JobSender jobs;
   private final CompletableFuture<Integer> ended = new CompletableFuture<>();
   private boolean holds;
-  private Voter.View view;
+  private RaftMember.View view;
   private boolean takenIn = true;
 
   /** What a voter does whose folder holds nothing. */
@@ -95,7 +95,7 @@
   public record Start(
       Path data,
       Empty empty,
-      UnaryOperator<Disk> disk,
+      UnaryOperator<Storage> disk,
       Clock clock,
       LongSupplier wall,
       Consumer<String> log) {}
@@ -115,9 +115,10 @@
             clock,
             (millis, run) ->
                 loop.schedule(run, (long) Math.ceil(millis * 1000), TimeUnit.MICROSECONDS));
-    this.disk = FolderDisk.hold(start.data());
+    this.disk = FileSystemStorage.hold(start.data());
     Codec codec = LogFormat.codec(Command.CLASSES);
-    this.voterLog = VoterLog.open(start.disk().apply(disk), codec, FILE_BYTES, this::diskFailed);
+    this.voterLog =
+        RaftLogStore.open(start.disk().apply(disk), codec, FILE_BYTES, this::diskFailed);
     RestoredRaftState restored = voterLog.restored();
     if (restored == null && file.member(name).voter() && start.empty() == Empty.STOP) {
       disk.close();
@@ -139,18 +140,19 @@
             others,
             (from, message) -> loop.execute(() -> guarded(() -> received(from, message))));
     this.voter =
-        new Voter(
+        new RaftMember(
             name,
-            new Voter.Group(file.name(), names(false), names(true)),
+            new RaftMember.Group(file.name(), names(false), names(true)),
             table,
-            new Voter.Kept(
+            new RaftMember.Kept(
                 voterLog, restored, start.empty() == Empty.REJOIN ? Long.toHexString(seed) : null),
-            new Voter.Surroundings(clock, timers, task -> loop.execute(() -> guarded(task)), seed),
+            new RaftMember.Surroundings(
+                clock, timers, task -> loop.execute(() -> guarded(task)), seed),
             codec,
             (to, message) -> links.send(to, marked(VOTER, message)),
-            new Voter.Terms(file.heartbeat(), SNAPSHOT_EVERY));
+            new RaftMember.Terms(file.heartbeat(), SNAPSHOT_EVERY));
     this.holder =
-        new Holder(name, Long.toHexString(seed), file.shards(), file.terms(), this::propose);
+        new LeaseHolder(name, Long.toHexString(seed), file.shards(), file.terms(), this::propose);
     this.membership =
         file.member(name).gossip() == null
             ? null
@@ -175,7 +177,8 @@
         .forEach(
             job ->
                 performers.put(
-                    job.when().shard(), new Performer(job.when(), holder, table, actions(job))));
+                    job.when().shard(),
+                    new RecurringJobRunner(job.when(), holder, table, actions(job))));
   }
 
   /** A message with a first byte that says whom it is for. */
@@ -276,12 +279,12 @@
     voter.propose(
         command,
         PATIENCE,
-        Voter.Outcome.of(result -> holder.answered(asked, command, result), why -> {}));
+        RaftMember.Outcome.of(result -> holder.answered(asked, command, result), why -> {}));
   }
 
   private void tick() {
     holder.tick(clock.now(), wall.getAsLong(), table);
-    Voter.View seen = voter.view();
+    RaftMember.View seen = voter.view();
     if (!seen.equals(view)) {
       view = seen;
       log.accept("follows leader=" + view.leader() + " term=" + view.term());
@@ -308,8 +311,8 @@
       performers.get(shard).look(clock.now(), wall.getAsLong());
     }
     if (list != null) {
-      OptionalLong epoch = holder.epoch(TierList.SHARD, clock.now(), table);
-      tellHeld(TierList.SHARD, epoch);
+      OptionalLong epoch = holder.epoch(EndpointListRelay.SHARD, clock.now(), table);
+      tellHeld(EndpointListRelay.SHARD, epoch);
       list.look(epoch);
     }
     timers.after(ACT, () -> guarded(this::act));
@@ -326,15 +329,15 @@
   }
 
   /** Does for a job's performer what it decides. */
-  private Performer.Actions actions(Job job) {
+  private RecurringJobRunner.Actions actions(Job job) {
     Shard shard = job.when().shard();
-    return new Performer.Actions() {
+    return new RecurringJobRunner.Actions() {
       @Override
       public void propose(Command command, Consumer<Object> done, Runnable unknown) {
         voter.propose(
             command,
             PATIENCE,
-            Voter.Outcome.of(
+            RaftMember.Outcome.of(
                 result -> {
                   if (result instanceof Command.Begun begun
                       && begun.verdict() != Command.Verdict.ACCEPTED) {
@@ -377,7 +380,7 @@
   CompletableFuture<FleetStatus> status() {
     return CompletableFuture.supplyAsync(
         () -> {
-          Voter.View view = voter.view();
+          RaftMember.View view = voter.view();
           return new FleetStatus(
               file.name(),
               name,
@@ -422,7 +425,7 @@
             voter.propose(
                 new Command.Transfer(new Shard(duty, number), to),
                 PATIENCE,
-                Voter.Outcome.of(answer::complete, answer::complete)));
+                RaftMember.Outcome.of(answer::complete, answer::complete)));
     return answer;
   }
 
@@ -442,7 +445,7 @@
                   voter.propose(
                       new Command.Renew(0, wall.getAsLong()),
                       PATIENCE,
-                      new Voter.Outcome() {
+                      new RaftMember.Outcome() {
                         private void next() {
                           if (clock.now() - began < millis) {
                             one[0].run();
--- a/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
@@ -4,10 +4,10 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.golden.GoldenFile;
-import ferngrade.lease.DutyTable.Session;
-import ferngrade.lease.DutyTable.Slot;
+import ferngrade.lease.EndpointListRelay;
+import ferngrade.lease.LeaseTable.Session;
+import ferngrade.lease.LeaseTable.Slot;
 import ferngrade.lease.Shard;
-import ferngrade.lease.TierList;
 import ferngrade.membership.News;
 import ferngrade.membership.Seal;
 import ferngrade.membership.Standing;
@@ -76,8 +76,8 @@
   }
 
   /** A line that a watch would have brought to its owner, which feeds it to the others. */
-  private static byte[] written(String name, TierList.Fed line) {
-    GOLDEN.verify(name, new Codec(List.of(TierList.Fed.class)).write(line));
+  private static byte[] written(String name, EndpointListRelay.Fed line) {
+    GOLDEN.verify(name, new Codec(List.of(EndpointListRelay.Fed.class)).write(line));
     return GOLDEN.bytes(name);
   }
 
@@ -89,13 +89,14 @@
     owner.duty.look(OptionalLong.of(EPOCH));
     owner.verifySent("list-sign-of-life");
     owner.duty.look(OptionalLong.empty());
-    owner.duty.received("b", written("list-line", new TierList.Fed(EPOCH + 1, 1, WHOLE_LIST, 3.5)));
+    owner.duty.received(
+        "b", written("list-line", new EndpointListRelay.Fed(EPOCH + 1, 1, WHOLE_LIST, 3.5)));
     owner.duty.look(OptionalLong.of(NEXT_EPOCH));
     owner.verifySent("list-whole-fed");
 
     // A gap in the line numbers: it asks for the whole list and gets it.
     other.duty.received(
-        "a", written("list-later-line", new TierList.Fed(NEXT_EPOCH, 3, WHOLE_LIST, 0)));
+        "a", written("list-later-line", new EndpointListRelay.Fed(NEXT_EPOCH, 3, WHOLE_LIST, 0)));
     other.verifySent("list-ask-whole");
     owner.duty.received("b", GOLDEN.bytes("list-ask-whole"));
     owner.verifySent("list-answer");
--- a/fleet/src/test/java/ferngrade/fleet/JobSenderTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/JobSenderTest.java
@@ -6,7 +6,7 @@
 import com.sun.net.httpserver.HttpServer;
 import ferngrade.fleet.FleetFile.Effect;
 import ferngrade.fleet.FleetFile.Job;
-import ferngrade.lease.Recurring;
+import ferngrade.lease.RecurringSchedule;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -63,7 +63,7 @@
       throws Exception {
     Job job =
         new Job(
-            new Recurring("sweep", 1_000, true, effect != Effect.UNSAFE),
+            new RecurringSchedule("sweep", 1_000, true, effect != Effect.UNSAFE),
             effect,
             "c",
             "t",
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultyDisk.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -20,7 +20,7 @@
  * that drops the pages it could not write. The same holds for names that were changed before a
  * failed sync of the folder.
  */
-public final class FaultyDisk implements Disk {
+public final class FaultInjectingStorage implements Storage {
   /** The power has gone. */
   public static final class PowerLost extends IOException {
     private static final long serialVersionUID = 1L;
@@ -128,7 +128,7 @@
   private int lied;
 
   /** An empty folder; this share of its syncs does nothing. */
-  public FaultyDisk(long seed, double lies) {
+  public FaultInjectingStorage(long seed, double lies) {
     this.chance = new SplittableRandom(seed);
     this.lies = lies;
     this.left = Long.MAX_VALUE;
@@ -277,7 +277,7 @@
 
       @Override
       public void sync() throws IOException {
-        FaultyDisk.this.sync(content);
+        FaultInjectingStorage.this.sync(content);
       }
 
       @Override
--- a/jobstore/src/main/java/ferngrade/jobstore/FolderDisk.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FileSystemStorage.java
@@ -13,13 +13,13 @@
 import java.util.stream.Stream;
 
 /** A folder of a real file system. Opened to write, it is held for this process alone. */
-public final class FolderDisk implements Disk, AutoCloseable {
+public final class FileSystemStorage implements Storage, AutoCloseable {
   private static final String LOCK = "lock";
 
   private final Path folder;
   private final FileChannel lock;
 
-  private FolderDisk(Path folder, FileChannel lock) {
+  private FileSystemStorage(Path folder, FileChannel lock) {
     this.folder = folder;
     this.lock = lock;
   }
@@ -28,7 +28,7 @@
    * Opens a folder to write, which is made if it is missing; an {@link IOException} says that
    * another has it.
    */
-  public static FolderDisk hold(Path folder) throws IOException {
+  public static FileSystemStorage hold(Path folder) throws IOException {
     Files.createDirectories(folder);
     FileChannel channel =
         FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
@@ -42,15 +42,15 @@
       channel.close();
       throw new IOException(folder + " is open in another process");
     }
-    return new FolderDisk(folder, channel);
+    return new FileSystemStorage(folder, channel);
   }
 
   /** Opens a folder to read. */
-  public static FolderDisk look(Path folder) throws IOException {
+  public static FileSystemStorage look(Path folder) throws IOException {
     if (!Files.isDirectory(folder)) {
       throw new IOException(folder + " is no folder");
     }
-    return new FolderDisk(folder, null);
+    return new FileSystemStorage(folder, null);
   }
 
   @Override
--- a/jobstore/src/main/java/ferngrade/jobstore/Job.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Job.java
@@ -2,9 +2,9 @@
 
 import ferngrade.dispatch.Idempotency;
 
-/** A durable job as the ledger has it. Only {@link Ledger} changes it. */
+/** A durable job as the ledger has it. Only {@link JobTable} changes it. */
 public final class Job {
-  private final Entry.Accepted accepted;
+  private final LogRecord.Accepted accepted;
   JobState state = JobState.ACCEPTED;
   String worker = "";
   long token;
@@ -31,7 +31,7 @@
   String result = "";
   double endedAt;
 
-  Job(Entry.Accepted accepted) {
+  Job(LogRecord.Accepted accepted) {
     this.accepted = accepted;
     this.leases = accepted.attempts();
   }
@@ -44,7 +44,7 @@
     return accepted.effect();
   }
 
-  Entry.Accepted accepted() {
+  LogRecord.Accepted accepted() {
     return accepted;
   }
 
--- a/jobstore/src/main/java/ferngrade/jobstore/Store.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
@@ -21,7 +21,7 @@
  * <p>All methods belong to the owner's thread, the one on which {@code owner} and {@code timer} run
  * their tasks.
  */
-public final class Store implements AutoCloseable {
+public final class JobStore implements AutoCloseable {
   /** Entries in a batch at most, so that its buffer stays bounded. */
   private static final int MOST_BATCH = 8192;
 
@@ -30,9 +30,9 @@
 
   private static final double RETRY_MAX = 1_000;
 
-  private final Disk disk;
-  private final Ledger ledger;
-  private final Journal journal;
+  private final Storage disk;
+  private final JobTable ledger;
+  private final WriteAheadLog journal;
   private final Executor owner;
   private final RetryTimer timer;
   private final int mostWaiting;
@@ -40,7 +40,7 @@
   private final Semaphore retries = new Semaphore(0);
   private final BlockingQueue<Waiting> queue = new LinkedBlockingQueue<>();
   private final Thread diskThread = new Thread(this::write, "store");
-  private final Journal.Recovery recovery;
+  private final WriteAheadLog.Recovery recovery;
   private volatile Thread compactor;
   private final AtomicLong syncs = new AtomicLong();
   private volatile IOException compactionFailure;
@@ -58,13 +58,13 @@
   /** Why the last try before the end failed; null if everything was stored. */
   private volatile IOException unstored;
 
-  private record Waiting(List<Entry> entries, Runnable stored) {}
+  private record Waiting(List<LogRecord> entries, Runnable stored) {}
 
-  private Store(
-      Disk disk,
-      Ledger ledger,
-      Journal journal,
-      Journal.Recovery recovery,
+  private JobStore(
+      Storage disk,
+      JobTable ledger,
+      WriteAheadLog journal,
+      WriteAheadLog.Recovery recovery,
       Executor owner,
       RetryTimer timer,
       int mostWaiting) {
@@ -82,32 +82,33 @@
    * never jumps. A new log is begun after {@code logBytes}; beyond {@code mostWaiting} changes on
    * their way to the disk it is crowded.
    */
-  public static Store open(
-      Disk disk,
-      Ledger.Terms terms,
+  public static JobStore open(
+      Storage disk,
+      JobTable.Terms terms,
       long logBytes,
       int mostWaiting,
       double monotonic,
       Executor owner,
       RetryTimer timer)
       throws IOException {
-    Ledger ledger = new Ledger(terms);
-    Journal.Recovery[] recovery = new Journal.Recovery[1];
-    Journal journal = Journal.open(disk, logBytes, ledger::replay, found -> recovery[0] = found);
+    JobTable ledger = new JobTable(terms);
+    WriteAheadLog.Recovery[] recovery = new WriteAheadLog.Recovery[1];
+    WriteAheadLog journal =
+        WriteAheadLog.open(disk, logBytes, ledger::replay, found -> recovery[0] = found);
     ledger.recovered(monotonic);
-    Store store = new Store(disk, ledger, journal, recovery[0], owner, timer, mostWaiting);
+    JobStore store = new JobStore(disk, ledger, journal, recovery[0], owner, timer, mostWaiting);
     store.diskThread.setDaemon(true);
     store.diskThread.start();
     return store;
   }
 
   /** The states, to ask and to change; each change goes to {@link #commit}. */
-  public Ledger ledger() {
+  public JobTable ledger() {
     return ledger;
   }
 
   /** What the recovery at the opening found. */
-  public Journal.Recovery recovery() {
+  public WriteAheadLog.Recovery recovery() {
     return recovery;
   }
 
@@ -125,10 +126,10 @@
   }
 
   /**
-   * Takes a client's job as {@link Ledger#accept} does and stores it; {@code stored} is called once
-   * the client may be told, also of a refusal by the ledger.
+   * Takes a client's job as {@link JobTable#accept} does and stores it; {@code stored} is called
+   * once the client may be told, also of a refusal by the ledger.
    */
-  public Ledger.Change accept(
+  public JobTable.Change accept(
       String id,
       Idempotency effect,
       String key,
@@ -143,7 +144,7 @@
     if (crowded()) {
       throw new StoreUnavailableException(StoreUnavailableException.Reason.OVERLOADED);
     }
-    Ledger.Change change = ledger.accept(id, effect, key, window, payload, at);
+    JobTable.Change change = ledger.accept(id, effect, key, window, payload, at);
     commit(change, stored);
     return change;
   }
@@ -157,7 +158,7 @@
    * Stores what a change brought. {@code stored} is called once, when it lasts, however long the
    * disk fails before; a change without entries lasts when all before it does.
    */
-  public void commit(Ledger.Change change, Runnable stored) {
+  public void commit(JobTable.Change change, Runnable stored) {
     if (change.entries().isEmpty() && waiting == 0) {
       stored.run();
       return;
@@ -168,7 +169,7 @@
 
   private void write() {
     List<Waiting> batch = new ArrayList<>();
-    List<Entry> entries = new ArrayList<>();
+    List<LogRecord> entries = new ArrayList<>();
     try {
       while (true) {
         batch.clear();
@@ -194,7 +195,7 @@
   /**
    * Tries until these last; false if the store was closed before, and the last try failed as well.
    */
-  private boolean persist(List<Entry> entries) throws InterruptedException {
+  private boolean persist(List<LogRecord> entries) throws InterruptedException {
     boolean lastTry = false;
     while (true) {
       try {
@@ -241,7 +242,7 @@
         new Thread(
             () -> {
               try {
-                Journal.compact(disk, before);
+                WriteAheadLog.compact(disk, before);
               } catch (IOException failedToCompact) {
                 // The logs stay, and are read at the next start; what is wrong with them is said
                 // there.
--- a/jobstore/src/main/java/ferngrade/jobstore/Ledger.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
@@ -19,7 +19,7 @@
  * also over a crash, and only the holder of a job's newest token is listened to. A restart
  * concludes nothing from what it does not know: a lease that was out may have led to a run.
  */
-public class Ledger {
+public class JobTable {
   /** Why a change was not allowed. */
   public enum Refusal {
     /** The id is known: the job was taken before, and its state is its answer. */
@@ -36,8 +36,8 @@
    * What came of a request for a change: entries to store, or a refusal. Both are absent where
    * nothing changes.
    */
-  public record Change(List<Entry> entries, Refusal refusal) {
-    static Change of(Entry... entries) {
+  public record Change(List<LogRecord> entries, Refusal refusal) {
+    static Change of(LogRecord... entries) {
       return new Change(List.of(entries), null);
     }
 
@@ -89,7 +89,7 @@
   private long highestToken;
 
   /** An empty ledger. */
-  public Ledger(Terms terms) {
+  public JobTable(Terms terms) {
     this.terms = terms;
   }
 
@@ -101,7 +101,7 @@
     if (jobs.containsKey(id)) {
       return Change.refused(Refusal.KNOWN);
     }
-    return apply(new Entry.Accepted(id, effect, key, window, 0, at, payload.clone()));
+    return apply(new LogRecord.Accepted(id, effect, key, window, 0, at, payload.clone()));
   }
 
   /**
@@ -116,7 +116,7 @@
     if (job.state != JobState.ACCEPTED || at < job.notBefore || !mayRun(job, at)) {
       return Change.refused(Refusal.NOT_NOW);
     }
-    Change change = apply(new Entry.Leased(id, worker, highestToken + 1, at));
+    Change change = apply(new LogRecord.Leased(id, worker, highestToken + 1, at));
     job.leaseEnds = monotonic + terms.lease();
     return change;
   }
@@ -139,7 +139,7 @@
     if (job.state == JobState.STARTED) {
       return Change.of();
     }
-    return apply(new Entry.Started(id, job.token, since(job)));
+    return apply(new LogRecord.Started(id, job.token, since(job)));
   }
 
   /**
@@ -163,7 +163,7 @@
     Refusal refusal = listen(job, token);
     return refusal != null
         ? Change.refused(refusal)
-        : apply(new Entry.Ended(id, job.token, true, result, at));
+        : apply(new LogRecord.Ended(id, job.token, true, result, at));
   }
 
   /**
@@ -191,9 +191,10 @@
       return Change.refused(Refusal.NOT_NOW);
     }
     if (job.leases >= terms.mostLeases()) {
-      return apply(new Entry.Ended(id, job.token, false, "returned " + job.leases + " times", at));
+      return apply(
+          new LogRecord.Ended(id, job.token, false, "returned " + job.leases + " times", at));
     }
-    return apply(new Entry.Returned(id, job.token, true, at + backoff(job, jitter)));
+    return apply(new LogRecord.Returned(id, job.token, true, at + backoff(job, jitter)));
   }
 
   private Refusal listen(Job job, long token) {
@@ -227,10 +228,10 @@
             || (job.effect() == Idempotency.KEYED && next < since + job.accepted().window());
     if (allowed && job.leases < terms.mostLeases()) {
       return apply(
-          new Entry.Doubted(job.id(), job.token, since),
-          new Entry.Returned(job.id(), job.token, false, next));
+          new LogRecord.Doubted(job.id(), job.token, since),
+          new LogRecord.Returned(job.id(), job.token, false, next));
     }
-    return apply(new Entry.Ended(job.id(), job.token, false, reason, at));
+    return apply(new LogRecord.Ended(job.id(), job.token, false, reason, at));
   }
 
   /** When the job may have run for the first time, now that its lease may have led to a run. */
@@ -253,12 +254,12 @@
    * that a clock that jumps cannot make two holders.
    */
   public Change expire(double at, double monotonic, double jitter) {
-    List<Entry> entries = new ArrayList<>();
+    List<LogRecord> entries = new ArrayList<>();
     for (Job job : List.copyOf(jobs.values())) {
       boolean out = job.state == JobState.LEASED || job.state == JobState.STARTED;
       if (out && monotonic >= job.leaseEnds) {
         if (job.effect() == Idempotency.UNSAFE) {
-          entries.addAll(apply(new Entry.Doubted(job.id(), job.token, since(job))).entries());
+          entries.addAll(apply(new LogRecord.Doubted(job.id(), job.token, since(job))).entries());
           job.leaseEnds = monotonic + terms.doubt();
         } else {
           entries.addAll(again(job, at, jitter, "lease ran out").entries());
@@ -266,7 +267,7 @@
       } else if (job.state == JobState.IN_DOUBT && monotonic >= job.leaseEnds) {
         entries.addAll(
             apply(
-                    new Entry.Ended(
+                    new LogRecord.Ended(
                         job.id(),
                         job.token,
                         false,
@@ -276,7 +277,7 @@
       } else if (job.state == JobState.ACCEPTED && !mayRun(job, at)) {
         entries.addAll(
             apply(
-                    new Entry.Ended(
+                    new LogRecord.Ended(
                         job.id(),
                         job.token,
                         false,
@@ -284,7 +285,7 @@
                         at))
                 .entries());
       } else if (job.state.ended() && at - job.endedAt >= terms.keepResults()) {
-        entries.addAll(apply(new Entry.Forgotten(job.id())).entries());
+        entries.addAll(apply(new LogRecord.Forgotten(job.id())).entries());
       }
     }
     return new Change(entries, null);
@@ -315,10 +316,10 @@
     if (job.state != JobState.FAILED || (!never && job.effect() != Idempotency.SAFE)) {
       return Change.refused(Refusal.NOT_NOW);
     }
-    Entry.Accepted first = job.accepted();
+    LogRecord.Accepted first = job.accepted();
     return apply(
-        new Entry.Forgotten(id),
-        new Entry.Accepted(
+        new LogRecord.Forgotten(id),
+        new LogRecord.Accepted(
             id, first.effect(), first.key(), first.window(), 0, at, first.payload()));
   }
 
@@ -328,13 +329,13 @@
     if (job == null) {
       return Change.refused(Refusal.UNKNOWN);
     }
-    return job.state.ended() ? apply(new Entry.Forgotten(id)) : Change.refused(Refusal.NOT_NOW);
+    return job.state.ended() ? apply(new LogRecord.Forgotten(id)) : Change.refused(Refusal.NOT_NOW);
   }
 
   // ---- Entries ----
 
-  private Change apply(Entry... entries) {
-    for (Entry entry : entries) {
+  private Change apply(LogRecord... entries) {
+    for (LogRecord entry : entries) {
       replay(entry);
     }
     return Change.of(entries);
@@ -344,12 +345,12 @@
    * Applies an entry of the log. An {@link IllegalStateException} says that it cannot follow those
    * before it, which no log of this program's making does.
    */
-  public void replay(Entry entry) {
-    if (entry instanceof Entry.Tokens tokens) {
+  public void replay(LogRecord entry) {
+    if (entry instanceof LogRecord.Tokens tokens) {
       highestToken = Math.max(highestToken, tokens.highest());
       return;
     }
-    if (entry instanceof Entry.Accepted accepted) {
+    if (entry instanceof LogRecord.Accepted accepted) {
       if (jobs.putIfAbsent(accepted.id(), new Job(accepted)) != null) {
         throw new IllegalStateException("accepted twice: " + accepted.id());
       }
@@ -359,7 +360,7 @@
     if (job == null) {
       throw new IllegalStateException("about a job that was never accepted: " + entry);
     }
-    if (entry instanceof Entry.Leased leased) {
+    if (entry instanceof LogRecord.Leased leased) {
       must(job.state == JobState.ACCEPTED && leased.token() > highestToken, entry);
       job.state = JobState.LEASED;
       job.worker = leased.worker();
@@ -367,15 +368,15 @@
       job.leasedAt = leased.at();
       job.leases++;
       highestToken = leased.token();
-    } else if (entry instanceof Entry.Started started) {
+    } else if (entry instanceof LogRecord.Started started) {
       must(!job.state.ended() && started.token() == job.token, entry);
       job.state = JobState.STARTED;
       doubt(job, started.token(), started.since());
-    } else if (entry instanceof Entry.Doubted doubted) {
+    } else if (entry instanceof LogRecord.Doubted doubted) {
       must(!job.state.ended() && doubted.token() == job.token, entry);
       job.state = JobState.IN_DOUBT;
       doubt(job, doubted.token(), doubted.since());
-    } else if (entry instanceof Entry.Returned returned) {
+    } else if (entry instanceof LogRecord.Returned returned) {
       must(
           !job.state.ended() && job.state != JobState.ACCEPTED && returned.token() == job.token,
           entry);
@@ -386,18 +387,18 @@
         job.firstDoubtfulAt = Double.NaN;
         job.doubtfulToken = 0;
       }
-    } else if (entry instanceof Entry.Ended ended) {
+    } else if (entry instanceof LogRecord.Ended ended) {
       must(!job.state.ended() && ended.token() == job.token, entry);
       job.state = ended.done() ? JobState.DONE : JobState.FAILED;
       job.result = ended.result();
       job.endedAt = ended.at();
-    } else if (entry instanceof Entry.Forgotten) {
+    } else if (entry instanceof LogRecord.Forgotten) {
       must(job.state.ended(), entry);
       jobs.remove(entry.id());
     }
   }
 
-  private static void must(boolean holds, Entry entry) {
+  private static void must(boolean holds, LogRecord entry) {
     if (!holds) {
       throw new IllegalStateException("cannot follow what came before: " + entry);
     }
@@ -411,13 +412,13 @@
   }
 
   /** The entries that make this ledger out of an empty one, for a snapshot. */
-  public List<Entry> snapshot() {
-    List<Entry> entries = new ArrayList<>();
+  public List<LogRecord> snapshot() {
+    List<LogRecord> entries = new ArrayList<>();
     for (Job job : jobs.values()) {
-      Entry.Accepted first = job.accepted();
+      LogRecord.Accepted first = job.accepted();
       int before = job.token == 0 ? job.leases : job.leases - 1;
       entries.add(
-          new Entry.Accepted(
+          new LogRecord.Accepted(
               first.id(),
               first.effect(),
               first.key(),
@@ -431,25 +432,25 @@
         .filter(job -> job.state != JobState.ACCEPTED || job.token > 0)
         .sorted((a, b) -> Long.compare(a.token, b.token))
         .forEach(job -> snapshot(job, entries));
-    entries.add(new Entry.Tokens(highestToken));
+    entries.add(new LogRecord.Tokens(highestToken));
     return entries;
   }
 
-  private static void snapshot(Job job, List<Entry> entries) {
+  private static void snapshot(Job job, List<LogRecord> entries) {
     if (job.token > 0) {
-      entries.add(new Entry.Leased(job.id(), job.worker, job.token, job.leasedAt));
+      entries.add(new LogRecord.Leased(job.id(), job.worker, job.token, job.leasedAt));
     }
     if (!Double.isNaN(job.firstDoubtfulAt)) {
       entries.add(
           job.state == JobState.STARTED
-              ? new Entry.Started(job.id(), job.token, job.firstDoubtfulAt)
-              : new Entry.Doubted(job.id(), job.token, job.firstDoubtfulAt));
+              ? new LogRecord.Started(job.id(), job.token, job.firstDoubtfulAt)
+              : new LogRecord.Doubted(job.id(), job.token, job.firstDoubtfulAt));
     }
     if (job.state == JobState.ACCEPTED) {
-      entries.add(new Entry.Returned(job.id(), job.token, false, job.notBefore));
+      entries.add(new LogRecord.Returned(job.id(), job.token, false, job.notBefore));
     } else if (job.state.ended()) {
       entries.add(
-          new Entry.Ended(
+          new LogRecord.Ended(
               job.id(), job.token, job.state == JobState.DONE, job.result, job.endedAt));
     }
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/Batch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
@@ -8,13 +8,13 @@
  * content, its number, the content. A batch is begun only when the one before it is synced, so one
  * that cannot be read is a torn tail if none that can follows it.
  */
-public final class Batch {
+public final class LogBatch {
   /** Bytes before the content. */
   public static final int HEADER = 16;
 
   private static final int MOST = 64 << 20;
 
-  private Batch() {}
+  private LogBatch() {}
 
   /** Writes the frame into the first {@link #HEADER} bytes, which the content follows. */
   public static byte[] frame(byte[] all, long number) {
--- a/jobstore/src/main/java/ferngrade/jobstore/EntryCodec.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogRecordCodec.java
@@ -13,7 +13,7 @@
  * Entries as bytes: a type, then its fields in their order, in the forms of {@link
  * DataOutputStream}.
  */
-final class EntryCodec {
+final class LogRecordCodec {
   private static final int ACCEPTED = 1;
   private static final int LEASED = 2;
   private static final int STARTED = 3;
@@ -28,12 +28,12 @@
   private static final int KEYED = 1;
   private static final int UNSAFE = 2;
 
-  private EntryCodec() {}
+  private LogRecordCodec() {}
 
-  static void write(Entry entry, ByteArrayOutputStream to) {
+  static void write(LogRecord entry, ByteArrayOutputStream to) {
     DataOutputStream out = new DataOutputStream(to);
     try {
-      if (entry instanceof Entry.Accepted e) {
+      if (entry instanceof LogRecord.Accepted e) {
         out.writeByte(ACCEPTED);
         out.writeUTF(e.id());
         out.writeByte(effectCode(e.effect()));
@@ -43,29 +43,29 @@
         out.writeDouble(e.at());
         out.writeInt(e.payload().length);
         out.write(e.payload());
-      } else if (entry instanceof Entry.Leased e) {
+      } else if (entry instanceof LogRecord.Leased e) {
         out.writeByte(LEASED);
         out.writeUTF(e.id());
         out.writeUTF(e.worker());
         out.writeLong(e.token());
         out.writeDouble(e.at());
-      } else if (entry instanceof Entry.Started e) {
+      } else if (entry instanceof LogRecord.Started e) {
         out.writeByte(STARTED);
         out.writeUTF(e.id());
         out.writeLong(e.token());
         out.writeDouble(e.since());
-      } else if (entry instanceof Entry.Returned e) {
+      } else if (entry instanceof LogRecord.Returned e) {
         out.writeByte(RETURNED);
         out.writeUTF(e.id());
         out.writeLong(e.token());
         out.writeBoolean(e.unstarted());
         out.writeDouble(e.notBefore());
-      } else if (entry instanceof Entry.Doubted e) {
+      } else if (entry instanceof LogRecord.Doubted e) {
         out.writeByte(DOUBTED);
         out.writeUTF(e.id());
         out.writeLong(e.token());
         out.writeDouble(e.since());
-      } else if (entry instanceof Entry.Ended e) {
+      } else if (entry instanceof LogRecord.Ended e) {
         out.writeByte(ENDED);
         out.writeUTF(e.id());
         out.writeLong(e.token());
@@ -74,10 +74,10 @@
         out.writeInt(result.length);
         out.write(result);
         out.writeDouble(e.at());
-      } else if (entry instanceof Entry.Forgotten e) {
+      } else if (entry instanceof LogRecord.Forgotten e) {
         out.writeByte(FORGOTTEN);
         out.writeUTF(e.id());
-      } else if (entry instanceof Entry.Tokens e) {
+      } else if (entry instanceof LogRecord.Tokens e) {
         out.writeByte(TOKENS);
         out.writeLong(e.highest());
       }
@@ -87,12 +87,12 @@
   }
 
   /** Reads one entry; an {@link IOException} says that these bytes hold none. */
-  static Entry read(byte[] bytes, int offset, int length) throws IOException {
+  static LogRecord read(byte[] bytes, int offset, int length) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, offset, length));
     int type = in.readUnsignedByte();
     return switch (type) {
       case ACCEPTED ->
-          new Entry.Accepted(
+          new LogRecord.Accepted(
               in.readUTF(),
               effect(in.readUnsignedByte()),
               in.readUTF(),
@@ -100,20 +100,21 @@
               in.readInt(),
               in.readDouble(),
               in.readNBytes(in.readInt()));
-      case LEASED -> new Entry.Leased(in.readUTF(), in.readUTF(), in.readLong(), in.readDouble());
-      case STARTED -> new Entry.Started(in.readUTF(), in.readLong(), in.readDouble());
+      case LEASED ->
+          new LogRecord.Leased(in.readUTF(), in.readUTF(), in.readLong(), in.readDouble());
+      case STARTED -> new LogRecord.Started(in.readUTF(), in.readLong(), in.readDouble());
       case RETURNED ->
-          new Entry.Returned(in.readUTF(), in.readLong(), in.readBoolean(), in.readDouble());
-      case DOUBTED -> new Entry.Doubted(in.readUTF(), in.readLong(), in.readDouble());
+          new LogRecord.Returned(in.readUTF(), in.readLong(), in.readBoolean(), in.readDouble());
+      case DOUBTED -> new LogRecord.Doubted(in.readUTF(), in.readLong(), in.readDouble());
       case ENDED ->
-          new Entry.Ended(
+          new LogRecord.Ended(
               in.readUTF(),
               in.readLong(),
               in.readBoolean(),
               new String(in.readNBytes(in.readInt()), StandardCharsets.UTF_8),
               in.readDouble());
-      case FORGOTTEN -> new Entry.Forgotten(in.readUTF());
-      case TOKENS -> new Entry.Tokens(in.readLong());
+      case FORGOTTEN -> new LogRecord.Forgotten(in.readUTF());
+      case TOKENS -> new LogRecord.Tokens(in.readLong());
       default -> throw new IOException("no entry has the type " + type);
     };
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/Disk.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Storage.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** The folder of a store, as far as the store needs it; a test puts one that fails in its place. */
-public interface Disk {
+public interface Storage {
   /** The names of the files there. */
   List<String> list() throws IOException;
 
--- a/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
@@ -43,12 +43,12 @@
 
     @Override
     public Integer call() {
-      Ledger ledger = new Ledger(Journal.READING);
-      try (FolderDisk disk = FolderDisk.look(folder)) {
-        Journal.Recovery found = Journal.inspect(disk, ledger::replay);
+      JobTable ledger = new JobTable(WriteAheadLog.READING);
+      try (FileSystemStorage disk = FileSystemStorage.look(folder)) {
+        WriteAheadLog.Recovery found = WriteAheadLog.inspect(disk, ledger::replay);
         show(ledger, found);
         return 0;
-      } catch (DamagedException damaged) {
+      } catch (CorruptLogException damaged) {
         System.err.println("ferngrade: damaged: " + damaged.getMessage());
         return DAMAGED;
       } catch (IOException unreadable) {
@@ -57,7 +57,7 @@
       }
     }
 
-    abstract void show(Ledger ledger, Journal.Recovery found);
+    abstract void show(JobTable ledger, WriteAheadLog.Recovery found);
   }
 
   /** Says whether all of it can be read. */
@@ -66,7 +66,7 @@
       description = "Says whether all of it can be read; a torn tail is told and is no damage.")
   static final class Check extends Reading {
     @Override
-    void show(Ledger ledger, Journal.Recovery found) {
+    void show(JobTable ledger, WriteAheadLog.Recovery found) {
       System.out.printf(
           "sound: %d entries in %d batches, %d jobs%n",
           found.entries(), found.batches(), ledger.jobs().size());
@@ -83,7 +83,7 @@
       description = "Prints a line for each job: id, state, class, leases, token, worker, result.")
   static final class Dump extends Reading {
     @Override
-    void show(Ledger ledger, Journal.Recovery found) {
+    void show(JobTable ledger, WriteAheadLog.Recovery found) {
       for (Job job : ledger.jobs()) {
         System.out.printf(
             "%s %s %s leases=%d token=%d worker=%s %s%n",
@@ -102,7 +102,7 @@
   @Command(name = "stats", description = "Counts jobs by state, and bytes.")
   static final class Stats extends Reading {
     @Override
-    void show(Ledger ledger, Journal.Recovery found) {
+    void show(JobTable ledger, WriteAheadLog.Recovery found) {
       Map<JobState, Integer> counts = new EnumMap<>(JobState.class);
       for (Job job : ledger.jobs()) {
         counts.merge(job.state(), 1, Integer::sum);
@@ -135,9 +135,9 @@
 
     @Override
     public Integer call() {
-      Ledger ledger = new Ledger(Journal.READING);
-      try (FolderDisk disk = FolderDisk.look(from);
-          FolderDisk mended = FolderDisk.hold(to)) {
+      JobTable ledger = new JobTable(WriteAheadLog.READING);
+      try (FileSystemStorage disk = FileSystemStorage.look(from);
+          FileSystemStorage mended = FileSystemStorage.hold(to)) {
         if (!mended.list().isEmpty()) {
           System.err.println("ferngrade: " + to + " is not empty");
           return Cli.BAD_CONFIG;
@@ -145,23 +145,24 @@
         String stopped = "nothing was damaged";
         boolean damaged = false;
         try {
-          Journal.inspect(disk, ledger::replay);
-        } catch (DamagedException place) {
+          WriteAheadLog.inspect(disk, ledger::replay);
+        } catch (CorruptLogException place) {
           damaged = true;
           stopped = "stopped at " + place.getMessage();
         }
-        List<Entry> saved = new ArrayList<>(ledger.snapshot());
+        List<LogRecord> saved = new ArrayList<>(ledger.snapshot());
         if (damaged) {
           // What came after the damage is unknown: a job that waits may have been leased there, and
           // begun.
           for (Job job : ledger.jobs()) {
             if (!job.state().ended()) {
-              saved.add(new Entry.Doubted(job.id(), job.token(), job.accepted().at()));
+              saved.add(new LogRecord.Doubted(job.id(), job.token(), job.accepted().at()));
             }
           }
-          saved.add(new Entry.Tokens(ledger.highestToken() + TOKENS_UNSEEN));
+          saved.add(new LogRecord.Tokens(ledger.highestToken() + TOKENS_UNSEEN));
         }
-        try (Journal journal = Journal.open(mended, Long.MAX_VALUE, entry -> {}, found -> {})) {
+        try (WriteAheadLog journal =
+            WriteAheadLog.open(mended, Long.MAX_VALUE, entry -> {}, found -> {})) {
           journal.commit(saved);
         }
         System.out.printf("%d jobs saved, %s%n", ledger.jobs().size(), stopped);
--- a/jobstore/src/main/java/ferngrade/jobstore/Journal.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
@@ -24,7 +24,7 @@
  * end: the batch is written anew as the first of the next log, under its old number, and a recovery
  * drops what the abandoned log holds of that number, torn or not.
  */
-public final class Journal implements AutoCloseable {
+public final class WriteAheadLog implements AutoCloseable {
   static final int HEADER = 16;
   static final long MAGIC = 0x464e47_4c4f47_0001L;
   private static final int PIECE = 256 << 10;
@@ -33,14 +33,14 @@
   static final String UNFINISHED = ".tmp";
 
   /** Terms matter to changes alone; reading makes none. */
-  static final Ledger.Terms READING = new Ledger.Terms(1, 0, 0, 1, 0, 0);
+  static final JobTable.Terms READING = new JobTable.Terms(1, 0, 0, 1, 0, 0);
 
-  private final Disk disk;
+  private final Storage disk;
   private final long logBytes;
   private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(1 << 16);
 
   /** Null after a failure: the next commit begins the next log. */
-  private Disk.Appender log;
+  private Storage.Appender log;
 
   private volatile long logNumber;
   private long written;
@@ -52,7 +52,7 @@
   /** What a recovery found. {@code cut} is the length of the torn tail. */
   public record Recovery(long entries, long batches, long bytes, long cut, String cutFile) {}
 
-  private Journal(Disk disk, long logBytes, long logNumber, long batch) {
+  private WriteAheadLog(Storage disk, long logBytes, long logNumber, long batch) {
     this.disk = disk;
     this.logBytes = logBytes;
     this.logNumber = logNumber;
@@ -63,13 +63,13 @@
 
   /**
    * Opens the store in a folder: replays everything into {@code replay}, cuts a torn tail, and
-   * begins a new log. A new log is begun after {@code logBytes}. A {@link DamagedException} says
+   * begins a new log. A new log is begun after {@code logBytes}. A {@link CorruptLogException} says
    * where what was synced is not as it was.
    */
-  public static Journal open(
-      Disk disk, long logBytes, Consumer<Entry> replay, Consumer<Recovery> found)
+  public static WriteAheadLog open(
+      Storage disk, long logBytes, Consumer<LogRecord> replay, Consumer<Recovery> found)
       throws IOException {
-    JournalReader reader = new JournalReader(disk, replay);
+    WriteAheadLogReader reader = new WriteAheadLogReader(disk, replay);
     reader.readAll(Long.MAX_VALUE);
     // What the snapshot stands for goes with the next one: the name of this one may not last if its
     // sync has failed.
@@ -82,7 +82,7 @@
     }
     writeAnew(disk, reader);
     found.accept(reader.recovery());
-    Journal journal = new Journal(disk, logBytes, reader.lastLog(), reader.batch());
+    WriteAheadLog journal = new WriteAheadLog(disk, logBytes, reader.lastLog(), reader.batch());
     journal.nextLog();
     return journal;
   }
@@ -92,13 +92,13 @@
    * before this process was started, and then what is read from it may be in the system's memory
    * alone, where no sync finds it again.
    */
-  private static void writeAnew(Disk disk, JournalReader reader) throws IOException {
+  private static void writeAnew(Storage disk, WriteAheadLogReader reader) throws IOException {
     byte[] readable = reader.lastContent();
     if (readable.length == 0) {
       return;
     }
     String name = name(LOG, reader.lastLog());
-    try (Disk.Appender copy = disk.create(name + UNFINISHED)) {
+    try (Storage.Appender copy = disk.create(name + UNFINISHED)) {
       copy.append(readable, readable.length);
       copy.sync();
     }
@@ -107,8 +107,8 @@
   }
 
   /** Reads a store without changing it, also one that somebody else has open. */
-  public static Recovery inspect(Disk disk, Consumer<Entry> replay) throws IOException {
-    JournalReader reader = new JournalReader(disk, replay);
+  public static Recovery inspect(Storage disk, Consumer<LogRecord> replay) throws IOException {
+    WriteAheadLogReader reader = new WriteAheadLogReader(disk, replay);
     reader.readAll(Long.MAX_VALUE);
     return reader.recovery();
   }
@@ -117,7 +117,7 @@
     try {
       return Long.parseLong(name.substring(prefix.length()));
     } catch (NumberFormatException foreign) {
-      throw new DamagedException(name, 0, "is no name of this store");
+      throw new CorruptLogException(name, 0, "is no name of this store");
     }
   }
 
@@ -132,7 +132,7 @@
    * knows whether they do: a recovery may find them, unless another commit comes before. That goes
    * into a new file and takes their place, so whoever still owes them commits them again first.
    */
-  public void commit(List<Entry> batchEntries) throws IOException {
+  public void commit(List<LogRecord> batchEntries) throws IOException {
     byte[] batchBytes = encode(batchEntries, batch + 1, buffer);
     if (log == null) {
       continueInNextLog(batchBytes);
@@ -168,7 +168,7 @@
     log = null;
   }
 
-  private static void closeQuietly(Disk.Appender file) {
+  private static void closeQuietly(Storage.Appender file) {
     try {
       file.close();
     } catch (IOException nothingNew) {
@@ -187,7 +187,7 @@
     if (disk.list().contains(name + UNFINISHED)) {
       disk.delete(name + UNFINISHED);
     }
-    Disk.Appender file = begin(disk, name + UNFINISHED, next);
+    Storage.Appender file = begin(disk, name + UNFINISHED, next);
     try {
       file.append(batchBytes, batchBytes.length);
       file.sync();
@@ -211,17 +211,18 @@
     }
   }
 
-  private static byte[] encode(Iterable<Entry> some, long number, ByteArrayOutputStream buffer) {
+  private static byte[] encode(
+      Iterable<LogRecord> some, long number, ByteArrayOutputStream buffer) {
     buffer.reset();
-    buffer.write(new byte[Batch.HEADER], 0, Batch.HEADER);
+    buffer.write(new byte[LogBatch.HEADER], 0, LogBatch.HEADER);
     ByteArrayOutputStream one = new ByteArrayOutputStream(256);
-    for (Entry entry : some) {
+    for (LogRecord entry : some) {
       one.reset();
-      EntryCodec.write(entry, one);
+      LogRecordCodec.write(entry, one);
       buffer.writeBytes(ByteBuffer.allocate(4).putInt(one.size()).array());
       buffer.writeBytes(one.toByteArray());
     }
-    return Batch.frame(buffer.toByteArray(), number);
+    return LogBatch.frame(buffer.toByteArray(), number);
   }
 
   private void nextLog() throws IOException {
@@ -229,7 +230,7 @@
       log.close();
     }
     long next = logNumber + 1;
-    Disk.Appender file = begin(disk, name(LOG, next), next);
+    Storage.Appender file = begin(disk, name(LOG, next), next);
     try {
       file.sync();
       disk.syncNames();
@@ -243,8 +244,8 @@
     written = 0;
   }
 
-  private static Disk.Appender begin(Disk disk, String name, long number) throws IOException {
-    Disk.Appender file = disk.create(name);
+  private static Storage.Appender begin(Storage disk, String name, long number) throws IOException {
+    Storage.Appender file = disk.create(name);
     try {
       file.append(ByteBuffer.allocate(HEADER).putLong(MAGIC).putLong(number).array(), HEADER);
     } catch (IOException | RuntimeException broken) {
@@ -264,26 +265,27 @@
    * It reads these files and nothing else, so it may run beside commits; one at a time. False:
    * there is nothing to replace.
    */
-  public static boolean compact(Disk disk, long before) throws IOException {
+  public static boolean compact(Storage disk, long before) throws IOException {
     List<String> old = older(disk, before);
     if (old.stream().noneMatch(name -> name.startsWith(LOG))) {
       return false;
     }
-    Ledger state = new Ledger(READING);
-    JournalReader reader = new JournalReader(disk, state::replay);
+    JobTable state = new JobTable(READING);
+    WriteAheadLogReader reader = new WriteAheadLogReader(disk, state::replay);
     reader.readAll(before);
     String name = name(SNAPSHOT, before);
     deleteUnfinishedSnapshots(disk);
-    try (Disk.Appender file = begin(disk, name + UNFINISHED, before)) {
-      Iterator<Entry> entries = state.snapshot().iterator();
-      List<Entry> piece = new ArrayList<>();
+    try (Storage.Appender file = begin(disk, name + UNFINISHED, before)) {
+      Iterator<LogRecord> entries = state.snapshot().iterator();
+      List<LogRecord> piece = new ArrayList<>();
       do {
         piece.clear();
         int size = 0;
         while (entries.hasNext() && size < PIECE) {
-          Entry entry = entries.next();
+          LogRecord entry = entries.next();
           piece.add(entry);
-          size += entry instanceof Entry.Accepted accepted ? 64 + accepted.payload().length : 64;
+          size +=
+              entry instanceof LogRecord.Accepted accepted ? 64 + accepted.payload().length : 64;
         }
         // The empty batch is the end.
         byte[] bytes = encode(piece, reader.batch(), new ByteArrayOutputStream(PIECE));
@@ -300,7 +302,7 @@
   }
 
   /** Frees what an attempt that failed has left. */
-  private static void deleteUnfinishedSnapshots(Disk disk) throws IOException {
+  private static void deleteUnfinishedSnapshots(Storage disk) throws IOException {
     for (String each : disk.list()) {
       if (each.startsWith(SNAPSHOT) && each.endsWith(UNFINISHED)) {
         disk.delete(each);
@@ -308,7 +310,7 @@
     }
   }
 
-  private static List<String> older(Disk disk, long before) throws IOException {
+  private static List<String> older(Storage disk, long before) throws IOException {
     List<String> old = new ArrayList<>();
     for (String name : disk.list()) {
       String prefix =
--- a/jobstore/src/main/java/ferngrade/jobstore/JournalReader.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
@@ -9,12 +9,12 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the snapshot and the logs of a {@link Journal} in their order. The last batch of a log, or
- * the torn tail in its place, is held back until the next log is read: if that one begins with the
- * same number, the write or sync of the batch had failed, the log was abandoned, and the batch
- * counts as the next log has it.
+ * Reads the snapshot and the logs of a {@link WriteAheadLog} in their order. The last batch of a
+ * log, or the torn tail in its place, is held back until the next log is read: if that one begins
+ * with the same number, the write or sync of the batch had failed, the log was abandoned, and the
+ * batch counts as the next log has it.
  */
-final class JournalReader {
+final class WriteAheadLogReader {
   /**
    * A batch that was read and not yet replayed: where its entries begin in {@code bytes}, how long
    * they are, and how far into the file {@code bytes} begins.
@@ -33,8 +33,8 @@
     }
   }
 
-  private final Disk disk;
-  private final Consumer<Entry> replay;
+  private final Storage disk;
+  private final Consumer<LogRecord> replay;
   private final List<String> unfinished = new ArrayList<>();
   private Held held;
 
@@ -42,7 +42,7 @@
    * The torn tail of a log that others follow, which is damage unless the next log begins with its
    * batch.
    */
-  private DamagedException tear;
+  private CorruptLogException tear;
 
   private long lastLog;
   private byte[] lastContent = new byte[0];
@@ -54,14 +54,14 @@
   private String cutFile = "";
   private boolean emptyLast;
 
-  JournalReader(Disk disk, Consumer<Entry> replay) {
+  WriteAheadLogReader(Storage disk, Consumer<LogRecord> replay) {
     this.disk = disk;
     this.replay = replay;
   }
 
   /** What was found. */
-  Journal.Recovery recovery() {
-    return new Journal.Recovery(entries, batches, bytes, cut, cutFile);
+  WriteAheadLog.Recovery recovery() {
+    return new WriteAheadLog.Recovery(entries, batches, bytes, cut, cutFile);
   }
 
   /** Files that never got their names, and count for nothing. */
@@ -101,7 +101,7 @@
   void readAll(long before) throws IOException {
     try {
       readFiles(before);
-    } catch (DamagedException damage) {
+    } catch (CorruptLogException damage) {
       // Whoever repairs what stands before the damage gets the last batch as well.
       replayHeld();
       throw damage;
@@ -113,12 +113,12 @@
     TreeMap<Long, String> logs = new TreeMap<>();
     TreeMap<Long, String> snapshots = new TreeMap<>();
     for (String name : disk.list()) {
-      if (name.endsWith(Journal.UNFINISHED)) {
+      if (name.endsWith(WriteAheadLog.UNFINISHED)) {
         unfinished.add(name);
-      } else if (name.startsWith(Journal.LOG)) {
-        logs.put(Journal.number(name, Journal.LOG), name);
-      } else if (name.startsWith(Journal.SNAPSHOT)) {
-        snapshots.put(Journal.number(name, Journal.SNAPSHOT), name);
+      } else if (name.startsWith(WriteAheadLog.LOG)) {
+        logs.put(WriteAheadLog.number(name, WriteAheadLog.LOG), name);
+      } else if (name.startsWith(WriteAheadLog.SNAPSHOT)) {
+        snapshots.put(WriteAheadLog.number(name, WriteAheadLog.SNAPSHOT), name);
       }
     }
     boolean all = before == Long.MAX_VALUE;
@@ -130,22 +130,22 @@
       logs.headMap(first).clear();
       readSnapshot(snapshots.get(first), first);
     } else if (first != 1) {
-      throw new DamagedException(
-          Journal.name(Journal.LOG, 1), 0, "is missing, and no snapshot stands for it");
+      throw new CorruptLogException(
+          WriteAheadLog.name(WriteAheadLog.LOG, 1), 0, "is missing, and no snapshot stands for it");
     }
     lastLog = first - 1;
     long expected = first;
     for (long number : logs.keySet()) {
       if (number != expected++) {
-        throw new DamagedException(
-            Journal.name(Journal.LOG, expected - 1), 0, "is missing between others");
+        throw new CorruptLogException(
+            WriteAheadLog.name(WriteAheadLog.LOG, expected - 1), 0, "is missing between others");
       }
       readLog(logs.get(number), number, all && number == logs.lastKey());
       lastLog = emptyLast ? number - 1 : number;
     }
     if (all && !snapshots.isEmpty() && logs.isEmpty()) {
-      throw new DamagedException(
-          Journal.name(Journal.LOG, first), 0, "is missing after its snapshot");
+      throw new CorruptLogException(
+          WriteAheadLog.name(WriteAheadLog.LOG, first), 0, "is missing after its snapshot");
     }
     if (after != null) {
       // Not read itself, but it may begin with a batch that the last one was abandoned at.
@@ -154,8 +154,8 @@
   }
 
   private static boolean hasHeader(ByteBuffer in, long number) {
-    return in.capacity() >= Journal.HEADER
-        && in.getLong(0) == Journal.MAGIC
+    return in.capacity() >= WriteAheadLog.HEADER
+        && in.getLong(0) == WriteAheadLog.MAGIC
         && in.getLong(8) == number;
   }
 
@@ -163,26 +163,26 @@
     byte[] content = disk.read(name);
     ByteBuffer in = ByteBuffer.wrap(content);
     if (!hasHeader(in, number)) {
-      throw new DamagedException(name, 0, "is no file of this store");
+      throw new CorruptLogException(name, 0, "is no file of this store");
     }
-    int at = Journal.HEADER;
+    int at = WriteAheadLog.HEADER;
     boolean ended = false;
     while (at < content.length) {
-      int length = Batch.lengthAt(in, at);
+      int length = LogBatch.lengthAt(in, at);
       if (length < 0) {
-        throw new DamagedException(name, at, "a batch cannot be read, and others follow it");
+        throw new CorruptLogException(name, at, "a batch cannot be read, and others follow it");
       }
-      long its = Batch.numberAt(in, at);
+      long its = LogBatch.numberAt(in, at);
       if (its < batch) {
-        throw new DamagedException(name, at, "batch " + its + " comes after " + batch);
+        throw new CorruptLogException(name, at, "batch " + its + " comes after " + batch);
       }
       batch = its;
       ended = length == 0;
-      replay(new Held(name, content, at + Batch.HEADER, length, 0, its));
-      at += Batch.HEADER + length;
+      replay(new Held(name, content, at + LogBatch.HEADER, length, 0, its));
+      at += LogBatch.HEADER + length;
     }
     if (!ended) {
-      throw new DamagedException(name, content.length, "the snapshot has no end");
+      throw new CorruptLogException(name, content.length, "the snapshot has no end");
     }
   }
 
@@ -193,33 +193,34 @@
       if (tear != null) {
         throw tear;
       }
-      if (last && content.length <= Journal.HEADER) {
+      if (last && content.length <= WriteAheadLog.HEADER) {
         emptyLast = true;
         cutFile = name;
         return;
       }
-      throw new DamagedException(name, 0, "is no file of this store");
+      throw new CorruptLogException(name, 0, "is no file of this store");
     }
     settle(in);
-    int at = Journal.HEADER;
+    int at = WriteAheadLog.HEADER;
     while (at < content.length) {
       // Another batch was begun after it, so it was synced.
       replayHeld();
-      int length = Batch.lengthAt(in, at);
+      int length = LogBatch.lengthAt(in, at);
       if (length < 0) {
         torn(name, in, at, last);
         break;
       }
-      long its = Batch.numberAt(in, at);
+      long its = LogBatch.numberAt(in, at);
       if (its <= batch) {
-        throw new DamagedException(name, at, "batch " + its + " comes after " + batch);
+        throw new CorruptLogException(name, at, "batch " + its + " comes after " + batch);
       }
       if (its != batch + 1) {
-        throw new DamagedException(name, at, "batch " + (batch + 1) + " is missing before " + its);
+        throw new CorruptLogException(
+            name, at, "batch " + (batch + 1) + " is missing before " + its);
       }
       batch = its;
-      held = new Held(name, content, at + Batch.HEADER, length, 0, its);
-      at += Batch.HEADER + length;
+      held = new Held(name, content, at + LogBatch.HEADER, length, 0, its);
+      at += LogBatch.HEADER + length;
     }
     if (last) {
       lastContent = Arrays.copyOf(content, at);
@@ -230,8 +231,8 @@
 
   /** Decides about the end of the log before by the first batch of this one. */
   private void settle(ByteBuffer next) throws IOException {
-    boolean begins = Batch.lengthAt(next, Journal.HEADER) >= 0;
-    long first = begins ? Batch.numberAt(next, Journal.HEADER) : 0;
+    boolean begins = LogBatch.lengthAt(next, WriteAheadLog.HEADER) >= 0;
+    long first = begins ? LogBatch.numberAt(next, WriteAheadLog.HEADER) : 0;
     if (tear != null) {
       if (first != batch + 1) {
         throw tear;
@@ -245,9 +246,9 @@
   }
 
   private void torn(String name, ByteBuffer in, int at, boolean last) throws IOException {
-    DamagedException damage =
-        new DamagedException(name, at, "a batch cannot be read, and others follow it");
-    if (Batch.followed(in, at, batch)) {
+    CorruptLogException damage =
+        new CorruptLogException(name, at, "a batch cannot be read, and others follow it");
+    if (LogBatch.followed(in, at, batch)) {
       throw damage;
     }
     if (last) {
@@ -272,9 +273,9 @@
       int size = in.getInt();
       int at = in.position();
       try {
-        replay.accept(EntryCodec.read(whole.bytes(), at, size));
+        replay.accept(LogRecordCodec.read(whole.bytes(), at, size));
       } catch (IOException | IllegalStateException wrong) {
-        throw new DamagedException(whole.file(), whole.fileOffset() + at, wrong.getMessage());
+        throw new CorruptLogException(whole.file(), whole.fileOffset() + at, wrong.getMessage());
       }
       entries++;
       in.position(at + size);
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.dispatch.Idempotency;
-import ferngrade.jobstore.FaultyDisk.DiskFault;
-import ferngrade.jobstore.FaultyDisk.Errno;
-import ferngrade.jobstore.FaultyDisk.Operation;
-import ferngrade.jobstore.FaultyDisk.PowerLost;
+import ferngrade.jobstore.FaultInjectingStorage.DiskFault;
+import ferngrade.jobstore.FaultInjectingStorage.Errno;
+import ferngrade.jobstore.FaultInjectingStorage.Operation;
+import ferngrade.jobstore.FaultInjectingStorage.PowerLost;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -27,7 +27,7 @@
  * crash points is set by {@code ferngrade.crashes}, and each failure names its seed and step.
  */
 class CrashPointTest {
-  private static final Ledger.Terms TERMS = new Ledger.Terms(100, 400, 1e9, 4, 10, 100);
+  private static final JobTable.Terms TERMS = new JobTable.Terms(100, 400, 1e9, 4, 10, 100);
   private static final int CRASHES = Integer.getInteger("ferngrade.crashes", 20_000);
 
   /** The world outside the store: what it was told, and what workers really did. */
@@ -42,11 +42,11 @@
 
   /** One life of a store, from a recovery to a crash. */
   private static final class Life {
-    final FaultyDisk disk;
+    final FaultInjectingStorage disk;
     final World world;
     final SplittableRandom chance;
-    final Ledger ledger = new Ledger(TERMS);
-    final Journal journal;
+    final JobTable ledger = new JobTable(TERMS);
+    final WriteAheadLog journal;
 
     /** Whether the disk fails now and then. */
     final boolean faults;
@@ -54,13 +54,14 @@
     double clock;
     int numbers;
 
-    Life(FaultyDisk disk, World world, SplittableRandom chance, double clock, int numbers)
+    Life(
+        FaultInjectingStorage disk, World world, SplittableRandom chance, double clock, int numbers)
         throws IOException {
       this(disk, world, chance, clock, numbers, false);
     }
 
     Life(
-        FaultyDisk disk,
+        FaultInjectingStorage disk,
         World world,
         SplittableRandom chance,
         double clock,
@@ -73,12 +74,12 @@
       this.chance = chance;
       this.clock = clock;
       this.numbers = numbers;
-      journal = Journal.open(disk, 500, ledger::replay, found -> {});
+      journal = WriteAheadLog.open(disk, 500, ledger::replay, found -> {});
       ledger.recovered(0);
     }
 
     /** Stores a change; what comes after it is what others may be told. */
-    void commit(Ledger.Change change) throws IOException {
+    void commit(JobTable.Change change) throws IOException {
       if (faults && chance.nextInt(4) == 0) {
         disk.tearWritesAt(chance.nextInt(80));
         disk.fail(
@@ -98,7 +99,7 @@
       }
       if (chance.nextInt(12) == 0) {
         try {
-          Journal.compact(disk, journal.logNumber());
+          WriteAheadLog.compact(disk, journal.logNumber());
         } catch (DiskFault notYet) {
           assertTrue(faults, "the disk does not fail here");
         }
@@ -121,7 +122,7 @@
     private void take() throws IOException {
       String id = "j" + numbers++;
       Idempotency effect = Idempotency.values()[chance.nextInt(3)];
-      Ledger.Change change =
+      JobTable.Change change =
           ledger.accept(id, effect, "k" + id, 1000, new byte[chance.nextInt(40)], clock);
       commit(change);
       world.accepted.add(id);
@@ -136,7 +137,7 @@
       String id = job.id();
       switch (job.state()) {
         case ACCEPTED -> {
-          Ledger.Change change = ledger.lease(id, "w", clock, 0);
+          JobTable.Change change = ledger.lease(id, "w", clock, 0);
           if (change.allowed()) {
             commit(change);
             assertTrue(
@@ -171,7 +172,7 @@
       } else if (kind == 2 && ran) {
         commit(ledger.failed(id, held, "broken", clock, chance.nextDouble()));
       } else if (kind == 3 && !ran) {
-        Ledger.Change change = ledger.returned(id, held, clock, chance.nextDouble());
+        JobTable.Change change = ledger.returned(id, held, clock, chance.nextDouble());
         commit(change);
         world.returned.add(id);
       } else if (kind == 4) {
@@ -232,7 +233,7 @@
   }
 
   private static long measure(long seed, boolean faults) throws IOException {
-    FaultyDisk disk = new FaultyDisk(seed, 0);
+    FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
     Life life = new Life(disk, new World(), new SplittableRandom(seed), 1e12, 0, faults);
     life.play(60);
     return disk.steps();
@@ -243,7 +244,7 @@
    * recoveries.
    */
   private static int crash(long seed, long at, boolean faults) throws IOException {
-    FaultyDisk disk = new FaultyDisk(seed, 0);
+    FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
     World world = new World();
     SplittableRandom chance = new SplittableRandom(seed);
     disk.losePowerAfter(at);
@@ -281,7 +282,7 @@
   void aBitThatTurnedInWhatWasSyncedIsAnErrorWithItsPlaceOrTheLastBatch() throws IOException {
     int found = 0;
     for (long seed = 1; seed <= 200; seed++) {
-      FaultyDisk disk = new FaultyDisk(seed, 0);
+      FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
       Life life = new Life(disk, new World(), new SplittableRandom(seed), 1e12, 0);
       life.play(40);
       long last = lastBatch(disk);
@@ -291,8 +292,8 @@
       int offset = where.nextInt(disk.read(file).length);
       disk.flip(file, offset);
       try {
-        Ledger recovered = new Ledger(TERMS);
-        Journal.inspect(disk, recovered::replay);
+        JobTable recovered = new JobTable(TERMS);
+        WriteAheadLog.inspect(disk, recovered::replay);
         // Nothing follows the last batch, which nobody can tell from one that was torn; or an old
         // file was hit.
         boolean old =
@@ -310,9 +311,9 @@
                             .filter(name -> name.startsWith("log-"))
                             .reduce((a, b) -> b)
                             .orElseThrow())
-                    && (offset >= last || disk.read(file).length == Journal.HEADER)),
+                    && (offset >= last || disk.read(file).length == WriteAheadLog.HEADER)),
             "seed " + seed + ": " + file + " at " + offset + " was passed over in silence");
-      } catch (DamagedException damaged) {
+      } catch (CorruptLogException damaged) {
         found++;
         assertEquals(file, damaged.file(), "seed " + seed);
         assertTrue(damaged.offset() <= offset, "seed " + seed);
@@ -322,14 +323,14 @@
   }
 
   /** The offset of the last batch in the last log. */
-  private static long lastBatch(FaultyDisk disk) {
+  private static long lastBatch(FaultInjectingStorage disk) {
     String log =
         disk.list().stream()
             .filter(name -> name.startsWith("log-"))
             .reduce((a, b) -> b)
             .orElseThrow();
     ByteBuffer content = ByteBuffer.wrap(disk.read(log));
-    int at = Journal.HEADER;
+    int at = WriteAheadLog.HEADER;
     int last = at;
     while (at < content.capacity()) {
       last = at;
@@ -342,7 +343,7 @@
   void aSyncThatLiedIsNeverPassedOverInSilenceOnceMoreWasSynced() throws IOException {
     int damaged = 0;
     for (long seed = 1; seed <= 3000; seed++) {
-      FaultyDisk disk = new FaultyDisk(seed, 0.02);
+      FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0.02);
       World world = new World();
       SplittableRandom chance = new SplittableRandom(seed);
       try {
@@ -354,7 +355,7 @@
       }
       try {
         check(new Life(disk, world, chance, 2e12, 9000), world);
-      } catch (DamagedException said) {
+      } catch (CorruptLogException said) {
         damaged++;
       } catch (AssertionError missing) {
         // A lie about the very last sync looks like a sync that never returned; an earlier one must
@@ -367,11 +368,12 @@
 
   @Test
   void aFullDiskTakesNothingAndGoesOnInANewFileOnceThereIsSpaceAgain() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1, 0);
+    FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
     World world = new World();
     Life life = new Life(disk, world, new SplittableRandom(1), 1e12, 0);
     life.play(50);
-    Ledger.Change change = life.ledger.accept("late", Idempotency.UNSAFE, "", 0, new byte[9], 1e12);
+    JobTable.Change change =
+        life.ledger.accept("late", Idempotency.UNSAFE, "", 0, new byte[9], 1e12);
     long before = life.journal.logNumber();
     disk.fill(true);
     for (int i = 0; i < 3; i++) {
--- a/jobstore/src/test/java/ferngrade/jobstore/StoreTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.dispatch.Idempotency;
-import ferngrade.jobstore.FaultyDisk.Errno;
-import ferngrade.jobstore.FaultyDisk.Operation;
+import ferngrade.jobstore.FaultInjectingStorage.Errno;
+import ferngrade.jobstore.FaultInjectingStorage.Operation;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,16 +25,16 @@
  * The store's two threads; this test's thread is the owner and runs what the disk's thread hands
  * it.
  */
-class StoreTest {
-  private static final Ledger.Terms TERMS = new Ledger.Terms(100, 100, 1e9, 3, 10, 100);
+class JobStoreTest {
+  private static final JobTable.Terms TERMS = new JobTable.Terms(100, 100, 1e9, 3, 10, 100);
 
   private final BlockingQueue<Runnable> handed = new LinkedBlockingQueue<>();
   private final Deque<Runnable> timers = new ArrayDeque<>();
   private final List<Double> waits = new ArrayList<>();
-  private final FaultyDisk disk = new FaultyDisk(1, 0);
+  private final FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
 
-  private Store open(long logBytes, int mostWaiting) throws IOException {
-    return Store.open(
+  private JobStore open(long logBytes, int mostWaiting) throws IOException {
+    return JobStore.open(
         disk,
         TERMS,
         logBytes,
@@ -53,14 +53,14 @@
     task.run();
   }
 
-  private static Ledger.Change accept(Store store, String id) {
+  private static JobTable.Change accept(JobStore store, String id) {
     return store.ledger().accept(id, Idempotency.UNSAFE, "", 0, new byte[50], 1);
   }
 
   @Test
   void changesLastInTheirOrderAndShareSyncs() throws Exception {
     List<String> stored = new ArrayList<>();
-    try (Store store = open(1 << 20, 10_000)) {
+    try (JobStore store = open(1 << 20, 10_000)) {
       for (int i = 0; i < 2000; i++) {
         String id = "j" + i;
         store.commit(accept(store, id), () -> stored.add(id));
@@ -73,16 +73,17 @@
     for (int i = 0; i < 2000; i++) {
       assertEquals("j" + i, stored.get(i));
     }
-    try (Store again = open(1 << 20, 10)) {
+    try (JobStore again = open(1 << 20, 10)) {
       assertEquals(2000, again.ledger().jobs().size());
     }
   }
 
-  private void accept(Store store, String id, List<String> told) throws StoreUnavailableException {
+  private void accept(JobStore store, String id, List<String> told)
+      throws StoreUnavailableException {
     store.accept(id, Idempotency.UNSAFE, "", 0, new byte[50], 1, () -> told.add(id));
   }
 
-  private static StoreUnavailableException.Reason refusal(Store store, String id) {
+  private static StoreUnavailableException.Reason refusal(JobStore store, String id) {
     StoreUnavailableException refused =
         assertThrows(
             StoreUnavailableException.class,
@@ -94,7 +95,7 @@
   @Test
   void aStoreThatIsBehindRefusesNewJobs() throws Exception {
     List<String> told = new ArrayList<>();
-    try (Store store = open(1 << 20, 2)) {
+    try (JobStore store = open(1 << 20, 2)) {
       accept(store, "a", told);
       assertFalse(store.crowded());
       accept(store, "b", told);
@@ -112,14 +113,14 @@
   void whoWaitsWhileTheDiskFailsIsToldOnceWhenItIsOverAndNewJobsAreRefusedMeanwhile(Errno errno)
       throws Exception {
     List<String> told = new ArrayList<>();
-    try (Store store = open(1 << 20, 100)) {
+    try (JobStore store = open(1 << 20, 100)) {
       accept(store, "a", told);
       turn();
       disk.fail(errno == Errno.ENOSPC ? Operation.WRITE : Operation.SYNC, errno, 0, 4);
       accept(store, "b", told);
       turn();
       for (int failures = 2; failures <= 4; failures++) {
-        assertEquals(errno, ((FaultyDisk.DiskFault) store.fault()).errno());
+        assertEquals(errno, ((FaultInjectingStorage.DiskFault) store.fault()).errno());
         assertEquals(StoreUnavailableException.Reason.DISK_FAULT, refusal(store, "refused"));
         timers.remove().run();
         turn();
@@ -138,7 +139,7 @@
     assertEquals(List.of("a", "b", "a leased", "c"), told);
     assertEquals(List.of(20.0, 40.0, 80.0, 160.0), waits);
     disk.powerUp();
-    try (Store again = open(1 << 20, 2)) {
+    try (JobStore again = open(1 << 20, 2)) {
       assertEquals(3, again.ledger().jobs().size());
       assertEquals(JobState.LEASED, again.ledger().job("a").state());
     }
@@ -147,7 +148,7 @@
   @Test
   void aStoreThatIsClosedWhileItsDiskFailsSaysSoAndTellsNobody() throws Exception {
     List<String> told = new ArrayList<>();
-    Store store = open(1 << 20, 100);
+    JobStore store = open(1 << 20, 100);
     disk.fail(Operation.SYNC, Errno.EIO, 0, Long.MAX_VALUE);
     accept(store, "a", told);
     turn();
@@ -161,12 +162,12 @@
   @Test
   void aStoreThatIsClosedAtItsDisksFirstFailureTriesOnceMore() throws Exception {
     List<String> told = new ArrayList<>();
-    Store store = open(1 << 20, 100);
+    JobStore store = open(1 << 20, 100);
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
     accept(store, "a", told);
     store.close();
     disk.powerUp();
-    try (Store again = open(1 << 20, 2)) {
+    try (JobStore again = open(1 << 20, 2)) {
       assertEquals(1, again.ledger().jobs().size());
     }
   }
@@ -174,7 +175,7 @@
   @Test
   void closedLogsBecomeASnapshotBesideTheCommits() throws Exception {
     int[] stored = {0};
-    try (Store store = open(2000, 100_000)) {
+    try (JobStore store = open(2000, 100_000)) {
       for (int i = 0; i < 500; i++) {
         store.commit(accept(store, "j" + i), () -> stored[0]++);
         turn();
@@ -185,7 +186,7 @@
     assertTrue(
         disk.list().stream().anyMatch(name -> name.startsWith("snap-")), disk.list().toString());
     assertTrue(disk.list().size() < 20, disk.list().toString());
-    try (Store again = open(2000, 10)) {
+    try (JobStore again = open(2000, 10)) {
       assertEquals(500, again.ledger().jobs().size());
     }
   }
--- a/jobstore/src/test/java/ferngrade/jobstore/LedgerExplorationTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
@@ -20,8 +20,8 @@
  * Every state that two jobs, two workers and two lives of a node can get into, with messages that
  * come late, twice, out of order or never, leases that run out anywhere, and a crash anywhere.
  */
-class LedgerExplorationTest {
-  private static final Ledger.Terms TERMS = new Ledger.Terms(100, 100, 1e18, 3, 0, 0);
+class JobTableExplorationTest {
+  private static final JobTable.Terms TERMS = new JobTable.Terms(100, 100, 1e18, 3, 0, 0);
   private static final double AT = 1000;
   private static final int MOST_STATES = 2_000_000;
 
@@ -41,7 +41,7 @@
    * what has run.
    */
   private static final class State {
-    List<Entry> stored = new ArrayList<>();
+    List<LogRecord> stored = new ArrayList<>();
 
     /** Leases on their way to their worker. */
     Set<Message> grants = new TreeSet<>();
@@ -70,11 +70,11 @@
   private record Explored(int states, String broken) {}
 
   private static Explored explore(
-      Supplier<Ledger> ledgers, Idempotency effect, int jobs, int expiries) {
+      Supplier<JobTable> ledgers, Idempotency effect, int jobs, int expiries) {
     Deque<State> open = new ArrayDeque<>();
     Set<String> seen = new HashSet<>();
     State start = new State();
-    Ledger first = ledgers.get();
+    JobTable first = ledgers.get();
     for (int j = 0; j < jobs; j++) {
       first.accept("j" + j, effect, "", 0, new byte[0], AT);
     }
@@ -98,19 +98,19 @@
     return new Explored(seen.size(), null);
   }
 
-  private static Ledger load(State state, Supplier<Ledger> ledgers) {
-    Ledger ledger = ledgers.get();
+  private static JobTable load(State state, Supplier<JobTable> ledgers) {
+    JobTable ledger = ledgers.get();
     state.stored.forEach(ledger::replay);
     ledger.recovered(0);
     return ledger;
   }
 
-  private static List<State> next(State state, Supplier<Ledger> ledgers, int jobs, int expiries) {
+  private static List<State> next(State state, Supplier<JobTable> ledgers, int jobs, int expiries) {
     List<State> all = new ArrayList<>();
     for (int j = 0; j < jobs; j++) {
       String id = "j" + j;
       for (String worker : new String[] {"w0", "w1"}) {
-        Ledger ledger = load(state, ledgers);
+        JobTable ledger = load(state, ledgers);
         if (ledger.lease(id, worker, AT, 0).allowed()) {
           State next = state.copy();
           next.stored = ledger.snapshot();
@@ -141,8 +141,8 @@
       all.add(back);
     }
     for (Message report : state.reports) {
-      Ledger ledger = load(state, ledgers);
-      Ledger.Change change =
+      JobTable ledger = load(state, ledgers);
+      JobTable.Change change =
           switch (report.what()) {
             case "started" -> ledger.started(report.job(), report.token(), AT);
             case "done" -> ledger.done(report.job(), report.token(), "r", AT);
@@ -158,7 +158,7 @@
       all.add(lost);
     }
     if (state.expiries < expiries) {
-      Ledger ledger = load(state, ledgers);
+      JobTable ledger = load(state, ledgers);
       if (!ledger.expire(AT, 1e9, 0).entries().isEmpty()) {
         State expired = state.copy();
         expired.stored = ledger.snapshot();
@@ -171,10 +171,13 @@
 
   @Test
   void noUnsafeJobRunsTwiceInAnyState() {
-    Explored one = explore(() -> new Ledger(TERMS), Idempotency.UNSAFE, 1, 2);
+    Explored one = explore(() -> new JobTable(TERMS), Idempotency.UNSAFE, 1, 2);
     Explored two =
         explore(
-            () -> new Ledger(new Ledger.Terms(100, 100, 1e18, 2, 0, 0)), Idempotency.UNSAFE, 2, 1);
+            () -> new JobTable(new JobTable.Terms(100, 100, 1e18, 2, 0, 0)),
+            Idempotency.UNSAFE,
+            2,
+            1);
     System.out.println("states: " + one.states() + " with one job, " + two.states() + " with two");
     assertNull(one.broken());
     assertNull(two.broken());
@@ -186,7 +189,7 @@
     Explored mutant =
         explore(
             () ->
-                new Ledger(TERMS) {
+                new JobTable(TERMS) {
                   @Override
                   boolean holds(Job job, long token) {
                     return true;
@@ -200,14 +203,14 @@
 
   @Test
   void aSnapshotIsTheLedgerThatItWasMadeFrom() {
-    Ledger ledger = new Ledger(TERMS);
+    JobTable ledger = new JobTable(TERMS);
     ledger.accept("a", Idempotency.KEYED, "k", 500, new byte[] {1, 2}, AT);
     ledger.accept("b", Idempotency.UNSAFE, "", 0, new byte[0], AT);
     ledger.lease("a", "w", AT, 0);
     ledger.failed("a", 1, "broken", AT + 1, 0.5);
     ledger.lease("b", "w", AT, 0);
     ledger.expire(AT, 1e9, 0);
-    Ledger again = new Ledger(TERMS);
+    JobTable again = new JobTable(TERMS);
     ledger.snapshot().forEach(again::replay);
     assertEquals(ledger.snapshot(), again.snapshot());
     assertEquals(JobState.ACCEPTED, again.job("a").state());
@@ -215,10 +218,10 @@
     assertEquals(2, again.highestToken());
     // The window counts from the lease that may have run, not from when that was known.
     assertTrue(again.lease("a", "w", AT + 400, 0).allowed());
-    Ledger late = new Ledger(TERMS);
+    JobTable late = new JobTable(TERMS);
     ledger.snapshot().forEach(late::replay);
-    assertEquals(Ledger.Refusal.NOT_NOW, late.lease("a", "w", AT + 500, 0).refusal());
+    assertEquals(JobTable.Refusal.NOT_NOW, late.lease("a", "w", AT + 500, 0).refusal());
     // A clock that went back before the first run allows nothing either.
-    assertEquals(Ledger.Refusal.NOT_NOW, late.lease("a", "w", AT - 3_600_000, 0).refusal());
+    assertEquals(JobTable.Refusal.NOT_NOW, late.lease("a", "w", AT - 3_600_000, 0).refusal());
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/LogFileGoldenTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/LogFileGoldenTest.java
@@ -29,36 +29,37 @@
 
   @TempDir private Path folder;
 
-  private static Map<String, Entry> entries() {
-    Map<String, Entry> entries = new LinkedHashMap<>();
+  private static Map<String, LogRecord> entries() {
+    Map<String, LogRecord> entries = new LinkedHashMap<>();
     int number = 0;
     for (Idempotency effect : Idempotency.values()) {
       entries.put(
           "accepted-" + number,
-          new Entry.Accepted("job-" + number, effect, "key", 7_500.5, 2, 1.79e12, PAYLOAD));
+          new LogRecord.Accepted("job-" + number, effect, "key", 7_500.5, 2, 1.79e12, PAYLOAD));
       number++;
     }
-    entries.put("leased", new Entry.Leased("job-0", "worker-1", 11, 1.79e12 + 1));
-    entries.put("started", new Entry.Started("job-0", 11, 1.79e12 + 2));
-    entries.put("returned", new Entry.Returned("job-0", 11, true, 1.79e12 + 3.25));
-    entries.put("doubted", new Entry.Doubted("job-1", 12, 1.79e12 + 4));
-    entries.put("ended", new Entry.Ended("job-1", 12, true, "result \u00e9", 1.79e12 + 5));
-    entries.put("forgotten", new Entry.Forgotten("job-1"));
-    entries.put("tokens", new Entry.Tokens(1L << 40));
+    entries.put("leased", new LogRecord.Leased("job-0", "worker-1", 11, 1.79e12 + 1));
+    entries.put("started", new LogRecord.Started("job-0", 11, 1.79e12 + 2));
+    entries.put("returned", new LogRecord.Returned("job-0", 11, true, 1.79e12 + 3.25));
+    entries.put("doubted", new LogRecord.Doubted("job-1", 12, 1.79e12 + 4));
+    entries.put("ended", new LogRecord.Ended("job-1", 12, true, "result \u00e9", 1.79e12 + 5));
+    entries.put("forgotten", new LogRecord.Forgotten("job-1"));
+    entries.put("tokens", new LogRecord.Tokens(1L << 40));
     return entries;
   }
 
   @Test
   void eachEntryIsReadAndWrittenAsRecorded() throws IOException {
-    for (Map.Entry<String, Entry> each : entries().entrySet()) {
+    for (Map.Entry<String, LogRecord> each : entries().entrySet()) {
       ByteArrayOutputStream written = new ByteArrayOutputStream();
-      EntryCodec.write(each.getValue(), written);
+      LogRecordCodec.write(each.getValue(), written);
       GOLDEN.verify(each.getKey(), written.toByteArray());
       byte[] recorded = GOLDEN.bytes(each.getKey());
-      assertEquals(each.getValue(), EntryCodec.read(recorded, 0, recorded.length), each.getKey());
+      assertEquals(
+          each.getValue(), LogRecordCodec.read(recorded, 0, recorded.length), each.getKey());
     }
     assertEquals(
-        Arrays.stream(Entry.class.getPermittedSubclasses())
+        Arrays.stream(LogRecord.class.getPermittedSubclasses())
             .map(Class::getSimpleName)
             .sorted()
             .toList(),
@@ -71,54 +72,55 @@
 
   @Test
   void aBatchIsFramedAsRecorded() {
-    byte[] all = new byte[Batch.HEADER + PAYLOAD.length];
-    System.arraycopy(PAYLOAD, 0, all, Batch.HEADER, PAYLOAD.length);
-    GOLDEN.verify("batch", Batch.frame(all, 5));
+    byte[] all = new byte[LogBatch.HEADER + PAYLOAD.length];
+    System.arraycopy(PAYLOAD, 0, all, LogBatch.HEADER, PAYLOAD.length);
+    GOLDEN.verify("batch", LogBatch.frame(all, 5));
   }
 
   /** Files by name, as commits and a compaction leave them: a snapshot and the log after it. */
-  private static Map<String, byte[]> files(FaultyDisk disk) {
+  private static Map<String, byte[]> files(FaultInjectingStorage disk) {
     Map<String, byte[]> files = new LinkedHashMap<>();
     disk.list().stream().sorted().forEach(name -> files.put(name, disk.read(name)));
     return files;
   }
 
-  private static FaultyDisk filled() throws IOException {
-    FaultyDisk disk = new FaultyDisk(1, 0);
-    try (Journal journal = Journal.open(disk, 1 << 20, entry -> {}, found -> {})) {
+  private static FaultInjectingStorage filled() throws IOException {
+    FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
+    try (WriteAheadLog journal = WriteAheadLog.open(disk, 1 << 20, entry -> {}, found -> {})) {
       journal.commit(new ArrayList<>(entries().values()).subList(0, Idempotency.values().length));
       journal.commit(
           List.of(
-              new Entry.Leased("job-0", "worker-1", 11, 1.79e12 + 1),
-              new Entry.Started("job-0", 11, 1.79e12 + 2)));
-      journal.commit(List.of(new Entry.Leased("job-1", "worker-2", 12, 1.79e12 + 1)));
-      journal.commit(List.of(new Entry.Ended("job-1", 12, true, "result", 1.79e12 + 5)));
+              new LogRecord.Leased("job-0", "worker-1", 11, 1.79e12 + 1),
+              new LogRecord.Started("job-0", 11, 1.79e12 + 2)));
+      journal.commit(List.of(new LogRecord.Leased("job-1", "worker-2", 12, 1.79e12 + 1)));
+      journal.commit(List.of(new LogRecord.Ended("job-1", 12, true, "result", 1.79e12 + 5)));
     }
     return disk;
   }
 
   @Test
   void filesAreWrittenAndReadAsRecorded() throws IOException {
-    FaultyDisk disk = filled();
+    FaultInjectingStorage disk = filled();
     verifyFiles("", disk);
-    Ledger ledger = new Ledger(Journal.READING);
-    Journal.open(disk, 1 << 20, ledger::replay, found -> {}).close();
-    Journal.compact(disk, 2);
+    JobTable ledger = new JobTable(WriteAheadLog.READING);
+    WriteAheadLog.open(disk, 1 << 20, ledger::replay, found -> {}).close();
+    WriteAheadLog.compact(disk, 2);
     verifyFiles("compacted-", disk);
 
-    Ledger recovered = new Ledger(Journal.READING);
-    Journal.inspect(recorded("compacted-", disk), recovered::replay);
+    JobTable recovered = new JobTable(WriteAheadLog.READING);
+    WriteAheadLog.inspect(recorded("compacted-", disk), recovered::replay);
     assertEquals(ledger.snapshot(), recovered.snapshot());
   }
 
-  private static void verifyFiles(String prefix, FaultyDisk disk) {
+  private static void verifyFiles(String prefix, FaultInjectingStorage disk) {
     GOLDEN.verify(prefix + "names", disk.list().stream().sorted().toList().toString());
     files(disk).forEach((name, content) -> GOLDEN.verify(prefix + name, content));
   }
 
   /** A disk with the files as they were recorded. */
-  private static FaultyDisk recorded(String prefix, FaultyDisk like) throws IOException {
-    FaultyDisk disk = new FaultyDisk(2, 0);
+  private static FaultInjectingStorage recorded(String prefix, FaultInjectingStorage like)
+      throws IOException {
+    FaultInjectingStorage disk = new FaultInjectingStorage(2, 0);
     for (String name : files(like).keySet()) {
       byte[] content = GOLDEN.bytes(prefix + name);
       disk.create(name).append(content, content.length);
--- a/jobstore/src/test/java/ferngrade/jobstore/DiskFaultTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.dispatch.Idempotency;
-import ferngrade.jobstore.FaultyDisk.DiskFault;
-import ferngrade.jobstore.FaultyDisk.Errno;
-import ferngrade.jobstore.FaultyDisk.Operation;
+import ferngrade.jobstore.FaultInjectingStorage.DiskFault;
+import ferngrade.jobstore.FaultInjectingStorage.Errno;
+import ferngrade.jobstore.FaultInjectingStorage.Operation;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HexFormat;
@@ -20,8 +20,8 @@
  * A journal whose disk fails for a while: what was committed is there once, and what was not is
  * committed later.
  */
-class DiskFaultTest {
-  private static final Ledger.Terms TERMS = new Ledger.Terms(100, 400, 1e9, 4, 10, 100);
+class StorageFaultTest {
+  private static final JobTable.Terms TERMS = new JobTable.Terms(100, 400, 1e9, 4, 10, 100);
 
   /** A log with two batches, as it was written before logs could be abandoned. */
   private static final String WRITTEN =
@@ -32,27 +32,27 @@
   private static final int SMALL_LOG = 150;
   private static final int LARGE_LOG = 1 << 20;
 
-  private final FaultyDisk disk = new FaultyDisk(1, 0);
+  private final FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
   private final List<String> acknowledged = new ArrayList<>();
 
-  private static Journal open(FaultyDisk disk, int logBytes) throws IOException {
-    return Journal.open(disk, logBytes, entry -> {}, found -> {});
+  private static WriteAheadLog open(FaultInjectingStorage disk, int logBytes) throws IOException {
+    return WriteAheadLog.open(disk, logBytes, entry -> {}, found -> {});
   }
 
-  private static List<Entry> job(String id) {
-    return new Ledger(TERMS)
+  private static List<LogRecord> job(String id) {
+    return new JobTable(TERMS)
         .accept(id, Idempotency.KEYED, "key " + id, 50, new byte[] {1, 2, 3}, 7)
         .entries();
   }
 
-  private static List<String> recovered(FaultyDisk disk) throws IOException {
-    Ledger ledger = new Ledger(TERMS);
-    Journal.open(disk, LARGE_LOG, ledger::replay, found -> {}).close();
+  private static List<String> recovered(FaultInjectingStorage disk) throws IOException {
+    JobTable ledger = new JobTable(TERMS);
+    WriteAheadLog.open(disk, LARGE_LOG, ledger::replay, found -> {}).close();
     return ledger.jobs().stream().map(Job::id).toList();
   }
 
   /** Commits a job, again and again until that works; says how often it failed. */
-  private int commit(Journal journal, String id) throws IOException {
+  private int commit(WriteAheadLog journal, String id) throws IOException {
     for (int failures = 0; ; failures++) {
       try {
         journal.commit(job(id));
@@ -64,9 +64,10 @@
     }
   }
 
-  private static void compact(Journal journal, FaultyDisk disk) throws IOException {
+  private static void compact(WriteAheadLog journal, FaultInjectingStorage disk)
+      throws IOException {
     try {
-      Journal.compact(disk, journal.logNumber());
+      WriteAheadLog.compact(disk, journal.logNumber());
     } catch (DiskFault notYet) {
       // The logs stay.
     }
@@ -77,9 +78,9 @@
   void everyOperationMayFailForAWhileAtAnyTime(Operation operation) throws IOException {
     for (Errno errno : Errno.values()) {
       for (int run = 0; run < 400; run++) {
-        FaultyDisk failing = new FaultyDisk(run, 0);
+        FaultInjectingStorage failing = new FaultInjectingStorage(run, 0);
         acknowledged.clear();
-        Journal journal = open(failing, SMALL_LOG);
+        WriteAheadLog journal = open(failing, SMALL_LOG);
         failing.fail(operation, errno, run / 8, 1 + run % 8);
         for (int i = 0; i < 8; i++) {
           commit(journal, "job " + i);
@@ -88,7 +89,7 @@
           }
         }
         failing.heal();
-        Journal.compact(failing, journal.logNumber());
+        WriteAheadLog.compact(failing, journal.logNumber());
         if (run % 2 == 0) {
           failing.powerUp();
         }
@@ -104,8 +105,8 @@
   void aWriteThatIsTornAtAnyByteIsCutAfterAKillAndWrittenAnewInTheNextLogElse() throws IOException {
     int length = 16 + 4 + 60;
     for (int torn = 0; torn <= length; torn++) {
-      FaultyDisk killed = new FaultyDisk(torn, 0);
-      Journal journal = open(killed, LARGE_LOG);
+      FaultInjectingStorage killed = new FaultInjectingStorage(torn, 0);
+      WriteAheadLog journal = open(killed, LARGE_LOG);
       journal.commit(job("a"));
       killed.tearWritesAt(torn);
       killed.fail(Operation.WRITE, Errno.ENOSPC, 0, 1);
@@ -117,9 +118,9 @@
       killed.powerUp();
       assertEquals(found, recovered(killed), "what a recovery has said stays so");
 
-      FaultyDisk going = new FaultyDisk(torn, 0);
+      FaultInjectingStorage going = new FaultInjectingStorage(torn, 0);
       acknowledged.clear();
-      Journal other = open(going, LARGE_LOG);
+      WriteAheadLog other = open(going, LARGE_LOG);
       commit(other, "a");
       going.tearWritesAt(torn);
       going.fail(Operation.WRITE, Errno.ENOSPC, 0, 2);
@@ -133,32 +134,32 @@
 
   @Test
   void aSnapshotOfAnAbandonedLogHasItsLastBatchAsTheNextLogHasIt() throws IOException {
-    Journal journal = open(disk, LARGE_LOG);
+    WriteAheadLog journal = open(disk, LARGE_LOG);
     commit(journal, "a");
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
     assertThrows(DiskFault.class, () -> journal.commit(job("never asked for again")));
     commit(journal, "b");
-    assertTrue(Journal.compact(disk, journal.logNumber()));
+    assertTrue(WriteAheadLog.compact(disk, journal.logNumber()));
     commit(journal, "c");
     assertEquals(List.of("a", "b", "c"), recovered(disk));
   }
 
   @Test
   void aTornTailThatTheNextLogDoesNotTakeUpIsDamage() throws IOException {
-    Journal journal = open(disk, SMALL_LOG);
+    WriteAheadLog journal = open(disk, SMALL_LOG);
     while (journal.logNumber() == 1) {
       commit(journal, "job " + acknowledged.size());
     }
     commit(journal, "last");
-    String first = Journal.name("log-", 1);
+    String first = WriteAheadLog.name("log-", 1);
     disk.flip(first, disk.read(first).length - 1);
-    DamagedException damage = assertThrows(DamagedException.class, () -> recovered(disk));
+    CorruptLogException damage = assertThrows(CorruptLogException.class, () -> recovered(disk));
     assertEquals(first, damage.file());
   }
 
   @Test
   void whatARecoveryReadsIsWrittenAnewBeforeItIsBelieved() throws IOException {
-    Journal journal = open(disk, LARGE_LOG);
+    WriteAheadLog journal = open(disk, LARGE_LOG);
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
     assertThrows(DiskFault.class, () -> journal.commit(job("a")));
     disk.restartProcess();
@@ -169,18 +170,20 @@
 
   @Test
   void filesAreByteForByteAsBeforeAndAreRead() throws IOException {
-    Ledger ledger = new Ledger(TERMS);
-    Journal journal = open(disk, LARGE_LOG);
+    JobTable ledger = new JobTable(TERMS);
+    WriteAheadLog journal = open(disk, LARGE_LOG);
     journal.commit(
         ledger.accept("a", Idempotency.KEYED, "k", 50, new byte[] {1, 2, 3}, 7).entries());
     journal.commit(ledger.lease("a", "w", 8, 0).entries());
-    String log = Journal.name("log-", 1);
+    String log = WriteAheadLog.name("log-", 1);
     String written = HexFormat.of().formatHex(disk.read(log));
     assertEquals(WRITTEN, written);
     assertEquals(List.of("a"), recovered(disk));
     assertEquals(
         WRITTEN, HexFormat.of().formatHex(disk.read(log)), "a recovery leaves it as it was");
     assertEquals(
-        Journal.HEADER, disk.read(Journal.name("log-", 2)).length, "the next log is empty");
+        WriteAheadLog.HEADER,
+        disk.read(WriteAheadLog.name("log-", 2)).length,
+        "the next log is empty");
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
@@ -23,7 +23,7 @@
 
 /** A store in a real folder, and what an operator sees of it. */
 class StoreCommandTest {
-  private static final Ledger.Terms TERMS = new Ledger.Terms(100, 100, 1e9, 3, 10, 100);
+  private static final JobTable.Terms TERMS = new JobTable.Terms(100, 100, 1e9, 3, 10, 100);
 
   @TempDir private Path folder;
   private Path store;
@@ -31,9 +31,9 @@
   @BeforeEach
   void fill() throws IOException {
     store = folder.resolve("store");
-    Ledger ledger = new Ledger(TERMS);
-    try (FolderDisk disk = FolderDisk.hold(store);
-        Journal journal = Journal.open(disk, 1 << 20, ledger::replay, found -> {})) {
+    JobTable ledger = new JobTable(TERMS);
+    try (FileSystemStorage disk = FileSystemStorage.hold(store);
+        WriteAheadLog journal = WriteAheadLog.open(disk, 1 << 20, ledger::replay, found -> {})) {
       journal.commit(ledger.accept("a", Idempotency.UNSAFE, "", 0, new byte[100], 1).entries());
       journal.commit(ledger.accept("b", Idempotency.KEYED, "k", 50, new byte[100], 1).entries());
       journal.commit(ledger.lease("a", "w1", 2, 0).entries());
@@ -59,7 +59,7 @@
   }
 
   private Path log() throws IOException {
-    return store.resolve(Journal.name("log-", 1));
+    return store.resolve(WriteAheadLog.name("log-", 1));
   }
 
   @Test
@@ -83,12 +83,13 @@
     byte[] whole = Files.readAllBytes(log());
     Files.write(log(), Arrays.copyOf(whole, whole.length - 3));
     assertTrue(said(0, "store", "check", store.toString()).contains("never synced"));
-    Ledger ledger = new Ledger(TERMS);
-    try (FolderDisk disk = FolderDisk.hold(store);
-        Journal journal =
-            Journal.open(disk, 1 << 20, ledger::replay, found -> assertTrue(found.cut() > 0))) {
+    JobTable ledger = new JobTable(TERMS);
+    try (FileSystemStorage disk = FileSystemStorage.hold(store);
+        WriteAheadLog journal =
+            WriteAheadLog.open(
+                disk, 1 << 20, ledger::replay, found -> assertTrue(found.cut() > 0))) {
       assertEquals(JobState.LEASED, ledger.job("b").state());
-      journal.commit(List.of(new Entry.Tokens(9)));
+      journal.commit(List.of(new LogRecord.Tokens(9)));
     }
     whole = Files.readAllBytes(log());
     whole[whole.length / 2] ^= 4;
@@ -102,15 +103,15 @@
     assertTrue(said(0, "store", "check", mended.toString()).startsWith("sound"));
     // The damaged part may have leased what waits before it: nothing of that may start, nor a token
     // come again.
-    Ledger saved = new Ledger(TERMS);
-    try (FolderDisk disk = FolderDisk.look(mended)) {
-      Journal.inspect(disk, saved::replay);
+    JobTable saved = new JobTable(TERMS);
+    try (FileSystemStorage disk = FileSystemStorage.look(mended)) {
+      WriteAheadLog.inspect(disk, saved::replay);
       assertFalse(saved.jobs().isEmpty());
       for (Job job : saved.jobs()) {
         assertEquals(JobState.IN_DOUBT, job.state());
         assertFalse(saved.lease(job.id(), "w3", 10, 0).allowed());
       }
-      Ledger again = new Ledger(TERMS);
+      JobTable again = new JobTable(TERMS);
       saved.snapshot().forEach(again::replay);
       assertEquals(saved.snapshot(), again.snapshot());
       assertEquals(JobState.IN_DOUBT, again.jobs().iterator().next().state());
@@ -120,11 +121,11 @@
 
   @Test
   void twoProcessesCannotHaveOneFolder() throws IOException {
-    try (FolderDisk held = FolderDisk.hold(store)) {
+    try (FileSystemStorage held = FileSystemStorage.hold(store)) {
       assertFalse(held.list().isEmpty());
-      assertThrows(IOException.class, () -> FolderDisk.hold(store));
+      assertThrows(IOException.class, () -> FileSystemStorage.hold(store));
     }
-    FolderDisk.hold(store).close();
+    FileSystemStorage.hold(store).close();
   }
 
   @Test
--- a/lease/src/main/java/ferngrade/lease/Command.java
+++ b/lease/src/main/java/ferngrade/lease/Command.java
@@ -23,10 +23,10 @@
           Opened.class,
           Begun.class,
           Verdict.class,
-          DutyTable.Session.class,
-          DutyTable.Slot.class,
-          DutyTable.Image.class,
-          DutyTable.Wall.class);
+          LeaseTable.Session.class,
+          LeaseTable.Slot.class,
+          LeaseTable.Image.class,
+          LeaseTable.Wall.class);
 
   /**
    * A process of this member takes duties from here on; the nonce tells it from others under that
--- a/lease/src/main/java/ferngrade/lease/TierList.java
+++ b/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
@@ -13,7 +13,7 @@
  *
  * <p>Reads no clock; belongs to the member's thread. Times are ms of its monotonic clock.
  */
-public final class TierList {
+public final class EndpointListRelay {
   /** The shard whose owner asks. */
   public static final Shard SHARD = new Shard("list", 0);
 
@@ -34,7 +34,10 @@
 
   /** What the member does for it. */
   public interface Actions {
-    /** Opens a watch of the list and keeps it open; each line comes to {@link TierList#told}. */
+    /**
+     * Opens a watch of the list and keeps it open; each line comes to {@link
+     * EndpointListRelay#told}.
+     */
     void ask();
 
     /** Ends that watch. */
@@ -63,7 +66,7 @@
   public record Whole(long epoch) {}
 
   /** The list of one member, which has just started. */
-  public TierList(double now, Actions actions) {
+  public EndpointListRelay(double now, Actions actions) {
     this.actions = actions;
     this.fedAt = now;
   }
--- a/lease/src/main/java/ferngrade/lease/Fence.java
+++ b/lease/src/main/java/ferngrade/lease/FencingGuard.java
@@ -8,7 +8,7 @@
  * seen for the same shard. Whoever takes effects keeps one, for as long as an old owner could still
  * send.
  */
-public final class Fence {
+public final class FencingGuard {
   private final Map<String, Long> highest = new HashMap<>();
 
   /** Whether an effect under this epoch may land; from then on no older one may. */
--- a/lease/src/main/java/ferngrade/lease/Holder.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseHolder.java
@@ -1,7 +1,7 @@
 package ferngrade.lease;
 
-import ferngrade.lease.DutyTable.Session;
-import ferngrade.lease.DutyTable.Slot;
+import ferngrade.lease.LeaseTable.Session;
+import ferngrade.lease.LeaseTable.Slot;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -17,7 +17,7 @@
  * <p>All times are ms of the member's monotonic clock. It reads no clock and starts nothing by
  * itself.
  */
-public final class Holder {
+public final class LeaseHolder {
   /** Tries to renew within a hold. */
   private static final double RENEWALS = 4;
 
@@ -59,7 +59,8 @@
   private record Back(long epoch, double again) {}
 
   /** A member that can own these shards; the nonce tells this process from others of its name. */
-  public Holder(String member, String nonce, List<Shard> shards, Terms terms, Proposer proposer) {
+  public LeaseHolder(
+      String member, String nonce, List<Shard> shards, Terms terms, Proposer proposer) {
     this.member = member;
     this.nonce = nonce;
     this.shards = List.copyOf(shards);
@@ -73,7 +74,7 @@
   }
 
   /** Looks what has to be proposed now; {@code wall} is the member's wall clock, Unix ms. */
-  public void tick(double now, long wall, DutyTable table) {
+  public void tick(double now, long wall, LeaseTable table) {
     if (closed) {
       return;
     }
@@ -98,7 +99,7 @@
     watch(now, table);
   }
 
-  private void giveBack(double now, DutyTable table) {
+  private void giveBack(double now, LeaseTable table) {
     boolean any = false;
     for (Slot slot : table.slots()) {
       if (session == 0 || slot.owner() != session) {
@@ -124,7 +125,7 @@
    * Proposes the end of sessions that have not been renewed, seen from here, for longer than any
    * hold lasts.
    */
-  private void watch(double now, DutyTable table) {
+  private void watch(double now, LeaseTable table) {
     seen.keySet().removeIf(id -> table.session(id) == null);
     for (Session each : table.sessions()) {
       if (each.id() == session) {
@@ -160,7 +161,7 @@
   }
 
   /** The epoch with which this member may act for a shard now; none if it does not hold it. */
-  public OptionalLong epoch(Shard shard, double now, DutyTable table) {
+  public OptionalLong epoch(Shard shard, double now, LeaseTable table) {
     Slot slot = table.slot(shard);
     Back back = released.get(shard);
     boolean mine =
--- a/lease/src/main/java/ferngrade/lease/DutyTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -1,6 +1,6 @@
 package ferngrade.lease;
 
-import ferngrade.consensus.Machine;
+import ferngrade.consensus.ReplicatedStateMachine;
 import ferngrade.lease.Command.Begun;
 import ferngrade.lease.Command.Opened;
 import ferngrade.lease.Command.Verdict;
@@ -21,7 +21,7 @@
  * <p>No clock is read here. Members' wall clocks come with their renewals, and stop only what lies
  * ahead of most of them.
  */
-public final class DutyTable implements Machine {
+public final class LeaseTable implements ReplicatedStateMachine {
   /**
    * How far ahead of the middle of the members' clocks a due time may lie: they are as old as their
    * renewals.
--- a/lease/src/main/java/ferngrade/lease/Performer.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringJobRunner.java
@@ -1,6 +1,6 @@
 package ferngrade.lease;
 
-import ferngrade.lease.DutyTable.Slot;
+import ferngrade.lease.LeaseTable.Slot;
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 
@@ -12,10 +12,10 @@
  *
  * <p>Reads no clock; one for each job, owned by the member's thread.
  */
-public final class Performer {
-  private final Recurring job;
-  private final Holder holder;
-  private final DutyTable table;
+public final class RecurringJobRunner {
+  private final RecurringSchedule job;
+  private final LeaseHolder holder;
+  private final LeaseTable table;
   private final Actions actions;
   private boolean busy;
   private long epoch;
@@ -28,14 +28,15 @@
     void propose(Command command, Consumer<Object> done, Runnable unknown);
 
     /**
-     * Puts the job in; what comes of it is told by {@link Performer#came} or {@link
+     * Puts the job in; what comes of it is told by {@link RecurringJobRunner#came} or {@link
      * Performer#notPut}.
      */
     void put(long due, long epoch);
   }
 
   /** The performer of one job. */
-  public Performer(Recurring job, Holder holder, DutyTable table, Actions actions) {
+  public RecurringJobRunner(
+      RecurringSchedule job, LeaseHolder holder, LeaseTable table, Actions actions) {
     this.job = job;
     this.holder = holder;
     this.table = table;
@@ -57,7 +58,7 @@
       // over.
       return;
     }
-    Recurring.Decision decision = job.decide(table.wall(wall), slot, held.getAsLong());
+    RecurringSchedule.Decision decision = job.decide(table.wall(wall), slot, held.getAsLong());
     switch (decision.step()) {
       case BEGIN, SKIP -> begin(decision, held.getAsLong());
       case BEGUN, REPEAT -> {
@@ -73,7 +74,7 @@
     }
   }
 
-  private void begin(Recurring.Decision decision, long under) {
+  private void begin(RecurringSchedule.Decision decision, long under) {
     busy = true;
     actions.propose(
         new Command.Begin(job.shard(), under, decision.due()),
@@ -81,7 +82,7 @@
           busy = false;
           if (answer instanceof Command.Begun begun
               && begun.verdict() == Command.Verdict.ACCEPTED) {
-            if (decision.step() == Recurring.Step.SKIP) {
+            if (decision.step() == RecurringSchedule.Step.SKIP) {
               settle(decision.due(), under, "skipped");
             } else {
               put(decision.due(), under);
--- a/lease/src/main/java/ferngrade/lease/Recurring.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
@@ -1,6 +1,6 @@
 package ferngrade.lease;
 
-import ferngrade.lease.DutyTable.Slot;
+import ferngrade.lease.LeaseTable.Slot;
 
 /**
  * A job that is put in again and again: what its owner has to do now. Due times are whole multiples
@@ -17,7 +17,7 @@
  *     missed
  * @param repeat whether a job that an earlier owner may have put in may be put in again
  */
-public record Recurring(String name, long every, boolean missed, boolean repeat) {
+public record RecurringSchedule(String name, long every, boolean missed, boolean repeat) {
   /** How late, as a share of the period, a due time may be met that is not run late. */
   private static final double ON_TIME = 0.5;
 
--- a/lease/src/test/java/ferngrade/lease/CommandGoldenTest.java
+++ b/lease/src/test/java/ferngrade/lease/CommandGoldenTest.java
@@ -43,16 +43,17 @@
       values.put("begun-" + number++, new Command.Begun(verdict));
     }
     values.put("verdict", Command.Verdict.ACCEPTED);
-    DutyTable.Session session = new DutyTable.Session(13, "m3", "ff", 5, true, 1_790_000_002_123L);
-    DutyTable.Slot slot =
-        new DutyTable.Slot(
+    LeaseTable.Session session =
+        new LeaseTable.Session(13, "m3", "ff", 5, true, 1_790_000_002_123L);
+    LeaseTable.Slot slot =
+        new LeaseTable.Slot(
             SHARD, 13, 80, true, "m4", 1_790_000_180_000L, true, 81, "done", 90, "free");
-    DutyTable.Wall wall = new DutyTable.Wall("m5", 1_790_000_003_123L);
+    LeaseTable.Wall wall = new LeaseTable.Wall("m5", 1_790_000_003_123L);
     values.put("session", session);
     values.put("slot", slot);
     values.put("wall", wall);
     values.put(
-        "snapshot", new DutyTable.Image(91, 82, List.of(session), List.of(slot), List.of(wall)));
+        "snapshot", new LeaseTable.Image(91, 82, List.of(session), List.of(slot), List.of(wall)));
     values.put("result-true", true);
     values.put("result-null", null);
     return values;
@@ -80,7 +81,7 @@
 
   @Test
   void aTableMadeOfCommandsHasTheRecordedSnapshot() throws IOException {
-    DutyTable table = new DutyTable();
+    LeaseTable table = new LeaseTable();
     long index = 0;
     Object opened =
         table.apply(
@@ -91,7 +92,7 @@
     byte[] written = codec.write(table.snapshot());
     GOLDEN.verify("table", written);
     byte[] recorded = GOLDEN.bytes("table");
-    DutyTable restored = new DutyTable();
+    LeaseTable restored = new LeaseTable();
     restored.restore(index, codec.read(recorded, 0, recorded.length));
     assertEquals(table.snapshot(), restored.snapshot());
   }
--- a/lease/src/test/java/ferngrade/lease/TierListTest.java
+++ b/lease/src/test/java/ferngrade/lease/EndpointListRelayTest.java
@@ -5,24 +5,24 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.lease.TierList.Fed;
-import ferngrade.lease.TierList.Whole;
+import ferngrade.lease.EndpointListRelay.Fed;
+import ferngrade.lease.EndpointListRelay.Whole;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
 /** Who asks for the worker list, and what the others make of what they are fed. */
-class TierListTest {
+class EndpointListRelayTest {
   private static final OptionalLong NOT = OptionalLong.empty();
 
   private final List<String> passed = new ArrayList<>();
   private final List<Fed> fed = new ArrayList<>();
   private final List<Whole> asked = new ArrayList<>();
-  private final TierList list =
-      new TierList(
+  private final EndpointListRelay list =
+      new EndpointListRelay(
           0,
-          new TierList.Actions() {
+          new EndpointListRelay.Actions() {
             @Override
             public void ask() {}
 
--- a/lease/src/test/java/ferngrade/lease/HolderTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
@@ -9,23 +9,23 @@
 import org.junit.jupiter.api.Test;
 
 /** What a member believes it holds, on a clock that the test sets. */
-class HolderTest {
+class LeaseHolderTest {
   private static final Shard SHARD = new Shard("sweep", 0);
-  private static final Holder.Terms TERMS = new Holder.Terms(1_000, 0.02);
+  private static final LeaseHolder.Terms TERMS = new LeaseHolder.Terms(1_000, 0.02);
 
-  private final DutyTable table = new DutyTable();
+  private final LeaseTable table = new LeaseTable();
   private final List<Command> proposed = new ArrayList<>();
   private long index;
 
-  private Holder holder(String name) {
-    return new Holder(name, name, List.of(SHARD), TERMS, proposed::add);
+  private LeaseHolder holder(String name) {
+    return new LeaseHolder(name, name, List.of(SHARD), TERMS, proposed::add);
   }
 
   /**
    * Lets the member look at its table, and applies and answers what it proposes, {@code delay} ms
    * later.
    */
-  private void tick(Holder holder, double now) {
+  private void tick(LeaseHolder holder, double now) {
     holder.tick(now, 0, table);
     for (Command command : List.copyOf(proposed)) {
       holder.answered(now, command, table.apply(++index, command));
@@ -35,7 +35,7 @@
 
   @Test
   void aHoldIsCountedFromBeforeTheAskingAndEndsAheadOfItsTimeByTheDrift() {
-    Holder holder = holder("a");
+    LeaseHolder holder = holder("a");
     tick(holder, 100);
     assertTrue(holder.epoch(SHARD, 100 + 979, table).isPresent());
     assertFalse(holder.epoch(SHARD, 100 + 981, table).isPresent());
@@ -43,8 +43,8 @@
 
   @Test
   void anotherIsEndedOnlyAfterItsHoldAndTheDriftHavePassedHere() {
-    Holder a = holder("a");
-    Holder b = holder("b");
+    LeaseHolder a = holder("a");
+    LeaseHolder b = holder("b");
     tick(a, 0);
     tick(b, 5_000);
     proposed.clear();
@@ -57,8 +57,8 @@
 
   @Test
   void aRenewalThatIsSeenBeginsTheWaitAnew() {
-    Holder a = holder("a");
-    Holder b = holder("b");
+    LeaseHolder a = holder("a");
+    LeaseHolder b = holder("b");
     tick(a, 0);
     tick(b, 0);
     b.tick(800, 0, table);
@@ -75,7 +75,7 @@
 
   @Test
   void aMemberWhoseSessionWasEndedHoldsNothingAndOpensAnother() {
-    Holder a = holder("a");
+    LeaseHolder a = holder("a");
     tick(a, 0);
     long epoch = a.epoch(SHARD, 10, table).orElseThrow();
     table.apply(++index, new Command.Expire(1, 0));
@@ -89,7 +89,7 @@
 
   @Test
   void whatIsGivenBackIsNotActedForWhateverBecomesOfTheProposal() {
-    Holder a = holder("a");
+    LeaseHolder a = holder("a");
     tick(a, 0);
     table.apply(++index, new Command.Open("b", "b", 0, List.of(SHARD)));
     table.apply(++index, new Command.Transfer(SHARD, "b"));
@@ -108,8 +108,8 @@
 
   @Test
   void aMemberThatLeavesGivesBackAllAndEndsItsSession() {
-    Holder a = holder("a");
-    Holder b = holder("b");
+    LeaseHolder a = holder("a");
+    LeaseHolder b = holder("b");
     tick(a, 0);
     tick(b, 0);
     a.drain();
--- a/lease/src/test/java/ferngrade/lease/DutyTableTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseTableTest.java
@@ -9,7 +9,7 @@
 import ferngrade.lease.Command.Begun;
 import ferngrade.lease.Command.Opened;
 import ferngrade.lease.Command.Verdict;
-import ferngrade.lease.DutyTable.Slot;
+import ferngrade.lease.LeaseTable.Slot;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Who owns what, by commands alone. */
-class DutyTableTest {
+class LeaseTableTest {
   private static final long WALL = 1_700_000_000_000L;
   private static final List<Shard> SHARDS =
       IntStream.range(0, 30).mapToObj(i -> new Shard("duty", i)).toList();
 
-  private final DutyTable table = new DutyTable();
+  private final LeaseTable table = new LeaseTable();
   private long index;
 
   private Object apply(Command command) {
@@ -176,7 +176,7 @@
     open("b");
     release();
     begin(SHARDS.get(0), table.slot(SHARDS.get(0)).epoch(), WALL);
-    DutyTable copy = new DutyTable();
+    LeaseTable copy = new LeaseTable();
     copy.restore(table.index(), table.snapshot());
     for (Command next :
         List.of(
--- a/lease/src/test/java/ferngrade/lease/DutiesAcrossStepsTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
@@ -16,30 +16,30 @@
  * Wall clocks are stepped while members hold their duties: due times follow the wall clock, each at
  * most once and none in crowds, and no lease rests on it.
  */
-class DutiesAcrossStepsTest {
+class LeasesAcrossClockStepsTest {
   private static final long MINUTE = 60_000;
   private static final long HOUR = 60 * MINUTE;
   private static final long START = 20_000L * 24 * HOUR;
-  private static final Holder.Terms TERMS = new Holder.Terms(4_000, 0.02);
-  private static final Recurring JOB = new Recurring("sweep", MINUTE, true, false);
+  private static final LeaseHolder.Terms TERMS = new LeaseHolder.Terms(4_000, 0.02);
+  private static final RecurringSchedule JOB = new RecurringSchedule("sweep", MINUTE, true, false);
   private static final long STEP_AT = 10 * MINUTE + 7_000;
   private static final long END = 2 * HOUR + 30 * MINUTE;
 
-  private final DutyTable table = new DutyTable();
+  private final LeaseTable table = new LeaseTable();
   private final List<Long> put = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private long index;
   private long now;
 
   /** A process with both its clocks, its leases and its part in the recurring job. */
-  private final class Member implements Performer.Actions {
-    private final Holder holder;
-    private final Performer performer;
+  private final class Member implements RecurringJobRunner.Actions {
+    private final LeaseHolder holder;
+    private final RecurringJobRunner performer;
     private long wallAhead;
 
     Member(String name) {
-      holder = new Holder(name, name, List.of(JOB.shard()), TERMS, this::propose);
-      performer = new Performer(JOB, holder, table, this);
+      holder = new LeaseHolder(name, name, List.of(JOB.shard()), TERMS, this::propose);
+      performer = new RecurringJobRunner(JOB, holder, table, this);
     }
 
     private void propose(Command command) {
--- a/lease/src/test/java/ferngrade/lease/PerformerTest.java
+++ b/lease/src/test/java/ferngrade/lease/RecurringJobRunnerTest.java
@@ -12,23 +12,24 @@
  * What an owner does about due times when the log's answers are lost, late, or ahead of its own
  * table.
  */
-class PerformerTest {
+class RecurringJobRunnerTest {
   private static final long START = 1_700_000_000_000L;
-  private static final Recurring JOB = new Recurring("sweep", 100, true, false);
+  private static final RecurringSchedule JOB = new RecurringSchedule("sweep", 100, true, false);
 
-  private final DutyTable table = new DutyTable();
+  private final LeaseTable table = new LeaseTable();
   private final List<Command> proposed = new ArrayList<>();
   private final List<Consumer<Object>> done = new ArrayList<>();
   private final List<Runnable> unknown = new ArrayList<>();
   private final List<Long> put = new ArrayList<>();
-  private final Holder holder =
-      new Holder("a", "a", List.of(JOB.shard()), new Holder.Terms(1_000, 0.02), command -> {});
-  private final Performer performer =
-      new Performer(
+  private final LeaseHolder holder =
+      new LeaseHolder(
+          "a", "a", List.of(JOB.shard()), new LeaseHolder.Terms(1_000, 0.02), command -> {});
+  private final RecurringJobRunner performer =
+      new RecurringJobRunner(
           JOB,
           holder,
           table,
-          new Performer.Actions() {
+          new RecurringJobRunner.Actions() {
             @Override
             public void propose(Command command, Consumer<Object> isDone, Runnable isUnknown) {
               proposed.add(command);
@@ -43,7 +44,7 @@
           });
   private long index;
 
-  PerformerTest() {
+  RecurringJobRunnerTest() {
     Command open = new Command.Open("a", "a-0", START, List.of(JOB.shard()));
     holder.answered(0, open, table.apply(++index, open));
     // The first due time of all is only noted.
@@ -83,7 +84,7 @@
 
   @Test
   void aTableThatLagsBehindTheAnswersBringsNothingBack() {
-    DutyTable ahead = new DutyTable();
+    LeaseTable ahead = new LeaseTable();
     ahead.restore(index, table.snapshot());
     long at = index;
     // The leader has applied two due times from begin to end; this member's table shows none of it
--- a/lease/src/test/java/ferngrade/lease/RecurringTest.java
+++ b/lease/src/test/java/ferngrade/lease/RecurringScheduleTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.lease.Command.Opened;
-import ferngrade.lease.Recurring.Step;
+import ferngrade.lease.RecurringSchedule.Step;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -13,13 +13,13 @@
  * What the owner of a recurring job does, by the clock and the log; and the guard where its effects
  * land.
  */
-class RecurringTest {
+class RecurringScheduleTest {
   private static final long HOUR = 3_600_000;
   private static final long DAY = 24 * HOUR;
   private static final long MIDNIGHT = 20_000 * DAY;
 
-  private final DutyTable table = new DutyTable();
-  private final Recurring daily = new Recurring("sweep", DAY, true, false);
+  private final LeaseTable table = new LeaseTable();
+  private final RecurringSchedule daily = new RecurringSchedule("sweep", DAY, true, false);
   private long index;
 
   private long open(String member, long wall) {
@@ -32,7 +32,7 @@
     return table.slot(daily.shard()).epoch();
   }
 
-  private Step step(Recurring job, long wall) {
+  private Step step(RecurringSchedule job, long wall) {
     return job.decide(wall, table.slot(daily.shard()), epoch()).step();
   }
 
@@ -61,12 +61,13 @@
     finish(MIDNIGHT);
     long back = MIDNIGHT + 3 * DAY + 20 * HOUR;
     assertEquals(
-        new Recurring.Decision(Step.BEGIN, MIDNIGHT + 3 * DAY),
+        new RecurringSchedule.Decision(Step.BEGIN, MIDNIGHT + 3 * DAY),
         daily.decide(back, table.slot(daily.shard()), epoch()),
         "once for the three that were missed");
-    assertEquals(Step.SKIP, step(new Recurring("sweep", DAY, false, false), back));
+    assertEquals(Step.SKIP, step(new RecurringSchedule("sweep", DAY, false, false), back));
     assertEquals(
-        Step.BEGIN, step(new Recurring("sweep", DAY, false, false), MIDNIGHT + 3 * DAY + HOUR));
+        Step.BEGIN,
+        step(new RecurringSchedule("sweep", DAY, false, false), MIDNIGHT + 3 * DAY + HOUR));
   }
 
   @Test
@@ -77,7 +78,8 @@
     table.apply(++index, new Command.Expire(a, 0));
     open("b", MIDNIGHT);
     assertEquals(Step.DOUBT, step(daily, MIDNIGHT + 2_000));
-    assertEquals(Step.REPEAT, step(new Recurring("sweep", DAY, true, true), MIDNIGHT + 2_000));
+    assertEquals(
+        Step.REPEAT, step(new RecurringSchedule("sweep", DAY, true, true), MIDNIGHT + 2_000));
   }
 
   @Test
@@ -90,7 +92,7 @@
 
   @Test
   void theFenceLetsNoOlderEpochThroughOnceItHasSeenALaterOne() {
-    Fence fence = new Fence();
+    FencingGuard fence = new FencingGuard();
     assertTrue(fence.admits("sweep/0", 3));
     assertTrue(fence.admits("sweep/0", 3));
     assertTrue(fence.admits("sweep/0", 5));
