--- a/experiment/src/main/java/ferngrade/experiment/TrialCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/TrialCommand.java
@@ -1,13 +1,13 @@
 package ferngrade.experiment;
 
 import ferngrade.cli.Cli;
-import ferngrade.faulttest.Breach;
 import ferngrade.faulttest.History.Event;
-import ferngrade.faulttest.Judges;
+import ferngrade.faulttest.HistoryChecker;
+import ferngrade.faulttest.ModelChecker;
 import ferngrade.faulttest.Mutant;
-import ferngrade.faulttest.SmallCases;
 import ferngrade.faulttest.TrialFile;
 import ferngrade.faulttest.TrialRun;
+import ferngrade.faulttest.Violation;
 import ferngrade.faulttest.VirtualFleet;
 import ferngrade.faulttest.VirtualSwarm;
 import ferngrade.toml.FileException;
@@ -157,7 +157,9 @@
         .forEach(each -> counts.merge(each.what(), 1, Integer::sum));
     System.out.printf(
         "jobs at their taker %s; longest time without one: once %.0f ms, keyed %.0f ms%n",
-        counts, Judges.longestGap(events, "once/0"), Judges.longestGap(events, "keyed/0"));
+        counts,
+        HistoryChecker.longestGap(events, "once/0"),
+        HistoryChecker.longestGap(events, "keyed/0"));
     result.breaches().forEach(each -> System.out.println("BROKEN " + each));
     System.out.printf(
         "%s: %s; files in %s; again with --seed %d%n",
@@ -211,7 +213,7 @@
   private int virtual() {
     AtomicLong effects = new AtomicLong();
     AtomicLong refused = new AtomicLong();
-    Map<Long, List<Breach>> broken = new TreeMap<>();
+    Map<Long, List<Violation>> broken = new TreeMap<>();
     LongStream.range(seed, seed + virtual)
         .parallel()
         .forEach(
@@ -231,7 +233,7 @@
         .forEach(
             each ->
                 each.stream()
-                    .map(Breach::rule)
+                    .map(Violation::rule)
                     .distinct()
                     .forEach(rule -> rules.merge(rule, 1, Integer::sum)));
     System.out.printf(
@@ -257,7 +259,7 @@
 
   private int swarm() {
     AtomicLong refused = new AtomicLong();
-    Map<Long, List<Breach>> broken = new TreeMap<>();
+    Map<Long, List<Violation>> broken = new TreeMap<>();
     LongStream.range(seed, seed + swarm)
         .parallel()
         .forEach(
@@ -281,7 +283,7 @@
   }
 
   private int small() {
-    SmallCases.Result result = SmallCases.explore(members, duties, small, calm, mutant);
+    ModelChecker.Result result = ModelChecker.explore(members, duties, small, calm, mutant);
     System.out.printf(
         "%d members, %d duties, mutant %s: %d states within %d steps, %s%n",
         members,
--- a/faulttest/src/main/java/ferngrade/faulttest/Lister.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/EndpointListStub.java
@@ -16,7 +16,7 @@
  * Stands for the service that tells the worker list: a watch gets the whole, and a change each so
  * many ms.
  */
-final class Lister {
+final class EndpointListStub {
   private static final long EVERY_MS = 200;
 
   private final ExecutorService threads = Executors.newCachedThreadPool();
@@ -25,7 +25,7 @@
   private final History history;
   private final HttpServer server;
 
-  Lister(History history) throws IOException {
+  EndpointListStub(History history) throws IOException {
     this.history = history;
     this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
     server.setExecutor(threads);
--- a/faulttest/src/main/java/ferngrade/faulttest/HurtMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
@@ -20,11 +20,11 @@
  * while it runs: a line of standard input is {@code jump MS} (of the wall's clock), {@code rate R}
  * (of both, times the true one), {@code fill}, {@code mend} or {@code slow MS} (each sync).
  */
-public final class HurtMember {
+public final class FaultInjectingMember {
   private static volatile boolean full;
   private static volatile long slow;
 
-  private HurtMember() {}
+  private FaultInjectingMember() {}
 
   /** The arguments of {@code fleet member}. */
   @SuppressWarnings("try")
@@ -45,7 +45,7 @@
             new MemberProcess.Start(
                 data,
                 empty,
-                HurtMember::hurt,
+                FaultInjectingMember::hurt,
                 clocks::monotonic,
                 clocks::wall,
                 line -> System.out.printf("%.3f %s %s%n", clocks.monotonic() / 1000, name, line)));
--- a/faulttest/src/main/java/ferngrade/faulttest/Judges.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/HistoryChecker.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 
 /** Reads a trial's history for what must never be. */
-public final class Judges {
-  private Judges() {}
+public final class HistoryChecker {
+  private HistoryChecker() {}
 
-  static List<Breach> judge(List<Event> events) {
-    List<Breach> breaches = new ArrayList<>();
+  static List<Violation> judge(List<Event> events) {
+    List<Violation> breaches = new ArrayList<>();
     Map<String, Long> highest = new HashMap<>();
     Set<String> landed = new HashSet<>();
     Map<String, String> owners = new HashMap<>();
@@ -24,19 +24,19 @@
         long before = highest.merge(shard, epoch, Math::max);
         if (epoch < before) {
           breaches.add(
-              new Breach(
+              new Violation(
                   each.at(), "fenced", shard + " under " + epoch + " landed after " + before));
         }
         if (!landed.add(shard + "@" + each.detail("due"))) {
           breaches.add(
-              new Breach(each.at(), "once", shard + " landed twice for " + each.detail("due")));
+              new Violation(each.at(), "once", shard + " landed twice for " + each.detail("due")));
         }
       } else if (each.what().equals("gained")) {
         String before =
             owners.putIfAbsent(each.detail("shard") + " " + each.detail("epoch"), each.who());
         if (before != null && !before.equals(each.who())) {
           breaches.add(
-              new Breach(
+              new Violation(
                   each.at(),
                   "one owner",
                   before
@@ -48,17 +48,17 @@
                       + each.detail("epoch")));
         }
       } else if (each.what().equals("fault:")) {
-        breaches.add(new Breach(each.at(), "no fault", each.detail("line")));
+        breaches.add(new Violation(each.at(), "no fault", each.detail("line")));
       }
     }
     return breaches;
   }
 
   /** Nobody may lose a duty from this time on. */
-  static List<Breach> kept(List<Event> events, double from) {
+  static List<Violation> kept(List<Event> events, double from) {
     return events.stream()
         .filter(each -> each.at() > from && each.what().equals("lost"))
-        .map(each -> new Breach(each.at(), "kept", each.who() + " lost " + each.detail("shard")))
+        .map(each -> new Violation(each.at(), "kept", each.who() + " lost " + each.detail("shard")))
         .toList();
   }
 
@@ -66,18 +66,20 @@
    * From this time on, each of the first texts must be in some line of a member's log, and none of
    * the others in any.
    */
-  static List<Breach> said(List<Event> events, double from, List<String> must, List<String> never) {
+  static List<Violation> said(
+      List<Event> events, double from, List<String> must, List<String> never) {
     List<Event> lines =
         events.stream().filter(each -> each.at() > from && !each.detail("line").isEmpty()).toList();
-    List<Breach> breaches = new ArrayList<>();
+    List<Violation> breaches = new ArrayList<>();
     for (String text : must) {
       if (lines.stream().noneMatch(each -> each.detail("line").contains(text))) {
-        breaches.add(new Breach(from, "said", "nobody has said \"" + text + "\""));
+        breaches.add(new Violation(from, "said", "nobody has said \"" + text + "\""));
       }
     }
     for (Event each : lines) {
       if (never.stream().anyMatch(each.detail("line")::contains)) {
-        breaches.add(new Breach(each.at(), "never", each.who() + " says " + each.detail("line")));
+        breaches.add(
+            new Violation(each.at(), "never", each.who() + " says " + each.detail("line")));
       }
     }
     return breaches;
--- a/faulttest/src/main/java/ferngrade/faulttest/Taker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/JobReceiverStub.java
@@ -16,7 +16,7 @@
  * Stands for whoever takes the fleet's recurring jobs: looks at the epoch that each carries, drops
  * a repeat of a key, and writes down what it did. A broken one looks at no epoch.
  */
-final class Taker {
+final class JobReceiverStub {
   private final ExecutorService one = Executors.newSingleThreadExecutor();
   private final HttpServer server;
   private final History history;
@@ -24,7 +24,7 @@
   private final FencingGuard fence = new FencingGuard();
   private final Set<String> keys = new HashSet<>();
 
-  Taker(History history, boolean fenced) throws IOException {
+  JobReceiverStub(History history, boolean fenced) throws IOException {
     this.history = history;
     this.fenced = fenced;
     this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
--- a/faulttest/src/main/java/ferngrade/faulttest/SmallCases.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
@@ -10,11 +10,11 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Plays all that can happen to a {@link SmallWorld} within so many steps, breadth first, each state
+ * Plays all that can happen to a {@link ModelState} within so many steps, breadth first, each state
  * once. A state is known by 128 bits of a hash of its picture.
  */
-public final class SmallCases {
-  private SmallCases() {}
+public final class ModelChecker {
+  private ModelChecker() {}
 
   /** A state's hash. */
   private record Mark(long high, long low) {}
@@ -32,7 +32,7 @@
   public static Result explore(int members, int duties, int depth, boolean calm, Mutant mutant) {
     Set<Mark> seen = ConcurrentHashMap.newKeySet();
     List<int[]> layer = List.of(new int[0]);
-    seen.add(mark(new SmallWorld(members, duties, calm, mutant)));
+    seen.add(mark(new ModelState(members, duties, calm, mutant)));
     AtomicReference<Result> found = new AtomicReference<>();
     for (int deep = 1; deep <= depth; deep++) {
       int now = deep;
@@ -45,7 +45,7 @@
                       for (int step : replay(members, duties, calm, mutant, path).steps()) {
                         int[] longer = Arrays.copyOf(path, path.length + 1);
                         longer[path.length] = step;
-                        SmallWorld world = replay(members, duties, calm, mutant, longer);
+                        ModelState world = replay(members, duties, calm, mutant, longer);
                         if (world.broken() != null) {
                           found.compareAndSet(
                               null, new Result(seen.size(), now, world.broken(), longer));
@@ -64,16 +64,16 @@
     return new Result(seen.size(), depth, null, null);
   }
 
-  private static SmallWorld replay(
+  private static ModelState replay(
       int members, int duties, boolean calm, Mutant mutant, int[] path) {
-    SmallWorld world = new SmallWorld(members, duties, calm, mutant);
+    ModelState world = new ModelState(members, duties, calm, mutant);
     for (int step : path) {
       world.step(step);
     }
     return world;
   }
 
-  private static Mark mark(SmallWorld world) {
+  private static Mark mark(ModelState world) {
     long[] hash = MurmurHash3.hash128x64(world.picture().getBytes(StandardCharsets.UTF_8));
     return new Mark(hash[0], hash[1]);
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/SmallWorld.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
@@ -19,7 +19,7 @@
  * Whatever can happen next is one of {@link #steps}; members' clocks run apart by all that the
  * bound on drift allows.
  */
-final class SmallWorld {
+final class ModelState {
   private static final double HOLD = 1000;
   private static final double DRIFT = 0.2;
   private static final double QUANTUM = 0.9 * HOLD;
@@ -135,7 +135,7 @@
    * Members that have their sessions, the shards given out among them; nobody dies and nothing is
    * lost if it is calm.
    */
-  SmallWorld(int size, int duties, boolean calm, Mutant mutant) {
+  ModelState(int size, int duties, boolean calm, Mutant mutant) {
     this.mutant = mutant;
     this.calm = calm;
     for (int i = 0; i < duties; i++) {
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
@@ -43,13 +43,13 @@
   private final TreeMap<String, ProcessMember> members = new TreeMap<>();
   private final Network network;
   private final ProcessMember stranger;
-  private final Taker taker;
-  private final Lister lister;
+  private final JobReceiverStub taker;
+  private final EndpointListStub lister;
   private final SplittableRandom chance;
   private String hurtLast;
 
   /** What a trial came to: the breaches, and the history that they were found in. */
-  public record Result(List<Breach> breaches, History history) {}
+  public record Result(List<Violation> breaches, History history) {}
 
   /** A trial of the program that {@code program} starts; its files go into {@code folder}. */
   public TrialRun(TrialFile trial, long seed, Mutant mutant, List<String> program, Path folder)
@@ -57,8 +57,8 @@
     this.trial = trial;
     this.folder = folder;
     this.chance = new SplittableRandom(seed);
-    this.taker = new Taker(history, mutant != Mutant.NO_EPOCH_CHECK);
-    this.lister = new Lister(history);
+    this.taker = new JobReceiverStub(history, mutant != Mutant.NO_EPOCH_CHECK);
+    this.lister = new EndpointListStub(history);
     for (int i = 0; i < trial.members(); i++) {
       names.add(String.valueOf((char) ('a' + i)));
     }
@@ -68,7 +68,7 @@
     Files.writeString(folder.resolve("key"), "a key that is known to this trial alone\n");
     List<String> start = new ArrayList<>(program);
     if (trial.steps().stream().anyMatch(Step::hurtsInside)) {
-      start.set(start.size() - 1, HurtMember.class.getName());
+      start.set(start.size() - 1, FaultInjectingMember.class.getName());
     }
     for (String name : names) {
       Path file = folder.resolve(name + ".toml");
@@ -151,7 +151,7 @@
 
   /** Plays it to its end. */
   public Result run() throws IOException, InterruptedException {
-    List<Breach> breaches = new ArrayList<>();
+    List<Violation> breaches = new ArrayList<>();
     try {
       for (ProcessMember member : members.values()) {
         member.start();
@@ -161,26 +161,27 @@
       }
       double played = Double.POSITIVE_INFINITY;
       if (!awaitSessions() || !awaitLanded(history.now())) {
-        breaches.add(new Breach(history.now(), "owned", "a job has not landed since the start"));
+        breaches.add(new Violation(history.now(), "owned", "a job has not landed since the start"));
       } else {
         pass(SETTLED);
         played = history.now();
         if (!play()) {
           breaches.add(
-              new Breach(history.now(), "played", "a step waited in vain for what it comes after"));
+              new Violation(
+                  history.now(), "played", "a step waited in vain for what it comes after"));
         }
         if (!awaitLanded(history.now())) {
           breaches.add(
-              new Breach(history.now(), "owned", "a job has not landed since the last fault"));
+              new Violation(history.now(), "owned", "a job has not landed since the last fault"));
         }
         if (trial.list()) {
           breaches.addAll(judgeList());
         }
         pass(LATE);
       }
-      breaches.addAll(Judges.said(history.events(), played, trial.says(), trial.never()));
+      breaches.addAll(HistoryChecker.said(history.events(), played, trial.says(), trial.never()));
       if (trial.keeps()) {
-        breaches.addAll(Judges.kept(history.events(), played));
+        breaches.addAll(HistoryChecker.kept(history.events(), played));
       }
     } finally {
       if (trial.stranger()) {
@@ -196,7 +197,7 @@
       network.close();
       history.write(folder.resolve("history.jsonl"));
     }
-    breaches.addAll(Judges.judge(history.events()));
+    breaches.addAll(HistoryChecker.judge(history.events()));
     return new Result(breaches, history);
   }
 
@@ -219,7 +220,7 @@
   }
 
   /** All that are up must come to have the list as it is, and one of them alone to ask for it. */
-  private List<Breach> judgeList() throws InterruptedException {
+  private List<Violation> judgeList() throws InterruptedException {
     long revision = lister.revision();
     double until = history.now() + GENEROUS;
     String seen = "";
@@ -236,7 +237,7 @@
       seen = "behind " + behind + ", " + lister.open() + " ask";
       history.await(100);
     }
-    return List.of(new Breach(history.now(), "asked once", seen));
+    return List.of(new Violation(history.now(), "asked once", seen));
   }
 
   /** Waits until a majority has confirmed each member. */
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -56,14 +56,14 @@
   private final Map<String, Long> landed = new TreeMap<>();
   private final Map<String, Double> acted = new HashMap<>();
   private final Set<String> effects = new HashSet<>();
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
   private double loss;
   private double slowness;
   private long processes;
   private long refused;
 
   /** What a run came to. */
-  public record Result(List<Breach> breaches, long effects, long refused, long events) {}
+  public record Result(List<Violation> breaches, long effects, long refused, long events) {}
 
   private VirtualFleet(int size, long seed, Mutant mutant) {
     this.mutant = mutant;
@@ -352,7 +352,7 @@
 
   private void breach(String rule, String seen) {
     if (breaches.size() < 20) {
-      breaches.add(new Breach(time.now(), rule, seen));
+      breaches.add(new Violation(time.now(), rule, seen));
     }
   }
 
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -2,13 +2,13 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.emulator.VirtualTime;
+import ferngrade.membership.MemberStatus;
+import ferngrade.membership.MembershipUpdate;
 import ferngrade.membership.Message;
 import ferngrade.membership.Message.Letter;
-import ferngrade.membership.News;
+import ferngrade.membership.MessageAuthenticator;
 import ferngrade.membership.Peer;
-import ferngrade.membership.Seal;
-import ferngrade.membership.Standing;
-import ferngrade.membership.Swim;
+import ferngrade.membership.SwimProtocol;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -39,7 +39,7 @@
   private final Map<String, One> members = new TreeMap<>();
   private final Set<String> cuts = new HashSet<>();
   private final List<Sent> kept = new ArrayList<>();
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
   private double loss;
   private boolean faultless;
   private long bytes;
@@ -66,7 +66,7 @@
    *     ms; not a number if none was
    */
   public record Result(
-      List<Breach> breaches,
+      List<Violation> breaches,
       long bytes,
       long datagrams,
       int widest,
@@ -154,12 +154,12 @@
         continue;
       }
       for (One other : members.values()) {
-        Standing seen = one.standing(other.name);
+        MemberStatus seen = one.standing(other.name);
         boolean right =
             other == one
                 || (other.process.alive()
-                    ? seen == Standing.ALIVE
-                    : seen == null || seen == Standing.FAILED || seen == Standing.LEFT);
+                    ? seen == MemberStatus.ALIVE
+                    : seen == null || seen == MemberStatus.FAILED || seen == MemberStatus.LEFT);
         if (!right) {
           breach(
               "agreed",
@@ -179,7 +179,7 @@
         }
       }
     }
-    if (widest > Swim.Terms.LOCAL.bytes() + Seal.BYTES) {
+    if (widest > SwimProtocol.Terms.LOCAL.bytes() + MessageAuthenticator.BYTES) {
       breach("bounded", "a datagram of " + widest + " bytes");
     }
   }
@@ -252,8 +252,8 @@
     }
     to.process.enter(
         () -> {
-          Seal.Opened opened = to.seal.open("intruder", bad);
-          if (opened.verdict() == Seal.Verdict.TAKEN) {
+          MessageAuthenticator.Opened opened = to.seal.open("intruder", bad);
+          if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
             breach(
                 forges ? "forged" : "replayed",
                 to.name + " has taken what " + old.from() + " had not sent it so");
@@ -276,32 +276,32 @@
 
   private void breach(String rule, String seen) {
     if (breaches.size() < 20) {
-      breaches.add(new Breach(time.now(), rule, seen));
+      breaches.add(new Violation(time.now(), rule, seen));
     }
   }
 
   // ---- Members ----
 
   /** One process of a member. */
-  private final class One implements Swim.Out {
+  private final class One implements SwimProtocol.Out {
     final String name;
     final long run = ++runs * 0x9E3779B97F4A7C15L | 1;
     final double began = time.now();
-    final Seal seal;
-    final Swim swim;
+    final MessageAuthenticator seal;
+    final SwimProtocol swim;
     final Codec codec = new Codec(Message.CLASSES);
     final Standstill process = new Standstill();
 
     One(String name) {
       this.name = name;
-      this.seal = new Seal("swarm", KEYS, run);
+      this.seal = new MessageAuthenticator("swarm", KEYS, run);
       this.swim =
-          new Swim(
+          new SwimProtocol(
               name,
               name,
               run,
               names.subList(0, Math.min(3, names.size())),
-              Swim.Terms.LOCAL,
+              SwimProtocol.Terms.LOCAL,
               new SplittableRandom(chance.nextLong()),
               this);
       swim.start(0);
@@ -317,7 +317,7 @@
       time.after(Math.max(0.01, swim.next() - now()), () -> process.enter(this::tick));
     }
 
-    Standing standing(String other) {
+    MemberStatus standing(String other) {
       return swim.peers().stream()
           .filter(each -> each.name().equals(other))
           .map(Peer::standing)
@@ -366,11 +366,11 @@
     }
 
     private void come(String from, byte[] datagram) {
-      Seal.Opened opened = seal.open(from, datagram);
+      MessageAuthenticator.Opened opened = seal.open(from, datagram);
       if (opened.answer() != null) {
         post(from, opened.answer());
       }
-      if (opened.verdict() == Seal.Verdict.TAKEN) {
+      if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
         take(from, opened.content());
       }
     }
@@ -394,15 +394,15 @@
       }
     }
 
-    private List<News> others(List<News> all) {
+    private List<MembershipUpdate> others(List<MembershipUpdate> all) {
       return all.stream().filter(each -> !each.name().equals(name)).toList();
     }
 
     @Override
     public void changed(Peer before, Peer after) {
       One other = members.get(after.name());
-      suspicions += after.standing() == Standing.SUSPECT ? 1 : 0;
-      if (after.standing() == Standing.FAILED
+      suspicions += after.standing() == MemberStatus.SUSPECT ? 1 : 0;
+      if (after.standing() == MemberStatus.FAILED
           && other != null
           && other.process.alive()
           && !other.process.paused()
@@ -415,15 +415,15 @@
         }
       }
       if (before != null
-          && before.standing() == Standing.LEFT
-          && after.standing() == Standing.FAILED
+          && before.standing() == MemberStatus.LEFT
+          && after.standing() == MemberStatus.FAILED
           && before.news().run() == after.news().run()) {
         breach("left", after.name() + " has left and is called failed");
       }
     }
 
     @Override
-    public void clash(News other) {
+    public void clash(MembershipUpdate other) {
       if (members.get(name) == this) {
         breach("one process", name + " hears of another process of its name that is none");
       }
--- a/faulttest/src/test/java/ferngrade/faulttest/SmallCasesTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
@@ -11,10 +11,10 @@
 /**
  * All that can happen in the small; deeper explorations are played by {@code lab trial --small}.
  */
-class SmallCasesTest {
+class ModelCheckerTest {
   @Test
   void nothingThatCanHappenBreaksARule() {
-    SmallCases.Result result = SmallCases.explore(2, 1, 7, false, Mutant.NONE);
+    ModelChecker.Result result = ModelChecker.explore(2, 1, 7, false, Mutant.NONE);
     assertNull(result.broken());
     assertTrue(result.states() > 1_000, "states " + result.states());
   }
@@ -22,6 +22,6 @@
   @ParameterizedTest
   @CsvSource({"NO_EPOCH_CHECK,fenced", "HOLD_FROM_ANSWER,one owner", "NO_DRIFT_BOUND,one owner"})
   void aGuardThatIsMissingIsFound(Mutant mutant, String rule) {
-    assertEquals(rule, SmallCases.explore(2, 1, 10, true, mutant).broken());
+    assertEquals(rule, ModelChecker.explore(2, 1, 10, true, mutant).broken());
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/TrialRunTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/TrialRunTest.java
@@ -26,7 +26,7 @@
 
   @TempDir private Path folder;
 
-  private List<Breach> play(String name, Mutant mutant) throws Exception {
+  private List<Violation> play(String name, Mutant mutant) throws Exception {
     return new TrialRun(TrialFile.shipped(name), 1, mutant, PROGRAM, folder).run().breaches();
   }
 
@@ -49,7 +49,7 @@
 
   @Test
   void aTakerThatLooksAtNoEpochIsFound() throws Exception {
-    List<Breach> breaches = play("late-effect", Mutant.NO_EPOCH_CHECK);
+    List<Violation> breaches = play("late-effect", Mutant.NO_EPOCH_CHECK);
     assertTrue(
         breaches.stream().anyMatch(each -> each.rule().equals("fenced")), breaches.toString());
   }
--- a/fleet/src/main/java/ferngrade/fleet/ListDuty.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListRelayTransport.java
@@ -16,7 +16,7 @@
  * The worker list asked for once: what {@link EndpointListRelay} decides, on sockets. Belongs to
  * the member's thread.
  */
-final class ListDuty implements AutoCloseable {
+final class EndpointListRelayTransport implements AutoCloseable {
   private final Codec codec = new Codec(List.of(Fed.class, Whole.class, Answer.class));
   private final ListCopy copy = new ListCopy();
   private final Clock clock;
@@ -35,7 +35,7 @@
   record Surroundings(
       Clock clock, Executor loop, BiConsumer<String, byte[]> links, Consumer<String> log) {}
 
-  ListDuty(FleetFile file, String name, Surroundings around) throws IOException {
+  EndpointListRelayTransport(FleetFile file, String name, Surroundings around) throws IOException {
     this.clock = around.clock();
     this.links = around.links();
     this.log = around.log();
--- a/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
@@ -134,10 +134,10 @@
                       clock,
                       () -> (long) machine.wall(),
                       line -> System.out.printf("%.3f %s %s%n", clock.now() / 1000, name, line)));
-          Calls calls =
+          FleetHttpApi calls =
               file.member(name).admin() == null
                   ? null
-                  : new Calls(file.member(name).admin(), member)) {
+                  : new FleetHttpApi(file.member(name).admin(), member)) {
         member.runToEnd();
         return 0;
       } catch (IOException cannot) {
--- a/fleet/src/main/java/ferngrade/fleet/Calls.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetHttpApi.java
@@ -18,7 +18,7 @@
  * Operators' calls to a member: {@code GET /-/fleet} and {@code /-/members}, {@code POST
  * /-/fleet/transfer} and {@code /-/fleet/leave}.
  */
-final class Calls implements AutoCloseable {
+final class FleetHttpApi implements AutoCloseable {
   private static final long PATIENCE_MS = 3_000;
   private static final double LEAVE_MS = 5_000;
   private static final double MEASURE_MS = 10_000;
@@ -30,7 +30,7 @@
 
   private record Reply(int status, String body) {}
 
-  Calls(InetSocketAddress address, MemberProcess member) throws IOException {
+  FleetHttpApi(InetSocketAddress address, MemberProcess member) throws IOException {
     this.member = member;
     this.server = HttpServer.create(address, 16);
     server.setExecutor(threads);
--- a/fleet/src/main/java/ferngrade/fleet/Links.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
@@ -1,6 +1,6 @@
 package ferngrade.fleet;
 
-import ferngrade.membership.Seal;
+import ferngrade.membership.MessageAuthenticator;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -33,7 +33,7 @@
  * process is dropped with its connection. What cannot be sent at once is dropped; whoever sends
  * again decides what still counts.
  */
-final class Links implements AutoCloseable {
+final class MemberConnections implements AutoCloseable {
   private static final int MOST_FRAME = 16 << 20;
   private static final int MOST_WAITING = 4 << 20;
   private static final int CONNECT_TIMEOUT = 1_000;
@@ -43,7 +43,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final byte[] member;
-  private final Seal seal;
+  private final MessageAuthenticator seal;
   private final Receiver receiver;
   private final Map<String, Out> outs = new HashMap<>();
   private Channel listener;
@@ -59,7 +59,11 @@
    * The links of a member; the others' addresses are known from the start. The seal becomes theirs
    * alone.
    */
-  Links(Seal seal, String member, Map<String, InetSocketAddress> others, Receiver receiver) {
+  MemberConnections(
+      MessageAuthenticator seal,
+      String member,
+      Map<String, InetSocketAddress> others,
+      Receiver receiver) {
     this.seal = seal;
     this.member = member.getBytes(StandardCharsets.UTF_8);
     this.receiver = receiver;
@@ -155,7 +159,8 @@
                       .pipeline()
                       .addLast(
                           new LengthFieldPrepender(4),
-                          new LengthFieldBasedFrameDecoder(4 + Seal.BYTES, 0, 4, 0, 4),
+                          new LengthFieldBasedFrameDecoder(
+                              4 + MessageAuthenticator.BYTES, 0, 4, 0, 4),
                           new Answers(name));
                 }
               })
@@ -205,7 +210,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-      Seal.Opened opened = seal.open(name, bytes(frame));
+      MessageAuthenticator.Opened opened = seal.open(name, bytes(frame));
       if (opened.answer() != null) {
         write(ctx.channel(), opened.answer());
       }
@@ -221,10 +226,11 @@
   private final class In extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-      Seal.Opened opened = seal.open(null, bytes(frame));
+      MessageAuthenticator.Opened opened = seal.open(null, bytes(frame));
       if (opened.answer() != null) {
         write(ctx.channel(), opened.answer());
-      } else if (opened.verdict() == Seal.Verdict.TAKEN && opened.content().length > 0) {
+      } else if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN
+          && opened.content().length > 0) {
         taken(opened.content());
       } else {
         ctx.close();
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -13,8 +13,8 @@
 import ferngrade.lease.LeaseTable;
 import ferngrade.lease.RecurringJobRunner;
 import ferngrade.lease.Shard;
+import ferngrade.membership.MessageAuthenticator;
 import ferngrade.membership.Peer;
-import ferngrade.membership.Seal;
 import ferngrade.node.Clock;
 import ferngrade.node.Timers;
 import io.microraft.persistence.RestoredRaftState;
@@ -66,12 +66,12 @@
   private final Map<Shard, Long> held = new HashMap<>();
   private final Map<Shard, RecurringJobRunner> performers = new HashMap<>();
   private final FileSystemStorage disk;
-  private final Links links;
+  private final MemberConnections links;
   private final RaftLogStore voterLog;
   private final RaftMember voter;
   private final LeaseHolder holder;
   private final Membership membership;
-  private final ListDuty list;
+  private final EndpointListRelayTransport list;
   private final JobSender jobs;
   private final CompletableFuture<Integer> ended = new CompletableFuture<>();
   private boolean holds;
@@ -134,8 +134,8 @@
         .forEach(each -> others.put(each.name(), each.address()));
     long seed = new SecureRandom().nextLong();
     this.links =
-        new Links(
-            new Seal(file.name() + " links", file.keys(), seed | 1),
+        new MemberConnections(
+            new MessageAuthenticator(file.name() + " links", file.keys(), seed | 1),
             name,
             others,
             (from, message) -> loop.execute(() -> guarded(() -> received(from, message))));
@@ -164,10 +164,10 @@
     this.list =
         file.discovery() == null
             ? null
-            : new ListDuty(
+            : new EndpointListRelayTransport(
                 file,
                 name,
-                new ListDuty.Surroundings(
+                new EndpointListRelayTransport.Surroundings(
                     clock,
                     task -> loop.execute(() -> guarded(task)),
                     (to, message) -> links.send(to, marked(LIST, message)),
--- a/fleet/src/main/java/ferngrade/fleet/MembersStatus.java
+++ b/fleet/src/main/java/ferngrade/fleet/MembersStatus.java
@@ -3,20 +3,20 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import ferngrade.membership.News;
+import ferngrade.membership.MembershipUpdate;
 import java.util.List;
 import java.util.Locale;
 
 /** Who seems to live, as one member sees it, and how many datagrams it has refused. */
 record MembersStatus(String member, List<Line> members, long refused) {
   /** What was heard of a member last, and for how long that has been so, ms. */
-  record Line(News news, double since) {}
+  record Line(MembershipUpdate news, double since) {}
 
   /** The same as JSON, for the admin address. */
   JsonObject json() {
     JsonArray lines = Json.array();
     for (Line each : members) {
-      News news = each.news();
+      MembershipUpdate news = each.news();
       lines.add(
           Json.object()
               .add("member", news.name())
--- a/fleet/src/main/java/ferngrade/fleet/Membership.java
+++ b/fleet/src/main/java/ferngrade/fleet/Membership.java
@@ -2,12 +2,12 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.config.EndpointListParser;
+import ferngrade.membership.MembershipUpdate;
 import ferngrade.membership.Message;
 import ferngrade.membership.Message.Letter;
-import ferngrade.membership.News;
+import ferngrade.membership.MessageAuthenticator;
 import ferngrade.membership.Peer;
-import ferngrade.membership.Seal;
-import ferngrade.membership.Swim;
+import ferngrade.membership.SwimProtocol;
 import ferngrade.node.Clock;
 import ferngrade.node.Timers;
 import io.netty.bootstrap.Bootstrap;
@@ -32,8 +32,8 @@
 import java.util.function.Consumer;
 
 /**
- * Who of the fleet seems to live: {@link Swim} on datagrams, each sealed. All but the socket
- * belongs to the member's thread; whoever asks from another is told through that.
+ * Who of the fleet seems to live: {@link SwimProtocol} on datagrams, each sealed. All but the
+ * socket belongs to the member's thread; whoever asks from another is told through that.
  */
 final class Membership implements AutoCloseable {
   private final Map<String, InetSocketAddress> others = new HashMap<>();
@@ -42,8 +42,8 @@
   private final Clock clock;
   private final Executor loop;
   private final Consumer<String> log;
-  private final Seal seal;
-  private final Swim swim;
+  private final MessageAuthenticator seal;
+  private final SwimProtocol swim;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final Channel channel;
@@ -68,7 +68,7 @@
       }
     }
     long run = around.seed() | 1;
-    this.seal = new Seal(file.name() + " members", file.keys(), run);
+    this.seal = new MessageAuthenticator(file.name() + " members", file.keys(), run);
     try {
       this.channel =
           new Bootstrap()
@@ -83,12 +83,12 @@
       throw cannot;
     }
     this.swim =
-        new Swim(
+        new SwimProtocol(
             name,
             text(address()),
             run,
             others.values().stream().map(Membership::text).toList(),
-            Swim.Terms.LOCAL,
+            SwimProtocol.Terms.LOCAL,
             new SplittableRandom(around.seed()),
             new Out());
   }
@@ -135,7 +135,7 @@
   }
 
   /** What this member says of itself. */
-  News self() {
+  MembershipUpdate self() {
     return swim.self();
   }
 
@@ -157,13 +157,14 @@
   /** A datagram has come; on the member's thread. */
   private void come(InetSocketAddress from, byte[] datagram) {
     String end = text(from);
-    Seal.Opened opened = seal.open(end, datagram);
+    MessageAuthenticator.Opened opened = seal.open(end, datagram);
     if (opened.answer() != null) {
       send(from, opened.answer());
     }
-    if (opened.verdict() == Seal.Verdict.FORGED || opened.verdict() == Seal.Verdict.REPLAYED) {
+    if (opened.verdict() == MessageAuthenticator.Verdict.FORGED
+        || opened.verdict() == MessageAuthenticator.Verdict.REPLAYED) {
       refuse(from + " " + opened.verdict());
-    } else if (opened.verdict() == Seal.Verdict.TAKEN) {
+    } else if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
       try {
         if (codec.read(opened.content(), 0, opened.content().length) instanceof Letter letter) {
           swim.received(clock.now(), end, letter);
@@ -187,7 +188,7 @@
         new DatagramPacket(Unpooled.wrappedBuffer(datagram), to), channel.voidPromise());
   }
 
-  private final class Out implements Swim.Out {
+  private final class Out implements SwimProtocol.Out {
     @Override
     public void send(String name, String address, Letter letter) {
       // Where the file says how a member is reached from here, that counts, not what others call it
@@ -214,7 +215,7 @@
     }
 
     @Override
-    public void clash(News other) {
+    public void clash(MembershipUpdate other) {
       log.accept("clash: another process of this member's name runs at " + other.address());
     }
   }
--- a/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
@@ -8,9 +8,9 @@
 import ferngrade.lease.LeaseTable.Session;
 import ferngrade.lease.LeaseTable.Slot;
 import ferngrade.lease.Shard;
-import ferngrade.membership.News;
-import ferngrade.membership.Seal;
-import ferngrade.membership.Standing;
+import ferngrade.membership.MemberStatus;
+import ferngrade.membership.MembershipUpdate;
+import ferngrade.membership.MessageAuthenticator;
 import java.io.DataInputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -55,16 +55,16 @@
   /** One member's side, and what it has sent; time stands still. */
   private final class Side {
     private final List<byte[]> sent = new ArrayList<>();
-    private final ListDuty duty;
+    private final EndpointListRelayTransport duty;
     private double now = 1_000;
 
     Side(String name) throws Exception {
       Path file = Files.writeString(folder.resolve("fleet.toml"), FILE);
       duty =
-          new ListDuty(
+          new EndpointListRelayTransport(
               FleetFile.read(file),
               name,
-              new ListDuty.Surroundings(
+              new EndpointListRelayTransport.Surroundings(
                   () -> now, Runnable::run, (to, message) -> sent.add(message), line -> {}));
     }
 
@@ -110,10 +110,11 @@
   @Timeout(30)
   void aFrameBetweenMembersHasTheRecordedBytes() throws Exception {
     try (ServerSocket listener = new ServerSocket(0)) {
-      Seal seal =
-          new Seal("f", List.of("a key of the fleet's own".getBytes(StandardCharsets.UTF_8)), 77);
-      try (Links links =
-          new Links(
+      MessageAuthenticator seal =
+          new MessageAuthenticator(
+              "f", List.of("a key of the fleet's own".getBytes(StandardCharsets.UTF_8)), 77);
+      try (MemberConnections links =
+          new MemberConnections(
               seal,
               "a",
               Map.of(
@@ -133,7 +134,7 @@
    * A frame is dropped before the connection stands: it is sent until one comes; only written ones
    * are numbered.
    */
-  private static byte[] firstFrame(Links links, Socket accepted) throws Exception {
+  private static byte[] firstFrame(MemberConnections links, Socket accepted) throws Exception {
     DataInputStream in = new DataInputStream(accepted.getInputStream());
     while (in.available() == 0) {
       links.send("b", "hello".getBytes(StandardCharsets.UTF_8));
@@ -166,9 +167,10 @@
             List.of(new FleetStatus.Duty(owned, "a"), new FleetStatus.Duty(free, null)));
     GOLDEN.verify("status", status.json().toString());
     List<MembersStatus.Line> lines = new ArrayList<>();
-    for (Standing standing : Standing.values()) {
+    for (MemberStatus standing : MemberStatus.values()) {
       lines.add(
-          new MembersStatus.Line(new News("m", "127.0.0.1:7946", -3, 4, standing, "b"), 12.6));
+          new MembersStatus.Line(
+              new MembershipUpdate("m", "127.0.0.1:7946", -3, 4, standing, "b"), 12.6));
     }
     GOLDEN.verify("members", new MembersStatus("a", lines, 7).json().toString());
   }
--- a/fleet/src/test/java/ferngrade/fleet/LinksTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/MemberConnectionsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import ferngrade.membership.Seal;
+import ferngrade.membership.MessageAuthenticator;
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -21,21 +21,22 @@
 import org.junit.jupiter.api.Test;
 
 /** What passes between members' links, and what does not. */
-class LinksTest {
+class MemberConnectionsTest {
   private static final String KEY = "a key of the fleet's own";
 
-  private final List<Links> open = new ArrayList<>();
+  private final List<MemberConnections> open = new ArrayList<>();
   private final BlockingQueue<String> came = new LinkedBlockingQueue<>();
 
   @AfterEach
   void end() {
-    open.forEach(Links::close);
+    open.forEach(MemberConnections::close);
   }
 
-  private Links links(String name, String key, long run, Map<String, InetSocketAddress> others) {
-    Links links =
-        new Links(
-            new Seal("f", List.of(key.getBytes(StandardCharsets.UTF_8)), run),
+  private MemberConnections links(
+      String name, String key, long run, Map<String, InetSocketAddress> others) {
+    MemberConnections links =
+        new MemberConnections(
+            new MessageAuthenticator("f", List.of(key.getBytes(StandardCharsets.UTF_8)), run),
             name,
             others,
             (from, message) -> came.add(from + " " + new String(message, StandardCharsets.UTF_8)));
@@ -58,7 +59,8 @@
    * Sends until something has come: first tries are lost while links open and ends say who they
    * are.
    */
-  private String sendUntilCome(Links from, String to, String word) throws InterruptedException {
+  private String sendUntilCome(MemberConnections from, String to, String word)
+      throws InterruptedException {
     String got = null;
     for (int i = 0; i < 1_000 && got == null; i++) {
       from.send(to, word.getBytes(StandardCharsets.UTF_8));
@@ -69,9 +71,9 @@
 
   @Test
   void aMemberIsHeardAlsoByTheNextProcessOfTheOther() throws Exception {
-    Links b = links("b", KEY, 2, Map.of("a", nobody()));
+    MemberConnections b = links("b", KEY, 2, Map.of("a", nobody()));
     InetSocketAddress at = b.start(any());
-    Links a = links("a", KEY, 1, Map.of("b", at));
+    MemberConnections a = links("a", KEY, 1, Map.of("b", at));
     a.start(any());
     assertEquals("a hello", sendUntilCome(a, "b", "hello"));
     b.close();
@@ -83,13 +85,13 @@
   @Test
   void whoHasNoKeyOrNoNameOfTheFleetIsNotHeardAndALongFrameOfRubbishEndsItsConnection()
       throws Exception {
-    Links b = links("b", KEY, 2, Map.of("a", nobody()));
+    MemberConnections b = links("b", KEY, 2, Map.of("a", nobody()));
     InetSocketAddress at = b.start(any());
-    Links stranger = links("a", "a key of somebody else's", 7, Map.of("b", at));
+    MemberConnections stranger = links("a", "a key of somebody else's", 7, Map.of("b", at));
     stranger.start(any());
-    Links unknown = links("x", KEY, 8, Map.of("b", at));
+    MemberConnections unknown = links("x", KEY, 8, Map.of("b", at));
     unknown.start(any());
-    Links a = links("a", KEY, 1, Map.of("b", at));
+    MemberConnections a = links("a", KEY, 1, Map.of("b", at));
     a.start(any());
     for (int i = 0; i < 20; i++) {
       stranger.send("b", "forged".getBytes(StandardCharsets.UTF_8));
--- a/membership/src/main/java/ferngrade/membership/Gossip.java
+++ b/membership/src/main/java/ferngrade/membership/Gossip.java
@@ -18,17 +18,17 @@
   private long order;
 
   private static final class Item {
-    final News news;
+    final MembershipUpdate news;
     final long order;
     int told;
 
-    Item(News news, long order) {
+    Item(MembershipUpdate news, long order) {
       this.news = news;
       this.order = order;
     }
   }
 
-  void add(News news) {
+  void add(MembershipUpdate news) {
     items.put(news.name(), new Item(news, order++));
   }
 
@@ -36,11 +36,11 @@
    * Takes what goes with one message, so many bytes at the most; {@code members} is how many there
    * are.
    */
-  List<News> take(int bytes, int members) {
+  List<MembershipUpdate> take(int bytes, int members) {
     int times = (int) Math.ceil(TIMES * Math.log10(members + 1.0)) + 1;
     List<Item> least = new ArrayList<>(items.values());
     least.sort(Comparator.<Item>comparingInt(item -> item.told).thenComparing(item -> -item.order));
-    List<News> taken = new ArrayList<>();
+    List<MembershipUpdate> taken = new ArrayList<>();
     int left = bytes;
     for (Item item : least) {
       if (item.news.bytes() <= left) {
--- a/membership/src/main/java/ferngrade/membership/Standing.java
+++ b/membership/src/main/java/ferngrade/membership/MemberStatus.java
@@ -1,7 +1,7 @@
 package ferngrade.membership;
 
 /** How a member seems to be; at one incarnation the later of these counts. */
-public enum Standing {
+public enum MemberStatus {
   /** It answers. */
   ALIVE,
   /** It has not answered somebody, and has not been heard to deny that yet. */
--- a/membership/src/main/java/ferngrade/membership/News.java
+++ b/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
@@ -10,23 +10,23 @@
  * @param standing how it seems to be
  * @param by who says so
  */
-public record News(
-    String name, String address, long run, long incarnation, Standing standing, String by) {
+public record MembershipUpdate(
+    String name, String address, long run, long incarnation, MemberStatus standing, String by) {
   private static final int MOST_TEXT = 64;
   private static final int FIXED_BYTES = 28;
 
   /**
    * Whether this goes before what is known: a later incarnation, or at the same one what is worse.
    */
-  boolean over(News known) {
+  boolean over(MembershipUpdate known) {
     return incarnation != known.incarnation
         ? incarnation > known.incarnation
         : standing.compareTo(known.standing) > 0;
   }
 
   /** The same with another standing. */
-  News as(Standing other, String who) {
-    return new News(name, address, run, incarnation, other, who);
+  MembershipUpdate as(MemberStatus other, String who) {
+    return new MembershipUpdate(name, address, run, incarnation, other, who);
   }
 
   /** Whether all of it is there and within bounds: what strangers send may be anything. */
--- a/membership/src/main/java/ferngrade/membership/Message.java
+++ b/membership/src/main/java/ferngrade/membership/Message.java
@@ -7,8 +7,8 @@
   /** The classes of messages, in the order of the format. */
   List<Class<?>> CLASSES =
       List.of(
-          News.class,
-          Standing.class,
+          MembershipUpdate.class,
+          MemberStatus.class,
           Letter.class,
           Ping.class,
           Ack.class,
@@ -18,7 +18,7 @@
           Sync.class);
 
   /** A message, with what its sender says of itself and some of the news that it has heard. */
-  record Letter(News self, Message message, List<News> news) {
+  record Letter(MembershipUpdate self, Message message, List<MembershipUpdate> news) {
     boolean usable() {
       return self != null
           && message != null
@@ -53,5 +53,5 @@
   /**
    * A part of all that the sender knows; on the last part of a first telling it asks for the same.
    */
-  record Sync(List<News> all, boolean asks) implements Message {}
+  record Sync(List<MembershipUpdate> all, boolean asks) implements Message {}
 }
--- a/membership/src/main/java/ferngrade/membership/Seal.java
+++ b/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
@@ -23,7 +23,7 @@
  *
  * <p>Belongs to one thread.
  */
-public final class Seal {
+public final class MessageAuthenticator {
   private static final byte WORD = 1;
   private static final byte WHO = 2;
   private static final int HEADER = 1 + 3 * Long.BYTES;
@@ -70,7 +70,7 @@
   public record Opened(Verdict verdict, byte[] content, byte[] answer) {}
 
   /** For a process of a fleet's member; {@code run}, not 0, is the process and no other. */
-  public Seal(String fleet, List<byte[]> keys, long run) {
+  public MessageAuthenticator(String fleet, List<byte[]> keys, long run) {
     this.fleet = fleet.getBytes(StandardCharsets.UTF_8);
     this.keys =
         (keys.isEmpty() ? List.of(this.fleet) : keys)
--- a/membership/src/main/java/ferngrade/membership/Swim.java
+++ b/membership/src/main/java/ferngrade/membership/SwimProtocol.java
@@ -33,7 +33,7 @@
  * <p>Reads no clock and sends nothing by itself: {@link #run} does what is due, {@link #next} says
  * when. Times are ms of the member's monotonic clock. Belongs to one thread.
  */
-public final class Swim {
+public final class SwimProtocol {
   private static final int HELPERS = 4;
 
   /** Pings within the time for an answer: a lost datagram or two is no silence. */
@@ -60,7 +60,7 @@
   private final Map<Long, Relayed> relayed = new HashMap<>();
   private final PriorityQueue<Due> agenda = new PriorityQueue<>();
   private List<String> round = new ArrayList<>();
-  private News self;
+  private MembershipUpdate self;
   private double now;
   private long number;
   private long order;
@@ -90,7 +90,7 @@
     void changed(Peer before, Peer after);
 
     /** Another process says that it is this member. */
-    void clash(News other);
+    void clash(MembershipUpdate other);
   }
 
   private record Due(double at, long order, Runnable task) implements Comparable<Due> {
@@ -106,24 +106,24 @@
    * are there.
    */
   private static final class Probe {
-    final News target;
+    final MembershipUpdate target;
     boolean answered;
     int helpers;
     int nacks;
 
-    Probe(News target) {
+    Probe(MembershipUpdate target) {
       this.target = target;
     }
   }
 
   /** A ping for somebody else. */
-  private record Relayed(News by, long number) {}
+  private record Relayed(MembershipUpdate by, long number) {}
 
   /**
    * A member of this name and address, whose process is {@code run}; {@code seeds} are addresses of
    * others.
    */
-  public Swim(
+  public SwimProtocol(
       String name,
       String address,
       long run,
@@ -131,7 +131,7 @@
       Terms terms,
       RandomGenerator chance,
       Out out) {
-    this.self = new News(name, address, run, 0, Standing.ALIVE, name);
+    this.self = new MembershipUpdate(name, address, run, 0, MemberStatus.ALIVE, name);
     this.seeds = seeds.stream().filter(each -> !each.equals(address)).toList();
     this.terms = terms;
     this.chance = chance;
@@ -167,7 +167,7 @@
   }
 
   /** What this member says of itself. */
-  public News self() {
+  public MembershipUpdate self() {
     return self;
   }
 
@@ -190,7 +190,7 @@
     now = Math.max(now, at);
     if (!left) {
       left = true;
-      self = self.as(Standing.LEFT, self.name());
+      self = self.as(MemberStatus.LEFT, self.name());
       List<Peer> some = present(null);
       Collections.shuffle(some, new Random(chance.nextLong()));
       int tell = (int) Math.ceil(FAREWELLS * Math.log10(some.size() + 10.0));
@@ -223,19 +223,19 @@
 
   // ---- Sending ----
 
-  private void send(News to, Message message) {
+  private void send(MembershipUpdate to, Message message) {
     post(to.address(), to.name(), message);
   }
 
   private void post(String address, String name, Message message) {
-    List<News> news = new ArrayList<>();
+    List<MembershipUpdate> news = new ArrayList<>();
     int room = terms.bytes() - LETTER_BYTES - self.bytes();
     if (message instanceof Sync sync) {
-      room -= sync.all().stream().mapToInt(News::bytes).sum();
+      room -= sync.all().stream().mapToInt(MembershipUpdate::bytes).sum();
     }
     // What is held against the one that reads this goes first, so that it can deny it.
     Peer held = name == null ? null : peers.get(name);
-    if (held != null && held.standing() != Standing.ALIVE && held.news().bytes() <= room) {
+    if (held != null && held.standing() != MemberStatus.ALIVE && held.news().bytes() <= room) {
       news.add(held.news());
       room -= held.news().bytes();
     }
@@ -252,7 +252,7 @@
   private void probe() {
     double scale = 1 + health;
     after(terms.period() * scale, this::probe);
-    News target = nextTarget();
+    MembershipUpdate target = nextTarget();
     if (target == null) {
       return;
     }
@@ -273,7 +273,7 @@
     after(terms.period() * scale - 1e-3, () -> judge(probe, sent));
   }
 
-  private News nextTarget() {
+  private MembershipUpdate nextTarget() {
     while (true) {
       if (round.isEmpty()) {
         present(null).forEach(each -> round.add(each.name()));
@@ -296,7 +296,7 @@
     List<Peer> others = present(probe.target.name());
     for (int i = 0; i < HELPERS && !others.isEmpty(); i++) {
       Peer helper = others.remove(chance.nextInt(others.size()));
-      if (helper.standing() == Standing.ALIVE) {
+      if (helper.standing() == MemberStatus.ALIVE) {
         probe.helpers++;
         send(helper.news(), new PingFor(sent, probe.target.name(), probe.target.address()));
       }
@@ -313,7 +313,7 @@
     healthier(probe.helpers == 0 ? 1 : probe.helpers - probe.nacks);
     Peer peer = peers.get(probe.target.name());
     if (peer != null && peer.present()) {
-      hear(peer.news().as(Standing.SUSPECT, self.name()));
+      hear(peer.news().as(MemberStatus.SUSPECT, self.name()));
     }
   }
 
@@ -321,7 +321,7 @@
     health = Math.max(0, Math.min(MOST_HEALTH, health + change));
   }
 
-  private void relay(News from, PingFor asked) {
+  private void relay(MembershipUpdate from, PingFor asked) {
     long sent = ++number;
     relayed.put(sent, new Relayed(from, asked.number()));
     double patience = terms.patience();
@@ -351,7 +351,7 @@
     if (left || !letter.usable()) {
       return;
     }
-    News from = letter.self();
+    MembershipUpdate from = letter.self();
     if (from.name().equals(self.name())) {
       if (from.run() != self.run()) {
         out.clash(from);
@@ -395,7 +395,7 @@
     }
   }
 
-  private void hear(News news) {
+  private void hear(MembershipUpdate news) {
     if (news.name().equals(self.name())) {
       deny(news);
       return;
@@ -404,7 +404,7 @@
     Suspicion suspicion = suspicions.get(news.name());
     if (known != null
         && suspicion != null
-        && news.standing() == Standing.SUSPECT
+        && news.standing() == MemberStatus.SUSPECT
         && news.incarnation() == known.news().incarnation()) {
       if (suspicion.confirm(news.by())) {
         gossip.add(news);
@@ -418,7 +418,7 @@
     Peer after = new Peer(news, now);
     peers.put(news.name(), after);
     suspicions.remove(news.name());
-    if (news.standing() == Standing.SUSPECT) {
+    if (news.standing() == MemberStatus.SUSPECT) {
       double shortest = SHORTEST_PERIODS * terms.period() * Math.max(1, Math.log10(size()));
       Suspicion begun = new Suspicion(now, shortest, LONGEST * shortest, size(), news.by());
       suspicions.put(news.name(), begun);
@@ -432,29 +432,29 @@
    * Takes the suspected for failed once its time is up, unless it was confirmed, and so ends
    * sooner, or denied.
    */
-  private void watch(News news, Suspicion suspicion) {
+  private void watch(MembershipUpdate news, Suspicion suspicion) {
     after(
         suspicion.until() - now,
         () -> {
           if (suspicions.get(news.name()) == suspicion && suspicion.until() <= now) {
-            hear(peers.get(news.name()).news().as(Standing.FAILED, self.name()));
+            hear(peers.get(news.name()).news().as(MemberStatus.FAILED, self.name()));
           }
         });
   }
 
   /** What others say of this member and is not so, is denied under an incarnation above it. */
-  private void deny(News news) {
-    boolean so = news.standing() == Standing.ALIVE && news.run() == self.run();
+  private void deny(MembershipUpdate news) {
+    boolean so = news.standing() == MemberStatus.ALIVE && news.run() == self.run();
     if (so || news.incarnation() < self.incarnation()) {
       return;
     }
     self =
-        new News(
+        new MembershipUpdate(
             self.name(),
             self.address(),
             self.run(),
             news.incarnation() + 1,
-            Standing.ALIVE,
+            MemberStatus.ALIVE,
             self.name());
     gossip.add(self);
     if (news.run() == self.run()) {
@@ -474,8 +474,8 @@
     return hash;
   }
 
-  private static long hash(News news) {
-    boolean here = news.standing() == Standing.ALIVE || news.standing() == Standing.SUSPECT;
+  private static long hash(MembershipUpdate news) {
+    boolean here = news.standing() == MemberStatus.ALIVE || news.standing() == MemberStatus.SUSPECT;
     String text =
         news.name()
             + " "
@@ -504,7 +504,7 @@
     List<String> addresses = new ArrayList<>(seeds);
     for (Peer each : peers.values()) {
       addresses.remove(each.news().address());
-      if (each.standing() == Standing.FAILED) {
+      if (each.standing() == MemberStatus.FAILED) {
         addresses.add(each.news().address());
       }
     }
@@ -514,10 +514,10 @@
   }
 
   private void tellAll(String address, String name, boolean ask) {
-    List<News> part = new ArrayList<>();
+    List<MembershipUpdate> part = new ArrayList<>();
     int left = terms.bytes() - LETTER_BYTES - self.bytes();
     for (Peer each : peers.values()) {
-      News news = each.news();
+      MembershipUpdate news = each.news();
       if (news.bytes() > left) {
         post(address, name, new Sync(List.copyOf(part), false));
         part.clear();
--- a/membership/src/test/java/ferngrade/membership/DatagramGoldenTest.java
+++ b/membership/src/test/java/ferngrade/membership/DatagramGoldenTest.java
@@ -28,11 +28,13 @@
   private final Codec codec = new Codec(Message.CLASSES);
 
   private static Map<String, Object> values() {
-    News self = new News("m1", "127.0.0.1:7946", RUN, 3, Standing.ALIVE, "m1");
-    News other = new News("m2", "127.0.0.2:7946", -OTHER_RUN, 4, Standing.SUSPECT, "m3");
+    MembershipUpdate self =
+        new MembershipUpdate("m1", "127.0.0.1:7946", RUN, 3, MemberStatus.ALIVE, "m1");
+    MembershipUpdate other =
+        new MembershipUpdate("m2", "127.0.0.2:7946", -OTHER_RUN, 4, MemberStatus.SUSPECT, "m3");
     Map<String, Object> values = new LinkedHashMap<>();
     int number = 0;
-    for (Standing standing : Standing.values()) {
+    for (MemberStatus standing : MemberStatus.values()) {
       values.put("standing-" + number, standing);
       values.put("news-" + number, self.as(standing, "m4"));
       number++;
@@ -72,18 +74,20 @@
   @Test
   void sealedDatagramsAreMadeAndOpenedAsRecorded() {
     byte[] content = codec.write(new Message.Ping(5));
-    Seal sender = new Seal("kandy members", KEYS, RUN);
-    Seal receiver = new Seal("kandy members", KEYS, OTHER_RUN);
+    MessageAuthenticator sender = new MessageAuthenticator("kandy members", KEYS, RUN);
+    MessageAuthenticator receiver = new MessageAuthenticator("kandy members", KEYS, OTHER_RUN);
 
     GOLDEN.verify("sealed-to-unknown-process", sender.close("b", content));
-    Seal.Opened greeting = receiver.open("a", GOLDEN.bytes("sealed-to-unknown-process"));
+    MessageAuthenticator.Opened greeting =
+        receiver.open("a", GOLDEN.bytes("sealed-to-unknown-process"));
     GOLDEN.verify("sealed-greeting", greeting.answer());
-    Seal.Opened greeted = sender.open("b", GOLDEN.bytes("sealed-greeting"));
+    MessageAuthenticator.Opened greeted = sender.open("b", GOLDEN.bytes("sealed-greeting"));
     GOLDEN.verify("sealed-sent-again", greeted.answer());
-    Seal.Opened opened = receiver.open("a", GOLDEN.bytes("sealed-sent-again"));
-    assertEquals(Seal.Verdict.TAKEN, opened.verdict());
+    MessageAuthenticator.Opened opened = receiver.open("a", GOLDEN.bytes("sealed-sent-again"));
+    assertEquals(MessageAuthenticator.Verdict.TAKEN, opened.verdict());
     assertArrayEquals(content, opened.content());
     GOLDEN.verify(
-        "sealed-without-keys", new Seal("kandy members", List.of(), RUN).close("b", content));
+        "sealed-without-keys",
+        new MessageAuthenticator("kandy members", List.of(), RUN).close("b", content));
   }
 }
--- a/membership/src/test/java/ferngrade/membership/SealTest.java
+++ b/membership/src/test/java/ferngrade/membership/MessageAuthenticatorTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.membership.Seal.Opened;
-import ferngrade.membership.Seal.Verdict;
+import ferngrade.membership.MessageAuthenticator.Opened;
+import ferngrade.membership.MessageAuthenticator.Verdict;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
 import java.util.List;
@@ -18,20 +18,20 @@
 import org.junit.jupiter.api.Test;
 
 /** What proves who has sent a message. */
-class SealTest {
+class MessageAuthenticatorTest {
   private static final byte[] OLD = key("the key of last year");
   private static final byte[] NEW = key("the key of this year");
   private static final byte[] WORD = key("hello");
 
-  private final Seal a = new Seal("f", List.of(OLD), 11);
-  private final Seal b = new Seal("f", List.of(OLD), 22);
+  private final MessageAuthenticator a = new MessageAuthenticator("f", List.of(OLD), 11);
+  private final MessageAuthenticator b = new MessageAuthenticator("f", List.of(OLD), 22);
 
   private static byte[] key(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
   /** A's word to B, B telling A which process it is where A does not know. */
-  private static Opened pass(Seal from, Seal to, byte[] word) {
+  private static Opened pass(MessageAuthenticator from, MessageAuthenticator to, byte[] word) {
     Opened first = to.open("from", from.close("to", word));
     return first.answer() == null
         ? first
@@ -56,7 +56,7 @@
     byte[] frame = a.close("to", WORD);
     assertEquals(Verdict.TAKEN, b.open("from", frame).verdict());
     assertEquals(Verdict.REPLAYED, b.open("from", frame).verdict());
-    Seal restarted = new Seal("f", List.of(OLD), 23);
+    MessageAuthenticator restarted = new MessageAuthenticator("f", List.of(OLD), 23);
     Opened late = restarted.open("somebody", frame);
     assertEquals(Verdict.GREETED, late.verdict());
     assertNull(late.content());
@@ -76,11 +76,11 @@
 
   @Test
   void aStrangerIsNotAnsweredAndNeitherIsAnotherFleet() {
-    for (Seal other :
+    for (MessageAuthenticator other :
         List.of(
-            new Seal("f", List.of(NEW), 33),
-            new Seal("g", List.of(OLD), 33),
-            new Seal("f", List.of(), 33))) {
+            new MessageAuthenticator("f", List.of(NEW), 33),
+            new MessageAuthenticator("g", List.of(OLD), 33),
+            new MessageAuthenticator("f", List.of(), 33))) {
       Opened opened = b.open("x", other.close("b", WORD));
       assertEquals(Verdict.FORGED, opened.verdict());
       assertNull(opened.answer());
@@ -89,11 +89,11 @@
 
   @Test
   void twoKeysCountWhileOneTakesTheOthersPlace() {
-    Seal changing = new Seal("f", List.of(NEW, OLD), 44);
-    Seal changed = new Seal("f", List.of(NEW), 55);
+    MessageAuthenticator changing = new MessageAuthenticator("f", List.of(NEW, OLD), 44);
+    MessageAuthenticator changed = new MessageAuthenticator("f", List.of(NEW), 55);
     assertEquals(Verdict.TAKEN, pass(changed, changing, WORD).verdict());
     assertEquals(Verdict.FORGED, changed.open("a", a.close("changed", WORD)).verdict());
-    Seal before = new Seal("f", List.of(OLD, NEW), 66);
+    MessageAuthenticator before = new MessageAuthenticator("f", List.of(OLD, NEW), 66);
     assertEquals(Verdict.TAKEN, pass(before, changing, WORD).verdict());
     assertEquals(Verdict.TAKEN, pass(changing, before, WORD).verdict());
   }
@@ -101,7 +101,7 @@
   @Test
   void anAnswerThatSomebodyKeptDoesNotTurnTheSenderToAnOldProcess() {
     byte[] oldAnswer = b.open("a", a.close("b", WORD)).answer();
-    Seal restarted = new Seal("f", List.of(OLD), 23);
+    MessageAuthenticator restarted = new MessageAuthenticator("f", List.of(OLD), 23);
     Opened greeted = a.open("b", restarted.open("a", a.close("b", WORD)).answer());
     assertEquals(Verdict.TAKEN, restarted.open("a", greeted.answer()).verdict());
     assertEquals(Verdict.REPLAYED, a.open("b", oldAnswer).verdict());
--- a/membership/src/test/java/ferngrade/membership/SwimTest.java
+++ b/membership/src/test/java/ferngrade/membership/SwimProtocolTest.java
@@ -16,20 +16,20 @@
 import org.junit.jupiter.api.Test;
 
 /** One member's view, letter by letter. */
-class SwimTest {
+class SwimProtocolTest {
   private final List<Letter> sent = new ArrayList<>();
   private final List<String> addressees = new ArrayList<>();
   private final List<String> seen = new ArrayList<>();
   private int clashes;
-  private final Swim swim =
-      new Swim(
+  private final SwimProtocol swim =
+      new SwimProtocol(
           "me",
           "me:1",
           7,
           List.of(),
-          Swim.Terms.LOCAL,
+          SwimProtocol.Terms.LOCAL,
           new SplittableRandom(1),
-          new Swim.Out() {
+          new SwimProtocol.Out() {
             @Override
             public void send(String name, String address, Letter letter) {
               addressees.add(name);
@@ -42,20 +42,21 @@
             }
 
             @Override
-            public void clash(News other) {
+            public void clash(MembershipUpdate other) {
               clashes++;
             }
           });
 
-  private static News news(String name, long incarnation, Standing standing, String by) {
-    return new News(name, name + ":1", 5, incarnation, standing, by);
+  private static MembershipUpdate news(
+      String name, long incarnation, MemberStatus standing, String by) {
+    return new MembershipUpdate(name, name + ":1", 5, incarnation, standing, by);
   }
 
-  private static News alive(String name) {
-    return news(name, 0, Standing.ALIVE, name);
+  private static MembershipUpdate alive(String name) {
+    return news(name, 0, MemberStatus.ALIVE, name);
   }
 
-  private void hear(double at, News self, News... news) {
+  private void hear(double at, MembershipUpdate self, MembershipUpdate... news) {
     swim.received(at, self.address(), new Letter(self, new Nack(-1), List.of(news)));
   }
 
@@ -126,28 +127,31 @@
   @Test
   void whatIsSaidOfThisMemberAndIsNotSoIsDenied() {
     swim.start(0);
-    hear(0, alive("b"), new News("me", "me:1", 7, 0, Standing.SUSPECT, "c"));
+    hear(0, alive("b"), new MembershipUpdate("me", "me:1", 7, 0, MemberStatus.SUSPECT, "c"));
     assertEquals(1, swim.self().incarnation());
-    hear(0, alive("b"), new News("me", "me:1", 7, 0, Standing.FAILED, "c"));
+    hear(0, alive("b"), new MembershipUpdate("me", "me:1", 7, 0, MemberStatus.FAILED, "c"));
     assertEquals(1, swim.self().incarnation(), "that is denied already");
-    hear(0, alive("b"), new News("me", "me:1", 6, 4, Standing.ALIVE, "me"));
+    hear(0, alive("b"), new MembershipUpdate("me", "me:1", 6, 4, MemberStatus.ALIVE, "me"));
     assertEquals(5, swim.self().incarnation(), "an earlier process of its name");
     assertEquals(0, clashes);
     swim.received(
         0,
         "x",
-        new Letter(new News("me", "x", 9, 0, Standing.ALIVE, "me"), new Ping(1), List.of()));
+        new Letter(
+            new MembershipUpdate("me", "x", 9, 0, MemberStatus.ALIVE, "me"),
+            new Ping(1),
+            List.of()));
     assertEquals(1, clashes);
   }
 
   @Test
   void oldNewsChangesNothingAndADenialEndsASuspicion() {
     swim.start(0);
-    hear(0, alive("c"), news("b", 3, Standing.ALIVE, "b"));
-    hear(0, alive("c"), news("b", 2, Standing.FAILED, "c"));
+    hear(0, alive("c"), news("b", 3, MemberStatus.ALIVE, "b"));
+    hear(0, alive("c"), news("b", 2, MemberStatus.FAILED, "c"));
     assertTrue(swim.alive("b"));
-    hear(0, alive("c"), news("b", 3, Standing.SUSPECT, "c"));
-    hear(100, alive("c"), news("b", 4, Standing.ALIVE, "b"));
+    hear(0, alive("c"), news("b", 3, MemberStatus.SUSPECT, "c"));
+    hear(100, alive("c"), news("b", 4, MemberStatus.ALIVE, "b"));
     pass(100, 20_000);
     assertEquals(List.of("c ALIVE", "b ALIVE", "b SUSPECT", "b ALIVE"), seen.subList(0, 4));
   }
@@ -155,25 +159,30 @@
   @Test
   void oneThatHasLeftIsNotCalledFailedAndOneThatComesBackIsAlive() {
     swim.start(0);
-    hear(0, alive("c"), news("b", 3, Standing.LEFT, "b"));
-    hear(0, alive("c"), news("b", 3, Standing.FAILED, "c"));
+    hear(0, alive("c"), news("b", 3, MemberStatus.LEFT, "b"));
+    hear(0, alive("c"), news("b", 3, MemberStatus.FAILED, "c"));
     assertFalse(swim.alive("b"));
     swim.received(
         0,
         "b:1",
-        new Letter(new News("b", "b:1", 6, 0, Standing.ALIVE, "b"), new Ping(1), List.of()));
+        new Letter(
+            new MembershipUpdate("b", "b:1", 6, 0, MemberStatus.ALIVE, "b"),
+            new Ping(1),
+            List.of()));
     Letter answer = last(Ack.class).get(0);
     assertEquals(
-        Standing.LEFT, answer.news().get(0).standing(), "it is told first, so that it can deny it");
-    hear(0, new News("b", "b:1", 6, 4, Standing.ALIVE, "b"));
+        MemberStatus.LEFT,
+        answer.news().get(0).standing(),
+        "it is told first, so that it can deny it");
+    hear(0, new MembershipUpdate("b", "b:1", 6, 4, MemberStatus.ALIVE, "b"));
     assertTrue(swim.alive("b"));
   }
 
   @Test
   void whatStrangersSendIsBoundedAndDropped() {
     swim.start(0);
-    hear(0, news("b", -1, Standing.ALIVE, "b"));
-    hear(0, news("x".repeat(65), 0, Standing.ALIVE, "b"));
+    hear(0, news("b", -1, MemberStatus.ALIVE, "b"));
+    hear(0, news("x".repeat(65), 0, MemberStatus.ALIVE, "b"));
     swim.received(0, "b", new Letter(alive("b"), null, List.of()));
     swim.received(0, "b", new Letter(alive("b"), new Sync(null, true), List.of()));
     swim.received(0, "b", new Letter(alive("b"), new PingFor(1, "c", null), List.of()));
@@ -194,11 +203,11 @@
     for (Letter each : sent) {
       int bytes =
           each.self().bytes()
-              + each.news().stream().mapToInt(News::bytes).sum()
+              + each.news().stream().mapToInt(MembershipUpdate::bytes).sum()
               + (each.message() instanceof Sync sync
-                  ? sync.all().stream().mapToInt(News::bytes).sum()
+                  ? sync.all().stream().mapToInt(MembershipUpdate::bytes).sum()
                   : 0);
-      assertTrue(bytes <= Swim.Terms.LOCAL.bytes(), "bytes " + bytes);
+      assertTrue(bytes <= SwimProtocol.Terms.LOCAL.bytes(), "bytes " + bytes);
     }
     swim.leave(1);
     assertFalse(swim.alive("me"));
