--- a/emulator/src/main/java/ferngrade/emulator/Roll.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedDiscovery.java
@@ -15,7 +15,7 @@
  * Discovery: it notices changes of the fleet late, and tells all nodes in one order. It can fall
  * silent, repeat itself, tell an older list again, and call a worker active that is not.
  */
-public final class Roll {
+public final class EmulatedDiscovery {
   private static final double REPEAT_AFTER = 500;
 
   private final DiscoverySpec spec;
@@ -37,7 +37,7 @@
   }
 
   /** Discovery of this fleet, which {@code teller} brings to the nodes. */
-  public Roll(
+  public EmulatedDiscovery(
       DiscoverySpec spec,
       Scheduler time,
       UniformRandomProvider chance,
--- a/emulator/src/main/java/ferngrade/emulator/Levers.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultInjector.java
@@ -1,7 +1,7 @@
 package ferngrade.emulator;
 
 /** What a plan of faults can do to the nodes and the network; each skin does it in its own way. */
-public interface Levers {
+public interface FaultInjector {
   /** Kills a node's process. */
   void killNode(int node);
 
--- a/emulator/src/main/java/ferngrade/emulator/Truth.java
+++ b/emulator/src/main/java/ferngrade/emulator/FleetState.java
@@ -4,7 +4,7 @@
  * The true state of the fleet, which no real dispatcher sees: for the policy that others are
  * measured against.
  */
-public interface Truth {
+public interface FleetState {
   /**
    * When a job of this work would be done if it were sent to this worker now, ms from now; infinite
    * for never.
--- a/emulator/src/main/java/ferngrade/emulator/Plan.java
+++ b/emulator/src/main/java/ferngrade/emulator/Plan.java
@@ -18,9 +18,9 @@
   private final UniformRandomProvider chance;
   private final Observer observer;
   private final Fleet fleet;
-  private final Roll roll;
+  private final EmulatedDiscovery roll;
   private final Clients clients;
-  private final Levers levers;
+  private final FaultInjector levers;
 
   /** The scenario's plan over these parties. */
   public Plan(
@@ -29,9 +29,9 @@
       UniformRandomProvider chance,
       Observer observer,
       Fleet fleet,
-      Roll roll,
+      EmulatedDiscovery roll,
       Clients clients,
-      Levers levers) {
+      FaultInjector levers) {
     this.scenario = scenario;
     this.time = time;
     this.chance = chance;
--- a/emulator/src/main/java/ferngrade/emulator/Policy.java
+++ b/emulator/src/main/java/ferngrade/emulator/Policy.java
@@ -9,5 +9,5 @@
 public interface Policy {
   /** Starts one node's decisions; the seed is their only source of chance. */
   Dispatcher start(
-      DispatcherSettings settings, long seed, double now, Actions actions, Truth truth);
+      DispatcherSettings settings, long seed, double now, Actions actions, FleetState truth);
 }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -15,7 +15,7 @@
  * own nodes. Scenario, seed and policy decide everything that happens; the same three give the same
  * run, event for event.
  */
-public final class VirtualRun implements Clients.Carrier, Levers {
+public final class VirtualRun implements Clients.Carrier, FaultInjector {
   /** The clock at a run's start, ms; above 0, which stands for 'long ago' in lists. */
   public static final double START = 1_000_000;
 
@@ -34,7 +34,7 @@
   final double[] allowances;
   final Fleet fleet;
   final Clients clients;
-  private final Roll roll;
+  private final EmulatedDiscovery roll;
   private final Plan plan;
   private final UniformRandomProvider front;
   private final List<VirtualNode> nodes = new ArrayList<>();
@@ -60,7 +60,8 @@
     this.fleet = new Fleet(scenario, time, streams, observer, EmulatedWorker::madeUp);
     this.clients = new Clients(scenario, time, streams, observer, this);
     this.roll =
-        new Roll(scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
+        new EmulatedDiscovery(
+            scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
     this.plan =
         new Plan(scenario, time, streams.stream("faults"), observer, fleet, roll, clients, this);
     this.front = streams.stream("front");
@@ -268,11 +269,11 @@
   }
 
   /** The true state, as a policy in this node may see it. */
-  Truth truth(VirtualNode node) {
+  FleetState truth(VirtualNode node) {
     return new FleetTruth(node);
   }
 
-  private final class FleetTruth implements Truth {
+  private final class FleetTruth implements FleetState {
     private final VirtualNode node;
 
     FleetTruth(VirtualNode node) {
--- a/emulator/src/main/java/ferngrade/emulator/judge/DrainJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/DrainChecker.java
@@ -1,4 +1,4 @@
-package ferngrade.emulator.judge;
+package ferngrade.emulator.invariant;
 
 import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.EmulatedWorker;
@@ -11,14 +11,14 @@
  * Nothing new goes to a worker later than the grace after its node was told that it drains or is
  * gone.
  */
-public final class DrainJudge extends Judge {
+public final class DrainChecker extends InvariantChecker {
   private final double grace;
   private final Map<Told, Double> ends = new HashMap<>();
 
   private record Told(int node, long worker) {}
 
   /** A judge with the scenario's grace. */
-  public DrainJudge(Scenario scenario) {
+  public DrainChecker(Scenario scenario) {
     super("drain");
     this.grace = scenario.drainGrace;
   }
--- a/emulator/src/main/java/ferngrade/emulator/judge/AnswerJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
@@ -1,4 +1,4 @@
-package ferngrade.emulator.judge;
+package ferngrade.emulator.invariant;
 
 import ferngrade.emulator.Clients;
 import ferngrade.emulator.Request;
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /** Each request that a node has taken gets exactly one final answer, before its client gives up. */
-public final class AnswerJudge extends Judge {
+public final class FinalAnswerChecker extends InvariantChecker {
   /**
    * After a longer way than this into the hands of the node it cannot keep the deadline as its
    * client counts it, ms.
@@ -33,7 +33,7 @@
   }
 
   /** A judge that has seen nothing yet. */
-  public AnswerJudge() {
+  public FinalAnswerChecker() {
     super("one-answer");
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/judge/Judge.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
@@ -1,4 +1,4 @@
-package ferngrade.emulator.judge;
+package ferngrade.emulator.invariant;
 
 import ferngrade.emulator.Observer;
 import java.util.ArrayList;
@@ -9,7 +9,7 @@
  * Watches a run for one rule. A judge knows only what observers see, shares no code with the
  * program, and keeps notes of its own.
  */
-public abstract class Judge implements Observer {
+public abstract class InvariantChecker implements Observer {
   /** Breaches kept with their text; more are only counted. */
   private static final int MOST_KEPT = 20;
 
@@ -20,7 +20,7 @@
   /** One breach of a rule. */
   public record Breach(String rule, double at, String what) {}
 
-  Judge(String rule) {
+  InvariantChecker(String rule) {
     this.rule = rule;
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/judge/Bench.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
@@ -1,26 +1,26 @@
-package ferngrade.emulator.judge;
+package ferngrade.emulator.invariant;
 
 import ferngrade.emulator.Scenario;
 import java.util.List;
 
 /** The judges of all rules, for one run. */
-public final class Bench {
-  private final ColdJudge cold = new ColdJudge();
-  private final List<Judge> judges;
+public final class InvariantCheckers {
+  private final SlowStartChecker cold = new SlowStartChecker();
+  private final List<InvariantChecker> judges;
 
   /** Judges that have seen nothing yet. */
-  public Bench(Scenario scenario) {
+  public InvariantCheckers(Scenario scenario) {
     judges =
         List.of(
-            new AnswerJudge(),
-            new RepeatJudge(scenario),
-            new DrainJudge(scenario),
+            new FinalAnswerChecker(),
+            new RetryChecker(scenario),
+            new DrainChecker(scenario),
             cold,
-            new RefusalJudge(scenario));
+            new RejectionChecker(scenario));
   }
 
   /** The judges, each an observer. */
-  public List<Judge> judges() {
+  public List<InvariantChecker> judges() {
     return judges;
   }
 
@@ -31,7 +31,7 @@
 
   /** The breaches of all rules. */
   public long breaches() {
-    return judges.stream().mapToLong(Judge::count).sum();
+    return judges.stream().mapToLong(InvariantChecker::count).sum();
   }
 
   /** Workers that fell while cold, whoever was to blame. */
--- a/emulator/src/main/java/ferngrade/emulator/judge/RefusalJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
@@ -1,4 +1,4 @@
-package ferngrade.emulator.judge;
+package ferngrade.emulator.invariant;
 
 import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.emulator.EmulatedWorker;
@@ -13,7 +13,7 @@
  * A request that is given up is answered at once: no refusal comes long after the last thing that
  * happened to its request, be that its arrival or the end of an attempt.
  */
-public final class RefusalJudge extends Judge {
+public final class RejectionChecker extends InvariantChecker {
   /** What a loop and a busy moment may take, ms. */
   private static final double PROMPT = 100;
 
@@ -22,7 +22,7 @@
   private final Map<Integer, Double> resumed = new HashMap<>();
 
   /** A judge for nodes with the scenario's round. */
-  public RefusalJudge(Scenario scenario) {
+  public RejectionChecker(Scenario scenario) {
     super("prompt-refusal");
     this.allowed = PROMPT + scenario.roundMs;
   }
--- a/emulator/src/main/java/ferngrade/emulator/judge/RepeatJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
@@ -1,4 +1,4 @@
-package ferngrade.emulator.judge;
+package ferngrade.emulator.invariant;
 
 import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.Idempotency;
@@ -16,7 +16,7 @@
  * Nothing that may have run goes out again unless its class allows it; a worker has one attempt of
  * a request at a time; and what may have run is not called refused.
  */
-public final class RepeatJudge extends Judge {
+public final class RetryChecker extends InvariantChecker {
   private final Scenario scenario;
   private final IdentityHashMap<Request, List<Sent>> sent = new IdentityHashMap<>();
 
@@ -33,7 +33,7 @@
   }
 
   /** A judge for the classes of this scenario. */
-  public RepeatJudge(Scenario scenario) {
+  public RetryChecker(Scenario scenario) {
     super("no-repeat");
     this.scenario = scenario;
   }
--- a/emulator/src/main/java/ferngrade/emulator/judge/ColdJudge.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
@@ -1,15 +1,15 @@
-package ferngrade.emulator.judge;
+package ferngrade.emulator.invariant;
 
 import ferngrade.emulator.EmulatedWorker;
 
 /** No cold worker is pushed over by work from nodes that knew it was cold. */
-public final class ColdJudge extends Judge {
+public final class SlowStartChecker extends InvariantChecker {
   private static final double BLAMED = 2.0 / 3;
 
   private long fallen;
 
   /** A judge that has seen nothing yet. */
-  public ColdJudge() {
+  public SlowStartChecker() {
     super("cold-start");
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -6,8 +6,8 @@
 import ferngrade.dispatch.JobClass;
 import ferngrade.dispatch.ThrottlingDispatcher;
 import ferngrade.dispatch.Worker;
+import ferngrade.emulator.FleetState;
 import ferngrade.emulator.Policy;
-import ferngrade.emulator.Truth;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -134,9 +134,9 @@
    */
   private static final class AllSeeing extends PlainPolicy {
     private final DispatcherSettings settings;
-    private final Truth truth;
+    private final FleetState truth;
 
-    AllSeeing(DispatcherSettings settings, Actions actions, Truth truth) {
+    AllSeeing(DispatcherSettings settings, Actions actions, FleetState truth) {
       super(settings, actions);
       this.settings = settings;
       this.truth = truth;
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -3,15 +3,15 @@
 import com.eclipsesource.json.JsonObject;
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.emulator.Clients;
+import ferngrade.emulator.EmulatedDiscovery;
 import ferngrade.emulator.EmulatedWorker;
+import ferngrade.emulator.FaultInjector;
 import ferngrade.emulator.Fleet;
-import ferngrade.emulator.Levers;
 import ferngrade.emulator.Network;
 import ferngrade.emulator.Observer;
 import ferngrade.emulator.Observers;
 import ferngrade.emulator.Plan;
 import ferngrade.emulator.Request;
-import ferngrade.emulator.Roll;
 import ferngrade.emulator.Scenario;
 import ferngrade.emulator.Streams;
 import ferngrade.node.Endpoint;
@@ -48,7 +48,7 @@
  * <p>It differs from virtual time in what loopback cannot do: a machine that has vanished still
  * completes TCP's handshake, and delays are spent in the stand-ins rather than on the way.
  */
-public final class SocketRun implements Levers {
+public final class SocketRun implements FaultInjector {
   /** Rolling deploys bring new workers; listeners for them are opened before the run. */
   private static final int SPARES = 2;
 
@@ -61,7 +61,7 @@
   final Network network;
   final HttpPool http;
   final Fleet fleet;
-  final Roll roll;
+  final EmulatedDiscovery roll;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
@@ -122,7 +122,8 @@
     this.clients = new Clients(scenario, time, streams, observer, sockets);
     sockets.serve(clients);
     this.roll =
-        new Roll(scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
+        new EmulatedDiscovery(
+            scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
     this.plan =
         new Plan(scenario, time, streams.stream("faults"), observer, fleet, roll, clients, this);
     for (int i = 0; i < scenario.nodes; i++) {
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -7,8 +7,8 @@
 import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.emulator.Fault.Kind;
 import ferngrade.emulator.Request.Answer;
-import ferngrade.emulator.judge.Bench;
-import ferngrade.emulator.judge.Judge;
+import ferngrade.emulator.invariant.InvariantChecker;
+import ferngrade.emulator.invariant.InvariantCheckers;
 import ferngrade.emulator.policy.Policies;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -58,11 +58,12 @@
     return scenario;
   }
 
-  private record Played(Bench bench, String trace, Map<Answer, Integer> answers, VirtualRun run) {}
+  private record Played(
+      InvariantCheckers bench, String trace, Map<Answer, Integer> answers, VirtualRun run) {}
 
   private static Played play(
       Scenario scenario, long seed, String policy, Mutation mutation, Observer... more) {
-    Bench bench = new Bench(scenario);
+    InvariantCheckers bench = new InvariantCheckers(scenario);
     TraceHash trace = new TraceHash();
     Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
     List<Observer> observers = new ArrayList<>(bench.judges());
@@ -83,7 +84,7 @@
 
   private static String breaches(Played played) {
     StringBuilder all = new StringBuilder();
-    for (Judge judge : played.bench.judges()) {
+    for (InvariantChecker judge : played.bench.judges()) {
       judge.breaches().stream().limit(3).forEach(each -> all.append(each).append('\n'));
     }
     return all.toString();
@@ -133,7 +134,7 @@
     for (long seed = 1; seed <= 6; seed++) {
       assertEquals("", breaches(play(scenario, seed, "module", Mutation.NONE)));
       Played broken = play(scenario, seed, "module", mutation);
-      for (Judge judge : broken.bench.judges()) {
+      for (InvariantChecker judge : broken.bench.judges()) {
         if (judge.rule().equals(rule)) {
           caught += judge.count();
         } else if (!judge.rule().equals(alsoBroken)) {
--- a/emulator/src/test/java/ferngrade/emulator/socket/SocketRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/socket/SocketRunTest.java
@@ -11,8 +11,8 @@
 import ferngrade.emulator.Request;
 import ferngrade.emulator.Request.Answer;
 import ferngrade.emulator.Scenario;
-import ferngrade.emulator.judge.Bench;
-import ferngrade.emulator.judge.Judge;
+import ferngrade.emulator.invariant.InvariantChecker;
+import ferngrade.emulator.invariant.InvariantCheckers;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -50,7 +50,7 @@
     scenario.faults.add(new Fault(Fault.Kind.DEPLOY, 500, 2000, 0.2, 0.4, -1));
     scenario.faults.add(new Fault(Fault.Kind.NODE_KILL, 2500, 300, 1, 0, 0));
     scenario.faults.add(new Fault(Fault.Kind.NODE_PAUSE, 3500, 700, 1, 0, 1));
-    Bench bench = new Bench(scenario);
+    InvariantCheckers bench = new InvariantCheckers(scenario);
     Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
     List<Observer> observers = new ArrayList<>(bench.judges());
     observers.add(
@@ -66,7 +66,7 @@
     bench.finish(run.startedAt() + run.passed());
     // On a machine that was too busy the run is void, and says nothing about the program.
     if (unfit == null) {
-      for (Judge judge : bench.judges()) {
+      for (InvariantChecker judge : bench.judges()) {
         assertEquals(judge.breaches().toString(), "[]");
       }
     }
--- a/experiment/src/main/java/ferngrade/experiment/Charts.java
+++ b/experiment/src/main/java/ferngrade/experiment/Charts.java
@@ -93,19 +93,19 @@
       List<Double> halves = new ArrayList<>();
       for (String point : points) {
         Estimate estimate =
-            results.estimate(new Results.Cell(point, policy), Trial.Result::goodput);
+            results.estimate(new Results.Cell(point, policy), ExperimentRun.Result::goodput);
         means.add(estimate.mean());
         halves.add(Double.isInfinite(estimate.halfWidth()) ? 0 : estimate.halfWidth());
       }
       chart.addSeries(policy, labels, means, halves);
     }
     add("goodput", chart);
-    byName("tenants", "Goodput by tenant", Trial.Result::byTenant);
-    byName("classes", "Goodput by class", Trial.Result::byClass);
+    byName("tenants", "Goodput by tenant", ExperimentRun.Result::byTenant);
+    byName("classes", "Goodput by class", ExperimentRun.Result::byClass);
   }
 
   private interface Shares {
-    Map<String, Double> of(Trial.Result result);
+    Map<String, Double> of(ExperimentRun.Result result);
   }
 
   private void byName(String file, String title, Shares shares) {
--- a/experiment/src/main/java/ferngrade/experiment/LabCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentCommand.java
@@ -24,7 +24,7 @@
       BenchCommand.class,
       CommandLine.HelpCommand.class
     })
-public final class LabCommand implements SubCommand, Runnable {
+public final class ExperimentCommand implements SubCommand, Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
--- a/experiment/src/main/java/ferngrade/experiment/Trial.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
@@ -5,8 +5,8 @@
 import ferngrade.emulator.Scenario;
 import ferngrade.emulator.TraceHash;
 import ferngrade.emulator.VirtualRun;
-import ferngrade.emulator.judge.Bench;
-import ferngrade.emulator.judge.Judge;
+import ferngrade.emulator.invariant.InvariantChecker;
+import ferngrade.emulator.invariant.InvariantCheckers;
 import ferngrade.emulator.policy.Policies;
 import ferngrade.emulator.socket.SocketRun;
 import java.io.IOException;
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One run of an experiment: a scenario, a policy and a seed. */
-public record Trial(String point, String policy, long seed) {
-  private static final Logger LOG = LoggerFactory.getLogger(Trial.class);
+public record ExperimentRun(String point, String policy, long seed) {
+  private static final Logger LOG = LoggerFactory.getLogger(ExperimentRun.class);
 
   /**
    * What came of it. Latencies are milliseconds; {@code breaches} counts them by rule; {@code
@@ -62,7 +62,7 @@
   public Result playOnSockets(Scenario scenario, List<String> command, Path folder)
       throws InterruptedException, IOException {
     Statistics statistics = new Statistics(scenario, Double.NaN);
-    Bench bench = new Bench(scenario);
+    InvariantCheckers bench = new InvariantCheckers(scenario);
     List<Observer> observers = new ArrayList<>(bench.judges());
     observers.add(statistics);
     Files.createDirectories(folder);
@@ -87,7 +87,7 @@
   public Result play(Scenario scenario, Mutation mutation) {
     Statistics statistics = new Statistics(scenario, VirtualRun.START);
     TraceHash trace = new TraceHash();
-    Bench bench = new Bench(scenario);
+    InvariantCheckers bench = new InvariantCheckers(scenario);
     List<Observer> observers = new ArrayList<>(bench.judges());
     observers.add(statistics);
     observers.add(trace);
@@ -107,7 +107,7 @@
 
   private Result result(
       Statistics statistics,
-      Bench bench,
+      InvariantCheckers bench,
       double start,
       String trace,
       long events,
@@ -115,7 +115,7 @@
       double took) {
     Map<String, Long> breaches = new LinkedHashMap<>();
     List<String> texts = new ArrayList<>();
-    for (Judge judge : bench.judges()) {
+    for (InvariantChecker judge : bench.judges()) {
       breaches.put(judge.rule(), judge.count());
       judge
           .breaches()
--- a/experiment/src/main/java/ferngrade/experiment/Laboratory.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRunner.java
@@ -14,12 +14,12 @@
  * Plays the trials of an experiment, several at a time; each runs on one thread and shares nothing
  * with the others.
  */
-public final class Laboratory {
+public final class ExperimentRunner {
   private final int threads;
   private final AtomicBoolean stopped = new AtomicBoolean();
 
   /** A laboratory that plays so many trials at a time. */
-  public Laboratory(int threads) {
+  public ExperimentRunner(int threads) {
     this.threads = threads;
   }
 
@@ -33,8 +33,8 @@
   }
 
   /** Plays all trials; {@code finished} hears of each as it ends, on the calling thread. */
-  public List<Trial.Result> run(Experiment experiment, Consumer<Trial.Result> finished)
-      throws InterruptedException {
+  public List<ExperimentRun.Result> run(
+      Experiment experiment, Consumer<ExperimentRun.Result> finished) throws InterruptedException {
     ExecutorService pool =
         Executors.newFixedThreadPool(
             threads,
@@ -44,21 +44,21 @@
               return thread;
             });
     try {
-      CompletionService<Trial.Result> trials = new ExecutorCompletionService<>(pool);
+      CompletionService<ExperimentRun.Result> trials = new ExecutorCompletionService<>(pool);
       int begun = 0;
       for (long seed : experiment.seeds()) {
         for (Experiment.Point point : experiment.points()) {
           for (String policy : experiment.policies()) {
-            Trial trial = new Trial(point.label(), policy, seed);
+            ExperimentRun trial = new ExperimentRun(point.label(), policy, seed);
             trials.submit(
                 () -> stopped.get() ? null : trial.play(point.scenario(), experiment.mutation()));
             begun++;
           }
         }
       }
-      List<Trial.Result> results = new ArrayList<>();
+      List<ExperimentRun.Result> results = new ArrayList<>();
       for (int i = 0; i < begun; i++) {
-        Trial.Result result = trials.take().get();
+        ExperimentRun.Result result = trials.take().get();
         if (result != null) {
           results.add(result);
           finished.accept(result);
--- a/experiment/src/main/java/ferngrade/experiment/ReplayCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/ReplayCommand.java
@@ -33,8 +33,8 @@
       return Cli.BAD_CONFIG;
     }
     Experiment.Point point = experiment.points().get(0);
-    Trial.Result result =
-        new Trial(
+    ExperimentRun.Result result =
+        new ExperimentRun(
                 point.label(),
                 experiment.policies().get(0),
                 seed == null ? experiment.seeds().get(0) : seed)
--- a/experiment/src/main/java/ferngrade/experiment/Report.java
+++ b/experiment/src/main/java/ferngrade/experiment/Report.java
@@ -87,7 +87,7 @@
   }
 
   private void summary() {
-    long seeds = results.trials().stream().mapToLong(Trial.Result::seed).distinct().count();
+    long seeds = results.trials().stream().mapToLong(ExperimentRun.Result::seed).distinct().count();
     page.append("<p>Means over ")
         .append(seeds)
         .append(seeds == 1 ? " seed" : " seeds, with 95 % intervals")
@@ -103,8 +103,10 @@
       for (String name : COLUMNS) {
         page.append("<td>").append(results.estimate(cell, each -> each.figures().get(name)));
       }
-      long breaches = results.of(cell).values().stream().mapToLong(Trial.Result::allBreaches).sum();
-      long fallen = results.of(cell).values().stream().mapToLong(Trial.Result::fallen).sum();
+      long breaches =
+          results.of(cell).values().stream().mapToLong(ExperimentRun.Result::allBreaches).sum();
+      long fallen =
+          results.of(cell).values().stream().mapToLong(ExperimentRun.Result::fallen).sum();
       page.append(breaches > 0 ? "<td class=\"bad\">" : "<td>")
           .append(breaches)
           .append("<td>")
@@ -133,7 +135,7 @@
           Results.difference(
               results.of(cell),
               results.of(new Results.Cell(cell.point(), first)),
-              Trial.Result::goodput);
+              ExperimentRun.Result::goodput);
       String says =
           !estimate.differsFromZero()
               ? "no difference shown"
@@ -152,7 +154,7 @@
   }
 
   private void breaches() {
-    List<Trial.Result> broken =
+    List<ExperimentRun.Result> broken =
         results.trials().stream().filter(each -> each.allBreaches() > 0).toList();
     if (broken.isEmpty()) {
       page.append("<p>No rule was broken.</p>");
--- a/experiment/src/main/java/ferngrade/experiment/Results.java
+++ b/experiment/src/main/java/ferngrade/experiment/Results.java
@@ -27,7 +27,7 @@
     int asked,
     boolean complete,
     String experiment,
-    List<Trial.Result> trials) {
+    List<ExperimentRun.Result> trials) {
   /** The version of the file's form. */
   public static final int FORMAT = 1;
 
@@ -39,13 +39,13 @@
   public record Cell(String point, String policy) {}
 
   /** The results with the trials in an order that does not depend on which ended first. */
-  public static Results of(Experiment experiment, List<Trial.Result> trials) {
+  public static Results of(Experiment experiment, List<ExperimentRun.Result> trials) {
     List<String> points = experiment.points().stream().map(Experiment.Point::label).toList();
-    List<Trial.Result> sorted = new ArrayList<>(trials);
+    List<ExperimentRun.Result> sorted = new ArrayList<>(trials);
     sorted.sort(
-        Comparator.<Trial.Result>comparingInt(each -> points.indexOf(each.point()))
+        Comparator.<ExperimentRun.Result>comparingInt(each -> points.indexOf(each.point()))
             .thenComparingInt(each -> experiment.policies().indexOf(each.policy()))
-            .thenComparingLong(Trial.Result::seed));
+            .thenComparingLong(ExperimentRun.Result::seed));
     return new Results(
         FORMAT,
         experiment.name(),
@@ -96,9 +96,9 @@
   }
 
   /** The trials of a cell by seed. */
-  public Map<Long, Trial.Result> of(Cell cell) {
-    Map<Long, Trial.Result> bySeed = new LinkedHashMap<>();
-    for (Trial.Result each : trials) {
+  public Map<Long, ExperimentRun.Result> of(Cell cell) {
+    Map<Long, ExperimentRun.Result> bySeed = new LinkedHashMap<>();
+    for (ExperimentRun.Result each : trials) {
       if (each.point().equals(cell.point()) && each.policy().equals(cell.policy())) {
         bySeed.put(each.seed(), each);
       }
@@ -107,15 +107,15 @@
   }
 
   /** A figure of a cell over its seeds. */
-  public Estimate estimate(Cell cell, ToDoubleFunction<Trial.Result> figure) {
+  public Estimate estimate(Cell cell, ToDoubleFunction<ExperimentRun.Result> figure) {
     return Estimate.of(of(cell).values().stream().mapToDouble(figure).toArray());
   }
 
   /** The difference of a figure between two cells, pair by pair over the seeds that both have. */
   public static Estimate difference(
-      Map<Long, Trial.Result> one,
-      Map<Long, Trial.Result> other,
-      ToDoubleFunction<Trial.Result> figure) {
+      Map<Long, ExperimentRun.Result> one,
+      Map<Long, ExperimentRun.Result> other,
+      ToDoubleFunction<ExperimentRun.Result> figure) {
     return Estimate.of(
         one.keySet().stream()
             .filter(other::containsKey)
@@ -134,7 +134,7 @@
       trials.get(0).figures().keySet().forEach(name -> table.append(',').append(quoted(name)));
     }
     table.append(",breaches,fallen,events,trace\n");
-    for (Trial.Result each : trials) {
+    for (ExperimentRun.Result each : trials) {
       table
           .append(quoted(each.point()))
           .append(',')
@@ -209,14 +209,14 @@
   /** The series of a cell, each window the mean over the seeds that have a value there. */
   public Map<String, double[]> meanSeries(Cell cell) {
     Map<String, double[]> means = new LinkedHashMap<>();
-    List<Trial.Result> all = List.copyOf(of(cell).values());
+    List<ExperimentRun.Result> all = List.copyOf(of(cell).values());
     for (String name : all.get(0).series().keySet()) {
       int length = all.stream().mapToInt(each -> each.series().get(name).length).max().orElse(0);
       double[] mean = new double[length];
       for (int i = 0; i < length; i++) {
         double sum = 0;
         int count = 0;
-        for (Trial.Result each : all) {
+        for (ExperimentRun.Result each : all) {
           double[] values = each.series().get(name);
           if (i < values.length && !Double.isNaN(values[i])) {
             sum += values[i];
--- a/experiment/src/main/java/ferngrade/experiment/RunCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/RunCommand.java
@@ -66,9 +66,9 @@
       System.err.println("ferngrade: " + bad.getMessage());
       return Cli.BAD_CONFIG;
     }
-    Laboratory laboratory = new Laboratory(Math.max(1, threads));
-    SocketLaboratory onSockets =
-        new SocketLaboratory(
+    ExperimentRunner laboratory = new ExperimentRunner(Math.max(1, threads));
+    SocketExperimentRunner onSockets =
+        new SocketExperimentRunner(
             node.isBlank() ? List.of() : List.of(node.split(" +")), out.resolve("nodes"));
     // Ctrl-C: what has ended is written before the process goes.
     CountDownLatch written = new CountDownLatch(1);
@@ -86,7 +86,7 @@
             "interrupted");
     Runtime.getRuntime().addShutdownHook(hook);
     try {
-      List<Trial.Result> trials;
+      List<ExperimentRun.Result> trials;
       Consumer<String> progressLines = System.out::println;
       try (Progress progress =
           new Progress(experiment.name(), experiment.trials(), onTerminal(), progressLines)) {
@@ -131,12 +131,13 @@
 
   static void summary(Results results) {
     for (Results.Cell cell : results.cells()) {
-      long breaches = results.of(cell).values().stream().mapToLong(Trial.Result::allBreaches).sum();
+      long breaches =
+          results.of(cell).values().stream().mapToLong(ExperimentRun.Result::allBreaches).sum();
       System.out.printf(
           "%-14s %s goodput %s  p99 %s ms%s%n",
           cell.policy(),
           cell.point(),
-          results.estimate(cell, Trial.Result::goodput),
+          results.estimate(cell, ExperimentRun.Result::goodput),
           results.estimate(cell, each -> each.figures().get("p99 ms")),
           breaches > 0 ? "  rules broken: " + breaches : "");
     }
--- a/experiment/src/main/java/ferngrade/experiment/Search.java
+++ b/experiment/src/main/java/ferngrade/experiment/Search.java
@@ -27,7 +27,7 @@
   private int played;
 
   /** What was found: a replayable experiment of one seed and one policy, and its result. */
-  public record Found(JsonNode source, Trial.Result result, int played) {
+  public record Found(JsonNode source, ExperimentRun.Result result, int played) {
     /** True if it shows a broken rule, false if it is the one that loses most. */
     public boolean breaksRule() {
       return result.allBreaches() > 0;
@@ -43,10 +43,10 @@
 
   /** Searches, then makes it small. */
   public Found run(int threads) throws InterruptedException, FileException {
-    List<Trial.Result> results = new Laboratory(threads).run(experiment, each -> {});
+    List<ExperimentRun.Result> results = new ExperimentRunner(threads).run(experiment, each -> {});
     played = results.size();
-    Trial.Result worst = null;
-    for (Trial.Result each : results) {
+    ExperimentRun.Result worst = null;
+    for (ExperimentRun.Result each : results) {
       if (worst == null || worse(each, worst)) {
         worst = each;
       }
@@ -62,7 +62,7 @@
    * Broken rules first, then the loss; the lower seed where all is alike, so that every search ends
    * alike.
    */
-  private static boolean worse(Trial.Result one, Trial.Result other) {
+  private static boolean worse(ExperimentRun.Result one, ExperimentRun.Result other) {
     boolean broken = one.allBreaches() > 0;
     if (broken != other.allBreaches() > 0) {
       return broken;
@@ -74,7 +74,7 @@
   }
 
   /** The experiment with this trial's setting, policy and seed alone. */
-  private JsonNode alone(Trial.Result worst) throws FileException {
+  private JsonNode alone(ExperimentRun.Result worst) throws FileException {
     for (Experiment.Point point : experiment.points()) {
       if (point.label().equals(worst.point())) {
         ObjectNode source = experiment.source().deepCopy();
@@ -100,13 +100,13 @@
     throw new FileException(experiment.name(), "has no setting " + worst.point());
   }
 
-  private Found shrink(JsonNode found, Trial.Result shown) throws FileException {
+  private Found shrink(JsonNode found, ExperimentRun.Result shown) throws FileException {
     JsonNode best = found;
-    Trial.Result result = shown;
+    ExperimentRun.Result result = shown;
     for (int round = 0; round < MOST_ROUNDS; round++) {
       boolean smaller = false;
       for (ObjectNode candidate : candidates(best)) {
-        Trial.Result tried = play(candidate);
+        ExperimentRun.Result tried = play(candidate);
         if (tried != null && shows(tried, shown)) {
           best = candidate;
           result = tried;
@@ -129,7 +129,7 @@
     return new Found(best, result, played);
   }
 
-  private static boolean shows(Trial.Result tried, Trial.Result shown) {
+  private static boolean shows(ExperimentRun.Result tried, ExperimentRun.Result shown) {
     if (shown.allBreaches() > 0) {
       return shown.breaches().entrySet().stream()
           .anyMatch(rule -> rule.getValue() > 0 && tried.breaches().get(rule.getKey()) > 0);
@@ -181,11 +181,11 @@
     return ExperimentReader.read(experiment.name(), folder, source).points().get(0).scenario();
   }
 
-  private Trial.Result play(JsonNode source) {
+  private ExperimentRun.Result play(JsonNode source) {
     try {
       Experiment smaller = ExperimentReader.read(experiment.name(), folder, source);
       played++;
-      return new Trial(
+      return new ExperimentRun(
               smaller.points().get(0).label(), smaller.policies().get(0), smaller.seeds().get(0))
           .play(smaller.points().get(0).scenario(), smaller.mutation());
     } catch (FileException noExperiment) {
--- a/experiment/src/main/java/ferngrade/experiment/SocketLaboratory.java
+++ b/experiment/src/main/java/ferngrade/experiment/SocketExperimentRunner.java
@@ -10,7 +10,7 @@
  * Plays the trials of an experiment on sockets, one after the other: each needs the machine for
  * itself.
  */
-final class SocketLaboratory {
+final class SocketExperimentRunner {
   /** How often a trial is played again that a busy machine has made void. */
   private static final int AGAIN = 2;
 
@@ -19,7 +19,7 @@
   private volatile boolean stopped;
 
   /** {@code command} starts a node, as {@code serve} does; empty for this program itself. */
-  SocketLaboratory(List<String> command, Path logs) {
+  SocketExperimentRunner(List<String> command, Path logs) {
     this.command = command;
     this.logs = logs;
   }
@@ -28,14 +28,14 @@
     stopped = true;
   }
 
-  List<Trial.Result> run(Experiment experiment, Consumer<Trial.Result> finished)
+  List<ExperimentRun.Result> run(Experiment experiment, Consumer<ExperimentRun.Result> finished)
       throws InterruptedException, IOException {
-    List<Trial.Result> results = new ArrayList<>();
+    List<ExperimentRun.Result> results = new ArrayList<>();
     for (long seed : experiment.seeds()) {
       for (Experiment.Point point : experiment.points()) {
         for (String policy : experiment.policies()) {
-          Trial trial = new Trial(point.label(), policy, seed);
-          Trial.Result result = null;
+          ExperimentRun trial = new ExperimentRun(point.label(), policy, seed);
+          ExperimentRun.Result result = null;
           for (int i = 0; i <= AGAIN && result == null && !stopped; i++) {
             Path folder = logs.resolve(policy + "-" + seed + "-" + results.size());
             result = trial.playOnSockets(point.scenario(), start(policy), folder);
--- a/experiment/src/test/java/ferngrade/experiment/LaboratoryTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class LaboratoryTest {
+class ExperimentRunnerTest {
   private static final String SMALL =
       """
       name = "small"
@@ -77,15 +77,17 @@
 
   private static List<String> traces(Experiment experiment, int threads)
       throws InterruptedException {
-    List<Trial.Result> trials = new Laboratory(threads).run(experiment, each -> {});
-    return Results.of(experiment, trials).trials().stream().map(Trial.Result::trace).toList();
+    List<ExperimentRun.Result> trials = new ExperimentRunner(threads).run(experiment, each -> {});
+    return Results.of(experiment, trials).trials().stream()
+        .map(ExperimentRun.Result::trace)
+        .toList();
   }
 
   @Test
   void whatHadEndedBeforeAnInterruptIsKept() throws Exception {
     Experiment experiment = ExperimentReader.read(file(SMALL));
-    Laboratory laboratory = new Laboratory(1);
-    List<Trial.Result> trials = laboratory.run(experiment, each -> laboratory.stop());
+    ExperimentRunner laboratory = new ExperimentRunner(1);
+    List<ExperimentRun.Result> trials = laboratory.run(experiment, each -> laboratory.stop());
     assertTrue(
         !trials.isEmpty() && trials.size() < experiment.trials(), "trials: " + trials.size());
     Results results = Results.of(experiment, trials);
@@ -120,8 +122,8 @@
     assertEquals("1s", found.source().path("duration").asText());
     assertTrue(found.source().path("fleet").path("workers").asInt() <= 2);
     Experiment again = ExperimentReader.read("again", folder, found.source());
-    Trial.Result replayed =
-        new Trial("", again.policies().get(0), again.seeds().get(0))
+    ExperimentRun.Result replayed =
+        new ExperimentRun("", again.policies().get(0), again.seeds().get(0))
             .play(again.points().get(0).scenario(), again.mutation());
     assertEquals(found.result().trace(), replayed.trace());
   }
--- a/experiment/src/test/java/ferngrade/experiment/ResultsGoldenTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ResultsGoldenTest.java
@@ -23,8 +23,8 @@
     figures.put("late share", 1e-9);
     Map<String, Double> byClass = Map.of("plan", 0.75);
     Map<String, double[]> series = Map.of("goodput", new double[] {0.5, 1, 0.25});
-    Trial.Result first =
-        new Trial.Result(
+    ExperimentRun.Result first =
+        new ExperimentRun.Result(
             "load = 0.9",
             "module",
             1,
@@ -40,8 +40,8 @@
             400,
             30_000.5,
             12.25);
-    Trial.Result second =
-        new Trial.Result(
+    ExperimentRun.Result second =
+        new ExperimentRun.Result(
             "load = 0.9",
             "module",
             2,
