--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -6,30 +6,29 @@
 import ferngrade.config.EndpointListParser.MemberList;
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.net.ChannelProvider.Purpose;
+import ferngrade.net.JsonObjectFramer.CompleteObject;
+import ferngrade.net.JsonObjectFramer.Event;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.nio.AbstractNioChannel;
-import io.netty.handler.codec.LineBasedFrameDecoder;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 
 /**
  * Watches the worker list at one address: one long answer, an object for each change. A watch that
@@ -78,8 +77,12 @@
    */
   private static final double LOCAL_PATIENCE = 2500;
 
-  /** The longest line, in bytes: a whole list of some thousand workers. */
-  private static final int LONGEST_LINE = 1 << 20;
+  /**
+   * The longest list, in bytes. An indented entry has about 250, and some hundred more where ids
+   * are long: this holds 3,200 entries of 1,300 bytes, and is still a fraction of the heap of a
+   * small node.
+   */
+  private static final int MAX_LIST_BYTES = 4 << 20;
 
   private final InetSocketAddress discovery;
   private final EndpointListParser reader;
@@ -93,7 +96,7 @@
   /** The connection whose word counts, null while there is none. */
   private Channel channel;
 
-  private JsonObjectFramer lines;
+  private JsonObjectFramer framer;
   private long revision;
   private boolean listed;
 
@@ -135,13 +138,7 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                channel
-                    .pipeline()
-                    .addLast(
-                        new HttpClientCodec(),
-                        new BodyHandler(),
-                        new LineBasedFrameDecoder(LONGEST_LINE),
-                        new LineHandler());
+                channel.pipeline().addLast(new HttpClientCodec(), new AnswerHandler());
               }
             });
   }
@@ -198,7 +195,7 @@
 
   private void watch(Channel opened) {
     channel = opened;
-    lines = new JsonObjectFramer(LONGEST_LINE);
+    framer = new JsonObjectFramer(MAX_LIST_BYTES);
     // Only a list from discovery has a version to go on from: the stored one may be of another
     // life.
     boolean on = listed && !anew;
@@ -247,14 +244,13 @@
     retry = Math.min(retryMost, 2 * retry);
   }
 
-  private void line(String line) {
+  private void body(ByteBuf bytes) {
     try {
-      String object = lines.add(line);
-      retry = RETRY_FIRST;
-      if (object != null) {
-        told(reader.read(Json.parse(object)));
-      } else if (line.isBlank()) {
-        node.listUnchanged();
+      Event event = framer.next(bytes);
+      while (event != null) {
+        heard(event);
+        // What comes behind the one that ended the watch counts no more.
+        event = channel != null && channel.isOpen() ? framer.next(bytes) : null;
       }
     } catch (ParseException | IllegalArgumentException malformed) {
       // Whatever it was to say is asked for again.
@@ -263,6 +259,15 @@
     }
   }
 
+  private void heard(Event event) {
+    retry = RETRY_FIRST;
+    if (event instanceof CompleteObject object) {
+      told(reader.read(Json.parse(object.json())));
+    } else {
+      node.listUnchanged();
+    }
+  }
+
   private void told(MemberList list) {
     list.faults()
         .forEach(fault -> log.line("list entry", "discovery listed what cannot be used: " + fault));
@@ -284,37 +289,23 @@
         list.complete() ? EndpointListUpdate.WHOLE : EndpointListUpdate.CHANGES, list.members());
   }
 
-  /** Passes the answer's body on as it comes. */
-  private final class BodyHandler extends ChannelInboundHandlerAdapter {
+  /** Takes the answer as it comes. */
+  private final class AnswerHandler extends SimpleChannelInboundHandler<HttpObject> {
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object message) {
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
       if (ctx.channel() != channel || !channel.isOpen()) {
-        ReferenceCountUtil.release(message);
         return;
       }
       if (message instanceof HttpResponse response && response.status().code() != 200) {
-        ReferenceCountUtil.release(message);
         giveUp();
         return;
       }
       listen(SILENCE);
       if (message instanceof HttpContent content) {
-        ctx.fireChannelRead(content.content());
-        if (content instanceof LastHttpContent) {
-          ctx.close();
-        }
-      } else {
-        ReferenceCountUtil.release(message);
+        body(content.content());
       }
-    }
-  }
-
-  /** Takes the lines. */
-  private final class LineHandler extends SimpleChannelInboundHandler<ByteBuf> {
-    @Override
-    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-      if (ctx.channel() == channel && channel.isOpen()) {
-        line(line.toString(StandardCharsets.UTF_8));
+      if (message instanceof LastHttpContent) {
+        ctx.close();
       }
     }
 
--- a/node/src/main/java/ferngrade/net/JsonObjectFramer.java
+++ b/node/src/main/java/ferngrade/net/JsonObjectFramer.java
@@ -1,71 +1,124 @@
 package ferngrade.net;
 
+import io.netty.buffer.ByteBuf;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+
 /**
- * Puts JSON objects together from the lines of an answer: one a line, or indented over several. A
- * blank line between objects is a sign of life; within one it means that the rest of that will not
- * come.
+ * Cuts the body of an answer into JSON objects: one a line, or indented over several. A blank line
+ * between objects is a sign of life; within one it means that the rest of that will not come. Each
+ * ends with its line.
+ *
+ * <p>The bytes are read once, as they come, and what is kept of an object lies on the heap: only
+ * that grows with the list, and the few direct buffers of the connection stay as small as for any
+ * other answer.
  */
 final class JsonObjectFramer {
-  private final int longest;
-  private final StringBuilder object = new StringBuilder();
+  private static final int INITIAL_CAPACITY = 1024;
+
+  private final int maxLength;
+  private byte[] object = new byte[INITIAL_CAPACITY];
+  private int length;
   private int depth;
-  private boolean text;
+  private boolean inString;
+  private boolean escaped;
+
+  /** Nothing but white space has come in this line. */
+  private boolean blankLine = true;
+
+  /** An earlier line has begun an object that is not complete yet. */
+  private boolean begun;
+
+  /** What the end of a line may bring. */
+  sealed interface Event {}
 
-  /** Objects of at most so many characters. */
-  JsonObjectFramer(int longest) {
-    this.longest = longest;
+  /** An object is complete. */
+  record CompleteObject(String json) implements Event {}
+
+  /** A blank line, between objects. */
+  record KeepAlive() implements Event {}
+
+  /** Objects of at most so many bytes, line ends among them. */
+  JsonObjectFramer(int maxLength) {
+    this.maxLength = maxLength;
   }
 
   /**
-   * The object that is whole with this line, null if none is. An {@link IllegalArgumentException}
-   * says that an object is too long or ends before it is whole; nothing of it is kept.
+   * Reads on to the next event; null if it takes more bytes than these. An {@link
+   * IllegalArgumentException} says that an object is too long or ends before it is complete;
+   * nothing of it is kept.
    */
-  String add(String line) {
-    if (line.isBlank()) {
-      if (!object.isEmpty()) {
-        clear();
-        throw new IllegalArgumentException("an object breaks off");
+  Event next(ByteBuf bytes) {
+    while (bytes.isReadable()) {
+      int toLineEnd = bytes.bytesBefore((byte) '\n') + 1;
+      append(bytes, toLineEnd > 0 ? toLineEnd : bytes.readableBytes());
+      Event event = toLineEnd > 0 ? lineEnd() : null;
+      if (event != null) {
+        return event;
       }
-      return null;
     }
-    if (object.length() + line.length() > longest) {
+    return null;
+  }
+
+  private void append(ByteBuf bytes, int count) {
+    if (length + count > maxLength) {
       clear();
       throw new IllegalArgumentException("an object is too long");
     }
-    object.append(line).append('\n');
-    for (int i = 0; i < line.length(); i++) {
-      count(line, i);
+    if (length + count > object.length) {
+      object =
+          Arrays.copyOf(object, Math.min(maxLength, Math.max(2 * object.length, length + count)));
     }
-    if (depth > 0) {
-      return null;
+    bytes.readBytes(object, length, count);
+    for (int i = length; i < length + count; i++) {
+      scan(object[i]);
     }
-    String whole = object.toString();
-    clear();
-    return whole;
+    length += count;
   }
 
-  private void count(String line, int i) {
-    char c = line.charAt(i);
-    if (c == '"' && !(text && escaped(line, i))) {
-      text = !text;
-    } else if (!text && (c == '{' || c == '[')) {
+  private void scan(byte c) {
+    blankLine &= c >= 0 && c <= ' ';
+    if (inString) {
+      inString = escaped || c != '"';
+      escaped = !escaped && c == '\\';
+    } else if (c == '"') {
+      inString = true;
+    } else if (c == '{' || c == '[') {
       depth++;
-    } else if (!text && (c == '}' || c == ']')) {
+    } else if (c == '}' || c == ']') {
       depth--;
     }
   }
 
-  private static boolean escaped(String line, int at) {
-    int slashes = 0;
-    while (slashes < at && line.charAt(at - 1 - slashes) == '\\') {
-      slashes++;
+  private Event lineEnd() {
+    boolean blank = blankLine;
+    blankLine = true;
+    if (blank && begun) {
+      clear();
+      throw new IllegalArgumentException("an object breaks off");
+    }
+    if (blank) {
+      clear();
+      return new KeepAlive();
     }
-    return slashes % 2 == 1;
+    begun = depth > 0;
+    if (begun) {
+      return null;
+    }
+    String json = new String(object, 0, length, StandardCharsets.UTF_8);
+    clear();
+    return new CompleteObject(json);
   }
 
   private void clear() {
-    object.setLength(0);
+    if (object.length > INITIAL_CAPACITY) {
+      object = new byte[INITIAL_CAPACITY];
+    }
+    length = 0;
     depth = 0;
-    text = false;
+    inString = false;
+    escaped = false;
+    blankLine = true;
+    begun = false;
   }
 }
--- a/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
@@ -1,125 +1,15 @@
 package ferngrade.net;
 
-import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import com.eclipsesource.json.Json;
-import ferngrade.config.EndpointListParser;
-import ferngrade.config.SettingsMapping;
 import ferngrade.dispatch.EndpointListUpdate;
-import ferngrade.dispatch.ThrottlingDispatcher;
-import ferngrade.node.RateLimitedLog;
-import ferngrade.node.RequestCoordinator;
-import ferngrade.node.Timers;
-import io.netty.channel.EventLoop;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.nio.NioIoHandler;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
-import org.testng.annotations.AfterMethod;
-import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
 /** A watch of the worker list, on a clock that the story sets. */
-public class DiscoveryWatchTest {
-  private volatile double now;
-  private MultiThreadIoEventLoopGroup group;
-  private EventLoop loop;
-  private Timers timers;
-  private ServerSocket discovery;
-  private RequestCoordinator node;
-
-  @BeforeMethod
-  public void listen() throws Exception {
-    now = 0;
-    group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    loop = group.next();
-    timers = new Timers(() -> now, (millis, run) -> {});
-    discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-    node =
-        loop.submit(
-                () ->
-                    start(
-                        group,
-                        loop,
-                        timers,
-                        new InetSocketAddress(
-                            discovery.getInetAddress(), discovery.getLocalPort())))
-            .get();
-  }
-
-  /** Lets time pass on the clock; the test and the loop may both do so. */
-  private synchronized void advance(double millis) {
-    now += millis;
-  }
-
-  @AfterMethod
-  public void end() throws Exception {
-    discovery.close();
-    group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
-  }
-
-  private static String chunk(String lines) {
-    return Integer.toHexString(lines.length()) + "\r\n" + lines + "\r\n";
-  }
-
-  private static String list(long revision, boolean whole, String id, String phase) {
-    return chunk(
-        "{\"revision\":"
-            + revision
-            + ",\"complete\":"
-            + whole
-            + ",\"members\":[{\"id\":\""
-            + id
-            + "\",\"host_port\":\"127.0.0.1:9\",\"phase\":\""
-            + phase
-            + "\"}]}\n");
-  }
-
-  private final AtomicBoolean ended = new AtomicBoolean();
-
-  private void awaitReady(boolean ready) throws Exception {
-    while (loop.submit(node::ready).get() != ready) {
-      Thread.onSpinWait();
-    }
-  }
-
-  /**
-   * Lets this many ms pass once the node has seen the end of its watch, which is when the next try
-   * is set: time that had passed before would bring that no nearer.
-   */
-  private void passAfterEnd(double millis) throws Exception {
-    while (!ended.compareAndSet(true, false)) {
-      Thread.onSpinWait();
-    }
-    double until = now + millis;
-    while (loop.submit(
-                () -> {
-                  advance(100);
-                  timers.run();
-                  return now;
-                })
-            .get()
-        < until) {
-      Thread.onSpinWait();
-    }
-  }
-
-  private RawHttp accept(String request) throws Exception {
-    RawHttp watch = new RawHttp(discovery.accept());
-    assertEquals(watch.read().start(), request);
-    return watch;
-  }
-
-  private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  private static final String WHOLE = "GET /api/targets?watch=1 HTTP/1.1";
-
+public class DiscoveryWatchTest extends DiscoveryStory {
   @Test(timeOut = 30_000)
   public void watchThatMissesOneSignOfLifeIsOpenedAnewAndTellsWhoDiedAndWhoStartedMeanwhile()
       throws Exception {
@@ -299,35 +189,4 @@
       awaitReady(false);
     }
   }
-
-  private RequestCoordinator start(
-      MultiThreadIoEventLoopGroup group,
-      EventLoop loop,
-      Timers timers,
-      InetSocketAddress discovery) {
-    SettingsMapping settings = new SettingsMapping();
-    settings.put(Json.parse("{\"Classes\":[{\"Name\":\"order\"}]}").asObject());
-    ended.set(false);
-    RateLimitedLog log =
-        new RateLimitedLog(
-            () -> now, line -> ended.compareAndSet(false, line.contains("watch ended")));
-    RequestCoordinator node =
-        new RequestCoordinator(
-            new RequestCoordinator.Surroundings(
-                () -> now, timers, loop, null, (peer, message) -> {}, log),
-            new RequestCoordinator.RequestLimits(1, 1, 0),
-            actions -> new ThrottlingDispatcher(settings.build(), 7, now, actions));
-    new DiscoveryWatch(
-            group,
-            discovery,
-            new EndpointListParser(List.of(), List.of()),
-            node,
-            timers,
-            log,
-            DiscoveryWatch.PUSHED_MOST,
-            () -> {},
-            ChannelProvider.SOCKETS)
-        .start();
-    return node;
-  }
 }
