--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/net/DiscoveryWatch.java
@@ -48,8 +48,11 @@
    */
   private static final double SILENCE = 2500;
 
-  /** The agent answers at once; a watch that does not begin to is dead too. */
-  private static final double FIRST_SILENCE = 1000;
+  /**
+   * How long the first call may go unanswered; each that did in a row adds as much, up to the
+   * mode's limit.
+   */
+  private static final double FIRST_PATIENCE = 1000;
 
   /**
    * An agent that can be reached answers well within this; one that is silent for longer is cut off
@@ -59,16 +62,6 @@
   private static final double AT_ONCE = 300;
 
   private static final double RETRY_FIRST = 100;
-
-  /**
-   * The longest pause between tries, ms. The agent is on the node's own machine: asking it costs
-   * nothing, and what it gets when discovery is back counts as told in that moment. A pause near
-   * the 250 ms of the drain rule would send jobs to workers that drain. Where discovery is asked,
-   * each call has its price, and counts once it is answered.
-   */
-  static final double PUSHED_MOST = 100;
-
-  static final double ASKED_MOST = 500;
   private static final int CONNECT_TIMEOUT = 1000;
 
   /**
@@ -84,12 +77,38 @@
    */
   private static final int MAX_LIST_BYTES = 4 << 20;
 
+  /** How the address answers, which says how often to call and how long to wait. */
+  enum Mode {
+    /**
+     * An agent on the node's own machine, which answers at once: a watch that does not begin to is
+     * dead. Asking it costs nothing, and what it gets when discovery is back counts as told in that
+     * moment. A pause near the 250 ms of the drain rule would send jobs to workers that drain.
+     */
+    PUSHED(100, FIRST_PATIENCE),
+    /**
+     * One service for all nodes, which works through calls in turn; each has its price, and counts
+     * once it is answered. A call that is given up starts again at the end of the queue, so the
+     * next one waits longer. What is told counts 6 s after discovery could be reached: a call of 3
+     * s that was made just before, its pause, a dial that hangs and another pause are 5 s.
+     */
+    ASKED(500, 3000);
+
+    private final double maxBackoff;
+    private final double maxPatience;
+
+    /** The longest pause between calls, and the longest wait for the beginning of an answer, ms. */
+    Mode(double maxBackoff, double maxPatience) {
+      this.maxBackoff = maxBackoff;
+      this.maxPatience = maxPatience;
+    }
+  }
+
   private final InetSocketAddress discovery;
   private final EndpointListParser reader;
   private final RequestCoordinator node;
   private final Timers timers;
   private final RateLimitedLog log;
-  private final double retryMost;
+  private final Mode mode;
   private final Runnable whenListed;
   private final Dialer dialer;
 
@@ -105,11 +124,12 @@
 
   private boolean stopped;
   private double retry = RETRY_FIRST;
+  private double patience = FIRST_PATIENCE;
   private Timers.Timer silence;
 
   /**
-   * A watch that pauses for {@code retryMost} ms at most between tries, and calls {@code
-   * whenListed} once its address has told a whole list for the first time.
+   * A watch of an address that answers by {@code mode}, which calls {@code whenListed} once it has
+   * told a whole list for the first time.
    */
   DiscoveryWatch(
       EventLoopGroup group,
@@ -118,10 +138,10 @@
       RequestCoordinator node,
       Timers timers,
       RateLimitedLog log,
-      double retryMost,
+      Mode mode,
       Runnable whenListed,
       ChannelProvider channels) {
-    this.retryMost = retryMost;
+    this.mode = mode;
     this.discovery = discovery;
     this.reader = reader;
     this.node = node;
@@ -208,16 +228,27 @@
         .headers()
         .set(HttpHeaderNames.HOST, discovery.getHostString() + ":" + discovery.getPort());
     opened.closeFuture().addListener(ended -> ended());
-    listen(FIRST_SILENCE);
-    timers.after(AT_ONCE, node::sourceSilent);
+    listen(patience, this::unanswered);
+    timers.after(AT_ONCE, this::notAtOnce);
     opened.writeAndFlush(request);
   }
 
-  private void listen(double patience) {
+  private void listen(double span, Runnable whenSilent) {
     if (silence != null) {
       silence.cancel();
     }
-    silence = timers.after(patience, this::giveUp);
+    silence = timers.after(span, whenSilent);
+  }
+
+  private void unanswered() {
+    patience = Math.min(mode.maxPatience, patience + FIRST_PATIENCE);
+    giveUp();
+  }
+
+  private void notAtOnce() {
+    if (!stopped) {
+      node.sourceSilent();
+    }
   }
 
   /** Ends the present connection: nothing that was on its way over it counts any more. */
@@ -241,7 +272,7 @@
     log.line("discovery at " + discovery + ": " + why);
     node.listFailed();
     timers.after(retry, this::start);
-    retry = Math.min(retryMost, 2 * retry);
+    retry = Math.min(mode.maxBackoff, 2 * retry);
   }
 
   private void body(ByteBuf bytes) {
@@ -261,6 +292,7 @@
 
   private void heard(Event event) {
     retry = RETRY_FIRST;
+    patience = FIRST_PATIENCE;
     if (event instanceof CompleteObject object) {
       told(reader.read(Json.parse(object.json())));
     } else {
@@ -300,7 +332,7 @@
         giveUp();
         return;
       }
-      listen(SILENCE);
+      listen(SILENCE, DiscoveryWatch.this::giveUp);
       if (message instanceof HttpContent content) {
         body(content.content());
       }
--- a/node/src/main/java/ferngrade/net/NodeServer.java
+++ b/node/src/main/java/ferngrade/net/NodeServer.java
@@ -298,8 +298,8 @@
             });
       }
     }
-    double pause =
-        config.settings().asks() ? DiscoveryWatch.ASKED_MOST : DiscoveryWatch.PUSHED_MOST;
+    DiscoveryWatch.Mode mode =
+        config.settings().asks() ? DiscoveryWatch.Mode.ASKED : DiscoveryWatch.Mode.PUSHED;
     discovery =
         new Discovery(
             (address, whenListed) ->
@@ -310,7 +310,7 @@
                     node,
                     timers,
                     log,
-                    pause,
+                    mode,
                     whenListed,
                     channels));
     discovery.watch(config.discovery());
--- a/node/src/test/java/ferngrade/net/DiscoveryStory.java
+++ b/node/src/test/java/ferngrade/net/DiscoveryStory.java
@@ -64,9 +64,9 @@
     group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
   }
 
-  /** The longest pause between calls. */
-  double retryMost() {
-    return DiscoveryWatch.PUSHED_MOST;
+  /** How discovery is watched. */
+  DiscoveryWatch.Mode mode() {
+    return DiscoveryWatch.Mode.PUSHED;
   }
 
   private RequestCoordinator start() {
@@ -90,13 +90,21 @@
             started,
             timers,
             log,
-            retryMost(),
+            mode(),
             () -> {},
             ChannelProvider.SOCKETS)
         .start();
     return started;
   }
 
+  /** Waits for a moment, and ends with the time of the test. */
+  private static void spin() throws InterruptedException {
+    if (Thread.interrupted()) {
+      throw new InterruptedException("the test has run out of time");
+    }
+    Thread.onSpinWait();
+  }
+
   static String chunk(String lines) {
     return Integer.toHexString(lines.length()) + "\r\n" + lines + "\r\n";
   }
@@ -116,7 +124,7 @@
 
   void awaitReady(boolean ready) throws Exception {
     while (loop.submit(node::ready).get() != ready) {
-      Thread.onSpinWait();
+      spin();
     }
   }
 
@@ -126,7 +134,7 @@
    */
   void passAfterEnd(double millis) throws Exception {
     while (!ended.compareAndSet(true, false)) {
-      Thread.onSpinWait();
+      spin();
     }
     double until = now + millis;
     while (loop.submit(
@@ -137,7 +145,7 @@
                 })
             .get()
         < until) {
-      Thread.onSpinWait();
+      spin();
     }
   }
 
