--- a/node/src/main/java/ferngrade/net/Discovery.java
+++ b/node/src/main/java/ferngrade/net/Discovery.java
@@ -1,8 +1,6 @@
 package ferngrade.net;
 
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.function.BiFunction;
 
 /**
@@ -13,9 +11,16 @@
  */
 final class Discovery {
   private final BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener;
-  private final List<DiscoveryWatch> earlier = new ArrayList<>();
+
+  /** The address that the node is to watch. */
   private DiscoveryWatch current;
 
+  /**
+   * The watch that the list in force came from while the present address has told none, otherwise
+   * null.
+   */
+  private DiscoveryWatch previous;
+
   /**
    * Makes watches by {@code opener}, from an address and what to run when it has told its first
    * list.
@@ -29,31 +34,44 @@
     if (current != null && current.address().equals(address)) {
       return;
     }
+    leaveCurrent();
+    if (previous != null && previous.address().equals(address)) {
+      // Back before the address between has told anything: the watch there never ended.
+      current = previous;
+      previous = null;
+      return;
+    }
+    current = opener.apply(address, this::listed);
+    current.start();
+  }
+
+  private void leaveCurrent() {
     if (current != null && current.listed()) {
-      earlier.add(current);
+      previous = current;
     } else if (current != null) {
       current.stop();
     }
-    current = opener.apply(address, this::listed);
-    current.start();
   }
 
   /**
    * Reads at once what the sources of the list have told and the event loop has not come to read.
    */
   void readPending() {
-    // A list that is read may end the earlier watches.
-    new ArrayList<>(earlier).forEach(DiscoveryWatch::readPending);
+    if (previous != null) {
+      previous.readPending();
+    }
     if (current != null) {
       current.readPending();
     }
   }
 
   /**
-   * The present address has told its first list, which the earlier ones must not change any more.
+   * The present address has told its first list, which the previous one must not change any more.
    */
   private void listed() {
-    earlier.forEach(DiscoveryWatch::stop);
-    earlier.clear();
+    if (previous != null) {
+      previous.stop();
+      previous = null;
+    }
   }
 }
