--- a/dispatch/src/test/java/ferngrade/dispatch/ModuleLimitsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ModuleLimitsTest.java
@@ -16,7 +16,8 @@
   /** The policy files that deploy/balancer.toml names. */
   private static List<String> module() throws IOException {
     List<String> lines = new ArrayList<>();
-    for (String file : List.of("ThrottlingDispatcher.java", "ObjectAffinity.java", "SlowStart.java")) {
+    for (String file :
+        List.of("ThrottlingDispatcher.java", "ObjectAffinity.java", "SlowStart.java")) {
       lines.addAll(Files.readAllLines(FOLDER.resolve(file)));
     }
     return lines;
--- a/experiment/src/main/java/ferngrade/experiment/BenchTable.java
+++ b/experiment/src/main/java/ferngrade/experiment/BenchTable.java
@@ -111,8 +111,8 @@
     StringBuilder page =
         new StringBuilder(
             "# The bench, as its journal has it\n\n"
-                + "Made by `bin/ferngrade lab bench journal`; not to be edited. A build is named by"
-                + " the node's and the module's hashes.\n\n"
+                + "Made by `bin/ferngrade experiment bench journal`; not to be edited. A build is"
+                + " named by the node's and the module's hashes.\n\n"
                 + "## Panels, the last run of each\n\n"
                 + "| site | days | score | gate | build | when | runs |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- |\n");
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentCommand.java
@@ -4,9 +4,9 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The laboratory's commands. */
+/** The commands that run experiments on an emulated fleet; each is a class of its own. */
 @Command(
-    name = "lab",
+    name = "experiment",
     description = "Runs experiments on an emulated fleet and keeps their results.",
     mixinStandardHelpOptions = true,
     subcommands = {
@@ -19,8 +19,6 @@
       NodeCommand.class,
       ReportCommand.class,
       StoreCommand.class,
-      TrialCommand.class,
-      SwarmCommand.class,
       BenchCommand.class,
       CommandLine.HelpCommand.class
     })
--- a/experiment/src/main/java/ferngrade/experiment/TrialCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
@@ -35,12 +35,12 @@
  * Plays a trial of several processes, or the same state machines over many seeds in virtual time.
  */
 @Command(
-    name = "trial",
+    name = "run",
     description =
         "Plays a trial: members of a fleet as processes, with faults between them."
             + " Exit code 0: it held; 1: something was broken; 2: the file cannot be used.",
     mixinStandardHelpOptions = true)
-final class TrialCommand implements Callable<Integer> {
+final class FaultTestRunCommand implements Callable<Integer> {
   private static final int BROKEN = 1;
 
   @Parameters(
--- a/experiment/src/main/java/ferngrade/experiment/SwarmCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestSwarmCommand.java
@@ -23,7 +23,7 @@
         "Measures membership in virtual time: bytes and CPU of a member, how soon an end is"
             + " noticed, false suspicions under loss.",
     mixinStandardHelpOptions = true)
-final class SwarmCommand implements Callable<Integer> {
+final class FaultTestSwarmCommand implements Callable<Integer> {
   private static final double STEADY_MS = 30_000;
   private static final double HOUR_MS = 3_600_000;
 
--- a/experiment/src/main/java/ferngrade/experiment/SocketExperimentRunner.java
+++ b/experiment/src/main/java/ferngrade/experiment/SocketExperimentRunner.java
@@ -65,7 +65,9 @@
                 System.getProperty("java.class.path"),
                 "ferngrade.Main"));
     line.addAll(
-        policy.equals("module") ? List.of("serve") : List.of("lab", "node", "--policy", policy));
+        policy.equals("module")
+            ? List.of("serve")
+            : List.of("experiment", "node", "--policy", policy));
     return line;
   }
 }
--- a/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
@@ -44,7 +44,7 @@
   @Test
   void aRunLeavesResultsTablesChartsAndAPageThatNeedsNoOtherFile() throws Exception {
     Path out = folder.resolve("out");
-    assertEquals(0, Cli.run("lab", "run", file(SMALL).toString(), "--out", out.toString()));
+    assertEquals(0, Cli.run("experiment", "run", file(SMALL).toString(), "--out", out.toString()));
     Results results = Results.read(out);
     assertTrue(results.complete());
     assertEquals(4, results.trials().size());
@@ -56,7 +56,7 @@
     assertEquals("PNG", new String(png, 1, 3, StandardCharsets.US_ASCII));
     // Read and written again, nothing changes; compared with itself, nothing differs.
     String before = Files.readString(out.resolve("results.json"));
-    assertEquals(0, Cli.run("lab", "report", out.toString()));
+    assertEquals(0, Cli.run("experiment", "report", out.toString()));
     assertEquals(before, Files.readString(out.resolve("results.json")));
     new Comparison(results, Results.read(out))
         .rows()
@@ -101,8 +101,9 @@
   void aFileThatCannotBeUsedEndsWithCode2AndWritesNothing() throws Exception {
     Path out = folder.resolve("none");
     assertEquals(
-        2, Cli.run("lab", "run", file("duration = 5\n").toString(), "--out", out.toString()));
-    assertEquals(2, Cli.run("lab", "compare", out.toString(), out.toString()));
+        2,
+        Cli.run("experiment", "run", file("duration = 5\n").toString(), "--out", out.toString()));
+    assertEquals(2, Cli.run("experiment", "compare", out.toString(), out.toString()));
     assertFalse(Files.exists(out));
   }
 
--- a/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * All that can happen in the small; deeper explorations are played by {@code lab trial --small}.
+ * All that can happen in the small; deeper explorations are played by {@code faulttest run
+ * --small}.
  */
 class ModelCheckerTest {
   @Test
