--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -2,13 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.DoubleConsumer;
-import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
 /**
@@ -60,11 +58,6 @@
    */
   private static final double DEEP = 0.35;
 
-  /**
-   * What a cycle leaves of the work counted by class: who goes first follows the last half minute.
-   */
-  private static final double CLASS_MEMORY = 0.985;
-
   /**
    * Weight of one job in the mean work: cold budgets go by it, and must not swing with single jobs.
    */
@@ -93,26 +86,12 @@
   /** Slots a second that a slice keeps in any case, so that a silent dispatcher can start again. */
   private static final double FLOOR = 1;
 
-  /** Weight of the newest cycle in the smoothed demand. */
-  private static final double DEMAND_WEIGHT = 0.4;
-
   /**
    * Weight of the newest cycle in the counts that a cut goes by: of few jobs, some are late by
    * chance.
    */
   private static final double COUNT_WEIGHT = 0.2;
 
-  /** Cycles for which a peer's last message counts. */
-  private static final int FRESH_CYCLES = 3;
-
-  /** Seconds of its level that a tenant may have saved up. */
-  private static final double BURST_S = 0.25;
-
-  /**
-   * Seconds of its level by which the classes that go first may overdraw it; the others pay for it.
-   */
-  private static final double DEBT_S = 1;
-
   /** Workers looked at for a job in its own zone, and as many elsewhere; of fewer, all. */
   private static final int SCAN = 8;
 
@@ -159,9 +138,6 @@
    */
   private static final double CHARGE_DELAY = 2;
 
-  /** Share that a tenant with none counts as having, so that it gets what nobody else wants. */
-  private static final double LEAST_SHARE = 1e-6;
-
   /** First and longest ejection of a worker that fails, ms. */
   private static final double EJECT_FIRST = 1000;
 
@@ -206,7 +182,6 @@
   private List<WorkerStats> remote = new ArrayList<>();
   private final Map<Integer, ZoneStats> zones = new HashMap<>();
   private final double[] classService;
-  private final double[] classWork;
   private double service = 100;
   private long served;
 
@@ -217,16 +192,10 @@
     this.random = new SplittableRandom(seed);
     this.slowStart = new SlowStart(settings.cold(), settings.me(), settings.dispatchers());
     this.classService = new double[settings.classes().size()];
-    this.classWork = new double[classService.length];
     this.lastCycle = now;
-    settings
-        .tenants()
-        .forEach(each -> shares.add(new TenantShare(Math.max(each.share(), LEAST_SHARE))));
-    if (shares.isEmpty()) {
-      shares.add(new TenantShare(1));
-    }
-    this.weights = shares.stream().mapToDouble(share -> share.weight).toArray();
-    this.peers = PeerGraph.links(settings.me(), settings.dispatchers());
+    this.quotas = new TenantQuotas(settings.tenants());
+    this.priorities = new ClassPriorities(settings.classes(), settings.goal());
+    this.diffusion = new BudgetDiffusion(settings.me(), settings.dispatchers(), quotas);
     actions.timer(random.nextDouble() * CYCLE, CYCLE_TOKEN);
     if (settings.asks()) {
       actions.timer(1 + 2000.0 * settings.me() / settings.dispatchers(), WATCH_TOKEN);
@@ -244,37 +213,31 @@
   private double sentMean;
   private double refusedMean;
   private double acceptedMean;
-  private int cycle;
   private boolean loads;
   private int traffic;
   private boolean crowded;
   private int warm;
-  private double lastOver;
-  private final int[] peers;
-  private final Map<Integer, PeerState> heard = new HashMap<>();
+  private final TenantQuotas quotas;
+  private final ClassPriorities priorities;
+  private final BudgetDiffusion diffusion;
 
   private void cycle(double now) {
     double seconds = Math.max(1, now - lastCycle) / 1000;
     lastCycle = now;
-    cycle++;
-    heard.values().removeIf(peer -> cycle - peer.receivedInCycle > FRESH_CYCLES);
-    for (TenantShare share : shares) {
-      share.demand += (cycle == 1 ? 1 : DEMAND_WEIGHT) * (share.requested / seconds - share.demand);
-      share.requested = 0;
-    }
-    Arrays.setAll(classWork, i -> classWork[i] * CLASS_MEMORY);
+    diffusion.startCycle();
+    quotas.endCycle(seconds);
+    priorities.endCycle();
     double share = fleetShare(seconds, now);
     if (loads) {
       slice = Math.max(FLOOR, slice + SETTLE * (share - slice));
     } else {
       growOrTrim(seconds);
     }
-    if (settings.limits().peers() && peers.length > 0) {
-      slice = Math.max(FLOOR, slice + peerStep());
-      tellPeers();
+    if (settings.limits().peers() && diffusion.peers().length > 0) {
+      slice = Math.max(FLOOR, slice + diffusion.step());
+      sendToPeers();
     }
-    double level = waterLevel(slice, demands(), weights);
-    shares.forEach(each -> each.level = level * each.weight);
+    quotas.divide(slice);
     sent = 0;
     accepted = 0;
     refused = 0;
@@ -324,7 +287,7 @@
     refusedMean += COUNT_WEIGHT * (refused - refusedMean);
     acceptedMean += COUNT_WEIGHT * (accepted / seconds - acceptedMean);
     double bad = refusedMean == 0 ? 0 : refusedMean / Math.max(sentMean, refusedMean);
-    double most = SLACK * Arrays.stream(demands()).sum() + FLOOR;
+    double most = SLACK * Arrays.stream(quotas.demands()).sum() + FLOOR;
     double change = GROW - TRIM * bad;
     // The start is generous until a first cut shows a limit. A dispatcher that waits for its
     // clients sees
@@ -347,102 +310,6 @@
     }
   }
 
-  /**
-   * The neighbour-difference step over what was last told, so that both ends of a link move alike.
-   */
-  private double peerStep() {
-    double step = 0;
-    double gamma = 1.0 / (peers.length + 1);
-    for (PeerState last : heard.values()) {
-      step += gamma * (lastOver - last.excessDemand);
-    }
-    return step;
-  }
-
-  /**
-   * The slots asked here within the level that this dispatcher and its peers could keep together.
-   * If all that is asked counted, small dispatchers would starve: in a deep overload every slice
-   * loses the same amount, and that may be more than all that a small one asks.
-   */
-  private double wanted() {
-    double slots = slice;
-    double[] demands = demands();
-    for (PeerState last : heard.values()) {
-      slots += last.slice;
-      for (int i = 0; i < demands.length; i++) {
-        demands[i] += last.demands[i];
-      }
-    }
-    double level = waterLevel(slots, demands, weights);
-    double wanted = 0;
-    for (int i = 0; i < demands.length; i++) {
-      double kept = level * shares.get(i).weight;
-      wanted += shares.get(i).demand * (kept < demands[i] ? kept / demands[i] : 1);
-    }
-    return wanted;
-  }
-
-  // ---- Tenants: weighted water level inside the slice ----
-
-  private final List<TenantShare> shares = new ArrayList<>();
-  private final double[] weights;
-
-  private double[] demands() {
-    return shares.stream().mapToDouble(share -> share.demand).toArray();
-  }
-
-  /**
-   * The paper's Algorithm 2, weighted: the level at which these fill the slots; infinite while all
-   * fit.
-   */
-  static double waterLevel(double slots, double[] demands, double[] weights) {
-    double left = slots;
-    double weightLeft = Arrays.stream(weights).sum();
-    Integer[] byNeed = IntStream.range(0, demands.length).boxed().toArray(Integer[]::new);
-    Arrays.sort(byNeed, Comparator.comparingDouble(i -> demands[i] / weights[i]));
-    for (int least : byNeed) {
-      if (demands[least] * weightLeft > left * weights[least]) {
-        return Math.max(0, left) / weightLeft;
-      }
-      left -= demands[least];
-      weightLeft -= weights[least];
-    }
-    return Double.POSITIVE_INFINITY;
-  }
-
-  private boolean admit(Job job, double now) {
-    TenantShare share = shares.get(Math.min(job.tenant(), shares.size() - 1));
-    share.requested += job.slots();
-    if (Double.isInfinite(share.level)) {
-      return true;
-    }
-    double most = Math.max(job.slots(), share.level * BURST_S);
-    share.tokens = Math.min(most, share.tokens + share.level * (now - share.tokensAt) / 1000);
-    share.tokensAt = now;
-    double debt =
-        share.tokens < job.slots() && goesFirst(job.jobClass()) ? DEBT_S * share.level : 0;
-    if (share.tokens + debt < job.slots()) {
-      return false;
-    }
-    share.tokens -= job.slots();
-    return true;
-  }
-
-  /**
-   * Whether work moved here from the other classes adds more to the whole than the worst class
-   * loses.
-   */
-  private boolean goesFirst(int jobClass) {
-    double worth = 0;
-    double work = 0;
-    for (int i = 0; i < classWork.length; i++) {
-      worth += classWork[i] * settings.classes().get(i).worth();
-      work += classWork[i];
-    }
-    double gain = settings.classes().get(jobClass).worth() * work - worth;
-    return settings.goal().whole() * gain > settings.goal().worstClass() * worth;
-  }
-
   // ---- Pick: the ready worker of the kind that holds the fewest of our slots ----
 
   @Override
@@ -456,8 +323,8 @@
     double weight = Math.max(WORK_WEIGHT, 1.0 / ++jobs);
     meanWork += weight * (work - meanWork);
     meanSlots += weight * (job.slots() - meanSlots);
-    classWork[job.jobClass()] += work;
-    if (admit(job, now)) {
+    priorities.requestArrived(job.jobClass(), work);
+    if (quotas.admit(job, priorities, now)) {
       next(request, now);
     } else {
       answer(request, CYCLE);
@@ -938,8 +805,7 @@
    * out.
    */
   private void next(PendingRequest request, double now) {
-    TenantShare share = shares.get(Math.min(request.job.tenant(), shares.size() - 1));
-    boolean excess = share.demand > share.level && !request.attempts.isEmpty();
+    boolean excess = !request.attempts.isEmpty() && quotas.exceedsLevel(request.job.tenant());
     WorkerStats node = !excess && maySend(request, now) ? pick(request, now) : null;
     if (node != null && !hopeless(request, node, now)) {
       send(request, node, now);
@@ -1120,24 +986,15 @@
     }
   }
 
-  // ---- Peers ----
-
-  private void tellPeers() {
-    lastOver = wanted() - slice;
-    byte[] message = PeerMessage.write(cycle, slice, lastOver, demands());
-    for (int peer : peers) {
+  private void sendToPeers() {
+    byte[] message = diffusion.message(slice);
+    for (int peer : diffusion.peers()) {
       actions.tell(peer, message);
     }
   }
 
-  /** Takes a peer's message in; one that is not of our making is ignored. */
   @Override
   public void heard(double now, int from, byte[] message) {
-    PeerState peer =
-        Arrays.binarySearch(peers, from) < 0 ? null : PeerMessage.read(message, shares.size());
-    if (peer != null) {
-      peer.receivedInCycle = cycle;
-      heard.put(from, peer);
-    }
+    diffusion.receive(from, message);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
@@ -48,16 +48,13 @@
   void waterLevelMatchesHandComputedCases() {
     double[] equal = {1, 1, 1};
     assertEquals(
-        Double.POSITIVE_INFINITY,
-        ThrottlingDispatcher.waterLevel(10, new double[] {2, 3, 5}, equal));
-    assertEquals(4, ThrottlingDispatcher.waterLevel(10, new double[] {2, 9, 9}, equal), 1e-9);
+        Double.POSITIVE_INFINITY, TenantQuotas.waterLevel(10, new double[] {2, 3, 5}, equal));
+    assertEquals(4, TenantQuotas.waterLevel(10, new double[] {2, 9, 9}, equal), 1e-9);
+    assertEquals(10.0 / 3, TenantQuotas.waterLevel(10, new double[] {5, 9, 9}, equal), 1e-9);
     assertEquals(
-        10.0 / 3, ThrottlingDispatcher.waterLevel(10, new double[] {5, 9, 9}, equal), 1e-9);
-    assertEquals(
-        2, ThrottlingDispatcher.waterLevel(12, new double[] {100, 100}, new double[] {4, 2}), 1e-9);
-    assertEquals(
-        10, ThrottlingDispatcher.waterLevel(12, new double[] {100, 2}, new double[] {1, 1}), 1e-9);
-    assertEquals(0, ThrottlingDispatcher.waterLevel(0, new double[] {1}, new double[] {1}), 1e-9);
+        2, TenantQuotas.waterLevel(12, new double[] {100, 100}, new double[] {4, 2}), 1e-9);
+    assertEquals(10, TenantQuotas.waterLevel(12, new double[] {100, 2}, new double[] {1, 1}), 1e-9);
+    assertEquals(0, TenantQuotas.waterLevel(0, new double[] {1}, new double[] {1}), 1e-9);
   }
 
   @Test
--- /dev/null
+++ b/dispatch/src/test/java/ferngrade/dispatch/TenantQuotasTest.java
@@ -0,0 +1,71 @@
+package ferngrade.dispatch;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Levels by weight, token buckets, and the overdraft of classes that go first. */
+class TenantQuotasTest {
+  private static final ServiceObjective TOTAL_ONLY = new ServiceObjective(1, 0);
+
+  private static JobClass jobClass(double worth) {
+    return new JobClass(
+        "job", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, worth, 0, -1, 0);
+  }
+
+  private static Job job(int jobClass, int tenant) {
+    return new Job("r", jobClass, tenant, 5_000, 0, 1, 0, 0);
+  }
+
+  private static int admitted(TenantQuotas quotas, int tenant, int requests, double now) {
+    ClassPriorities equal = new ClassPriorities(List.of(jobClass(1)), TOTAL_ONLY);
+    int admitted = 0;
+    for (int i = 0; i < requests; i++) {
+      admitted += quotas.admit(job(0, tenant), equal, now) ? 1 : 0;
+    }
+    return admitted;
+  }
+
+  @Test
+  void scarceSlotsAreDividedByWeight() {
+    TenantQuotas quotas = new TenantQuotas(List.of(new Tenant("a", 3, 0), new Tenant("b", 1, 0)));
+    assertEquals(100, admitted(quotas, 0, 100, 0), "unlimited before the first division");
+    assertEquals(100, admitted(quotas, 1, 100, 0), "unlimited before the first division");
+    quotas.endCycle(1);
+    quotas.divide(80);
+    assertEquals(15, admitted(quotas, 0, 100, 10_000), "a quarter second of 60 a second");
+    assertEquals(5, admitted(quotas, 1, 100, 10_000), "a quarter second of 20 a second");
+    assertTrue(quotas.exceedsLevel(0));
+    assertEquals(80, quotas.demandWithin(80, quotas.demands()), 1e-9);
+  }
+
+  @Test
+  void theTokenBucketRefillsWithTime() {
+    TenantQuotas quotas = new TenantQuotas(List.of());
+    assertEquals(1, quotas.size(), "one tenant has all");
+    admitted(quotas, 0, 100, 0);
+    quotas.endCycle(1);
+    quotas.divide(40);
+    assertEquals(10, admitted(quotas, 0, 100, 10_000));
+    assertEquals(4, admitted(quotas, 0, 100, 10_100), "40 a second for 100 ms");
+  }
+
+  @Test
+  void aClassThatGoesFirstOverdrawsTheBucket() {
+    ClassPriorities priorities = new ClassPriorities(List.of(jobClass(1), jobClass(5)), TOTAL_ONLY);
+    priorities.requestArrived(0, 100);
+    priorities.requestArrived(1, 100);
+    assertFalse(priorities.goesFirst(0));
+    assertTrue(priorities.goesFirst(1));
+    TenantQuotas quotas = new TenantQuotas(List.of());
+    admitted(quotas, 0, 100, 0);
+    quotas.endCycle(1);
+    quotas.divide(40);
+    admitted(quotas, 0, 100, 10_000);
+    assertFalse(quotas.admit(job(0, 0), priorities, 10_000));
+    assertTrue(quotas.admit(job(1, 0), priorities, 10_000));
+  }
+}
