--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.DoubleConsumer;
 import java.util.stream.Stream;
 
 /**
@@ -170,14 +169,15 @@
 
   private static final long CYCLE_TOKEN = 1;
   private static final long WATCH_TOKEN = 2;
-  private static final long FIRST_JOB_TOKEN = 16;
 
   private final DispatcherSettings settings;
   private final Actions actions;
   private final SplittableRandom random;
   private final SlowStart slowStart;
   private final Map<Long, WorkerStats> nodes = new HashMap<>();
-  private final Map<String, PendingRequest> requests = new HashMap<>();
+  private final PendingRequests requests = new PendingRequests();
+  private final RetryPolicy retries;
+  private final DeferredChecks checks;
   private List<WorkerStats> local = new ArrayList<>();
   private List<WorkerStats> remote = new ArrayList<>();
   private final Map<Integer, ZoneStats> zones = new HashMap<>();
@@ -193,6 +193,8 @@
     this.slowStart = new SlowStart(settings.cold(), settings.me(), settings.dispatchers());
     this.classService = new double[settings.classes().size()];
     this.lastCycle = now;
+    this.retries = new RetryPolicy(settings.limits(), settings.roundMs());
+    this.checks = new DeferredChecks(actions);
     this.quotas = new TenantQuotas(settings.tenants());
     this.priorities = new ClassPriorities(settings.classes(), settings.goal());
     this.diffusion = new BudgetDiffusion(settings.me(), settings.dispatchers(), quotas);
@@ -318,7 +320,7 @@
       throw new IllegalArgumentException("Job.jobClass is out of range: " + job.jobClass());
     }
     PendingRequest request = new PendingRequest(job, settings.classes().get(job.jobClass()));
-    requests.put(job.id(), request);
+    requests.add(request);
     double work = norm(request) * job.slots();
     double weight = Math.max(WORK_WEIGHT, 1.0 / ++jobs);
     meanWork += weight * (work - meanWork);
@@ -332,7 +334,7 @@
   }
 
   private WorkerStats pick(PendingRequest request, double now) {
-    Attempt bound = binding(request);
+    Attempt bound = retries.groupAttempt(request);
     WorkerStats best = scan(request, bound, now, false);
     return best != null ? best : scan(request, bound, now, true);
   }
@@ -429,9 +431,7 @@
 
   // ---- Moves: a job that waits where others start at once ----
 
-  private final Map<Long, DoubleConsumer> watched = new HashMap<>();
   private double moves = MOVES_SAVED;
-  private long nextToken = FIRST_JOB_TOKEN;
 
   /** The time a job can wait and still be in time, if this worker runs it. */
   private double slack(PendingRequest request, WorkerStats node) {
@@ -450,20 +450,15 @@
       return;
     }
     Attempt attempt = request.attempts.get(request.attempts.size() - 1);
-    watch(lateAfter(request, node), now -> countLate(attempt));
+    checks.schedule(lateAfter(request, node), now -> countLate(attempt));
     boolean movable =
         request.jobClass.effect() != Idempotency.UNSAFE && settings.limits().secondCopies();
-    if (movable && request.attempts.size() < settings.limits().tries()) {
+    if (movable && retries.attemptsLeft(request)) {
       double least = 2 * settings.roundMs() + 2 * trip(node);
-      watch(Math.max(least, PATIENCE * slack(request, node)), now -> move(request, now));
+      checks.schedule(Math.max(least, PATIENCE * slack(request, node)), now -> move(request, now));
     }
   }
 
-  private void watch(double after, DoubleConsumer then) {
-    watched.put(nextToken, then);
-    actions.timer(after, nextToken++);
-  }
-
   /**
    * A job stuck in a queue is tried elsewhere too, the old place kept; without a budget that would
    * multiply the work where queues are deep.
@@ -480,8 +475,8 @@
       learnWait(
           newest.worker, Math.max(now - newest.sentAt, expectedWait(newest.worker, now)), now);
     }
-    boolean idle = moves >= 1 && maySend(request, now);
-    WorkerStats node = idle ? scan(request, binding(request), now, false) : null;
+    boolean idle = moves >= 1 && retries.maySend(request, now);
+    WorkerStats node = idle ? scan(request, retries.groupAttempt(request), now, false) : null;
     if (node == null) {
       return;
     }
@@ -542,11 +537,11 @@
 
   @Override
   public void started(double now, String id, int number) {
-    Attempt attempt = attempt(id, number);
+    Attempt attempt = requests.findAttempt(id, number);
     if (attempt == null || attempt.outcome != null) {
       return;
     }
-    PendingRequest request = requests.get(id);
+    PendingRequest request = requests.find(id);
     attempt.startedAt = now;
     keepOnly(request, number);
     WorkerStats node = attempt.worker;
@@ -622,19 +617,12 @@
 
   @Override
   public void progressed(double now, String id, int number, double share) {
-    Attempt attempt = attempt(id, number);
+    Attempt attempt = requests.findAttempt(id, number);
     if (attempt != null) {
       signOfLife(attempt.worker, now);
     }
   }
 
-  private Attempt attempt(String id, int number) {
-    PendingRequest request = requests.get(id);
-    return request == null || number >= request.attempts.size()
-        ? null
-        : request.attempts.get(number);
-  }
-
   private void learn(PendingRequest request, Attempt attempt, AttemptOutcome outcome, double now) {
     WorkerStats node = attempt.worker;
     switch (outcome) {
@@ -656,7 +644,7 @@
       case TIMEOUT -> {
         if (node.lastSignAt >= attempt.sentAt
             && Double.isNaN(attempt.startedAt)
-            && now < request.job.due() - settings.roundMs()) {
+            && !retries.deadlineReached(request, now)) {
           shun(node, request.job.jobClass(), now);
           return;
         }
@@ -737,66 +725,12 @@
         Stream.concat(local.stream(), remote.stream()).filter(n -> n.ejectedUntil > now).count();
   }
 
-  /** True if the attempt is out, or ended in a way that does not prove that the job never ran. */
-  private static boolean mayHaveRun(Attempt attempt) {
-    return attempt.outcome == null || !attempt.outcome.neverRan;
-  }
-
-  /** The first attempt that may have run; for a keyed request it names the group and the window. */
-  private static Attempt firstDoubtful(PendingRequest request) {
-    return request.attempts.stream()
-        .filter(ThrottlingDispatcher::mayHaveRun)
-        .findFirst()
-        .orElse(null);
-  }
-
-  /** Null if the request may go anywhere, else the attempt whose worker's group it must stay in. */
-  private static Attempt binding(PendingRequest request) {
-    boolean keyed =
-        request.jobClass.effect() == Idempotency.KEYED
-            && request.jobClass.scope() != IdempotencyScope.ALL;
-    return keyed ? firstDoubtful(request) : null;
-  }
-
-  private boolean maySend(PendingRequest request, double now) {
-    boolean spent = request.attempts.size() >= settings.limits().tries();
-    if (request.completed || spent || now >= request.job.due()) {
-      return false;
-    }
-    if (request.inFlight > 0 && !settings.limits().secondCopies()) {
-      return false;
-    }
-    Attempt doubtful = firstDoubtful(request);
-    if (doubtful == null) {
-      return true;
-    }
-    return switch (request.jobClass.effect()) {
-      case SAFE -> true;
-      case KEYED -> now < doubtful.sentAt + request.jobClass.window() - settings.roundMs();
-      case UNSAFE -> false;
-    };
-  }
-
-  private static boolean mayRefuse(PendingRequest request) {
-    Idempotency effect = request.jobClass.effect();
-    boolean anywhere =
-        effect == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
-    return effect == Idempotency.SAFE || anywhere || firstDoubtful(request) == null;
-  }
-
-  private static boolean sameGroup(Attempt bound, WorkerStats node, IdempotencyScope scope) {
-    Worker first = bound.worker.entry;
-    return scope == IdempotencyScope.ZONE
-        ? first.zone() == node.entry.zone()
-        : first.cell() == node.entry.cell();
-  }
-
   /** Rules that no wish for a better pick may bend: kind, key group, drain and cold start. */
   private boolean permitted(PendingRequest request, Attempt bound, WorkerStats node, double now) {
     int kind = request.jobClass.kind();
     return node.entry.state() == WorkerState.READY
         && (kind < 0 || kind == node.entry.kind())
-        && (bound == null || sameGroup(bound, node, request.jobClass.scope()))
+        && retries.sameGroup(bound, node, request.jobClass.scope())
         && coldAllows(request, node, now);
   }
 
@@ -806,7 +740,7 @@
    */
   private void next(PendingRequest request, double now) {
     boolean excess = !request.attempts.isEmpty() && quotas.exceedsLevel(request.job.tenant());
-    WorkerStats node = !excess && maySend(request, now) ? pick(request, now) : null;
+    WorkerStats node = !excess && retries.maySend(request, now) ? pick(request, now) : null;
     if (node != null && !hopeless(request, node, now)) {
       send(request, node, now);
     } else if (request.inFlight == 0) {
@@ -819,18 +753,12 @@
       return;
     }
     request.completed = true;
-    if (mayRefuse(request)) {
+    if (retries.mayReject(request)) {
       actions.refuse(request.job.id(), Math.min(retryAfter, settings.limits().retryAfterMax()));
     } else {
       actions.fail(request.job.id());
     }
-    forget(request);
-  }
-
-  private void forget(PendingRequest request) {
-    if (request.completed && request.inFlight == 0) {
-      requests.remove(request.job.id());
-    }
+    requests.removeIfDone(request);
   }
 
   @Override
@@ -842,11 +770,11 @@
       double took,
       boolean over,
       LoadReport report) {
-    Attempt attempt = attempt(id, number);
+    Attempt attempt = requests.findAttempt(id, number);
     if (attempt == null || attempt.outcome != null) {
       return;
     }
-    PendingRequest request = requests.get(id);
+    PendingRequest request = requests.find(id);
     attempt.outcome = outcome;
     request.inFlight--;
     attempt.worker.heldSlots -= request.job.slots();
@@ -856,15 +784,15 @@
     request.completed |= over;
     if (request.completed) {
       keepOnly(request, number);
-      forget(request);
-    } else if (outcome == AttemptOutcome.TIMEOUT && now >= request.job.due() - settings.roundMs()) {
+      requests.removeIfDone(request);
+    } else if (outcome == AttemptOutcome.TIMEOUT && retries.deadlineReached(request, now)) {
       answer(request, 0);
     } else if (request.inFlight == 0 && outcome == AttemptOutcome.UNUSABLE) {
       // Tried elsewhere, one bad request would bring as many workers under suspicion as it has
       // tries.
       request.completed = true;
       actions.fail(id);
-      forget(request);
+      requests.removeIfDone(request);
     } else if (request.inFlight == 0) {
       next(request, now);
     }
@@ -872,10 +800,10 @@
 
   @Override
   public void abandoned(double now, String id) {
-    PendingRequest request = requests.get(id);
+    PendingRequest request = requests.find(id);
     if (request != null) {
       request.completed = true;
-      forget(request);
+      requests.removeIfDone(request);
     }
   }
 
@@ -965,8 +893,8 @@
       cycle(now);
     } else if (token == WATCH_TOKEN) {
       actions.watch();
-    } else if (watched.containsKey(token)) {
-      watched.remove(token).accept(now);
+    } else {
+      checks.timerExpired(now, token);
     }
   }
 
