--- /dev/null
+++ b/dispatch/src/main/java/ferngrade/dispatch/FleetLoadMeter.java
@@ -0,0 +1,62 @@
+package ferngrade.dispatch;
+
+/** Measures the load of the reachable workers once in each budget cycle. Event thread only. */
+final class FleetLoadMeter {
+  /** Weight of the newest cycle in a worker's starts a second, which one dispatcher sees few of. */
+  private static final double START_WEIGHT = 0.15;
+
+  /** Cycles from its first start on before a dispatcher takes its own starts for its share. */
+  private static final int CYCLES_UNTIL_KNOWN = 6;
+
+  /** Jobs for each core beyond which a worker's load counts no more. */
+  private static final double MAX_LOAD = 2;
+
+  private final WorkerRegistry registry;
+  private final OutlierDetector outliers;
+  private final SlowStart slowStart;
+  private int cyclesWithTraffic;
+  private int warmWorkers;
+
+  FleetLoadMeter(WorkerRegistry registry, OutlierDetector outliers, SlowStart slowStart) {
+    this.registry = registry;
+    this.outliers = outliers;
+    this.slowStart = slowStart;
+  }
+
+  /** Ready workers that were not warming up at the last measurement. */
+  int warmWorkers() {
+    return warmWorkers;
+  }
+
+  /** Measures the budget cycle that ends now and lasted so many seconds. */
+  FleetLoad measure(double seconds, double now) {
+    double size = 0;
+    double busy = 0;
+    double queued = 0;
+    double rate = 0;
+    warmWorkers = 0;
+    for (WorkerStats worker : registry.all()) {
+      worker.startRate += START_WEIGHT * (worker.startedSlots / seconds - worker.startRate);
+      worker.startedSlots = 0;
+      boolean ready = worker.listed && worker.entry.state() == WorkerState.READY;
+      if (ready && outliers.reachable(worker, now)) {
+        double capacity = capacity(worker, now);
+        size += capacity;
+        busy += capacity * Math.min(1, worker.load);
+        queued += capacity * Math.max(0, Math.min(MAX_LOAD, worker.load) - 1);
+        rate += worker.startRate;
+      }
+      warmWorkers += ready && !slowStart.warmingUp(worker.entry, now) ? 1 : 0;
+    }
+    cyclesWithTraffic += cyclesWithTraffic > 0 || rate > 0 ? 1 : 0;
+    // The smoothed rates begin at 0, which the power takes out again.
+    double unbiased = rate / (1 - Math.pow(1 - START_WEIGHT, cyclesWithTraffic));
+    return new FleetLoad(size, busy, queued, unbiased, cyclesWithTraffic >= CYCLES_UNTIL_KNOWN);
+  }
+
+  /** The worker's cores, less while it is warming up. */
+  private double capacity(WorkerStats worker, double now) {
+    boolean warmingUp = slowStart.warmingUp(worker.entry, now);
+    return worker.group.size * (warmingUp ? slowStart.warmth(worker.entry, now) : 1);
+  }
+}
--- /dev/null
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
@@ -0,0 +1,61 @@
+package ferngrade.dispatch;
+
+/** Admits requests to workers that are warming up, within {@link SlowStart}'s budgets. */
+final class SlowStartGate {
+  /** The least that a job costs, in requests of mean work: hints of its work are rough. */
+  private static final double MIN_COST = 0.5;
+
+  private final SlowStart slowStart;
+  private final ServiceTimeEstimator serviceTimes;
+  private final SlotBudget budget;
+  private final FleetLoadMeter fleetLoad;
+  private final int dispatchers;
+
+  SlowStartGate(
+      SlowStart slowStart,
+      ServiceTimeEstimator serviceTimes,
+      SlotBudget budget,
+      FleetLoadMeter fleetLoad,
+      int dispatchers) {
+    this.slowStart = slowStart;
+    this.serviceTimes = serviceTimes;
+    this.budget = budget;
+    this.fleetLoad = fleetLoad;
+    this.dispatchers = dispatchers;
+  }
+
+  /** True unless the worker is warming up and its budget does not cover the request. */
+  boolean allows(PendingRequest request, WorkerStats worker, double now) {
+    return !slowStart.warmingUp(worker.entry, now)
+        || slowStart.allows(worker.entry, cost(request), warmCapacity(worker), now);
+  }
+
+  /** Counts a request that is sent to the worker. */
+  void attemptSent(PendingRequest request, WorkerStats worker, double now) {
+    slowStart.sent(worker.entry, cost(request), now);
+  }
+
+  /** What a request adds to the load of a worker, in requests of mean work. */
+  private double cost(PendingRequest request) {
+    double work = serviceTimes.work(request);
+    double meanWork = serviceTimes.meanWork();
+    return meanWork > 0 ? Math.max(MIN_COST, work / meanWork) : MIN_COST;
+  }
+
+  /**
+   * Requests of mean work a second that the worker carries when warm: by its listed size, else by
+   * what the warm workers accept from this dispatcher.
+   */
+  private double warmCapacity(WorkerStats worker) {
+    if (budget.followsLoads()) {
+      double meanWork = serviceTimes.meanWork();
+      return meanWork > 0 ? worker.group.size * 1000 / meanWork : 0;
+    }
+    int warmWorkers = fleetLoad.warmWorkers();
+    if (warmWorkers == 0 || serviceTimes.meanSlots() == 0) {
+      return 0;
+    }
+    double requests = budget.acceptedRate() / serviceTimes.meanSlots() * dispatchers;
+    return requests / warmWorkers / Math.max(1, worker.group.slowness);
+  }
+}
--- /dev/null
+++ b/dispatch/src/test/java/ferngrade/dispatch/OutlierDetectorTest.java
@@ -0,0 +1,66 @@
+package ferngrade.dispatch;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+
+/** Ejections, ejections of a class, and zones that have gone silent. */
+class OutlierDetectorTest {
+  private final WorkerRegistry registry = new WorkerRegistry(0, 2);
+  private final OutlierDetector outliers =
+      new OutlierDetector(registry, new ServiceTimeEstimator(2), new SplittableRandom(5));
+  private final WorkerStats worker;
+
+  OutlierDetectorTest() {
+    registry.update(
+        EndpointListUpdate.WHOLE,
+        List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0), Fixture.worker(3, 1, 0)));
+    worker = registry.local().get(0);
+  }
+
+  @Test
+  void ejectionsDoubleUntilAnAttemptSucceeds() {
+    outliers.eject(worker, 0);
+    assertEquals(1_000, worker.ejection);
+    assertFalse(outliers.accepts(worker, 0, 700));
+    assertTrue(outliers.accepts(worker, 0, 1_300));
+    outliers.eject(worker, 2_000);
+    assertEquals(2_000, worker.ejection);
+    outliers.attemptSucceeded(worker, 0);
+    outliers.eject(worker, 10_000);
+    assertEquals(1_000, worker.ejection);
+  }
+
+  @Test
+  void onlyAPartOfTheFleetIsEjected() {
+    registry.ready().forEach(each -> outliers.eject(each, 0));
+    assertEquals(2, outliers.ejectedCount(1), "no more once 0.4 of three are ejected");
+  }
+
+  @Test
+  void aClassEjectionLeavesTheOtherClasses() {
+    outliers.ejectClass(worker, 0, 0);
+    assertFalse(outliers.accepts(worker, 0, 7_999));
+    assertTrue(outliers.accepts(worker, 1, 0));
+    outliers.attemptStarted(worker, 0);
+    assertTrue(outliers.accepts(worker, 0, 0));
+  }
+
+  @Test
+  void aSilentZoneIsProbedByOneAttemptAtATime() {
+    WorkerStats remote = registry.remote().get(0);
+    for (int i = 0; i < 4; i++) {
+      outliers.attemptSent(remote, 0, i);
+    }
+    assertTrue(outliers.reachable(remote, 200), "100 ms and a mean service time");
+    assertFalse(outliers.reachable(remote, 201));
+    assertFalse(outliers.accepts(remote, 0, 202));
+    assertTrue(outliers.accepts(remote, 0, 203), "a probe");
+    outliers.signOfLife(remote, 204);
+    assertTrue(outliers.reachable(remote, 205));
+  }
+}
