--- a/node/src/main/java/ferngrade/cli/Serve.java
+++ b/node/src/main/java/ferngrade/cli/Serve.java
@@ -2,9 +2,9 @@
 
 import ferngrade.config.ConfigException;
 import ferngrade.config.NodeConfig;
-import ferngrade.net.NodeServer;
 import ferngrade.node.Clock;
 import ferngrade.node.RateLimitedLog;
+import ferngrade.server.NodeServer;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
--- a/node/src/main/java/ferngrade/cli/SocketHandover.java
+++ b/node/src/main/java/ferngrade/cli/SocketHandover.java
@@ -1,7 +1,7 @@
 package ferngrade.cli;
 
 import ferngrade.config.ConfigException;
-import ferngrade.net.NodeServer;
+import ferngrade.server.NodeServer;
 import java.io.IOException;
 import java.nio.channels.Channel;
 import java.nio.channels.ServerSocketChannel;
--- a/node/src/main/java/ferngrade/net/Discovery.java
+++ b/node/src/main/java/ferngrade/discovery/Discovery.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
  * still come there. From then on only the new address counts, whatever its revisions are: they may
  * start elsewhere.
  */
-final class Discovery {
+public final class Discovery {
   private final BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener;
   private final List<DiscoveryWatch> earlier = new ArrayList<>();
   private DiscoveryWatch current;
@@ -20,12 +20,12 @@
    * Makes watches by {@code opener}, from an address and what to run when it has told its first
    * list.
    */
-  Discovery(BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener) {
+  public Discovery(BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener) {
     this.opener = opener;
   }
 
   /** Watches this address from here on. */
-  void watch(InetSocketAddress address) {
+  public void watch(InetSocketAddress address) {
     if (current != null && current.address().equals(address)) {
       return;
     }
@@ -41,7 +41,7 @@
   /**
    * Reads at once what the sources of the list have told and the event loop has not come to read.
    */
-  void readPending() {
+  public void readPending() {
     // A list that is read may end the earlier watches.
     new ArrayList<>(earlier).forEach(DiscoveryWatch::readPending);
     if (current != null) {
--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -1,14 +1,18 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.ParseException;
 import ferngrade.config.EndpointListParser;
 import ferngrade.config.EndpointListParser.MemberList;
 import ferngrade.dispatch.EndpointListUpdate;
-import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
+import ferngrade.transport.ChannelProvider;
+import ferngrade.transport.ChannelProvider.Purpose;
+import ferngrade.transport.Dialer;
+import ferngrade.transport.FaultOrigin;
+import ferngrade.transport.PendingReads;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -41,7 +45,7 @@
  * with the pauses between: 2.5 + 0.1 + 1 + 0.2 + 1 + 0.4 s where discovery is asked, less where it
  * pushes.
  */
-final class DiscoveryWatch {
+public final class DiscoveryWatch {
   /**
    * An empty line comes every 2 s; a missing one means that the connection is dead. What discovery
    * had to tell meanwhile counts as told a few seconds later all the same: waiting for more would
@@ -67,9 +71,9 @@
    * the 250 ms of the drain rule would send jobs to workers that drain. Where discovery is asked,
    * each call has its price, and counts once it is answered.
    */
-  static final double PUSHED_MOST = 100;
+  public static final double PUSHED_MOST = 100;
 
-  static final double ASKED_MOST = 500;
+  public static final double ASKED_MOST = 500;
   private static final int CONNECT_TIMEOUT = 1000;
 
   /**
@@ -108,7 +112,7 @@
    * A watch that pauses for {@code retryMost} ms at most between tries, and calls {@code
    * whenListed} once its address has told a whole list for the first time.
    */
-  DiscoveryWatch(
+  public DiscoveryWatch(
       EventLoopGroup group,
       InetSocketAddress discovery,
       EndpointListParser reader,
--- a/node/src/main/java/ferngrade/net/JsonObjectFramer.java
+++ b/node/src/main/java/ferngrade/discovery/JsonObjectFramer.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 /**
  * Puts JSON objects together from the lines of an answer: one a line, or indented over several. A
--- a/node/src/main/java/ferngrade/net/AcceptSwitch.java
+++ b/node/src/main/java/ferngrade/http/AcceptSwitch.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.node.Timers;
 import io.netty.channel.Channel;
--- a/node/src/main/java/ferngrade/net/Admin.java
+++ b/node/src/main/java/ferngrade/http/Admin.java
@@ -1,14 +1,15 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.config.EndpointListParser;
 import ferngrade.config.MaintenanceCodec;
-import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.AtomicFile;
 import ferngrade.node.NodeMetrics;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
 import ferngrade.node.WorkerCallback;
+import ferngrade.transport.ChannelProvider;
+import ferngrade.transport.ChannelProvider.Purpose;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -31,7 +32,7 @@
  * has {@link #PATIENCE} to bring its whole call, and at most {@code most} callers are held at a
  * time, the oldest giving way, so that silent ones cost nobody else.
  */
-final class Admin {
+public final class Admin {
   /** How long a caller may take to bring a whole call, ms; callers wait 1 s for the answer. */
   static final double PATIENCE = 1000;
 
@@ -39,7 +40,7 @@
    * How long a change of maintenance waits to be stored before its caller hears that it is not yet,
    * ms. A caller waits 1 s, and the node may be held up for 150 ms in between.
    */
-  static final double STORE_TIMEOUT = 700;
+  public static final double STORE_TIMEOUT = 700;
 
   /** The largest call, in bytes: calls carry no bodies worth the name. */
   static final int MOST_CALL = 4096;
@@ -61,7 +62,7 @@
    * What the operators' calls act on; {@code state} is null where nothing is to outlive the
    * process.
    */
-  record Parts(
+  public record Parts(
       RequestCoordinator node,
       HttpFrontend front,
       UpgradePeer sibling,
@@ -70,7 +71,7 @@
       IntSupplier reloadsOk,
       IntSupplier reloadsFailed) {}
 
-  Admin(Parts parts, Executor loop, Timers timers, RateLimitedLog log, int most) {
+  public Admin(Parts parts, Executor loop, Timers timers, RateLimitedLog log, int most) {
     this.node = parts.node();
     this.front = parts.front();
     this.sibling = parts.sibling();
@@ -85,7 +86,8 @@
   }
 
   /** Begins to listen at {@code address}. */
-  ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, ChannelProvider channels) {
+  public ChannelFuture listen(
+      EventLoopGroup group, InetSocketAddress address, ChannelProvider channels) {
     return new ServerBootstrap()
         .group(group)
         .channelFactory(() -> channels.listener(Purpose.ADMIN, null))
--- a/node/src/main/java/ferngrade/net/AdminHandler.java
+++ b/node/src/main/java/ferngrade/http/AdminHandler.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFutureListener;
--- a/node/src/main/java/ferngrade/net/ArrivalClock.java
+++ b/node/src/main/java/ferngrade/http/ArrivalClock.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.node.Clock;
 import io.netty.channel.SelectStrategy;
@@ -11,7 +11,7 @@
  * work: what one turn reads has come after the turn before had looked. Belongs to the event loop,
  * whose turns it sees begin.
  */
-final class ArrivalClock implements SelectStrategyFactory, SelectStrategy {
+public final class ArrivalClock implements SelectStrategyFactory, SelectStrategy {
   private final Clock clock;
   private long turn;
 
@@ -27,7 +27,7 @@
 
   private double began = Double.NaN;
 
-  ArrivalClock(Clock clock) {
+  public ArrivalClock(Clock clock) {
     this.clock = clock;
     this.looked = clock.now();
     this.lookedBefore = looked;
@@ -51,7 +51,7 @@
   }
 
   /** The loop does something in this turn; the first call tells when its wait was over. */
-  void working() {
+  public void working() {
     if (Double.isNaN(began)) {
       began = clock.now();
     }
@@ -63,7 +63,7 @@
   }
 
   /** The earliest time at which what this turn reads may have come, ms on the clock. */
-  double since() {
+  public double since() {
     working();
     return waited ? began : lookedBefore;
   }
--- a/node/src/main/java/ferngrade/net/BadRequestException.java
+++ b/node/src/main/java/ferngrade/http/BadRequestException.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 /** A request that cannot be used; the message tells its sender why. */
 final class BadRequestException extends Exception {
--- a/node/src/main/java/ferngrade/net/BodyAggregator.java
+++ b/node/src/main/java/ferngrade/http/BodyAggregator.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelPipeline;
--- a/node/src/main/java/ferngrade/net/ClientConnectionHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
@@ -1,10 +1,11 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.dispatch.Job;
 import ferngrade.node.Clock;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.RequestCoordinator;
 import ferngrade.node.ResponseHandler;
+import ferngrade.transport.PendingReads;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
--- a/node/src/main/java/ferngrade/net/ConnectionLimits.java
+++ b/node/src/main/java/ferngrade/http/ConnectionLimits.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 /**
  * How many connections of which sort there may be, all from the limits that the configuration
@@ -7,7 +7,7 @@
  * {@code workers}: those opened to workers. {@code waiting}: bytes of bodies that may wait behind
  * requests in work.
  */
-record ConnectionLimits(int front, int jobs, int owing, int workers, long waiting) {
+public record ConnectionLimits(int front, int jobs, int owing, int workers, long waiting) {
   /**
    * Descriptors of the runtime itself, the listeners, discovery (two while it moves) and the peers.
    */
@@ -35,7 +35,7 @@
   private static final double OWING = 0.25;
 
   /** The bounds within so many descriptors and so much memory. */
-  static ConnectionLimits within(int sockets, int memoryMb) {
+  public static ConnectionLimits within(int sockets, int memoryMb) {
     int usable = (int) (sockets * (1 - SPARE)) - OWN;
     int workers = (int) (WORKERS * usable);
     int front = usable - workers;
--- a/node/src/main/java/ferngrade/net/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.node.Clock;
 import ferngrade.node.Timers;
@@ -16,7 +16,7 @@
  * than they are said to: when one has ended a connection of its own accord, its next ones are kept
  * for half as long as that one lasted.
  */
-final class ConnectionPool {
+public final class ConnectionPool {
   /** Share of the workers' idle limit after which a connection is ended. */
   private static final double RETIRE = 0.5;
 
@@ -48,7 +48,7 @@
   /** How long a worker's idle connections were found to last, and when. */
   private record Learned(double limit, double at) {}
 
-  ConnectionPool(Clock clock, Timers timers, double idleLimit, int most) {
+  public ConnectionPool(Clock clock, Timers timers, double idleLimit, int most) {
     this.clock = clock;
     this.timers = timers;
     this.mostIdleMs = RETIRE * idleLimit;
--- a/node/src/main/java/ferngrade/net/Headers.java
+++ b/node/src/main/java/ferngrade/http/Headers.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 /** The names of the headers that clients and workers use beside those of HTTP. */
 final class Headers {
--- a/node/src/main/java/ferngrade/net/HttpFrontend.java
+++ b/node/src/main/java/ferngrade/http/HttpFrontend.java
@@ -1,11 +1,12 @@
-package ferngrade.net;
+package ferngrade.http;
 
-import ferngrade.net.AcceptSwitch.Reason;
-import ferngrade.net.ChannelProvider.Purpose;
+import ferngrade.http.AcceptSwitch.Reason;
 import ferngrade.node.Clock;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
+import ferngrade.transport.ChannelProvider;
+import ferngrade.transport.ChannelProvider.Purpose;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -31,7 +32,7 @@
  * brought a job or a call-back may stand idle for as long as there is room: a client that finds it
  * closed has lost its request.
  */
-final class HttpFrontend {
+public final class HttpFrontend {
   /** The largest body, in bytes. */
   static final int MOST_BODY = 64 << 10;
 
@@ -105,7 +106,7 @@
     ENDED
   }
 
-  HttpFrontend(
+  public HttpFrontend(
       ConnectionLimits bounds,
       Clock clock,
       ArrivalClock arrivals,
@@ -125,7 +126,7 @@
    * Begins to listen: on {@code taken}, a listening socket that this process was handed, or else on
    * a socket of its own at {@code address}.
    */
-  ChannelFuture listen(
+  public ChannelFuture listen(
       EventLoopGroup group,
       InetSocketAddress address,
       ServerSocketChannel taken,
@@ -185,7 +186,7 @@
     };
   }
 
-  InetSocketAddress address() {
+  public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
@@ -216,7 +217,7 @@
    * handed over, the next process has said yes and the platform holds the socket, so this one takes
    * none.
    */
-  ShutdownBudget drain(ShutdownBudget shutdown) {
+  public ShutdownBudget drain(ShutdownBudget shutdown) {
     if (stage == Stage.SERVING) {
       stage = Stage.DRAINING;
       budget = shutdown;
@@ -247,7 +248,7 @@
    * clients have read theirs. Till the last answer it listens: the workers' call-backs, which those
    * answers wait for, come on connections of their own.
    */
-  void finish(Runnable done) {
+  public void finish(Runnable done) {
     if (stage.compareTo(Stage.FINISHING) < 0) {
       stage = Stage.FINISHING;
       whenDone = done;
--- a/node/src/main/java/ferngrade/net/LoadReportParser.java
+++ b/node/src/main/java/ferngrade/http/LoadReportParser.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.dispatch.LoadReport;
 
--- a/node/src/main/java/ferngrade/net/PipelinedRequests.java
+++ b/node/src/main/java/ferngrade/http/PipelinedRequests.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.util.ReferenceCountUtil;
--- a/node/src/main/java/ferngrade/net/RequestDecoder.java
+++ b/node/src/main/java/ferngrade/http/RequestDecoder.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/node/src/main/java/ferngrade/net/RequestReader.java
+++ b/node/src/main/java/ferngrade/http/RequestReader.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.dispatch.DispatcherSettings;
 import ferngrade.dispatch.Idempotency;
@@ -19,7 +19,7 @@
 import java.util.regex.Pattern;
 
 /** Reads clients' requests: whether one is a job that a worker can use, and what job it is. */
-final class RequestReader {
+public final class RequestReader {
   /** Longest id that is taken; it also stands in the path of a DELETE. */
   private static final int LONGEST_ID = 128;
 
@@ -52,7 +52,7 @@
   private final Map<String, Integer> classes;
   private final Map<String, Integer> tenants;
 
-  RequestReader(DispatcherSettings settings) {
+  public RequestReader(DispatcherSettings settings) {
     this.settings = settings;
     this.classes = positions(settings.classes().stream().map(JobClass::name).toList());
     this.tenants = positions(settings.tenants().stream().map(Tenant::name).toList());
--- a/node/src/main/java/ferngrade/net/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.dispatch.DispatcherSettings;
 import ferngrade.dispatch.Job;
@@ -17,7 +17,8 @@
  *     either way
  * @param end when the process ends, whatever its clients still do
  */
-record ShutdownBudget(double acceptUntil, double answersBy, double unfinishedUntil, double end) {
+public record ShutdownBudget(
+    double acceptUntil, double answersBy, double unfinishedUntil, double end) {
   /** The platform kills no sooner than the longest deadline and this much after the signal, ms. */
   private static final double KILL_AFTER_DEADLINE = 700;
 
@@ -55,7 +56,7 @@
    * The budget of a shutdown that was asked for at {@code signalled}, ms, in a deployment with
    * these settings.
    */
-  static ShutdownBudget of(double signalled, DispatcherSettings settings) {
+  public static ShutdownBudget of(double signalled, DispatcherSettings settings) {
     double deadline = settings.classes().stream().mapToDouble(JobClass::deadline).max().orElse(0);
     double kill = signalled + Math.min(LONGEST_DEADLINE, deadline) + KILL_AFTER_DEADLINE;
     double end = kill - HELD_UP - WRITING;
--- a/node/src/main/java/ferngrade/net/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -1,8 +1,11 @@
-package ferngrade.net;
+package ferngrade.http;
 
-import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.Timers;
+import ferngrade.transport.ChannelProvider;
+import ferngrade.transport.ChannelProvider.Purpose;
+import ferngrade.transport.Dialer;
+import ferngrade.transport.FaultOrigin;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
@@ -30,7 +33,7 @@
  * call-back is handed to the other process at its operators' address. Each learns of the other: the
  * later one reads the earlier one's address from the shared folder and tells it its own.
  */
-final class UpgradePeer {
+public final class UpgradePeer {
   /** How long a hand-over may take, ms: the worker waits for its answer meanwhile. */
   private static final double PATIENCE = 500;
 
@@ -48,7 +51,7 @@
   private final ChannelProvider channels;
   private InetSocketAddress address;
 
-  UpgradePeer(
+  public UpgradePeer(
       EventLoopGroup group,
       Timers timers,
       RateLimitedLog log,
@@ -67,7 +70,7 @@
   }
 
   /** The other process has said where it is. */
-  void at(InetSocketAddress other) {
+  public void at(InetSocketAddress other) {
     if (!other.equals(address)) {
       log.line("another process of this node is at " + other);
     }
@@ -75,7 +78,7 @@
   }
 
   /** Tells the other process where this one takes calls. */
-  void announce(InetSocketAddress own) {
+  public void announce(InetSocketAddress own) {
     if (address != null) {
       call(
           "/-/sibling", own.getHostString() + ":" + own.getPort(), ANNOUNCE_PATIENCE, status -> {});
--- a/node/src/main/java/ferngrade/net/WorkerCallbackParser.java
+++ b/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
--- a/node/src/main/java/ferngrade/net/WorkerClient.java
+++ b/node/src/main/java/ferngrade/http/WorkerClient.java
@@ -1,13 +1,16 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.LoadReport;
-import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Clock;
 import ferngrade.node.JobRequest;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.Timers;
 import ferngrade.node.WorkerTransport;
+import ferngrade.transport.ChannelProvider;
+import ferngrade.transport.ChannelProvider.Purpose;
+import ferngrade.transport.Dialer;
+import ferngrade.transport.FaultOrigin;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
@@ -24,7 +27,7 @@
 import java.util.function.BiConsumer;
 
 /** Carries attempts, their cancellations and health checks to workers over pooled connections. */
-final class WorkerClient implements WorkerTransport {
+public final class WorkerClient implements WorkerTransport {
   /** How long a health check may take, ms. */
   private static final double CHECK_PATIENCE = 300;
 
@@ -38,7 +41,7 @@
   private final Dialer dialer;
   private Runnable beforeAttempt = () -> {};
 
-  WorkerClient(
+  public WorkerClient(
       EventLoopGroup group,
       Clock clock,
       Timers timers,
@@ -66,7 +69,7 @@
   }
 
   /** Sets what runs right before it is asked whether an attempt may start, on the event loop. */
-  void beforeAttempt(Runnable task) {
+  public void beforeAttempt(Runnable task) {
     beforeAttempt = task;
   }
 
--- a/node/src/main/java/ferngrade/net/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/http/WorkerConnection.java
@@ -1,6 +1,7 @@
-package ferngrade.net;
+package ferngrade.http;
 
-import ferngrade.net.WorkerClient.HttpExchange;
+import ferngrade.http.WorkerClient.HttpExchange;
+import ferngrade.transport.FaultOrigin;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandler;
 import io.netty.channel.ChannelInboundHandlerAdapter;
--- a/node/src/main/java/ferngrade/net/WorkerDeadline.java
+++ b/node/src/main/java/ferngrade/http/WorkerDeadline.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 /**
  * The time that a worker is told to have for a job. Its client may have a little less than the node
--- a/node/src/main/java/ferngrade/net/UdpPeers.java
+++ b/node/src/main/java/ferngrade/peer/UdpPeers.java
@@ -1,7 +1,8 @@
-package ferngrade.net;
+package ferngrade.peer;
 
 import ferngrade.node.PeerTransport;
 import ferngrade.node.RateLimitedLog;
+import ferngrade.transport.ChannelProvider;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -19,7 +20,7 @@
 import java.util.function.BiConsumer;
 
 /** Messages between nodes, one datagram each. */
-final class UdpPeers implements PeerTransport {
+public final class UdpPeers implements PeerTransport {
   /** The longest datagram that the tier permits. */
   private static final int LONGEST = 256;
 
@@ -30,7 +31,7 @@
   private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
   private Channel channel;
 
-  UdpPeers(
+  public UdpPeers(
       List<InetSocketAddress> addresses,
       InetSocketAddress all,
       RateLimitedLog log,
@@ -45,7 +46,7 @@
   }
 
   /** Listens; what a known peer sends goes to {@code hearer} with the peer's number. */
-  ChannelFuture listen(
+  public ChannelFuture listen(
       EventLoopGroup group, InetSocketAddress address, BiConsumer<Integer, byte[]> hearer) {
     // Shared for a while with the next process of this node, which an upgrade starts beside this
     // one: both send
--- a/node/src/main/java/ferngrade/net/ChannelProvider.java
+++ b/node/src/main/java/ferngrade/transport/ChannelProvider.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ServerChannel;
@@ -11,7 +11,7 @@
  * Opens the channels of a node. The defaults open ordinary sockets; tests pass channels whose
  * system calls fail.
  */
-interface ChannelProvider {
+public interface ChannelProvider {
   /** Ordinary sockets. */
   ChannelProvider SOCKETS = new ChannelProvider() {};
 
--- a/node/src/main/java/ferngrade/net/Dialer.java
+++ b/node/src/main/java/ferngrade/transport/Dialer.java
@@ -1,7 +1,7 @@
-package ferngrade.net;
+package ferngrade.transport;
 
-import ferngrade.net.ChannelProvider.Purpose;
 import ferngrade.node.Timers;
+import ferngrade.transport.ChannelProvider.Purpose;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -17,16 +17,16 @@
  * patience lasts. Its listener hears of it on the loop only; Netty tells of a socket that could not
  * be opened on a thread of its own.
  */
-final class Dialer {
+public final class Dialer {
   /** The pause before a dial that this machine failed is made again, ms. */
-  static final double BACKOFF = 20;
+  public static final double BACKOFF = 20;
 
   private final EventLoop loop;
   private final Timers timers;
   private final Bootstrap bootstrap;
 
   /** Hears of one dial: either of its connection or of its failure, once. */
-  interface Listener {
+  public interface Listener {
     /** Asked before another try: false if nobody needs the connection any more. */
     boolean wanted();
 
@@ -47,7 +47,7 @@
    * Dials by channels of this provider, each try for {@code timeout} ms, with {@code handler} in
    * their pipelines.
    */
-  Dialer(
+  public Dialer(
       EventLoopGroup group,
       Timers timers,
       ChannelProvider channels,
@@ -66,7 +66,7 @@
   }
 
   /** Dials; where this machine fails it, tries again for about {@code patience} ms. */
-  void dial(InetSocketAddress peer, double patience, Listener listener) {
+  public void dial(InetSocketAddress peer, double patience, Listener listener) {
     new Dial(peer, (int) (patience / BACKOFF), listener).attempt();
   }
 
--- a/node/src/main/java/ferngrade/net/FaultOrigin.java
+++ b/node/src/main/java/ferngrade/transport/FaultOrigin.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.transport;
 
 import java.io.IOException;
 import java.net.BindException;
@@ -11,7 +11,7 @@
  * Whose fault an error of the operating system is. The runtime reports most of them by their text
  * alone; this is the one place that reads it.
  */
-enum FaultOrigin {
+public enum FaultOrigin {
   /**
    * This machine lacks something: a descriptor, memory, a port, a route. It says nothing of the
    * peer.
@@ -34,7 +34,7 @@
           "Resource temporarily unavailable");
 
   /** Sorts an error, which may be wrapped in others. */
-  static FaultOrigin of(Throwable error) {
+  public static FaultOrigin of(Throwable error) {
     for (Throwable each = error; each != null; each = each.getCause()) {
       if (each instanceof BindException || lacks(each)) {
         return LOCAL;
@@ -52,7 +52,7 @@
    * True if a lack of this machine may be over in a moment; an address in use, or not permitted, is
    * no such lack.
    */
-  static boolean isPassingLack(Throwable error) {
+  public static boolean isPassingLack(Throwable error) {
     for (Throwable each = error; each != null; each = each.getCause()) {
       if (lacks(each)) {
         return true;
--- a/node/src/main/java/ferngrade/net/PendingReads.java
+++ b/node/src/main/java/ferngrade/transport/PendingReads.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.transport;
 
 import io.netty.channel.nio.AbstractNioChannel;
 import java.util.function.LongSupplier;
@@ -8,7 +8,7 @@
  * when it selects; between two selects it may be held up, by its own work or by the machine, for
  * longer than a close may go unnoticed.
  */
-final class PendingReads {
+public final class PendingReads {
   /** Bytes read in one go at most: more than the system holds for one connection by default. */
   private static final int MAX_BYTES = 8 << 20;
 
@@ -17,7 +17,7 @@
   /**
    * Reads some of what waits on the connection, if that is open, on the thread of its event loop.
    */
-  static void read(AbstractNioChannel connection) {
+  public static void read(AbstractNioChannel connection) {
     if (connection.isActive()) {
       connection.unsafe().read();
     }
@@ -29,7 +29,7 @@
    * @param bytesRead the count of bytes that the pipeline has been passed so far
    * @return false if the peer has closed the connection
    */
-  static boolean openAfterReading(AbstractNioChannel connection, LongSupplier bytesRead) {
+  public static boolean openAfterReading(AbstractNioChannel connection, LongSupplier bytesRead) {
     long limit = bytesRead.getAsLong() + MAX_BYTES;
     long before;
     do {
--- a/node/src/test/java/ferngrade/ArchitectureTest.java
+++ b/node/src/test/java/ferngrade/ArchitectureTest.java
@@ -6,6 +6,8 @@
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import java.util.List;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /** What the boundary of a module cannot hold. */
@@ -15,6 +17,10 @@
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("ferngrade");
 
+  /** The packages of one protocol each, which only the composition root puts together. */
+  private static final List<String> PROTOCOLS =
+      List.of("ferngrade.http..", "ferngrade.discovery..", "ferngrade.peer..");
+
   @Test
   void decisionsReadNoClockAndTouchNoSocketFileOrThread() {
     noClasses()
@@ -51,13 +57,34 @@
         .resideInAnyPackage(
             "io.netty..",
             "com.eclipsesource..",
-            "ferngrade.net..",
+            "ferngrade.transport..",
+            "ferngrade.peer..",
+            "ferngrade.discovery..",
+            "ferngrade.http..",
+            "ferngrade.server..",
             "ferngrade.config..",
-            "ferngrade.wire..",
+            "ferngrade.simulator..",
             "ferngrade.cli..")
         .check(CLASSES);
   }
 
+  @Test
+  void protocolsKnowNeitherEachOtherNorTheirComposition() {
+    for (String protocol : PROTOCOLS) {
+      noClasses()
+          .that()
+          .resideInAPackage(protocol)
+          .should()
+          .dependOnClassesThat()
+          .resideInAnyPackage(
+              Stream.concat(
+                      PROTOCOLS.stream().filter(each -> !each.equals(protocol)),
+                      Stream.of("ferngrade.server..", "ferngrade.cli.."))
+                  .toArray(String[]::new))
+          .check(CLASSES);
+    }
+  }
+
   @Test
   void packagesFormNoCircle() {
     slices().matching("ferngrade.(*)..").should().beFreeOfCycles().check(CLASSES);
--- a/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -10,9 +10,11 @@
 import ferngrade.config.SettingsMapping;
 import ferngrade.dispatch.EndpointListUpdate;
 import ferngrade.dispatch.ThrottlingDispatcher;
+import ferngrade.http.RawHttp;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
+import ferngrade.transport.ChannelProvider;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/node/src/test/java/ferngrade/net/AcceptSwitchTest.java
+++ b/node/src/test/java/ferngrade/http/AcceptSwitchTest.java
@@ -1,10 +1,10 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import ferngrade.net.AcceptSwitch.Reason;
+import ferngrade.http.AcceptSwitch.Reason;
 import ferngrade.node.Timers;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.io.IOException;
--- a/node/src/test/java/ferngrade/net/RawBytes.java
+++ b/node/src/test/java/ferngrade/http/RawBytes.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -12,7 +12,7 @@
  * HTTP messages as they come, byte by byte, with the ports that differ from run to run replaced by
  * a word.
  */
-final class RawBytes {
+public final class RawBytes {
   private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)\r\n");
   private static final Pattern PORT = Pattern.compile("127\\.0\\.0\\.1:\\d+|localhost:\\d+");
   private static final int TIMEOUT_MS = 10_000;
@@ -20,7 +20,7 @@
   private RawBytes() {}
 
   /** The next message of a connection, of which nothing has been read ahead. */
-  static String read(Socket socket) throws IOException {
+  public static String read(Socket socket) throws IOException {
     socket.setSoTimeout(TIMEOUT_MS);
     InputStream in = socket.getInputStream();
     ByteArrayOutputStream head = new ByteArrayOutputStream();
@@ -42,7 +42,7 @@
   }
 
   /** Writes a text as it is. */
-  static void write(Socket socket, String text) throws IOException {
+  public static void write(Socket socket, String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 }
--- a/node/src/test/java/ferngrade/net/RawHttp.java
+++ b/node/src/test/java/ferngrade/http/RawHttp.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -13,34 +13,34 @@
  * One end of a connection that speaks byte by byte what a story tells it to; reads give up after 10
  * s.
  */
-final class RawHttp implements AutoCloseable {
+public final class RawHttp implements AutoCloseable {
   private final Socket socket;
   private final InputStream in;
 
   /** A message as it came: its first line, its headers and its body. */
-  record Message(String start, Map<String, String> headers, String body) {
-    int status() {
+  public record Message(String start, Map<String, String> headers, String body) {
+    public int status() {
       return Integer.parseInt(start.split(" ", 3)[1]);
     }
   }
 
-  RawHttp(Socket socket) throws IOException {
+  public RawHttp(Socket socket) throws IOException {
     this.socket = socket;
     socket.setSoTimeout(10_000);
     in = new BufferedInputStream(socket.getInputStream());
   }
 
-  static RawHttp to(InetSocketAddress address) throws IOException {
+  public static RawHttp to(InetSocketAddress address) throws IOException {
     return new RawHttp(new Socket(address.getAddress(), address.getPort()));
   }
 
-  RawHttp write(String text) throws IOException {
+  public RawHttp write(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     return this;
   }
 
   /** The next message; null at the end of the connection. */
-  Message read() throws IOException {
+  public Message read() throws IOException {
     String start = line();
     if (start == null) {
       return null;
@@ -66,12 +66,12 @@
   }
 
   /** A message with a body and its length. */
-  static String message(String head, String body) {
+  public static String message(String head, String body) {
     return head + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
   /** Ends this side. */
-  void end() throws IOException {
+  public void end() throws IOException {
     socket.close();
   }
 
--- a/node/src/test/java/ferngrade/net/RequestReaderTest.java
+++ b/node/src/test/java/ferngrade/http/RequestReaderTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
--- a/node/src/test/java/ferngrade/net/ShutdownBudgetTest.java
+++ b/node/src/test/java/ferngrade/http/ShutdownBudgetTest.java
@@ -1,10 +1,11 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
 import ferngrade.config.NodeConfig;
+import ferngrade.server.NodeIntegrationFixture;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -6,13 +6,16 @@
 
 import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.LoadReport;
-import ferngrade.net.ChannelProvider.Purpose;
-import ferngrade.net.FaultInjectingChannels.SystemCall;
-import ferngrade.net.RawHttp.Message;
+import ferngrade.http.RawHttp.Message;
 import ferngrade.node.JobRequest;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.Timers;
 import ferngrade.node.WorkerTransport;
+import ferngrade.transport.ChannelProvider.Purpose;
+import ferngrade.transport.Dialer;
+import ferngrade.transport.Errno;
+import ferngrade.transport.FaultInjectingChannels;
+import ferngrade.transport.FaultInjectingChannels.SystemCall;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/node/src/test/java/ferngrade/net/UdpPeersTest.java
+++ b/node/src/test/java/ferngrade/peer/UdpPeersTest.java
@@ -1,10 +1,13 @@
-package ferngrade.net;
+package ferngrade.peer;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import ferngrade.net.FaultInjectingChannels.SystemCall;
 import ferngrade.node.RateLimitedLog;
+import ferngrade.transport.ChannelProvider;
+import ferngrade.transport.Errno;
+import ferngrade.transport.FaultInjectingChannels;
+import ferngrade.transport.FaultInjectingChannels.SystemCall;
 import io.netty.channel.Channel;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/node/src/test/java/ferngrade/net/AdminIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -7,7 +7,10 @@
 import com.eclipsesource.json.Json;
 import ferngrade.config.NodeConfig;
 import ferngrade.golden.GoldenFile;
-import ferngrade.net.RawHttp.Message;
+import ferngrade.http.Admin;
+import ferngrade.http.RawBytes;
+import ferngrade.http.RawHttp;
+import ferngrade.http.RawHttp.Message;
 import ferngrade.node.Clock;
 import ferngrade.node.FaultInjectingFileOperations;
 import ferngrade.node.FaultInjectingFileOperations.Operation;
--- a/node/src/test/java/ferngrade/net/ClockStepsTest.java
+++ b/node/src/test/java/ferngrade/server/ClockStepsTest.java
@@ -1,8 +1,9 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 
+import ferngrade.http.RawHttp;
 import ferngrade.node.SettableClock;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
--- a/node/src/test/java/ferngrade/net/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DepartedClientTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 
@@ -8,6 +8,7 @@
 import ferngrade.dispatch.Dispatcher.Actions;
 import ferngrade.dispatch.Job;
 import ferngrade.dispatch.Worker;
+import ferngrade.http.RawHttp;
 import ferngrade.node.Clock;
 import ferngrade.node.RateLimitedLog;
 import java.io.IOException;
--- a/node/src/test/java/ferngrade/net/HandOverProcessTest.java
+++ b/node/src/test/java/ferngrade/server/HandOverProcessTest.java
@@ -1,9 +1,10 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 
 import ferngrade.Main;
-import ferngrade.net.RawHttp.Message;
+import ferngrade.http.RawHttp;
+import ferngrade.http.RawHttp.Message;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/node/src/test/java/ferngrade/net/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 
@@ -6,6 +6,8 @@
 import ferngrade.config.NodeConfig;
 import ferngrade.dispatch.Dispatcher;
 import ferngrade.dispatch.Job;
+import ferngrade.http.ArrivalClock;
+import ferngrade.http.RawHttp;
 import ferngrade.node.RateLimitedLog;
 import io.netty.channel.SelectStrategy;
 import java.lang.reflect.Proxy;
--- a/node/src/test/java/ferngrade/net/LittleTimeTest.java
+++ b/node/src/test/java/ferngrade/server/LittleTimeTest.java
@@ -1,8 +1,9 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import ferngrade.http.RawHttp;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.DataProvider;
--- a/node/src/test/java/ferngrade/net/NodeGoldenTest.java
+++ b/node/src/test/java/ferngrade/server/NodeGoldenTest.java
@@ -1,8 +1,10 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 
 import ferngrade.golden.GoldenFile;
+import ferngrade.http.RawBytes;
+import ferngrade.http.RawHttp;
 import java.net.Socket;
 import org.testng.annotations.Test;
 
--- a/node/src/test/java/ferngrade/net/NodeIntegrationFixture.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationFixture.java
@@ -1,10 +1,12 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import ferngrade.config.NodeConfig;
+import ferngrade.http.RawHttp;
 import ferngrade.node.Clock;
 import ferngrade.node.RateLimitedLog;
+import ferngrade.transport.ChannelProvider;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -14,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 
 /** A whole node on loopback sockets, against a worker and a discovery that the story speaks for. */
-abstract class NodeIntegrationFixture {
+public abstract class NodeIntegrationFixture {
   /** The worker that the list names; the story accepts and speaks for it. */
   ServerSocket worker;
 
@@ -124,7 +126,7 @@
   }
 
   /** The same with one deadline for all classes, ms. */
-  static NodeConfig config(int discoveryPort, String known, String mode, double deadline)
+  public static NodeConfig config(int discoveryPort, String known, String mode, double deadline)
       throws Exception {
     JsonObject json = configuration(discoveryPort, known, mode);
     json.get("settings")
--- a/node/src/test/java/ferngrade/net/NodeIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
@@ -1,11 +1,12 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import ferngrade.net.RawHttp.Message;
+import ferngrade.http.RawHttp;
+import ferngrade.http.RawHttp.Message;
 import ferngrade.node.Clock;
 import java.net.ConnectException;
 import java.net.InetAddress;
--- a/node/src/test/java/ferngrade/net/RaceConditionTest.java
+++ b/node/src/test/java/ferngrade/server/RaceConditionTest.java
@@ -1,11 +1,12 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
-import ferngrade.net.RawHttp.Message;
+import ferngrade.http.RawHttp;
+import ferngrade.http.RawHttp.Message;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/node/src/test/java/ferngrade/net/ReadRequestTest.java
+++ b/node/src/test/java/ferngrade/server/ReadRequestTest.java
@@ -1,9 +1,10 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 
-import ferngrade.net.RawHttp.Message;
+import ferngrade.http.RawHttp;
+import ferngrade.http.RawHttp.Message;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
--- a/node/src/test/java/ferngrade/net/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/ShutdownTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -6,6 +6,7 @@
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
+import ferngrade.http.RawHttp;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/node/src/test/java/ferngrade/net/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
@@ -1,14 +1,17 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import ferngrade.net.ChannelProvider.Purpose;
-import ferngrade.net.FaultInjectingChannels.SystemCall;
-import ferngrade.net.RawHttp.Message;
+import ferngrade.http.RawHttp;
+import ferngrade.http.RawHttp.Message;
 import ferngrade.node.Clock;
 import ferngrade.node.RateLimitedLog;
+import ferngrade.transport.ChannelProvider.Purpose;
+import ferngrade.transport.Errno;
+import ferngrade.transport.FaultInjectingChannels;
+import ferngrade.transport.FaultInjectingChannels.SystemCall;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/node/src/test/java/ferngrade/net/Errno.java
+++ b/node/src/test/java/ferngrade/transport/Errno.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.transport;
 
 import java.io.IOException;
 import java.net.BindException;
@@ -7,7 +7,7 @@
 import java.net.SocketException;
 
 /** Errors of Linux, as the runtime reports them for the calls of a socket. */
-enum Errno {
+public enum Errno {
   ECONNABORTED("Software caused connection abort"),
   EMFILE("Too many open files"),
   ENFILE("Too many open files in system"),
--- a/node/src/test/java/ferngrade/net/FaultInjectingChannels.java
+++ b/node/src/test/java/ferngrade/transport/FaultInjectingChannels.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.transport;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -24,9 +24,9 @@
  * Ordinary channels whose system calls fail as a test asks, one kind of call of one purpose at a
  * time.
  */
-final class FaultInjectingChannels implements ChannelProvider {
+public final class FaultInjectingChannels implements ChannelProvider {
   /** A system call that can be made to fail. */
-  enum SystemCall {
+  public enum SystemCall {
     SOCKET,
     ACCEPT,
     CONNECT,
@@ -37,16 +37,16 @@
   }
 
   /** The faults raised so far. */
-  final AtomicInteger raised = new AtomicInteger();
+  public final AtomicInteger raised = new AtomicInteger();
 
   /** Every read and every write carries one byte. */
-  volatile boolean oneByte;
+  public volatile boolean oneByte;
 
   /**
    * Bytes that the system holds back for each connection that the node opens; 0 leaves that to the
    * system.
    */
-  volatile int sendBuffer;
+  public volatile int sendBuffer;
 
   private volatile Fault fault;
 
@@ -56,18 +56,18 @@
    * From now on this call fails whenever {@code strikes} says so; datagrams have no purpose, hence
    * null.
    */
-  void fail(Purpose purpose, SystemCall call, Errno errno, BooleanSupplier strikes) {
+  public void fail(Purpose purpose, SystemCall call, Errno errno, BooleanSupplier strikes) {
     fault = new Fault(purpose, call, errno, strikes);
   }
 
   /** Strikes once. */
-  static BooleanSupplier once() {
+  public static BooleanSupplier once() {
     AtomicInteger calls = new AtomicInteger();
     return () -> calls.getAndIncrement() == 0;
   }
 
   /** Strikes the first call and every second one from there on. */
-  static BooleanSupplier everySecondCall() {
+  public static BooleanSupplier everySecondCall() {
     AtomicInteger calls = new AtomicInteger();
     return () -> calls.getAndIncrement() % 2 == 0;
   }
