--- a/node/src/main/java/ferngrade/http/Admin.java
+++ b/node/src/main/java/ferngrade/http/Admin.java
@@ -129,7 +129,7 @@
   // ---- The calls ----
 
   boolean ready() {
-    return node.ready() && front.takesClients();
+    return node.ready() && !front.draining();
   }
 
   /**
--- /dev/null
+++ b/node/src/main/java/ferngrade/http/AttemptExchange.java
@@ -0,0 +1,186 @@
+package ferngrade.http;
+
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.node.JobRequest;
+import ferngrade.node.WorkerTransport.AttemptHandle;
+import ferngrade.node.WorkerTransport.Listener;
+import ferngrade.transport.Dialer;
+import ferngrade.transport.FaultOrigin;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpStatusClass;
+import java.net.InetSocketAddress;
+
+/**
+ * An attempt to run a job on a worker: written once, and accepted by the worker with a 202. How the
+ * job ends is reported later, by a callback of the worker.
+ */
+final class AttemptExchange extends HttpExchange implements AttemptHandle {
+  private final WorkerClient client;
+  private final JobRequest call;
+  private final InetSocketAddress worker;
+
+  /** When the node stops waiting for the attempt, ms on its clock. */
+  private final double deadline;
+
+  private final Listener listener;
+  private WorkerConnection connection;
+  private Stage stage = Stage.CONNECTING;
+
+  AttemptExchange(
+      WorkerClient client,
+      JobRequest call,
+      InetSocketAddress worker,
+      double timeout,
+      Listener listener) {
+    this.client = client;
+    this.call = call;
+    this.worker = worker;
+    this.deadline = client.now() + timeout;
+    this.listener = listener;
+  }
+
+  /** How far an attempt has come. Each step is taken once; its end is reported once. */
+  private enum Stage {
+    CONNECTING,
+    WRITING,
+    WRITTEN,
+    ACCEPTED,
+    ENDED
+  }
+
+  @Override
+  double dialTimeout() {
+    return deadline - client.now();
+  }
+
+  @Override
+  boolean wanted() {
+    return stage != Stage.ENDED && listener.mayStart();
+  }
+
+  @Override
+  public boolean delayedLocally() {
+    return delayedLocally;
+  }
+
+  @Override
+  FullHttpRequest request() {
+    if (stage == Stage.ENDED) {
+      return null;
+    }
+    client.beforeStart();
+    boolean wanted = listener.mayStart();
+    // Read as late as possible: a dial may have used up the time.
+    double left = deadline - client.now();
+    if (!wanted || left <= 0) {
+      end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
+      return null;
+    }
+    FullHttpRequest request =
+        newRequest(HttpMethod.valueOf(call.method()), call.target(), worker, call.body());
+    request.headers().set(Headers.ID, call.id());
+    request.headers().set(Headers.DEADLINE, WorkerDeadline.header(left));
+    request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
+    if (call.repeatKey() != null) {
+      request.headers().set(Headers.REPEAT_KEY, call.repeatKey());
+    }
+    return request;
+  }
+
+  @Override
+  void carriedBy(WorkerConnection carrier) {
+    connection = carrier;
+    stage = Stage.WRITING;
+  }
+
+  @Override
+  void written() {
+    if (stage == Stage.WRITING) {
+      stage = Stage.WRITTEN;
+      listener.written();
+    }
+  }
+
+  @Override
+  void answered(FullHttpResponse response) {
+    connection = null;
+    if (stage == Stage.ENDED) {
+      return;
+    }
+    LoadReport report = LoadReportParser.parse(response.headers().get(Headers.LOAD));
+    int status = response.status().code();
+    if (status == 202) {
+      stage = Stage.ACCEPTED;
+      listener.taken();
+    } else if ((status == 503 || status == 504)
+        && "1".equals(response.headers().get(Headers.DECLINED))) {
+      end(AttemptOutcome.FULL, report);
+    } else {
+      client
+          .log()
+          .line(
+              "worker's answer",
+              "worker " + worker + " answered " + status + " to job " + call.id());
+      boolean unusable = HttpStatusClass.valueOf(status) == HttpStatusClass.CLIENT_ERROR;
+      end(unusable ? AttemptOutcome.UNUSABLE : AttemptOutcome.ERROR, report);
+    }
+  }
+
+  @Override
+  void broken(FaultOrigin origin) {
+    connection = null;
+    // Before the last byte the worker cannot have begun; afterwards it may have.
+    boolean mayRun = stage == Stage.WRITTEN;
+    if (origin != FaultOrigin.LOCAL) {
+      end(mayRun ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
+    } else if (mayRun) {
+      end(AttemptOutcome.CANCELLED, LoadReport.NONE);
+    } else if (stage == Stage.WRITING) {
+      stage = Stage.CONNECTING;
+      delayedLocally = true;
+      client.timers().after(Dialer.BACKOFF, this::retry);
+    }
+  }
+
+  private void retry() {
+    if (wanted()) {
+      client.start(worker, this);
+    } else {
+      end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
+    }
+  }
+
+  @Override
+  void notConnected(AttemptOutcome outcome) {
+    end(outcome, LoadReport.NONE);
+  }
+
+  private void end(AttemptOutcome outcome, LoadReport report) {
+    if (stage != Stage.ENDED) {
+      stage = Stage.ENDED;
+      listener.ended(outcome, report);
+    }
+  }
+
+  /**
+   * Closing before the 202 cancels an attempt, but the 202 may be under way already: hence the
+   * DELETE.
+   */
+  @Override
+  public void giveUp(Runnable whenNotified) {
+    boolean mayRun = stage == Stage.WRITTEN || stage == Stage.ACCEPTED;
+    stage = Stage.ENDED;
+    if (connection != null) {
+      connection.close();
+    }
+    if (mayRun) {
+      client.start(worker, new CancellationExchange(client, worker, call.id(), whenNotified));
+    } else {
+      whenNotified.run();
+    }
+  }
+}
--- /dev/null
+++ b/node/src/main/java/ferngrade/http/CancellationExchange.java
@@ -0,0 +1,93 @@
+package ferngrade.http;
+
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.node.Timers;
+import ferngrade.transport.FaultOrigin;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpMethod;
+import java.net.InetSocketAddress;
+
+/**
+ * Notifies a worker by a DELETE that nobody waits for a job any more. Nothing depends on the
+ * response; a callback runs once, when the request is written or cannot be.
+ */
+final class CancellationExchange extends HttpExchange {
+  /** How long a cancellation may take, ms. */
+  private static final double TIMEOUT = 2000;
+
+  private final WorkerClient client;
+  private final InetSocketAddress worker;
+  private final String id;
+  private final Runnable whenNotified;
+  private WorkerConnection connection;
+  private Timers.Timer timeout;
+  private boolean retried;
+  private boolean notified;
+
+  CancellationExchange(
+      WorkerClient client, InetSocketAddress worker, String id, Runnable whenNotified) {
+    this.client = client;
+    this.worker = worker;
+    this.id = id;
+    this.whenNotified = whenNotified;
+  }
+
+  @Override
+  double dialTimeout() {
+    return TIMEOUT;
+  }
+
+  @Override
+  boolean wanted() {
+    return true;
+  }
+
+  @Override
+  FullHttpRequest request() {
+    return newRequest(HttpMethod.DELETE, "/jobs/" + id, worker, new byte[0]);
+  }
+
+  @Override
+  void carriedBy(WorkerConnection carrier) {
+    connection = carrier;
+    timeout = client.timers().after(TIMEOUT, carrier::close);
+  }
+
+  @Override
+  void written() {
+    finish();
+  }
+
+  @Override
+  void answered(FullHttpResponse response) {
+    timeout.cancel();
+  }
+
+  /**
+   * An idle connection may have been closed while the request was under way: it is retried once, as
+   * a cancellation is idempotent.
+   */
+  @Override
+  void broken(FaultOrigin origin) {
+    timeout.cancel();
+    if (!retried && (connection.reusedAfter >= 0 || origin == FaultOrigin.LOCAL)) {
+      retried = true;
+      client.dial(worker, this);
+    } else {
+      finish();
+    }
+  }
+
+  @Override
+  void notConnected(AttemptOutcome outcome) {
+    finish();
+  }
+
+  private void finish() {
+    if (!notified) {
+      notified = true;
+      whenNotified.run();
+    }
+  }
+}
--- a/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
@@ -1,10 +1,6 @@
 package ferngrade.http;
 
-import ferngrade.dispatch.Job;
-import ferngrade.node.Clock;
 import ferngrade.node.RateLimitedLog;
-import ferngrade.node.RequestCoordinator;
-import ferngrade.node.ResponseHandler;
 import ferngrade.transport.PendingReads;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -19,133 +15,129 @@
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.QueryStringDecoder;
 import io.netty.util.ReferenceCountUtil;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.util.Locale;
 
 /**
- * One connection to the front: a client's, or a worker's with call-backs. One request at a time. An
- * error ends the connection: whoever sent what cannot be used would else send it again at once, for
- * as long as it likes. It ends behind the answers to all requests that have been read whole by
- * then, as a request that was read is owed one.
+ * One connection to the frontend: a client's, or a worker's with callbacks. It handles one request
+ * at a time, queues what is pipelined behind it, and closes behind the last response.
+ *
+ * <p>An error closes the connection: whoever sent something unusable would otherwise repeat it at
+ * once, indefinitely. It closes behind the responses to all requests read completely by then, as
+ * each of those is owed one. Belongs to the event loop.
  */
 final class ClientConnectionHandler extends ChannelInboundHandlerAdapter {
   /**
-   * Bytes read of a connection that is to end anyway, while it has a request in work, before the
-   * rest is left to its sender. Till then all is read: a client that closes is heard of by reading
-   * only.
+   * Bytes read, while a request is in progress, from a connection that is closing anyway; the rest
+   * is left to its sender. Until then all is read: only reading shows that a client has closed.
    */
   private static final int MAX_READ_WHILE_CLOSING = 256 << 10;
 
   private final HttpFrontend front;
-  private final RequestCoordinator node;
-  private final RequestReader reader;
-  private final Clock clock;
+  private final ClientConnections connections;
+  private final ClientRequestHandler requests;
   private final RateLimitedLog log;
+  private final ArrivalClock arrivals;
+  private final RequestDecoder decoder = new RequestDecoder();
 
-  /** What has been read behind the request in work. */
-  private final PipelinedRequests waiting;
+  /** What has been read behind the request in progress. */
+  private final PipelinedRequests pipelined;
 
   private ChannelHandlerContext context;
   private State state = State.RESTING;
-  private final RequestDecoder decoder = new RequestDecoder();
 
   /**
-   * The connection ends with the answer to the last request that has been read; what else comes is
-   * refused.
+   * The connection closes behind the response to the last request read; what else arrives is
+   * rejected.
    */
-  private boolean closing;
+  private boolean closeRequested;
 
   private int readWhileClosing;
   private long bytesRead;
 
-  /** While bytes are being decoded, it is not known yet whether an answer is the last. */
+  /** While bytes are being decoded, it is not known yet whether a response is the last. */
   private boolean decoding;
 
   private FullHttpResponse deferred;
 
   /** A part of a request has been read, and not its end. */
-  private boolean received;
+  private boolean partialRequest;
 
-  private boolean proven;
-  private String taken;
-  private final ArrivalClock arrivals;
+  private boolean trusted;
 
-  /**
-   * Since when this connection may have waited to be accepted, and the loop's turn in which it was.
-   */
-  private final double opened;
+  /** The job in progress; null if there is none. */
+  private String jobId;
 
-  private final long openedIn;
+  /** Since when this connection may have waited to be accepted, ms on the clock. */
+  private final double acceptedSince;
 
-  /** Since when the bytes read last may have been here. */
+  /** The loop's turn in which it was accepted. */
+  private final long acceptTurn;
+
+  /** Since when the bytes read last may have been on this machine, ms on the clock. */
   private double arrived;
 
-  /**
-   * RESTING: between requests, or one is coming in. BUSY: one is in work. ENDING: this side is shut
-   * and what still comes is dropped, so that no request is read that could not be answered.
-   */
   private enum State {
+    /** Between requests, or one is arriving. */
     RESTING,
+    /** A request is being handled. */
     BUSY,
-    ENDING
+    /** This side has closed; what still arrives is dropped, as it could not be answered. */
+    CLOSING
   }
 
   ClientConnectionHandler(
       HttpFrontend front,
-      RequestCoordinator node,
-      RequestReader reader,
-      Clock clock,
+      ClientRequestHandler requests,
       RateLimitedLog log,
       ArrivalClock arrivals,
-      double opened) {
+      double acceptedSince) {
     this.front = front;
-    this.waiting = new PipelinedRequests(front);
-    this.node = node;
-    this.reader = reader;
-    this.clock = clock;
+    this.connections = front.connections();
+    this.requests = requests;
     this.log = log;
     this.arrivals = arrivals;
-    this.opened = opened;
-    this.openedIn = arrivals.turn();
-    this.arrived = opened;
+    this.pipelined = new PipelinedRequests(front);
+    this.acceptedSince = acceptedSince;
+    this.acceptTurn = arrivals.turn();
+    this.arrived = acceptedSince;
   }
 
   /** Puts the connection's codec and this handler at the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(
-        firstBytes(),
+        byteCounter(),
         decoder,
         new HttpResponseEncoder(),
-        new BodyAggregator(HttpFrontend.MOST_BODY),
+        new BodyAggregator(HttpFrontend.MAX_BODY),
         this);
   }
 
-  /** Stands before the codec: the time for a request counts from its first byte. */
-  private ChannelInboundHandler firstBytes() {
+  // ---- Reading ----
+
+  /** Stands before the codec: the timeout of a request counts from its first byte. */
+  private ChannelInboundHandler byteCounter() {
     return new ChannelInboundHandlerAdapter() {
       @Override
       public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-        if (state == State.ENDING) {
+        if (state == State.CLOSING) {
           ReferenceCountUtil.release(bytes);
           return;
         }
         count(((ByteBuf) bytes).readableBytes());
         // What came before a connection was accepted is read in the turn after that.
-        arrived = arrivals.turn() <= openedIn + 1 ? opened : arrivals.since();
+        arrived = arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.since();
         decoding = true;
         ctx.fireChannelRead(bytes);
         decoding = false;
-        received = decoder.holdsPartialRequest();
-        if (state == State.RESTING && received) {
-          front.receives(ClientConnectionHandler.this);
+        partialRequest = decoder.holdsPartialRequest();
+        if (state == State.RESTING && partialRequest) {
+          connections.receiving(ClientConnectionHandler.this);
         }
         respondDeferred();
       }
@@ -154,189 +146,177 @@
 
   private void count(int bytes) {
     bytesRead += bytes;
-    readWhileClosing += closing ? bytes : 0;
+    readWhileClosing += closeRequested ? bytes : 0;
     if (state == State.BUSY && readWhileClosing > MAX_READ_WHILE_CLOSING) {
       context.channel().config().setAutoRead(false);
     }
   }
 
-  /** True once a job or a call-back that belongs to one has come: this is no stranger. */
-  boolean proven() {
-    return proven;
-  }
-
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
     context = ctx;
-    front.opened(this);
+    connections.opened(this);
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
-    if (state == State.ENDING
+    if (state == State.CLOSING
         || !ctx.channel().isActive()
         || !(message instanceof FullHttpRequest request)) {
       ReferenceCountUtil.release(message);
     } else if (state == State.RESTING) {
       begin(request, arrived);
-    } else if (closing || !waiting.add(request, arrived)) {
-      closing = true;
-      waiting.reject();
+    } else if (closeRequested || !pipelined.add(request, arrived)) {
+      closeRequested = true;
+      pipelined.reject();
       request.release();
     }
   }
 
   @Override
   public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-    if (event != BodyAggregator.TOO_LARGE || state == State.ENDING) {
+    if (event != BodyAggregator.TOO_LARGE || state == State.CLOSING) {
       ctx.fireUserEventTriggered(event);
     } else if (state == State.RESTING) {
-      tooLarge();
-    } else if (closing) {
-      waiting.reject();
+      rejectTooLarge();
+    } else if (closeRequested) {
+      pipelined.reject();
     } else {
-      closing = true;
-      waiting.addTooLarge(arrived);
+      closeRequested = true;
+      pipelined.addTooLarge(arrived);
     }
   }
 
-  private void tooLarge() {
-    busy();
-    error(
-        HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-        "a body holds at most " + HttpFrontend.MOST_BODY + " bytes");
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    if (cause instanceof IOException || state == State.CLOSING) {
+      ctx.close();
+    } else {
+      log.line("front failed", "bytes could not be decoded: " + cause);
+      closeRequested = true;
+      if (state == State.RESTING) {
+        busy();
+        respondAndClose(HttpResponseStatus.BAD_REQUEST, "not a request in HTTP");
+      }
+    }
+  }
+
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    front.closed(this);
+    pipelined.release();
+    clientGone();
   }
 
+  // ---- The request in progress ----
+
   private void busy() {
     state = State.BUSY;
-    front.busy(this);
+    connections.busy(this);
   }
 
-  private void begin(FullHttpRequest request, double since) {
+  private void begin(FullHttpRequest request, double arrivedAt) {
     busy();
     try {
-      handle(request, since);
+      closeRequested |= !HttpUtil.isKeepAlive(request);
+      requests.handle(this, request, arrivedAt);
     } catch (BadRequestException bad) {
       log.line(
           "bad request",
           "bad request from " + context.channel().remoteAddress() + ": " + bad.getMessage());
-      error(HttpResponseStatus.BAD_REQUEST, bad.getMessage());
+      respondAndClose(HttpResponseStatus.BAD_REQUEST, bad.getMessage());
     } catch (RuntimeException fault) {
-      // The request's answer is owed all the same; where the node has taken it, the node gives
-      // that.
+      // A response is owed all the same; for a job that has started, the coordinator gives it.
       log.line("front failed", "request could not be handled: " + fault);
-      closing = true;
-      if (taken == null && deferred == null) {
-        error(HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
+      closeRequested = true;
+      if (jobId == null && deferred == null) {
+        respondAndClose(HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
       }
     } finally {
       request.release();
     }
   }
 
-  private void handle(FullHttpRequest request, double since) throws BadRequestException {
-    closing |= !HttpUtil.isKeepAlive(request);
-    if (request.decoderResult().isFailure()) {
-      throw new BadRequestException("not a request in HTTP");
-    }
-    String path = new QueryStringDecoder(request.uri()).rawPath();
-    if (path.equals("/-/ready")) {
-      boolean ready = node.ready() && front.takesClients();
-      answer(ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
-    } else if (!request.method().equals(HttpMethod.POST)) {
-      error(HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
-    } else if (path.equals("/_jobs/news")) {
-      String body = request.content().toString(StandardCharsets.UTF_8);
-      news(WorkerCallbackParser.read(body), body);
-    } else {
-      job(request, since);
+  private void begin(PipelinedRequests.Entry first) {
+    switch (first.kind()) {
+      case HANDLE -> begin(first.request(), first.arrived());
+      case TOO_LARGE -> rejectTooLarge();
+      case REJECT -> {
+        busy();
+        respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+      }
+      default -> throw new IllegalStateException("no such kind: " + first.kind());
     }
   }
 
-  /**
-   * A worker's call-back. On a socket that is handed from one process to the next, one for a job
-   * that this process never had may belong to the other one, and is handed on to it. Where that
-   * cannot be done it gets 503 and a close, so that the worker's next try comes on a new
-   * connection, which the other process may accept.
-   */
-  private void news(ferngrade.node.WorkerCallback news, String body) {
-    if (front.sibling() != null && !node.knowsOf(news.id())) {
-      front
-          .sibling()
-          .relay(
-              body,
-              status -> {
-                if (status < 0) {
-                  error(HttpResponseStatus.SERVICE_UNAVAILABLE, "no such job here");
-                } else {
-                  answer(HttpResponseStatus.NO_CONTENT, "");
-                }
-              });
-      return;
-    }
-    proven |= node.news(news);
-    answer(HttpResponseStatus.NO_CONTENT, "");
+  private void rejectTooLarge() {
+    busy();
+    respondAndClose(
+        HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
+        "a body holds at most " + HttpFrontend.MAX_BODY + " bytes");
   }
 
-  private void job(FullHttpRequest request, double since) throws BadRequestException {
-    Job job = reader.job(request, since);
-    ShutdownBudget budget = front.budget();
-    if (budget != null) {
-      if (front.finishing() || budget.tooLittleFor(job.due(), clock.now())) {
-        node.refuse(job, new HttpReply(), 0);
-        return;
-      }
-      job = budget.capped(job);
-    }
-    if (front.crowded()) {
-      node.refuseForRoom(job, new HttpReply());
-      return;
-    }
-    front.took();
-    taken = job.id();
-    if (!node.request(job, RequestReader.call(request, job.id()), new HttpReply())) {
-      taken = null;
-      front.gave();
-      throw new BadRequestException("Req-Id has been used");
-    }
-    proven = true;
+  /** The request in progress is a job. */
+  void jobStarted(String id) {
+    jobId = id;
   }
 
-  private void error(HttpResponseStatus status, String body) {
-    closing = true;
-    answer(status, body);
+  /** The request in progress has not become a job after all. */
+  void jobNotStarted() {
+    jobId = null;
   }
 
-  private void answer(HttpResponseStatus status, String body) {
-    ByteBuf content = Unpooled.copiedBuffer(body, StandardCharsets.UTF_8);
-    respond(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content));
+  /** A job, or a callback of one, has come on this connection. */
+  void trust() {
+    trusted = true;
   }
 
-  private void respondDeferred() {
-    FullHttpResponse response = deferred;
-    deferred = null;
-    if (response != null) {
-      respond(response);
+  /** True once a job, or a callback of one, has come on this connection. */
+  boolean trusted() {
+    return trusted;
+  }
+
+  /** False if the client has closed its connection, even if the loop has not read that yet. */
+  boolean clientPresent() {
+    boolean present =
+        PendingReads.openAfterReading((AbstractNioChannel) context.channel(), () -> bytesRead);
+    if (!present) {
+      clientGone();
     }
+    return present;
   }
 
-  /**
-   * True if the connection ends with the present answer: not while another is owed for what has
-   * been read.
-   */
-  private boolean endsNow() {
-    boolean draining = front.draining() && !received;
-    return waiting.isEmpty() && (closing || draining);
+  private void clientGone() {
+    if (jobId != null) {
+      requests.clientGone(jobId);
+      jobId = null;
+      front.jobEnded();
+    }
+  }
+
+  // ---- Responses ----
+
+  /** Responds to the request in progress, and closes behind that. */
+  void respondAndClose(HttpResponseStatus status, String body) {
+    closeRequested = true;
+    respond(status, body);
+  }
+
+  /** Responds to the request in progress. */
+  void respond(HttpResponseStatus status, String body) {
+    ByteBuf content = Unpooled.copiedBuffer(body, StandardCharsets.UTF_8);
+    respond(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content));
   }
 
-  private void respond(FullHttpResponse response) {
+  /** Responds to the request in progress. */
+  void respond(FullHttpResponse response) {
     if (decoding) {
       deferred = response;
       return;
     }
-    boolean wasJob = taken != null;
-    taken = null;
-    boolean keep = !endsNow();
+    boolean wasJob = jobId != null;
+    jobId = null;
+    boolean keep = !lastResponse();
     if (!response.status().equals(HttpResponseStatus.NO_CONTENT)) {
       HttpUtil.setContentLength(response, response.content().readableBytes());
     }
@@ -345,173 +325,115 @@
     }
     ChannelFuture written = context.writeAndFlush(response);
     if (!keep && !written.isDone()) {
-      // Nothing is read that could not be answered any more.
+      // What cannot be answered any more is not read.
       context.channel().config().setAutoRead(false);
     }
     written.addListener(
         future -> {
           if (wasJob) {
-            front.gave();
+            front.jobEnded();
           }
           if (!future.isSuccess()) {
             context.close();
           } else if (keep) {
             next();
           } else {
-            shut();
+            closeGracefully();
           }
         });
   }
 
+  private void respondDeferred() {
+    FullHttpResponse response = deferred;
+    deferred = null;
+    if (response != null) {
+      respond(response);
+    }
+  }
+
+  /**
+   * True if the connection closes behind the present response: not while another is owed for what
+   * has been read.
+   */
+  private boolean lastResponse() {
+    boolean draining = front.draining() && !partialRequest;
+    return pipelined.isEmpty() && (closeRequested || draining);
+  }
+
   private void next() {
     state = State.RESTING;
-    PipelinedRequests.Entry first = waiting.poll();
+    PipelinedRequests.Entry first = pipelined.poll();
     if (first != null) {
       begin(first);
-    } else if (received) {
-      front.owes(this);
+    } else if (partialRequest) {
+      connections.await(this);
     } else {
-      front.idle(this);
+      front.rest(this);
     }
   }
 
-  private void begin(PipelinedRequests.Entry first) {
-    switch (first.kind()) {
-      case HANDLE -> begin(first.request(), first.arrived());
-      case TOO_LARGE -> tooLarge();
-      case REJECT -> {
-        busy();
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
-      }
-      default -> throw new IllegalStateException("no such kind: " + first.kind());
-    }
-  }
+  // ---- Closing ----
 
   /**
-   * Ends the connection behind its last answer, or while it rests. Closed with bytes unread it
-   * would be reset, and an answer be lost on its way to a client that still sends: so its own
-   * direction ends first, and what still comes is dropped until the client ends the other one, or
-   * the front's patience does.
+   * Closes the connection behind its last response, or while it rests. Closing with bytes unread
+   * would reset it and could lose a response on its way to a client that still sends: so only the
+   * outgoing direction is shut down, and what arrives is dropped until the client closes or the
+   * timeout for that ends.
    */
-  void shut() {
-    if (state == State.ENDING) {
+  void closeGracefully() {
+    if (state == State.CLOSING) {
       return;
     }
-    state = State.ENDING;
-    front.owes(this);
+    state = State.CLOSING;
+    connections.await(this);
     ((DuplexChannel) context.channel()).shutdownOutput();
     context.channel().config().setAutoRead(true);
   }
 
-  /** True while nothing of a request has come that has no answer yet. */
+  /** True once the last response is written and only the client's close is awaited. */
+  boolean closing() {
+    return state == State.CLOSING;
+  }
+
+  /** True while nothing of a request has arrived that is not answered yet. */
   boolean resting() {
-    return state == State.RESTING && !received;
+    return state == State.RESTING && !partialRequest;
   }
 
-  /** What the connection owes has not come in time. */
-  void late() {
-    if (state == State.ENDING) {
+  /** The awaited rest of a request, or the client's close, has not come in time. */
+  void timedOut() {
+    if (state == State.CLOSING) {
       context.close();
-    } else if (received) {
-      endHalfRead(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
+    } else if (partialRequest) {
+      rejectPartialRequest(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come whole");
     } else {
-      shut();
+      closeGracefully();
     }
   }
 
-  /** The process ends: a request that has come in part is refused. */
-  void refuseUnfinished() {
-    if (state == State.RESTING && received) {
-      endHalfRead(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+  /** The process ends: a request that has arrived in part is rejected. */
+  void rejectUnfinished() {
+    if (state == State.RESTING && partialRequest) {
+      rejectPartialRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
     }
   }
 
-  /** True once its last answer is written and only the client's close is awaited. */
-  boolean ending() {
-    return state == State.ENDING;
-  }
-
   /**
-   * Ends a connection that has nothing in work, for its room; one that is half read gets an answer.
+   * Closes a connection without a request in progress, to free its capacity; a request that has
+   * arrived in part is rejected.
    */
-  void endForRoom() {
-    if (state == State.RESTING && received) {
-      endHalfRead(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+  void evict() {
+    if (state == State.RESTING && partialRequest) {
+      rejectPartialRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
     } else {
       context.close();
     }
   }
 
-  private void endHalfRead(HttpResponseStatus status, String body) {
+  private void rejectPartialRequest(HttpResponseStatus status, String body) {
     busy();
-    error(status, body);
-    // What it holds of the request goes at once, and not when the client closes.
+    respondAndClose(status, body);
+    // The memory of the request is freed at once, and not when the client closes.
     context.pipeline().remove(BodyAggregator.class);
   }
-
-  @Override
-  public void channelInactive(ChannelHandlerContext ctx) {
-    front.closed(this);
-    waiting.release();
-    clientGone();
-  }
-
-  private void clientGone() {
-    if (taken != null) {
-      node.clientGone(taken);
-      taken = null;
-      front.gave();
-    }
-  }
-
-  @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    if (cause instanceof IOException || state == State.ENDING) {
-      ctx.close();
-    } else {
-      log.line("front failed", "bytes could not be decoded: " + cause);
-      closing = true;
-      if (state == State.RESTING) {
-        busy();
-        error(HttpResponseStatus.BAD_REQUEST, "not a request in HTTP");
-      }
-    }
-  }
-
-  /** The way back over this connection. */
-  private final class HttpReply implements ResponseHandler {
-    @Override
-    public void served(String result) {
-      answer(HttpResponseStatus.OK, result);
-    }
-
-    @Override
-    public void refused(double retryAfter) {
-      FullHttpResponse response =
-          new DefaultFullHttpResponse(
-              HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
-      if (retryAfter > 0) {
-        response
-            .headers()
-            .set(
-                HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", retryAfter / 1000));
-      }
-      respond(response);
-    }
-
-    @Override
-    public void failed() {
-      answer(HttpResponseStatus.BAD_GATEWAY, "");
-    }
-
-    @Override
-    public boolean clientPresent() {
-      boolean present =
-          PendingReads.openAfterReading((AbstractNioChannel) context.channel(), () -> bytesRead);
-      if (!present) {
-        clientGone();
-      }
-      return present;
-    }
-  }
 }
--- /dev/null
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -0,0 +1,118 @@
+package ferngrade.http;
+
+import ferngrade.dispatch.Job;
+import ferngrade.node.Clock;
+import ferngrade.node.RequestCoordinator;
+import ferngrade.node.WorkerCallback;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.QueryStringDecoder;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * Handles the requests of all client connections by their path: readiness, workers' callbacks, and
+ * jobs. Each ends in one response on the connection that it came on, now or later. Belongs to the
+ * event loop.
+ */
+final class ClientRequestHandler {
+  private static final String READY_PATH = "/-/ready";
+  private static final String CALLBACK_PATH = "/_jobs/news";
+
+  private final HttpFrontend front;
+  private final RequestCoordinator coordinator;
+  private final RequestReader reader;
+  private final Clock clock;
+
+  ClientRequestHandler(
+      HttpFrontend front, RequestCoordinator coordinator, RequestReader reader, Clock clock) {
+    this.front = front;
+    this.coordinator = coordinator;
+    this.reader = reader;
+    this.clock = clock;
+  }
+
+  /**
+   * Handles a complete request.
+   *
+   * @param arrived since when it may have been on this machine, ms on the clock
+   * @throws BadRequestException if it cannot be used; there has been no response then
+   */
+  void handle(ClientConnectionHandler connection, FullHttpRequest request, double arrived)
+      throws BadRequestException {
+    if (request.decoderResult().isFailure()) {
+      throw new BadRequestException("not a request in HTTP");
+    }
+    String path = new QueryStringDecoder(request.uri()).rawPath();
+    if (path.equals(READY_PATH)) {
+      boolean ready = coordinator.ready() && !front.draining();
+      connection.respond(
+          ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+    } else if (!request.method().equals(HttpMethod.POST)) {
+      connection.respondAndClose(HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
+    } else if (path.equals(CALLBACK_PATH)) {
+      String body = request.content().toString(StandardCharsets.UTF_8);
+      callback(connection, WorkerCallbackParser.read(body), body);
+    } else {
+      job(connection, request, arrived);
+    }
+  }
+
+  /** The client of this job has closed its connection. */
+  void clientGone(String jobId) {
+    coordinator.clientGone(jobId);
+  }
+
+  /**
+   * A worker's callback. While two processes share the clients' socket, one for a job that this
+   * process never had is relayed to the other. Where that fails the response is 503 and a close, so
+   * that the worker's retry comes on a new connection, which the other process may accept.
+   */
+  private void callback(ClientConnectionHandler connection, WorkerCallback callback, String body) {
+    if (front.upgradePeer() != null && !coordinator.knowsOf(callback.id())) {
+      front
+          .upgradePeer()
+          .relay(
+              body,
+              status -> {
+                if (status < 0) {
+                  connection.respondAndClose(
+                      HttpResponseStatus.SERVICE_UNAVAILABLE, "no such job here");
+                } else {
+                  connection.respond(HttpResponseStatus.NO_CONTENT, "");
+                }
+              });
+      return;
+    }
+    if (coordinator.news(callback)) {
+      connection.trust();
+    }
+    connection.respond(HttpResponseStatus.NO_CONTENT, "");
+  }
+
+  private void job(ClientConnectionHandler connection, FullHttpRequest request, double arrived)
+      throws BadRequestException {
+    Job job = reader.job(request, arrived);
+    JobResponseHandler response = new JobResponseHandler(connection);
+    ShutdownBudget budget = front.budget();
+    if (budget != null) {
+      if (front.finishing() || budget.tooLittleFor(job.due(), clock.now())) {
+        coordinator.refuse(job, response, 0);
+        return;
+      }
+      job = budget.capped(job);
+    }
+    if (front.atJobLimit()) {
+      coordinator.refuseForRoom(job, response);
+      return;
+    }
+    front.jobStarted();
+    connection.jobStarted(job.id());
+    if (!coordinator.request(job, RequestReader.call(request, job.id()), response)) {
+      connection.jobNotStarted();
+      front.jobEnded();
+      throw new BadRequestException("Req-Id has been used");
+    }
+    connection.trust();
+  }
+}
--- a/node/src/main/java/ferngrade/http/ConnectionLimits.java
+++ b/node/src/main/java/ferngrade/http/ConnectionLimits.java
@@ -1,22 +1,21 @@
 package ferngrade.http;
 
 /**
- * How many connections of which sort there may be, all from the limits that the configuration
- * gives. {@code front}: those that clients and workers' call-backs have opened; {@code jobs}: those
- * of them with a job in work; {@code owing}: those of them that owe a whole request or their end;
- * {@code workers}: those opened to workers. {@code waiting}: bytes of bodies that may wait behind
- * requests in work.
+ * How many connections of each kind there may be, all derived from the configured limits.
+ *
+ * @param clients those that clients and workers' callbacks have opened
+ * @param jobs those of them with a job in flight
+ * @param awaited those of them whose request, or close, is awaited
+ * @param workers those opened to workers
+ * @param waitingBytes bytes of the bodies that may wait behind requests in progress
  */
-public record ConnectionLimits(int front, int jobs, int owing, int workers, long waiting) {
+public record ConnectionLimits(int clients, int jobs, int awaited, int workers, long waitingBytes) {
   /**
    * Descriptors of the runtime itself, the listeners, discovery (two while it moves) and the peers.
    */
   private static final int OWN = 24;
 
-  /**
-   * Share of the descriptors kept back for what lies beside the counts: accepts and closes under
-   * way.
-   */
+  /** Share of the descriptors reserved for what is not counted: accepts and closes in progress. */
   private static final double SPARE = 0.06;
 
   /**
@@ -26,25 +25,25 @@
   private static final double WORKERS = 0.3;
 
   /**
-   * Share of the front's for jobs in work. It is more than the third of all descriptors that
-   * clients hold for requests, and leaves the rest to call-backs: without them no job in work would
-   * ever end.
+   * Share of the clients' for jobs in flight. It is more than the third of all descriptors that
+   * clients hold for requests, and leaves the rest to callbacks: without them no job in flight
+   * would ever end.
    */
   private static final double JOBS = 0.6;
 
-  private static final double OWING = 0.25;
+  private static final double AWAITED = 0.25;
 
-  /** The bounds within so many descriptors and so much memory. */
+  /** The limits for so many descriptors and so much memory. */
   public static ConnectionLimits within(int sockets, int memoryMb) {
     int usable = (int) (sockets * (1 - SPARE)) - OWN;
     int workers = (int) (WORKERS * usable);
-    int front = usable - workers;
-    // Each that owes a request may hold most of a body: together at most a sixteenth of the memory.
-    int bodies = (memoryMb << 20) / 16 / HttpFrontend.MOST_BODY;
+    int clients = usable - workers;
+    // Each that is awaited may hold most of a body: together at most a sixteenth of the memory.
+    int bodies = (memoryMb << 20) / 16 / HttpFrontend.MAX_BODY;
     return new ConnectionLimits(
-        front,
-        (int) (JOBS * front),
-        Math.min((int) (OWING * front), bodies),
+        clients,
+        (int) (JOBS * clients),
+        Math.min((int) (AWAITED * clients), bodies),
         workers,
         ((long) memoryMb << 20) / 32);
   }
--- /dev/null
+++ b/node/src/main/java/ferngrade/http/FrontendShutdown.java
@@ -0,0 +1,136 @@
+package ferngrade.http;
+
+import ferngrade.node.Clock;
+import ferngrade.node.Timers;
+import java.util.function.IntSupplier;
+
+/**
+ * The phases of a frontend's graceful shutdown, each entered once, on the event loop. {@link
+ * ShutdownBudget} says when each ends at the latest.
+ */
+final class FrontendShutdown {
+  /**
+   * How long a node whose last job is answered waits for clients to read their responses and close,
+   * ms; less if the budget ends.
+   */
+  private static final double LINGER = 1000;
+
+  private final ClientConnections connections;
+  private final IntSupplier jobsInFlight;
+  private final Runnable stopListening;
+  private final Clock clock;
+  private final Timers timers;
+  private Phase phase = Phase.SERVING;
+
+  /** Null while no shutdown has been requested. */
+  private ShutdownBudget budget;
+
+  private Runnable whenDone;
+
+  private enum Phase {
+    SERVING,
+    /** Each response closes its connection. */
+    DRAINING,
+    /** New jobs are rejected; those in flight wait for the workers' callbacks. */
+    FINISHING,
+    /** All jobs are answered; clients may still be reading. */
+    LINGERING,
+    ENDED
+  }
+
+  FrontendShutdown(
+      ClientConnections connections,
+      IntSupplier jobsInFlight,
+      Runnable stopListening,
+      Clock clock,
+      Timers timers) {
+    this.connections = connections;
+    this.jobsInFlight = jobsInFlight;
+    this.stopListening = stopListening;
+    this.clock = clock;
+    this.timers = timers;
+  }
+
+  /** True until a shutdown is requested. */
+  boolean serving() {
+    return phase == Phase.SERVING;
+  }
+
+  /** True from {@link #finish} on: new jobs are rejected. */
+  boolean finishing() {
+    return phase.compareTo(Phase.FINISHING) >= 0;
+  }
+
+  /** The budget of the shutdown in progress; null if there is none. */
+  ShutdownBudget budget() {
+    return budget;
+  }
+
+  /** Requests a shutdown; returns the budget of the first request, which is the one that counts. */
+  ShutdownBudget drain(ShutdownBudget requested) {
+    if (phase == Phase.SERVING) {
+      phase = Phase.DRAINING;
+      budget = requested;
+    }
+    return budget;
+  }
+
+  /**
+   * Rejects new jobs, closes idle connections, and runs {@code done} once all is answered and read,
+   * or the budget has ended. Requires {@link #drain} before.
+   */
+  void finish(Runnable done) {
+    if (phase.compareTo(Phase.FINISHING) < 0) {
+      phase = Phase.FINISHING;
+      whenDone = done;
+      connections.idle().forEach(ClientConnectionHandler::closeGracefully);
+      at(budget.unfinishedUntil(), this::rejectUnfinished);
+      at(budget.end(), this::end);
+      advance();
+    }
+  }
+
+  /**
+   * Enters the next phase if its time has come: called when a job has been answered or a connection
+   * has closed.
+   */
+  void advance() {
+    if (phase == Phase.FINISHING && jobsInFlight.getAsInt() == 0) {
+      linger();
+      at(clock.now() + LINGER - ShutdownBudget.READING_REFUSALS, this::rejectUnfinished);
+      at(clock.now() + LINGER, this::end);
+    }
+    if (phase == Phase.LINGERING && connections.isEmpty()) {
+      end();
+    }
+  }
+
+  /** No callback is awaited any more: listening ends, and so do connections between requests. */
+  private void linger() {
+    phase = Phase.LINGERING;
+    stopListening.run();
+    connections.open().stream()
+        .filter(ClientConnectionHandler::resting)
+        .forEach(ClientConnectionHandler::closeGracefully);
+  }
+
+  /** Rejects requests that have arrived in part, so that nothing read goes unanswered. */
+  private void rejectUnfinished() {
+    if (phase == Phase.FINISHING) {
+      linger();
+    }
+    connections.open().forEach(ClientConnectionHandler::rejectUnfinished);
+  }
+
+  private void end() {
+    if (phase != Phase.ENDED) {
+      phase = Phase.ENDED;
+      stopListening.run();
+      whenDone.run();
+    }
+  }
+
+  private void at(double instant, Runnable task) {
+    timers.after(instant - clock.now(), task);
+  }
+}
--- a/node/src/main/java/ferngrade/http/PipelinedRequests.java
+++ b/node/src/main/java/ferngrade/http/PipelinedRequests.java
@@ -6,12 +6,12 @@
 import java.util.Deque;
 
 /**
- * The requests that one connection has sent behind the one in work, each of which is owed an answer
- * in turn. Some wait as they came; of those behind these only the number is kept, and they are to
- * be refused.
+ * The requests that one connection has sent behind the one in progress, each of which is owed a
+ * response in turn. The first ones are kept; of those behind them only the count is kept, and they
+ * are rejected.
  */
 final class PipelinedRequests {
-  /** Requests that may wait. */
+  /** The most requests kept for one connection. */
   private static final int MAX_WAITING = 64;
 
   private final HttpFrontend front;
@@ -26,8 +26,8 @@
   }
 
   /**
-   * A request, null unless it is to be handled, and since when it may have been here: its client's
-   * time runs from then.
+   * One request, which is null unless it is to be handled, and since when it may have been on this
+   * machine, ms on the clock: its deadline counts from then.
    */
   record Entry(Kind kind, FullHttpRequest request, double arrived) {
     private int bytes() {
@@ -35,7 +35,7 @@
     }
   }
 
-  /** The bytes that wait count in the front's room for them. */
+  /** The bytes that wait count against the frontend's limit. */
   PipelinedRequests(HttpFrontend front) {
     this.front = front;
   }
@@ -44,13 +44,15 @@
     return waiting.isEmpty() && rejected == 0;
   }
 
-  /** Takes a request over to wait; false, and nothing is taken over, if there is no room for it. */
+  /** Queues a request and takes over its reference; false, and neither, without capacity for it. */
   boolean add(FullHttpRequest request, double arrived) {
-    boolean room = waiting.size() < MAX_WAITING && front.holds(request.content().readableBytes());
-    if (room) {
+    boolean accepted =
+        waiting.size() < MAX_WAITING
+            && front.reserveWaitingBytes(request.content().readableBytes());
+    if (accepted) {
       waiting.add(new Entry(Kind.HANDLE, request, arrived));
     }
-    return room;
+    return accepted;
   }
 
   /** A request with too large a body has its turn here. */
@@ -58,7 +60,7 @@
     waiting.add(new Entry(Kind.TOO_LARGE, null, arrived));
   }
 
-  /** A request came that is to be refused behind all that wait. */
+  /** A request has arrived that is to be rejected behind all that wait. */
   void reject() {
     rejected++;
   }
@@ -67,7 +69,7 @@
   Entry poll() {
     Entry first = waiting.poll();
     if (first != null) {
-      front.held(first.bytes());
+      front.releaseWaitingBytes(first.bytes());
     } else if (rejected > 0) {
       rejected--;
       return new Entry(Kind.REJECT, null, 0);
@@ -75,11 +77,11 @@
     return first;
   }
 
-  /** Lets go of all, as nobody is there to answer. */
+  /** Releases all requests: the client has gone. */
   void release() {
     waiting.forEach(
         each -> {
-          front.held(each.bytes());
+          front.releaseWaitingBytes(each.bytes());
           ReferenceCountUtil.release(each.request());
         });
     waiting.clear();
--- a/node/src/main/java/ferngrade/http/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/http/WorkerConnection.java
@@ -1,6 +1,5 @@
 package ferngrade.http;
 
-import ferngrade.http.WorkerClient.HttpExchange;
 import ferngrade.transport.FaultOrigin;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandler;
@@ -18,23 +17,23 @@
 import java.net.InetSocketAddress;
 
 /**
- * One connection to a worker: at most one transfer at a time, idle in the pool between them. Bytes
- * that come while it is idle belong to no transfer; kept, they would be read as the beginning of
- * the next one's answer. So they end the connection, and so does anything behind an answer.
+ * One connection to a worker: at most one exchange at a time, idle in the pool between them. Bytes
+ * that arrive while it is idle belong to no exchange; kept, they would be read as the beginning of
+ * the next response. So they end the connection, and so does anything behind a response.
  */
 final class WorkerConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final ConnectionPool pool;
-  private final AnswerDecoder decoder = new AnswerDecoder();
+  private final TrailingBytesDecoder decoder = new TrailingBytesDecoder();
   private ChannelHandlerContext context;
   private InetSocketAddress worker;
 
   /** What the connection carries, null while it is idle. */
-  private HttpExchange transfer;
+  private HttpExchange exchange;
 
   /** When the connection was put back into the pool. */
   double idleSince;
 
-  /** How long it stood idle before its present transfer, ms; negative if that is its first. */
+  /** How long it was idle before its present exchange, ms; negative if that is its first. */
   double reusedAfter = -1;
 
   private boolean endedHere;
@@ -42,8 +41,8 @@
   /** What broke the connection, where the system has said so. */
   private Throwable fault;
 
-  /** Knows whether more has come than the answer that it has just passed on. */
-  private static final class AnswerDecoder extends HttpResponseDecoder {
+  /** Knows whether more bytes have arrived than the response that it has just passed on. */
+  private static final class TrailingBytesDecoder extends HttpResponseDecoder {
     boolean hasMore() {
       return actualReadableBytes() > 0;
     }
@@ -59,7 +58,7 @@
         idleGuard(),
         new HttpRequestEncoder(),
         decoder,
-        new HttpObjectAggregator(HttpFrontend.MOST_BODY),
+        new HttpObjectAggregator(HttpFrontend.MAX_BODY),
         this);
   }
 
@@ -67,7 +66,7 @@
     return new ChannelInboundHandlerAdapter() {
       @Override
       public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-        if (transfer == null) {
+        if (exchange == null) {
           ReferenceCountUtil.release(bytes);
           close();
         } else {
@@ -102,13 +101,13 @@
       pool.release(this);
       return;
     }
-    transfer = next;
+    exchange = next;
     next.carriedBy(this);
     context
         .writeAndFlush(request)
         .addListener(
             written -> {
-              if (written.isSuccess() && transfer == next) {
+              if (written.isSuccess() && exchange == next) {
                 next.written();
               } else if (!written.isSuccess()) {
                 fault = written.cause();
@@ -119,15 +118,15 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-    if (transfer == null || response.decoderResult().isFailure()) {
+    if (exchange == null || response.decoderResult().isFailure()) {
       close();
       return;
     }
     if (HttpStatusClass.valueOf(response.status().code()) == HttpStatusClass.INFORMATIONAL) {
       return;
     }
-    HttpExchange answered = transfer;
-    transfer = null;
+    HttpExchange answered = exchange;
+    exchange = null;
     boolean keep = HttpUtil.isKeepAlive(response) && !decoder.hasMore();
     answered.answered(response);
     if (keep) {
@@ -156,8 +155,8 @@
   /** The one place where a connection ends, from whichever side. */
   private void ended() {
     pool.ended(this);
-    HttpExchange broken = transfer;
-    transfer = null;
+    HttpExchange broken = exchange;
+    exchange = null;
     if (broken != null) {
       // Netty closes the channel first and fails the write that broke it behind that: its cause
       // counts here.
--- /dev/null
+++ b/node/src/main/java/ferngrade/server/GracefulShutdown.java
@@ -0,0 +1,56 @@
+package ferngrade.server;
+
+import ferngrade.http.HttpFrontend;
+import ferngrade.http.ShutdownBudget;
+import ferngrade.node.Clock;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
+import ferngrade.node.Timers;
+
+/**
+ * Stops a node in order, on its event loop: drains its connections, answers all jobs within the
+ * {@link ShutdownBudget}, and then lets the frontend finish.
+ */
+final class GracefulShutdown {
+  private final HttpFrontend front;
+  private final RequestCoordinator coordinator;
+  private final Clock clock;
+  private final Timers timers;
+  private final RateLimitedLog log;
+
+  GracefulShutdown(
+      HttpFrontend front,
+      RequestCoordinator coordinator,
+      Clock clock,
+      Timers timers,
+      RateLimitedLog log) {
+    this.front = front;
+    this.coordinator = coordinator;
+    this.clock = clock;
+    this.timers = timers;
+    this.log = log;
+  }
+
+  /**
+   * Begins a shutdown.
+   *
+   * @param requested the times of its phases
+   * @param acceptUntil when the node stops accepting jobs at the latest, ms on the clock
+   * @param whenDone runs once everything accepted has been answered
+   */
+  void begin(ShutdownBudget requested, double acceptUntil, Runnable whenDone) {
+    log.line("stopping");
+    ShutdownBudget budget = front.drain(requested);
+    coordinator.answerAllBy(budget.answersBy());
+    timers.after(
+        Math.min(acceptUntil, budget.acceptUntil()) - clock.now(),
+        () -> {
+          log.line("no more jobs are taken");
+          front.finish(
+              () -> {
+                log.line("everything taken has its answer");
+                whenDone.run();
+              });
+        });
+  }
+}
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -1,7 +1,5 @@
 package ferngrade.server;
 
-import ferngrade.config.EndpointListParser;
-import ferngrade.config.MaintenanceCodec;
 import ferngrade.config.NodeConfig;
 import ferngrade.discovery.Discovery;
 import ferngrade.discovery.DiscoveryWatch;
@@ -19,23 +17,21 @@
 import ferngrade.http.ShutdownBudget;
 import ferngrade.http.UpgradePeer;
 import ferngrade.http.WorkerClient;
-import ferngrade.node.AtomicFile;
 import ferngrade.node.Clock;
 import ferngrade.node.Endpoint;
 import ferngrade.node.FileOperations;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.RequestCoordinator;
-import ferngrade.node.TaskScheduler;
 import ferngrade.node.Timers;
 import ferngrade.peer.UdpPeers;
 import ferngrade.transport.ChannelProvider;
 import ferngrade.transport.FaultOrigin;
+import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.spi.SelectorProvider;
@@ -46,37 +42,31 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 
-/** A node on sockets: puts the parts together on one event loop, and takes them down in order. */
+/**
+ * A node on sockets: the composition root, which puts the parts together on one event loop and
+ * stops them in order. Its public methods may be called from any thread, except where they say
+ * otherwise.
+ */
 public final class NodeServer {
-  /**
-   * How often a start is tried again that fails for a lack of this machine, and the pause between,
-   * ms.
-   */
+  /** How often a start is retried that fails for a lack of this machine. */
   private static final int START_RETRIES = 100;
 
+  /** The pause between two starts, ms. */
   private static final long START_BACKOFF = 20;
 
-  /** What a client is told to wait that finds no room, ms. */
-  private static final double FULL_RETRY = 1000;
-
-  /**
-   * Requests held for each MB of the limit: with their attempts and timers some KB each, a
-   * sixteenth of it.
-   */
-  private static final int REQUESTS_A_MB = 16;
+  /** The Retry-After of a rejection for lack of capacity, ms. */
+  private static final double OVERLOAD_RETRY_AFTER = 1000;
 
   /**
-   * Operators' callers held at a time, beside all else: a few, as the ops staff call one at a time.
+   * Requests held for each MB of the memory limit: with their attempts and timers they take some KB
+   * each, a sixteenth of it.
    */
-  private static final int CALLERS = 8;
-
-  /** The file in the platform's temporary folder that passes maintenance on to the next process. */
-  private static final String MAINTENANCE_FILE = "ferngrade-maintenance.json";
+  private static final int REQUESTS_PER_MB = 16;
 
   /**
-   * The file in that folder that says where the newest process of this node takes operators' calls.
+   * Operators' connections that may be open, beside all else: the staff makes one call at a time.
    */
-  private static final String ADMIN_FILE = "ferngrade-admin.txt";
+  private static final int MAX_OPERATORS = 8;
 
   private final NodeConfig config;
   private final Platform platform;
@@ -88,24 +78,25 @@
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final Timers timers;
-  private final ConnectionLimits bounds;
+  private final ConnectionLimits limits;
   private final HttpFrontend front;
-  private final UpgradePeer sibling;
-  private RequestCoordinator node;
+  private final UpgradePeer upgradePeer;
+  private RequestCoordinator coordinator;
   private Discovery discovery;
   private final CountDownLatch finished = new CountDownLatch(1);
-  private io.netty.channel.Channel adminChannel;
+  private Channel adminChannel;
   private int reloadsOk;
   private int reloadsFailed;
 
   /**
-   * What the platform hands a process beside its configuration: {@code accepted}, the clients'
-   * listening socket, or null where the node binds its own; {@code state}, a folder that a later
-   * process of the node shares, or null for none, and {@code files}, by which files in it are read
-   * and written.
+   * What the platform passes to a process beside its configuration.
+   *
+   * @param accepted the clients' listening socket, or null where the node binds its own
+   * @param state a folder that a later process of the node shares, or null for none
+   * @param files how files in that folder are read and written
    */
   public record Platform(ServerSocketChannel accepted, Path state, FileOperations files) {
-    /** Nothing handed over: the node binds its own socket and keeps nothing. */
+    /** Nothing passed on: the node binds its own socket and keeps no state. */
     public static final Platform NONE = new Platform(null, null);
 
     /** On the machine's own file system. */
@@ -143,33 +134,37 @@
                     },
                     (long) Math.ceil(millis * 1000),
                     TimeUnit.MICROSECONDS));
-    this.bounds = ConnectionLimits.within(config.sockets(), config.memoryMb());
-    // Only a process on a handed socket can have another beside it.
-    this.sibling =
+    this.limits = ConnectionLimits.within(config.sockets(), config.memoryMb());
+    // Only a process on an inherited socket can have another beside it.
+    this.upgradePeer =
         platform.accepted() == null ? null : new UpgradePeer(group, timers, log, null, channels);
-    this.front = new HttpFrontend(bounds, clock, arrivals, timers, sibling, channels);
+    this.front = new HttpFrontend(limits, clock, arrivals, timers, upgradePeer, channels);
   }
 
-  /** Starts the decisions of a node, which ask for what they want done by these actions. */
+  /** Makes the dispatcher of a node, which acts through the given actions. */
   @FunctionalInterface
   public interface Decisions {
-    /** Starts them. */
+    /** The dispatcher, from {@code now}, ms on the node's clock. */
     Dispatcher start(NodeConfig config, double now, Actions actions);
   }
 
-  /** Starts a node, which listens when this returns; an address in use ends in an exception. */
+  /**
+   * Starts a node, which listens when this returns.
+   *
+   * @throws Exception if it cannot, for example because the address is in use
+   */
   public static NodeServer start(NodeConfig config, Clock clock, RateLimitedLog log)
       throws Exception {
     return start(config, Platform.NONE, clock, log);
   }
 
-  /** Starts a node with what the platform hands over. */
+  /** Starts a node with what the platform passes on. */
   public static NodeServer start(
       NodeConfig config, Platform platform, Clock clock, RateLimitedLog log) throws Exception {
     return start(config, platform, clock, log, ChannelProvider.SOCKETS);
   }
 
-  /** Starts a node on channels of the caller's making. */
+  /** Starts a node on other channels than ordinary sockets. */
   static NodeServer start(
       NodeConfig config,
       Platform platform,
@@ -182,23 +177,20 @@
         platform,
         clock,
         log,
-        (told, now, actions) ->
-            new ThrottlingDispatcher(told.settings(), told.seed(), now, actions),
+        (started, now, actions) ->
+            new ThrottlingDispatcher(started.settings(), started.seed(), now, actions),
         channels);
   }
 
-  /**
-   * Starts a node round other decisions than the module's, for those that hold the two against each
-   * other.
-   */
+  /** Starts a node with another dispatcher than the usual one, to compare the two. */
   public static NodeServer start(
       NodeConfig config, Clock clock, RateLimitedLog log, Decisions decisions) throws Exception {
     return start(config, Platform.NONE, clock, log, decisions, ChannelProvider.SOCKETS);
   }
 
   /**
-   * Starts a node, again and again for a while where the machine lacks what it needs. Not on a
-   * socket handed over: a start that fails closes it.
+   * Starts a node, with retries for a while where the machine lacks what it needs; without any on
+   * an inherited socket, which a start that fails closes.
    */
   private static NodeServer start(
       NodeConfig config,
@@ -249,145 +241,111 @@
     }
   }
 
-  private RequestCoordinator.RequestLimits room() {
+  private RequestCoordinator.RequestLimits requestLimits() {
     long bytes = ((long) config.memoryMb() << 20) / 16;
     return new RequestCoordinator.RequestLimits(
-        Math.min(config.mostOpen(), REQUESTS_A_MB * config.memoryMb()),
+        Math.min(config.mostOpen(), REQUESTS_PER_MB * config.memoryMb()),
         bytes,
-        Math.min(FULL_RETRY, config.settings().limits().retryAfterMax()));
+        Math.min(OVERLOAD_RETRY_AFTER, config.settings().limits().retryAfterMax()));
   }
 
+  /** Puts the parts together, on the event loop; returns the sockets that are being bound. */
   private List<ChannelFuture> assemble() {
     ConnectionPool pool =
-        new ConnectionPool(clock, timers, config.connectionIdle(), bounds.workers());
+        new ConnectionPool(clock, timers, config.connectionIdle(), limits.workers());
     WorkerClient workers =
         new WorkerClient(group, clock, timers, pool, config.connectTimeout(), log, channels);
     UdpPeers peers = new UdpPeers(config.peers(), config.peersAll(), log, channels);
-    node =
+    coordinator =
         new RequestCoordinator(
             new RequestCoordinator.Surroundings(clock, timers, loop, workers, peers, log),
-            room(),
+            requestLimits(),
             actions -> decisions.start(config, clock.now(), actions));
-    TaskScheduler writer = TaskScheduler.onDaemonThread("state-file");
-    AtomicFile state = platform.state() == null ? null : stateFile(MAINTENANCE_FILE, writer);
-    restore(node, state);
+    StateFolder state =
+        platform.state() == null
+            ? null
+            : new StateFolder(platform.state(), platform.files(), log, this::report);
+    if (state != null) {
+      state.restoreMaintenance(coordinator);
+    }
     if (config.known() != null) {
-      keep(node, config.known().members());
+      useStoredList(config.known().members());
     }
     List<ChannelFuture> bound = new ArrayList<>();
     if (config.peerListen() != null) {
-      bound.add(peers.listen(group, config.peerListen(), node::heard));
+      bound.add(peers.listen(group, config.peerListen(), coordinator::heard));
     }
-    bound.add(
-        front.listen(
-            group,
-            config.listen(),
-            platform.accepted(),
-            node,
-            new RequestReader(config.settings()),
-            log));
+    RequestReader reader = new RequestReader(config.settings());
+    bound.add(front.listen(group, config.listen(), platform.accepted(), coordinator, reader, log));
     if (config.admin() != null) {
-      List<String> classes = config.settings().classes().stream().map(JobClass::name).toList();
-      Admin admin =
-          new Admin(
-              new Admin.Parts(
-                  node, front, sibling, classes, state, () -> reloadsOk, () -> reloadsFailed),
-              loop,
-              timers,
-              log,
-              CALLERS);
-      ChannelFuture listening = admin.listen(group, config.admin(), channels);
-      adminChannel = listening.channel();
-      bound.add(listening);
-      if (platform.state() != null && sibling != null) {
-        AtomicFile here = stateFile(ADMIN_FILE, writer);
-        findSibling(here);
-        listening.addListener(
-            done -> {
-              if (done.isSuccess()) {
-                InetSocketAddress own = adminAddress();
-                here.write(own.getHostString() + ":" + own.getPort(), () -> {});
-                sibling.announce(own);
-              }
-            });
-      }
+      bound.add(listenForOperators(state));
     }
-    double pause =
-        config.settings().asks() ? DiscoveryWatch.ASKED_MOST : DiscoveryWatch.PUSHED_MOST;
-    discovery =
-        new Discovery(
-            (address, whenListed) ->
-                new DiscoveryWatch(
-                    group,
-                    address,
-                    config.memberReader(),
-                    node,
-                    timers,
-                    log,
-                    pause,
-                    whenListed,
-                    channels));
+    discovery = new Discovery(this::newWatch);
     discovery.watch(config.discovery());
     workers.beforeAttempt(discovery::readPending);
     return bound;
   }
 
-  private AtomicFile stateFile(String name, TaskScheduler writer) {
-    return new AtomicFile(platform.state().resolve(name), platform.files(), writer, this::report);
-  }
-
-  /**
-   * Where lists are pushed, what the agent here holds counts as told from the first moment, and it
-   * answers at once: the stored list waits for that. Where discovery is asked, nothing counts
-   * before its answer, which may take long.
-   */
-  private void keep(RequestCoordinator node, List<Endpoint> stored) {
-    if (config.settings().asks()) {
-      node.members(EndpointListUpdate.STORED, stored);
-    } else {
-      node.stored(stored);
+  /** Begins to listen for operators' calls; {@code state} is null if no state is kept. */
+  private ChannelFuture listenForOperators(StateFolder state) {
+    List<String> classes = config.settings().classes().stream().map(JobClass::name).toList();
+    Admin.Parts parts =
+        new Admin.Parts(
+            coordinator,
+            front,
+            upgradePeer,
+            classes,
+            state == null ? null : state.maintenance(),
+            () -> reloadsOk,
+            () -> reloadsFailed);
+    ChannelFuture listening =
+        new Admin(parts, loop, timers, log, MAX_OPERATORS).listen(group, config.admin(), channels);
+    adminChannel = listening.channel();
+    if (state != null && upgradePeer != null) {
+      state.findEarlierProcess(upgradePeer);
+      listening.addListener(
+          done -> {
+            if (done.isSuccess()) {
+              state.saveAdminAddress(adminAddress());
+              upgradePeer.announce(adminAddress());
+            }
+          });
     }
+    return listening;
   }
 
-  /**
-   * Reads where an earlier process of this node takes calls, before this one says where it does;
-   * that process may still run beside this one on the clients' socket.
-   */
-  private void findSibling(AtomicFile here) {
-    try {
-      String earlier = here.read();
-      if (earlier != null) {
-        sibling.at(EndpointListParser.address(earlier.trim()));
-      }
-    } catch (IOException | IllegalArgumentException unusable) {
-      log.line("the address of an earlier process is left aside: " + unusable.getMessage());
-    }
+  private DiscoveryWatch newWatch(InetSocketAddress address, Runnable whenListed) {
+    double maxBackoff =
+        config.settings().asks() ? DiscoveryWatch.ASKED_MOST : DiscoveryWatch.PUSHED_MOST;
+    return new DiscoveryWatch(
+        group,
+        address,
+        config.memberReader(),
+        coordinator,
+        timers,
+        log,
+        maxBackoff,
+        whenListed,
+        channels);
   }
 
   /**
-   * Takes over the maintenance that an earlier process of this node left. What cannot be read, a
-   * torn or foreign file among others, is said in the log and left aside: the node starts without
-   * it.
+   * Uses the endpoint list of an earlier process. Where lists are pushed, the agent on this machine
+   * answers at once, and what it holds counts from the first moment: the stored list waits for
+   * that. Where discovery is polled, nothing counts before its answer, which may take long.
    */
-  private void restore(RequestCoordinator node, AtomicFile state) {
-    if (state == null) {
-      return;
-    }
-    try {
-      String saved = state.read();
-      if (saved != null) {
-        node.restoreMaintenance(MaintenanceCodec.read(saved));
-        log.line("maintenance taken over from an earlier process");
-      }
-    } catch (IOException | IllegalArgumentException unusable) {
-      log.line("maintenance of an earlier process left aside: " + unusable.getMessage());
+  private void useStoredList(List<Endpoint> stored) {
+    if (config.settings().asks()) {
+      coordinator.members(EndpointListUpdate.STORED, stored);
+    } else {
+      coordinator.stored(stored);
     }
   }
 
   /**
-   * Takes over what a configuration, read while the node runs, says of discovery; the rest counts
-   * from the next start on. Jobs in work, the last worker list and all that was learned stay. Any
-   * thread may call this.
+   * Applies the address of discovery from a configuration that was read while the node runs; the
+   * rest applies from the next start on. Jobs in flight, the last endpoint list and all learned
+   * estimates stay.
    */
   public void reload(NodeConfig changed) {
     later(
@@ -401,21 +359,21 @@
         });
   }
 
-  /** Writes a line to the node's log, from any thread. */
+  /** Writes a line to the node's log. */
   public void report(String line) {
     later(() -> log.line(line));
   }
 
-  /** Runs this on the loop, unless that has ended: a signal may come while the process does. */
+  /** Runs this on the loop, unless that has ended: a signal may come while the process ends. */
   private void later(Runnable task) {
     try {
       loop.execute(task);
     } catch (RejectedExecutionException ended) {
-      // There is no node left that the signal could be about.
+      // There is no node left to apply it to.
     }
   }
 
-  /** Counts a configuration that could not be used, and says why in the log; from any thread. */
+  /** Counts a configuration that could not be used, and logs why. */
   public void reloadFailed(String line) {
     later(
         () -> {
@@ -424,7 +382,7 @@
         });
   }
 
-  /** Where operators call, or null where they do not. */
+  /** Where the node takes operators' calls; null if it does not. */
   public InetSocketAddress adminAddress() {
     return adminChannel == null ? null : (InetSocketAddress) adminChannel.localAddress();
   }
@@ -435,15 +393,15 @@
   }
 
   /**
-   * Stops in order: for a moment still accepts, ends each connection with its next answer, and
-   * finishes everything that was taken. Returns when all is done, at the latest at the end of the
-   * {@link ShutdownBudget}.
+   * Stops in order: for a moment still accepts, closes each connection behind its next response,
+   * and finishes every job that was accepted. Returns when all is done, at the latest at the end of
+   * the {@link ShutdownBudget}.
    */
   public void stop() throws InterruptedException {
     stop(Double.POSITIVE_INFINITY);
   }
 
-  /** Stops and takes jobs for at most this long, ms. */
+  /** Stops, and accepts jobs for at most this long, ms. */
   void stop(double grace) throws InterruptedException {
     if (!loop.isShuttingDown()) {
       finish(grace, () -> {});
@@ -452,9 +410,8 @@
   }
 
   /**
-   * Stops for the end of the process, which {@code exit} brings about on the event loop when all is
-   * done. The runtime waits up to 0.3 s for threads that are in a system call, as the loop is when
-   * any other thread ends the process.
+   * Stops and runs {@code exit}, which ends the process, on the event loop. When any other thread
+   * ends the process, the runtime waits up to 0.3 s for threads in a system call, as the loop is.
    */
   public void stopAndExit(Runnable exit) throws InterruptedException {
     finish(Double.POSITIVE_INFINITY, exit);
@@ -462,25 +419,17 @@
 
   private void finish(double grace, Runnable whenDone) throws InterruptedException {
     // Counted from the call: the loop may come to it late.
-    double asked = clock.now();
-    loop.execute(() -> stopFrom(asked, grace, whenDone));
+    double requested = clock.now();
+    loop.execute(
+        () ->
+            new GracefulShutdown(front, coordinator, clock, timers, log)
+                .begin(
+                    ShutdownBudget.of(requested, config.settings()),
+                    requested + grace,
+                    () -> {
+                      whenDone.run();
+                      finished.countDown();
+                    }));
     finished.await();
   }
-
-  private void stopFrom(double asked, double grace, Runnable whenDone) {
-    log.line("stopping");
-    ShutdownBudget budget = front.drain(ShutdownBudget.of(asked, config.settings()));
-    node.answerAllBy(budget.answersBy());
-    timers.after(
-        Math.min(asked + grace, budget.acceptUntil()) - clock.now(),
-        () -> {
-          log.line("no more jobs are taken");
-          front.finish(
-              () -> {
-                log.line("everything taken has its answer");
-                whenDone.run();
-                finished.countDown();
-              });
-        });
-  }
 }
--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -201,8 +201,7 @@
     try (ServerSocket narrow = new ServerSocket()) {
       narrow.setReceiveBufferSize(SMALL_BUFFER);
       narrow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      JobRequest large =
-          new JobRequest("a", "POST", "/api", null, new byte[HttpFrontend.MOST_BODY]);
+      JobRequest large = new JobRequest("a", "POST", "/api", null, new byte[HttpFrontend.MAX_BODY]);
       InetSocketAddress address = (InetSocketAddress) narrow.getLocalSocketAddress();
       loop.submit(() -> client.send(large, address, 1000, new Teller())).get();
       Socket connection = narrow.accept();
