--- a/node/src/main/java/ferngrade/node/Attempt.java
+++ b/node/src/main/java/ferngrade/node/Attempt.java
@@ -2,14 +2,14 @@
 
 import ferngrade.dispatch.AttemptOutcome;
 
-/** One sending of a request to a worker. */
+/** One attempt to run a request on a worker. Belongs to the loop's thread. */
 final class Attempt {
-  final PendingRequest exchange;
+  final PendingRequest request;
   final int number;
   final long worker;
 
-  /** The list's entry at the time of the send; null if the list holds none. */
-  final Endpoint member;
+  /** The worker's endpoint at the time of the send; null if the list held none. */
+  final Endpoint endpoint;
 
   final double sentAt;
   WorkerTransport.AttemptHandle sending;
@@ -18,24 +18,24 @@
   boolean written;
   boolean ended;
 
-  /** The worker has told of it by a call-back. */
+  /** The worker has sent a callback about it. */
   boolean calledBack;
 
-  /** It ended without the worker's word, so that the worker may run it yet. */
+  /** It ended without a response of the worker, which may still run it. */
   private boolean doubtful;
 
   /** Its end has proven that the worker did not run it. */
   private boolean neverRan;
 
-  Attempt(PendingRequest exchange, long worker, Endpoint member, double sentAt) {
-    this.exchange = exchange;
-    this.number = exchange.attempts.size();
+  Attempt(PendingRequest request, long worker, Endpoint endpoint, double sentAt) {
+    this.request = request;
+    this.number = request.attempts.size();
     this.worker = worker;
-    this.member = member;
+    this.endpoint = endpoint;
     this.sentAt = sentAt;
   }
 
-  /** The attempt has ended; nothing that was to end it runs any more. */
+  /** The attempt has ended; its timeouts are cancelled. */
   void ended(AttemptOutcome outcome) {
     ended = true;
     neverRan = outcome.neverRan;
@@ -51,15 +51,15 @@
   }
 
   /**
-   * True while the worker must not get the request (again): the attempt is out there, or may be, or
-   * the worker has called back about it. A repeat of that call-back could not be told from news of
-   * a new attempt, and would end it.
+   * True while the worker must not get the request again: the attempt is in flight, or may be, or
+   * the worker has sent a callback about it. A repeat of that callback could not be distinguished
+   * from one about a new attempt, and would end that.
    */
   boolean bars() {
     return !ended || calledBack || doubtful;
   }
 
-  /** Written and not ended: what a call-back can be about. */
+  /** Written and not ended: what a callback can be about. */
   boolean running() {
     return written && !ended;
   }
--- /dev/null
+++ b/node/src/main/java/ferngrade/node/AttemptRunner.java
@@ -0,0 +1,167 @@
+package ferngrade.node;
+
+import ferngrade.dispatch.AttemptOutcome;
+import ferngrade.dispatch.LoadReport;
+import ferngrade.dispatch.WorkerState;
+
+/**
+ * Runs attempts: sends each to its worker with its timeouts, cancels it, and reports its end once.
+ * Belongs to the loop's thread.
+ */
+final class AttemptRunner {
+  /**
+   * How long a worker may take to accept a job, ms; it accepts before it begins. One that does not,
+   * for example because it hangs on all jobs of a class, would hold the job until its deadline, and
+   * the dispatcher would count the job as in flight there. A pause of the worker's machine is
+   * shorter.
+   */
+  private static final double ACCEPTANCE_TIMEOUT = 1000;
+
+  private final Clock clock;
+  private final Timers timers;
+  private final WorkerTransport transport;
+  private final TurnQueue turns;
+  private final EndpointRegistry endpoints;
+  private final NodeMetrics metrics;
+  private final EndListener listener;
+
+  /** Is notified of the end of each attempt, once. */
+  @FunctionalInterface
+  interface EndListener {
+    void ended(Attempt attempt, AttemptOutcome outcome, LoadReport report);
+  }
+
+  AttemptRunner(
+      RequestCoordinator.Surroundings around,
+      TurnQueue turns,
+      EndpointRegistry endpoints,
+      NodeMetrics metrics,
+      EndListener listener) {
+    this.clock = around.clock();
+    this.timers = around.timers();
+    this.transport = around.workers();
+    this.turns = turns;
+    this.endpoints = endpoints;
+    this.metrics = metrics;
+    this.listener = listener;
+  }
+
+  /**
+   * Starts an attempt of a request on a worker, for {@code timeout} ms at most, 0 for the whole
+   * time to the request's deadline. An attempt that may not be sent ends as such.
+   */
+  void start(PendingRequest request, long worker, double timeout) {
+    double now = clock.now();
+    Endpoint endpoint = endpoints.get(worker);
+    boolean barred = request.barred(worker);
+    Attempt attempt = new Attempt(request, worker, endpoint, now);
+    request.attempts.add(attempt);
+    request.attemptsInFlight++;
+    double left = request.job.due() - now;
+    if (request.completed()
+        || left <= 0
+        || barred
+        || endpoint == null
+        || endpoint.worker().state() != WorkerState.READY) {
+      turns.event(() -> end(attempt, AttemptOutcome.NEVER_SENT, LoadReport.NONE));
+      return;
+    }
+    double limit = timeout > 0 ? Math.min(timeout, left) : left;
+    attempt.timeout =
+        timers.after(
+            limit, () -> giveUp(attempt, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECT_FAILED));
+    attempt.acceptance = timers.after(ACCEPTANCE_TIMEOUT, () -> notAccepted(attempt));
+    attempt.sending =
+        transport.send(request.call, endpoint.address(), limit, new ProgressListener(attempt));
+  }
+
+  /** Cancels an attempt in the next turn, if it has not ended by then. */
+  void cancel(Attempt attempt) {
+    giveUp(attempt, AttemptOutcome.CANCELLED, AttemptOutcome.NEVER_SENT);
+  }
+
+  private void giveUp(Attempt attempt, AttemptOutcome ifWritten, AttemptOutcome ifNot) {
+    if (!attempt.ended && attempt.sending != null) {
+      turns.event(
+          () -> {
+            if (!attempt.ended) {
+              attempt.sending.giveUp(() -> {});
+              end(
+                  attempt,
+                  attempt.written ? ifWritten : unwritten(attempt, ifNot),
+                  LoadReport.NONE);
+            }
+          });
+    }
+  }
+
+  /** The outcome of an attempt that was not written: a lack of this machine is not the worker's. */
+  private static AttemptOutcome unwritten(Attempt attempt, AttemptOutcome otherwise) {
+    return attempt.sending.delayedLocally() ? AttemptOutcome.NEVER_SENT : otherwise;
+  }
+
+  /**
+   * The worker has not accepted the job, and its client still waits: a retry may follow. That must
+   * not overtake the cancellation to this worker, whose 202 may be under way.
+   */
+  private void notAccepted(Attempt attempt) {
+    if (!attempt.ended && !attempt.written && attempt.sending.delayedLocally()) {
+      attempt.acceptance = timers.after(ACCEPTANCE_TIMEOUT, () -> notAccepted(attempt));
+    } else if (!attempt.ended && !attempt.calledBack) {
+      attempt.sending.giveUp(
+          () ->
+              turns.event(
+                  () ->
+                      end(
+                          attempt,
+                          attempt.written
+                              ? AttemptOutcome.TIMEOUT
+                              : unwritten(attempt, AttemptOutcome.CONNECT_FAILED),
+                          LoadReport.NONE)));
+    }
+  }
+
+  /** Ends an attempt and reports that; does nothing for one that has ended. */
+  void end(Attempt attempt, AttemptOutcome outcome, LoadReport report) {
+    if (!attempt.ended) {
+      attempt.ended(outcome);
+      attempt.request.attemptsInFlight--;
+      listener.ended(attempt, outcome, report);
+    }
+  }
+
+  /** Follows one attempt on its way to the worker. */
+  private final class ProgressListener implements WorkerTransport.Listener {
+    private final Attempt attempt;
+
+    ProgressListener(Attempt attempt) {
+      this.attempt = attempt;
+    }
+
+    @Override
+    public boolean mayStart() {
+      // A dial may outlast its purpose: the client may have gone, or another attempt have
+      // succeeded.
+      return !attempt.ended
+          && !attempt.request.completed()
+          && endpoints.isCurrent(attempt.endpoint)
+          && attempt.request.clientPresent();
+    }
+
+    @Override
+    public void written() {
+      attempt.written = true;
+      metrics.attempt();
+    }
+
+    @Override
+    public void taken() {
+      attempt.acceptance.cancel();
+    }
+
+    @Override
+    public void ended(AttemptOutcome outcome, LoadReport report) {
+      turns.event(() -> end(attempt, outcome, report));
+    }
+  }
+}
--- /dev/null
+++ b/node/src/main/java/ferngrade/node/EndpointRegistry.java
@@ -0,0 +1,108 @@
+package ferngrade.node;
+
+import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.dispatch.Worker;
+import java.util.List;
+import java.util.function.BiConsumer;
+
+/**
+ * The endpoint list in force: as discovery sent it, with start times on this process's clock, and
+ * with the operators' maintenance laid over it. Belongs to the loop's thread.
+ */
+final class EndpointRegistry {
+  private final Clock clock;
+  private final BiConsumer<EndpointListUpdate, List<Worker>> listener;
+  private final EndpointList endpoints = new EndpointList();
+  private final StartTimes startTimes;
+  private final MaintenanceOverrides maintenance = new MaintenanceOverrides();
+
+  /** The list of an earlier process while none has been received; null from then on. */
+  private List<Endpoint> stored;
+
+  /** Passes each update, as it is in force, to {@code listener}. */
+  EndpointRegistry(Clock clock, BiConsumer<EndpointListUpdate, List<Worker>> listener) {
+    this.clock = clock;
+    this.listener = listener;
+    this.startTimes = new StartTimes(clock);
+  }
+
+  boolean isEmpty() {
+    return endpoints.isEmpty();
+  }
+
+  /** The worker's endpoint; null if the list does not hold it. */
+  Endpoint get(long worker) {
+    return endpoints.get(worker);
+  }
+
+  /** True while a job picked for this endpoint may be sent to it. */
+  boolean isCurrent(Endpoint endpoint) {
+    return endpoints.stands(endpoint);
+  }
+
+  /** An update of the list, whose start times are by the wall clock. */
+  void update(EndpointListUpdate kind, List<Endpoint> entries) {
+    stored = null;
+    apply(kind, maintenance.over(kind, startTimes.translate(kind, entries)));
+  }
+
+  /** Discovery reports that nothing has changed. */
+  void unchanged() {
+    startTimes.unchanged();
+  }
+
+  /** Keeps the list of an earlier process, for {@link #useStored}. */
+  void store(List<Endpoint> entries) {
+    stored = entries;
+  }
+
+  /** Puts the stored list in force, if none has been received. */
+  void useStored() {
+    if (stored != null) {
+      update(EndpointListUpdate.STORED, stored);
+    }
+  }
+
+  /** Puts a worker in maintenance; false if nobody has that name. */
+  boolean startMaintenance(String name) {
+    return maintenance.knows(name) && changed(maintenance.take(name));
+  }
+
+  /** Ends a worker's maintenance; false if nobody has that name. */
+  boolean endMaintenance(String name) {
+    return maintenance.knows(name) && changed(maintenance.giveBack(name, clock.now()));
+  }
+
+  private boolean changed(Endpoint entry) {
+    if (entry != null) {
+      apply(EndpointListUpdate.CHANGES, List.of(entry));
+    }
+    return true;
+  }
+
+  /** What is in maintenance, with times by the wall clock. */
+  MaintenanceOverrides.Saved savedMaintenance() {
+    return maintenance.saved().translated(startTimes::toWall);
+  }
+
+  /** Takes over saved maintenance, with times by the wall clock. */
+  void restoreMaintenance(MaintenanceOverrides.Saved saved) {
+    maintenance.restore(saved.translated(startTimes::toMonotonic));
+  }
+
+  /** The number of listed workers. */
+  int listed() {
+    return maintenance.listedAll();
+  }
+
+  /** The number of listed workers in maintenance. */
+  int inMaintenance() {
+    return maintenance.listedOut();
+  }
+
+  private void apply(EndpointListUpdate kind, List<Endpoint> entries) {
+    // In force at once, not with the next batch of events: the drain rule counts from the receipt.
+    endpoints.update(kind, entries);
+    listener.accept(kind, entries.stream().map(Endpoint::worker).toList());
+  }
+}
--- a/node/src/main/java/ferngrade/node/PendingRequest.java
+++ b/node/src/main/java/ferngrade/node/PendingRequest.java
@@ -9,56 +9,59 @@
   final Job job;
   final JobRequest call;
   final List<Attempt> attempts = new ArrayList<>(2);
-  int out;
+
+  /** The number of attempts that have not ended. */
+  int attemptsInFlight;
+
   Timers.Timer guard;
   private final ResponseHandler reply;
-  private final NodeMetrics figures;
-  private boolean over;
+  private final NodeMetrics metrics;
+  private boolean completed;
 
-  /** The final answer goes to {@code reply}, and is counted in {@code figures}. */
-  PendingRequest(Job job, JobRequest call, ResponseHandler reply, NodeMetrics figures) {
+  /** The final answer goes to {@code reply}, and is counted in {@code metrics}. */
+  PendingRequest(Job job, JobRequest call, ResponseHandler reply, NodeMetrics metrics) {
     this.job = job;
     this.call = call;
     this.reply = reply;
-    this.figures = figures;
+    this.metrics = metrics;
   }
 
-  boolean over() {
-    return over;
+  boolean completed() {
+    return completed;
   }
 
-  /** Ends the request for good: true for the first caller only, who owes the final answer. */
-  private boolean close() {
-    boolean first = !over;
-    over = true;
+  /** Completes the request: true for the first caller only, who owes the final answer. */
+  private boolean complete() {
+    boolean first = !completed;
+    completed = true;
     return first;
   }
 
   void served(String result) {
-    if (close()) {
-      figures.served(job.jobClass());
+    if (complete()) {
+      metrics.served(job.jobClass());
       reply.served(result);
     }
   }
 
   void refused(double retryAfter) {
-    if (close()) {
-      figures.refused(job.jobClass());
+    if (complete()) {
+      metrics.refused(job.jobClass());
       reply.refused(retryAfter);
     }
   }
 
   /** True if this was the final answer. */
   boolean failed() {
-    boolean first = close();
+    boolean first = complete();
     if (first) {
-      figures.failed(job.jobClass());
+      metrics.failed(job.jobClass());
       reply.failed();
     }
     return first;
   }
 
-  /** The final answer to a request that is given up, by what its attempts may have done. */
+  /** The final answer to a request that is cancelled, by what its attempts may have done. */
   void givenUp() {
     if (attempts.stream().anyMatch(Attempt::mayHaveRun)) {
       failed();
@@ -74,20 +77,20 @@
 
   /** The client has gone; there is nobody to answer. */
   void abandoned() {
-    over = true;
+    completed = true;
   }
 
-  /** The attempt that this worker may be speaking of: the one that is out and fully written. */
+  /** The attempt that a callback of this worker can be about; null if there is none. */
   Attempt writtenTo(String worker) {
     for (Attempt attempt : attempts) {
-      if (attempt.running() && attempt.member.name().equals(worker)) {
+      if (attempt.running() && attempt.endpoint.name().equals(worker)) {
         return attempt;
       }
     }
     return null;
   }
 
-  /** True if the worker must not get the request (again). */
+  /** True if the worker must not get the request again. */
   boolean barred(long worker) {
     return attempts.stream().anyMatch(each -> each.worker == worker && each.bars());
   }
