--- a/node/src/main/java/ferngrade/net/Discovery.java
+++ b/node/src/main/java/ferngrade/discovery/Discovery.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.function.BiFunction;
@@ -9,7 +9,7 @@
  * still come there. From then on only the new address counts, whatever its revisions are: they may
  * start elsewhere.
  */
-final class Discovery {
+public final class Discovery {
   private final BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener;
 
   /** The address that the node is to watch. */
@@ -25,12 +25,12 @@
    * Makes watches by {@code opener}, from an address and what to run when it has told its first
    * list.
    */
-  Discovery(BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener) {
+  public Discovery(BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener) {
     this.opener = opener;
   }
 
   /** Watches this address from here on. */
-  void watch(InetSocketAddress address) {
+  public void watch(InetSocketAddress address) {
     if (current != null && current.address().equals(address)) {
       return;
     }
@@ -56,7 +56,7 @@
   /**
    * Reads at once what the sources of the list have told and the event loop has not come to read.
    */
-  void readPending() {
+  public void readPending() {
     if (previous != null) {
       previous.readPending();
     }
--- a/node/src/main/java/ferngrade/net/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -1,16 +1,20 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.ParseException;
 import ferngrade.config.EndpointListParser;
 import ferngrade.config.EndpointListParser.MemberList;
+import ferngrade.discovery.JsonObjectFramer.CompleteObject;
+import ferngrade.discovery.JsonObjectFramer.Event;
 import ferngrade.dispatch.EndpointListUpdate;
-import ferngrade.net.ChannelProvider.Purpose;
-import ferngrade.net.JsonObjectFramer.CompleteObject;
-import ferngrade.net.JsonObjectFramer.Event;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.RequestCoordinator;
 import ferngrade.node.Timers;
+import ferngrade.transport.ChannelProvider;
+import ferngrade.transport.ChannelProvider.Purpose;
+import ferngrade.transport.Dialer;
+import ferngrade.transport.FaultOrigin;
+import ferngrade.transport.PendingReads;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -40,7 +44,7 @@
  * with the pauses between: 2.5 + 0.1 + 1 + 0.2 + 1 + 0.4 s where discovery is asked, less where it
  * pushes.
  */
-final class DiscoveryWatch {
+public final class DiscoveryWatch {
   /**
    * An empty line comes every 2 s; a missing one means that the connection is dead. What discovery
    * had to tell meanwhile counts as told a few seconds later all the same: waiting for more would
@@ -78,7 +82,7 @@
   private static final int MAX_LIST_BYTES = 4 << 20;
 
   /** How the address answers, which says how often to call and how long to wait. */
-  enum Mode {
+  public enum Mode {
     /**
      * An agent on the node's own machine, which answers at once: a watch that does not begin to is
      * dead. Asking it costs nothing, and what it gets when discovery is back counts as told in that
@@ -131,7 +135,7 @@
    * A watch of an address that answers by {@code mode}, which calls {@code whenListed} once it has
    * told a whole list for the first time.
    */
-  DiscoveryWatch(
+  public DiscoveryWatch(
       EventLoopGroup group,
       InetSocketAddress discovery,
       EndpointListParser reader,
--- a/node/src/main/java/ferngrade/net/JsonObjectFramer.java
+++ b/node/src/main/java/ferngrade/discovery/JsonObjectFramer.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
--- /dev/null
+++ b/node/src/main/java/ferngrade/http/HttpFrontend.java
@@ -0,0 +1,231 @@
+package ferngrade.http;
+
+import ferngrade.http.AcceptSwitch.Reason;
+import ferngrade.node.Clock;
+import ferngrade.node.RateLimitedLog;
+import ferngrade.node.RequestCoordinator;
+import ferngrade.node.Timers;
+import ferngrade.transport.ChannelProvider;
+import ferngrade.transport.ChannelProvider.Purpose;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoopGroup;
+import java.net.InetSocketAddress;
+import java.nio.channels.ServerSocketChannel;
+
+/**
+ * The address to which clients send jobs and workers their callbacks. It listens, owns the counts
+ * of jobs in flight and of waiting bytes, and answers its connections whether the node drains;
+ * which connection must close is up to {@link ClientConnections}, the order of a shutdown to {@link
+ * FrontendShutdown}. Belongs to the event loop.
+ */
+public final class HttpFrontend {
+  /** The largest body, in bytes. */
+  static final int MAX_BODY = 64 << 10;
+
+  private static final int BACKLOG = 1024;
+
+  private final ConnectionLimits limits;
+  private final UpgradePeer upgradePeer;
+  private final ChannelProvider channels;
+  private final Clock clock;
+  private final ArrivalClock arrivals;
+  private final AcceptTimeEstimator acceptTimes;
+  private final AcceptSwitch acceptSwitch;
+  private final ClientConnections connections;
+  private final FrontendShutdown shutdown;
+  private Channel listener;
+  private boolean inherited;
+  private boolean drainedByOperators;
+  private int jobsInFlight;
+
+  /** Bytes of the bodies of pipelined requests that wait for their turn, on all connections. */
+  private long waitingBytes;
+
+  public HttpFrontend(
+      ConnectionLimits limits,
+      Clock clock,
+      ArrivalClock arrivals,
+      Timers timers,
+      UpgradePeer upgradePeer,
+      ChannelProvider channels) {
+    this.limits = limits;
+    this.upgradePeer = upgradePeer;
+    this.channels = channels;
+    this.clock = clock;
+    this.arrivals = arrivals;
+    this.acceptTimes = new AcceptTimeEstimator(arrivals);
+    this.acceptSwitch = new AcceptSwitch(timers);
+    this.connections = new ClientConnections(limits, clock, timers, acceptSwitch);
+    this.shutdown =
+        new FrontendShutdown(
+            connections, () -> jobsInFlight, () -> listener.close(), clock, timers);
+  }
+
+  /**
+   * Begins to listen: on {@code inheritedSocket}, a listening socket that this process was handed,
+   * or if that is null on a socket of its own at {@code address}.
+   */
+  public ChannelFuture listen(
+      EventLoopGroup group,
+      InetSocketAddress address,
+      ServerSocketChannel inheritedSocket,
+      RequestCoordinator coordinator,
+      RequestReader reader,
+      RateLimitedLog log) {
+    inherited = inheritedSocket != null;
+    ClientRequestHandler requests = new ClientRequestHandler(this, coordinator, reader, clock);
+    ServerBootstrap bootstrap =
+        new ServerBootstrap()
+            .group(group)
+            .channelFactory(() -> channels.listener(Purpose.CLIENTS, inheritedSocket));
+    if (!inherited) {
+      bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true);
+    }
+    bootstrap.handler(
+        new ChannelInitializer<Channel>() {
+          @Override
+          protected void initChannel(Channel channel) {
+            channel.pipeline().addLast(acceptTimes, acceptSwitch);
+          }
+        });
+    bootstrap
+        .childOption(ChannelOption.TCP_NODELAY, true)
+        .childHandler(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                new ClientConnectionHandler(
+                        HttpFrontend.this, requests, log, arrivals, acceptTimes.waitingSince())
+                    .addTo(channel.pipeline());
+              }
+            });
+    // An inherited socket is bound already: it is only registered with the loop.
+    ChannelFuture bound = inherited ? bootstrap.register() : bootstrap.bind(address);
+    listener = bound.channel();
+    connections.startSweeping();
+    return bound;
+  }
+
+  /** The address at which the frontend listens. */
+  public InetSocketAddress address() {
+    return (InetSocketAddress) listener.localAddress();
+  }
+
+  // ---- Draining and shutdown ----
+
+  /** True while every response closes its connection: the node or its operators drain it. */
+  boolean draining() {
+    return !shutdown.serving() || drainedByOperators;
+  }
+
+  /**
+   * Starts a graceful shutdown: from here on every response closes its connection. New connections
+   * are still accepted on a socket of this process's own; an inherited one is left to the next
+   * process, which listens on it already.
+   *
+   * @return the budget of the first call, which is the one that counts
+   */
+  public ShutdownBudget drain(ShutdownBudget requested) {
+    ShutdownBudget budget = shutdown.drain(requested);
+    if (inherited) {
+      acceptSwitch.pause(Reason.HANDED_OVER, true);
+    }
+    return budget;
+  }
+
+  /**
+   * Operators drain the node: it is not ready, every response closes its connection, and idle ones
+   * close at once, so that the load balancer's new connections go elsewhere. Jobs in flight end as
+   * ever.
+   */
+  void drainForOperators() {
+    drainedByOperators = true;
+    connections.idle().forEach(ClientConnectionHandler::closeGracefully);
+  }
+
+  /** Operators end the draining. */
+  void resume() {
+    drainedByOperators = false;
+  }
+
+  /**
+   * Rejects new jobs, closes idle connections, and runs {@code done} when every job is answered and
+   * clients have read their responses. It listens until the last job is answered: the workers'
+   * callbacks that jobs wait for come on connections of their own.
+   */
+  public void finish(Runnable done) {
+    shutdown.finish(done);
+  }
+
+  /** True from {@link #finish} on: new jobs are rejected. */
+  boolean finishing() {
+    return shutdown.finishing();
+  }
+
+  /** The budget of the shutdown in progress; null if there is none. */
+  ShutdownBudget budget() {
+    return shutdown.budget();
+  }
+
+  // ---- What the connections report ----
+
+  /** The open connections of this frontend. */
+  ClientConnections connections() {
+    return connections;
+  }
+
+  /**
+   * The other process of this node, while two share the clients' socket; null where the socket is
+   * not shared.
+   */
+  UpgradePeer upgradePeer() {
+    return upgradePeer;
+  }
+
+  /** True if so many jobs are in flight that the connections left are reserved for callbacks. */
+  boolean atJobLimit() {
+    return jobsInFlight >= limits.jobs();
+  }
+
+  /** A job has been accepted from a client. */
+  void jobStarted() {
+    jobsInFlight++;
+  }
+
+  /** A job's response has been written, or its client has gone. */
+  void jobEnded() {
+    jobsInFlight--;
+    shutdown.advance();
+  }
+
+  /** The connection is between two requests. */
+  void rest(ClientConnectionHandler connection) {
+    if (finishing() || drainedByOperators) {
+      connection.closeGracefully();
+    } else {
+      connections.rest(connection);
+    }
+  }
+
+  /** The connection has ended. */
+  void closed(ClientConnectionHandler connection) {
+    connections.closed(connection);
+    shutdown.advance();
+  }
+
+  /** Reserves memory for a body that waits for its turn; false if there is no capacity for it. */
+  boolean reserveWaitingBytes(int bytes) {
+    boolean fits = waitingBytes + bytes <= limits.waitingBytes();
+    waitingBytes += fits ? bytes : 0;
+    return fits;
+  }
+
+  /** Returns the reservation of a body that waits no longer. */
+  void releaseWaitingBytes(int bytes) {
+    waitingBytes -= bytes;
+  }
+}
--- a/node/src/test/java/ferngrade/net/DiscoveryAskedTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryAskedTest.java
@@ -1,9 +1,10 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
+import ferngrade.http.RawHttp;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
--- a/node/src/test/java/ferngrade/net/DiscoveryLargeListTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import static org.testng.Assert.assertEquals;
 
@@ -7,6 +7,7 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.WriterConfig;
+import ferngrade.http.RawHttp;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.concurrent.CompletableFuture;
--- a/node/src/test/java/ferngrade/net/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
@@ -1,10 +1,11 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
 import ferngrade.dispatch.EndpointListUpdate;
+import ferngrade.http.RawHttp;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/node/src/test/java/ferngrade/net/JsonObjectFramerTest.java
+++ b/node/src/test/java/ferngrade/discovery/JsonObjectFramerTest.java
@@ -1,11 +1,11 @@
-package ferngrade.net;
+package ferngrade.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
 
-import ferngrade.net.JsonObjectFramer.CompleteObject;
-import ferngrade.net.JsonObjectFramer.Event;
-import ferngrade.net.JsonObjectFramer.KeepAlive;
+import ferngrade.discovery.JsonObjectFramer.CompleteObject;
+import ferngrade.discovery.JsonObjectFramer.Event;
+import ferngrade.discovery.JsonObjectFramer.KeepAlive;
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/node/src/test/java/ferngrade/net/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -1,4 +1,4 @@
-package ferngrade.net;
+package ferngrade.http;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
@@ -6,13 +6,16 @@
 
 import ferngrade.dispatch.AttemptOutcome;
 import ferngrade.dispatch.LoadReport;
-import ferngrade.net.ChannelProvider.Purpose;
-import ferngrade.net.FaultInjectingChannels.SystemCall;
-import ferngrade.net.RawHttp.Message;
+import ferngrade.http.RawHttp.Message;
 import ferngrade.node.JobRequest;
 import ferngrade.node.RateLimitedLog;
 import ferngrade.node.Timers;
 import ferngrade.node.WorkerTransport;
+import ferngrade.transport.ChannelProvider.Purpose;
+import ferngrade.transport.Dialer;
+import ferngrade.transport.Errno;
+import ferngrade.transport.FaultInjectingChannels;
+import ferngrade.transport.FaultInjectingChannels.SystemCall;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -198,8 +201,7 @@
     try (ServerSocket narrow = new ServerSocket()) {
       narrow.setReceiveBufferSize(SMALL_BUFFER);
       narrow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      JobRequest large =
-          new JobRequest("a", "POST", "/api", null, new byte[HttpFrontend.MOST_BODY]);
+      JobRequest large = new JobRequest("a", "POST", "/api", null, new byte[HttpFrontend.MAX_BODY]);
       InetSocketAddress address = (InetSocketAddress) narrow.getLocalSocketAddress();
       loop.submit(() -> client.send(large, address, 1000, new Teller())).get();
       Socket connection = narrow.accept();
--- a/node/src/test/java/ferngrade/net/DiscoveryMovesTest.java
+++ b/node/src/test/java/ferngrade/server/DiscoveryMovesTest.java
@@ -1,9 +1,10 @@
-package ferngrade.net;
+package ferngrade.server;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertThrows;
 
+import ferngrade.http.RawHttp;
 import ferngrade.node.Clock;
 import java.io.IOException;
 import java.net.InetAddress;
