--- a/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
@@ -115,11 +115,12 @@
         throw new CorruptLogException(name, at, "batch " + (batch + 1) + " is missing");
       }
       batch = LogBatch.numberAt(in, at);
-      if (!(codec.read(content, at + LogBatch.HEADER, length) instanceof Collection<?> items)) {
+      if (!(codec.read(content, at + LogBatch.HEADER_BYTES, length)
+          instanceof Collection<?> items)) {
         throw new CorruptLogException(name, at, "a batch is no list");
       }
       items.forEach(this::apply);
-      at += LogBatch.HEADER + length;
+      at += LogBatch.HEADER_BYTES + length;
     }
   }
 
@@ -273,8 +274,8 @@
 
   private void write(Storage.Appender to, List<Object> items) throws IOException {
     byte[] content = codec.write(items);
-    byte[] all = new byte[LogBatch.HEADER + content.length];
-    System.arraycopy(content, 0, all, LogBatch.HEADER, content.length);
+    byte[] all = new byte[LogBatch.HEADER_BYTES + content.length];
+    System.arraycopy(content, 0, all, LogBatch.HEADER_BYTES, content.length);
     LogBatch.frame(all, ++batch);
     to.append(all, all.length);
     to.sync();
--- a/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
@@ -3,7 +3,10 @@
 import ferngrade.dispatch.Idempotency;
 import ferngrade.jobstore.FileSystemStorage;
 import ferngrade.jobstore.JobStore;
+import ferngrade.jobstore.JobSubmission;
 import ferngrade.jobstore.JobTable;
+import ferngrade.jobstore.JobTableSettings;
+import ferngrade.jobstore.LogCompactor;
 import ferngrade.jobstore.LogRecord;
 import ferngrade.jobstore.WriteAheadLog;
 import java.io.IOException;
@@ -34,7 +37,8 @@
     mixinStandardHelpOptions = true)
 final class StoreCommand implements Callable<Integer> {
   private static final int PAYLOAD = 200;
-  private static final JobTable.Terms TERMS = new JobTable.Terms(10_000, 10_000, 1e9, 3, 100, 1000);
+  private static final JobTableSettings SETTINGS =
+      new JobTableSettings(10_000, 10_000, 1e9, 3, 100, 1000);
 
   @Option(
       names = "--dir",
@@ -106,17 +110,16 @@
     Histogram latency = new Histogram(60_000_000L, 3);
     long[] jobs = {0};
     boolean[] over = {false};
-    try (FileSystemStorage disk = FileSystemStorage.hold(folder);
+    try (FileSystemStorage disk = FileSystemStorage.openExclusive(folder);
         JobStore store =
             JobStore.open(
                 disk,
-                TERMS,
-                256 << 20,
-                1 << 20,
+                new JobStore.Settings(SETTINGS, 256 << 20, 1 << 20),
                 0,
-                owner,
-                (millis, run) ->
-                    owner.schedule(run, (long) (millis * 1000), TimeUnit.MICROSECONDS))) {
+                new JobStore.Owner(
+                    owner,
+                    (delayMillis, run) ->
+                        owner.schedule(run, (long) (delayMillis * 1000), TimeUnit.MICROSECONDS)))) {
       Callable<Void> begin =
           () -> {
             for (int i = 0; i < count; i++) {
@@ -152,7 +155,9 @@
     long began = System.nanoTime();
     String id = "j" + jobs[0] + "-" + began;
     store.commit(
-        store.ledger().accept(id, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD], 0),
+        store
+            .table()
+            .accept(new JobSubmission(id, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD]), 0),
         () -> {
           jobs[0]++;
           latency.recordValue(Math.min(60_000_000L, (System.nanoTime() - began) / 1000));
@@ -163,29 +168,32 @@
   }
 
   private void restart() throws IOException {
-    JobTable ledger = new JobTable(TERMS);
-    try (FileSystemStorage disk = FileSystemStorage.hold(folder);
-        WriteAheadLog journal = WriteAheadLog.open(disk, 64 << 20, ledger::replay, found -> {})) {
+    JobTable table = new JobTable(SETTINGS);
+    try (FileSystemStorage disk = FileSystemStorage.openExclusive(folder);
+        WriteAheadLog log = WriteAheadLog.open(disk, 64 << 20, table::replay)) {
       List<LogRecord> batch = new ArrayList<>();
       for (int i = 0; i < open; i++) {
         batch.addAll(
-            ledger.accept("job-" + i, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD], 0).entries());
+            table
+                .accept(
+                    new JobSubmission("job-" + i, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD]), 0)
+                .records());
         if (i % 10 == 0) {
-          batch.addAll(ledger.lease("job-" + i, "w", 0, 0).entries());
+          batch.addAll(table.lease("job-" + i, "w", 0, 0).records());
         }
         if (batch.size() >= 4096) {
-          journal.commit(batch);
+          log.commit(batch);
           batch.clear();
         }
       }
-      journal.commit(batch);
+      log.commit(batch);
     }
     long bytes = size();
     restarted("from the logs", bytes);
-    try (FileSystemStorage disk = FileSystemStorage.hold(folder);
-        WriteAheadLog journal = WriteAheadLog.open(disk, 64 << 20, entry -> {}, found -> {})) {
+    try (FileSystemStorage disk = FileSystemStorage.openExclusive(folder);
+        WriteAheadLog log = WriteAheadLog.open(disk, 64 << 20, replayed -> {})) {
       long began = System.nanoTime();
-      WriteAheadLog.compact(disk, journal.logNumber());
+      LogCompactor.compact(disk, log.logNumber());
       System.out.printf(
           "snapshot of %d open jobs: %.2f s%n", open, (System.nanoTime() - began) / 1e9);
     }
@@ -195,9 +203,9 @@
   private void restarted(String how, long bytes) throws IOException {
     System.gc();
     long before = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    JobTable recovered = new JobTable(TERMS);
+    JobTable recovered = new JobTable(SETTINGS);
     long began = System.nanoTime();
-    try (FileSystemStorage disk = FileSystemStorage.look(folder)) {
+    try (FileSystemStorage disk = FileSystemStorage.openReadOnly(folder)) {
       WriteAheadLog.inspect(disk, recovered::replay);
     }
     double took = (System.nanoTime() - began) / 1e9;
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -115,7 +115,7 @@
             clock,
             (millis, run) ->
                 loop.schedule(run, (long) Math.ceil(millis * 1000), TimeUnit.MICROSECONDS));
-    this.disk = FileSystemStorage.hold(start.data());
+    this.disk = FileSystemStorage.openExclusive(start.data());
     Codec codec = LogFormat.codec(Command.CLASSES);
     this.voterLog =
         RaftLogStore.open(start.disk().apply(disk), codec, FILE_BYTES, this::diskFailed);
--- a/jobstore/src/main/java/ferngrade/jobstore/Backoff.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Backoff.java
@@ -1,27 +1,27 @@
 package ferngrade.jobstore;
 
-/** How long to wait before the next retry: twice as long each time, up to a bound. */
+/** Exponential backoff: the delay doubles with each retry, up to a bound. Not thread-safe. */
 public final class Backoff {
-  private final double first;
-  private final double max;
-  private double next;
+  private final double firstMillis;
+  private final double maxMillis;
+  private double nextMillis;
 
-  /** Waits from {@code first} to {@code max} ms. */
-  public Backoff(double first, double max) {
-    this.first = first;
-    this.max = max;
-    this.next = first;
+  /** Delays from {@code firstMillis} to {@code maxMillis}. */
+  public Backoff(double firstMillis, double maxMillis) {
+    this.firstMillis = firstMillis;
+    this.maxMillis = maxMillis;
+    this.nextMillis = firstMillis;
   }
 
-  /** The wait before the next retry, ms. */
+  /** The delay before the next retry, ms. */
   public double next() {
-    double wait = next;
-    next = Math.min(max, 2 * next);
-    return wait;
+    double delay = nextMillis;
+    nextMillis = Math.min(maxMillis, 2 * nextMillis);
+    return delay;
   }
 
-  /** A retry has worked: the next wait is the first again. */
+  /** A retry has succeeded: the next delay is the first again. */
   public void reset() {
-    next = first;
+    nextMillis = firstMillis;
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/CorruptLogException.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/CorruptLogException.java
@@ -2,27 +2,26 @@
 
 import java.io.IOException;
 
-/**
- * A store whose content is not what was written; it names the file and the offset, and is never
- * passed over.
- */
+/** Thrown if synced data of a store is not what was written. It names the file and the offset. */
 public final class CorruptLogException extends IOException {
   private static final long serialVersionUID = 1L;
 
   private final String file;
   private final long offset;
 
-  /** Names the place and what is wrong there. */
-  public CorruptLogException(String file, long offset, String what) {
-    super(file + ": offset " + offset + ": " + what);
+  /** Describes the damage at an offset of a file. */
+  public CorruptLogException(String file, long offset, String description) {
+    super(file + ": offset " + offset + ": " + description);
     this.file = file;
     this.offset = offset;
   }
 
+  /** The name of the damaged file. */
   public String file() {
     return file;
   }
 
+  /** The offset in that file, in bytes. */
   public long offset() {
     return offset;
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/FileSystemStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FileSystemStorage.java
@@ -10,47 +10,49 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.List;
+import java.util.Optional;
 import java.util.stream.Stream;
 
-/** A folder of a real file system. Opened to write, it is held for this process alone. */
+/** A directory of a file system. Opened for writing, it is locked for this process alone. */
 public final class FileSystemStorage implements Storage, AutoCloseable {
   private static final String LOCK = "lock";
 
   private final Path folder;
-  private final FileChannel lock;
+  private final Optional<FileChannel> lock;
 
-  private FileSystemStorage(Path folder, FileChannel lock) {
+  private FileSystemStorage(Path folder, Optional<FileChannel> lock) {
     this.folder = folder;
     this.lock = lock;
   }
 
   /**
-   * Opens a folder to write, which is made if it is missing; an {@link IOException} says that
-   * another has it.
+   * Opens a directory for writing, which is created if it is missing.
+   *
+   * @throws IOException if it is open for writing in this or another process
    */
-  public static FileSystemStorage hold(Path folder) throws IOException {
+  public static FileSystemStorage openExclusive(Path folder) throws IOException {
     Files.createDirectories(folder);
     FileChannel channel =
         FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-    FileLock held;
+    FileLock acquired;
     try {
-      held = channel.tryLock();
-    } catch (OverlappingFileLockException here) {
-      held = null;
+      acquired = channel.tryLock();
+    } catch (OverlappingFileLockException lockedByThisProcess) {
+      acquired = null;
     }
-    if (held == null) {
+    if (acquired == null) {
       channel.close();
       throw new IOException(folder + " is open in another process");
     }
-    return new FileSystemStorage(folder, channel);
+    return new FileSystemStorage(folder, Optional.of(channel));
   }
 
-  /** Opens a folder to read. */
-  public static FileSystemStorage look(Path folder) throws IOException {
+  /** Opens a directory for reading, also one that another process writes. */
+  public static FileSystemStorage openReadOnly(Path folder) throws IOException {
     if (!Files.isDirectory(folder)) {
       throw new IOException(folder + " is no folder");
     }
-    return new FileSystemStorage(folder, null);
+    return new FileSystemStorage(folder, Optional.empty());
   }
 
   @Override
@@ -77,9 +79,9 @@
     return new Appender() {
       @Override
       public void append(byte[] bytes, int length) throws IOException {
-        ByteBuffer left = ByteBuffer.wrap(bytes, 0, length);
-        while (left.hasRemaining()) {
-          channel.write(left);
+        ByteBuffer remaining = ByteBuffer.wrap(bytes, 0, length);
+        while (remaining.hasRemaining()) {
+          channel.write(remaining);
         }
       }
 
@@ -115,8 +117,8 @@
 
   @Override
   public void close() throws IOException {
-    if (lock != null) {
-      lock.close();
+    if (lock.isPresent()) {
+      lock.get().close();
     }
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
@@ -1,285 +1,177 @@
 package ferngrade.jobstore;
 
-import ferngrade.dispatch.Idempotency;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.BlockingQueue;
+import java.util.Optional;
 import java.util.concurrent.Executor;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.Semaphore;
-import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A ledger and its log, with a thread for the disk: the owner's thread makes changes, and hears
- * when they last. Whatever waits when a sync returns goes into the next batch, so many changes
- * share a sync under load and a single one waits for its own alone (group commit).
+ * A {@link JobTable} whose changes are stored in a {@link WriteAheadLog} by a thread for the disk.
+ * The owner's thread makes changes and is notified once they are durable.
  *
- * <p>While the disk fails, whoever waits is told nothing, new jobs are refused, and the changes are
- * tried again with backoff, each time in a new file, until they last.
+ * <p>While the disk fails, nobody is notified, new jobs are rejected, and the changes are written
+ * again with backoff, each time to a new file, until they are durable.
  *
- * <p>All methods belong to the owner's thread, the one on which {@code owner} and {@code timer} run
- * their tasks.
+ * <p>All methods belong to the owner's thread, the one on which the {@link Owner} runs its tasks.
  */
 public final class JobStore implements AutoCloseable {
-  /** Entries in a batch at most, so that its buffer stays bounded. */
-  private static final int MOST_BATCH = 8192;
+  /** Delay before a failing disk is tried again, ms: at first, and at most. */
+  private static final double FIRST_RETRY_MILLIS = 20;
 
-  /** Ms until a failing disk is tried again: at first, and at the most. */
-  private static final double RETRY_FIRST = 20;
+  private static final double MAX_RETRY_MILLIS = 1_000;
 
-  private static final double RETRY_MAX = 1_000;
-
-  private final Storage disk;
-  private final JobTable ledger;
-  private final WriteAheadLog journal;
-  private final Executor owner;
-  private final RetryTimer timer;
-  private final int mostWaiting;
-  private final Backoff backoff = new Backoff(RETRY_FIRST, RETRY_MAX);
-  private final Semaphore retries = new Semaphore(0);
-  private final BlockingQueue<Waiting> queue = new LinkedBlockingQueue<>();
-  private final Thread diskThread = new Thread(this::write, "store");
-  private final WriteAheadLog.Recovery recovery;
-  private volatile Thread compactor;
-  private final AtomicLong syncs = new AtomicLong();
-  private volatile IOException compactionFailure;
-
-  /** Belongs to the disk's thread. */
-  private long compactedBefore = 1;
-
-  private int waiting;
-
-  /** Why the disk does not take what is on its way; null while it does. */
-  private IOException fault;
-
-  private volatile boolean closing;
-
-  /** Why the last try before the end failed; null if everything was stored. */
-  private volatile IOException unstored;
+  /**
+   * The bounds of a store.
+   *
+   * @param table durations and limits of leases
+   * @param maxLogBytes the size from which a log is closed and the next one begun
+   * @param maxPendingChanges how many changes may wait for the disk before new jobs are rejected
+   */
+  public record Settings(JobTableSettings table, long maxLogBytes, int maxPendingChanges) {}
 
-  private record Waiting(List<LogRecord> entries, Runnable stored) {}
+  /**
+   * The thread to which the store belongs.
+   *
+   * @param executor runs tasks on that thread; may be called from any
+   * @param timer runs tasks on that thread later
+   */
+  public record Owner(Executor executor, RetryTimer timer) {}
+
+  private final JobTable table;
+  private final RecoveryReport recovery;
+  private final GroupCommitWriter writer;
+  private final BackgroundCompactor compactor;
+  private final Owner owner;
+  private final int maxPendingChanges;
+  private final Backoff backoff = new Backoff(FIRST_RETRY_MILLIS, MAX_RETRY_MILLIS);
+  private int pendingChanges;
+  private Optional<IOException> fault = Optional.empty();
 
   private JobStore(
-      Storage disk,
-      JobTable ledger,
-      WriteAheadLog journal,
-      WriteAheadLog.Recovery recovery,
-      Executor owner,
-      RetryTimer timer,
-      int mostWaiting) {
-    this.disk = disk;
-    this.ledger = ledger;
-    this.journal = journal;
-    this.recovery = recovery;
+      Storage storage, JobTable table, WriteAheadLog log, int maxPendingChanges, Owner owner) {
+    this.table = table;
+    this.recovery = log.recovery();
+    this.compactor = new BackgroundCompactor(storage);
+    this.writer = new GroupCommitWriter(log, compactor, new OwnerNotifier());
     this.owner = owner;
-    this.timer = timer;
-    this.mostWaiting = mostWaiting;
+    this.maxPendingChanges = maxPendingChanges;
   }
 
   /**
-   * Opens a store and recovers what it holds; {@code monotonic} is the present time of a clock that
-   * never jumps. A new log is begun after {@code logBytes}; beyond {@code mostWaiting} changes on
-   * their way to the disk it is crowded.
+   * Opens a store and recovers what it holds; {@code monotonic} is the present time in ms of a
+   * clock that never jumps.
+   *
+   * @throws CorruptLogException if stored data is damaged
+   * @throws IOException if the storage cannot be read or written
    */
-  public static JobStore open(
-      Storage disk,
-      JobTable.Terms terms,
-      long logBytes,
-      int mostWaiting,
-      double monotonic,
-      Executor owner,
-      RetryTimer timer)
+  public static JobStore open(Storage storage, Settings settings, double monotonic, Owner owner)
       throws IOException {
-    JobTable ledger = new JobTable(terms);
-    WriteAheadLog.Recovery[] recovery = new WriteAheadLog.Recovery[1];
-    WriteAheadLog journal =
-        WriteAheadLog.open(disk, logBytes, ledger::replay, found -> recovery[0] = found);
-    ledger.recovered(monotonic);
-    JobStore store = new JobStore(disk, ledger, journal, recovery[0], owner, timer, mostWaiting);
-    store.diskThread.setDaemon(true);
-    store.diskThread.start();
+    JobTable table = new JobTable(settings.table());
+    WriteAheadLog log = WriteAheadLog.open(storage, settings.maxLogBytes(), table::replay);
+    table.recovered(monotonic);
+    JobStore store = new JobStore(storage, table, log, settings.maxPendingChanges(), owner);
+    store.writer.start();
     return store;
   }
 
-  /** The states, to ask and to change; each change goes to {@link #commit}. */
-  public JobTable ledger() {
-    return ledger;
+  /** The jobs, to read and to change; each change must be passed to {@link #commit}. */
+  public JobTable table() {
+    return table;
   }
 
   /** What the recovery at the opening found. */
-  public WriteAheadLog.Recovery recovery() {
+  public RecoveryReport recovery() {
     return recovery;
   }
 
   /**
-   * True if nothing new should be taken: the disk is behind, or fails. What was taken may still be
-   * ended.
+   * True if new jobs are rejected, because the disk is behind or fails. Jobs accepted before may
+   * still change.
    */
-  public boolean crowded() {
-    return fault != null || waiting >= mostWaiting;
+  public boolean overloaded() {
+    return fault.isPresent() || pendingChanges >= maxPendingChanges;
   }
 
-  /** Why the disk fails at present; null if it does not. */
-  public IOException fault() {
+  /** Why the disk fails at present. */
+  public Optional<IOException> fault() {
     return fault;
   }
 
+  /** Why the last compaction failed, if one did. */
+  public Optional<IOException> compactionFailure() {
+    return compactor.failure();
+  }
+
+  /** The batches synced to disk so far. */
+  public long syncs() {
+    return writer.syncs();
+  }
+
   /**
-   * Takes a client's job as {@link JobTable#accept} does and stores it; {@code stored} is called
-   * once the client may be told, also of a refusal by the ledger.
+   * Accepts a client's job as {@link JobTable#accept} does and stores it; {@code onStored} is
+   * called once the client may be notified, also if the table rejected the job.
+   *
+   * @throws StoreUnavailableException if the store takes no new jobs at present
    */
-  public JobTable.Change accept(
-      String id,
-      Idempotency effect,
-      String key,
-      double window,
-      byte[] payload,
-      double at,
-      Runnable stored)
+  public JobChange accept(JobSubmission submission, double atMillis, Runnable onStored)
       throws StoreUnavailableException {
-    if (fault != null) {
+    if (fault.isPresent()) {
       throw new StoreUnavailableException(StoreUnavailableException.Reason.DISK_FAULT);
     }
-    if (crowded()) {
+    if (overloaded()) {
       throw new StoreUnavailableException(StoreUnavailableException.Reason.OVERLOADED);
     }
-    JobTable.Change change = ledger.accept(id, effect, key, window, payload, at);
-    commit(change, stored);
+    JobChange change = table.accept(submission, atMillis);
+    commit(change, onStored);
     return change;
   }
 
-  /** The syncs so far. */
-  public long syncs() {
-    return syncs.get();
-  }
-
   /**
-   * Stores what a change brought. {@code stored} is called once, when it lasts, however long the
-   * disk fails before; a change without entries lasts when all before it does.
+   * Stores the records of a change. {@code onStored} is called once, when they are durable, however
+   * long the disk fails before; a change without records counts as durable when all before it are.
    */
-  public void commit(JobTable.Change change, Runnable stored) {
-    if (change.entries().isEmpty() && waiting == 0) {
-      stored.run();
+  public void commit(JobChange change, Runnable onStored) {
+    if (change.records().isEmpty() && pendingChanges == 0) {
+      onStored.run();
       return;
     }
-    waiting++;
-    queue.add(new Waiting(change.entries(), stored));
+    pendingChanges++;
+    writer.submit(PendingChange.of(change.records(), onStored));
   }
 
-  private void write() {
-    List<Waiting> batch = new ArrayList<>();
-    List<LogRecord> entries = new ArrayList<>();
-    try {
-      while (true) {
-        batch.clear();
-        entries.clear();
-        batch.add(queue.take());
-        queue.drainTo(batch, MOST_BATCH - 1);
-        boolean last = batch.removeIf(each -> each.entries() == null);
-        batch.forEach(each -> entries.addAll(each.entries()));
-        if (!entries.isEmpty() && !persist(entries)) {
-          break;
-        }
-        tell(List.copyOf(batch));
-        if (last) {
-          break;
-        }
-        compact();
-      }
-    } catch (InterruptedException ended) {
-      Thread.currentThread().interrupt();
-    }
-  }
-
-  /**
-   * Tries until these last; false if the store was closed before, and the last try failed as well.
-   */
-  private boolean persist(List<LogRecord> entries) throws InterruptedException {
-    boolean lastTry = false;
-    while (true) {
-      try {
-        journal.commit(entries);
-        syncs.incrementAndGet();
-        return true;
-      } catch (IOException | RuntimeException broken) {
-        IOException failure = broken instanceof IOException io ? io : new IOException(broken);
-        if (lastTry) {
-          unstored = failure;
-          return false;
-        }
-        owner.execute(() -> failed(failure));
-        retries.acquire();
-        lastTry = closing;
-      }
-    }
+  private void stored(List<PendingChange> changes) {
+    pendingChanges -= changes.size();
+    fault = Optional.empty();
+    backoff.reset();
+    changes.forEach(each -> each.onStored().run());
   }
 
   private void failed(IOException failure) {
-    fault = failure;
-    timer.after(backoff.next(), retries::release);
-  }
-
-  private void tell(List<Waiting> batch) {
-    owner.execute(
-        () -> {
-          waiting -= batch.size();
-          fault = null;
-          backoff.reset();
-          batch.forEach(each -> each.stored().run());
-        });
-  }
-
-  /** Puts a snapshot in place of closed logs, beside the commits. */
-  private void compact() {
-    long before = journal.logNumber();
-    boolean busy = compactor != null && compactor.isAlive();
-    if (busy || before <= compactedBefore + 1) {
-      return;
-    }
-    compactedBefore = before;
-    compactor =
-        new Thread(
-            () -> {
-              try {
-                WriteAheadLog.compact(disk, before);
-              } catch (IOException failedToCompact) {
-                // The logs stay, and are read at the next start; what is wrong with them is said
-                // there.
-                compactionFailure = failedToCompact;
-              }
-            },
-            "store-compaction");
-    compactor.setDaemon(true);
-    compactor.start();
-  }
-
-  /** Why the last compaction failed; null if it did not. */
-  public IOException compactionFailure() {
-    return compactionFailure;
+    fault = Optional.of(failure);
+    owner.timer().after(backoff.next(), writer::retry);
   }
 
   /**
-   * Stores what is on its way and ends the threads. An {@link IOException} says that the disk did
-   * not take all of it: who still waits is not told, and a recovery decides.
+   * Stores the pending changes and ends the threads.
+   *
+   * @throws IOException if the disk did not take all of them: their callbacks are not called, and a
+   *     recovery may find them or not
    */
   @Override
   public void close() throws IOException {
-    closing = true;
-    queue.add(new Waiting(null, null));
-    retries.release();
-    try {
-      diskThread.join();
-      Thread running = compactor;
-      if (running != null) {
-        running.join();
-      }
-    } catch (InterruptedException interrupted) {
-      Thread.currentThread().interrupt();
+    writer.close();
+  }
+
+  /** Passes the writer's notifications to the owner's thread. */
+  private final class OwnerNotifier implements GroupCommitWriter.Listener {
+    @Override
+    public void stored(List<PendingChange> changes) {
+      owner.executor().execute(() -> JobStore.this.stored(changes));
     }
-    journal.close();
-    if (unstored != null) {
-      throw new IOException("changes on their way were not stored", unstored);
+
+    @Override
+    public void failed(IOException failure) {
+      owner.executor().execute(() -> JobStore.this.failed(failure));
     }
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
@@ -4,33 +4,37 @@
 import java.util.zip.CRC32C;
 
 /**
- * The frame of what a log writes and syncs at once: its length, a CRC-32C over length, number and
- * content, its number, the content. A batch is begun only when the one before it is synced, so one
- * that cannot be read is a torn tail if none that can follows it.
+ * The frame of a batch, which a log writes and syncs at once: the length of the content (4 bytes),
+ * a CRC-32C over length, number and content (4), the batch's number (8), and the content. A batch
+ * is begun only when the one before it is synced, so one that cannot be read is a torn tail unless
+ * a readable one follows it.
  */
 public final class LogBatch {
-  /** Bytes before the content. */
-  public static final int HEADER = 16;
+  /** The length of the frame before the content. */
+  public static final int HEADER_BYTES = 16;
 
-  private static final int MOST = 64 << 20;
+  private static final int MAX_CONTENT_BYTES = 64 << 20;
+
+  /** A batch whose number is further ahead than this is taken for garbage. */
+  private static final long MAX_NUMBER_GAP = 1_000_000_000L;
 
   private LogBatch() {}
 
-  /** Writes the frame into the first {@link #HEADER} bytes, which the content follows. */
-  public static byte[] frame(byte[] all, long number) {
-    int length = all.length - HEADER;
-    ByteBuffer.wrap(all).putInt(0, length).putLong(8, number);
-    ByteBuffer.wrap(all).putInt(4, checksum(all, 8, 8 + length, length));
-    return all;
+  /** Writes the frame into the first {@link #HEADER_BYTES} bytes, which the content follows. */
+  public static byte[] frame(byte[] batch, long number) {
+    int length = batch.length - HEADER_BYTES;
+    ByteBuffer.wrap(batch).putInt(0, length).putLong(8, number);
+    ByteBuffer.wrap(batch).putInt(4, checksum(batch, 8, 8 + length, length));
+    return batch;
   }
 
-  /** The length of the content of the batch at an offset, -1 if none can be read there. */
+  /** The length of the content of the batch at an offset; -1 if none can be read there. */
   public static int lengthAt(ByteBuffer in, int at) {
-    if (in.capacity() - at < HEADER) {
+    if (in.capacity() - at < HEADER_BYTES) {
       return -1;
     }
     int length = in.getInt(at);
-    if (length < 0 || length > MOST || length > in.capacity() - at - HEADER) {
+    if (length < 0 || length > MAX_CONTENT_BYTES || length > in.capacity() - at - HEADER_BYTES) {
       return -1;
     }
     int from = in.arrayOffset() + at + 8;
@@ -43,13 +47,13 @@
   }
 
   /**
-   * True if a batch later than {@code number} + 1 can be read behind an offset: what stands there
-   * was synced.
+   * True if a batch later than {@code number} + 1 can be read behind an offset, so that what is at
+   * the offset was synced.
    */
   public static boolean followed(ByteBuffer in, int from, long number) {
-    for (int at = from + 1; at <= in.capacity() - HEADER; at++) {
-      long its = numberAt(in, at);
-      if (its > number + 1 && its < number + 1_000_000_000L && lengthAt(in, at) >= 0) {
+    for (int at = from + 1; at <= in.capacity() - HEADER_BYTES; at++) {
+      long found = numberAt(in, at);
+      if (found > number + 1 && found < number + MAX_NUMBER_GAP && lengthAt(in, at) >= 0) {
         return true;
       }
     }
--- a/jobstore/src/main/java/ferngrade/jobstore/LogRecordCodec.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogRecordCodec.java
@@ -7,11 +7,13 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 
 /**
- * Entries as bytes: a type, then its fields in their order, in the forms of {@link
- * DataOutputStream}.
+ * Encodes records: a type code, then the fields in their order, in the forms of {@link
+ * DataOutputStream}. A record in a batch is preceded by its length (4 bytes).
  */
 final class LogRecordCodec {
   private static final int ACCEPTED = 1;
@@ -23,70 +25,97 @@
   private static final int FORGOTTEN = 7;
   private static final int TOKENS = 8;
 
-  // The codes of a job's effect, after its id.
+  // The codes of a job's idempotency, after its id.
   private static final int SAFE = 0;
   private static final int KEYED = 1;
   private static final int UNSAFE = 2;
 
   private LogRecordCodec() {}
 
-  static void write(LogRecord entry, ByteArrayOutputStream to) {
-    DataOutputStream out = new DataOutputStream(to);
+  /** Encodes a batch with its frame, by way of a buffer that is overwritten. */
+  static byte[] encodeBatch(
+      List<LogRecord> records, long batchNumber, ByteArrayOutputStream buffer) {
+    buffer.reset();
+    buffer.write(new byte[LogBatch.HEADER_BYTES], 0, LogBatch.HEADER_BYTES);
+    ByteArrayOutputStream encoded = new ByteArrayOutputStream(256);
+    for (LogRecord each : records) {
+      encoded.reset();
+      write(each, encoded);
+      buffer.writeBytes(ByteBuffer.allocate(4).putInt(encoded.size()).array());
+      buffer.writeBytes(encoded.toByteArray());
+    }
+    return LogBatch.frame(buffer.toByteArray(), batchNumber);
+  }
+
+  /** Encodes a record without its length. */
+  static void write(LogRecord logRecord, ByteArrayOutputStream to) {
     try {
-      if (entry instanceof LogRecord.Accepted e) {
-        out.writeByte(ACCEPTED);
-        out.writeUTF(e.id());
-        out.writeByte(effectCode(e.effect()));
-        out.writeUTF(e.key());
-        out.writeDouble(e.window());
-        out.writeInt(e.attempts());
-        out.writeDouble(e.at());
-        out.writeInt(e.payload().length);
-        out.write(e.payload());
-      } else if (entry instanceof LogRecord.Leased e) {
-        out.writeByte(LEASED);
-        out.writeUTF(e.id());
-        out.writeUTF(e.worker());
-        out.writeLong(e.token());
-        out.writeDouble(e.at());
-      } else if (entry instanceof LogRecord.Started e) {
-        out.writeByte(STARTED);
-        out.writeUTF(e.id());
-        out.writeLong(e.token());
-        out.writeDouble(e.since());
-      } else if (entry instanceof LogRecord.Returned e) {
-        out.writeByte(RETURNED);
-        out.writeUTF(e.id());
-        out.writeLong(e.token());
-        out.writeBoolean(e.unstarted());
-        out.writeDouble(e.notBefore());
-      } else if (entry instanceof LogRecord.Doubted e) {
-        out.writeByte(DOUBTED);
-        out.writeUTF(e.id());
-        out.writeLong(e.token());
-        out.writeDouble(e.since());
-      } else if (entry instanceof LogRecord.Ended e) {
-        out.writeByte(ENDED);
-        out.writeUTF(e.id());
-        out.writeLong(e.token());
-        out.writeBoolean(e.done());
-        byte[] result = e.result().getBytes(StandardCharsets.UTF_8);
-        out.writeInt(result.length);
-        out.write(result);
-        out.writeDouble(e.at());
-      } else if (entry instanceof LogRecord.Forgotten e) {
-        out.writeByte(FORGOTTEN);
-        out.writeUTF(e.id());
-      } else if (entry instanceof LogRecord.Tokens e) {
-        out.writeByte(TOKENS);
-        out.writeLong(e.highest());
-      }
+      writeFields(logRecord, new DataOutputStream(to));
     } catch (IOException impossible) {
       throw new UncheckedIOException(impossible);
     }
   }
 
-  /** Reads one entry; an {@link IOException} says that these bytes hold none. */
+  private static void writeFields(LogRecord logRecord, DataOutputStream out) throws IOException {
+    if (logRecord instanceof LogRecord.Accepted accepted) {
+      writeAccepted(accepted, out);
+    } else if (logRecord instanceof LogRecord.Leased leased) {
+      writeStart(LEASED, leased, out);
+      out.writeUTF(leased.worker());
+      out.writeLong(leased.token());
+      out.writeDouble(leased.atMillis());
+    } else if (logRecord instanceof LogRecord.Started started) {
+      writeStart(STARTED, started, out);
+      out.writeLong(started.token());
+      out.writeDouble(started.sinceMillis());
+    } else if (logRecord instanceof LogRecord.Returned returned) {
+      writeStart(RETURNED, returned, out);
+      out.writeLong(returned.token());
+      out.writeBoolean(returned.unstarted());
+      out.writeDouble(returned.notBeforeMillis());
+    } else if (logRecord instanceof LogRecord.Doubted doubted) {
+      writeStart(DOUBTED, doubted, out);
+      out.writeLong(doubted.token());
+      out.writeDouble(doubted.sinceMillis());
+    } else if (logRecord instanceof LogRecord.Ended ended) {
+      writeEnded(ended, out);
+    } else if (logRecord instanceof LogRecord.Forgotten forgotten) {
+      writeStart(FORGOTTEN, forgotten, out);
+    } else if (logRecord instanceof LogRecord.Tokens tokens) {
+      out.writeByte(TOKENS);
+      out.writeLong(tokens.highest());
+    }
+  }
+
+  private static void writeStart(int type, LogRecord logRecord, DataOutputStream out)
+      throws IOException {
+    out.writeByte(type);
+    out.writeUTF(logRecord.id());
+  }
+
+  private static void writeAccepted(LogRecord.Accepted accepted, DataOutputStream out)
+      throws IOException {
+    writeStart(ACCEPTED, accepted, out);
+    out.writeByte(idempotencyCode(accepted.idempotency()));
+    out.writeUTF(accepted.idempotencyKey());
+    out.writeDouble(accepted.windowMillis());
+    out.writeInt(accepted.attempts());
+    out.writeDouble(accepted.atMillis());
+    out.writeInt(accepted.payload().length);
+    out.write(accepted.payload());
+  }
+
+  private static void writeEnded(LogRecord.Ended ended, DataOutputStream out) throws IOException {
+    writeStart(ENDED, ended, out);
+    out.writeLong(ended.token());
+    out.writeBoolean(ended.done());
+    byte[] result = ended.result().getBytes(StandardCharsets.UTF_8);
+    out.writeInt(result.length);
+    out.write(result);
+    out.writeDouble(ended.atMillis());
+  }
+
+  /** Decodes a record; throws an {@link IOException} if these bytes hold none. */
   static LogRecord read(byte[] bytes, int offset, int length) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, offset, length));
     int type = in.readUnsignedByte();
@@ -94,7 +123,7 @@
       case ACCEPTED ->
           new LogRecord.Accepted(
               in.readUTF(),
-              effect(in.readUnsignedByte()),
+              idempotency(in.readUnsignedByte()),
               in.readUTF(),
               in.readDouble(),
               in.readInt(),
@@ -119,15 +148,15 @@
     };
   }
 
-  private static int effectCode(Idempotency effect) {
-    return switch (effect) {
+  private static int idempotencyCode(Idempotency idempotency) {
+    return switch (idempotency) {
       case SAFE -> SAFE;
       case KEYED -> KEYED;
       case UNSAFE -> UNSAFE;
     };
   }
 
-  private static Idempotency effect(int code) throws IOException {
+  private static Idempotency idempotency(int code) throws IOException {
     return switch (code) {
       case SAFE -> Idempotency.SAFE;
       case KEYED -> Idempotency.KEYED;
--- a/jobstore/src/main/java/ferngrade/jobstore/RetryTimer.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/RetryTimer.java
@@ -1,8 +1,8 @@
 package ferngrade.jobstore;
 
-/** Runs something later, by a clock that never jumps. */
+/** Schedules retries by a clock that never jumps. */
 @FunctionalInterface
 public interface RetryTimer {
-  /** Runs this once after so many ms. */
-  void after(double millis, Runnable run);
+  /** Runs a task once after a delay in milliseconds. */
+  void after(double delayMillis, Runnable run);
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/Storage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Storage.java
@@ -3,9 +3,12 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The folder of a store, as far as the store needs it; a test puts one that fails in its place. */
+/**
+ * The directory of a store. The store uses it through this interface, so that tests can inject
+ * faults.
+ */
 public interface Storage {
-  /** The names of the files there. */
+  /** The names of the files. */
   List<String> list() throws IOException;
 
   /** The whole content of a file. */
@@ -15,23 +18,23 @@
   Appender create(String name) throws IOException;
 
   /**
-   * Gives a file another name in one step, in the place of any file of that name; the name lasts
-   * once {@link #syncNames} has returned.
+   * Renames a file atomically, replacing any file of that name; the name is durable once {@link
+   * #syncNames} has returned.
    */
   void rename(String from, String to) throws IOException;
 
   /** Removes a file. */
   void delete(String name) throws IOException;
 
-  /** Makes the names of files last. */
+  /** Makes creations, renames and deletions durable: an fsync of the directory. */
   void syncNames() throws IOException;
 
-  /** A file that is written at its end only. */
+  /** An append-only file. */
   interface Appender extends AutoCloseable {
-    /** Writes all of this at the end; nothing of it need last before {@link #sync}. */
+    /** Appends the first {@code length} bytes; they need not be durable before {@link #sync}. */
     void append(byte[] bytes, int length) throws IOException;
 
-    /** Returns once everything appended lasts. */
+    /** Returns once everything appended is durable. */
     void sync() throws IOException;
 
     @Override
--- a/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** What an operator can do with a store that no node has open. */
+/** The operator's commands on a store that no node has open. */
 @Command(
     name = "store",
     description = "Looks into a store of durable jobs, and mends one.",
@@ -36,17 +36,17 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
   }
 
-  /** Reads a whole store and does something with what stands in it. */
+  /** Reads a whole store and prints what it holds. */
   abstract static class Reading implements Callable<Integer> {
     @Parameters(paramLabel = "DIR", description = "The store's folder.")
     private Path folder;
 
     @Override
     public Integer call() {
-      JobTable ledger = new JobTable(WriteAheadLog.READING);
-      try (FileSystemStorage disk = FileSystemStorage.look(folder)) {
-        WriteAheadLog.Recovery found = WriteAheadLog.inspect(disk, ledger::replay);
-        show(ledger, found);
+      JobTable table = new JobTable(JobTableSettings.REPLAY_ONLY);
+      try (FileSystemStorage storage = FileSystemStorage.openReadOnly(folder)) {
+        RecoveryReport found = WriteAheadLog.inspect(storage, table::replay);
+        show(table, found);
         return 0;
       } catch (CorruptLogException damaged) {
         System.err.println("ferngrade: damaged: " + damaged.getMessage());
@@ -57,22 +57,23 @@
       }
     }
 
-    abstract void show(JobTable ledger, WriteAheadLog.Recovery found);
+    abstract void show(JobTable table, RecoveryReport found);
   }
 
-  /** Says whether all of it can be read. */
+  /** Reports whether all of it can be read. */
   @Command(
       name = "check",
       description = "Says whether all of it can be read; a torn tail is told and is no damage.")
   static final class Check extends Reading {
     @Override
-    void show(JobTable ledger, WriteAheadLog.Recovery found) {
+    void show(JobTable table, RecoveryReport found) {
       System.out.printf(
           "sound: %d entries in %d batches, %d jobs%n",
-          found.entries(), found.batches(), ledger.jobs().size());
-      if (found.cut() > 0) {
+          found.records(), found.batches(), table.jobs().size());
+      if (found.tornBytes() > 0) {
         System.out.printf(
-            "%s ends in %d bytes of a batch that was never synced%n", found.cutFile(), found.cut());
+            "%s ends in %d bytes of a batch that was never synced%n",
+            found.tornFile().orElse(""), found.tornBytes());
       }
     }
   }
@@ -83,13 +84,13 @@
       description = "Prints a line for each job: id, state, class, leases, token, worker, result.")
   static final class Dump extends Reading {
     @Override
-    void show(JobTable ledger, WriteAheadLog.Recovery found) {
-      for (Job job : ledger.jobs()) {
+    void show(JobTable table, RecoveryReport found) {
+      for (Job job : table.jobs()) {
         System.out.printf(
             "%s %s %s leases=%d token=%d worker=%s %s%n",
             job.id(),
             job.state(),
-            job.effect(),
+            job.idempotency(),
             job.leases(),
             job.token(),
             job.worker().isEmpty() ? "-" : job.worker(),
@@ -98,13 +99,13 @@
     }
   }
 
-  /** Counts. */
+  /** Prints counts. */
   @Command(name = "stats", description = "Counts jobs by state, and bytes.")
   static final class Stats extends Reading {
     @Override
-    void show(JobTable ledger, WriteAheadLog.Recovery found) {
+    void show(JobTable table, RecoveryReport found) {
       Map<JobState, Integer> counts = new EnumMap<>(JobState.class);
-      for (Job job : ledger.jobs()) {
+      for (Job job : table.jobs()) {
         counts.merge(job.state(), 1, Integer::sum);
       }
       for (JobState state : JobState.values()) {
@@ -112,11 +113,11 @@
       }
       System.out.printf(
           "bytes      %d%nentries    %d%nbatches    %d%ntoken      %d%n",
-          found.bytes(), found.entries(), found.batches(), ledger.highestToken());
+          found.bytes(), found.records(), found.batches(), table.highestToken());
     }
   }
 
-  /** Saves what can be read of a damaged store into a new one. */
+  /** Saves what can be read of a damaged store to a new one. */
   @Command(
       name = "repair",
       description =
@@ -124,7 +125,7 @@
               + " stopped. If it did, every job without an answer is in doubt, and is not started"
               + " again.")
   static final class Repair implements Callable<Integer> {
-    /** More tokens than a damaged part can have given out. */
+    /** More tokens than a damaged part can have granted. */
     private static final long TOKENS_UNSEEN = 1L << 40;
 
     @Parameters(index = "0", paramLabel = "DIR")
@@ -135,42 +136,53 @@
 
     @Override
     public Integer call() {
-      JobTable ledger = new JobTable(WriteAheadLog.READING);
-      try (FileSystemStorage disk = FileSystemStorage.look(from);
-          FileSystemStorage mended = FileSystemStorage.hold(to)) {
-        if (!mended.list().isEmpty()) {
+      try (FileSystemStorage storage = FileSystemStorage.openReadOnly(from);
+          FileSystemStorage repaired = FileSystemStorage.openExclusive(to)) {
+        if (!repaired.list().isEmpty()) {
           System.err.println("ferngrade: " + to + " is not empty");
           return Cli.BAD_CONFIG;
         }
-        String stopped = "nothing was damaged";
-        boolean damaged = false;
-        try {
-          WriteAheadLog.inspect(disk, ledger::replay);
-        } catch (CorruptLogException place) {
-          damaged = true;
-          stopped = "stopped at " + place.getMessage();
-        }
-        List<LogRecord> saved = new ArrayList<>(ledger.snapshot());
-        if (damaged) {
-          // What came after the damage is unknown: a job that waits may have been leased there, and
-          // begun.
-          for (Job job : ledger.jobs()) {
-            if (!job.state().ended()) {
-              saved.add(new LogRecord.Doubted(job.id(), job.token(), job.accepted().at()));
-            }
-          }
-          saved.add(new LogRecord.Tokens(ledger.highestToken() + TOKENS_UNSEEN));
-        }
-        try (WriteAheadLog journal =
-            WriteAheadLog.open(mended, Long.MAX_VALUE, entry -> {}, found -> {})) {
-          journal.commit(saved);
-        }
-        System.out.printf("%d jobs saved, %s%n", ledger.jobs().size(), stopped);
+        repair(storage, repaired);
         return 0;
       } catch (IOException unreadable) {
         System.err.println("ferngrade: " + unreadable.getMessage());
         return Cli.BAD_CONFIG;
       }
     }
+
+    private static void repair(Storage storage, Storage repaired) throws IOException {
+      JobTable table = new JobTable(JobTableSettings.REPLAY_ONLY);
+      String stopped = "nothing was damaged";
+      boolean damaged = false;
+      try {
+        WriteAheadLog.inspect(storage, table::replay);
+      } catch (CorruptLogException place) {
+        damaged = true;
+        stopped = "stopped at " + place.getMessage();
+      }
+      List<LogRecord> saved = new ArrayList<>(table.snapshot());
+      if (damaged) {
+        saved.addAll(doubtsAfterDamage(table));
+      }
+      try (WriteAheadLog log = WriteAheadLog.open(repaired, Long.MAX_VALUE, replayed -> {})) {
+        log.commit(saved);
+      }
+      System.out.printf("%d jobs saved, %s%n", table.jobs().size(), stopped);
+    }
+
+    /**
+     * What came after the damage is unknown: a job that waits may have been leased there, and
+     * started.
+     */
+    private static List<LogRecord> doubtsAfterDamage(JobTable table) {
+      List<LogRecord> doubts = new ArrayList<>();
+      for (Job job : table.jobs()) {
+        if (!job.state().ended()) {
+          doubts.add(new LogRecord.Doubted(job.id(), job.token(), job.accepted().atMillis()));
+        }
+      }
+      doubts.add(new LogRecord.Tokens(table.highestToken() + TOKENS_UNSEEN));
+      return doubts;
+    }
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/StoreUnavailableException.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreUnavailableException.java
@@ -1,14 +1,14 @@
 package ferngrade.jobstore;
 
-/** A store takes no new job at present; nothing of the job was kept. */
+/** Thrown if a store accepts no new job at present; nothing of the job was stored. */
 public final class StoreUnavailableException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Why a job was not taken. */
+  /** Why a job was not accepted. */
   public enum Reason {
-    /** Too many changes are on their way to the disk. */
+    /** Too many changes wait for the disk. */
     OVERLOADED,
-    /** The disk fails; it is tried again with backoff. */
+    /** The disk fails; writes are retried with backoff. */
     DISK_FAULT
   }
 
@@ -19,6 +19,7 @@
     this.reason = reason;
   }
 
+  /** Why the job was not accepted. */
   public Reason reason() {
     return reason;
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
@@ -2,9 +2,10 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
@@ -12,59 +13,56 @@
  * Reads the snapshot and the logs of a {@link WriteAheadLog} in their order. The last batch of a
  * log, or the torn tail in its place, is held back until the next log is read: if that one begins
  * with the same number, the write or sync of the batch had failed, the log was abandoned, and the
- * batch counts as the next log has it.
+ * batch of the next log counts.
  */
 final class WriteAheadLogReader {
+  private static final String UNREADABLE = "a batch cannot be read, and others follow it";
+
   /**
-   * A batch that was read and not yet replayed: where its entries begin in {@code bytes}, how long
+   * A batch that was read and not yet replayed: where its records begin in {@code bytes}, how long
    * they are, and how far into the file {@code bytes} begins.
    */
-  private record Held(
+  private record ReadBatch(
       String file, byte[] bytes, int from, int length, long fileOffset, long number) {
     /** The same without the rest of its file in memory. */
-    Held alone() {
-      return new Held(
-          file,
-          Arrays.copyOfRange(bytes, from, from + length),
-          0,
-          length,
-          fileOffset + from,
-          number);
+    ReadBatch withoutFile() {
+      byte[] content = Arrays.copyOfRange(bytes, from, from + length);
+      return new ReadBatch(file, content, 0, length, fileOffset + from, number);
     }
   }
 
-  private final Storage disk;
+  private final Storage storage;
   private final Consumer<LogRecord> replay;
-  private final List<String> unfinished = new ArrayList<>();
-  private Held held;
+  private Optional<ReadBatch> pending = Optional.empty();
 
   /**
    * The torn tail of a log that others follow, which is damage unless the next log begins with its
    * batch.
    */
-  private CorruptLogException tear;
+  private Optional<CorruptLogException> tornTail = Optional.empty();
 
+  private List<String> unfinished = List.of();
   private long lastLog;
   private byte[] lastContent = new byte[0];
-  private long batch;
-  private long entries;
+  private long batchNumber;
+  private long records;
   private long batches;
   private long bytes;
-  private long cut;
-  private String cutFile = "";
-  private boolean emptyLast;
+  private long tornBytes;
+  private Optional<String> tornFile = Optional.empty();
+  private boolean lastHasNoHeader;
 
-  WriteAheadLogReader(Storage disk, Consumer<LogRecord> replay) {
-    this.disk = disk;
+  WriteAheadLogReader(Storage storage, Consumer<LogRecord> replay) {
+    this.storage = storage;
     this.replay = replay;
   }
 
   /** What was found. */
-  WriteAheadLog.Recovery recovery() {
-    return new WriteAheadLog.Recovery(entries, batches, bytes, cut, cutFile);
+  RecoveryReport report() {
+    return new RecoveryReport(records, batches, bytes, tornBytes, tornFile);
   }
 
-  /** Files that never got their names, and count for nothing. */
+  /** Files that were never completed, and count for nothing. */
   List<String> unfinished() {
     return unfinished;
   }
@@ -74,213 +72,223 @@
     return lastLog;
   }
 
-  /** The last log as far as it can be read; nothing if it has not even its header. */
+  /** The readable part of the last log; empty if it has not even its header. */
   byte[] lastContent() {
     return lastContent;
   }
 
   /** The number of the last batch. */
-  long batch() {
-    return batch;
-  }
-
-  /** The file that ends torn; empty if none does. */
-  String cutFile() {
-    return cutFile;
+  long batchNumber() {
+    return batchNumber;
   }
 
-  /** Whether the last log has not even its header. */
-  boolean emptyLast() {
-    return emptyLast;
+  /** The last log, if it has not even its header. */
+  Optional<String> lastWithoutHeader() {
+    return tornFile.filter(name -> lastHasNoHeader);
   }
 
   /**
    * Reads the snapshot and the logs after it whose numbers are below this; the last of all may end
    * torn.
+   *
+   * @throws CorruptLogException if synced data is damaged; the records before it were replayed
    */
-  void readAll(long before) throws IOException {
+  void readAll(long belowLog) throws IOException {
     try {
-      readFiles(before);
+      readFiles(belowLog);
     } catch (CorruptLogException damage) {
-      // Whoever repairs what stands before the damage gets the last batch as well.
-      replayHeld();
+      // A repair of what precedes the damage gets the last batch as well.
+      replayPending();
       throw damage;
     }
-    replayHeld();
+    replayPending();
   }
 
-  private void readFiles(long before) throws IOException {
-    TreeMap<Long, String> logs = new TreeMap<>();
-    TreeMap<Long, String> snapshots = new TreeMap<>();
-    for (String name : disk.list()) {
-      if (name.endsWith(WriteAheadLog.UNFINISHED)) {
-        unfinished.add(name);
-      } else if (name.startsWith(WriteAheadLog.LOG)) {
-        logs.put(WriteAheadLog.number(name, WriteAheadLog.LOG), name);
-      } else if (name.startsWith(WriteAheadLog.SNAPSHOT)) {
-        snapshots.put(WriteAheadLog.number(name, WriteAheadLog.SNAPSHOT), name);
-      }
+  private void readFiles(long belowLog) throws IOException {
+    LogFiles files = LogFiles.list(storage);
+    unfinished = files.unfinished();
+    TreeMap<Long, String> logs = files.logs();
+    boolean all = belowLog == Long.MAX_VALUE;
+    Optional<String> following = Optional.ofNullable(logs.get(belowLog));
+    logs.tailMap(belowLog).clear();
+    long first = readLastSnapshot(files);
+    readLogs(logs, first, all);
+    if (all && !files.snapshots().isEmpty() && logs.isEmpty()) {
+      throw new CorruptLogException(LogFiles.logName(first), 0, "is missing after its snapshot");
+    }
+    if (following.isPresent()) {
+      // Not read itself, but it may begin with the batch at which the last one was abandoned.
+      resolvePending(ByteBuffer.wrap(storage.read(following.get())));
+    }
+  }
+
+  /** Reads the last snapshot, if there is one, and returns the number of the first log after it. */
+  private long readLastSnapshot(LogFiles files) throws IOException {
+    if (!files.snapshots().isEmpty()) {
+      long number = files.snapshots().lastKey();
+      files.logs().headMap(number).clear();
+      readSnapshot(files.snapshots().get(number), number);
+      return number;
     }
-    boolean all = before == Long.MAX_VALUE;
-    String after = logs.get(before);
-    logs.tailMap(before).clear();
-    long first = logs.isEmpty() ? 1 : logs.firstKey();
-    if (!snapshots.isEmpty()) {
-      first = snapshots.lastKey();
-      logs.headMap(first).clear();
-      readSnapshot(snapshots.get(first), first);
-    } else if (first != 1) {
+    if (!files.logs().isEmpty() && files.logs().firstKey() != 1) {
       throw new CorruptLogException(
-          WriteAheadLog.name(WriteAheadLog.LOG, 1), 0, "is missing, and no snapshot stands for it");
+          LogFiles.logName(1), 0, "is missing, and no snapshot stands for it");
     }
+    return 1;
+  }
+
+  private void readLogs(SortedMap<Long, String> logs, long first, boolean all) throws IOException {
     lastLog = first - 1;
     long expected = first;
     for (long number : logs.keySet()) {
-      if (number != expected++) {
-        throw new CorruptLogException(
-            WriteAheadLog.name(WriteAheadLog.LOG, expected - 1), 0, "is missing between others");
+      if (number != expected) {
+        throw new CorruptLogException(LogFiles.logName(expected), 0, "is missing between others");
       }
+      expected++;
       readLog(logs.get(number), number, all && number == logs.lastKey());
-      lastLog = emptyLast ? number - 1 : number;
-    }
-    if (all && !snapshots.isEmpty() && logs.isEmpty()) {
-      throw new CorruptLogException(
-          WriteAheadLog.name(WriteAheadLog.LOG, first), 0, "is missing after its snapshot");
-    }
-    if (after != null) {
-      // Not read itself, but it may begin with a batch that the last one was abandoned at.
-      settle(ByteBuffer.wrap(disk.read(after)));
+      lastLog = lastHasNoHeader ? number - 1 : number;
     }
   }
 
-  private static boolean hasHeader(ByteBuffer in, long number) {
-    return in.capacity() >= WriteAheadLog.HEADER
-        && in.getLong(0) == WriteAheadLog.MAGIC
-        && in.getLong(8) == number;
-  }
-
   private void readSnapshot(String name, long number) throws IOException {
-    byte[] content = disk.read(name);
+    byte[] content = storage.read(name);
     ByteBuffer in = ByteBuffer.wrap(content);
-    if (!hasHeader(in, number)) {
+    if (!LogFiles.hasHeader(in, number)) {
       throw new CorruptLogException(name, 0, "is no file of this store");
     }
-    int at = WriteAheadLog.HEADER;
+    int at = LogFiles.HEADER_BYTES;
     boolean ended = false;
     while (at < content.length) {
       int length = LogBatch.lengthAt(in, at);
       if (length < 0) {
-        throw new CorruptLogException(name, at, "a batch cannot be read, and others follow it");
+        throw new CorruptLogException(name, at, UNREADABLE);
       }
-      long its = LogBatch.numberAt(in, at);
-      if (its < batch) {
-        throw new CorruptLogException(name, at, "batch " + its + " comes after " + batch);
+      long found = LogBatch.numberAt(in, at);
+      if (found < batchNumber) {
+        throw outOfOrder(name, at, found);
       }
-      batch = its;
+      batchNumber = found;
       ended = length == 0;
-      replay(new Held(name, content, at + LogBatch.HEADER, length, 0, its));
-      at += LogBatch.HEADER + length;
+      replay(new ReadBatch(name, content, at + LogBatch.HEADER_BYTES, length, 0, found));
+      at += LogBatch.HEADER_BYTES + length;
     }
     if (!ended) {
       throw new CorruptLogException(name, content.length, "the snapshot has no end");
     }
   }
 
+  private CorruptLogException outOfOrder(String name, int at, long found) {
+    return new CorruptLogException(name, at, "batch " + found + " comes after " + batchNumber);
+  }
+
   private void readLog(String name, long number, boolean last) throws IOException {
-    byte[] content = disk.read(name);
+    byte[] content = storage.read(name);
     ByteBuffer in = ByteBuffer.wrap(content);
-    if (!hasHeader(in, number)) {
-      if (tear != null) {
-        throw tear;
-      }
-      if (last && content.length <= WriteAheadLog.HEADER) {
-        emptyLast = true;
-        cutFile = name;
-        return;
-      }
+    if (!LogFiles.hasHeader(in, number)) {
+      readWithoutHeader(name, content, last);
+      return;
+    }
+    resolvePending(in);
+    int end = readBatches(name, content, last);
+    if (last) {
+      lastContent = Arrays.copyOf(content, end);
+    } else {
+      pending = pending.map(ReadBatch::withoutFile);
+    }
+  }
+
+  private void readWithoutHeader(String name, byte[] content, boolean last)
+      throws CorruptLogException {
+    if (tornTail.isPresent()) {
+      throw tornTail.get();
+    }
+    if (!last || content.length > LogFiles.HEADER_BYTES) {
       throw new CorruptLogException(name, 0, "is no file of this store");
     }
-    settle(in);
-    int at = WriteAheadLog.HEADER;
+    lastHasNoHeader = true;
+    tornFile = Optional.of(name);
+  }
+
+  /** Reads the batches of a log and returns the offset at which the readable ones end. */
+  private int readBatches(String name, byte[] content, boolean last) throws IOException {
+    ByteBuffer in = ByteBuffer.wrap(content);
+    int at = LogFiles.HEADER_BYTES;
     while (at < content.length) {
-      // Another batch was begun after it, so it was synced.
-      replayHeld();
+      // Another batch was begun after the pending one, so that one was synced.
+      replayPending();
       int length = LogBatch.lengthAt(in, at);
       if (length < 0) {
-        torn(name, in, at, last);
+        handleUnreadable(name, in, at, last);
         break;
       }
-      long its = LogBatch.numberAt(in, at);
-      if (its <= batch) {
-        throw new CorruptLogException(name, at, "batch " + its + " comes after " + batch);
+      long found = LogBatch.numberAt(in, at);
+      if (found <= batchNumber) {
+        throw outOfOrder(name, at, found);
       }
-      if (its != batch + 1) {
+      if (found != batchNumber + 1) {
         throw new CorruptLogException(
-            name, at, "batch " + (batch + 1) + " is missing before " + its);
+            name, at, "batch " + (batchNumber + 1) + " is missing before " + found);
       }
-      batch = its;
-      held = new Held(name, content, at + LogBatch.HEADER, length, 0, its);
-      at += LogBatch.HEADER + length;
-    }
-    if (last) {
-      lastContent = Arrays.copyOf(content, at);
-    } else if (held != null) {
-      held = held.alone();
+      batchNumber = found;
+      int from = at + LogBatch.HEADER_BYTES;
+      pending = Optional.of(new ReadBatch(name, content, from, length, 0, found));
+      at = from + length;
     }
+    return at;
   }
 
   /** Decides about the end of the log before by the first batch of this one. */
-  private void settle(ByteBuffer next) throws IOException {
-    boolean begins = LogBatch.lengthAt(next, WriteAheadLog.HEADER) >= 0;
-    long first = begins ? LogBatch.numberAt(next, WriteAheadLog.HEADER) : 0;
-    if (tear != null) {
-      if (first != batch + 1) {
-        throw tear;
+  private void resolvePending(ByteBuffer next) throws IOException {
+    boolean readable = LogBatch.lengthAt(next, LogFiles.HEADER_BYTES) >= 0;
+    long first = readable ? LogBatch.numberAt(next, LogFiles.HEADER_BYTES) : 0;
+    if (tornTail.isPresent()) {
+      if (first != batchNumber + 1) {
+        throw tornTail.get();
       }
-      tear = null;
-    } else if (held != null && first == held.number()) {
-      batch = held.number() - 1;
-      held = null;
+      tornTail = Optional.empty();
+    } else if (pending.isPresent() && first == pending.get().number()) {
+      batchNumber = pending.get().number() - 1;
+      pending = Optional.empty();
     }
-    replayHeld();
+    replayPending();
   }
 
-  private void torn(String name, ByteBuffer in, int at, boolean last) throws IOException {
-    CorruptLogException damage =
-        new CorruptLogException(name, at, "a batch cannot be read, and others follow it");
-    if (LogBatch.followed(in, at, batch)) {
+  private void handleUnreadable(String name, ByteBuffer in, int at, boolean last)
+      throws CorruptLogException {
+    CorruptLogException damage = new CorruptLogException(name, at, UNREADABLE);
+    if (LogBatch.followed(in, at, batchNumber)) {
       throw damage;
     }
     if (last) {
-      cut = (long) in.capacity() - at;
-      cutFile = name;
+      tornBytes = (long) in.capacity() - at;
+      tornFile = Optional.of(name);
     } else {
-      tear = damage;
+      tornTail = Optional.of(damage);
     }
   }
 
-  private void replayHeld() throws IOException {
-    if (held != null) {
-      Held settled = held;
-      held = null;
-      replay(settled);
+  private void replayPending() throws CorruptLogException {
+    if (pending.isPresent()) {
+      ReadBatch resolved = pending.get();
+      pending = Optional.empty();
+      replay(resolved);
     }
   }
 
-  private void replay(Held whole) throws IOException {
-    ByteBuffer in = ByteBuffer.wrap(whole.bytes(), whole.from(), whole.length());
+  private void replay(ReadBatch batch) throws CorruptLogException {
+    ByteBuffer in = ByteBuffer.wrap(batch.bytes(), batch.from(), batch.length());
     while (in.hasRemaining()) {
       int size = in.getInt();
       int at = in.position();
       try {
-        replay.accept(LogRecordCodec.read(whole.bytes(), at, size));
-      } catch (IOException | IllegalStateException wrong) {
-        throw new CorruptLogException(whole.file(), whole.fileOffset() + at, wrong.getMessage());
+        replay.accept(LogRecordCodec.read(batch.bytes(), at, size));
+      } catch (IOException | IllegalStateException invalid) {
+        throw new CorruptLogException(batch.file(), batch.fileOffset() + at, invalid.getMessage());
       }
-      entries++;
+      records++;
       in.position(at + size);
     }
     batches++;
-    bytes += whole.length();
+    bytes += batch.length();
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -23,14 +23,14 @@
 
 /**
  * Stops a store after every write, sync and change of names of a drawn history, recovers it, and
- * holds what it then believes against what others were told before. Runs in memory; the number of
- * crash points is set by {@code ferngrade.crashes}, and each failure names its seed and step.
+ * compares the recovered state with what others were notified of before. Runs in memory; the number
+ * of crash points is set by {@code ferngrade.crashes}, and each failure names its seed and step.
  */
 class CrashPointTest {
-  private static final JobTable.Terms TERMS = new JobTable.Terms(100, 400, 1e9, 4, 10, 100);
+  private static final JobTableSettings SETTINGS = new JobTableSettings(100, 400, 1e9, 4, 10, 100);
   private static final int CRASHES = Integer.getInteger("ferngrade.crashes", 20_000);
 
-  /** The world outside the store: what it was told, and what workers really did. */
+  /** The world outside the store: what it has acknowledged, and what workers really did. */
   private static final class World {
     final Set<String> accepted = new HashSet<>();
     final Map<String, Long> leased = new HashMap<>();
@@ -45,8 +45,8 @@
     final FaultInjectingStorage disk;
     final World world;
     final SplittableRandom chance;
-    final JobTable ledger = new JobTable(TERMS);
-    final WriteAheadLog journal;
+    final JobTable table = new JobTable(SETTINGS);
+    final WriteAheadLog log;
 
     /** Whether the disk fails now and then. */
     final boolean faults;
@@ -74,12 +74,12 @@
       this.chance = chance;
       this.clock = clock;
       this.numbers = numbers;
-      journal = WriteAheadLog.open(disk, 500, ledger::replay, found -> {});
-      ledger.recovered(0);
+      log = WriteAheadLog.open(disk, 500, table::replay);
+      table.recovered(0);
     }
 
-    /** Stores a change; what comes after it is what others may be told. */
-    void commit(JobTable.Change change) throws IOException {
+    /** Stores a change; from then on others may be notified of it. */
+    void commit(JobChange change) throws IOException {
       if (faults && chance.nextInt(4) == 0) {
         disk.tearWritesAt(chance.nextInt(80));
         disk.fail(
@@ -88,10 +88,10 @@
             chance.nextInt(3),
             1 + chance.nextInt(3));
       }
-      boolean stored = change.entries().isEmpty();
+      boolean stored = change.records().isEmpty();
       while (!stored) {
         try {
-          journal.commit(change.entries());
+          log.commit(change.records());
           stored = true;
         } catch (DiskFault notYet) {
           assertTrue(faults, "the disk does not fail here");
@@ -99,7 +99,7 @@
       }
       if (chance.nextInt(12) == 0) {
         try {
-          WriteAheadLog.compact(disk, journal.logNumber());
+          LogCompactor.compact(disk, log.logNumber());
         } catch (DiskFault notYet) {
           assertTrue(faults, "the disk does not fail here");
         }
@@ -121,15 +121,17 @@
 
     private void take() throws IOException {
       String id = "j" + numbers++;
-      Idempotency effect = Idempotency.values()[chance.nextInt(3)];
-      JobTable.Change change =
-          ledger.accept(id, effect, "k" + id, 1000, new byte[chance.nextInt(40)], clock);
+      Idempotency idempotency = Idempotency.values()[chance.nextInt(3)];
+      JobChange change =
+          table.accept(
+              new JobSubmission(id, idempotency, "k" + id, 1000, new byte[chance.nextInt(40)]),
+              clock);
       commit(change);
       world.accepted.add(id);
     }
 
     private void work() throws IOException {
-      List<Job> jobs = new ArrayList<>(ledger.jobs());
+      List<Job> jobs = new ArrayList<>(table.jobs());
       if (jobs.isEmpty()) {
         return;
       }
@@ -137,7 +139,7 @@
       String id = job.id();
       switch (job.state()) {
         case ACCEPTED -> {
-          JobTable.Change change = ledger.lease(id, "w", clock, 0);
+          JobChange change = table.lease(id, "w", clock, 0);
           if (change.allowed()) {
             commit(change);
             assertTrue(
@@ -165,21 +167,21 @@
       boolean ran = world.runs.getOrDefault(id, 0) > 0;
       int kind = chance.nextInt(5);
       if (kind == 0 && ran) {
-        commit(ledger.started(id, held, clock));
+        commit(table.started(id, held));
       } else if (kind == 1 && ran) {
-        commit(ledger.done(id, held, "result of " + id, clock));
+        commit(table.done(id, held, "result of " + id, clock));
         world.answers.put(id, "result of " + id);
       } else if (kind == 2 && ran) {
-        commit(ledger.failed(id, held, "broken", clock, chance.nextDouble()));
+        commit(table.failed(id, held, "broken", clock, chance.nextDouble()));
       } else if (kind == 3 && !ran) {
-        JobTable.Change change = ledger.returned(id, held, clock, chance.nextDouble());
+        JobChange change = table.returned(id, held, clock, chance.nextDouble());
         commit(change);
         world.returned.add(id);
       } else if (kind == 4) {
         // Everybody's leases run out.
-        commit(ledger.expire(clock, 1e12, chance.nextDouble()));
+        commit(table.expire(clock, 1e12, chance.nextDouble()));
       }
-      if (job.state() == JobState.FAILED && ledger.job(id) != null) {
+      if (job.state() == JobState.FAILED && table.job(id).isPresent()) {
         world.answers.put(id, job.result());
       }
     }
@@ -187,23 +189,25 @@
 
   private static void check(Life life, World world) {
     for (String id : world.accepted) {
-      Job job = life.ledger.job(id);
-      assertTrue(job != null, id + " was accepted and is lost");
+      assertTrue(life.table.job(id).isPresent(), id + " was accepted and is lost");
+      Job job = life.table.job(id).orElseThrow();
       String answer = world.answers.get(id);
       if (answer != null) {
         assertEquals(answer, job.result(), "the answer of " + id + " has changed");
       }
       boolean mayHaveRun = world.runs.getOrDefault(id, 0) > 0;
-      if (mayHaveRun && job.effect() == Idempotency.UNSAFE && job.state() == JobState.ACCEPTED) {
+      if (mayHaveRun
+          && job.idempotency() == Idempotency.UNSAFE
+          && job.state() == JobState.ACCEPTED) {
         assertFalse(
-            life.ledger.lease(id, "again", 1e15, 0).allowed(),
+            life.table.lease(id, "again", 1e15, 0).allowed(),
             id + " has run and would start again");
       }
       assertTrue(
-          world.runs.getOrDefault(id, 0) <= 1 || job.effect() != Idempotency.UNSAFE,
+          world.runs.getOrDefault(id, 0) <= 1 || job.idempotency() != Idempotency.UNSAFE,
           id + " has run twice");
     }
-    assertTrue(life.ledger.highestToken() >= world.highest, "tokens would be given out again");
+    assertTrue(life.table.highestToken() >= world.highest, "tokens would be given out again");
   }
 
   @Test
@@ -292,7 +296,7 @@
       int offset = where.nextInt(disk.read(file).length);
       disk.flip(file, offset);
       try {
-        JobTable recovered = new JobTable(TERMS);
+        JobTable recovered = new JobTable(SETTINGS);
         WriteAheadLog.inspect(disk, recovered::replay);
         // Nothing follows the last batch, which nobody can tell from one that was torn; or an old
         // file was hit.
@@ -311,7 +315,7 @@
                             .filter(name -> name.startsWith("log-"))
                             .reduce((a, b) -> b)
                             .orElseThrow())
-                    && (offset >= last || disk.read(file).length == WriteAheadLog.HEADER)),
+                    && (offset >= last || disk.read(file).length == LogFiles.HEADER_BYTES)),
             "seed " + seed + ": " + file + " at " + offset + " was passed over in silence");
       } catch (CorruptLogException damaged) {
         found++;
@@ -330,7 +334,7 @@
             .reduce((a, b) -> b)
             .orElseThrow();
     ByteBuffer content = ByteBuffer.wrap(disk.read(log));
-    int at = WriteAheadLog.HEADER;
+    int at = LogFiles.HEADER_BYTES;
     int last = at;
     while (at < content.capacity()) {
       last = at;
@@ -372,18 +376,18 @@
     World world = new World();
     Life life = new Life(disk, world, new SplittableRandom(1), 1e12, 0);
     life.play(50);
-    JobTable.Change change =
-        life.ledger.accept("late", Idempotency.UNSAFE, "", 0, new byte[9], 1e12);
-    long before = life.journal.logNumber();
+    JobChange change =
+        life.table.accept(new JobSubmission("late", Idempotency.UNSAFE, "", 0, new byte[9]), 1e12);
+    long before = life.log.logNumber();
     disk.fill(true);
     for (int i = 0; i < 3; i++) {
-      assertThrows(IOException.class, () -> life.journal.commit(change.entries()));
+      assertThrows(IOException.class, () -> life.log.commit(change.records()));
     }
     disk.fill(false);
-    life.journal.commit(change.entries());
+    life.log.commit(change.records());
     world.accepted.add("late");
     assertEquals(
-        before + 1, life.journal.logNumber(), "the file whose write failed is written no more");
+        before + 1, life.log.logNumber(), "the file whose write failed is written no more");
     life.play(50);
     disk.powerUp();
     check(new Life(disk, world, new SplittableRandom(2), 2e12, 9000), world);
--- a/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
@@ -21,12 +21,12 @@
  * come late, twice, out of order or never, leases that run out anywhere, and a crash anywhere.
  */
 class JobTableExplorationTest {
-  private static final JobTable.Terms TERMS = new JobTable.Terms(100, 100, 1e18, 3, 0, 0);
+  private static final JobTableSettings SETTINGS = new JobTableSettings(100, 100, 1e18, 3, 0, 0);
   private static final double AT = 1000;
   private static final int MOST_STATES = 2_000_000;
 
   /**
-   * A message of a worker's: it stays in flight after it was heard, since a worker may send it
+   * A message of a worker's: it stays in flight after it was received, since a worker may send it
    * again.
    */
   private record Message(String job, long token, String what) implements Comparable<Message> {
@@ -70,13 +70,13 @@
   private record Explored(int states, String broken) {}
 
   private static Explored explore(
-      Supplier<JobTable> ledgers, Idempotency effect, int jobs, int expiries) {
+      Supplier<JobTable> tables, Idempotency idempotency, int jobs, int expiries) {
     Deque<State> open = new ArrayDeque<>();
     Set<String> seen = new HashSet<>();
     State start = new State();
-    JobTable first = ledgers.get();
+    JobTable first = tables.get();
     for (int j = 0; j < jobs; j++) {
-      first.accept("j" + j, effect, "", 0, new byte[0], AT);
+      first.accept(new JobSubmission("j" + j, idempotency, "", 0, new byte[0]), AT);
     }
     start.stored = first.snapshot();
     open.add(start);
@@ -84,11 +84,11 @@
     while (!open.isEmpty()) {
       State state = open.poll();
       for (int j = 0; j < jobs; j++) {
-        if (state.runs[j] > 1 && effect == Idempotency.UNSAFE) {
+        if (state.runs[j] > 1 && idempotency == Idempotency.UNSAFE) {
           return new Explored(seen.size(), "j" + j + " ran twice: " + state.key());
         }
       }
-      for (State next : next(state, ledgers, jobs, expiries)) {
+      for (State next : next(state, tables, jobs, expiries)) {
         if (seen.add(next.key())) {
           open.add(next);
         }
@@ -98,28 +98,28 @@
     return new Explored(seen.size(), null);
   }
 
-  private static JobTable load(State state, Supplier<JobTable> ledgers) {
-    JobTable ledger = ledgers.get();
-    state.stored.forEach(ledger::replay);
-    ledger.recovered(0);
-    return ledger;
+  private static JobTable load(State state, Supplier<JobTable> tables) {
+    JobTable table = tables.get();
+    state.stored.forEach(table::replay);
+    table.recovered(0);
+    return table;
   }
 
-  private static List<State> next(State state, Supplier<JobTable> ledgers, int jobs, int expiries) {
+  private static List<State> next(State state, Supplier<JobTable> tables, int jobs, int expiries) {
     List<State> all = new ArrayList<>();
     for (int j = 0; j < jobs; j++) {
       String id = "j" + j;
       for (String worker : new String[] {"w0", "w1"}) {
-        JobTable ledger = load(state, ledgers);
-        if (ledger.lease(id, worker, AT, 0).allowed()) {
+        JobTable table = load(state, tables);
+        if (table.lease(id, worker, AT, 0).allowed()) {
           State next = state.copy();
-          next.stored = ledger.snapshot();
-          next.grants.add(new Message(id, ledger.job(id).token(), worker));
+          next.stored = table.snapshot();
+          next.grants.add(new Message(id, table.job(id).orElseThrow().token(), worker));
           all.add(next);
           if (state.crashes < 1) {
-            // The node dies between the lease on disk and the word to the worker.
+            // The node fails between storing the lease and sending it to the worker.
             State died = state.copy();
-            died.stored = ledger.snapshot();
+            died.stored = table.snapshot();
             died.crashes++;
             all.add(died);
           }
@@ -141,27 +141,27 @@
       all.add(back);
     }
     for (Message report : state.reports) {
-      JobTable ledger = load(state, ledgers);
-      JobTable.Change change =
+      JobTable table = load(state, tables);
+      JobChange change =
           switch (report.what()) {
-            case "started" -> ledger.started(report.job(), report.token(), AT);
-            case "done" -> ledger.done(report.job(), report.token(), "r", AT);
-            default -> ledger.returned(report.job(), report.token(), AT, 0);
+            case "started" -> table.started(report.job(), report.token());
+            case "done" -> table.done(report.job(), report.token(), "r", AT);
+            default -> table.returned(report.job(), report.token(), AT, 0);
           };
       if (change.allowed()) {
-        State heard = state.copy();
-        heard.stored = ledger.snapshot();
-        all.add(heard);
+        State received = state.copy();
+        received.stored = table.snapshot();
+        all.add(received);
       }
       State lost = state.copy();
       lost.reports.remove(report);
       all.add(lost);
     }
     if (state.expiries < expiries) {
-      JobTable ledger = load(state, ledgers);
-      if (!ledger.expire(AT, 1e9, 0).entries().isEmpty()) {
+      JobTable table = load(state, tables);
+      if (!table.expire(AT, 1e9, 0).records().isEmpty()) {
         State expired = state.copy();
-        expired.stored = ledger.snapshot();
+        expired.stored = table.snapshot();
         expired.expiries++;
         all.add(expired);
       }
@@ -171,10 +171,10 @@
 
   @Test
   void noUnsafeJobRunsTwiceInAnyState() {
-    Explored one = explore(() -> new JobTable(TERMS), Idempotency.UNSAFE, 1, 2);
+    Explored one = explore(() -> new JobTable(SETTINGS), Idempotency.UNSAFE, 1, 2);
     Explored two =
         explore(
-            () -> new JobTable(new JobTable.Terms(100, 100, 1e18, 2, 0, 0)),
+            () -> new JobTable(new JobTableSettings(100, 100, 1e18, 2, 0, 0)),
             Idempotency.UNSAFE,
             2,
             1);
@@ -189,9 +189,9 @@
     Explored mutant =
         explore(
             () ->
-                new JobTable(TERMS) {
+                new JobTable(SETTINGS) {
                   @Override
-                  boolean holds(Job job, long token) {
+                  boolean isCurrentHolder(Job job, long token) {
                     return true;
                   }
                 },
@@ -202,26 +202,27 @@
   }
 
   @Test
-  void aSnapshotIsTheLedgerThatItWasMadeFrom() {
-    JobTable ledger = new JobTable(TERMS);
-    ledger.accept("a", Idempotency.KEYED, "k", 500, new byte[] {1, 2}, AT);
-    ledger.accept("b", Idempotency.UNSAFE, "", 0, new byte[0], AT);
-    ledger.lease("a", "w", AT, 0);
-    ledger.failed("a", 1, "broken", AT + 1, 0.5);
-    ledger.lease("b", "w", AT, 0);
-    ledger.expire(AT, 1e9, 0);
-    JobTable again = new JobTable(TERMS);
-    ledger.snapshot().forEach(again::replay);
-    assertEquals(ledger.snapshot(), again.snapshot());
-    assertEquals(JobState.ACCEPTED, again.job("a").state());
-    assertEquals(JobState.IN_DOUBT, again.job("b").state());
+  void aSnapshotReproducesTheTableThatItWasMadeFrom() {
+    JobTable table = new JobTable(SETTINGS);
+    table.accept(new JobSubmission("a", Idempotency.KEYED, "k", 500, new byte[] {1, 2}), AT);
+    table.accept(new JobSubmission("b", Idempotency.UNSAFE, "", 0, new byte[0]), AT);
+    table.lease("a", "w", AT, 0);
+    table.failed("a", 1, "broken", AT + 1, 0.5);
+    table.lease("b", "w", AT, 0);
+    table.expire(AT, 1e9, 0);
+    JobTable again = new JobTable(SETTINGS);
+    table.snapshot().forEach(again::replay);
+    assertEquals(table.snapshot(), again.snapshot());
+    assertEquals(JobState.ACCEPTED, again.job("a").orElseThrow().state());
+    assertEquals(JobState.IN_DOUBT, again.job("b").orElseThrow().state());
     assertEquals(2, again.highestToken());
     // The window counts from the lease that may have run, not from when that was known.
     assertTrue(again.lease("a", "w", AT + 400, 0).allowed());
-    JobTable late = new JobTable(TERMS);
-    ledger.snapshot().forEach(late::replay);
-    assertEquals(JobTable.Refusal.NOT_NOW, late.lease("a", "w", AT + 500, 0).refusal());
+    JobChange invalidState = JobChange.rejected(RejectionReason.INVALID_STATE);
+    JobTable late = new JobTable(SETTINGS);
+    table.snapshot().forEach(late::replay);
+    assertEquals(invalidState, late.lease("a", "w", AT + 500, 0));
     // A clock that went back before the first run allows nothing either.
-    assertEquals(JobTable.Refusal.NOT_NOW, late.lease("a", "w", AT - 3_600_000, 0).refusal());
+    assertEquals(invalidState, late.lease("a", "w", AT - 3_600_000, 0));
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/LogFileGoldenTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/LogFileGoldenTest.java
@@ -32,10 +32,11 @@
   private static Map<String, LogRecord> entries() {
     Map<String, LogRecord> entries = new LinkedHashMap<>();
     int number = 0;
-    for (Idempotency effect : Idempotency.values()) {
+    for (Idempotency idempotency : Idempotency.values()) {
       entries.put(
           "accepted-" + number,
-          new LogRecord.Accepted("job-" + number, effect, "key", 7_500.5, 2, 1.79e12, PAYLOAD));
+          new LogRecord.Accepted(
+              "job-" + number, idempotency, "key", 7_500.5, 2, 1.79e12, PAYLOAD));
       number++;
     }
     entries.put("leased", new LogRecord.Leased("job-0", "worker-1", 11, 1.79e12 + 1));
@@ -72,8 +73,8 @@
 
   @Test
   void aBatchIsFramedAsRecorded() {
-    byte[] all = new byte[LogBatch.HEADER + PAYLOAD.length];
-    System.arraycopy(PAYLOAD, 0, all, LogBatch.HEADER, PAYLOAD.length);
+    byte[] all = new byte[LogBatch.HEADER_BYTES + PAYLOAD.length];
+    System.arraycopy(PAYLOAD, 0, all, LogBatch.HEADER_BYTES, PAYLOAD.length);
     GOLDEN.verify("batch", LogBatch.frame(all, 5));
   }
 
@@ -86,14 +87,14 @@
 
   private static FaultInjectingStorage filled() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
-    try (WriteAheadLog journal = WriteAheadLog.open(disk, 1 << 20, entry -> {}, found -> {})) {
-      journal.commit(new ArrayList<>(entries().values()).subList(0, Idempotency.values().length));
-      journal.commit(
+    try (WriteAheadLog log = WriteAheadLog.open(disk, 1 << 20, replayed -> {})) {
+      log.commit(new ArrayList<>(entries().values()).subList(0, Idempotency.values().length));
+      log.commit(
           List.of(
               new LogRecord.Leased("job-0", "worker-1", 11, 1.79e12 + 1),
               new LogRecord.Started("job-0", 11, 1.79e12 + 2)));
-      journal.commit(List.of(new LogRecord.Leased("job-1", "worker-2", 12, 1.79e12 + 1)));
-      journal.commit(List.of(new LogRecord.Ended("job-1", 12, true, "result", 1.79e12 + 5)));
+      log.commit(List.of(new LogRecord.Leased("job-1", "worker-2", 12, 1.79e12 + 1)));
+      log.commit(List.of(new LogRecord.Ended("job-1", 12, true, "result", 1.79e12 + 5)));
     }
     return disk;
   }
@@ -102,14 +103,14 @@
   void filesAreWrittenAndReadAsRecorded() throws IOException {
     FaultInjectingStorage disk = filled();
     verifyFiles("", disk);
-    JobTable ledger = new JobTable(WriteAheadLog.READING);
-    WriteAheadLog.open(disk, 1 << 20, ledger::replay, found -> {}).close();
-    WriteAheadLog.compact(disk, 2);
+    JobTable table = new JobTable(JobTableSettings.REPLAY_ONLY);
+    WriteAheadLog.open(disk, 1 << 20, table::replay).close();
+    LogCompactor.compact(disk, 2);
     verifyFiles("compacted-", disk);
 
-    JobTable recovered = new JobTable(WriteAheadLog.READING);
+    JobTable recovered = new JobTable(JobTableSettings.REPLAY_ONLY);
     WriteAheadLog.inspect(recorded("compacted-", disk), recovered::replay);
-    assertEquals(ledger.snapshot(), recovered.snapshot());
+    assertEquals(table.snapshot(), recovered.snapshot());
   }
 
   private static void verifyFiles(String prefix, FaultInjectingStorage disk) {
--- a/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A journal whose disk fails for a while: what was committed is there once, and what was not is
+ * A log whose disk fails for a while: what was committed is there once, and what was not is
  * committed later.
  */
 class StorageFaultTest {
-  private static final JobTable.Terms TERMS = new JobTable.Terms(100, 400, 1e9, 4, 10, 100);
+  private static final JobTableSettings SETTINGS = new JobTableSettings(100, 400, 1e9, 4, 10, 100);
 
   /** A log with two batches, as it was written before logs could be abandoned. */
   private static final String WRITTEN =
@@ -36,39 +36,38 @@
   private final List<String> acknowledged = new ArrayList<>();
 
   private static WriteAheadLog open(FaultInjectingStorage disk, int logBytes) throws IOException {
-    return WriteAheadLog.open(disk, logBytes, entry -> {}, found -> {});
+    return WriteAheadLog.open(disk, logBytes, replayed -> {});
   }
 
   private static List<LogRecord> job(String id) {
-    return new JobTable(TERMS)
-        .accept(id, Idempotency.KEYED, "key " + id, 50, new byte[] {1, 2, 3}, 7)
-        .entries();
+    return new JobTable(SETTINGS)
+        .accept(new JobSubmission(id, Idempotency.KEYED, "key " + id, 50, new byte[] {1, 2, 3}), 7)
+        .records();
   }
 
   private static List<String> recovered(FaultInjectingStorage disk) throws IOException {
-    JobTable ledger = new JobTable(TERMS);
-    WriteAheadLog.open(disk, LARGE_LOG, ledger::replay, found -> {}).close();
-    return ledger.jobs().stream().map(Job::id).toList();
+    JobTable table = new JobTable(SETTINGS);
+    WriteAheadLog.open(disk, LARGE_LOG, table::replay).close();
+    return table.jobs().stream().map(Job::id).toList();
   }
 
-  /** Commits a job, again and again until that works; says how often it failed. */
-  private int commit(WriteAheadLog journal, String id) throws IOException {
+  /** Commits a job, again and again until that works; returns how often it failed. */
+  private int commit(WriteAheadLog log, String id) throws IOException {
     for (int failures = 0; ; failures++) {
       try {
-        journal.commit(job(id));
+        log.commit(job(id));
         acknowledged.add(id);
         return failures;
-      } catch (DiskFault notYet) {
+      } catch (DiskFault retried) {
         assertTrue(failures < 100, "never again");
       }
     }
   }
 
-  private static void compact(WriteAheadLog journal, FaultInjectingStorage disk)
-      throws IOException {
+  private static void compact(WriteAheadLog log, FaultInjectingStorage disk) throws IOException {
     try {
-      WriteAheadLog.compact(disk, journal.logNumber());
-    } catch (DiskFault notYet) {
+      LogCompactor.compact(disk, log.logNumber());
+    } catch (DiskFault retried) {
       // The logs stay.
     }
   }
@@ -80,16 +79,16 @@
       for (int run = 0; run < 400; run++) {
         FaultInjectingStorage failing = new FaultInjectingStorage(run, 0);
         acknowledged.clear();
-        WriteAheadLog journal = open(failing, SMALL_LOG);
+        WriteAheadLog log = open(failing, SMALL_LOG);
         failing.fail(operation, errno, run / 8, 1 + run % 8);
         for (int i = 0; i < 8; i++) {
-          commit(journal, "job " + i);
+          commit(log, "job " + i);
           if (i % 3 == 2) {
-            compact(journal, failing);
+            compact(log, failing);
           }
         }
         failing.heal();
-        WriteAheadLog.compact(failing, journal.logNumber());
+        LogCompactor.compact(failing, log.logNumber());
         if (run % 2 == 0) {
           failing.powerUp();
         }
@@ -106,17 +105,17 @@
     int length = 16 + 4 + 60;
     for (int torn = 0; torn <= length; torn++) {
       FaultInjectingStorage killed = new FaultInjectingStorage(torn, 0);
-      WriteAheadLog journal = open(killed, LARGE_LOG);
-      journal.commit(job("a"));
+      WriteAheadLog log = open(killed, LARGE_LOG);
+      log.commit(job("a"));
       killed.tearWritesAt(torn);
       killed.fail(Operation.WRITE, Errno.ENOSPC, 0, 1);
-      assertThrows(DiskFault.class, () -> journal.commit(job("b")));
+      assertThrows(DiskFault.class, () -> log.commit(job("b")));
       killed.restartProcess();
       List<String> found = recovered(killed);
       assertTrue(
           found.equals(List.of("a")) || found.equals(List.of("a", "b")), torn + ": " + found);
       killed.powerUp();
-      assertEquals(found, recovered(killed), "what a recovery has said stays so");
+      assertEquals(found, recovered(killed), "what a recovery has reported stays so");
 
       FaultInjectingStorage going = new FaultInjectingStorage(torn, 0);
       acknowledged.clear();
@@ -134,34 +133,34 @@
 
   @Test
   void aSnapshotOfAnAbandonedLogHasItsLastBatchAsTheNextLogHasIt() throws IOException {
-    WriteAheadLog journal = open(disk, LARGE_LOG);
-    commit(journal, "a");
+    WriteAheadLog log = open(disk, LARGE_LOG);
+    commit(log, "a");
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
-    assertThrows(DiskFault.class, () -> journal.commit(job("never asked for again")));
-    commit(journal, "b");
-    assertTrue(WriteAheadLog.compact(disk, journal.logNumber()));
-    commit(journal, "c");
+    assertThrows(DiskFault.class, () -> log.commit(job("never asked for again")));
+    commit(log, "b");
+    assertTrue(LogCompactor.compact(disk, log.logNumber()));
+    commit(log, "c");
     assertEquals(List.of("a", "b", "c"), recovered(disk));
   }
 
   @Test
   void aTornTailThatTheNextLogDoesNotTakeUpIsDamage() throws IOException {
-    WriteAheadLog journal = open(disk, SMALL_LOG);
-    while (journal.logNumber() == 1) {
-      commit(journal, "job " + acknowledged.size());
+    WriteAheadLog log = open(disk, SMALL_LOG);
+    while (log.logNumber() == 1) {
+      commit(log, "job " + acknowledged.size());
     }
-    commit(journal, "last");
-    String first = WriteAheadLog.name("log-", 1);
+    commit(log, "last");
+    String first = LogFiles.logName(1);
     disk.flip(first, disk.read(first).length - 1);
     CorruptLogException damage = assertThrows(CorruptLogException.class, () -> recovered(disk));
     assertEquals(first, damage.file());
   }
 
   @Test
-  void whatARecoveryReadsIsWrittenAnewBeforeItIsBelieved() throws IOException {
-    WriteAheadLog journal = open(disk, LARGE_LOG);
+  void whatARecoveryReadsIsRewrittenBeforeItCounts() throws IOException {
+    WriteAheadLog log = open(disk, LARGE_LOG);
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
-    assertThrows(DiskFault.class, () -> journal.commit(job("a")));
+    assertThrows(DiskFault.class, () -> log.commit(job("a")));
     disk.restartProcess();
     assertEquals(List.of("a"), recovered(disk), "the system still has it in memory");
     disk.powerUp();
@@ -170,20 +169,20 @@
 
   @Test
   void filesAreByteForByteAsBeforeAndAreRead() throws IOException {
-    JobTable ledger = new JobTable(TERMS);
-    WriteAheadLog journal = open(disk, LARGE_LOG);
-    journal.commit(
-        ledger.accept("a", Idempotency.KEYED, "k", 50, new byte[] {1, 2, 3}, 7).entries());
-    journal.commit(ledger.lease("a", "w", 8, 0).entries());
-    String log = WriteAheadLog.name("log-", 1);
-    String written = HexFormat.of().formatHex(disk.read(log));
+    JobTable table = new JobTable(SETTINGS);
+    WriteAheadLog log = open(disk, LARGE_LOG);
+    log.commit(
+        table
+            .accept(new JobSubmission("a", Idempotency.KEYED, "k", 50, new byte[] {1, 2, 3}), 7)
+            .records());
+    log.commit(table.lease("a", "w", 8, 0).records());
+    String name = LogFiles.logName(1);
+    String written = HexFormat.of().formatHex(disk.read(name));
     assertEquals(WRITTEN, written);
     assertEquals(List.of("a"), recovered(disk));
     assertEquals(
-        WRITTEN, HexFormat.of().formatHex(disk.read(log)), "a recovery leaves it as it was");
+        WRITTEN, HexFormat.of().formatHex(disk.read(name)), "a recovery leaves it as it was");
     assertEquals(
-        WriteAheadLog.HEADER,
-        disk.read(WriteAheadLog.name("log-", 2)).length,
-        "the next log is empty");
+        LogFiles.HEADER_BYTES, disk.read(LogFiles.logName(2)).length, "the next log is empty");
   }
 }
