--- a/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -1,32 +1,30 @@
 package ferngrade.jobstore;
 
 import java.io.IOException;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
 /**
- * A folder in memory that loses power after so many writes, syncs and changes of names. What was
- * not synced may then be there, be gone, be torn, or be there with what was written before it gone;
- * names that were not synced may be as they were. With lies, a sync now and then returns with
- * nothing synced.
+ * A directory in memory for tests, which loses power after so many writes, syncs and changes of
+ * names. What was not synced may then be there, be gone, be torn, or be there with what was written
+ * before it gone; names that were not synced may be as they were. A share of the syncs can be made
+ * to return without an effect.
  *
- * <p>Operations also fail as scripted with {@link #fail}. A file whose sync has failed is read as
- * it was written, and no later sync of it makes anything last, though it returns: so does a kernel
- * that drops the pages it could not write. The same holds for names that were changed before a
- * failed sync of the folder.
+ * <p>Operations also fail as scheduled with {@link #fail}. A file whose sync has failed is read as
+ * it was written, and no later sync of it makes anything durable, though it returns: so does a
+ * kernel that drops the pages it could not write. The same holds for names that were changed before
+ * a failed sync of the directory.
  */
 public final class FaultInjectingStorage implements Storage {
-  /** The power has gone. */
+  /** Thrown by the operation at which power is lost. */
   public static final class PowerLost extends IOException {
     private static final long serialVersionUID = 1L;
   }
 
-  /** What can be told to fail. */
+  /** The operations that can be made to fail. */
   public enum Operation {
     CREATE,
     WRITE,
@@ -50,7 +48,7 @@
     }
   }
 
-  /** An operation that failed as scripted. */
+  /** Thrown by an operation that fails as scheduled. */
   public static final class DiskFault extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -63,100 +61,65 @@
       this.errno = errno;
     }
 
+    /** The operation that failed. */
     public Operation operation() {
       return operation;
     }
 
+    /** The error that it reports. */
     public Errno errno() {
       return errno;
     }
   }
 
-  /** The operations of one kind that fail: after so many that work, so many. */
-  private static final class Script {
-    private final Errno errno;
-    private long working;
-    private long failing;
-
-    Script(Errno errno, long working, long failing) {
-      this.errno = errno;
-      this.working = working;
-      this.failing = failing;
-    }
-
-    boolean failsNow() {
-      if (working > 0) {
-        working--;
-        return false;
-      }
-      return failing-- > 0;
-    }
-  }
-
-  private static final class Content {
-    boolean syncFailed;
-    byte[] synced = new byte[0];
-    final List<byte[]> unsynced = new ArrayList<>();
-
-    byte[] now() {
-      int length = synced.length + unsynced.stream().mapToInt(each -> each.length).sum();
-      byte[] all = Arrays.copyOf(synced, length);
-      int at = synced.length;
-      for (byte[] each : unsynced) {
-        System.arraycopy(each, 0, all, at, each.length);
-        at += each.length;
-      }
-      return all;
-    }
-  }
-
+  /** A write that fails as scheduled writes half of its bytes, unless told otherwise. */
   private static final int HALF = -1;
 
-  private final SplittableRandom chance;
-  private final double lies;
-  private final Map<String, Content> names = new TreeMap<>();
-  private Map<String, Content> syncedNames = new TreeMap<>();
+  private final SplittableRandom random;
+  private final double skippedSyncRate;
+  private final Map<String, InMemoryFile> names = new TreeMap<>();
+  private Map<String, InMemoryFile> syncedNames = new TreeMap<>();
 
   /** Names as they were changed before a sync of them failed. */
-  private final Map<String, Content> unsyncableNames = new TreeMap<>();
+  private final Map<String, InMemoryFile> unsyncableNames = new TreeMap<>();
 
-  private final Map<Operation, Script> scripts = new EnumMap<>(Operation.class);
+  private final FaultSchedule schedule = new FaultSchedule();
   private int tornWrite = HALF;
-  private long left;
+  private long stepsUntilPowerLoss;
   private long steps;
   private boolean full;
-  private int lied;
+  private int skippedSyncs;
 
-  /** An empty folder; this share of its syncs does nothing. */
-  public FaultInjectingStorage(long seed, double lies) {
-    this.chance = new SplittableRandom(seed);
-    this.lies = lies;
-    this.left = Long.MAX_VALUE;
+  /** Creates an empty directory, of whose syncs this share does nothing. */
+  public FaultInjectingStorage(long seed, double skippedSyncRate) {
+    this.random = new SplittableRandom(seed);
+    this.skippedSyncRate = skippedSyncRate;
+    this.stepsUntilPowerLoss = Long.MAX_VALUE;
   }
 
-  /** Loses power in the step after so many. */
-  public void losePowerAfter(long more) {
-    left = more;
+  /** Loses power in the step after so many more. */
+  public void losePowerAfter(long steps) {
+    stepsUntilPowerLoss = steps;
   }
 
-  /** From here on every write says that the disk is full, with a part of it written. */
+  /** Whether from here on every write fails because the disk is full, half of it written. */
   public void fill(boolean nowFull) {
     full = nowFull;
   }
 
-  /** Of this kind, {@code working} more operations work, and then {@code failing} fail. */
-  public synchronized void fail(Operation operation, Errno errno, long working, long failing) {
-    scripts.put(operation, new Script(errno, working, failing));
+  /** Of this kind, {@code succeeding} more operations succeed, and then {@code failing} fail. */
+  public synchronized void fail(Operation operation, Errno errno, long succeeding, long failing) {
+    schedule.schedule(operation, errno, succeeding, failing);
   }
 
-  /** Nothing fails from here on as scripted. */
+  /** Ends all faults that were scheduled, and a full disk. */
   public synchronized void heal() {
-    scripts.clear();
+    schedule.clear();
     full = false;
   }
 
   /**
-   * Of a write that fails as scripted, this many bytes are written; half of it if this is never
+   * Of a write that fails as scheduled, this many bytes are written; half of it if this is never
    * called.
    */
   public synchronized void tearWritesAt(int bytes) {
@@ -169,87 +132,55 @@
   }
 
   /** The syncs that did nothing. */
-  public int lied() {
-    return lied;
+  public int skippedSyncs() {
+    return skippedSyncs;
   }
 
   private void step() throws PowerLost {
     steps++;
-    if (left-- <= 0) {
+    if (stepsUntilPowerLoss-- <= 0) {
       throw new PowerLost();
     }
   }
 
-  private boolean failsNow(Operation operation) {
-    Script script = scripts.get(operation);
-    return script != null && script.failsNow();
-  }
-
-  private DiskFault fault(Operation operation) {
-    return new DiskFault(operation, scripts.get(operation).errno);
-  }
-
   private void attempt(Operation operation) throws IOException {
     step();
-    if (failsNow(operation)) {
-      throw fault(operation);
+    throwIfScheduled(operation);
+  }
+
+  private void throwIfScheduled(Operation operation) throws DiskFault {
+    Optional<DiskFault> fault = schedule.next(operation);
+    if (fault.isPresent()) {
+      throw fault.get();
     }
   }
 
-  /** Power is back: what a machine finds then. */
+  /** Power is back: draws what is left of what was not durable. */
   public synchronized void powerUp() {
-    left = Long.MAX_VALUE;
-    Map<String, Content> found = new TreeMap<>(syncedNames);
-    // Changes of names since the last sync of them: each has come to last or not.
+    stepsUntilPowerLoss = Long.MAX_VALUE;
+    Map<String, InMemoryFile> found = new TreeMap<>(syncedNames);
+    // Each change of names since the last sync of them is durable or not.
     for (String name : names.keySet()) {
-      if (syncedNames.get(name) != names.get(name) && chance.nextBoolean()) {
+      if (syncedNames.get(name) != names.get(name) && random.nextBoolean()) {
         found.put(name, names.get(name));
       }
     }
-    found.keySet().removeIf(name -> !names.containsKey(name) && chance.nextBoolean());
+    found.keySet().removeIf(name -> !names.containsKey(name) && random.nextBoolean());
     names.clear();
     names.putAll(found);
     syncedNames = new TreeMap<>(found);
     unsyncableNames.clear();
-    names.values().forEach(this::settle);
-  }
-
-  private void settle(Content content) {
-    byte[] all = content.now();
-    int kind = chance.nextInt(4);
-    int unsynced = all.length - content.synced.length;
-    if (unsynced > 0) {
-      switch (kind) {
-        case 0 -> all = content.synced;
-        case 1 -> all = Arrays.copyOf(all, content.synced.length + chance.nextInt(unsynced + 1));
-        case 2 -> {
-          // The length lasts, and a page of it does not: zeros, with what was written later behind
-          // them.
-          int from = content.synced.length + chance.nextInt(unsynced);
-          Arrays.fill(all, from, from + chance.nextInt(all.length - from) + 1, (byte) 0);
-        }
-        default -> {}
-      }
-    }
-    content.synced = all;
-    content.unsynced.clear();
-    content.syncFailed = false;
+    names.values().forEach(file -> file.losePower(random));
   }
 
   /** The process was killed and is started again: the system still has all that was written. */
   public synchronized void restartProcess() {
-    left = Long.MAX_VALUE;
+    stepsUntilPowerLoss = Long.MAX_VALUE;
   }
 
-  /** Turns one bit over in what was synced; false if there is nothing. */
+  /** Flips one random bit of a synced byte; false if there is no such byte. */
   public boolean flip(String name, int offset) {
-    Content content = names.get(name);
-    if (offset >= content.synced.length) {
-      return false;
-    }
-    content.synced = content.synced.clone();
-    content.synced[offset] ^= (byte) (1 << chance.nextInt(8));
-    return true;
+    return names.get(name).flipBit(offset, random);
   }
 
   @Override
@@ -259,25 +190,25 @@
 
   @Override
   public synchronized byte[] read(String name) {
-    return names.get(name).now();
+    return names.get(name).content();
   }
 
   @Override
   public synchronized Appender create(String name) throws IOException {
     attempt(Operation.CREATE);
-    Content content = new Content();
-    if (names.putIfAbsent(name, content) != null) {
+    InMemoryFile file = new InMemoryFile();
+    if (names.putIfAbsent(name, file) != null) {
       throw new IOException("exists: " + name);
     }
     return new Appender() {
       @Override
       public void append(byte[] bytes, int length) throws IOException {
-        write(content, bytes, length);
+        write(file, bytes, length);
       }
 
       @Override
       public void sync() throws IOException {
-        FaultInjectingStorage.this.sync(content);
+        FaultInjectingStorage.this.sync(file);
       }
 
       @Override
@@ -285,36 +216,34 @@
     };
   }
 
-  private synchronized void write(Content content, byte[] bytes, int length) throws IOException {
+  private synchronized void write(InMemoryFile file, byte[] bytes, int length) throws IOException {
     if (full) {
-      content.unsynced.add(Arrays.copyOf(bytes, length / 2));
+      file.append(bytes, length / 2);
       throw new DiskFault(Operation.WRITE, Errno.ENOSPC);
     }
-    if (failsNow(Operation.WRITE)) {
-      content.unsynced.add(
-          Arrays.copyOf(bytes, tornWrite == HALF ? length / 2 : Math.min(tornWrite, length)));
+    Optional<DiskFault> fault = schedule.next(Operation.WRITE);
+    if (fault.isPresent()) {
+      file.append(bytes, tornWrite == HALF ? length / 2 : Math.min(tornWrite, length));
       step();
-      throw fault(Operation.WRITE);
+      throw fault.get();
     }
-    // Power may go in the middle of a write, with a part of it done.
-    content.unsynced.add(Arrays.copyOf(bytes, length));
+    // Power may be lost after the write.
+    file.append(bytes, length);
     step();
   }
 
-  private synchronized void sync(Content content) throws IOException {
+  private synchronized void sync(InMemoryFile file) throws IOException {
     step();
-    if (failsNow(Operation.SYNC)) {
-      content.syncFailed = true;
-      throw fault(Operation.SYNC);
+    Optional<DiskFault> fault = schedule.next(Operation.SYNC);
+    if (fault.isPresent()) {
+      file.failSync();
+      throw fault.get();
     }
-    if (lies > 0 && chance.nextDouble() < lies) {
-      lied++;
+    if (skippedSyncRate > 0 && random.nextDouble() < skippedSyncRate) {
+      skippedSyncs++;
       return;
     }
-    if (!content.syncFailed) {
-      content.synced = content.now();
-      content.unsynced.clear();
-    }
+    file.sync();
   }
 
   @Override
@@ -332,25 +261,26 @@
   @Override
   public synchronized void syncNames() throws IOException {
     step();
-    if (failsNow(Operation.SYNC_NAMES)) {
+    Optional<DiskFault> fault = schedule.next(Operation.SYNC_NAMES);
+    if (fault.isPresent()) {
       names.forEach(
-          (name, content) -> {
-            if (syncedNames.get(name) != content) {
-              unsyncableNames.put(name, content);
+          (name, file) -> {
+            if (syncedNames.get(name) != file) {
+              unsyncableNames.put(name, file);
             }
           });
-      throw fault(Operation.SYNC_NAMES);
+      throw fault.get();
     }
-    Map<String, Content> lasting = new TreeMap<>(names);
+    Map<String, InMemoryFile> durable = new TreeMap<>(names);
     unsyncableNames.forEach(
-        (name, content) -> {
-          if (lasting.get(name) == content) {
-            lasting.remove(name);
+        (name, file) -> {
+          if (durable.get(name) == file) {
+            durable.remove(name);
             if (syncedNames.containsKey(name)) {
-              lasting.put(name, syncedNames.get(name));
+              durable.put(name, syncedNames.get(name));
             }
           }
         });
-    syncedNames = lasting;
+    syncedNames = durable;
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -344,7 +344,7 @@
   }
 
   @Test
-  void aSyncThatLiedIsNeverPassedOverInSilenceOnceMoreWasSynced() throws IOException {
+  void aSkippedSyncIsNeverPassedOverInSilenceOnceMoreWasSynced() throws IOException {
     int damaged = 0;
     for (long seed = 1; seed <= 3000; seed++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0.02);
@@ -362,12 +362,12 @@
       } catch (CorruptLogException said) {
         damaged++;
       } catch (AssertionError missing) {
-        // A lie about the very last sync looks like a sync that never returned; an earlier one must
+        // A very last sync that was skipped looks like one that never returned; an earlier one must
         // be seen.
-        assertTrue(disk.lied() > 0, "seed " + seed + ": " + missing.getMessage());
+        assertTrue(disk.skippedSyncs() > 0, "seed " + seed + ": " + missing.getMessage());
       }
     }
-    assertTrue(damaged > 0, "no lie was ever seen");
+    assertTrue(damaged > 0, "no skipped sync was ever detected");
   }
 
   @Test
