--- a/consensus/src/main/java/ferngrade/consensus/LogFormat.java
+++ b/consensus/src/main/java/ferngrade/consensus/LogFormat.java
@@ -24,19 +24,19 @@
 import java.util.Set;
 
 /**
- * The classes that voters send each other and keep on disk; their order is the format, new ones go
- * to the end.
+ * The classes that members send each other and store. Their order defines the format: new ones are
+ * appended.
  */
 public final class LogFormat {
   private static final List<Class<?>> OWN =
       List.of(
           RaftMemberId.class,
           NoOpEntry.class,
-          RaftLogStore.CutFrom.class,
-          RaftLogStore.CutUntil.class,
-          RaftLogStore.DropChunks.class,
-          RaftMember.Forward.class,
-          RaftMember.Answered.class,
+          RaftLogState.TruncateFrom.class,
+          RaftLogState.TruncateUntil.class,
+          RaftLogState.DeleteChunks.class,
+          MemberMessage.Forward.class,
+          MemberMessage.Answered.class,
           MembershipChangeMode.class,
           DefaultUpdateRaftGroupMembersOpOrBuilder.class,
           DefaultLogEntryOrBuilder.class,
@@ -55,17 +55,20 @@
           DefaultVoteResponseOrBuilder.class,
           DefaultRaftEndpointPersistentStateOrBuilder.class,
           DefaultRaftTermPersistentStateOrBuilder.class,
-          RaftMember.To.class,
-          RaftMember.Join.class);
+          MemberMessage.Addressed.class,
+          MemberMessage.Join.class);
 
   private LogFormat() {}
 
-  /** The log's own classes. */
+  /** The classes of the log itself. */
   static Set<Class<?>> classes() {
     return new LinkedHashSet<>(OWN);
   }
 
-  /** A codec for the log's own classes and those of the commands, in this order. */
+  /**
+   * Creates a codec for the classes of the log itself and then those of the commands, in this
+   * order.
+   */
   public static Codec codec(List<Class<?>> commands) {
     return new Codec(OWN, commands);
   }
--- a/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
@@ -4,12 +4,9 @@
 import ferngrade.jobstore.CorruptLogException;
 import ferngrade.jobstore.LogBatch;
 import ferngrade.jobstore.Storage;
-import io.microraft.model.impl.log.DefaultSnapshotEntryOrBuilder;
-import io.microraft.model.impl.persistence.DefaultRaftTermPersistentStateOrBuilder;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
-import io.microraft.model.log.SnapshotEntry;
 import io.microraft.model.persistence.RaftEndpointPersistentState;
 import io.microraft.model.persistence.RaftTermPersistentState;
 import io.microraft.persistence.RaftStore;
@@ -19,320 +16,249 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * What a voter must not forget: who it is, its term and vote, the log and the last snapshot, on a
- * {@link Storage}. Each flush is one batch and one sync. A torn tail is cut; what was synced and
- * cannot be read is an error with file and offset. A file whose write or sync has failed is neither
- * written nor synced again, since nobody knows what the disk holds of its end: everything is
- * refused until {@link #continueInNewFile} has written all that counts into the next file.
+ * Stores the {@link RaftLogState} of a member on a {@link Storage}. Each flush is one batch and one
+ * sync. A torn tail is cut; synced data that cannot be read is an error with file and offset. A
+ * file whose write or sync has failed is neither written nor synced again, since it is unknown what
+ * the disk holds of its end: everything is rejected until {@link #continueInNewFile} has written
+ * the whole state to the next file.
  *
- * <p>The file is written anew, with a number one higher, once it has grown beyond its bound and a
- * snapshot stands for the log's beginning. Belongs to the voter's thread.
+ * <p>The file is rewritten, with a number one higher, once it has grown beyond its bound and a
+ * snapshot stands for the log's beginning. Belongs to the member's thread.
  */
 public final class RaftLogStore implements RaftStore, AutoCloseable {
   private static final String PREFIX = "voter-";
-  private static final String UNFINISHED = ".tmp";
 
-  /** The log's entries from this index on are void. */
-  record CutFrom(long index) {}
+  /** The suffix of a file until its content is durable. */
+  private static final String UNFINISHED_SUFFIX = ".tmp";
 
-  /** The log's entries up to this index are in a snapshot. */
-  record CutUntil(long index) {}
-
-  /** The parts of the snapshot at this index are no longer wanted. */
-  record DropChunks(long index) {}
-
-  private final Storage disk;
+  private final Storage storage;
   private final Codec codec;
-  private final long fileBytes;
-  private final Consumer<IOException> failed;
+  private final long maxGrowthBytes;
+  private final Consumer<IOException> onFailure;
+  private final RaftLogState state = new RaftLogState();
   private final List<Object> unwritten = new ArrayList<>();
-  private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
-  private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
-  private RaftEndpointPersistentState endpoint;
-  private RaftGroupMembersView initial;
-  private RaftTermPersistentState term;
-  private Storage.Appender file;
+  private Optional<Storage.Appender> file = Optional.empty();
   private long fileNumber;
-  private long batch;
-  private long written;
+  private long batchNumber;
+  private long fileBytes;
 
-  /** The length of the file when it was begun with all that counted. */
-  private long begunWith;
+  /** The length of the file when it was begun with the whole state. */
+  private long initialFileBytes;
 
-  private IOException broken;
+  private Optional<IOException> fault = Optional.empty();
 
-  private RaftLogStore(Storage disk, Codec codec, long fileBytes, Consumer<IOException> failed) {
-    this.disk = disk;
+  private RaftLogStore(
+      Storage storage, Codec codec, long maxGrowthBytes, Consumer<IOException> onFailure) {
+    this.storage = storage;
     this.codec = codec;
-    this.fileBytes = fileBytes;
-    this.failed = failed;
+    this.maxGrowthBytes = maxGrowthBytes;
+    this.onFailure = onFailure;
   }
 
   /**
-   * Opens the log of a folder and recovers what it holds; {@code failed} is told of a write that
-   * fails, after which the voter must take no part until {@link #continueInNewFile} has returned.
+   * Opens the log of a storage and recovers what it holds.
+   *
+   * @param maxGrowthBytes by how much the file may grow before it is rewritten
+   * @param onFailure notified of a write that fails, after which the member must take no part until
+   *     {@link #continueInNewFile} has returned
+   * @throws CorruptLogException if synced data is damaged
+   * @throws IOException if the storage cannot be read or written
    */
   public static RaftLogStore open(
-      Storage disk, Codec codec, long fileBytes, Consumer<IOException> failed) throws IOException {
-    RaftLogStore log = new RaftLogStore(disk, codec, fileBytes, failed);
+      Storage storage, Codec codec, long maxGrowthBytes, Consumer<IOException> onFailure)
+      throws IOException {
+    RaftLogStore log = new RaftLogStore(storage, codec, maxGrowthBytes, onFailure);
     log.recover();
     return log;
   }
 
-  // ---- Recovery ----
-
   private void recover() throws IOException {
-    for (String name : disk.list()) {
-      if (name.startsWith(PREFIX) && !name.endsWith(UNFINISHED)) {
+    for (String name : storage.list()) {
+      if (name.startsWith(PREFIX) && !name.endsWith(UNFINISHED_SUFFIX)) {
         fileNumber = Math.max(fileNumber, Long.parseLong(name.substring(PREFIX.length())));
       }
     }
     if (fileNumber > 0) {
       replay(name(fileNumber));
     }
-    // A file is never gone on with: what its end is like after a crash need not be known.
+    // An old file is never appended to: the state of its end after a crash need not be known.
     rewrite();
   }
 
   private void replay(String name) throws IOException {
-    byte[] content = disk.read(name);
+    byte[] content = storage.read(name);
     ByteBuffer in = ByteBuffer.wrap(content);
     int at = 0;
     while (at < content.length) {
       int length = LogBatch.lengthAt(in, at);
       if (length < 0) {
-        if (at == 0 || LogBatch.followed(in, at, batch)) {
+        if (at == 0 || LogBatch.followed(in, at, batchNumber)) {
           throw new CorruptLogException(name, at, "a batch cannot be read, and it was synced");
         }
         return;
       }
-      if (LogBatch.numberAt(in, at) != batch + 1 && at > 0) {
-        throw new CorruptLogException(name, at, "batch " + (batch + 1) + " is missing");
+      if (LogBatch.numberAt(in, at) != batchNumber + 1 && at > 0) {
+        throw new CorruptLogException(name, at, "batch " + (batchNumber + 1) + " is missing");
       }
-      batch = LogBatch.numberAt(in, at);
-      if (!(codec.read(content, at + LogBatch.HEADER_BYTES, length)
-          instanceof Collection<?> items)) {
+      batchNumber = LogBatch.numberAt(in, at);
+      int from = at + LogBatch.HEADER_BYTES;
+      if (!(codec.read(content, from, length) instanceof Collection<?> items)) {
         throw new CorruptLogException(name, at, "a batch is no list");
       }
-      items.forEach(this::apply);
-      at += LogBatch.HEADER_BYTES + length;
+      items.forEach(state::apply);
+      at = from + length;
     }
   }
 
-  private void apply(Object item) {
-    if (item instanceof LogEntry entry) {
-      entries.put(entry.getIndex(), entry);
-    } else if (item instanceof CutFrom cut) {
-      entries.tailMap(cut.index(), true).clear();
-    } else if (item instanceof CutUntil cut) {
-      entries.headMap(cut.index(), true).clear();
-    } else if (item instanceof SnapshotChunk chunk) {
-      chunks
-          .computeIfAbsent(chunk.getIndex(), key -> new TreeMap<>())
-          .put(chunk.getSnapshotChunkIndex(), chunk);
-    } else if (item instanceof DropChunks drop) {
-      chunks.remove(drop.index());
-    } else if (item instanceof RaftTermPersistentState state) {
-      term = state;
-    } else if (item instanceof RaftGroupMembersView members) {
-      initial = members;
-    } else if (item instanceof RaftEndpointPersistentState state) {
-      endpoint = state;
-    } else {
-      throw new IllegalStateException("not a part of a voter's log: " + item);
-    }
+  /** What was stored; empty for a member that is new or has lost its disk. */
+  public Optional<RestoredRaftState> restored() {
+    return state.restored();
   }
 
-  /**
-   * What the disk held, null if nothing: a voter that has never been, or one that has lost its
-   * disk.
-   */
-  public RestoredRaftState restored() {
-    if (endpoint == null || initial == null) {
-      return null;
-    }
-    SnapshotEntry snapshot = snapshot();
-    long from = snapshot == null ? 0 : snapshot.getIndex();
-    RaftTermPersistentState known =
-        term != null ? term : new DefaultRaftTermPersistentStateOrBuilder().setTerm(0).build();
-    return new RestoredRaftState(
-        endpoint, initial, known, snapshot, new ArrayList<>(entries.tailMap(from, false).values()));
-  }
-
-  private SnapshotEntry snapshot() {
-    for (Map.Entry<Long, TreeMap<Integer, SnapshotChunk>> each :
-        chunks.descendingMap().entrySet()) {
-      SnapshotChunk first = each.getValue().firstEntry().getValue();
-      if (each.getValue().size() == first.getSnapshotChunkCount()) {
-        return new DefaultSnapshotEntryOrBuilder()
-            .setIndex(each.getKey())
-            .setTerm(first.getTerm())
-            .setSnapshotChunks(new ArrayList<>(each.getValue().values()))
-            .setGroupMembersView(first.getGroupMembersView())
-            .build();
-      }
-    }
-    return null;
-  }
-
-  // ---- Writing ----
-
-  private void keep(Object item) throws IOException {
-    usable();
+  private void add(Object item) throws IOException {
+    requireUsable();
     unwritten.add(item);
-    apply(item);
+    state.apply(item);
   }
 
   @Override
-  public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) throws IOException {
-    keep(state);
+  public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint)
+      throws IOException {
+    add(endpoint);
     flush();
   }
 
   @Override
   public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-    keep(members);
+    add(members);
     flush();
   }
 
   @Override
-  public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-    keep(state);
+  public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
+    add(term);
     flush();
   }
 
   @Override
-  public void persistLogEntries(List<LogEntry> some) throws IOException {
-    for (LogEntry each : some) {
-      keep(each);
+  public void persistLogEntries(List<LogEntry> entries) throws IOException {
+    for (LogEntry each : entries) {
+      add(each);
     }
   }
 
   @Override
   public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-    keep(chunk);
+    add(chunk);
   }
 
   @Override
   public void truncateLogEntriesFrom(long index) throws IOException {
-    keep(new CutFrom(index));
+    add(new RaftLogState.TruncateFrom(index));
   }
 
   @Override
   public void truncateLogEntriesUntil(long index) throws IOException {
-    keep(new CutUntil(index));
+    add(new RaftLogState.TruncateUntil(index));
   }
 
   @Override
   public void deleteSnapshotChunks(long index, int count) throws IOException {
-    keep(new DropChunks(index));
+    add(new RaftLogState.DeleteChunks(index));
   }
 
   @Override
   public void flush() throws IOException {
-    if (unwritten.isEmpty() && broken == null) {
+    if (unwritten.isEmpty() && fault.isEmpty()) {
       return;
     }
     try {
-      usable();
-      write(file, unwritten);
+      requireUsable();
+      write(file.orElseThrow(), unwritten);
       unwritten.clear();
-      if (written > begunWith + fileBytes && !chunks.isEmpty()) {
+      if (fileBytes > initialFileBytes + maxGrowthBytes && state.hasSnapshotChunks()) {
         rewrite();
       }
     } catch (IOException failure) {
-      if (broken == null) {
-        broken = failure;
-        failed.accept(failure);
+      if (fault.isEmpty()) {
+        fault = Optional.of(failure);
+        onFailure.accept(failure);
       }
       throw failure;
     }
   }
 
-  private void usable() throws IOException {
-    if (broken != null) {
-      throw new IOException("the voter's disk has failed before", broken);
+  private void requireUsable() throws IOException {
+    if (fault.isPresent()) {
+      throw new IOException("the voter's disk has failed before", fault.get());
     }
   }
 
   /**
-   * After a failure, writes all that counts into the next file, with what the failed flush was to
-   * write; nothing of that was acknowledged. An {@link IOException} says that the disk still fails.
+   * After a failure, writes the whole state to the next file, with what the failed flush was to
+   * write; nothing of that was acknowledged.
+   *
+   * @throws IOException if the disk still fails
    */
   public void continueInNewFile() throws IOException {
-    if (broken != null) {
+    if (fault.isPresent()) {
       rewrite();
       unwritten.clear();
-      broken = null;
+      fault = Optional.empty();
     }
   }
 
   private void write(Storage.Appender to, List<Object> items) throws IOException {
     byte[] content = codec.write(items);
-    byte[] all = new byte[LogBatch.HEADER_BYTES + content.length];
-    System.arraycopy(content, 0, all, LogBatch.HEADER_BYTES, content.length);
-    LogBatch.frame(all, ++batch);
-    to.append(all, all.length);
+    byte[] batch = new byte[LogBatch.HEADER_BYTES + content.length];
+    System.arraycopy(content, 0, batch, LogBatch.HEADER_BYTES, content.length);
+    batchNumber++;
+    LogBatch.frame(batch, batchNumber);
+    to.append(batch, batch.length);
     to.sync();
-    written += all.length;
+    fileBytes += batch.length;
   }
 
   /**
-   * Writes all that counts into a file with the next number; those before it go once the new name
-   * lasts.
+   * Writes the whole state to a file with the next number; the files before it are deleted once the
+   * new name is durable.
    */
   private void rewrite() throws IOException {
-    List<Object> all = new ArrayList<>();
-    if (endpoint != null) {
-      all.add(endpoint);
-    }
-    if (initial != null) {
-      all.add(initial);
-    }
-    if (term != null) {
-      all.add(term);
-    }
-    chunks.values().forEach(each -> all.addAll(each.values()));
-    all.addAll(entries.values());
     String next = name(fileNumber + 1);
-    if (disk.list().contains(next + UNFINISHED)) {
-      disk.delete(next + UNFINISHED);
+    String unfinished = next + UNFINISHED_SUFFIX;
+    if (storage.list().contains(unfinished)) {
+      storage.delete(unfinished);
     }
-    Storage.Appender begun = disk.create(next + UNFINISHED);
+    Storage.Appender rewritten = storage.create(unfinished);
     try {
-      written = 0;
-      write(begun, all);
-      disk.rename(next + UNFINISHED, next);
-      disk.syncNames();
+      fileBytes = 0;
+      write(rewritten, state.items());
+      storage.rename(unfinished, next);
+      storage.syncNames();
     } catch (IOException | RuntimeException failure) {
-      closeQuietly(begun);
+      closeQuietly(rewritten);
       throw failure;
     }
-    begunWith = written;
-    if (file != null) {
-      closeQuietly(file);
-    }
-    file = begun;
+    initialFileBytes = fileBytes;
+    file.ifPresent(RaftLogStore::closeQuietly);
+    file = Optional.of(rewritten);
     fileNumber++;
-    deleteOthers();
+    deleteObsoleteFiles();
   }
 
-  /**
-   * Removes files that the present one stands for; what cannot be removed goes with the next one.
-   */
-  private void deleteOthers() {
+  /** Deletes the files before the present one; what cannot be deleted goes with the next one. */
+  private void deleteObsoleteFiles() {
     try {
-      for (String each : disk.list()) {
+      for (String each : storage.list()) {
         if (each.startsWith(PREFIX) && !each.equals(name(fileNumber))) {
-          disk.delete(each);
+          storage.delete(each);
         }
       }
-    } catch (IOException later) {
+    } catch (IOException retriedByNextRewrite) {
       // A recovery reads the file with the highest number alone.
     }
   }
@@ -340,8 +266,8 @@
   private static void closeQuietly(Storage.Appender file) {
     try {
       file.close();
-    } catch (IOException nothingNew) {
-      // What the file holds is either synced or not counted on.
+    } catch (IOException ignored) {
+      // What the file holds is either synced or not relied on.
     }
   }
 
@@ -351,6 +277,8 @@
 
   @Override
   public void close() throws IOException {
-    file.close();
+    if (file.isPresent()) {
+      file.get().close();
+    }
   }
 }
--- a/consensus/src/main/java/ferngrade/consensus/RaftMemberId.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMemberId.java
@@ -3,26 +3,27 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * Who takes part in the log. At first that is a member's name; a member that was taken in anew
- * after the loss of its disk is another one to the log, {@code name#nonce}, so that what the lost
- * disk had promised binds nobody and frees nobody.
+ * An endpoint of the log. At first that is a member's name; a member that rejoins after the loss of
+ * its disk is another endpoint, {@code name#nonce}, so that votes and acknowledgements of the lost
+ * disk are neither repeated nor contradicted. The codec writes the component by its name: it must
+ * not be renamed.
  */
 record RaftMemberId(String name) implements RaftEndpoint {
-  private static final char ANEW = '#';
+  private static final char NONCE_SEPARATOR = '#';
 
   @Override
   public Object getId() {
     return name;
   }
 
-  /** The member that this is, or was. */
+  /** The name of the member that has, or had, this endpoint. */
   String member() {
-    int anew = name.indexOf(ANEW);
-    return anew < 0 ? name : name.substring(0, anew);
+    int separator = name.indexOf(NONCE_SEPARATOR);
+    return separator < 0 ? name : name.substring(0, separator);
   }
 
-  /** A member that has lost its disk, as another one to the log. */
-  static RaftMemberId anew(String member, String nonce) {
-    return new RaftMemberId(member + ANEW + nonce);
+  /** The endpoint of a member that has lost its disk. */
+  static RaftMemberId rejoining(String member, String nonce) {
+    return new RaftMemberId(member + NONCE_SEPARATOR + nonce);
   }
 }
--- a/consensus/src/main/java/ferngrade/consensus/ReplicatedStateMachine.java
+++ b/consensus/src/main/java/ferngrade/consensus/ReplicatedStateMachine.java
@@ -1,16 +1,17 @@
 package ferngrade.consensus;
 
 /**
- * What is made of the log: the same at every member that has applied the same part of it. It reads
- * no clock and draws nothing by chance.
+ * The state that the log defines: the same at every member that has applied the same part of it. It
+ * is deterministic, so it reads no clock and draws no random numbers. Called on the member's
+ * thread.
  */
 public interface ReplicatedStateMachine {
-  /** Applies the command that stands at this index; the result goes to whoever proposed it. */
+  /** Applies the command at this index; the result is returned to the member that proposed it. */
   Object apply(long index, Object command);
 
-  /** All that has been applied, as a value that later commands do not change. */
+  /** The whole state, as a value that later commands do not change and the codec can write. */
   Object snapshot();
 
-  /** Puts a snapshot, which holds everything up to this index, in place of all that is here. */
+  /** Replaces the whole state by a snapshot, which covers everything up to this index. */
   void restore(long index, Object snapshot);
 }
--- a/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
+++ b/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
@@ -11,32 +11,33 @@
 import java.util.concurrent.Executor;
 
 /**
- * Holds the tasks of the algorithm back from a failed write of the log until a retry has worked,
- * with backoff. A task in which the write failed counts as lost, as a message that never came; only
- * the leader's flush is run again, since the algorithm waits for it before it submits another.
+ * Suspends the tasks of the algorithm after a failed write of the log until a retry, with backoff,
+ * has succeeded. A task in which the write failed counts as lost, like a message that never
+ * arrived; only the leader's flush is run again, since the algorithm waits for it before it submits
+ * another. Belongs to the member's thread.
  */
 final class StorageSuspension {
-  /** Ms until a failing disk is tried again: at first, and at the most. */
-  private static final double RETRY_FIRST = 20;
+  /** Delay before a failing disk is tried again, ms: at first, and at most. */
+  private static final double FIRST_RETRY_MILLIS = 20;
 
-  private static final double RETRY_MAX = 1_000;
+  private static final double MAX_RETRY_MILLIS = 1_000;
 
-  /** What makes the log usable again; an {@link IOException} says that the disk still fails. */
+  /** Makes the log usable again; throws an {@link IOException} if the disk still fails. */
   @FunctionalInterface
   interface Retry {
-    /** Tries once. */
+    /** Makes one attempt. */
     void run() throws IOException;
   }
 
   private final Timers timers;
-  private final Executor loop;
-  private final Backoff backoff = new Backoff(RETRY_FIRST, RETRY_MAX);
-  private final Deque<Runnable> held = new ArrayDeque<>();
+  private final Executor executor;
+  private final Backoff backoff = new Backoff(FIRST_RETRY_MILLIS, MAX_RETRY_MILLIS);
+  private final Deque<Runnable> suspended = new ArrayDeque<>();
   private boolean active;
 
-  StorageSuspension(Timers timers, Executor loop) {
+  StorageSuspension(Timers timers, Executor executor) {
     this.timers = timers;
-    this.loop = loop;
+    this.executor = executor;
   }
 
   /** Whether the disk fails at present. */
@@ -47,7 +48,7 @@
   /** Runs a task of the algorithm, now or once the disk works again. */
   void run(Runnable task) {
     if (active) {
-      held.add(task);
+      suspended.add(task);
       return;
     }
     try {
@@ -58,38 +59,38 @@
       }
     }
     if (active && task instanceof FlushTask) {
-      held.addFirst(task);
+      suspended.addFirst(task);
     }
   }
 
-  /** Holds tasks back until {@code retry} works, and then calls {@code over}. */
-  void begin(Retry retry, Runnable over) {
+  /** Suspends tasks until {@code retry} succeeds, and then calls {@code onResumed}. */
+  void begin(Retry retry, Runnable onResumed) {
     if (!active) {
       active = true;
-      retryLater(retry, over);
+      retryLater(retry, onResumed);
     }
   }
 
-  private void retryLater(Retry retry, Runnable over) {
+  private void retryLater(Retry retry, Runnable onResumed) {
     timers.after(
         backoff.next(),
         () -> {
           try {
             retry.run();
           } catch (IOException stillFailing) {
-            retryLater(retry, over);
+            retryLater(retry, onResumed);
             return;
           }
-          end();
-          over.run();
+          resume();
+          onResumed.run();
         });
   }
 
-  private void end() {
+  private void resume() {
     active = false;
     backoff.reset();
-    List<Runnable> tasks = new ArrayList<>(held);
-    held.clear();
-    tasks.forEach(each -> loop.execute(() -> run(each)));
+    List<Runnable> tasks = new ArrayList<>(suspended);
+    suspended.clear();
+    tasks.forEach(each -> executor.execute(() -> run(each)));
   }
 }
--- a/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
@@ -45,7 +45,7 @@
 class LogFormatGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("log-format.txt");
   private static final RaftMemberId SELF = new RaftMemberId("a");
-  private static final RaftMemberId OTHER = RaftMemberId.anew("b", "0f1e");
+  private static final RaftMemberId OTHER = RaftMemberId.rejoining("b", "0f1e");
   private static final Set<RaftEndpoint> BOTH = new LinkedHashSet<>(List.of(SELF, OTHER));
   private static final String GROUP = "fleet";
   private static final RaftGroupMembersView MEMBERS =
@@ -65,7 +65,7 @@
           .setOperation("all until 30")
           .build();
 
-  /** Longer than any log in these tests: no file is written anew by its size. */
+  /** Longer than any log in these tests: no file is rewritten for its size. */
   private static final long FILE_BYTES = 1 << 20;
 
   private final Codec codec = LogFormat.codec(List.of());
@@ -91,14 +91,14 @@
     values.put("endpoint", SELF);
     values.put("endpoint-anew", OTHER);
     values.put("first-entry-of-term", new NoOpEntry());
-    values.put("cut-from", new RaftLogStore.CutFrom(40));
-    values.put("cut-until", new RaftLogStore.CutUntil(41));
-    values.put("drop-chunks", new RaftLogStore.DropChunks(42));
-    values.put("forward", new RaftMember.Forward(43, "command"));
-    values.put("answered", new RaftMember.Answered(44, true, "result"));
-    values.put("answered-unknown", new RaftMember.Answered(45, false, "why"));
-    values.put("addressed", new RaftMember.To("b#0f1e", "message"));
-    values.put("join", new RaftMember.Join("b#0f1e"));
+    values.put("cut-from", new RaftLogState.TruncateFrom(40));
+    values.put("cut-until", new RaftLogState.TruncateUntil(41));
+    values.put("drop-chunks", new RaftLogState.DeleteChunks(42));
+    values.put("forward", new MemberMessage.Forward(43, "command"));
+    values.put("answered", new MemberMessage.Answered(44, true, "result"));
+    values.put("answered-unknown", new MemberMessage.Answered(45, false, "why"));
+    values.put("addressed", new MemberMessage.Addressed("b#0f1e", "message"));
+    values.put("join", new MemberMessage.Join("b#0f1e"));
     int number = 0;
     for (MembershipChangeMode mode : MembershipChangeMode.values()) {
       values.put("change-mode-" + number++, mode);
@@ -311,8 +311,8 @@
     FaultInjectingStorage copy = new FaultInjectingStorage(2, 0);
     byte[] recorded = GOLDEN.bytes("file");
     copy.create(name).append(recorded, recorded.length);
-    check(RaftLogStore.open(copy, codec, FILE_BYTES, failures::add).restored());
-    // Opened anew, it is one batch with all that still counts, in a file with the next number.
+    check(RaftLogStore.open(copy, codec, FILE_BYTES, failures::add).restored().orElseThrow());
+    // Reopened, it is one batch with all that still counts, in a file with the next number.
     GOLDEN.verify("file-names-reopened", copy.list().toString());
     GOLDEN.verify("file-reopened", copy.read(copy.list().get(0)));
     assertEquals(List.of(), failures);
--- a/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
@@ -1,7 +1,6 @@
 package ferngrade.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -65,19 +64,24 @@
   }
 
   @Test
-  void anEmptyDiskIsToldFromOneThatHoldsSomething() throws IOException {
+  void anEmptyDiskIsDistinguishedFromOneThatHoldsSomething() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
     RaftLogStore log = open(disk);
-    assertNull(log.restored());
+    assertTrue(log.restored().isEmpty());
     begin(log);
     disk.powerUp();
     assertEquals(
-        "a", open(disk).restored().getLocalEndpointPersistentState().getLocalEndpoint().getId());
+        "a",
+        open(disk)
+            .restored()
+            .orElseThrow()
+            .getLocalEndpointPersistentState()
+            .getLocalEndpoint()
+            .getId());
   }
 
   @Test
-  void whatWasFlushedIsThereAfterAnyLossOfPowerAndTheVoteTooAndWhatWasCutIsNot()
-      throws IOException {
+  void whatWasFlushedSurvivesAnyLossOfPowerAndSoDoTheVoteAndTruncations() throws IOException {
     for (long seed = 1; seed <= 300; seed++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
       SplittableRandom chance = new SplittableRandom(seed);
@@ -114,7 +118,7 @@
       }
       failures.clear();
       disk.powerUp();
-      RestoredRaftState found = open(disk).restored();
+      RestoredRaftState found = open(disk).restored().orElseThrow();
       List<String> entries =
           found.getLogEntries().stream().map(each -> (String) each.getOperation()).toList();
       assertTrue(
@@ -130,7 +134,7 @@
   }
 
   @Test
-  void aSnapshotStandsForTheLogsBeginningAndTheFileIsWrittenAnew() throws IOException {
+  void aSnapshotReplacesTheLogsBeginningAndTheFileIsRewritten() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(3, 0);
     RaftLogStore log = open(disk);
     begin(log);
@@ -154,7 +158,7 @@
     }
     disk.powerUp();
     assertTrue(!disk.list().get(0).endsWith("001"), disk.list().toString());
-    RestoredRaftState found = open(disk).restored();
+    RestoredRaftState found = open(disk).restored().orElseThrow();
     assertEquals(1, disk.list().size(), "what an earlier file left behind is gone");
     assertEquals(90, found.getSnapshotEntry().getIndex());
     assertEquals(110, found.getLogEntries().size());
@@ -162,7 +166,7 @@
   }
 
   @Test
-  void aFullDiskIsToldOnceAndNothingFollows() throws IOException {
+  void aFullDiskIsReportedOnceAndNothingFollows() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(4, 0);
     RaftLogStore log = open(disk);
     begin(log);
@@ -172,7 +176,7 @@
     assertThrows(IOException.class, () -> vote(log, 6, "b"));
     assertEquals(1, failures.size());
     disk.powerUp();
-    assertEquals(0, open(disk).restored().getTermPersistentState().getTerm());
+    assertEquals(0, open(disk).restored().orElseThrow().getTermPersistentState().getTerm());
   }
 
   /** Tries until the log is usable again; says how often that failed. */
@@ -208,7 +212,7 @@
 
   private void assertHolds(FaultInjectingStorage disk, int entries, String when)
       throws IOException {
-    RestoredRaftState found = open(disk).restored();
+    RestoredRaftState found = open(disk).restored().orElseThrow();
     assertEquals(entries, found.getTermPersistentState().getTerm(), when);
     assertEquals(entries, found.getLogEntries().size(), when);
     for (int i = 0; i < entries; i++) {
@@ -218,7 +222,7 @@
 
   @ParameterizedTest
   @EnumSource(Operation.class)
-  void everyOperationMayFailForAWhileAndTheLogGoesOnInANewFile(Operation operation)
+  void everyOperationMayFailForAWhileAndTheLogContinuesInANewFile(Operation operation)
       throws IOException {
     for (Errno errno : Errno.values()) {
       for (int run = 0; run < 200; run++) {
@@ -253,7 +257,7 @@
   }
 
   @Test
-  void powerMayGoAtAnyStepWhileSyncsFail() throws IOException {
+  void powerMayBeLostAtAnyStepWhileSyncsFail() throws IOException {
     for (int step = 0; step < 120; step++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(step, 0);
       RaftLogStore log = open(disk);
@@ -271,7 +275,7 @@
       }
       disk.heal();
       disk.powerUp();
-      RestoredRaftState found = open(disk).restored();
+      RestoredRaftState found = open(disk).restored().orElseThrow();
       int entries = found.getLogEntries().size();
       int term = found.getTermPersistentState().getTerm();
       assertTrue(
@@ -282,7 +286,7 @@
   }
 
   @Test
-  void aWriteThatIsTornAtAnyByteIsWrittenAnewOrCut() throws IOException {
+  void aWriteThatIsTornAtAnyByteIsRewrittenOrCut() throws IOException {
     for (int torn = 0; torn <= 60; torn++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(torn, 0);
       RaftLogStore log = open(disk);
@@ -297,19 +301,19 @@
         assertThrows(DiskFault.class, () -> vote(log, 3, "b"));
         disk.heal();
         disk.restartProcess();
-        int term = open(disk).restored().getTermPersistentState().getTerm();
+        int term = open(disk).restored().orElseThrow().getTermPersistentState().getTerm();
         assertTrue(term == 2 || term == 3, torn + ": " + term);
         disk.powerUp();
         assertEquals(
             term,
-            open(disk).restored().getTermPersistentState().getTerm(),
+            open(disk).restored().orElseThrow().getTermPersistentState().getTerm(),
             "as it was read before");
       }
     }
   }
 
   @Test
-  void aBitTurnedOverInWhatWasSyncedIsSaidWithFileAndOffset() throws IOException {
+  void aFlippedBitInSyncedDataIsReportedWithFileAndOffset() throws IOException {
     int said = 0;
     for (int offset = 0; offset < 200; offset += 5) {
       FaultInjectingStorage disk = new FaultInjectingStorage(offset, 0);
--- a/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
@@ -13,6 +13,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
@@ -22,8 +23,8 @@
 /** Voters in virtual time whose disks fail for a while. */
 class RaftMemberStorageFaultTest {
   private static final double HEARTBEAT = 100;
-  private static final double MESSAGE = 2;
-  private static final double PATIENCE = 1_000_000;
+  private static final double MESSAGE_DELAY = 2;
+  private static final double TIMEOUT_MILLIS = 1_000_000;
 
   private record Event(double at, long number, Runnable run) {}
 
@@ -52,7 +53,7 @@
   private final class Member implements ReplicatedStateMachine {
     final FaultInjectingStorage disk;
     final List<Object> applied = new ArrayList<>();
-    final RaftMember voter;
+    final RaftMember raft;
     private final RaftLogStore log;
     private int recoveries;
 
@@ -61,28 +62,29 @@
       Codec codec = LogFormat.codec(List.of());
       log = RaftLogStore.open(disk, codec, 1 << 16, failure -> failed());
       Timers timers = new Timers(() -> now, (millis, run) -> after(millis + 1e-6, run));
-      voter =
+      raft =
           new RaftMember(
-              name,
-              new RaftMember.Group("test", names, names),
-              this,
-              new RaftMember.Kept(log, log.restored(), null),
-              new RaftMember.Surroundings(() -> now, timers, task -> after(0, task), seed),
-              codec,
-              (to, message) -> after(MESSAGE, () -> members.get(to).voter.handle(name, message)),
-              new RaftMember.Terms(HEARTBEAT, 1000));
-      voter.start();
+              new RaftMember.Settings(
+                  name, new RaftMember.Group("test", names, names), HEARTBEAT, 1000),
+              new RaftMember.Persistence(log, log.restored(), Optional.empty()),
+              new RaftMember.Environment(() -> now, timers, task -> after(0, task), seed),
+              new RaftMember.Messaging(
+                  codec,
+                  (to, message) ->
+                      after(MESSAGE_DELAY, () -> members.get(to).raft.handle(name, message))),
+              this);
+      raft.start();
     }
 
     private void failed() {
-      voter.suspend(log, () -> recoveries++);
+      raft.suspend(log, () -> recoveries++);
     }
 
     void propose(String command) {
-      voter.propose(
+      raft.propose(
           command,
-          PATIENCE,
-          RaftMember.Outcome.of(
+          TIMEOUT_MILLIS,
+          ProposalOutcome.of(
               result -> outcomes.add(command + " done"),
               why -> outcomes.add(command + " unknown: " + why)));
     }
@@ -114,14 +116,14 @@
 
   private Member leader() {
     return members.values().stream()
-        .filter(each -> !each.voter.suspended() && members.get(each.voter.view().leader()) == each)
+        .filter(each -> !each.raft.suspended() && members.get(each.raft.view().leader()) == each)
         .findFirst()
         .orElseThrow();
   }
 
   @ParameterizedTest
   @EnumSource(Errno.class)
-  void whoWaitsGetsItsYesOnceAfterTheFaultAndNewProposalsAreNotTakenMeanwhile(Errno errno)
+  void pendingProposalsAreDoneOnceAfterTheFaultAndNewOnesAreRejectedMeanwhile(Errno errno)
       throws IOException {
     begin("a");
     Member only = members.get("a");
@@ -130,19 +132,19 @@
     only.disk.fail(errno == Errno.ENOSPC ? Operation.WRITE : Operation.SYNC, errno, 0, 5);
     only.propose("waits");
     run(100);
-    assertTrue(only.voter.suspended());
-    only.propose("refused");
+    assertTrue(only.raft.suspended());
+    only.propose("rejected");
     run(100);
-    assertEquals(List.of("first done", "refused unknown: " + RaftMember.DISK_FAILS), outcomes);
+    assertEquals(List.of("first done", "rejected unknown: " + RaftMember.DISK_FAILS), outcomes);
     assertEquals(List.of("first"), only.applied, "nothing is applied that is not on disk");
     run(1_000);
-    assertFalse(only.voter.suspended());
+    assertFalse(only.raft.suspended());
     assertEquals(1, only.recoveries);
     only.propose("last");
     run(1_000);
     assertEquals(
         List.of(
-            "first done", "refused unknown: " + RaftMember.DISK_FAILS, "waits done", "last done"),
+            "first done", "rejected unknown: " + RaftMember.DISK_FAILS, "waits done", "last done"),
         outcomes);
     assertEquals(List.of("first", "waits", "last"), only.applied);
     only.disk.powerUp();
@@ -150,6 +152,7 @@
         List.of("first", "waits", "last"),
         RaftLogStore.open(only.disk, LogFormat.codec(List.of()), 1 << 16, failure -> {})
             .restored()
+            .orElseThrow()
             .getLogEntries()
             .stream()
             .map(each -> each.getOperation())
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
@@ -2,6 +2,7 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.consensus.LogFormat;
+import ferngrade.consensus.ProposalOutcome;
 import ferngrade.consensus.RaftLogStore;
 import ferngrade.consensus.RaftMember;
 import ferngrade.consensus.ReplicatedStateMachine;
@@ -20,6 +21,7 @@
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
 import java.util.List;
+import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 
@@ -74,15 +76,19 @@
     RaftStore store = fleet.mutant == Mutant.UNSYNCED_VOTE ? unsyncedVotes(log) : log;
     this.voter =
         new RaftMember(
-            name,
-            new RaftMember.Group("trial", fleet.names, fleet.names),
-            watched(),
-            new RaftMember.Kept(store, log.restored(), anew ? Long.toHexString(seed) : null),
-            new RaftMember.Surroundings(
+            new RaftMember.Settings(
+                name,
+                new RaftMember.Group("trial", fleet.names, fleet.names),
+                fleet.heartbeat,
+                400),
+            new RaftMember.Persistence(
+                store,
+                log.restored(),
+                anew ? Optional.of(Long.toHexString(seed)) : Optional.empty()),
+            new RaftMember.Environment(
                 clock, timers, task -> fleet.time.after(0, () -> enter(task)), seed),
-            codec,
-            (to, message) -> fleet.send(name, to, message),
-            new RaftMember.Terms(fleet.heartbeat, 400));
+            new RaftMember.Messaging(codec, (to, message) -> fleet.send(name, to, message)),
+            watched());
     this.holder =
         new LeaseHolder(
             name,
@@ -191,7 +197,7 @@
   }
 
   boolean takenIn() {
-    return voter.takenIn();
+    return voter.admitted();
   }
 
   /** The epoch under which this process would act for a shard now. */
@@ -204,7 +210,7 @@
     voter.propose(
         command,
         PATIENCE,
-        RaftMember.Outcome.of(
+        ProposalOutcome.of(
             result ->
                 holder.answered(
                     fleet.mutant == Mutant.HOLD_FROM_ANSWER ? now() : asked, command, result),
@@ -233,7 +239,7 @@
               @Override
               public void propose(Command command, Consumer<Object> done, Runnable unknown) {
                 fleet.judgeHold(VirtualMember.this, job.shard());
-                voter.propose(command, PATIENCE, RaftMember.Outcome.of(done, why -> unknown.run()));
+                voter.propose(command, PATIENCE, ProposalOutcome.of(done, why -> unknown.run()));
               }
 
               @Override
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -2,6 +2,7 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.consensus.LogFormat;
+import ferngrade.consensus.ProposalOutcome;
 import ferngrade.consensus.RaftLogStore;
 import ferngrade.consensus.RaftMember;
 import ferngrade.fleet.FleetFile.Job;
@@ -26,6 +27,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
@@ -119,8 +121,8 @@
     Codec codec = LogFormat.codec(Command.CLASSES);
     this.voterLog =
         RaftLogStore.open(start.disk().apply(disk), codec, FILE_BYTES, this::diskFailed);
-    RestoredRaftState restored = voterLog.restored();
-    if (restored == null && file.member(name).voter() && start.empty() == Empty.STOP) {
+    Optional<RestoredRaftState> restored = voterLog.restored();
+    if (restored.isEmpty() && file.member(name).voter() && start.empty() == Empty.STOP) {
       disk.close();
       throw new IOException(
           start.data()
@@ -141,16 +143,22 @@
             (from, message) -> loop.execute(() -> guarded(() -> received(from, message))));
     this.voter =
         new RaftMember(
-            name,
-            new RaftMember.Group(file.name(), names(false), names(true)),
-            table,
-            new RaftMember.Kept(
-                voterLog, restored, start.empty() == Empty.REJOIN ? Long.toHexString(seed) : null),
-            new RaftMember.Surroundings(
+            new RaftMember.Settings(
+                name,
+                new RaftMember.Group(file.name(), names(false), names(true)),
+                file.heartbeat(),
+                SNAPSHOT_EVERY),
+            new RaftMember.Persistence(
+                voterLog,
+                restored,
+                start.empty() == Empty.REJOIN
+                    ? Optional.of(Long.toHexString(seed))
+                    : Optional.empty()),
+            new RaftMember.Environment(
                 clock, timers, task -> loop.execute(() -> guarded(task)), seed),
-            codec,
-            (to, message) -> links.send(to, marked(VOTER, message)),
-            new RaftMember.Terms(file.heartbeat(), SNAPSHOT_EVERY));
+            new RaftMember.Messaging(
+                codec, (to, message) -> links.send(to, marked(VOTER, message))),
+            table);
     this.holder =
         new LeaseHolder(name, Long.toHexString(seed), file.shards(), file.terms(), this::propose);
     this.membership =
@@ -279,7 +287,7 @@
     voter.propose(
         command,
         PATIENCE,
-        RaftMember.Outcome.of(result -> holder.answered(asked, command, result), why -> {}));
+        ProposalOutcome.of(result -> holder.answered(asked, command, result), why -> {}));
   }
 
   private void tick() {
@@ -289,7 +297,7 @@
       view = seen;
       log.accept("follows leader=" + view.leader() + " term=" + view.term());
     }
-    if (takenIn != voter.takenIn()) {
+    if (takenIn != voter.admitted()) {
       takenIn = !takenIn;
       log.accept(takenIn ? "taken in" : "not taken in yet: it asks the others");
     }
@@ -337,7 +345,7 @@
         voter.propose(
             command,
             PATIENCE,
-            RaftMember.Outcome.of(
+            ProposalOutcome.of(
                 result -> {
                   if (result instanceof Command.Begun begun
                       && begun.verdict() != Command.Verdict.ACCEPTED) {
@@ -425,7 +433,7 @@
             voter.propose(
                 new Command.Transfer(new Shard(duty, number), to),
                 PATIENCE,
-                RaftMember.Outcome.of(answer::complete, answer::complete)));
+                ProposalOutcome.of(answer::complete, answer::complete)));
     return answer;
   }
 
@@ -445,7 +453,7 @@
                   voter.propose(
                       new Command.Renew(0, wall.getAsLong()),
                       PATIENCE,
-                      new RaftMember.Outcome() {
+                      new ProposalOutcome() {
                         private void next() {
                           if (clock.now() - began < millis) {
                             one[0].run();
