--- a/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What a dispatcher is told at its start: its number among the {@code dispatchers}, its own zone,
- * the time between batches of events, the classes and tenants, and what the deployment permits.
- * {@code asks}: the worker list comes only to those that {@link Actions#watch watch} it. {@code
+ * The configuration of a dispatcher: its number among the {@code dispatchers}, its own zone, the
+ * time between batches of events, the classes and tenants, and what the deployment permits. {@code
+ * asks}: the worker list comes only to those that {@link Actions#watch watch} it. {@code
  * tellsStart}: workers report the start of each job. {@code liveWeights}: the list's weights are
  * the workers' sizes, each divided by 1 + the jobs that it holds for each core. {@code
- * crossCharge}: the share of a request's worth that crossing zones costs; {@code goal}: what the
- * deployment is judged by.
+ * crossCharge}: the share of a request's worth that crossing zones costs; {@code goal}: the service
+ * objective.
  */
 public record DispatcherSettings(
     int me,
--- a/dispatch/src/main/java/ferngrade/dispatch/LoadReport.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/LoadReport.java
@@ -9,8 +9,8 @@
   public static final LoadReport NONE =
       new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-  /** No worker is so large; a figure beyond it, or below 0, is none. */
-  private static final double MOST = 1e6;
+  /** No worker is so large; a figure beyond it, or below 0, counts as not reported. */
+  private static final double MAX_FIGURE = 1e6;
 
   public LoadReport {
     freeSlots = figure(freeSlots);
@@ -19,7 +19,7 @@
     held = figure(held);
   }
 
-  private static double figure(double told) {
-    return told >= 0 && told <= MOST ? told : Double.NaN;
+  private static double figure(double reported) {
+    return reported >= 0 && reported <= MAX_FIGURE ? reported : Double.NaN;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerMessage.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerMessage.java
@@ -3,9 +3,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * What a dispatcher tells its peers each cycle, as bytes: the number of the cycle, its slice, what
- * its demand is over that (negative if under), and the demand of each tenant, all big-endian and in
- * slots a second.
+ * The message that a dispatcher sends to its peers each budget cycle: the number of the cycle, its
+ * slice, its excess demand (negative if its slice is larger), and the demand of each tenant, all
+ * big-endian and in slots a second.
  */
 final class PeerMessage {
   private static final int HEAD = 12;
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Reads a message of so many tenants. Null if it is not of our making: cut, over-long, or with
-   * figures that no dispatcher has (a slice or a demand below 0, or what is not finite).
+   * Reads a message of so many tenants. Null if it is malformed: of a wrong length, or with figures
+   * that no dispatcher has (a slice or a demand below 0, or what is not finite).
    */
   static PeerState read(byte[] message, int tenants) {
     if (message.length != HEAD + 4 * tenants) {
--- a/dispatch/src/main/java/ferngrade/dispatch/Preconditions.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Preconditions.java
@@ -1,6 +1,6 @@
 package ferngrade.dispatch;
 
-/** Says plainly which field is wrong. */
+/** Argument checks that name the field at fault. */
 final class Preconditions {
   private Preconditions() {}
 
--- a/dispatch/src/main/java/ferngrade/dispatch/ServiceObjective.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ServiceObjective.java
@@ -1,8 +1,8 @@
 package ferngrade.dispatch;
 
 /**
- * What weighs how much in the judgement of a deployment: the worth served over all, and the share
- * of the worst class; 0 each where that is not told.
+ * The service objective: the weights of the total value served and of the share served of the worst
+ * class; 0 where not configured.
  */
 public record ServiceObjective(double whole, double worstClass) {
   public ServiceObjective {
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -126,9 +126,9 @@
   }
 
   /**
-   * The first look at a process. Grants from before are void: an earlier life of this dispatcher
-   * may have used them. Requests that were on their way when its start was told are paid for, but
-   * for no longer than they stay in the window.
+   * The first look at a process. Grants from before are void: an earlier process of this dispatcher
+   * may have used them. Requests that were on their way when its start became known are paid for,
+   * but for no longer than they stay in the window.
    */
   private void open(Account account, Worker worker, double capacity, double now) {
     double age = age(worker, now);
--- a/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
@@ -15,20 +15,20 @@
 
   private static ThrottlingDispatcher dispatcher(
       int me, int of, Fixture.Recorder actions, List<Tenant> tenants) {
-    ThrottlingDispatcher choice =
+    ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             Fixture.settings(
                 me, of, Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL), tenants, false),
             me,
             0,
             actions);
-    choice.members(
+    dispatcher.members(
         0, EndpointListUpdate.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
-    return choice;
+    return dispatcher;
   }
 
   private void arrive(
-      ThrottlingDispatcher choice,
+      ThrottlingDispatcher dispatcher,
       Fixture.Recorder actions,
       int count,
       int tenant,
@@ -37,9 +37,9 @@
     for (int i = 0; i < count; i++) {
       String id = "r" + ids++;
       int before = actions.sends.size();
-      choice.arrived(now, Fixture.job(id, tenant, now + 5_000));
+      dispatcher.arrived(now, Fixture.job(id, tenant, now + 5_000));
       for (int n = 0; actions.sends.size() > before + n; n++) {
-        choice.ended(now, id, n, outcome, 1, outcome == AttemptOutcome.OK, LoadReport.NONE);
+        dispatcher.ended(now, id, n, outcome, 1, outcome == AttemptOutcome.OK, LoadReport.NONE);
       }
     }
   }
@@ -60,13 +60,13 @@
   @Test
   void aDispatcherThatWaitedForItsClientsRefusesNothingOnAnIdleFleet() {
     Fixture.Recorder out = new Fixture.Recorder();
-    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    ThrottlingDispatcher dispatcher = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
     double now = 0;
     for (int cycle = 0; cycle < 40; cycle++) {
       now += 500;
-      choice.timer(now, CYCLE);
+      dispatcher.timer(now, CYCLE);
       if (cycle >= 8) {
-        arrive(choice, out, cycle, 0, now + 1, AttemptOutcome.OK);
+        arrive(dispatcher, out, cycle, 0, now + 1, AttemptOutcome.OK);
       }
     }
     assertEquals(List.of(), out.refused);
@@ -88,15 +88,15 @@
     // before.
     arrive(pair.get(0), out.get(0), 20, 0, 600, AttemptOutcome.OK);
     arrive(pair.get(1), out.get(1), 20, 0, 600, AttemptOutcome.OK);
-    pair.forEach(choice -> choice.timer(1_000, CYCLE));
+    pair.forEach(dispatcher -> dispatcher.timer(1_000, CYCLE));
     assertEquals(before, pair.get(0).slice() + pair.get(1).slice(), before * 0.25);
     exchange(pair, out);
     double first = pair.get(0).slice();
     double second = pair.get(1).slice();
     arrive(pair.get(1), out.get(1), 30, 0, 1_100, AttemptOutcome.OK);
-    pair.forEach(choice -> choice.timer(1_500, CYCLE));
+    pair.forEach(dispatcher -> dispatcher.timer(1_500, CYCLE));
     exchange(pair, out);
-    pair.forEach(choice -> choice.timer(2_000, CYCLE));
+    pair.forEach(dispatcher -> dispatcher.timer(2_000, CYCLE));
     assertTrue(
         pair.get(1).slice() - second > pair.get(0).slice() - first,
         "slots move to the one that asks");
@@ -104,7 +104,7 @@
 
   private static void exchange(List<ThrottlingDispatcher> pair, List<Fixture.Recorder> out) {
     for (int me = 0; me < 2; me++) {
-      byte[] last = out.get(me).told.get(out.get(me).told.size() - 1);
+      byte[] last = out.get(me).messages.get(out.get(me).messages.size() - 1);
       assertTrue(last.length <= 256);
       pair.get(1 - me).heard(0, me, last);
     }
@@ -113,33 +113,33 @@
   @Test
   void sliceIsBoundedWhenPeersFallSilentAndGarbageIsIgnored() {
     Fixture.Recorder out = new Fixture.Recorder();
-    ThrottlingDispatcher choice = dispatcher(0, 3, out, List.of(new Tenant("a", 1, 10)));
+    ThrottlingDispatcher dispatcher = dispatcher(0, 3, out, List.of(new Tenant("a", 1, 10)));
     for (int cycle = 1; cycle < 60; cycle++) {
-      arrive(choice, out, 20, 0, cycle * 500 - 10, AttemptOutcome.OK);
-      choice.heard(cycle * 500 - 5, 1, new byte[] {1, 2, 3});
-      choice.heard(cycle * 500 - 5, 99, new byte[16]);
-      choice.heard(
+      arrive(dispatcher, out, 20, 0, cycle * 500 - 10, AttemptOutcome.OK);
+      dispatcher.heard(cycle * 500 - 5, 1, new byte[] {1, 2, 3});
+      dispatcher.heard(cycle * 500 - 5, 99, new byte[16]);
+      dispatcher.heard(
           cycle * 500 - 5, 2, java.util.Base64.getDecoder().decode("AAAAAX/AAAB/wAAAf8AAAA=="));
-      choice.timer(cycle * 500, CYCLE);
+      dispatcher.timer(cycle * 500, CYCLE);
     }
-    assertTrue(choice.slice() > 40 && choice.slice() < 100, "slice " + choice.slice());
+    assertTrue(dispatcher.slice() > 40 && dispatcher.slice() < 100, "slice " + dispatcher.slice());
   }
 
   @Test
   void sliceIsTrimmedByRefusalsAndGrowsBack() {
     Fixture.Recorder out = new Fixture.Recorder();
-    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
-    arrive(choice, out, 50, 0, 10, AttemptOutcome.OK);
-    choice.timer(500, CYCLE);
-    double generous = choice.slice();
+    ThrottlingDispatcher dispatcher = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    arrive(dispatcher, out, 50, 0, 10, AttemptOutcome.OK);
+    dispatcher.timer(500, CYCLE);
+    double generous = dispatcher.slice();
     assertTrue(generous > 100, "a slice starts generous");
-    arrive(choice, out, 50, 0, 510, AttemptOutcome.FULL);
-    choice.timer(1_000, CYCLE);
-    double trimmed = choice.slice();
+    arrive(dispatcher, out, 50, 0, 510, AttemptOutcome.FULL);
+    dispatcher.timer(1_000, CYCLE);
+    double trimmed = dispatcher.slice();
     assertTrue(trimmed < generous / 2, "refusals trim");
-    arrive(choice, out, 50, 0, 1_010, AttemptOutcome.OK);
-    choice.timer(1_500, CYCLE);
-    assertTrue(choice.slice() > trimmed, "acceptance grows");
+    arrive(dispatcher, out, 50, 0, 1_010, AttemptOutcome.OK);
+    dispatcher.timer(1_500, CYCLE);
+    assertTrue(dispatcher.slice() > trimmed, "acceptance grows");
   }
 
   /**
@@ -149,79 +149,79 @@
   @Test
   void lateStartOfAJobSentBeforeTheLastCutDoesNotCutAgain() {
     Fixture.Recorder out = new Fixture.Recorder();
-    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    ThrottlingDispatcher dispatcher = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
     for (int i = 0; i < 6; i++) {
-      choice.arrived(10, Fixture.job("old" + i, 0, 9_000));
+      dispatcher.arrived(10, Fixture.job("old" + i, 0, 9_000));
     }
-    arrive(choice, out, 50, 0, 20, AttemptOutcome.FULL);
-    choice.timer(500, CYCLE);
-    double cut = choice.slice();
-    arrive(choice, out, 50, 0, 600, AttemptOutcome.OK);
+    arrive(dispatcher, out, 50, 0, 20, AttemptOutcome.FULL);
+    dispatcher.timer(500, CYCLE);
+    double cut = dispatcher.slice();
+    arrive(dispatcher, out, 50, 0, 600, AttemptOutcome.OK);
     for (int i = 0; i < 6; i++) {
-      choice.started(900, "old" + i, 0);
+      dispatcher.started(900, "old" + i, 0);
     }
-    choice.timer(1_000, CYCLE);
-    assertTrue(choice.slice() > cut, choice.slice() + " after " + cut);
+    dispatcher.timer(1_000, CYCLE);
+    assertTrue(dispatcher.slice() > cut, dispatcher.slice() + " after " + cut);
   }
 
   @Test
   void jobsThatHaveNotStartedInTimeCutTheSliceBeforeTheyStart() {
     Fixture.Recorder out = new Fixture.Recorder();
-    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
-    arrive(choice, out, 50, 0, 10, AttemptOutcome.OK);
-    choice.timer(500, CYCLE);
-    double before = choice.slice();
+    ThrottlingDispatcher dispatcher = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    arrive(dispatcher, out, 50, 0, 10, AttemptOutcome.OK);
+    dispatcher.timer(500, CYCLE);
+    double before = dispatcher.slice();
     for (int i = 0; i < 50; i++) {
-      choice.arrived(510, Fixture.job("stuck" + i, 0, 9_000));
+      dispatcher.arrived(510, Fixture.job("stuck" + i, 0, 9_000));
     }
     List<long[]> due = out.timers.stream().filter(timer -> timer[1] >= 16).toList();
-    due.forEach(timer -> choice.timer((double) (510 + timer[0]), timer[1]));
-    choice.timer(1_000, CYCLE);
-    assertTrue(choice.slice() < before, choice.slice() + " after " + before);
+    due.forEach(timer -> dispatcher.timer((double) (510 + timer[0]), timer[1]));
+    dispatcher.timer(1_000, CYCLE);
+    assertTrue(dispatcher.slice() < before, dispatcher.slice() + " after " + before);
   }
 
   @Test
   void fewLateJobsOfFewDoNotCutASliceThatCarriedManyBefore() {
     Fixture.Recorder out = new Fixture.Recorder();
-    ThrottlingDispatcher choice = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
+    ThrottlingDispatcher dispatcher = dispatcher(0, 1, out, List.of(new Tenant("a", 1, 10)));
     for (int cycle = 1; cycle <= 10; cycle++) {
-      arrive(choice, out, 20, 0, cycle * 500 - 10, AttemptOutcome.OK);
-      choice.timer(cycle * 500, CYCLE);
+      arrive(dispatcher, out, 20, 0, cycle * 500 - 10, AttemptOutcome.OK);
+      dispatcher.timer(cycle * 500, CYCLE);
     }
-    double before = choice.slice();
-    arrive(choice, out, 2, 0, 5_010, AttemptOutcome.OK);
-    choice.arrived(5_020, Fixture.job("late", 0, 14_000));
+    double before = dispatcher.slice();
+    arrive(dispatcher, out, 2, 0, 5_010, AttemptOutcome.OK);
+    dispatcher.arrived(5_020, Fixture.job("late", 0, 14_000));
     long token = out.timers.get(out.timers.size() - 1)[1];
-    choice.timer(5_400, token);
-    choice.timer(5_500, CYCLE);
-    assertTrue(choice.slice() > 0.75 * before, choice.slice() + " after " + before);
+    dispatcher.timer(5_400, token);
+    dispatcher.timer(5_500, CYCLE);
+    assertTrue(dispatcher.slice() > 0.75 * before, dispatcher.slice() + " after " + before);
   }
 
   @Test
   void excessTenantIsRefusedUnsentAndTheOtherServed() {
     Fixture.Recorder out = new Fixture.Recorder();
-    ThrottlingDispatcher choice =
+    ThrottlingDispatcher dispatcher =
         dispatcher(0, 1, out, List.of(new Tenant("a", 0.5, 10), new Tenant("b", 0.5, 10)));
     for (int cycle = 1; cycle <= 6; cycle++) {
       arrive(
-          choice,
+          dispatcher,
           out,
           100,
           0,
           cycle * 500 - 20,
           cycle < 3 ? AttemptOutcome.FULL : AttemptOutcome.OK);
-      arrive(choice, out, 5, 1, cycle * 500 - 10, AttemptOutcome.OK);
-      choice.timer(cycle * 500, CYCLE);
+      arrive(dispatcher, out, 5, 1, cycle * 500 - 10, AttemptOutcome.OK);
+      dispatcher.timer(cycle * 500, CYCLE);
     }
     out.refused.clear();
     int sends = out.sends.size();
     int firstOfSmall = ids;
     for (int i = 0; i < 5; i++) {
-      arrive(choice, out, 1, 1, 3_010 + i * 90, AttemptOutcome.OK);
+      arrive(dispatcher, out, 1, 1, 3_010 + i * 90, AttemptOutcome.OK);
     }
     assertEquals(
         List.of(), out.refused, "the small tenant is under its level from r" + firstOfSmall);
-    arrive(choice, out, 500, 0, 3_480, AttemptOutcome.OK);
+    arrive(dispatcher, out, 500, 0, 3_480, AttemptOutcome.OK);
     assertTrue(out.refused.size() > 300, "refused " + out.refused.size());
     assertTrue(out.sends.size() - sends < 200, "sent " + (out.sends.size() - sends));
   }
@@ -233,7 +233,7 @@
       for (int me = 0; me < of; me++) {
         Fixture.Recorder out = new Fixture.Recorder();
         dispatcher(me, of, out, List.of(new Tenant("a", 1, 10))).timer(500, CYCLE);
-        links.add(out.toldTo.stream().sorted().toList());
+        links.add(out.messagedPeers.stream().sorted().toList());
         assertTrue(links.get(me).size() <= 6 && !links.get(me).contains(me));
         assertTrue(of == 1 || !links.get(me).isEmpty());
       }
--- a/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
@@ -75,8 +75,8 @@
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
-    final List<byte[]> told = new ArrayList<>();
-    final List<Integer> toldTo = new ArrayList<>();
+    final List<byte[]> messages = new ArrayList<>();
+    final List<Integer> messagedPeers = new ArrayList<>();
 
     @Override
     public void send(String id, long worker, double timeout) {
@@ -103,8 +103,8 @@
 
     @Override
     public void tell(int peer, byte[] message) {
-      toldTo.add(peer);
-      told.add(message);
+      messagedPeers.add(peer);
+      messages.add(message);
     }
 
     @Override
--- a/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
@@ -12,20 +12,20 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a dispatcher makes of the loads that the list tells of each worker. */
+/** What a dispatcher makes of the load that the endpoint list shows of each worker. */
 class LoadTest {
   private static final long CYCLE = 1;
   private static final int WORKERS = 8;
   private static final double SIZE = 8;
   private final Fixture.Recorder out = new Fixture.Recorder();
-  private ThrottlingDispatcher choice = choice(0, 4);
+  private ThrottlingDispatcher dispatcher = dispatcher(0, 4);
   private final Deque<String> running = new ArrayDeque<>();
   private final double[] load = new double[WORKERS];
   private final Set<Integer> gone = new HashSet<>();
   private int ids;
   private double now;
 
-  private ThrottlingDispatcher choice(int me, int dispatchers) {
+  private ThrottlingDispatcher dispatcher(int me, int dispatchers) {
     return new ThrottlingDispatcher(
         Fixture.settings(
             me,
@@ -45,7 +45,7 @@
       WorkerState state = gone.contains(i) ? WorkerState.GONE : WorkerState.READY;
       entries.add(new Worker(i, state, 0, 0, 0, 0, SIZE / (1 + load[i])));
     }
-    choice.members(now, EndpointListUpdate.CHANGES, entries);
+    dispatcher.members(now, EndpointListUpdate.CHANGES, entries);
   }
 
   /**
@@ -60,16 +60,16 @@
         now += 500.0 / jobs;
         String id = "r" + ids++;
         int sends = out.sends.size();
-        choice.arrived(now, Fixture.job(id, 0, now + 10_000));
+        dispatcher.arrived(now, Fixture.job(id, 0, now + 10_000));
         if (out.sends.size() > sends) {
-          choice.started(now + 1, id, 0);
+          dispatcher.started(now + 1, id, 0);
           running.add(id);
         }
         if (running.size() > 5) {
-          choice.ended(now + 1, running.poll(), 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
+          dispatcher.ended(now + 1, running.poll(), 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
         }
       }
-      choice.timer(now, CYCLE);
+      dispatcher.timer(now, CYCLE);
     }
     return out.refused.size() - refused;
   }
@@ -78,7 +78,7 @@
     list();
     Arrays.fill(load, each);
     cycles(20, 10);
-    return choice.slice();
+    return dispatcher.slice();
   }
 
   @Test
@@ -100,7 +100,7 @@
     double before = warmUp(0.5);
     gone.addAll(List.of(0, 1, 2, 3));
     cycles(2, 10);
-    assertTrue(choice.slice() < 0.75 * before, before + " -> " + choice.slice());
+    assertTrue(dispatcher.slice() < 0.75 * before, before + " -> " + dispatcher.slice());
   }
 
   @Test
@@ -111,7 +111,7 @@
     cycles(2, 10);
     assertTrue(
         out.sends.subList(from, out.sends.size()).stream().noneMatch(send -> send.worker() == 3));
-    assertTrue(choice.slice() > 0.8 * before, before + " -> " + choice.slice());
+    assertTrue(dispatcher.slice() > 0.8 * before, before + " -> " + dispatcher.slice());
   }
 
   @Test
@@ -121,7 +121,7 @@
     list();
     // None of these begins: the others soon hold several jobs of ours each, the deep one none.
     for (int i = 0; i < 20; i++) {
-      choice.arrived(now + 10 * i, Fixture.job("h" + i, 0, now + 10_000));
+      dispatcher.arrived(now + 10 * i, Fixture.job("h" + i, 0, now + 10_000));
     }
     assertTrue(out.refused.stream().noneMatch(id -> id.startsWith("h")), "refused " + out.refused);
   }
@@ -138,14 +138,14 @@
   @Test
   void aHundredDispatchersDoNotAllCrowdOnTheWorkerThatTheirCommonListShowsIdle() {
     int crowd = 0;
-    for (int dispatcher = 0; dispatcher < 100; dispatcher++) {
-      choice = choice(dispatcher, 100);
+    for (int number = 0; number < 100; number++) {
+      dispatcher = dispatcher(number, 100);
       running.clear();
       warmUp(0.5);
       Arrays.fill(load, 1.95);
       load[3] = 0.2;
       list();
-      choice.arrived(now, Fixture.job("c" + dispatcher, 0, now + 10_000));
+      dispatcher.arrived(now, Fixture.job("c" + number, 0, now + 10_000));
       crowd += out.last().worker() == 3 ? 1 : 0;
       Arrays.fill(load, 0);
     }
@@ -158,18 +158,18 @@
     for (int i = 0; i < WORKERS; i++) {
       entries.add(new Worker(i, WorkerState.READY, 0, i % 2, 0, 0, SIZE));
     }
-    choice.members(now, EndpointListUpdate.STORED, entries);
+    dispatcher.members(now, EndpointListUpdate.STORED, entries);
     for (int i = 0; i < 40; i++) {
       String id = "w" + i;
-      choice.arrived(now, new Job(id, 0, 0, now + 10_000, 1000, 1, 0, 0));
-      choice.started(now, id, 0);
+      dispatcher.arrived(now, new Job(id, 0, 0, now + 10_000, 1000, 1, 0, 0));
+      dispatcher.started(now, id, 0);
       double took = out.last().worker() % 2 == 0 ? 500 : 1000;
       now += took;
-      choice.ended(now, id, 0, AttemptOutcome.OK, took, true, LoadReport.NONE);
+      dispatcher.ended(now, id, 0, AttemptOutcome.OK, took, true, LoadReport.NONE);
     }
     int from = out.sends.size();
     for (int i = 0; i < WORKERS; i++) {
-      choice.arrived(now, new Job("b" + i, 0, 0, now + 10_000, 1000, 1, 0, 0));
+      dispatcher.arrived(now, new Job("b" + i, 0, 0, now + 10_000, 1000, 1, 0, 0));
     }
     long used = out.sends.stream().skip(from).map(Fixture.Send::worker).distinct().count();
     assertTrue(used > WORKERS / 2, "workers used for as many jobs: " + used);
--- a/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
@@ -27,8 +27,8 @@
   private double now = 1000;
   private int ids;
 
-  private ThrottlingDispatcher choice(int me, Idempotency effect) {
-    ThrottlingDispatcher choice =
+  private ThrottlingDispatcher dispatcher(int me, Idempotency effect) {
+    ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             Fixture.settings(
                 me,
@@ -39,39 +39,39 @@
             7 + me,
             0,
             out);
-    choice.members(0, EndpointListUpdate.STORED, FLEET);
-    return choice;
+    dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
+    return dispatcher;
   }
 
   /** Sends a job and returns its worker. */
-  private long send(ThrottlingDispatcher choice, long object) {
-    choice.arrived(now, new Job("r" + ids++, 0, 0, now + 5_000, WORK, 1, 0, object));
+  private long send(ThrottlingDispatcher dispatcher, long object) {
+    dispatcher.arrived(now, new Job("r" + ids++, 0, 0, now + 5_000, WORK, 1, 0, object));
     return out.last().worker();
   }
 
-  private void serve(ThrottlingDispatcher choice, LoadReport report) {
+  private void serve(ThrottlingDispatcher dispatcher, LoadReport report) {
     now += WORK;
-    choice.ended(now, "r" + (ids - 1), 0, AttemptOutcome.OK, WORK, true, report);
+    dispatcher.ended(now, "r" + (ids - 1), 0, AttemptOutcome.OK, WORK, true, report);
   }
 
-  /** Its workers have told their slots, and one job of each of many objects has been served. */
+  /** Its workers have reported their slots, and one job of each of many objects has been served. */
   private ThrottlingDispatcher warm(int me) {
-    ThrottlingDispatcher choice = choice(me, Idempotency.SAFE);
+    ThrottlingDispatcher dispatcher = dispatcher(me, Idempotency.SAFE);
     for (int i = 0; i < 40; i++) {
-      send(choice, 100 + i);
-      serve(choice, FOUR_SLOTS);
+      send(dispatcher, 100 + i);
+      serve(dispatcher, FOUR_SLOTS);
     }
-    return choice;
+    return dispatcher;
   }
 
   @Test
   void aJobGoesWhereItsObjectWentBefore() {
-    ThrottlingDispatcher choice = warm(0);
-    long holder = send(choice, 5);
-    serve(choice, FOUR_SLOTS);
+    ThrottlingDispatcher dispatcher = warm(0);
+    long holder = send(dispatcher, 5);
+    serve(dispatcher, FOUR_SLOTS);
     for (int i = 0; i < 20; i++) {
-      assertEquals(holder, send(choice, 5));
-      serve(choice, FOUR_SLOTS);
+      assertEquals(holder, send(dispatcher, 5));
+      serve(dispatcher, FOUR_SLOTS);
     }
   }
 
@@ -88,26 +88,26 @@
 
   @Test
   void aCrowdedHolderIsPassedOver() {
-    ThrottlingDispatcher choice = warm(0);
+    ThrottlingDispatcher dispatcher = warm(0);
     List<Long> workers = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
-      workers.add(send(choice, 5));
+      workers.add(send(dispatcher, 5));
     }
     assertEquals(4, workers.stream().distinct().count(), "all waited for the holder: " + workers);
   }
 
   @Test
   void theOnlyHolderDrainsAndAnotherTakesItsObject() {
-    ThrottlingDispatcher choice = warm(0);
-    long holder = send(choice, 5);
-    serve(choice, FOUR_SLOTS);
+    ThrottlingDispatcher dispatcher = warm(0);
+    long holder = send(dispatcher, 5);
+    serve(dispatcher, FOUR_SLOTS);
     Worker entry = FLEET.stream().filter(each -> each.id() == holder).findFirst().orElseThrow();
-    choice.members(
+    dispatcher.members(
         now, EndpointListUpdate.CHANGES, List.of(Fixture.with(entry, WorkerState.DRAINING, 0)));
-    long next = send(choice, 5);
+    long next = send(dispatcher, 5);
     assertNotEquals(holder, next);
-    serve(choice, FOUR_SLOTS);
-    assertEquals(next, send(choice, 5));
+    serve(dispatcher, FOUR_SLOTS);
+    assertEquals(next, send(dispatcher, 5));
   }
 
   @Test
@@ -125,7 +125,7 @@
 
   @Test
   void aKeyedJobsSecondCopyStaysInItsSiteThoughItsObjectLiesElsewhere() {
-    ThrottlingDispatcher choice =
+    ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             Fixture.settings(
                 0,
@@ -136,10 +136,10 @@
             7,
             0,
             out);
-    choice.members(
+    dispatcher.members(
         0, EndpointListUpdate.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(4, 1, 2)));
-    long first = send(choice, 5);
-    choice.ended(now + 5, "r0", 0, AttemptOutcome.RESET, 5, false, LoadReport.NONE);
+    long first = send(dispatcher, 5);
+    dispatcher.ended(now + 5, "r0", 0, AttemptOutcome.RESET, 5, false, LoadReport.NONE);
     assertTrue(out.sends.stream().allMatch(send -> send.worker() == first), "" + out.sends);
   }
 
@@ -150,10 +150,10 @@
       LoadReport report = new LoadReport(wild, wild, wild, wild);
       assertTrue(Double.isNaN(report.held()) && Double.isNaN(report.freeSlots()), "" + report);
       out.sends.clear();
-      ThrottlingDispatcher choice = choice(0, Idempotency.SAFE);
+      ThrottlingDispatcher dispatcher = dispatcher(0, Idempotency.SAFE);
       for (int i = 0; i < 40; i++) {
-        send(choice, 0);
-        serve(choice, report);
+        send(dispatcher, 0);
+        serve(dispatcher, report);
       }
       assertEquals(40, out.sends.size());
     }
@@ -161,17 +161,17 @@
 
   @Test
   void nobodyIsEjectedWhereAllAreSlowAtOnce() {
-    ThrottlingDispatcher choice = warm(0);
+    ThrottlingDispatcher dispatcher = warm(0);
     int first = ids;
     for (int i = 0; i < 32; i++) {
-      send(choice, 100 + i);
+      send(dispatcher, 100 + i);
     }
     // All tell their starts a second late and end at four times their work; the last run out of
     // time in the queue.
     for (int i = first; i < first + 32; i++) {
       if (i < first + 24) {
-        choice.started(now + 1000, "r" + i, 0);
-        choice.ended(
+        dispatcher.started(now + 1000, "r" + i, 0);
+        dispatcher.ended(
             now + 1000 + 4 * WORK,
             "r" + i,
             0,
@@ -180,11 +180,11 @@
             true,
             FOUR_SLOTS);
       } else {
-        choice.ended(
+        dispatcher.ended(
             now + 5_000, "r" + i, 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
       }
     }
-    assertEquals(0, choice.excluded(now + 5_000));
+    assertEquals(0, dispatcher.excluded(now + 5_000));
   }
 
   /** The share of each class that is taken of 40 jobs each, offered at several times the slice. */
@@ -197,7 +197,7 @@
                 "high", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0));
     Fixture.Recorder actions = new Fixture.Recorder();
     DispatcherSettings from = Fixture.settings(0, 1, classes.get(0));
-    ThrottlingDispatcher choice =
+    ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             new DispatcherSettings(
                 0,
@@ -216,7 +216,7 @@
             7,
             0,
             actions);
-    choice.members(0, EndpointListUpdate.STORED, FLEET);
+    dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
     double[] taken = new double[2];
     double at = 0;
     for (int cycle = 0; cycle < 20; cycle++) {
@@ -224,17 +224,17 @@
         at += 25;
         String id = "j" + cycle + "-" + i;
         int before = actions.sends.size();
-        choice.arrived(at, new Job(id, i % 4 == 0 ? 1 : 0, 0, at + 5_000, WORK, 1, 0, 0));
+        dispatcher.arrived(at, new Job(id, i % 4 == 0 ? 1 : 0, 0, at + 5_000, WORK, 1, 0, 0));
         boolean sent = actions.sends.size() > before;
         // The fleet turns two in three away, so that the slice settles below what is asked.
         boolean full = i % 3 != 0;
         for (int n = 0; actions.sends.size() > before + n; n++) {
-          choice.ended(
+          dispatcher.ended(
               at, id, n, full ? AttemptOutcome.FULL : AttemptOutcome.OK, 1, !full, LoadReport.NONE);
         }
         taken[i % 4 == 0 ? 1 : 0] += cycle >= 10 && sent ? 1.0 / (i % 4 == 0 ? 50 : 150) : 0;
       }
-      choice.timer(at, 1);
+      dispatcher.timer(at, 1);
     }
     return taken;
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/PeerMessageTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/PeerMessageTest.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** What peers tell each other, and what is no such message. */
+/** Messages between peers, and what is rejected as malformed. */
 class PeerMessageTest {
   @Test
   void whatIsWrittenIsRead() {
--- a/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
@@ -178,7 +178,7 @@
     digest = new ActionDigest();
     Random random = new Random(seed);
     secondCopies = seed % 2 == 0;
-    // A share by the told loads needs some cycles of traffic.
+    // A share by the listed loads needs some cycles of traffic.
     boolean live = seed % 4 < 2;
     classes.clear();
     open.clear();
@@ -205,26 +205,26 @@
             live,
             0.05,
             new ServiceObjective(0.5, 0.2));
-    ThrottlingDispatcher choice = new ThrottlingDispatcher(settings, seed, now, new Checker());
-    members(choice, random, EndpointListUpdate.STORED);
+    ThrottlingDispatcher dispatcher = new ThrottlingDispatcher(settings, seed, now, new Checker());
+    members(dispatcher, random, EndpointListUpdate.STORED);
     for (int i = 0; i < 1_500; i++) {
       now += random.nextInt(live ? 12 : 4);
-      fireTimers(choice);
-      expire(choice);
-      event(choice, random, seed + ":" + i);
+      fireTimers(dispatcher);
+      expire(dispatcher);
+      event(dispatcher, random, seed + ":" + i);
     }
     now += DEADLINE + 10;
-    expire(choice);
+    expire(dispatcher);
     open.forEach((id, entry) -> assertTrue(entry.answered, "never answered: " + id));
   }
 
-  private void event(ThrottlingDispatcher choice, Random random, String id) {
+  private void event(ThrottlingDispatcher dispatcher, Random random, String id) {
     int kind = random.nextInt(20);
     if (kind < 9) {
       int jobClass = random.nextInt(classes.size());
       double due = now + 50 + random.nextInt((int) DEADLINE - 50);
       open.put(id, new Entry(classes.get(jobClass), due));
-      choice.arrived(
+      dispatcher.arrived(
           now,
           new Job(
               id,
@@ -236,20 +236,20 @@
               0,
               random.nextInt(4)));
     } else if (kind < 18) {
-      resolveOne(choice, random);
+      resolveOne(dispatcher, random);
     } else if (kind == 18) {
       members(
-          choice,
+          dispatcher,
           random,
           random.nextBoolean() ? EndpointListUpdate.CHANGES : EndpointListUpdate.WHOLE);
     } else {
       byte[] noise = new byte[random.nextInt(24)];
       random.nextBytes(noise);
-      choice.heard(now, random.nextInt(12), noise);
+      dispatcher.heard(now, random.nextInt(12), noise);
     }
   }
 
-  private void resolveOne(ThrottlingDispatcher choice, Random random) {
+  private void resolveOne(ThrottlingDispatcher dispatcher, Random random) {
     List<String> ids =
         open.keySet().stream().sorted().filter(id -> open.get(id).ends.contains(null)).toList();
     if (ids.isEmpty()) {
@@ -259,45 +259,47 @@
     Entry entry = open.get(id);
     int attempt = entry.ends.indexOf(null);
     if (random.nextInt(4) == 0) {
-      choice.started(now, id, attempt);
+      dispatcher.started(now, id, attempt);
     } else if (random.nextInt(12) == 0 && !entry.answered) {
       entry.answered = true;
-      choice.abandoned(now, id);
+      dispatcher.abandoned(now, id);
     } else {
       AttemptOutcome[] outcomes = AttemptOutcome.values();
-      end(choice, id, attempt, outcomes[random.nextInt(outcomes.length)]);
+      end(dispatcher, id, attempt, outcomes[random.nextInt(outcomes.length)]);
     }
   }
 
-  private void end(ThrottlingDispatcher choice, String id, int attempt, AttemptOutcome outcome) {
+  private void end(
+      ThrottlingDispatcher dispatcher, String id, int attempt, AttemptOutcome outcome) {
     Entry entry = open.get(id);
     entry.ends.set(attempt, outcome);
     boolean over = entry.answered || outcome == AttemptOutcome.OK;
     entry.answered = over;
-    choice.ended(now, id, attempt, outcome, now - entry.sentAt.get(attempt), over, LoadReport.NONE);
+    dispatcher.ended(
+        now, id, attempt, outcome, now - entry.sentAt.get(attempt), over, LoadReport.NONE);
   }
 
-  private void expire(ThrottlingDispatcher choice) {
+  private void expire(ThrottlingDispatcher dispatcher) {
     for (String id : open.keySet().stream().sorted().toList()) {
       Entry entry = open.get(id);
       for (int i = 0; i < entry.ends.size(); i++) {
         if (now >= entry.due && entry.ends.get(i) == null) {
           double real = now;
           now = Math.min(now, entry.due + 2);
-          end(choice, id, i, AttemptOutcome.TIMEOUT);
+          end(dispatcher, id, i, AttemptOutcome.TIMEOUT);
           now = real;
         }
       }
     }
   }
 
-  private void fireTimers(ThrottlingDispatcher choice) {
+  private void fireTimers(ThrottlingDispatcher dispatcher) {
     List<double[]> due = timers.stream().filter(timer -> timer[0] <= now).toList();
     timers.removeAll(due);
-    due.forEach(timer -> choice.timer(now, (long) timer[1]));
+    due.forEach(timer -> dispatcher.timer(now, (long) timer[1]));
   }
 
-  private void members(ThrottlingDispatcher choice, Random random, EndpointListUpdate news) {
+  private void members(ThrottlingDispatcher dispatcher, Random random, EndpointListUpdate news) {
     List<Worker> entries = new ArrayList<>();
     if (news != EndpointListUpdate.CHANGES) {
       list.replaceAll((id, worker) -> Fixture.with(worker, WorkerState.GONE, worker.startedAt()));
@@ -324,6 +326,6 @@
       entries.add(worker);
       list.put(id, worker);
     }
-    choice.members(now, news, entries);
+    dispatcher.members(now, news, entries);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
@@ -26,14 +26,14 @@
   private final double[][] slotFree = new double[WORKERS + 1][SLOTS];
   private final double[] slowness = {1, 1, 1, 1, 1};
   private final int[] given = new int[WORKERS + 1];
-  private ThrottlingDispatcher choice;
+  private ThrottlingDispatcher dispatcher;
   private int seen;
 
   private record Event(double at, Runnable run) {}
 
   private void start(JobClass... classes) {
     DispatcherSettings from = Fixture.settings(0, 1, classes[0]);
-    choice =
+    dispatcher =
         new ThrottlingDispatcher(
             new DispatcherSettings(
                 0,
@@ -58,7 +58,7 @@
             Fixture.worker(2, 0, 0),
             Fixture.worker(3, 0, 1),
             Fixture.worker(4, 0, 2));
-    choice.members(0, EndpointListUpdate.STORED, fleet);
+    dispatcher.members(0, EndpointListUpdate.STORED, fleet);
   }
 
   /**
@@ -76,13 +76,13 @@
           new Event(
               at,
               () -> {
-                choice.arrived(time, job);
+                dispatcher.arrived(time, job);
                 carryOut(time, work);
               }));
     }
     for (double cycle = from; cycle < until; cycle += 500) {
       double time = cycle;
-      events.add(new Event(cycle, () -> choice.timer(time, 1)));
+      events.add(new Event(cycle, () -> dispatcher.timer(time, 1)));
     }
     while (!events.isEmpty() && events.peek().at < until) {
       events.poll().run.run();
@@ -105,12 +105,12 @@
       double begins = Math.max(now, free[first]);
       double ends = begins + work * slowness[worker];
       free[first] = ends;
-      events.add(new Event(begins, () -> choice.started(begins, send.id(), (int) attempts)));
+      events.add(new Event(begins, () -> dispatcher.started(begins, send.id(), (int) attempts)));
       events.add(
           new Event(
               ends,
               () -> {
-                choice.ended(
+                dispatcher.ended(
                     ends, send.id(), (int) attempts, AttemptOutcome.OK, ends - now, true, FREE);
                 carryOut(ends, work);
               }));
@@ -135,7 +135,7 @@
   void aFewJobsTwentyTimesAsCostlyEjectNobodyAndRefuseNobodyOnAnIdleFleet() {
     start(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
     play(0, 30_000, 60, 0.02, 20);
-    assertEquals(0, choice.excluded(30_000));
+    assertEquals(0, dispatcher.excluded(30_000));
     assertTrue(
         out.refused.size() < 0.02 * out.sends.size(),
         out.refused.size() + " of " + out.sends.size());
@@ -149,16 +149,16 @@
   void aWorkerWithoutMemoryIsPassedOverForAMomentThoughItsSlotsAreFree() {
     start(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
     double now = 100;
-    choice.arrived(now, new Job("first", 0, 0, now + 5_000, WORK, 1, 0, 0));
+    dispatcher.arrived(now, new Job("first", 0, 0, now + 5_000, WORK, 1, 0, 0));
     long full = out.last().worker();
     now += 100;
-    choice.ended(
+    dispatcher.ended(
         now, "first", 0, AttemptOutcome.OK, 100, true, new LoadReport(SLOTS - 1, 0, Double.NaN, 1));
     for (int i = 0; i < 12; i++) {
-      choice.arrived(now, new Job("next" + i, 0, 0, now + 5_000, WORK, 1, 0, 0));
+      dispatcher.arrived(now, new Job("next" + i, 0, 0, now + 5_000, WORK, 1, 0, 0));
       assertFalse(out.last().worker() == full, "a worker without memory got a job");
     }
-    choice.arrived(now + 1_000, new Job("later", 0, 0, now + 6_000, WORK, 1, 0, 0));
+    dispatcher.arrived(now + 1_000, new Job("later", 0, 0, now + 6_000, WORK, 1, 0, 0));
     assertEquals(full, out.last().worker(), "it holds the fewest once the moment is over");
   }
 
@@ -192,10 +192,10 @@
 
   private boolean offer(String id, int jobClass, double now, boolean accepted) {
     int before = out.sends.size();
-    choice.arrived(now, new Job(id, jobClass, 0, now + 5_000, WORK, 1, 0, 0));
+    dispatcher.arrived(now, new Job(id, jobClass, 0, now + 5_000, WORK, 1, 0, 0));
     boolean sent = out.sends.size() > before;
     for (int n = 0; out.sends.size() > before + n; n++) {
-      choice.ended(
+      dispatcher.ended(
           now,
           id,
           n,
@@ -205,7 +205,7 @@
           LoadReport.NONE);
     }
     if (now % 500 < 10) {
-      choice.timer(now, 1);
+      dispatcher.timer(now, 1);
     }
     return sent;
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -25,9 +25,9 @@
 
   private final Fixture.Recorder out = new Fixture.Recorder();
 
-  private ThrottlingDispatcher choice(
+  private ThrottlingDispatcher dispatcher(
       Idempotency effect, IdempotencyScope scope, boolean secondCopies) {
-    ThrottlingDispatcher choice =
+    ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             Fixture.settings(
                 0,
@@ -38,8 +38,8 @@
             7,
             0,
             out);
-    choice.members(0, EndpointListUpdate.STORED, FLEET);
-    return choice;
+    dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
+    return dispatcher;
   }
 
   private static Worker entry(long id) {
@@ -47,32 +47,32 @@
   }
 
   @Test
-  void movesStayWithinTheirBudgetWhenEveryQueueIsDeep() {
-    ThrottlingDispatcher choice = choice(Idempotency.KEYED, IdempotencyScope.ALL, true);
+  void hedgesStayWithinTheirBudgetWhenEveryQueueIsDeep() {
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.KEYED, IdempotencyScope.ALL, true);
     for (int i = 0; i < 100; i++) {
-      choice.arrived(10 + i, Fixture.job("r" + i, 0, 5_000));
+      dispatcher.arrived(10 + i, Fixture.job("r" + i, 0, 5_000));
     }
     assertEquals(100, out.sends.size());
     // None has started when its patience runs out, nor when that of its second place does.
     for (int i = 0; i < out.timers.size(); i++) {
       if (out.timers.get(i)[1] >= 16) {
-        choice.timer(200, out.timers.get(i)[1]);
+        dispatcher.timer(200, out.timers.get(i)[1]);
       }
     }
-    int moves = out.sends.size() - 100;
-    assertTrue(moves > 0 && moves <= 8, "moves of 100 jobs: " + moves);
+    int hedges = out.sends.size() - 100;
+    assertTrue(hedges > 0 && hedges <= 8, "hedges of 100 jobs: " + hedges);
   }
 
   @Test
   void requestThatAWorkerCannotUseFailsAtOnceAndThrowsNoSuspicionOnTheWorker() {
-    ThrottlingDispatcher choice = choice(Idempotency.KEYED, IdempotencyScope.ALL, true);
-    choice.arrived(10, Fixture.job("bad", 0, 5_000));
-    choice.ended(12, "bad", 0, AttemptOutcome.UNUSABLE, 2, false, LoadReport.NONE);
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.KEYED, IdempotencyScope.ALL, true);
+    dispatcher.arrived(10, Fixture.job("bad", 0, 5_000));
+    dispatcher.ended(12, "bad", 0, AttemptOutcome.UNUSABLE, 2, false, LoadReport.NONE);
     assertEquals(List.of("bad"), out.failed);
     assertEquals(1, out.sends.size());
     long worker = out.last().worker();
     for (int i = 0; i < 100; i++) {
-      choice.arrived(20, Fixture.job("r" + i, 0, 5_000));
+      dispatcher.arrived(20, Fixture.job("r" + i, 0, 5_000));
     }
     assertTrue(out.sends.stream().skip(1).anyMatch(send -> send.worker() == worker));
   }
@@ -83,7 +83,7 @@
         List.of(
             Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL),
             Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL));
-    ThrottlingDispatcher choice =
+    ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             new DispatcherSettings(
                 0,
@@ -102,13 +102,13 @@
             7,
             0,
             out);
-    choice.members(0, EndpointListUpdate.STORED, FLEET);
-    choice.arrived(10, Fixture.job("hangs", 0, 5_010));
+    dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
+    dispatcher.arrived(10, Fixture.job("hangs", 0, 5_010));
     long worker = out.last().worker();
-    choice.progressed(500, "hangs", 0, 0.1);
-    choice.ended(1_010, "hangs", 0, AttemptOutcome.TIMEOUT, 1_000, false, LoadReport.NONE);
+    dispatcher.progressed(500, "hangs", 0, 0.1);
+    dispatcher.ended(1_010, "hangs", 0, AttemptOutcome.TIMEOUT, 1_000, false, LoadReport.NONE);
     for (int i = 0; i < 60; i++) {
-      choice.arrived(1_020, new Job("r" + i, i % 2, 0, 6_000, 0, 1, 0, 0));
+      dispatcher.arrived(1_020, new Job("r" + i, i % 2, 0, 6_000, 0, 1, 0, 0));
     }
     List<Fixture.Send> toIt =
         out.sends.stream().skip(1).filter(send -> send.worker() == worker).toList();
@@ -120,16 +120,16 @@
 
   @Test
   void workerThatWorksIsNotEjectedWhenAJobRunsOutOfTimeInItsQueue() {
-    ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
-    choice.members(5, EndpointListUpdate.WHOLE, FLEET.subList(0, 1));
-    choice.arrived(10, Fixture.job("waits", 0, 5_010));
-    choice.arrived(20, Fixture.job("runs", 0, 5_020));
-    choice.started(4_000, "runs", 0);
-    choice.members(5_000, EndpointListUpdate.WHOLE, FLEET.subList(0, 2));
-    choice.ended(5_010, "waits", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
-    choice.ended(5_011, "runs", 0, AttemptOutcome.OK, 5_000, true, LoadReport.NONE);
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
+    dispatcher.members(5, EndpointListUpdate.WHOLE, FLEET.subList(0, 1));
+    dispatcher.arrived(10, Fixture.job("waits", 0, 5_010));
+    dispatcher.arrived(20, Fixture.job("runs", 0, 5_020));
+    dispatcher.started(4_000, "runs", 0);
+    dispatcher.members(5_000, EndpointListUpdate.WHOLE, FLEET.subList(0, 2));
+    dispatcher.ended(5_010, "waits", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
+    dispatcher.ended(5_011, "runs", 0, AttemptOutcome.OK, 5_000, true, LoadReport.NONE);
     for (int i = 0; i < 20; i++) {
-      choice.arrived(5_020 + i, Fixture.job("next" + i, 0, 9_000));
+      dispatcher.arrived(5_020 + i, Fixture.job("next" + i, 0, 9_000));
     }
     long first =
         out.sends.stream()
@@ -156,10 +156,10 @@
     out.sends.clear();
     out.failed.clear();
     out.refused.clear();
-    ThrottlingDispatcher choice = choice(effect, scope, false);
-    choice.arrived(10, Fixture.job("r", 0, 5_010));
+    ThrottlingDispatcher dispatcher = dispatcher(effect, scope, false);
+    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
     Worker first = entry(out.last().worker());
-    choice.ended(20, "r", 0, outcome, 10, false, LoadReport.NONE);
+    dispatcher.ended(20, "r", 0, outcome, 10, false, LoadReport.NONE);
     boolean proof =
         outcome == AttemptOutcome.FULL
             || outcome == AttemptOutcome.CONNECT_FAILED
@@ -178,9 +178,9 @@
               : first.cell() == second.cell();
       assertTrue(same, what + " left its group: " + second);
     }
-    choice.ended(30, "r", 1, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
+    dispatcher.ended(30, "r", 1, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
     if (out.sends.size() == 3) {
-      choice.ended(40, "r", 2, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
+      dispatcher.ended(40, "r", 2, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
     }
     boolean mayRefuse =
         proof
@@ -192,62 +192,62 @@
 
   @Test
   void keyedRepeatIsNotSentAfterItsWindow() {
-    ThrottlingDispatcher choice = choice(Idempotency.KEYED, IdempotencyScope.ZONE, false);
-    choice.arrived(10, Fixture.job("r", 0, 60_000));
-    choice.ended(7_600, "r", 0, AttemptOutcome.RESET, 7_590, false, LoadReport.NONE);
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.KEYED, IdempotencyScope.ZONE, false);
+    dispatcher.arrived(10, Fixture.job("r", 0, 60_000));
+    dispatcher.ended(7_600, "r", 0, AttemptOutcome.RESET, 7_590, false, LoadReport.NONE);
     assertEquals(1, out.sends.size());
     assertEquals(List.of("r"), out.failed);
   }
 
   @Test
   void timeoutAtTheDeadlineIsAnsweredAtOnceAndOnlyOnce() {
-    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
-    choice.arrived(10, Fixture.job("r", 0, 5_010));
-    choice.ended(5_010, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
+    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
+    dispatcher.ended(5_010, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
     assertEquals(1, out.refused.size() + out.failed.size());
-    choice.ended(5_012, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
-    choice.abandoned(5_014, "r");
+    dispatcher.ended(5_012, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
+    dispatcher.abandoned(5_014, "r");
     assertEquals(1, out.refused.size() + out.failed.size());
     assertEquals(1, out.sends.size());
   }
 
   @Test
   void abandonedRequestIsNeitherSentNorAnswered() {
-    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
-    choice.arrived(10, Fixture.job("r", 0, 5_010));
-    choice.abandoned(20, "r");
-    choice.ended(30, "r", 0, AttemptOutcome.FULL, 20, true, LoadReport.NONE);
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
+    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
+    dispatcher.abandoned(20, "r");
+    dispatcher.ended(30, "r", 0, AttemptOutcome.FULL, 20, true, LoadReport.NONE);
     assertEquals(1, out.sends.size());
     assertEquals(0, out.refused.size() + out.failed.size());
   }
 
   @Test
   void drainingGoneAndMissingWorkersGetNothingAtOnce() {
-    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
-    choice.members(
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
+    dispatcher.members(
         5,
         EndpointListUpdate.CHANGES,
         List.of(
             Fixture.with(entry(1), WorkerState.DRAINING, 0),
             Fixture.with(entry(2), WorkerState.GONE, 0)));
-    Set<Long> used = use(choice, 60, 10);
+    Set<Long> used = use(dispatcher, 60, 10);
     assertFalse(used.contains(1L) || used.contains(2L), "used " + used);
-    choice.members(6, EndpointListUpdate.WHOLE, List.of(entry(5), entry(6)));
-    used = use(choice, 60, 20);
+    dispatcher.members(6, EndpointListUpdate.WHOLE, List.of(entry(5), entry(6)));
+    used = use(dispatcher, 60, 20);
     assertEquals(Set.of(5L, 6L), used);
-    choice.members(7, EndpointListUpdate.WHOLE, List.of());
+    dispatcher.members(7, EndpointListUpdate.WHOLE, List.of());
     out.refused.clear();
-    assertEquals(Set.of(), use(choice, 3, 30));
+    assertEquals(Set.of(), use(dispatcher, 3, 30));
     assertEquals(3, out.refused.size());
   }
 
   private int ids;
 
-  private Set<Long> use(ThrottlingDispatcher choice, int jobs, double now) {
+  private Set<Long> use(ThrottlingDispatcher dispatcher, int jobs, double now) {
     Set<Long> used = new HashSet<>();
     for (int i = 0; i < jobs; i++) {
       int before = out.sends.size();
-      choice.arrived(now, Fixture.job("u" + ids++, 0, now + 5_000));
+      dispatcher.arrived(now, Fixture.job("u" + ids++, 0, now + 5_000));
       if (out.sends.size() > before) {
         used.add(out.last().worker());
       }
@@ -266,7 +266,7 @@
       double served = 0;
       for (int me = 0; me < of; me++) {
         Fixture.Recorder each = new Fixture.Recorder();
-        ThrottlingDispatcher choice =
+        ThrottlingDispatcher dispatcher =
             new ThrottlingDispatcher(
                 Fixture.settings(me, of, Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL)),
                 me,
@@ -274,30 +274,30 @@
                 each);
         List<Worker> fleet =
             new ArrayList<>(List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
-        choice.members(0, EndpointListUpdate.STORED, fleet);
+        dispatcher.members(0, EndpointListUpdate.STORED, fleet);
         // Each dispatcher carries 40/of jobs a second for 10 s, so a worker is known to carry 20.
         double gap = 1_000.0 * of / 40;
         int n = 0;
         double nextCycle = 500;
         for (double now = gap; now < 10_000; now += gap, n++) {
-          choice.arrived(now, Fixture.job("w" + n, 0, now + 5_000));
-          choice.ended(now, "w" + n, 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
+          dispatcher.arrived(now, Fixture.job("w" + n, 0, now + 5_000));
+          dispatcher.ended(now, "w" + n, 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
           while (nextCycle < now) {
-            choice.timer(now, 1);
+            dispatcher.timer(now, 1);
             nextCycle += 500;
           }
         }
         served += n;
-        choice.members(
+        dispatcher.members(
             10_000,
             EndpointListUpdate.CHANGES,
             List.of(new Worker(9, WorkerState.READY, 0, 0, 0, 10_000, 1)));
         each.sends.clear();
         for (double now = 10_000; now < 13_000; now += 20) {
           String id = "c" + now;
-          choice.arrived(now, Fixture.job(id, 0, now + 5_000));
+          dispatcher.arrived(now, Fixture.job(id, 0, now + 5_000));
           if (!each.sends.isEmpty() && each.last().id().equals(id) && each.last().worker() == 9) {
-            choice.ended(now, id, 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
+            dispatcher.ended(now, id, 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
           }
         }
         sent += each.sends.stream().filter(send -> send.worker() == 9).count();
@@ -311,12 +311,12 @@
 
   @Test
   void fullWorkerIsHeldBackThoughItHoldsNothing() {
-    ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
-    choice.arrived(10, Fixture.job("a", 0, 5_010));
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
+    dispatcher.arrived(10, Fixture.job("a", 0, 5_010));
     long full = out.last().worker();
-    choice.ended(10, "a", 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
+    dispatcher.ended(10, "a", 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
     for (int i = 0; i < 5; i++) {
-      choice.arrived(11, Fixture.job("b" + i, 0, 5_011));
+      dispatcher.arrived(11, Fixture.job("b" + i, 0, 5_011));
       assertNotEquals(full, out.last().worker());
     }
   }
@@ -327,12 +327,12 @@
         List.of(
             new LoadReport(0, Double.NaN, Double.NaN, Double.NaN),
             new LoadReport(Double.NaN, 0, Double.NaN, Double.NaN))) {
-      ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
-      choice.arrived(10, Fixture.job("a", 0, 5_010));
+      ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
+      dispatcher.arrived(10, Fixture.job("a", 0, 5_010));
       long busy = out.last().worker();
-      choice.ended(200, "a", 0, AttemptOutcome.OK, 190, true, none);
-      assertFalse(use(choice, 20, 201).contains(busy));
-      assertTrue(use(choice, 40, 400).contains(busy));
+      dispatcher.ended(200, "a", 0, AttemptOutcome.OK, 190, true, none);
+      assertFalse(use(dispatcher, 20, 201).contains(busy));
+      assertTrue(use(dispatcher, 40, 400).contains(busy));
     }
   }
 
@@ -343,14 +343,14 @@
       List<Long> runs = new ArrayList<>();
       for (int run = 0; run < 2; run++) {
         Fixture.Recorder each = new Fixture.Recorder();
-        ThrottlingDispatcher choice =
+        ThrottlingDispatcher dispatcher =
             new ThrottlingDispatcher(
                 Fixture.settings(0, 1, Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL)),
                 seed,
                 0,
                 each);
-        choice.members(0, EndpointListUpdate.STORED, FLEET);
-        choice.arrived(10, Fixture.job("a", 0, 5_010));
+        dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
+        dispatcher.arrived(10, Fixture.job("a", 0, 5_010));
         runs.add(each.last().worker());
       }
       assertEquals(runs.get(0), runs.get(1));
@@ -361,12 +361,12 @@
 
   @Test
   void failingWorkerIsLeftOutAndReturnsByTrial() {
-    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
-    choice.arrived(10, Fixture.job("a", 0, 5_010));
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
+    dispatcher.arrived(10, Fixture.job("a", 0, 5_010));
     long bad = out.last().worker();
-    choice.ended(12, "a", 0, AttemptOutcome.ERROR, 2, false, LoadReport.NONE);
-    assertFalse(use(choice, 30, 20).contains(bad));
-    assertTrue(use(choice, 30, 3_000).contains(bad));
+    dispatcher.ended(12, "a", 0, AttemptOutcome.ERROR, 2, false, LoadReport.NONE);
+    assertFalse(use(dispatcher, 30, 20).contains(bad));
+    assertTrue(use(dispatcher, 30, 3_000).contains(bad));
   }
 
   /**
@@ -375,19 +375,19 @@
    */
   @Test
   void zoneThatRefusesConnectionsIsLeftAsAWhole() {
-    ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
     List<Worker> fleet = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       fleet.add(Fixture.worker(100 + i, i % 2, 0));
     }
-    choice.members(1, EndpointListUpdate.WHOLE, fleet);
+    dispatcher.members(1, EndpointListUpdate.WHOLE, fleet);
     int lost = 0;
     for (int i = 0; i < 60; i++) {
       String id = "z" + i;
-      choice.arrived(10 + i, Fixture.job(id, 0, 5_010));
+      dispatcher.arrived(10 + i, Fixture.job(id, 0, 5_010));
       for (int n = 0; n < 3 && out.last().id().equals(id) && out.last().worker() % 2 == 0; n++) {
         lost++;
-        choice.ended(10 + i, id, n, AttemptOutcome.CONNECT_FAILED, 1, false, LoadReport.NONE);
+        dispatcher.ended(10 + i, id, n, AttemptOutcome.CONNECT_FAILED, 1, false, LoadReport.NONE);
       }
     }
     assertTrue(lost >= 1 && lost <= 6, "connections tried into the lost zone: " + lost);
@@ -395,27 +395,27 @@
 
   @Test
   void repeatableJobStuckInAQueueIsTriedElsewhereAndTheFirstStartWins() {
-    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, true);
-    choice.arrived(10, Fixture.job("r", 0, 5_010));
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, true);
+    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
     long token = out.timers.get(out.timers.size() - 1)[1];
     long first = out.last().worker();
-    choice.timer(200, token);
+    dispatcher.timer(200, token);
     assertEquals(2, out.sends.size());
     assertNotEquals(first, out.last().worker());
-    choice.started(205, "r", 1);
+    dispatcher.started(205, "r", 1);
     assertEquals(List.of("r/0"), out.cancelled);
-    choice.ended(205, "r", 0, AttemptOutcome.CANCELLED, 195, false, LoadReport.NONE);
+    dispatcher.ended(205, "r", 0, AttemptOutcome.CANCELLED, 195, false, LoadReport.NONE);
     assertEquals(2, out.sends.size(), "a given-up place is not sent again");
-    choice.ended(300, "r", 1, AttemptOutcome.OK, 100, true, LoadReport.NONE);
+    dispatcher.ended(300, "r", 1, AttemptOutcome.OK, 100, true, LoadReport.NONE);
     assertEquals(0, out.refused.size() + out.failed.size());
   }
 
   @Test
   void unsafeJobNeverHasTwoAttemptsOut() {
-    ThrottlingDispatcher choice = choice(Idempotency.UNSAFE, IdempotencyScope.ALL, true);
-    choice.arrived(10, Fixture.job("r", 0, 5_010));
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, true);
+    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
     for (long[] timer : new ArrayList<>(out.timers)) {
-      choice.timer(400, timer[1]);
+      dispatcher.timer(400, timer[1]);
     }
     assertEquals(1, out.sends.size());
   }
@@ -429,11 +429,11 @@
             IllegalArgumentException.class,
             () -> Fixture.settings(3, 3, Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL)));
     assertTrue(me.getMessage().contains("Settings.me"));
-    ThrottlingDispatcher choice = choice(Idempotency.SAFE, IdempotencyScope.ALL, false);
+    ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
     Exception range =
         assertThrows(
             IllegalArgumentException.class,
-            () -> choice.arrived(1, new Job("x", 9, 0, 10, 0, 1, 0, 0)));
+            () -> dispatcher.arrived(1, new Job("x", 9, 0, 10, 0, 1, 0, 0)));
     assertTrue(range.getMessage().contains("Job.jobClass"));
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -51,17 +51,17 @@
     /** Times the work of the jobs that arrive after the restart. */
     final double heavier;
 
-    /** The time from the restart to the moment at which the last dispatcher is told of it, ms. */
-    final double toldAfter;
+    /** The time from the restart to the moment at which the last dispatcher is notified, ms. */
+    final double notifiedAfter;
 
     double now;
     long order;
     int attempts;
 
-    Fleet(Deployment deployment, double heavier, double toldAfter) {
+    Fleet(Deployment deployment, double heavier, double notifiedAfter) {
       this.deployment = deployment;
       this.heavier = heavier;
-      this.toldAfter = toldAfter;
+      this.notifiedAfter = notifiedAfter;
       this.held = new double[deployment.workers()];
       for (int me = 0; me < deployment.dispatchers(); me++) {
         add(me);
@@ -97,18 +97,21 @@
               true,
               0.01,
               new ServiceObjective(0.5, 0.2));
-      ThrottlingDispatcher choice = new ThrottlingDispatcher(settings, me, 0, new Host(this, me));
-      dispatchers.add(choice);
-      double told = RESTART + (0.9 + 0.1 * random.nextDouble()) * toldAfter;
-      choice.members(0, EndpointListUpdate.STORED, list(0));
-      after(random.nextDouble() * 500, () -> tell(choice, told));
+      ThrottlingDispatcher dispatcher =
+          new ThrottlingDispatcher(settings, me, 0, new Host(this, me));
+      dispatchers.add(dispatcher);
+      double notifiedAt = RESTART + (0.9 + 0.1 * random.nextDouble()) * notifiedAfter;
+      dispatcher.members(0, EndpointListUpdate.STORED, list(0));
+      after(random.nextDouble() * 500, () -> notifyDispatcher(dispatcher, notifiedAt));
       after(random.nextDouble() * gap(), () -> arrive(me));
     }
 
-    private void tell(ThrottlingDispatcher choice, double told) {
-      boolean knows = now >= told;
-      choice.members(now, EndpointListUpdate.CHANGES, list(knows ? RESTART : 0));
-      after(knows || now + 500 < told ? 500 : told - now, () -> tell(choice, told));
+    private void notifyDispatcher(ThrottlingDispatcher dispatcher, double notifiedAt) {
+      boolean knows = now >= notifiedAt;
+      dispatcher.members(now, EndpointListUpdate.CHANGES, list(knows ? RESTART : 0));
+      after(
+          knows || now + 500 < notifiedAt ? 500 : notifiedAt - now,
+          () -> notifyDispatcher(dispatcher, notifiedAt));
     }
 
     private List<Worker> list(double startedAt) {
@@ -152,19 +155,19 @@
       if (worker == RESTARTED && now >= RESTART) {
         arrivals.add(new Arrival(now, work));
       }
-      ThrottlingDispatcher choice = dispatchers.get(me);
+      ThrottlingDispatcher dispatcher = dispatchers.get(me);
       int kind = attempts++ % 10;
       if (kind == 0) {
-        choice.ended(now, id, attempt, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
+        dispatcher.ended(now, id, attempt, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
         return;
       }
       held[worker]++;
-      after(kind == 1 ? deployment.meanWork() : 0, () -> choice.started(now, id, attempt));
+      after(kind == 1 ? deployment.meanWork() : 0, () -> dispatcher.started(now, id, attempt));
       after(
           (kind == 1 ? deployment.meanWork() : 0) + work,
           () -> {
             held[worker]--;
-            choice.ended(now, id, attempt, AttemptOutcome.OK, work, true, LoadReport.NONE);
+            dispatcher.ended(now, id, attempt, AttemptOutcome.OK, work, true, LoadReport.NONE);
           });
     }
 
@@ -248,8 +251,8 @@
    */
   private static final SlowStartPolicy TINY = new SlowStartPolicy(0.01, 600_000, 1.5, 3_000);
 
-  private static Fleet play(Deployment deployment, double heavier, double toldAfter) {
-    Fleet fleet = new Fleet(deployment, heavier, toldAfter);
+  private static Fleet play(Deployment deployment, double heavier, double notifiedAfter) {
+    Fleet fleet = new Fleet(deployment, heavier, notifiedAfter);
     fleet.run();
     assertTrue(
         fleet.worstShareOfLimit() <= 1, fleet.worstShareOfLimit() + " of the limit, " + deployment);
