--- a/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
@@ -84,24 +84,24 @@
   void whatWasFlushedSurvivesAnyLossOfPowerAndSoDoTheVoteAndTruncations() throws IOException {
     for (long seed = 1; seed <= 300; seed++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
-      SplittableRandom chance = new SplittableRandom(seed);
+      SplittableRandom random = new SplittableRandom(seed);
       RaftLogStore log = open(disk);
       begin(log);
       List<String> flushed = new ArrayList<>();
       int term = 0;
-      disk.losePowerAfter(chance.nextInt(60));
+      disk.losePowerAfter(random.nextInt(60));
       List<String> now = new ArrayList<>(flushed);
       List<String> attempted = now;
       try {
         for (int step = 0; step < 40; step++) {
           now = new ArrayList<>(flushed);
-          if (now.size() > 2 && chance.nextInt(4) == 0) {
+          if (now.size() > 2 && random.nextInt(4) == 0) {
             int cut = now.size() - 1;
             log.truncateLogEntriesFrom(cut + 1);
             now = new ArrayList<>(now.subList(0, cut));
           }
           List<LogEntry> some = new ArrayList<>();
-          for (int i = 0; i <= chance.nextInt(3); i++) {
+          for (int i = 0; i <= random.nextInt(3); i++) {
             now.add("e" + step + "-" + i);
             some.add(entry(now.size(), now.get(now.size() - 1)));
           }
@@ -113,7 +113,7 @@
           term++;
         }
       } catch (FaultInjectingStorage.PowerLost lost) {
-        assertEquals(1, failures.size(), "told once");
+        assertEquals(1, failures.size(), "notified once");
         assertThrows(IOException.class, log::flush, "nothing is written after a failure");
       }
       failures.clear();
@@ -179,7 +179,7 @@
     assertEquals(0, open(disk).restored().orElseThrow().getTermPersistentState().getTerm());
   }
 
-  /** Tries until the log is usable again; says how often that failed. */
+  /** Tries until the log is usable again; returns how often that failed. */
   private static int continueAfterFault(RaftLogStore log) throws IOException {
     for (int failures = 0; ; failures++) {
       try {
@@ -314,13 +314,13 @@
 
   @Test
   void aFlippedBitInSyncedDataIsReportedWithFileAndOffset() throws IOException {
-    int said = 0;
+    int detected = 0;
     for (int offset = 0; offset < 200; offset += 5) {
       FaultInjectingStorage disk = new FaultInjectingStorage(offset, 0);
       RaftLogStore log = open(disk);
       begin(log);
       for (int i = 1; i <= 5; i++) {
-        // The last is long: what is turned over lies before it, and so was synced.
+        // The last is long: the flipped bit lies before it, and so was synced.
         log.persistLogEntries(List.of(entry(i, "entry " + "x".repeat(i == 5 ? 500 : 10))));
         log.flush();
       }
@@ -328,10 +328,10 @@
       if (disk.flip(file, offset)) {
         CorruptLogException damage = assertThrows(CorruptLogException.class, () -> open(disk));
         assertEquals(file, damage.file());
-        said++;
+        detected++;
       }
     }
-    assertTrue(said > 20, "places tried: " + said);
+    assertTrue(detected > 20, "places tried: " + detected);
   }
 
   /** A voter's file as it was written before a log could go on after a fault. */
@@ -358,22 +358,22 @@
   @Test
   void bytesOfStrangersAreNoValues() {
     Codec codec = LogFormat.codec(List.of());
-    SplittableRandom chance = new SplittableRandom(5);
+    SplittableRandom random = new SplittableRandom(5);
     byte[] good = codec.write(entry(1, "x"));
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 5_000; i++) {
-      byte[] bytes = i % 2 == 0 ? good.clone() : new byte[1 + chance.nextInt(40)];
+      byte[] bytes = i % 2 == 0 ? good.clone() : new byte[1 + random.nextInt(40)];
       if (i % 2 == 1) {
-        chance.nextBytes(bytes);
+        random.nextBytes(bytes);
       } else {
-        bytes[chance.nextInt(bytes.length)] ^= (byte) (1 << chance.nextInt(8));
+        bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
       }
       try {
         codec.read(bytes, 0, bytes.length);
       } catch (IOException none) {
-        refused++;
+        rejected++;
       }
     }
-    assertTrue(refused > 2_000, "refused " + refused);
+    assertTrue(rejected > 2_000, "rejected " + rejected);
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -72,7 +72,10 @@
     }
   }
 
-  /** A write that fails as scheduled writes half of its bytes, unless told otherwise. */
+  /**
+   * A write that fails as scheduled writes half of its bytes, unless {@link #tearWritesAt} was
+   * called.
+   */
   private static final int HALF = -1;
 
   private final SplittableRandom random;
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -44,7 +44,7 @@
   private static final class Life {
     final FaultInjectingStorage disk;
     final World world;
-    final SplittableRandom chance;
+    final SplittableRandom random;
     final JobTable table = new JobTable(SETTINGS);
     final WriteAheadLog log;
 
@@ -55,15 +55,15 @@
     int numbers;
 
     Life(
-        FaultInjectingStorage disk, World world, SplittableRandom chance, double clock, int numbers)
+        FaultInjectingStorage disk, World world, SplittableRandom random, double clock, int numbers)
         throws IOException {
-      this(disk, world, chance, clock, numbers, false);
+      this(disk, world, random, clock, numbers, false);
     }
 
     Life(
         FaultInjectingStorage disk,
         World world,
-        SplittableRandom chance,
+        SplittableRandom random,
         double clock,
         int numbers,
         boolean faults)
@@ -71,7 +71,7 @@
       this.faults = faults;
       this.disk = disk;
       this.world = world;
-      this.chance = chance;
+      this.random = random;
       this.clock = clock;
       this.numbers = numbers;
       log = WriteAheadLog.open(disk, 500, table::replay);
@@ -80,13 +80,13 @@
 
     /** Stores a change; from then on others may be notified of it. */
     void commit(JobChange change) throws IOException {
-      if (faults && chance.nextInt(4) == 0) {
-        disk.tearWritesAt(chance.nextInt(80));
+      if (faults && random.nextInt(4) == 0) {
+        disk.tearWritesAt(random.nextInt(80));
         disk.fail(
-            Operation.values()[chance.nextInt(Operation.values().length)],
-            Errno.values()[chance.nextInt(2)],
-            chance.nextInt(3),
-            1 + chance.nextInt(3));
+            Operation.values()[random.nextInt(Operation.values().length)],
+            Errno.values()[random.nextInt(2)],
+            random.nextInt(3),
+            1 + random.nextInt(3));
       }
       boolean stored = change.records().isEmpty();
       while (!stored) {
@@ -97,7 +97,7 @@
           assertTrue(faults, "the disk does not fail here");
         }
       }
-      if (chance.nextInt(12) == 0) {
+      if (random.nextInt(12) == 0) {
         try {
           LogCompactor.compact(disk, log.logNumber());
         } catch (DiskFault notYet) {
@@ -110,8 +110,8 @@
       for (int i = 0; i < steps; i++) {
         // A clock that jumps, now and then by an hour back.
         clock +=
-            chance.nextInt(20) == 0 ? chance.nextInt(7_200_000) - 3_600_000 : chance.nextInt(30);
-        if (chance.nextInt(3) == 0) {
+            random.nextInt(20) == 0 ? random.nextInt(7_200_000) - 3_600_000 : random.nextInt(30);
+        if (random.nextInt(3) == 0) {
           take();
         } else {
           work();
@@ -121,10 +121,10 @@
 
     private void take() throws IOException {
       String id = "j" + numbers++;
-      Idempotency idempotency = Idempotency.values()[chance.nextInt(3)];
+      Idempotency idempotency = Idempotency.values()[random.nextInt(3)];
       JobChange change =
           table.accept(
-              new JobSubmission(id, idempotency, "k" + id, 1000, new byte[chance.nextInt(40)]),
+              new JobSubmission(id, idempotency, "k" + id, 1000, new byte[random.nextInt(40)]),
               clock);
       commit(change);
       world.accepted.add(id);
@@ -135,7 +135,7 @@
       if (jobs.isEmpty()) {
         return;
       }
-      Job job = jobs.get(chance.nextInt(jobs.size()));
+      Job job = jobs.get(random.nextInt(jobs.size()));
       String id = job.id();
       switch (job.state()) {
         case ACCEPTED -> {
@@ -147,7 +147,7 @@
             world.highest = job.token();
             world.leased.put(id, job.token());
             world.returned.remove(id);
-            if (chance.nextInt(3) > 0) {
+            if (random.nextInt(3) > 0) {
               // The worker begins at once; its report may never come.
               world.runs.merge(id, 1, Integer::sum);
             }
@@ -160,26 +160,26 @@
 
     private void outcome(Job job) throws IOException {
       String id = job.id();
-      Long held = world.leased.get(id);
-      if (held == null || held != job.token()) {
+      Long token = world.leased.get(id);
+      if (token == null || token != job.token()) {
         return;
       }
       boolean ran = world.runs.getOrDefault(id, 0) > 0;
-      int kind = chance.nextInt(5);
+      int kind = random.nextInt(5);
       if (kind == 0 && ran) {
-        commit(table.started(id, held));
+        commit(table.started(id, token));
       } else if (kind == 1 && ran) {
-        commit(table.done(id, held, "result of " + id, clock));
+        commit(table.done(id, token, "result of " + id, clock));
         world.answers.put(id, "result of " + id);
       } else if (kind == 2 && ran) {
-        commit(table.failed(id, held, "broken", clock, chance.nextDouble()));
+        commit(table.failed(id, token, "broken", clock, random.nextDouble()));
       } else if (kind == 3 && !ran) {
-        JobChange change = table.returned(id, held, clock, chance.nextDouble());
+        JobChange change = table.returned(id, token, clock, random.nextDouble());
         commit(change);
         world.returned.add(id);
       } else if (kind == 4) {
         // Everybody's leases run out.
-        commit(table.expire(clock, 1e12, chance.nextDouble()));
+        commit(table.expire(clock, 1e12, random.nextDouble()));
       }
       if (job.state() == JobState.FAILED && table.job(id).isPresent()) {
         world.answers.put(id, job.result());
@@ -244,19 +244,19 @@
   }
 
   /**
-   * Plays the history of a seed up to a step, and goes on through further crashes, some of them in
-   * recoveries.
+   * Plays the history of a seed up to a step, and continues through further crashes, some of them
+   * in recoveries.
    */
   private static int crash(long seed, long at, boolean faults) throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
     World world = new World();
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     disk.losePowerAfter(at);
     int lives = 0;
     int numbers = 0;
     for (int i = 0; i < 3; i++) {
       try {
-        Life life = new Life(disk, world, chance, 1e12 + i * 1000, numbers, faults);
+        Life life = new Life(disk, world, random, 1e12 + i * 1000, numbers, faults);
         lives++;
         numbers = 1000 * (i + 1);
         check(life, world);
@@ -264,12 +264,12 @@
         break;
       } catch (PowerLost | DiskFault lost) {
         disk.heal();
-        if (faults && chance.nextBoolean()) {
+        if (faults && random.nextBoolean()) {
           disk.restartProcess();
         } else {
           disk.powerUp();
         }
-        disk.losePowerAfter(chance.nextInt(40));
+        disk.losePowerAfter(random.nextInt(40));
       } catch (AssertionError | RuntimeException wrong) {
         throw new AssertionError(
             "seed " + seed + ", power lost at step " + at + ", life " + i, wrong);
@@ -277,7 +277,7 @@
     }
     disk.heal();
     disk.powerUp();
-    Life last = new Life(disk, world, chance, 2e12, 9000);
+    Life last = new Life(disk, world, random, 2e12, 9000);
     check(last, world);
     return lives + 1;
   }
@@ -298,7 +298,7 @@
       try {
         JobTable recovered = new JobTable(SETTINGS);
         WriteAheadLog.inspect(disk, recovered::replay);
-        // Nothing follows the last batch, which nobody can tell from one that was torn; or an old
+        // Nothing follows the last batch, which cannot be distinguished from a torn one; or an old
         // file was hit.
         boolean old =
             disk.list().stream()
@@ -349,17 +349,17 @@
     for (long seed = 1; seed <= 3000; seed++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0.02);
       World world = new World();
-      SplittableRandom chance = new SplittableRandom(seed);
+      SplittableRandom random = new SplittableRandom(seed);
       try {
-        Life life = new Life(disk, world, chance, 1e12, 0);
-        disk.losePowerAfter(20 + chance.nextInt(80));
+        Life life = new Life(disk, world, random, 1e12, 0);
+        disk.losePowerAfter(20 + random.nextInt(80));
         life.play(200);
       } catch (PowerLost lost) {
         disk.powerUp();
       }
       try {
-        check(new Life(disk, world, chance, 2e12, 9000), world);
-      } catch (CorruptLogException said) {
+        check(new Life(disk, world, random, 2e12, 9000), world);
+      } catch (CorruptLogException detected) {
         damaged++;
       } catch (AssertionError missing) {
         // A very last sync that was skipped looks like one that never returned; an earlier one must
--- a/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
@@ -122,11 +122,11 @@
       for (int failures = 2; failures <= 4; failures++) {
         assertEquals(
             errno, ((FaultInjectingStorage.DiskFault) store.fault().orElseThrow()).errno());
-        assertEquals(StoreUnavailableException.Reason.DISK_FAULT, rejection(store, "refused"));
+        assertEquals(StoreUnavailableException.Reason.DISK_FAULT, rejection(store, "rejected"));
         timers.remove().run();
         runOwnerTask();
       }
-      // What was taken before may still change meanwhile.
+      // What was accepted before may still change meanwhile.
       store.commit(store.table().lease("a", "w", 1, 0), () -> notified.add("a leased"));
       assertEquals(List.of("a"), notified, "neither yes nor no while the disk fails");
       timers.remove().run();
--- a/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * The world at one instant: what the store holds, what is on its way to workers and back, and
-   * what has run.
+   * The state of the system: what is stored, what is in flight to and from workers, and what has
+   * run.
    */
   private static final class State {
     List<LogRecord> stored = new ArrayList<>();
@@ -127,7 +127,7 @@
       }
     }
     for (Message grant : state.grants) {
-      // The worker has it: it begins, or gives it back unstarted. What it says may come late or
+      // The worker has it: it begins, or returns it unstarted. Its reports may arrive late or
       // twice.
       State begun = state.copy();
       begun.grants.remove(grant);
