--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -208,7 +208,7 @@
 
   /** A worker's call-back; false: it fits nothing that this process knows. */
   boolean hear(WorkerCallback news) {
-    return node.news(news);
+    return node.callback(news);
   }
 
   /** The request that the node holds under an id; null once it is answered. */
--- a/node/src/main/java/ferngrade/discovery/Discovery.java
+++ b/node/src/main/java/ferngrade/discovery/Discovery.java
@@ -6,10 +6,10 @@
 import java.util.function.BiFunction;
 
 /**
- * Where the worker list comes from, which may move while the node runs. The last list stays in
- * force until the new address has told one, and so does the watch that it came from: changes may
- * still come there. From then on only the new address counts, whatever its revisions are: they may
- * start elsewhere.
+ * The source of the endpoint list, whose address may change while the node runs. The last list
+ * stays in force until the new address has sent one, and so does the watch that it came from, which
+ * may still send changes. From then on only the new address counts, whatever its revisions are, as
+ * they may start elsewhere. Belongs to the event loop.
  */
 public final class Discovery {
   private final BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener;
@@ -17,7 +17,7 @@
   private DiscoveryWatch current;
 
   /**
-   * Makes watches by {@code opener}, from an address and what to run when it has told its first
+   * Makes watches with {@code opener}, from an address and a task to run when it has sent its first
    * list.
    */
   public Discovery(BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener) {
@@ -38,9 +38,7 @@
     current.start();
   }
 
-  /**
-   * Reads at once what the sources of the list have told and the event loop has not come to read.
-   */
+  /** Reads at once what the sources of the list have sent and the event loop has not read yet. */
   public void readPending() {
     // A list that is read may end the earlier watches.
     new ArrayList<>(earlier).forEach(DiscoveryWatch::readPending);
@@ -50,7 +48,7 @@
   }
 
   /**
-   * The present address has told its first list, which the earlier ones must not change any more.
+   * The present address has sent its first list, which the earlier ones must not change any more.
    */
   private void listed() {
     earlier.forEach(DiscoveryWatch::stop);
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -36,96 +36,101 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Watches the worker list at one address: one long answer, an object for each change. A watch that
- * breaks, falls silent or tells what cannot be read is opened anew from the last version seen;
- * until then the last list stays.
+ * Watches the endpoint list at one address: one long response, an object for each change. A watch
+ * that breaks, is silent or sends something unreadable is reopened from the last version seen;
+ * until then the last list stays. Belongs to the event loop.
  *
- * <p>What discovery has counts as told 6 s after it had it and could be reached. Within that fit,
- * in the worst order, a silence to be noticed, a dial that hangs and an answer that does not begin,
- * with the pauses between: 2.5 + 0.1 + 1 + 0.2 + 1 + 0.4 s where discovery is asked, less where it
- * pushes.
+ * <p>By the platform's rules what discovery has counts as received 6 s after discovery had it and
+ * could be reached. Within that fit, in the worst order, a silence to be detected, a dial that
+ * hangs and a response that does not begin, with the backoffs between: 2.5 + 0.1 + 1 + 0.2 + 1 +
+ * 0.4 s where discovery is polled, less where it pushes.
  */
 public final class DiscoveryWatch {
   /**
-   * An empty line comes every 2 s; a missing one means that the connection is dead. What discovery
-   * had to tell meanwhile counts as told a few seconds later all the same: waiting for more would
-   * send jobs to workers that drain.
+   * The longest silence on an open watch, ms. An empty line comes every 2 s; a missing one means
+   * that the connection is dead. What discovery sends meanwhile counts as received a few seconds
+   * later all the same: waiting longer would send jobs to draining workers.
    */
-  private static final double SILENCE = 2500;
+  private static final double SILENCE_TIMEOUT = 2500;
 
-  /** The agent answers at once; a watch that does not begin to is dead too. */
-  private static final double FIRST_SILENCE = 1000;
+  /** The longest wait for the first byte of a watch, ms: the agent answers at once. */
+  private static final double RESPONSE_TIMEOUT = 1000;
 
   /**
-   * An agent that can be reached answers well within this; one that is silent for longer is cut off
-   * from its source, and a process that has just started serves by the list of an earlier one until
-   * it is back.
+   * A connected agent answers well within this, ms; one that is silent for longer is cut off from
+   * its source, and a process that has just started uses the list of an earlier one until it is
+   * back.
    */
-  private static final double AT_ONCE = 300;
+  private static final double PROMPT_RESPONSE = 300;
 
-  private static final double RETRY_FIRST = 100;
+  private static final double MIN_BACKOFF = 100;
 
   /**
-   * The longest pause between tries, ms. The agent is on the node's own machine: asking it costs
-   * nothing, and what it gets when discovery is back counts as told in that moment. A pause near
-   * the 250 ms of the drain rule would send jobs to workers that drain. Where discovery is asked,
-   * each call has its price, and counts once it is answered.
+   * The longest backoff between attempts where lists are pushed, ms. The agent is on the node's own
+   * machine: a request costs nothing, and what it gets when discovery is back counts as received in
+   * that moment. A backoff near the 250 ms of the drain rule would send jobs to draining workers.
    */
-  public static final double PUSHED_MOST = 100;
+  public static final double MAX_PUSH_BACKOFF = 100;
 
-  public static final double ASKED_MOST = 500;
+  /**
+   * The longest backoff where discovery is polled, ms: each call has its price, and counts only
+   * once it is answered.
+   */
+  public static final double MAX_POLL_BACKOFF = 500;
+
+  /** How long a dial may take, ms. */
   private static final int CONNECT_TIMEOUT = 1000;
 
   /**
-   * How long a lack of this machine says nothing of discovery, ms; each {@link Dialer#BACKOFF}
-   * another try is made meanwhile. Only then does the list count as one that cannot be had.
+   * How long a dial that fails for a lack of this machine is retried, ms. Only then does the list
+   * count as unavailable.
    */
-  private static final double LOCAL_PATIENCE = 2500;
+  private static final double LOCAL_RETRY_TIMEOUT = 2500;
 
   /** The longest line, in bytes: a whole list of some thousand workers. */
-  private static final int LONGEST_LINE = 1 << 20;
+  private static final int MAX_LINE_BYTES = 1 << 20;
 
   private final InetSocketAddress discovery;
   private final EndpointListParser reader;
-  private final RequestCoordinator node;
+  private final RequestCoordinator coordinator;
   private final Timers timers;
   private final RateLimitedLog log;
-  private final double retryMost;
+  private final double maxBackoff;
   private final Runnable whenListed;
   private final Dialer dialer;
 
-  /** The connection whose word counts, null while there is none. */
+  /** The connection that is read; null while there is none. */
   private Channel channel;
 
   private JsonObjectFramer lines;
   private long revision;
   private boolean listed;
 
-  /** Ask for the whole list: an answer from the last version on was older than that. */
-  private boolean anew;
+  /** Request the complete list: a response from the last version on was older than that. */
+  private boolean requestComplete;
 
   private boolean stopped;
-  private double retry = RETRY_FIRST;
+  private double retry = MIN_BACKOFF;
   private Timers.Timer silence;
 
   /**
-   * A watch that pauses for {@code retryMost} ms at most between tries, and calls {@code
-   * whenListed} once its address has told a whole list for the first time.
+   * A watch with a backoff of {@code maxBackoff} ms at most, which runs {@code whenListed} once its
+   * address has sent a complete list for the first time.
    */
   public DiscoveryWatch(
       EventLoopGroup group,
       InetSocketAddress discovery,
       EndpointListParser reader,
-      RequestCoordinator node,
+      RequestCoordinator coordinator,
       Timers timers,
       RateLimitedLog log,
-      double retryMost,
+      double maxBackoff,
       Runnable whenListed,
       ChannelProvider channels) {
-    this.retryMost = retryMost;
+    this.maxBackoff = maxBackoff;
     this.discovery = discovery;
     this.reader = reader;
-    this.node = node;
+    this.coordinator = coordinator;
     this.timers = timers;
     this.log = log;
     this.whenListed = whenListed;
@@ -144,7 +149,7 @@
                     .addLast(
                         new HttpClientCodec(),
                         new BodyHandler(),
-                        new LineBasedFrameDecoder(LONGEST_LINE),
+                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
                         new LineHandler());
               }
             });
@@ -158,16 +163,16 @@
     return listed;
   }
 
-  /** Ends the watch for good: nothing that it still hears counts. */
+  /** Ends the watch for good: nothing that it still receives counts. */
   void stop() {
     stopped = true;
-    giveUp();
+    disconnect();
   }
 
   /** Opens the watch; it keeps itself open from here on. */
   void start() {
     if (!stopped) {
-      dialer.dial(discovery, LOCAL_PATIENCE, new WatchDial());
+      dialer.dial(discovery, LOCAL_RETRY_TIMEOUT, new WatchDial());
     }
   }
 
@@ -189,11 +194,11 @@
 
     @Override
     public void failed(FaultOrigin origin, Throwable cause) {
-      again("cannot be reached: " + cause.getMessage());
+      reconnect("cannot be reached: " + cause.getMessage());
     }
   }
 
-  /** Reads at once what has been told and the event loop has not come to read. */
+  /** Reads at once what has been sent and the event loop has not read yet. */
   void readPending() {
     if (channel != null) {
       PendingReads.read((AbstractNioChannel) channel);
@@ -202,93 +207,94 @@
 
   private void watch(Channel opened) {
     channel = opened;
-    lines = new JsonObjectFramer(LONGEST_LINE);
-    // Only a list from discovery has a version to go on from: the stored one may be of another
-    // life.
-    boolean on = listed && !anew;
+    lines = new JsonObjectFramer(MAX_LINE_BYTES);
+    // Only a list from discovery has a version to continue from: the stored one may be of another
+    // incarnation.
+    boolean resume = listed && !requestComplete;
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             HttpMethod.GET,
-            "/api/targets?watch=1" + (on ? "&from=" + revision : ""));
+            "/api/targets?watch=1" + (resume ? "&from=" + revision : ""));
     request
         .headers()
         .set(HttpHeaderNames.HOST, discovery.getHostString() + ":" + discovery.getPort());
     opened.closeFuture().addListener(ended -> ended());
-    listen(FIRST_SILENCE);
-    timers.after(AT_ONCE, node::sourceSilent);
+    expectWithin(RESPONSE_TIMEOUT);
+    timers.after(PROMPT_RESPONSE, coordinator::discoverySilent);
     opened.writeAndFlush(request);
   }
 
-  private void listen(double patience) {
+  private void expectWithin(double timeout) {
     if (silence != null) {
       silence.cancel();
     }
-    silence = timers.after(patience, this::giveUp);
+    silence = timers.after(timeout, this::disconnect);
   }
 
-  /** Ends the present connection: nothing that was on its way over it counts any more. */
-  private void giveUp() {
+  /** Closes the present connection: nothing that was in transit over it counts any more. */
+  private void disconnect() {
     if (channel != null) {
       channel.close();
     }
   }
 
-  /** The one place where a watch ends, from whichever side. */
+  /** The one place where a connection ends, from whichever side. */
   private void ended() {
     channel = null;
     silence.cancel();
-    again("watch ended");
+    reconnect("watch ended");
   }
 
-  private void again(String why) {
+  private void reconnect(String why) {
     if (stopped) {
       return;
     }
     log.line("discovery at " + discovery + ": " + why);
-    node.listFailed();
+    coordinator.listFailed();
     timers.after(retry, this::start);
-    retry = Math.min(retryMost, 2 * retry);
+    retry = Math.min(maxBackoff, 2 * retry);
   }
 
   private void line(String line) {
     try {
       String object = lines.add(line);
-      retry = RETRY_FIRST;
+      retry = MIN_BACKOFF;
       if (object != null) {
-        told(reader.read(Json.parse(object)));
+        received(reader.read(Json.parse(object)));
       } else if (line.isBlank()) {
-        node.listUnchanged();
+        coordinator.listUnchanged();
       }
     } catch (ParseException | IllegalArgumentException malformed) {
-      // Whatever it was to say is asked for again.
-      log.line("list", "discovery sent what is no list: " + malformed.getMessage());
-      giveUp();
+      // Its content is requested again.
+      log.line("list", "discovery sent an unreadable endpoint list: " + malformed.getMessage());
+      disconnect();
     }
   }
 
-  private void told(MemberList list) {
+  private void received(MemberList list) {
     list.faults()
-        .forEach(fault -> log.line("list entry", "discovery listed what cannot be used: " + fault));
-    if (listed && !anew && list.revision() < revision) {
-      // A copy that lags, or a source that began anew: the whole list, asked for without a version,
-      // tells.
-      anew = true;
-      log.line("list", "discovery told version " + list.revision() + " after " + revision);
-      giveUp();
+        .forEach(
+            fault -> log.line("list entry", "discovery listed an unusable endpoint: " + fault));
+    if (listed && !requestComplete && list.revision() < revision) {
+      // A replica that lags, or a source that restarted: the complete list, requested without a
+      // version, decides.
+      requestComplete = true;
+      log.line("list", "discovery sent version " + list.revision() + " after " + revision);
+      disconnect();
       return;
     }
-    anew &= !list.complete();
+    requestComplete &= !list.complete();
     revision = list.revision();
     if (!listed && list.complete()) {
       listed = true;
       whenListed.run();
     }
-    node.members(
+    coordinator.members(
         list.complete() ? EndpointListUpdate.WHOLE : EndpointListUpdate.CHANGES, list.members());
   }
 
-  /** Passes the answer's body on as it comes. */
+  /** Passes the response's body on as it arrives. */
   private final class BodyHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
@@ -298,10 +304,10 @@
       }
       if (message instanceof HttpResponse response && response.status().code() != 200) {
         ReferenceCountUtil.release(message);
-        giveUp();
+        disconnect();
         return;
       }
-      listen(SILENCE);
+      expectWithin(SILENCE_TIMEOUT);
       if (message instanceof HttpContent content) {
         ctx.fireChannelRead(content.content());
         if (content instanceof LastHttpContent) {
@@ -313,7 +319,7 @@
     }
   }
 
-  /** Takes the lines. */
+  /** Handles the lines of the body. */
   private final class LineHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
@@ -324,7 +330,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      log.line("list", "discovery's answer cannot be read: " + cause.getMessage());
+      log.line("list", "discovery's response cannot be read: " + cause.getMessage());
       ctx.close();
     }
   }
--- a/node/src/main/java/ferngrade/discovery/JsonObjectFramer.java
+++ b/node/src/main/java/ferngrade/discovery/JsonObjectFramer.java
@@ -6,19 +6,20 @@
  * come.
  */
 final class JsonObjectFramer {
-  private final int longest;
+  private final int maxLength;
   private final StringBuilder object = new StringBuilder();
   private int depth;
-  private boolean text;
+  private boolean inString;
 
   /** Objects of at most so many characters. */
-  JsonObjectFramer(int longest) {
-    this.longest = longest;
+  JsonObjectFramer(int maxLength) {
+    this.maxLength = maxLength;
   }
 
   /**
-   * The object that is whole with this line, null if none is. An {@link IllegalArgumentException}
-   * says that an object is too long or ends before it is whole; nothing of it is kept.
+   * The object that is complete with this line, null if none is. An {@link
+   * IllegalArgumentException} says that an object is too long or ends before it is complete;
+   * nothing of it is kept.
    */
   String add(String line) {
     if (line.isBlank()) {
@@ -28,7 +29,7 @@
       }
       return null;
     }
-    if (object.length() + line.length() > longest) {
+    if (object.length() + line.length() > maxLength) {
       clear();
       throw new IllegalArgumentException("an object is too long");
     }
@@ -39,18 +40,18 @@
     if (depth > 0) {
       return null;
     }
-    String whole = object.toString();
+    String complete = object.toString();
     clear();
-    return whole;
+    return complete;
   }
 
   private void count(String line, int i) {
     char c = line.charAt(i);
-    if (c == '"' && !(text && escaped(line, i))) {
-      text = !text;
-    } else if (!text && (c == '{' || c == '[')) {
+    if (c == '"' && !(inString && escaped(line, i))) {
+      inString = !inString;
+    } else if (!inString && (c == '{' || c == '[')) {
       depth++;
-    } else if (!text && (c == '}' || c == ']')) {
+    } else if (!inString && (c == '}' || c == ']')) {
       depth--;
     }
   }
@@ -66,6 +67,6 @@
   private void clear() {
     object.setLength(0);
     depth = 0;
-    text = false;
+    inString = false;
   }
 }
--- a/node/src/main/java/ferngrade/http/Admin.java
+++ b/node/src/main/java/ferngrade/http/Admin.java
@@ -29,25 +29,25 @@
 /**
  * Where operators call: HTTP/1.1, one call to a connection, 2xx for yes and 4xx or 5xx for no. It
  * runs on the node's loop, so that each call sees the node as it is; nothing here waits. A caller
- * has {@link #PATIENCE} to bring its whole call, and at most {@code most} callers are held at a
+ * has {@link #CALL_TIMEOUT} to bring its whole call, and at most {@code most} callers are held at a
  * time, the oldest giving way, so that silent ones cost nobody else.
  */
 public final class Admin {
   /** How long a caller may take to bring a whole call, ms; callers wait 1 s for the answer. */
-  static final double PATIENCE = 1000;
+  static final double CALL_TIMEOUT = 1000;
 
   /**
-   * How long a change of maintenance waits to be stored before its caller hears that it is not yet,
-   * ms. A caller waits 1 s, and the node may be held up for 150 ms in between.
+   * How long a change of maintenance waits to be stored before its caller is notified that it is
+   * not yet, ms. A caller waits 1 s, and the node may be held up for 150 ms in between.
    */
   public static final double STORE_TIMEOUT = 700;
 
   /** The largest call, in bytes: calls carry no bodies worth the name. */
-  static final int MOST_CALL = 4096;
+  static final int MAX_CALL_BYTES = 4096;
 
   private final RequestCoordinator node;
   private final HttpFrontend front;
-  private final UpgradePeer sibling;
+  private final UpgradePeer upgradePeer;
   private final List<String> classes;
   private final AtomicFile state;
   private final Executor loop;
@@ -65,7 +65,7 @@
   public record Parts(
       RequestCoordinator node,
       HttpFrontend front,
-      UpgradePeer sibling,
+      UpgradePeer upgradePeer,
       List<String> classes,
       AtomicFile state,
       IntSupplier reloadsOk,
@@ -74,7 +74,7 @@
   public Admin(Parts parts, Executor loop, Timers timers, RateLimitedLog log, int most) {
     this.node = parts.node();
     this.front = parts.front();
-    this.sibling = parts.sibling();
+    this.upgradePeer = parts.upgradePeer();
     this.classes = parts.classes();
     this.state = parts.state();
     this.reloadsOk = parts.reloadsOk();
@@ -101,7 +101,7 @@
                     .pipeline()
                     .addLast(
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_CALL),
+                        new HttpObjectAggregator(MAX_CALL_BYTES),
                         new AdminHandler(Admin.this));
               }
             })
@@ -119,7 +119,7 @@
       callers.remove(oldest);
       oldest.close();
     }
-    timers.after(PATIENCE, caller::close);
+    timers.after(CALL_TIMEOUT, caller::close);
   }
 
   void closed(Channel caller) {
@@ -133,27 +133,27 @@
   }
 
   /**
-   * A call-back that the other process of this node got for a job of this one. True if this process
-   * has or had the job, and so took the news.
+   * A callback that the other process of this node got for a job of this one. True if this process
+   * has or had the job, and so accepted it.
    */
-  boolean news(String body) throws BadRequestException {
-    WorkerCallback news = WorkerCallbackParser.read(body);
-    if (!node.knowsOf(news.id())) {
+  boolean callback(String body) throws BadRequestException {
+    WorkerCallback callback = WorkerCallbackParser.read(body);
+    if (!node.knowsOf(callback.id())) {
       return false;
     }
-    node.news(news);
+    node.callback(callback);
     return true;
   }
 
   /**
-   * The other process of this node says where it takes calls; false where this one has its own
+   * The other process of this node announces where it takes calls; false where this one has its own
    * socket.
    */
-  boolean sibling(String address) {
-    if (sibling == null) {
+  boolean announced(String address) {
+    if (upgradePeer == null) {
       return false;
     }
-    sibling.at(EndpointListParser.address(address.trim()));
+    upgradePeer.at(EndpointListParser.address(address.trim()));
     return true;
   }
 
@@ -182,11 +182,10 @@
 
   /**
    * Takes a worker out, or back; {@code answer} gets the outcome after {@link #STORE_TIMEOUT} at
-   * most. A change that is stored later than that is told so then; the first outcome is the one
-   * that counts.
+   * most. A change that is stored later is reported then; only the first outcome counts.
    */
   void maintain(String worker, boolean out, Consumer<MaintenanceOutcome> answer) {
-    boolean known = out ? node.takeOut(worker) : node.giveBack(worker);
+    boolean known = out ? node.startMaintenance(worker) : node.endMaintenance(worker);
     if (!known) {
       answer.accept(MaintenanceOutcome.UNKNOWN_WORKER);
       return;
@@ -200,7 +199,7 @@
     Timers.Timer timeout =
         timers.after(STORE_TIMEOUT, () -> answer.accept(MaintenanceOutcome.NOT_STORED_YET));
     state.write(
-        MaintenanceCodec.write(node.maintenanceSaved()),
+        MaintenanceCodec.write(node.savedMaintenance()),
         () ->
             loop.execute(
                 () -> {
@@ -209,9 +208,9 @@
                 }));
   }
 
-  /** The figures in the operators' form, a {@code name=value} a line. */
-  String figures() {
-    NodeMetrics.Snapshot now = node.figures();
+  /** The metrics in the operators' form, a {@code name=value} a line. */
+  String metrics() {
+    NodeMetrics.Snapshot now = node.metrics();
     StringBuilder text = new StringBuilder(256);
     for (int i = 0; i < classes.size(); i++) {
       line(text, "served." + classes.get(i), count(now.served(), i));
--- a/node/src/main/java/ferngrade/http/AdminHandler.java
+++ b/node/src/main/java/ferngrade/http/AdminHandler.java
@@ -66,7 +66,7 @@
       }
       case "/-/metrics" -> {
         if (expect(ctx, method, HttpMethod.GET)) {
-          answer(ctx, HttpResponseStatus.OK, admin.figures());
+          answer(ctx, HttpResponseStatus.OK, admin.metrics());
         }
       }
       case "/-/drain" -> {
@@ -83,7 +83,7 @@
       }
       case "/-/news", "/-/sibling" -> {
         if (expect(ctx, method, HttpMethod.POST)) {
-          fromSibling(ctx, path, call.content().toString(StandardCharsets.UTF_8));
+          fromUpgradePeer(ctx, path, call.content().toString(StandardCharsets.UTF_8));
         }
       }
       default -> worker(ctx, method, path);
@@ -91,16 +91,16 @@
   }
 
   /**
-   * Calls between two processes of this node on one clients' socket: a call-back handed on, or an
+   * Calls between two processes of this node on one clients' socket: a relayed callback, or an
    * address.
    */
-  private void fromSibling(ChannelHandlerContext ctx, String path, String body) {
+  private void fromUpgradePeer(ChannelHandlerContext ctx, String path, String body) {
     try {
       if (path.equals("/-/news")) {
-        boolean taken = admin.news(body);
+        boolean taken = admin.callback(body);
         answer(ctx, taken ? HttpResponseStatus.NO_CONTENT : HttpResponseStatus.NOT_FOUND, "");
       } else {
-        boolean shared = admin.sibling(body);
+        boolean shared = admin.announced(body);
         answer(ctx, shared ? HttpResponseStatus.NO_CONTENT : HttpResponseStatus.NOT_FOUND, "");
       }
     } catch (BadRequestException | IllegalArgumentException bad) {
--- a/node/src/main/java/ferngrade/http/BodyAggregator.java
+++ b/node/src/main/java/ferngrade/http/BodyAggregator.java
@@ -16,11 +16,11 @@
   static final Object TOO_LARGE = new Object();
 
   /** Parts that may hold a buffer each; a body that drips in is copied together beyond that. */
-  private static final int MOST_PARTS = 16;
+  private static final int MAX_PARTS = 16;
 
-  BodyAggregator(int mostBody) {
-    super(mostBody, true);
-    setMaxCumulationBufferComponents(MOST_PARTS);
+  BodyAggregator(int maxBody) {
+    super(maxBody, true);
+    setMaxCumulationBufferComponents(MAX_PARTS);
   }
 
   /**
@@ -28,12 +28,12 @@
    * before it, and the close that comes with it would leave those without one.
    */
   @Override
-  protected Object newContinueResponse(HttpMessage start, int mostBody, ChannelPipeline pipeline) {
+  protected Object newContinueResponse(HttpMessage start, int maxBody, ChannelPipeline pipeline) {
     boolean usable =
         start.decoderResult().isSuccess()
             && HttpUtil.is100ContinueExpected(start)
-            && HttpUtil.getContentLength(start, 0L) <= mostBody;
-    return usable ? super.newContinueResponse(start, mostBody, pipeline) : null;
+            && HttpUtil.getContentLength(start, 0L) <= maxBody;
+    return usable ? super.newContinueResponse(start, maxBody, pipeline) : null;
   }
 
   @Override
--- a/node/src/main/java/ferngrade/http/ClientRequestHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -84,7 +84,7 @@
               });
       return;
     }
-    if (coordinator.news(callback)) {
+    if (coordinator.callback(callback)) {
       connection.trust();
     }
     connection.respond(HttpResponseStatus.NO_CONTENT, "");
@@ -97,13 +97,13 @@
     ShutdownBudget budget = front.budget();
     if (budget != null) {
       if (front.finishing() || budget.tooLittleFor(job.due(), clock.now())) {
-        coordinator.refuse(job, response, 0);
+        coordinator.reject(job, response, 0);
         return;
       }
       job = budget.capped(job);
     }
     if (front.atJobLimit()) {
-      coordinator.refuseForRoom(job, response);
+      coordinator.rejectForCapacity(job, response);
       return;
     }
     front.jobStarted();
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -23,7 +23,7 @@
   private static final double SWEEP = 1000;
 
   /** The least that a learned limit becomes, ms, and the time in which it doubles again. */
-  private static final double LEAST = 20;
+  private static final double MIN_LEARNED_LIMIT = 20;
 
   private static final double RECOVERY = 10_000;
 
@@ -35,12 +35,12 @@
   private static final double SETTLED = 50;
 
   /** Idle connections kept for one worker. */
-  private static final int MOST_IDLE = 16;
+  private static final int MAX_IDLE = 16;
 
   private final Clock clock;
   private final Timers timers;
-  private final double mostIdleMs;
-  private final int most;
+  private final double maxIdleMs;
+  private final int maxOpen;
   private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
   private final Map<InetSocketAddress, Learned> learned = new HashMap<>();
   private int open;
@@ -48,11 +48,11 @@
   /** How long a worker's idle connections were found to last, and when. */
   private record Learned(double limit, double at) {}
 
-  public ConnectionPool(Clock clock, Timers timers, double idleLimit, int most) {
+  public ConnectionPool(Clock clock, Timers timers, double idleLimit, int maxOpen) {
     this.clock = clock;
     this.timers = timers;
-    this.mostIdleMs = RETIRE * idleLimit;
-    this.most = most;
+    this.maxIdleMs = RETIRE * idleLimit;
+    this.maxOpen = maxOpen;
     timers.after(SWEEP, this::sweep);
   }
 
@@ -78,13 +78,13 @@
   private double limit(InetSocketAddress worker) {
     Learned last = learned.get(worker);
     return last == null
-        ? mostIdleMs
-        : Math.min(mostIdleMs, last.limit * Math.pow(2, (clock.now() - last.at) / RECOVERY));
+        ? maxIdleMs
+        : Math.min(maxIdleMs, last.limit * Math.pow(2, (clock.now() - last.at) / RECOVERY));
   }
 
   /** The worker's side has ended a connection that had stood idle for so many ms. */
   private void lasted(InetSocketAddress worker, double millis) {
-    double limit = Math.max(LEAST, Math.min(limit(worker), RETIRE * millis));
+    double limit = Math.max(MIN_LEARNED_LIMIT, Math.min(limit(worker), RETIRE * millis));
     learned.put(worker, new Learned(limit, clock.now()));
   }
 
@@ -95,7 +95,7 @@
 
   /** Books a place for a new connection; false if there is none. */
   boolean reserve() {
-    if (open >= most && !dropOldest()) {
+    if (open >= maxOpen && !dropOldest()) {
       return false;
     }
     open++;
@@ -106,7 +106,7 @@
     for (Deque<WorkerConnection> pooled : idle.values()) {
       if (!pooled.isEmpty()) {
         pooled.pollLast().close();
-        return open < most;
+        return open < maxOpen;
       }
     }
     return false;
@@ -120,7 +120,7 @@
   void release(WorkerConnection connection) {
     Deque<WorkerConnection> pooled =
         idle.computeIfAbsent(connection.worker(), worker -> new ArrayDeque<>());
-    if (!connection.isActive() || pooled.size() >= MOST_IDLE) {
+    if (!connection.isActive() || pooled.size() >= MAX_IDLE) {
       connection.close();
       return;
     }
@@ -146,13 +146,13 @@
     double now = clock.now();
     for (Deque<WorkerConnection> pooled : idle.values()) {
       for (WorkerConnection connection : new ArrayList<>(pooled)) {
-        if (now - connection.idleSince >= mostIdleMs) {
+        if (now - connection.idleSince >= maxIdleMs) {
           connection.close();
         }
       }
     }
     idle.values().removeIf(Deque::isEmpty);
-    learned.keySet().removeIf(worker -> limit(worker) >= mostIdleMs);
+    learned.keySet().removeIf(worker -> limit(worker) >= maxIdleMs);
     timers.after(SWEEP, this::sweep);
   }
 }
--- a/node/src/main/java/ferngrade/http/FrontendShutdown.java
+++ b/node/src/main/java/ferngrade/http/FrontendShutdown.java
@@ -97,7 +97,7 @@
   void advance() {
     if (phase == Phase.FINISHING && jobsInFlight.getAsInt() == 0) {
       linger();
-      at(clock.now() + LINGER - ShutdownBudget.READING_REFUSALS, this::rejectUnfinished);
+      at(clock.now() + LINGER - ShutdownBudget.READING_REJECTIONS, this::rejectUnfinished);
       at(clock.now() + LINGER, this::end);
     }
     if (phase == Phase.LINGERING && connections.isEmpty()) {
--- a/node/src/main/java/ferngrade/http/RequestReader.java
+++ b/node/src/main/java/ferngrade/http/RequestReader.java
@@ -21,7 +21,7 @@
 /** Reads clients' requests: whether one is a job that a worker can use, and what job it is. */
 public final class RequestReader {
   /** Longest id that is taken; it also stands in the path of a DELETE. */
-  private static final int LONGEST_ID = 128;
+  private static final int MAX_ID_LENGTH = 128;
 
   private static final Pattern PLAIN_ID = Pattern.compile("[A-Za-z0-9._:~-]+");
 
@@ -34,16 +34,16 @@
   private static final Pattern KEY = Pattern.compile("[!-~]{1,256}");
 
   /**
-   * A figure as the protocol writes it; the runtime's parser would take names, hexadecimals and
+   * A number as the protocol writes it; the runtime's parser would take names, hexadecimals and
    * suffixes too.
    */
-  private static final Pattern FIGURE = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
+  private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
 
   /**
-   * The most slots a job may ask for: a wild figure would outweigh all other jobs in the module's
-   * sums.
+   * The most slots a job may ask for: an extreme value would outweigh all other jobs in the
+   * module's sums.
    */
-  private static final double MOST_SLOTS = 1024;
+  private static final double MAX_SLOTS = 1024;
 
   /** The cookie that names what a request is about. */
   private static final String OBJECT = "obj";
@@ -72,7 +72,7 @@
       throw new BadRequestException("the path is not plain");
     }
     String id = one(headers, Headers.ID);
-    if (id == null || id.length() > LONGEST_ID || !PLAIN_ID.matcher(id).matches()) {
+    if (id == null || id.length() > MAX_ID_LENGTH || !PLAIN_ID.matcher(id).matches()) {
       throw new BadRequestException(Headers.ID + " is missing or not a plain word");
     }
     int jobClass = position(classes, headers, Headers.KIND);
@@ -84,7 +84,7 @@
     }
     int tenant = tenants.isEmpty() ? 0 : position(tenants, headers, Headers.OWNER);
     String wait = one(headers, Headers.DEADLINE);
-    // No client waits longer than its class says; a wild figure must not hold a place in the table
+    // No client waits longer than its class says; an extreme value must not hold a table entry
     // for days.
     double longest = settings.classes().get(jobClass).deadline();
     double deadline = wait == null ? longest : Math.min(longest, deadline(wait));
@@ -161,7 +161,7 @@
   }
 
   private static double amount(String header, String text) throws BadRequestException {
-    if (!FIGURE.matcher(text).matches()) {
+    if (!NUMBER.matcher(text).matches()) {
       throw new BadRequestException(header + " is not a number of 0 or more");
     }
     return Double.parseDouble(text);
@@ -175,7 +175,7 @@
         String name = pair.substring(0, Math.max(0, equals)).strip();
         if (name.equals("slots") || name.equals("memory")) {
           double amount = amount(Headers.EXTRA, pair.substring(equals + 1).strip());
-          if (amount > MOST_SLOTS) {
+          if (amount > MAX_SLOTS) {
             throw new BadRequestException(Headers.EXTRA + " asks for too much");
           }
           extras.put(name, amount);
--- a/node/src/main/java/ferngrade/http/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -32,7 +32,7 @@
   private static final double NEW_CONNECTIONS = 400;
 
   /** How long the machine may hold up a node between reading its clock and writing, ms. */
-  private static final double HELD_UP = 150;
+  private static final double MAX_PAUSE = 150;
 
   /** What it takes to write the last answers, close the connections and end the process, ms. */
   private static final double WRITING = 50;
@@ -44,7 +44,7 @@
    * The last part of it, which is left to clients whose request came in part and was refused for
    * that, ms.
    */
-  static final double READING_REFUSALS = 50;
+  static final double READING_REJECTIONS = 50;
 
   /**
    * A job that would have been granted more, but has less than this left of the budget, is not
@@ -59,10 +59,10 @@
   public static ShutdownBudget of(double signalled, DispatcherSettings settings) {
     double deadline = settings.classes().stream().mapToDouble(JobClass::deadline).max().orElse(0);
     double kill = signalled + Math.min(LONGEST_DEADLINE, deadline) + KILL_AFTER_DEADLINE;
-    double end = kill - HELD_UP - WRITING;
+    double end = kill - MAX_PAUSE - WRITING;
     double answersBy = end - READING;
-    double acceptUntil = Math.min(signalled + NEW_CONNECTIONS + HELD_UP, answersBy);
-    return new ShutdownBudget(acceptUntil, answersBy, end - READING_REFUSALS, end);
+    double acceptUntil = Math.min(signalled + NEW_CONNECTIONS + MAX_PAUSE, answersBy);
+    return new ShutdownBudget(acceptUntil, answersBy, end - READING_REJECTIONS, end);
   }
 
   /**
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -29,20 +29,20 @@
 
 /**
  * The other process of this node while an upgrade runs both on one clients' socket. Workers'
- * call-backs come to that socket, so either process may get one for a job of the other; such a
- * call-back is handed to the other process at its operators' address. Each learns of the other: the
- * later one reads the earlier one's address from the shared folder and tells it its own.
+ * callbacks come to that socket, so either process may get one for a job of the other; it is then
+ * relayed to the other process at its operators' address. Each knows the other: the later one reads
+ * the earlier one's address from the shared folder and announces its own to it.
  */
 public final class UpgradePeer {
-  /** How long a hand-over may take, ms: the worker waits for its answer meanwhile. */
-  private static final double PATIENCE = 500;
+  /** How long a relay may take, ms: the worker waits for its response meanwhile. */
+  private static final double RELAY_TIMEOUT = 500;
 
-  /** How long to try to say where this process is, ms, where this machine fails it. */
-  private static final double ANNOUNCE_PATIENCE = 5000;
+  /** How long an announcement may take, with its retries, ms. */
+  private static final double ANNOUNCE_TIMEOUT = 5000;
 
   private static final int CONNECT_TIMEOUT = 500;
 
-  /** What stands for the other process's answer where there was none. */
+  /** The status if the other process did not answer. */
   private static final int NO_ANSWER = -1;
 
   private final EventLoopGroup group;
@@ -69,7 +69,7 @@
     return address;
   }
 
-  /** The other process has said where it is. */
+  /** The other process takes calls at this address. */
   public void at(InetSocketAddress other) {
     if (!other.equals(address)) {
       log.line("another process of this node is at " + other);
@@ -77,28 +77,25 @@
     address = other;
   }
 
-  /** Tells the other process where this one takes calls. */
+  /** Announces to the other process where this one takes calls. */
   public void announce(InetSocketAddress own) {
     if (address != null) {
-      call(
-          "/-/sibling", own.getHostString() + ":" + own.getPort(), ANNOUNCE_PATIENCE, status -> {});
+      call("/-/sibling", own.getHostString() + ":" + own.getPort(), ANNOUNCE_TIMEOUT, status -> {});
     }
   }
 
-  /**
-   * Hands a call-back on; {@code status} gets the other's answer, or -1 where it could not be had.
-   */
-  void relay(String news, IntConsumer status) {
+  /** Relays a callback; {@code status} gets the other's status code, or -1 if there was none. */
+  void relay(String callback, IntConsumer status) {
     if (address == null) {
       status.accept(NO_ANSWER);
       return;
     }
-    call("/-/news", news, PATIENCE, status);
+    call("/-/news", callback, RELAY_TIMEOUT, status);
   }
 
-  private void call(String path, String body, double patience, IntConsumer status) {
+  private void call(String path, String body, double timeout, IntConsumer status) {
     Relay relay = new Relay(path, body, status);
-    timers.after(patience, () -> relay.end(NO_ANSWER));
+    timers.after(timeout, () -> relay.end(NO_ANSWER));
     Dialer dialer =
         new Dialer(
             group,
@@ -112,10 +109,12 @@
                 channel
                     .pipeline()
                     .addLast(
-                        new HttpClientCodec(), new HttpObjectAggregator(Admin.MOST_CALL), relay);
+                        new HttpClientCodec(),
+                        new HttpObjectAggregator(Admin.MAX_CALL_BYTES),
+                        relay);
               }
             });
-    dialer.dial(address, patience, relay);
+    dialer.dial(address, timeout, relay);
   }
 
   /**
--- a/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
+++ b/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
@@ -8,7 +8,7 @@
 import ferngrade.node.WorkerCallback;
 import java.util.Locale;
 
-/** Reads workers' call-backs. */
+/** Parses workers' callbacks. */
 final class WorkerCallbackParser {
   private WorkerCallbackParser() {}
 
@@ -44,20 +44,20 @@
   }
 
   /**
-   * A report that cannot be read costs only itself: what the call-back tells of the job still
+   * A report that cannot be read costs only itself: what the callback reports of the job still
    * counts.
    */
   private static LoadReport load(JsonValue load) {
     return load == null || !load.isObject()
         ? LoadReport.NONE
         : new LoadReport(
-            figure(load, "x0"),
-            figure(load, "x1"),
-            figure(load, "queue"),
-            figure(load, "inflight"));
+            number(load, "x0"),
+            number(load, "x1"),
+            number(load, "queue"),
+            number(load, "inflight"));
   }
 
-  private static double figure(JsonValue load, String field) {
+  private static double number(JsonValue load, String field) {
     JsonValue value = load.asObject().get(field);
     return value == null || !value.isNumber() ? Double.NaN : value.asDouble();
   }
--- a/node/src/main/java/ferngrade/http/WorkerClient.java
+++ b/node/src/main/java/ferngrade/http/WorkerClient.java
@@ -101,7 +101,7 @@
   /** Starts the exchange on a new connection. */
   void dial(InetSocketAddress worker, HttpExchange exchange) {
     if (!pool.reserve()) {
-      log.line("no connection", "no connection left for " + worker);
+      log.line("no connection", "no capacity for a connection to " + worker);
       exchange.notConnected(AttemptOutcome.NEVER_SENT);
     } else {
       dialer.dial(worker, exchange.dialTimeout(), new ExchangeDial(worker, exchange));
--- a/node/src/main/java/ferngrade/http/WorkerDeadline.java
+++ b/node/src/main/java/ferngrade/http/WorkerDeadline.java
@@ -1,7 +1,7 @@
 package ferngrade.http;
 
 /**
- * The time that a worker is told to have for a job. Its client may have a little less than the node
+ * The deadline that is sent to a worker with a job. Its client may have a little less than the node
  * counts, because the request was under way to the node, and the node may be held up between
  * reading its clock and writing. The latter fits into the slack that workers' deadlines are given;
  * the former has to be taken off.
@@ -21,7 +21,7 @@
    * The header for an attempt that the node waits for {@code left} ms more, which is above zero.
    */
   static String header(double left) {
-    double told = left - Math.min(CLIENT_TRANSIT, MAX_SHARE * left);
-    return Math.max(1, (long) Math.floor(told)) + "m";
+    double sent = left - Math.min(CLIENT_TRANSIT, MAX_SHARE * left);
+    return Math.max(1, (long) Math.floor(sent)) + "m";
   }
 }
--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -100,7 +100,7 @@
       return false;
     }
     if (pending.size() >= limits.requests() || bytes + call.body().length > limits.bytes()) {
-      refuseForRoom(job, reply);
+      rejectForCapacity(job, reply);
       return true;
     }
     PendingRequest request = new PendingRequest(job, call, reply, metrics);
@@ -112,15 +112,15 @@
   }
 
   /** Rejects a request that the dispatcher does not see, for lack of capacity. */
-  public void refuseForRoom(Job job, ResponseHandler reply) {
-    refuse(job, reply, limits.retryAfter());
+  public void rejectForCapacity(Job job, ResponseHandler reply) {
+    reject(job, reply, limits.retryAfter());
   }
 
   /**
    * Rejects a request that the dispatcher does not see, for example because the node shuts down;
    * {@code retryAfter} in ms, 0 for none.
    */
-  public void refuse(Job job, ResponseHandler reply, double retryAfter) {
+  public void reject(Job job, ResponseHandler reply, double retryAfter) {
     metrics.refused(job.jobClass());
     reply.refused(retryAfter);
   }
@@ -166,7 +166,7 @@
    *
    * @return false if it fits no attempt in flight, being late or of an unknown job; it is ignored
    */
-  public boolean news(WorkerCallback callback) {
+  public boolean callback(WorkerCallback callback) {
     PendingRequest request = pending.get(callback.id());
     Attempt attempt = request == null ? null : request.writtenTo(callback.from());
     if (attempt == null) {
@@ -226,33 +226,33 @@
   }
 
   /** Discovery has not answered as quickly as it does when it can be reached. */
-  public void sourceSilent() {
+  public void discoverySilent() {
     endpoints.useStored();
   }
 
   /** The endpoint list could not be read; the last one stays. */
   public void listFailed() {
-    sourceSilent();
+    discoverySilent();
     turns.event(() -> dispatcher.listFailed(clock.now()));
   }
 
   // ---- Operators and peers ----
 
   /**
-   * Operators put a worker in maintenance: until {@link #giveBack} the dispatcher sees it as
+   * Operators put a worker in maintenance: until {@link #endMaintenance} the dispatcher sees it as
    * draining, whatever discovery says. False: nobody has that name.
    */
-  public boolean takeOut(String name) {
+  public boolean startMaintenance(String name) {
     return endpoints.startMaintenance(name);
   }
 
   /** Operators end a worker's maintenance; it starts slowly. False: nobody has that name. */
-  public boolean giveBack(String name) {
+  public boolean endMaintenance(String name) {
     return endpoints.endMaintenance(name);
   }
 
   /** What is in maintenance, for a later process to take over. */
-  public MaintenanceOverrides.Saved maintenanceSaved() {
+  public MaintenanceOverrides.Saved savedMaintenance() {
     return endpoints.savedMaintenance();
   }
 
@@ -262,7 +262,7 @@
   }
 
   /** The metrics for operators, as of now. */
-  public NodeMetrics.Snapshot figures() {
+  public NodeMetrics.Snapshot metrics() {
     int inFlight = (int) pending.values().stream().filter(request -> !request.completed()).count();
     return metrics.snapshot(
         inFlight, endpoints.listed(), endpoints.inMaintenance() + dispatcher.excluded(clock.now()));
@@ -280,7 +280,7 @@
       // The process may have been paused: attempts whose timeouts are due end in this turn, too.
       turns.event(() -> cutShort(request));
     } else if (request.failed()) {
-      log.line("request " + request.job.id() + " had no answer at its end");
+      log.line("request " + request.job.id() + " had no answer at its deadline");
       turns.event(
           () -> {
             dispatcher.abandoned(clock.now(), request.job.id());
@@ -338,7 +338,7 @@
   private void send(String id, long worker, double timeout) {
     PendingRequest request = pending.get(id);
     if (request == null) {
-      log.line("send for a request that is over: " + id);
+      log.line("send for a completed request: " + id);
     } else {
       attempts.start(request, worker, timeout);
     }
@@ -417,7 +417,7 @@
 
     @Override
     public void watch() {
-      // The list comes unasked: a discovery watch is always up.
+      // Not needed: a discovery watch is always open.
     }
 
     @Override
--- a/node/src/main/java/ferngrade/node/TurnQueue.java
+++ b/node/src/main/java/ferngrade/node/TurnQueue.java
@@ -57,7 +57,7 @@
       StackTraceElement[] trace = broken.getStackTrace();
       log.line(
           "module failed",
-          "module failed: " + broken + (trace.length > 0 ? " at " + trace[0] : ""));
+          "dispatcher event failed: " + broken + (trace.length > 0 ? " at " + trace[0] : ""));
     }
   }
 }
--- a/node/src/main/java/ferngrade/node/WorkerTransport.java
+++ b/node/src/main/java/ferngrade/node/WorkerTransport.java
@@ -8,21 +8,21 @@
 /** The transport that carries attempts to workers. */
 public interface WorkerTransport {
   /**
-   * Sends the call to a worker; {@code patience} ms is how long the node will wait for its end.
-   * What becomes of it goes to the listener, never from inside this method.
+   * Sends the call to a worker; {@code timeout} ms is how long the node will wait for its end. What
+   * becomes of it goes to the listener, never from inside this method.
    */
-  AttemptHandle send(JobRequest call, InetSocketAddress worker, double patience, Listener listener);
+  AttemptHandle send(JobRequest call, InetSocketAddress worker, double timeout, Listener listener);
 
   /** Asks a worker for its health and load; the answer goes to the listener. */
   void check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener);
 
-  /** One call on its way. */
+  /** One attempt in flight. */
   interface AttemptHandle {
     /**
-     * Gives the attempt up, wherever it is; the listener hears no more of it. {@code told} runs
-     * once, when the worker has been told so or cannot be; at once if it cannot have begun.
+     * Gives the attempt up, wherever it is; the listener is called no more. {@code whenNotified}
+     * runs once, when the worker has been notified or cannot be; at once if it cannot have begun.
      */
-    void giveUp(Runnable told);
+    void giveUp(Runnable whenNotified);
 
     /**
      * True if it has waited for what this machine lacks, so that it was late by no fault of the
@@ -33,18 +33,20 @@
     }
   }
 
-  /** Hears of one call on its way. */
+  /** Is notified of the progress of one attempt. */
   interface Listener {
-    /** Asked right before the first byte is written: false if the call must not go out any more. */
+    /**
+     * Called right before the first byte is written: false if the call must not go out any more.
+     */
     boolean mayStart();
 
     /** The last byte is written: from here on the worker may run it. */
     void written();
 
-    /** The worker has taken the call: what becomes of it comes by call-back. */
+    /** The worker has accepted the job: its result comes by callback. */
     void taken();
 
-    /** The attempt has ended; a call that the worker has taken ends by its call-back instead. */
+    /** The attempt has ended; a job that the worker has accepted ends by its callback instead. */
     void ended(AttemptOutcome outcome, LoadReport report);
   }
 }
--- a/node/src/main/java/ferngrade/peer/UdpPeers.java
+++ b/node/src/main/java/ferngrade/peer/UdpPeers.java
@@ -21,8 +21,8 @@
 
 /** Messages between nodes, one datagram each. */
 public final class UdpPeers implements PeerTransport {
-  /** The longest datagram that the tier permits. */
-  private static final int LONGEST = 256;
+  /** The longest datagram that the platform permits, in bytes. */
+  private static final int MAX_BYTES = 256;
 
   private final List<InetSocketAddress> addresses;
   private final InetSocketAddress all;
@@ -45,12 +45,14 @@
     }
   }
 
-  /** Listens; what a known peer sends goes to {@code hearer} with the peer's number. */
+  /**
+   * Listens; what a known peer sends goes to {@code receiver} with the peer's number, on the event
+   * loop.
+   */
   public ChannelFuture listen(
-      EventLoopGroup group, InetSocketAddress address, BiConsumer<Integer, byte[]> hearer) {
+      EventLoopGroup group, InetSocketAddress address, BiConsumer<Integer, byte[]> receiver) {
     // Shared for a while with the next process of this node, which an upgrade starts beside this
-    // one: both send
-    // from the address that the peers know.
+    // one: both send from the address that the peers know.
     ChannelFuture bound =
         new Bootstrap()
             .group(group)
@@ -62,13 +64,13 @@
                   protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
                     Integer from = numbers.get(packet.sender());
                     if (from == null) {
-                      log.line("stranger", "datagram from no peer: " + packet.sender());
-                    } else if (packet.content().readableBytes() > LONGEST) {
+                      log.line("stranger", "datagram from unknown sender: " + packet.sender());
+                    } else if (packet.content().readableBytes() > MAX_BYTES) {
                       log.line(
                           "long datagram",
-                          "datagram of more than " + LONGEST + " bytes from " + packet.sender());
+                          "datagram of more than " + MAX_BYTES + " bytes from " + packet.sender());
                     } else {
-                      hearer.accept(from, ByteBufUtil.getBytes(packet.content()));
+                      receiver.accept(from, ByteBufUtil.getBytes(packet.content()));
                     }
                   }
 
@@ -85,7 +87,7 @@
   @Override
   public void tell(int peer, byte[] message) {
     InetSocketAddress to = peer < 0 ? all : peer < addresses.size() ? addresses.get(peer) : null;
-    if (channel == null || to == null || message.length > LONGEST) {
+    if (channel == null || to == null || message.length > MAX_BYTES) {
       log.line("message", "message for peer " + peer + " cannot be sent");
       return;
     }
--- /dev/null
+++ b/node/src/main/java/ferngrade/peer/package-info.java
@@ -0,0 +1,2 @@
+/** Messages between the nodes of a deployment, one UDP datagram each. */
+package ferngrade.peer;
--- a/node/src/main/java/ferngrade/server/GracefulShutdown.java
+++ b/node/src/main/java/ferngrade/server/GracefulShutdown.java
@@ -45,10 +45,10 @@
     timers.after(
         Math.min(acceptUntil, budget.acceptUntil()) - clock.now(),
         () -> {
-          log.line("no more jobs are taken");
+          log.line("no more jobs are accepted");
           front.finish(
               () -> {
-                log.line("everything taken has its answer");
+                log.line("all accepted jobs are answered");
                 whenDone.run();
               });
         });
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -207,7 +207,7 @@
         if (retries == 0 || !FaultOrigin.isPassingLack(failed)) {
           throw failed;
         }
-        log.line("start failed for a lack of this machine, tried again: " + failed.getMessage());
+        log.line("start failed for a lack of local resources, retrying: " + failed.getMessage());
         Thread.sleep(START_BACKOFF);
       }
     }
@@ -316,7 +316,9 @@
 
   private DiscoveryWatch newWatch(InetSocketAddress address, Runnable whenListed) {
     double maxBackoff =
-        config.settings().asks() ? DiscoveryWatch.ASKED_MOST : DiscoveryWatch.PUSHED_MOST;
+        config.settings().asks()
+            ? DiscoveryWatch.MAX_POLL_BACKOFF
+            : DiscoveryWatch.MAX_PUSH_BACKOFF;
     return new DiscoveryWatch(
         group,
         address,
--- a/node/src/main/java/ferngrade/server/StateFolder.java
+++ b/node/src/main/java/ferngrade/server/StateFolder.java
@@ -49,7 +49,7 @@
         log.line("maintenance taken over from an earlier process");
       }
     } catch (IOException | IllegalArgumentException unusable) {
-      log.line("maintenance of an earlier process left aside: " + unusable.getMessage());
+      log.line("maintenance of an earlier process ignored: " + unusable.getMessage());
     }
   }
 
@@ -64,7 +64,7 @@
         upgradePeer.at(EndpointListParser.address(earlier.trim()));
       }
     } catch (IOException | IllegalArgumentException unusable) {
-      log.line("the address of an earlier process is left aside: " + unusable.getMessage());
+      log.line("address of an earlier process ignored: " + unusable.getMessage());
     }
   }
 
--- a/node/src/main/java/ferngrade/transport/Dialer.java
+++ b/node/src/main/java/ferngrade/transport/Dialer.java
@@ -12,25 +12,25 @@
 import java.net.InetSocketAddress;
 
 /**
- * Opens connections for one purpose. A dial that fails for a lack of this machine's own says
- * nothing of the peer: it is made again after a short pause, for as long as it is wanted and its
- * patience lasts. Its listener hears of it on the loop only; Netty tells of a socket that could not
- * be opened on a thread of its own.
+ * Opens connections for one purpose. A dial that fails for a lack of this machine's own resources
+ * says nothing about the peer: it is retried after a short backoff, for as long as it is wanted and
+ * its timeout lasts. Its listener is called on the event loop only; Netty reports a socket that
+ * could not be opened on a thread of its own.
  */
 public final class Dialer {
-  /** The pause before a dial that this machine failed is made again, ms. */
+  /** The backoff before a dial that failed for a lack of this machine is retried, ms. */
   public static final double BACKOFF = 20;
 
   private final EventLoop loop;
   private final Timers timers;
   private final Bootstrap bootstrap;
 
-  /** Hears of one dial: either of its connection or of its failure, once. */
+  /** Is notified of one dial: either of its connection or of its failure, once. */
   public interface Listener {
-    /** Asked before another try: false if nobody needs the connection any more. */
+    /** Called before a retry: false if nobody needs the connection any more. */
     boolean wanted();
 
-    /** A try has failed for a lack of this machine; another follows. */
+    /** An attempt has failed for a lack of this machine; a retry follows. */
     default void delayed() {}
 
     /** The connection is up. */
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Dials by channels of this provider, each try for {@code timeout} ms, with {@code handler} in
-   * their pipelines.
+   * Dials with channels of this provider, each attempt for {@code timeout} ms, with {@code handler}
+   * in their pipelines.
    */
   public Dialer(
       EventLoopGroup group,
@@ -65,12 +65,14 @@
             .handler(handler);
   }
 
-  /** Dials; where this machine fails it, tries again for about {@code patience} ms. */
-  public void dial(InetSocketAddress peer, double patience, Listener listener) {
-    new Dial(peer, (int) (patience / BACKOFF), listener).attempt();
+  /**
+   * Dials; a dial that fails for a lack of this machine is retried for about {@code retryFor} ms.
+   */
+  public void dial(InetSocketAddress peer, double retryFor, Listener listener) {
+    new Dial(peer, (int) (retryFor / BACKOFF), listener).attempt();
   }
 
-  /** One connection on its way. */
+  /** One connection that is being opened. */
   private final class Dial {
     private final InetSocketAddress peer;
     private final Listener listener;
--- a/node/src/main/java/ferngrade/transport/FaultOrigin.java
+++ b/node/src/main/java/ferngrade/transport/FaultOrigin.java
@@ -13,13 +13,13 @@
  */
 public enum FaultOrigin {
   /**
-   * This machine lacks something: a descriptor, memory, a port, a route. It says nothing of the
+   * This machine lacks something: a descriptor, memory, a port, a route. It says nothing about the
    * peer.
    */
   LOCAL,
-  /** The peer, or the way to it, does not answer or has said no. */
+  /** The peer, or the network to it, does not answer or has refused. */
   PEER,
-  /** A connection broke, nobody knows where: what was written to it may have been acted on. */
+  /** A connection broke for an unknown reason: what was written to it may have been executed. */
   UNKNOWN;
 
   /** ENOBUFS, ENOMEM, EMFILE and ENFILE, ENETUNREACH, ENETDOWN, EADDRNOTAVAIL, EAGAIN. */
--- a/node/src/main/java/ferngrade/transport/PendingReads.java
+++ b/node/src/main/java/ferngrade/transport/PendingReads.java
@@ -4,9 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads a connection at once, ahead of the event loop's next look at it. The loop hears of a close
- * when it selects; between two selects it may be held up, by its own work or by the machine, for
- * longer than a close may go unnoticed.
+ * Reads a connection at once, ahead of the event loop's next select. The loop notices a close when
+ * it selects; between two selects it may be held up, by its own work or by the machine, for longer
+ * than a close may go unnoticed.
  */
 public final class PendingReads {
   /** Bytes read in one go at most: more than the system holds for one connection by default. */
--- a/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
@@ -326,7 +326,7 @@
             node,
             timers,
             log,
-            DiscoveryWatch.PUSHED_MOST,
+            DiscoveryWatch.MAX_PUSH_BACKOFF,
             () -> {},
             ChannelProvider.SOCKETS)
         .start();
--- a/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
+++ b/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
@@ -322,7 +322,7 @@
   }
 
   private void say(String id, String from, WorkerCallback.State state) {
-    node.news(new WorkerCallback(id, from, state, 0, "r", LoadReport.NONE));
+    node.callback(new WorkerCallback(id, from, state, 0, "r", LoadReport.NONE));
     run();
   }
 
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
@@ -164,7 +164,7 @@
       timers.after(
           SERVICE,
           () ->
-              node.news(
+              node.callback(
                   new WorkerCallback(
                       call.id(),
                       "s-" + worker.getPort(),
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
@@ -107,7 +107,7 @@
       last.ended(AttemptOutcome.RESET, LoadReport.NONE);
       run();
       pass(20);
-      node.news(
+      node.callback(
           new WorkerCallback(
               "keyed", lastWorker, WorkerCallback.State.DONE, 1, "r", LoadReport.NONE));
       run();
--- a/node/src/test/java/ferngrade/server/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/ShutdownTest.java
@@ -39,7 +39,7 @@
   private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
   private static final String STOPPING = "stopping";
-  private static final String ACCEPTED_ALL = "no more jobs are taken";
+  private static final String ACCEPTED_ALL = "no more jobs are accepted";
   private static final List<String> KINDS = List.of("order", "plan", "draft");
 
   private final Map<String, Hold> holds = new ConcurrentHashMap<>();
