--- a/node/src/main/java/ferngrade/cli/ReloadSignal.java
+++ b/node/src/main/java/ferngrade/cli/ReloadSignal.java
@@ -30,7 +30,8 @@
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), releasing);
     } catch (InvocationTargetException refused) {
-      // A system without the signal, or a runtime told to leave signals alone: there is nothing to
+      // A system without the signal, or a runtime configured to leave signals alone: there is
+      // nothing to
       // catch.
       return hangup;
     } catch (ReflectiveOperationException missing) {
--- a/node/src/main/java/ferngrade/cli/Serve.java
+++ b/node/src/main/java/ferngrade/cli/Serve.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a node until it is told to stop; on SIGHUP it reads its configuration anew. */
+/** Runs a node until a signal stops it; on SIGHUP it reloads its configuration. */
 @Command(name = Serve.NAME, description = "Runs a node, as the LB_* variables say.")
 final class Serve implements Callable<Integer> {
   static final String NAME = "serve";
--- a/node/src/main/java/ferngrade/config/NodeConfig.java
+++ b/node/src/main/java/ferngrade/config/NodeConfig.java
@@ -18,9 +18,9 @@
 import java.util.Map;
 
 /**
- * What one node is told at its start. {@code peerListen} and {@code peersAll} are null where nodes
- * do not talk; {@code known} is the worker list as this node had it last, null if it never had one.
- * Times are milliseconds.
+ * The configuration of one node at its start. {@code peerListen} and {@code peersAll} are null
+ * where nodes exchange no messages; {@code known} is the endpoint list that this node had last,
+ * null if it never had one. Times are milliseconds.
  */
 public record NodeConfig(
     String name,
@@ -75,9 +75,9 @@
   private static JsonObject overridden(
       JsonObject json, Map<String, String> environment, List<String> fields) {
     for (String field : fields) {
-      String told = environment.get("LB_" + field.toUpperCase(Locale.ROOT));
-      if (told != null && !told.isEmpty()) {
-        json.set(field, told);
+      String override = environment.get("LB_" + field.toUpperCase(Locale.ROOT));
+      if (override != null && !override.isEmpty()) {
+        json.set(field, override);
       }
     }
     return json;
--- a/node/src/main/java/ferngrade/http/ArrivalClock.java
+++ b/node/src/main/java/ferngrade/http/ArrivalClock.java
@@ -50,7 +50,7 @@
     return waited ? SelectStrategy.SELECT : ready;
   }
 
-  /** The loop does something in this turn; the first call tells when its wait was over. */
+  /** The loop does something in this turn; the first call marks the end of its wait. */
   public void working() {
     if (Double.isNaN(began)) {
       began = clock.now();
--- a/node/src/main/java/ferngrade/http/BadRequestException.java
+++ b/node/src/main/java/ferngrade/http/BadRequestException.java
@@ -1,6 +1,6 @@
 package ferngrade.http;
 
-/** A request that cannot be used; the message tells its sender why. */
+/** A request that cannot be used; the message says why, for its sender. */
 final class BadRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/ferngrade/http/RequestReader.java
+++ b/node/src/main/java/ferngrade/http/RequestReader.java
@@ -132,7 +132,7 @@
   }
 
   /**
-   * What the request is about, 0 where no cookie tells it; a cookie that cannot be read tells
+   * What the request is about, 0 where no cookie says so; a cookie that cannot be read says
    * nothing.
    */
   private static long object(String cookies) {
--- a/node/src/main/java/ferngrade/http/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -26,8 +26,7 @@
   private static final double LONGEST_DEADLINE = 3000;
 
   /**
-   * How long new connections may come in after the signal, ms: till then balancers have heard of
-   * it.
+   * How long new connections may come in after the signal, ms: till then balancers have noticed it.
    */
   private static final double NEW_CONNECTIONS = 400;
 
--- a/node/src/main/java/ferngrade/node/EndpointList.java
+++ b/node/src/main/java/ferngrade/node/EndpointList.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** The worker list as last told. */
+/** The endpoint list as received last. */
 final class EndpointList {
   private final Map<Long, Endpoint> byId = new HashMap<>();
 
-  /** Takes in news; what a whole list leaves out is gone. */
-  void update(EndpointListUpdate news, List<Endpoint> entries) {
-    if (news != EndpointListUpdate.CHANGES) {
+  /** Applies an update; what a complete list leaves out is gone. */
+  void update(EndpointListUpdate kind, List<Endpoint> entries) {
+    if (kind != EndpointListUpdate.CHANGES) {
       byId.clear();
     }
     for (Endpoint entry : entries) {
@@ -34,14 +34,15 @@
   }
 
   /**
-   * True while a job picked for this entry may go to it: not once it drains, is gone, has moved or
-   * has restarted, because the pick was made for the process that the entry spoke of.
+   * True while a job for which this entry was selected may be sent to it: not once it drains, is
+   * gone, has moved or has restarted, because the selection was made for the process that the entry
+   * describes.
    */
-  boolean stands(Endpoint entry) {
-    Endpoint present = byId.get(entry.worker().id());
-    return present != null
-        && present.worker().state() == WorkerState.READY
-        && present.worker().startedAt() == entry.worker().startedAt()
-        && present.address().equals(entry.address());
+  boolean isCurrent(Endpoint entry) {
+    Endpoint current = byId.get(entry.worker().id());
+    return current != null
+        && current.worker().state() == WorkerState.READY
+        && current.worker().startedAt() == entry.worker().startedAt()
+        && current.address().equals(entry.address());
   }
 }
--- a/node/src/main/java/ferngrade/node/EndpointRegistry.java
+++ b/node/src/main/java/ferngrade/node/EndpointRegistry.java
@@ -37,7 +37,7 @@
 
   /** True while a job picked for this endpoint may be sent to it. */
   boolean isCurrent(Endpoint endpoint) {
-    return endpoints.stands(endpoint);
+    return endpoints.isCurrent(endpoint);
   }
 
   /** An update of the list, whose start times are by the wall clock. */
--- a/node/src/main/java/ferngrade/node/MaintenanceOverrides.java
+++ b/node/src/main/java/ferngrade/node/MaintenanceOverrides.java
@@ -12,10 +12,10 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * The menu workers that operators have put in maintenance, laid over what the list says. The
- * decisions are told of such a worker as one that drains, whatever discovery says, until the
- * operators take it back; it then comes back as a process started at that moment, since operators
- * restart it meanwhile and it returns cold. A set, not a count: two calls out need one call back.
+ * The menu workers that operators have put in maintenance, applied on top of the endpoint list. The
+ * dispatcher sees such a worker as draining, whatever discovery says, until operators end the
+ * maintenance; it then counts as a process started at that moment, since operators restart it
+ * meanwhile and it has to warm up. A set, not a count: two calls out need one call back.
  *
  * <p>No I/O and no clock: times come as arguments, by the node's monotonic clock, as do those of
  * the list's entries.
@@ -24,29 +24,29 @@
   private final Set<String> out = new TreeSet<>();
 
   /**
-   * When each worker taken back returned; it counts as started then until the list tells of a later
+   * When each worker taken back returned; it counts as started then until the list reports a later
    * start.
    */
   private final Map<String, Double> back = new HashMap<>();
 
-  /** The list's own entries, as last told, by name. */
+  /** The list's own entries, as received last, by name. */
   private final Map<String, Endpoint> listed = new HashMap<>();
 
-  /** Lays maintenance over news of the list, and keeps the list's own word. */
-  List<Endpoint> over(EndpointListUpdate news, List<Endpoint> entries) {
-    if (news != EndpointListUpdate.CHANGES) {
+  /** Applies maintenance to an update of the list, and keeps the list's own entries. */
+  List<Endpoint> over(EndpointListUpdate kind, List<Endpoint> entries) {
+    if (kind != EndpointListUpdate.CHANGES) {
       listed.clear();
     }
-    List<Endpoint> told = new ArrayList<>(entries.size());
+    List<Endpoint> effective = new ArrayList<>(entries.size());
     for (Endpoint entry : entries) {
       if (entry.worker().state() == WorkerState.GONE) {
         listed.remove(entry.name());
       } else {
         listed.put(entry.name(), entry);
       }
-      told.add(overlaid(entry));
+      effective.add(overlaid(entry));
     }
-    return told;
+    return effective;
   }
 
   private Endpoint overlaid(Endpoint entry) {
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Puts a worker in maintenance. Returns the entry that the decisions are to be told now, or null
-   * where the list does not hold it at present.
+   * Puts a worker in maintenance. Returns the entry that is in force now, or null where the list
+   * does not hold it at present.
    */
   Endpoint take(String name) {
     out.add(name);
@@ -85,8 +85,7 @@
   }
 
   /**
-   * Takes a worker back at {@code now}; returns what the decisions are to be told, or null as
-   * above.
+   * Takes a worker back at {@code now}; returns the entry that is in force now, or null as above.
    */
   Endpoint giveBack(String name, double now) {
     if (out.remove(name)) {
--- a/node/src/main/java/ferngrade/node/PeerTransport.java
+++ b/node/src/main/java/ferngrade/node/PeerTransport.java
@@ -1,6 +1,6 @@
 package ferngrade.node;
 
-/** The way to the other nodes of the tier; messages may be lost. */
+/** Sends messages to the other nodes of the cluster; they may be lost. */
 @FunctionalInterface
 public interface PeerTransport {
   /** Sends at most 256 bytes to the peer with this number, or to all if it is negative. */
--- a/node/src/main/java/ferngrade/node/ResponseHandler.java
+++ b/node/src/main/java/ferngrade/node/ResponseHandler.java
@@ -1,11 +1,11 @@
 package ferngrade.node;
 
-/** The way back to one client. The node calls exactly one of the methods, once. */
+/** Answers one client. The node calls exactly one of the answering methods, once. */
 public interface ResponseHandler {
-  /** Served: the result that a worker gave. */
+  /** Served, with the result of a worker. */
   void served(String result);
 
-  /** Refused: trying again is harmless; {@code retryAfter} ms is the wait asked for, 0 for none. */
+  /** Rejected: a retry is harmless; {@code retryAfter} is the Retry-After in ms, 0 for none. */
   void refused(double retryAfter);
 
   /** Failed, which promises nothing about the effect. */
@@ -13,7 +13,7 @@
 
   /**
    * Asked right before an attempt begins: false if the client has gone, also if its close lies here
-   * unread. Then the node has been told so by the time that this returns.
+   * unread. Then the node has been notified by the time that this returns.
    */
   default boolean clientPresent() {
     return true;
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -15,7 +15,7 @@
  * to this process's monotonic time. Wall clocks may be stepped, that of the worker's machine, of
  * this one, or of both together, and a start may have been noted before a step or after it. So the
  * relation of this machine's two clocks is measured with each list, every relation that was
- * measured is a candidate, and what the monotonic clock tells bounds the outcome: a worker started
+ * measured is a candidate, and what the monotonic clock shows bounds the outcome: a worker started
  * no later than its list came, and one that an earlier list did not hold no longer before that list
  * than a list may lag.
  *
@@ -39,7 +39,7 @@
   private static final double SMALLEST_STEP = 200;
 
   /** How many relations are kept: a machine's clock that is stepped more often is out of order. */
-  private static final int MOST_RELATIONS = 8;
+  private static final int MAX_RELATIONS = 8;
 
   /**
    * How far a start may seem to lie ahead of its list, as the clocks of two machines differ a
@@ -49,7 +49,7 @@
 
   /**
    * How long a worker may have been up when a list still came without it, ms: so long a change may
-   * stay untold.
+   * take to arrive.
    */
   private static final double LIST_LAG = 6000;
 
@@ -57,7 +57,7 @@
    * Incarnations to remember at the least, so that those left out of the list for a time keep their
    * start.
    */
-  private static final int LEAST_REMEMBERED = 4096;
+  private static final int MIN_REMEMBERED = 4096;
 
   private final Clock clock;
 
@@ -89,7 +89,7 @@
     for (Endpoint entry : entries) {
       translated.add(translate(entry, now));
     }
-    forgetOldest(Math.max(LEAST_REMEMBERED, 2 * entries.size()));
+    forgetOldest(Math.max(MIN_REMEMBERED, 2 * entries.size()));
     if (news != EndpointListUpdate.STORED) {
       lastTold = now;
     }
@@ -103,7 +103,7 @@
     }
   }
 
-  /** A time by the monotonic clock as the wall clock now tells it, for a later process to read. */
+  /** A time by the monotonic clock as the wall clock now shows it, for a later process to read. */
   double toWall(double monotonic) {
     measure();
     return monotonic + relations.peekFirst();
@@ -125,7 +125,7 @@
     }
     relations.removeIf(earlier -> Math.abs(relation - earlier) < SMALLEST_STEP);
     relations.addFirst(relation);
-    if (relations.size() > MOST_RELATIONS) {
+    if (relations.size() > MAX_RELATIONS) {
       relations.removeLast();
     }
   }
--- a/node/src/main/java/ferngrade/node/WorkerCallback.java
+++ b/node/src/main/java/ferngrade/node/WorkerCallback.java
@@ -3,7 +3,7 @@
 import ferngrade.dispatch.LoadReport;
 
 /**
- * What a worker tells of a job that it has taken: the request's id, the worker's name, what
+ * What a worker reports of a job that it has accepted: the request's id, the worker's name, what
  * happened, the share done, and the result where it is done.
  */
 public record WorkerCallback(
