--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -251,7 +251,7 @@
 
   private void notAtOnce() {
     if (!stopped) {
-      node.sourceSilent();
+      node.discoverySilent();
     }
   }
 
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -207,7 +207,7 @@
         if (retries == 0 || !FaultOrigin.isPassingLack(failed)) {
           throw failed;
         }
-        log.line("start failed for a lack of this machine, tried again: " + failed.getMessage());
+        log.line("start failed for a lack of local resources, retrying: " + failed.getMessage());
         Thread.sleep(START_BACKOFF);
       }
     }
--- a/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
@@ -95,7 +95,7 @@
   }
 
   private void awaitMembers(int count) throws Exception {
-    while (loop.submit(() -> node.figures().known()).get() != count) {
+    while (loop.submit(() -> node.metrics().known()).get() != count) {
       Thread.onSpinWait();
     }
     assertEquals(loop.submit(node::ready).get(), Boolean.TRUE);
