--- a/dispatch/src/main/java/ferngrade/dispatch/Attempt.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Attempt.java
@@ -1,17 +1,19 @@
 package ferngrade.dispatch;
 
-/** One attempt: a request sent to a worker. Times are milliseconds on the host's clock. */
+/** A single sending of a request to a worker. Times are milliseconds on the host's clock. */
 final class Attempt {
   final WorkerStats worker;
   final double sentAt;
 
-  /** When the worker began with it; NaN until then. */
+  /** Time at which the worker started the job; NaN until the start is known. */
   double startedAt = Double.NaN;
 
-  /** True once it was counted as started too late. */
+  /**
+   * True once the attempt was counted as rejected because it had not started by its start deadline.
+   */
   boolean late;
 
-  /** How it ended; null while it is in flight. */
+  /** The outcome of the attempt; null while it is in flight. */
   AttemptOutcome outcome;
 
   Attempt(WorkerStats worker, double sentAt) {
@@ -31,7 +33,10 @@
     return inFlight() && hasStarted();
   }
 
-  /** True if it is in flight, or ended in a way that does not prove that the job never ran. */
+  /**
+   * Returns true if the attempt is in flight, or ended in a way that does not prove that the job
+   * never ran.
+   */
   boolean mayHaveRun() {
     return outcome == null || !outcome.neverRan;
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/AttemptOutcome.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/AttemptOutcome.java
@@ -1,8 +1,8 @@
 package ferngrade.dispatch;
 
 /**
- * How an attempt ended; the constant says whether that proves that the job never ran. UNUSABLE: the
- * worker says that the request itself is at fault, so that it would fare no better elsewhere.
+ * The outcome of an attempt. UNUSABLE: the worker reports that the request itself is invalid, so a
+ * retry at another worker would fail as well.
  */
 public enum AttemptOutcome {
   OK(false),
@@ -15,7 +15,7 @@
   NEVER_SENT(true),
   UNUSABLE(false);
 
-  /** True if an attempt that ended so is known not to have run. */
+  /** True if an attempt with this outcome is known not to have run. */
   public final boolean neverRan;
 
   AttemptOutcome(boolean neverRan) {
--- a/dispatch/src/main/java/ferngrade/dispatch/AttemptOutcomeHandler.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/AttemptOutcomeHandler.java
@@ -1,6 +1,6 @@
 package ferngrade.dispatch;
 
-/** Passes what the start and the end of an attempt show to the parts that learn from it. */
+/** Updates the components that learn from the start and the end of attempts. Event thread only. */
 final class AttemptOutcomeHandler {
   private final WorkerRegistry registry;
   private final OutlierDetector outliers;
@@ -24,13 +24,13 @@
     this.idle = idle;
   }
 
-  /** Counts an attempt whose start was reported or is shown by its good end. */
+  /** Counts an attempt whose start was reported or is implied by its success. */
   void attemptStarted(PendingRequest request, Attempt attempt) {
     budget.attemptStarted(attempt, request.job.slots());
     registry.attemptStarted(attempt.worker, request.job);
   }
 
-  /** Learns from an attempt that has ended with this outcome. */
+  /** Updates the estimates and ejections after an attempt has ended with this outcome. */
   void attemptEnded(PendingRequest request, Attempt attempt, AttemptOutcome outcome, double now) {
     switch (outcome) {
       case OK -> succeeded(request, attempt, now);
@@ -65,16 +65,20 @@
     serviceTimes.attemptSucceeded(request, attempt, now);
   }
 
-  /** The slice is not trimmed: a failure says something of one worker, late starts of the rest. */
+  /**
+   * Ejects the worker. The slice is not cut: a failure concerns one worker only, while late starts
+   * indicate a shortage throughout the fleet.
+   */
   private void failed(WorkerStats worker, double now) {
     registry.markProven(worker);
     outliers.eject(worker, now);
   }
 
   /**
-   * In a deep queue a job runs out of time though its worker works: only a worker that was silent
-   * all along has failed. One that answered others, but did not start this job in time, may not
-   * take its class.
+   * Handles a timeout. A job in a long queue times out although its worker is healthy, so the
+   * worker is ejected only if it has sent no response since the attempt was sent. A worker that
+   * responded to other attempts but did not start this job in time may be unable to run its class,
+   * so it is ejected for that class only.
    */
   private void timedOut(PendingRequest request, Attempt attempt, double now) {
     WorkerStats worker = attempt.worker;
--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
@@ -4,14 +4,17 @@
 import java.util.Arrays;
 
 /**
- * The periodic update of the slot budget: demand, slice, exchange with peers, and the tenants'
- * levels, in this order. Owns these parts. Event thread only.
+ * Updates the slot budget periodically: measures demand, sets the slice, exchanges slots with
+ * peers, and sets the tenants' quotas, in this order. Event thread only.
  */
 final class BudgetCycle {
-  /** Cycle of the budget: several fit into the shortest overload that matters, a few seconds. */
+  /**
+   * Length of a budget cycle. The shortest overload that matters lasts a few seconds and spans
+   * several cycles.
+   */
   static final double PERIOD_MS = 500;
 
-  /** The least that a cycle counts as, so that rates stay finite. */
+  /** Minimum length of a cycle in the computation of rates, which keeps them finite. */
   private static final double MIN_CYCLE_MS = 1;
 
   private final boolean peersAllowed;
@@ -24,7 +27,7 @@
   private double demand = Double.NaN;
   private FleetLoad load = new FleetLoad(Double.NaN, Double.NaN, Double.NaN, Double.NaN, false);
 
-  /** Begins at {@code now} without a slice; the first cycle sets one. */
+  /** Creates a budget without a slice; the first cycle after {@code now} sets it. */
   BudgetCycle(DispatcherSettings settings, SlotBudget budget, double now, Actions actions) {
     this.peersAllowed = settings.limits().peers();
     this.actions = actions;
@@ -35,23 +38,23 @@
     this.lastCycleAt = now;
   }
 
-  /** Counts a request of this work as demand; true if its tenant's quota admits it. */
+  /** Counts a request with this work as demand. Returns true if its tenant's quota admits it. */
   boolean admit(Job job, double work, double now) {
     priorities.requestArrived(job.jobClass(), work);
     return quotas.admit(job, priorities, now);
   }
 
-  /** True if the tenant asks for more than its quota. */
+  /** Returns true if the tenant's demand exceeds its quota. */
   boolean exceedsQuota(int tenant) {
     return quotas.exceedsLevel(tenant);
   }
 
-  /** Takes a peer's message; a malformed one is ignored. */
+  /** Handles a message from a peer; ignores a malformed one. */
   void receive(int from, byte[] message) {
     diffusion.receive(from, message);
   }
 
-  /** Ends a cycle and begins the next. */
+  /** Ends the current cycle and begins the next one. */
   void run(FleetLoadMeter fleetLoad, double meanWork, double now) {
     double seconds = Math.max(MIN_CYCLE_MS, now - lastCycleAt) / 1000;
     lastCycleAt = now;
@@ -67,7 +70,10 @@
     quotas.divide(budget.slice());
   }
 
-  /** The budget as of the last cycle, with the slots that attempts hold now. */
+  /**
+   * Returns the budget as of the last cycle, with {@code heldSlots} as the slots of the attempts in
+   * flight.
+   */
   BudgetState state(double heldSlots) {
     return new BudgetState(
         budget.slice(),
--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetDiffusion.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetDiffusion.java
@@ -5,12 +5,13 @@
 import java.util.Map;
 
 /**
- * Moves slots between neighbouring dispatchers: each cycle a dispatcher sends its excess demand to
- * its peers, and each end of a link moves its slice by the difference of both messages, so that the
- * sum of the slices stays. Rates are slots a second. Event thread only.
+ * Balances slots between neighbouring dispatchers. In each cycle a dispatcher sends its excess
+ * demand to its peers, and both ends of a link change their slices by opposite amounts computed
+ * from the two messages, so that the sum of the slices is preserved. Rates are in slots per second.
+ * Event thread only.
  */
 final class BudgetDiffusion {
-  /** Budget cycles for which a peer's last message counts. */
+  /** Number of budget cycles for which a peer's last message remains valid. */
   private static final int FRESH_CYCLES = 3;
 
   private final TenantQuotas quotas;
@@ -24,18 +25,21 @@
     this.quotas = quotas;
   }
 
-  /** Begins a budget cycle: messages of peers that have gone silent no longer count. */
+  /** Begins a budget cycle and drops the messages of peers that have stopped sending. */
   void startCycle() {
     cycle++;
     lastMessages.values().removeIf(peer -> cycle - peer.receivedInCycle > FRESH_CYCLES);
   }
 
-  /** The numbers of the dispatchers that messages go to, ascending. */
+  /** Returns the numbers of the peers of this dispatcher, in ascending order. */
   int[] peers() {
     return peers;
   }
 
-  /** The change of the slice, by the messages sent last, so that both ends of a link agree. */
+  /**
+   * Returns the change of the slice. It is computed from the messages sent last, so that both ends
+   * of a link compute the same amount.
+   */
   double step() {
     double step = 0;
     double gamma = 1.0 / (peers.length + 1);
@@ -45,13 +49,13 @@
     return step;
   }
 
-  /** The message of this cycle to all peers. */
+  /** Returns this cycle's message, which goes to all peers. */
   byte[] message(double slice) {
     sentExcessDemand = sharedDemand(slice) - slice;
     return PeerMessage.write(cycle, slice, sentExcessDemand, quotas.demands());
   }
 
-  /** Takes a peer's message; a malformed one, or one from no peer, is ignored. */
+  /** Handles a message; ignores a malformed one or one from a dispatcher that is not a peer. */
   void receive(int from, byte[] message) {
     PeerState peer =
         Arrays.binarySearch(peers, from) < 0 ? null : PeerMessage.read(message, quotas.size());
@@ -62,9 +66,9 @@
   }
 
   /**
-   * The demand here within the level that this dispatcher and its peers could hold together. If the
-   * whole demand counted, small dispatchers would starve: in a deep overload every slice loses the
-   * same amount, which may be more than all that a small one asks for.
+   * Returns the part of the local demand that fits if this dispatcher and its peers pool their
+   * slots. Counting the whole demand would starve small dispatchers: in a deep overload every slice
+   * shrinks by the same amount, which may exceed the whole demand of a small dispatcher.
    */
   private double sharedDemand(double slice) {
     double slots = slice;
--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetState.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetState.java
@@ -1,16 +1,16 @@
 package ferngrade.dispatch;
 
 /**
- * The slot budget of a dispatcher and what it was learned from, for operators. Rates are slots a
- * second, shares 0 to 1; NaN where nothing is known yet.
+ * Snapshot of a dispatcher's slot budget and the measurements it is derived from, for operators.
+ * Rates are in slots per second and shares range from 0 to 1; a value is NaN while it is unknown.
  *
- * @param slice what may be started
- * @param demand what clients ask for, smoothed
- * @param accepted what workers accepted in time, smoothed
- * @param rejectedShare the share of attempts that workers rejected or started late, smoothed
- * @param heldSlots slots of the attempts in flight from here
- * @param fleetSize cores, or workers where no sizes are listed, that are ready and reachable
- * @param fleetBusy those of them that the endpoint list shows as busy
+ * @param slice rate of slots that the dispatcher may start
+ * @param demand smoothed rate of slots that clients request
+ * @param accepted smoothed rate of slots that workers accepted in time
+ * @param rejectedShare smoothed share of attempts that workers rejected or started late
+ * @param heldSlots slots of the attempts from this dispatcher that are in flight
+ * @param fleetSize number of ready and reachable cores, or of workers if no sizes are listed
+ * @param fleetBusy part of {@code fleetSize} that is busy according to the endpoint list
  * @param followsLoads true if the slice follows the loads in the endpoint list
  */
 public record BudgetState(
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -1,14 +1,23 @@
 package ferngrade.dispatch;
 
-/** The cost of sending a request to a worker, in ms of delay. Event thread only. */
+/** Estimates the cost of sending a request to a worker, in ms of delay. Event thread only. */
 final class CandidateCost {
-  /** Weight of the expected service time: a slow worker in time is as good as a fast one. */
+  /**
+   * Weight of the expected service time. It is below 1 because a slow worker that finishes in time
+   * is as good as a fast one.
+   */
   private static final double SERVICE_TIME_WEIGHT = 0.3;
 
-  /** Cost of fetching an object, in mean work: its time, and its part of the object store. */
+  /**
+   * Cost of fetching an object, in multiples of the mean work: the time of the fetch and its use of
+   * the object store.
+   */
   private static final double FETCH_COST = 1.2;
 
-  /** Crossing zones costs charge x objective x this: half the jobs in time are lost over half. */
+  /**
+   * Factor of the cross-zone delay, which is charge x objective x factor. It assumes that half of
+   * the jobs that are in time become late when half an objective is added.
+   */
   private static final double CROSS_ZONE_DELAY = 2;
 
   private final DispatcherSettings settings;
@@ -30,7 +39,7 @@
     this.slowStart = slowStart;
   }
 
-  /** Waits, speed, fetch and zone. */
+  /** Returns the sum of the costs of queueing, service time, object fetch and zone crossing. */
   double of(PendingRequest request, WorkerStats worker, double now) {
     double missing = worker.objects.missing(request.job.object(), worker.id);
     double cost =
@@ -45,10 +54,11 @@
   }
 
   /**
-   * The wait for a start. At a worker that is warming up it follows the listed load alone: the few
-   * dispatchers that have a grant there cannot crowd it, and none has seen waits of its own there.
-   * Else slots held from here come first, each worth a mean service time over the worker's slots,
-   * where reports show these: many dispatchers that went by the listed sizes would crowd the large
+   * Returns the expected wait for a start. For a worker that is warming up it follows the listed
+   * load alone: only a few dispatchers have a grant for the worker, so they cannot overload it, and
+   * none of them has observed waits there. For other workers the slots held by this dispatcher come
+   * first, each worth a mean service time divided by the worker's slots, if reports include the
+   * number of slots. If many dispatchers relied on the listed sizes, they would overload the large
    * workers.
    */
   private double queueing(WorkerStats worker, double now) {
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
@@ -1,6 +1,9 @@
 package ferngrade.dispatch;
 
-/** Says which workers a request may go to, and which of these look good. Event thread only. */
+/**
+ * Decides which workers a request may be sent to and which of them are preferred. Event thread
+ * only.
+ */
 final class CandidateFilter {
   private final RetryPolicy retries;
   private final SlowStartGate slowStart;
@@ -21,7 +24,10 @@
     this.budget = budget;
   }
 
-  /** Rules that hold for any choice: readiness, kind, idempotency group and slow start. */
+  /**
+   * Returns true if the request may be sent to the worker under any circumstances: checks
+   * readiness, kind, idempotency group and slow start.
+   */
   boolean permits(PendingRequest request, Attempt groupAttempt, WorkerStats worker, double now) {
     int kind = request.jobClass.kind();
     return worker.entry.state() == WorkerState.READY
@@ -30,7 +36,10 @@
         && slowStart.allows(request, worker, now);
   }
 
-  /** True if the worker is healthy, untried for this request, and starts it in time. */
+  /**
+   * Returns true if the worker is healthy, has no attempt of this request yet, and starts it in
+   * time. While the fleet is congested, the start time is not considered.
+   */
   boolean prefers(PendingRequest request, WorkerStats worker, double now) {
     return outliers.accepts(worker, request.job.jobClass(), now)
         && !request.triedAt(worker)
--- a/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
@@ -4,11 +4,14 @@
 import java.util.List;
 
 /**
- * Decides which classes go first when slots are scarce, by the work that each class brought lately
- * and the service objective. Event thread only.
+ * Decides which classes have priority when slots are scarce, from the recent work of each class and
+ * the service objective. Event thread only.
  */
 final class ClassPriorities {
-  /** What a budget cycle leaves of the work counted by class: half a minute is remembered. */
+  /**
+   * Factor by which the work counted by class decays per budget cycle, which keeps about half a
+   * minute of history.
+   */
   private static final double WORK_MEMORY = 0.985;
 
   private final List<JobClass> classes;
@@ -21,17 +24,20 @@
     this.recentWork = new double[classes.size()];
   }
 
-  /** Counts a request's work: ms on a standard core times slots. */
+  /** Adds a request's work, in ms on a standard core times slots. */
   void requestArrived(int jobClass, double work) {
     recentWork[jobClass] += work;
   }
 
-  /** Ages the counts by one budget cycle. */
+  /** Decays the counts by one budget cycle. */
   void endCycle() {
     Arrays.setAll(recentWork, i -> recentWork[i] * WORK_MEMORY);
   }
 
-  /** True if work moved to this class adds more to the total than the worst class loses by it. */
+  /**
+   * Returns true if giving slots to this class increases the total value by more than the worst
+   * class loses.
+   */
   boolean goesFirst(int jobClass) {
     double value = 0;
     double work = 0;
--- a/dispatch/src/main/java/ferngrade/dispatch/DeferredChecks.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DeferredChecks.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.function.DoubleConsumer;
 
-/** What is to be done with single requests when the host's timers expire. Event thread only. */
+/** Runs checks of single requests when the host's timers expire. Event thread only. */
 final class DeferredChecks {
-  /** Lower tokens are left to the dispatcher's own timers. */
+  /** First token of this class; lower tokens are reserved for the dispatcher's own timers. */
   private static final long FIRST_TOKEN = 16;
 
   private final Actions actions;
@@ -18,13 +18,13 @@
     this.actions = actions;
   }
 
-  /** Calls {@code check} with the time at which the delay, in ms, has passed. */
+  /** Calls {@code check} with the current time once {@code delay} ms have passed. */
   void schedule(double delay, DoubleConsumer check) {
     byToken.put(nextToken, check);
     actions.timer(delay, nextToken++);
   }
 
-  /** Takes a timer's expiry; an unknown token is ignored. */
+  /** Runs the check of an expired timer; ignores an unknown token. */
   void timerExpired(double now, long token) {
     DoubleConsumer check = byToken.remove(token);
     if (check != null) {
--- a/dispatch/src/main/java/ferngrade/dispatch/DeploymentLimits.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DeploymentLimits.java
@@ -1,8 +1,15 @@
 package ferngrade.dispatch;
 
 /**
- * What the deployment permits; {@code retryAfterMax} is the longest wait that clients honour, 0 for
- * none.
+ * The operations and limits that the deployment permits.
+ *
+ * @param tries maximum number of attempts per request
+ * @param secondCopies true if a request may have several attempts in flight
+ * @param cancel true if attempts may be cancelled
+ * @param checks true if health checks are permitted
+ * @param peers true if dispatchers may exchange messages
+ * @param retryAfterMax maximum delay in ms for which clients honour a retry-after hint, 0 if they
+ * ignore it
  */
 public record DeploymentLimits(
     int tries,
--- a/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
@@ -3,29 +3,37 @@
 import java.util.List;
 
 /**
- * What a host tells the decision module of one dispatcher, and what the module asks of it. All
- * times are milliseconds on the host's clock and never go back; rates are per second; zones, kinds,
- * classes and tenants are positions in the settings' lists. One instance belongs to one thread; the
- * {@link Actions} are called from inside the events.
+ * Decides for one dispatcher which jobs to admit, where to send them and when to retry. The host
+ * reports events by calling these methods and performs the {@link Actions} that the implementation
+ * requests. All times are milliseconds on the host's clock and never decrease; rates are per
+ * second; zones, kinds, classes and tenants are indices into the lists of the settings. An instance
+ * must be used by one thread only; the implementation calls {@link Actions} from within the event
+ * methods.
  */
 public interface Dispatcher {
-  /** A client's request has come in; exactly one final answer is owed from here on. */
+  /**
+   * Reports a new client request. The dispatcher must give it exactly one final answer unless an
+   * attempt completes it or the client abandons it.
+   */
   void arrived(double now, Job job);
 
-  /** The worker has begun to work on this attempt. */
+  /** Reports that the worker has started to run this attempt. */
   void started(double now, String id, int attempt);
 
-  /** The worker has done this share (0 to 1) of the attempt. */
+  /** Reports that the worker has completed this share (0 to 1) of the attempt. */
   void progressed(double now, String id, int attempt, double share);
 
-  /** The attempt's answer has begun to stream to the client; no deadline applies any more. */
+  /**
+   * Reports that the attempt's answer has started to stream to the client; no deadline applies to
+   * it from then on.
+   */
   default void streaming(double now, String id, int attempt) {
     started(now, id, attempt);
   }
 
   /**
-   * The attempt has ended after {@code took} ms; {@code over} says that the request needs no answer
-   * any more.
+   * Reports that the attempt has ended after {@code took} ms. {@code over} is true if the request
+   * no longer needs an answer.
    */
   void ended(
       double now,
@@ -36,84 +44,101 @@
       boolean over,
       LoadReport report);
 
-  /** Nobody waits for this request any more; attempts still out are reported all the same. */
+  /**
+   * Reports that the client no longer waits for this request. The host still reports the end of
+   * attempts that are in flight.
+   */
   void abandoned(double now, String id);
 
-  /** News of the worker list: all of it, or the changed entries only. */
+  /**
+   * Reports the complete endpoint list or only its changed entries, depending on {@code update}.
+   */
   void members(double now, EndpointListUpdate news, List<Worker> workers);
 
-  /** The worker list could not be had, or the subscription to it has broken. */
+  /**
+   * Reports that the endpoint list could not be fetched or that the subscription to it has failed.
+   */
   void listFailed(double now);
 
-  /** The result of a health check, for a module that asks for any. */
+  /** Reports the result of a health check requested by {@link Actions#check}. */
   default void checked(
       double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {}
 
-  /** A message from another dispatcher. */
+  /** Reports a message from another dispatcher. */
   void heard(double now, int from, byte[] message);
 
   /**
-   * The host is one of {@code count} processes of one dispatcher, number {@code index} of them from
-   * 0: what is granted to the dispatcher is shared by all of them.
+   * Reports that {@code count} processes of this dispatcher are running and that this host is the
+   * one with the zero-based number {@code index}. The processes share the capacity granted to the
+   * dispatcher.
    */
   default void sharedBy(double now, int count, int index) {}
 
   /**
-   * The host accepts no more requests: what is granted to the dispatcher goes to other processes of
-   * it, and those that are pending do without.
+   * Reports that the host has stopped accepting requests. The capacity granted to the dispatcher is
+   * left to its other processes, and pending requests must not use it.
    */
   default void acceptNoMore(double now) {}
 
-  /** A timer asked for by {@link Actions#timer} has run out. */
+  /** Reports that a timer set by {@link Actions#timer} has expired. */
   void timer(double now, long token);
 
   /**
-   * Listed workers that take no jobs now by the module's own choice, say ejected after failures; 0
-   * if none.
+   * Returns the number of listed workers that the dispatcher itself excludes, for example those
+   * ejected after failures.
    */
   default int excluded(double now) {
     return 0;
   }
 
-  /** The slot budget as of the last cycle; null where there is none. */
+  /** Returns the slot budget as of the last cycle, or null if the implementation has none. */
   default BudgetState budgetState() {
     return null;
   }
 
-  /** What the module may ask of its host; carried out at once, in the order of the calls. */
+  /**
+   * Operations that the dispatcher requests from its host, which performs them immediately and in
+   * the order of the calls.
+   */
   interface Actions {
     /**
-     * Sends an attempt (numbered 0, 1, 2 ... for each request), given up after {@code timeout} ms.
+     * Sends an attempt of the request to a worker; the host cancels it after {@code timeout} ms.
+     * The attempts of each request are numbered from 0.
      */
     void send(String id, long worker, double timeout);
 
     /**
-     * Final answer: refused, a retry is harmless; {@code retryAfter} ms is the wait asked for, 0
-     * for none.
+     * Rejects the request as its final answer and tells the client that a retry is safe. {@code
+     * retryAfter} is the delay in ms suggested to the client, or 0 for none.
      */
     void refuse(String id, double retryAfter);
 
-    /** The same with the limit that was the cause, which a host may count. */
+    /**
+     * Rejects the request like {@link #refuse(String, double)}. The host may count rejections by
+     * {@code cause}.
+     */
     default void refuse(String id, double retryAfter, RejectionCause cause) {
       refuse(id, retryAfter);
     }
 
-    /** Final answer: failed, which promises nothing about the effect. */
+    /** Fails the request as its final answer; the client cannot tell whether the job has run. */
     void fail(String id);
 
-    /** Stops waiting for an attempt; whether the work stops is the worker's matter. */
+    /** Cancels an attempt. The worker may run the job to its end nevertheless. */
     void cancel(String id, int attempt);
 
-    /** Checks a worker's health. */
+    /** Requests a health check of a worker. */
     void check(long worker);
 
-    /** Sends at most 256 bytes to another dispatcher. */
+    /** Sends a message of at most 256 bytes to another dispatcher. */
     void tell(int peer, byte[] message);
 
-    /** Asks for {@link Dispatcher#timer} after this many ms. */
+    /**
+     * Sets a timer that calls {@link Dispatcher#timer} with {@code token} after {@code after} ms.
+     */
     void timer(double after, long token);
 
-    /** Subscribes to changes of the worker list. */
+    /** Subscribes to changes of the endpoint list. */
     void watch();
 
     /** Writes one line to the operators' log. */
--- a/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
@@ -3,13 +3,23 @@
 import java.util.List;
 
 /**
- * The configuration of a dispatcher: its number among the {@code dispatchers}, its own zone, the
- * time between batches of events, the classes and tenants, and what the deployment permits. {@code
- * asks}: the worker list comes only to those that {@link Actions#watch watch} it. {@code
- * tellsStart}: workers report the start of each job. {@code liveWeights}: the list's weights are
- * the workers' sizes, each divided by 1 + the jobs that it holds for each core. {@code
- * crossCharge}: the share of a request's worth that crossing zones costs; {@code goal}: the service
- * objective.
+ * The configuration of a dispatcher.
+ *
+ * @param me zero-based number of this dispatcher
+ * @param dispatchers number of dispatchers
+ * @param zone zone of this dispatcher
+ * @param roundMs time between batches of events, ms
+ * @param classes the job classes
+ * @param tenants the tenants
+ * @param limits the operations that the deployment permits
+ * @param cold the behaviour of workers that are warming up
+ * @param asks true if the dispatcher receives the endpoint list only after it calls {@link
+ * Dispatcher.Actions#watch}
+ * @param tellsStart true if workers report the start of each job
+ * @param liveWeights true if the endpoint list's weight of a worker is its size divided by 1 + its
+ * jobs per core
+ * @param crossCharge share of a request's value that is lost by crossing zones
+ * @param goal the service objective
  */
 public record DispatcherSettings(
     int me,
--- a/dispatch/src/main/java/ferngrade/dispatch/EndpointListUpdate.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/EndpointListUpdate.java
@@ -1,8 +1,8 @@
 package ferngrade.dispatch;
 
 /**
- * CHANGES: changed entries only; WHOLE: the complete list; STORED: the complete list kept over a
- * restart.
+ * The type of an endpoint list update. CHANGES: only changed entries. WHOLE: the complete list.
+ * STORED: the complete list stored before a restart.
  */
 public enum EndpointListUpdate {
   CHANGES,
--- a/dispatch/src/main/java/ferngrade/dispatch/FleetLoadMeter.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/FleetLoadMeter.java
@@ -1,14 +1,17 @@
 package ferngrade.dispatch;
 
-/** Measures the load of the reachable workers once in each budget cycle. Event thread only. */
+/** Measures the load of the reachable workers once per budget cycle. Event thread only. */
 final class FleetLoadMeter {
-  /** Weight of the newest cycle in a worker's starts a second, which one dispatcher sees few of. */
+  /**
+   * Weight of the newest cycle in a worker's start rate. It is small because a single dispatcher
+   * observes few starts.
+   */
   private static final double START_WEIGHT = 0.15;
 
-  /** Cycles from its first start on before a dispatcher takes its own starts for its share. */
+  /** Number of cycles after its first start until a dispatcher's start rate counts as known. */
   private static final int CYCLES_UNTIL_KNOWN = 6;
 
-  /** Jobs for each core beyond which a worker's load counts no more. */
+  /** Maximum number of jobs per core that is counted for a worker. */
   private static final double MAX_LOAD = 2;
 
   private final WorkerRegistry registry;
@@ -23,12 +26,12 @@
     this.slowStart = slowStart;
   }
 
-  /** Ready workers that were not warming up at the last measurement. */
+  /** Returns the number of ready workers that were not warming up at the last measurement. */
   int warmWorkers() {
     return warmWorkers;
   }
 
-  /** Measures the budget cycle that ends now and lasted so many seconds. */
+  /** Measures the budget cycle that ends now and lasted {@code seconds}. */
   FleetLoad measure(double seconds, double now) {
     double size = 0;
     double busy = 0;
@@ -49,12 +52,12 @@
       warmWorkers += ready && !slowStart.warmingUp(worker.entry, now) ? 1 : 0;
     }
     cyclesWithTraffic += cyclesWithTraffic > 0 || rate > 0 ? 1 : 0;
-    // The smoothed rates begin at 0, which the power takes out again.
+    // The smoothed rates start at 0; the division corrects this bias.
     double unbiased = rate / (1 - Math.pow(1 - START_WEIGHT, cyclesWithTraffic));
     return new FleetLoad(size, busy, queued, unbiased, cyclesWithTraffic >= CYCLES_UNTIL_KNOWN);
   }
 
-  /** The worker's cores, less while it is warming up. */
+  /** Returns the worker's cores, reduced while it is warming up. */
   private double capacity(WorkerStats worker, double now) {
     boolean warmingUp = slowStart.warmingUp(worker.entry, now);
     return worker.group.size * (warmingUp ? slowStart.warmth(worker.entry, now) : 1);
--- a/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
@@ -1,18 +1,18 @@
 package ferngrade.dispatch;
 
 /**
- * Says when a request that waits in a worker's queue is sent to a second worker too. A budget keeps
- * hedged requests few; without it they would multiply the work where queues are deep. Event thread
- * only.
+ * Decides when a request that is queued at a worker is also sent to a second worker. A budget
+ * bounds the number of hedged requests; without it hedging would multiply the load while queues are
+ * long. Event thread only.
  */
 final class HedgingPolicy {
-  /** Hedges earned by each request's first attempt. */
+  /** Number of hedges that the first attempt of each request adds to the budget. */
   private static final double EARNED_PER_REQUEST = 0.05;
 
-  /** Hedges that may be saved up. */
+  /** Maximum number of hedges in the budget. */
   private static final double MAX_SAVED = 3;
 
-  /** Share of its spare time after which a job that has not started is hedged. */
+  /** Fraction of its spare time after which a job that has not started is hedged. */
   private static final double DELAY_SHARE = 0.2;
 
   private final DispatcherSettings settings;
@@ -32,37 +32,43 @@
     this.retries = retries;
   }
 
-  /** Earns budget from a request's first attempt. */
+  /** Adds to the budget for a request's first attempt. */
   void firstAttemptSent() {
     budget = Math.min(MAX_SAVED, budget + EARNED_PER_REQUEST);
   }
 
-  /** True if the request may be hedged at all after the attempts made so far. */
+  /**
+   * Returns true if the class of the request, the deployment and the number of attempts made so far
+   * permit a hedge.
+   */
   boolean appliesTo(PendingRequest request) {
     return request.jobClass.effect() != Idempotency.UNSAFE
         && settings.limits().secondCopies()
         && retries.attemptsLeft(request);
   }
 
-  /** Ms after which a request sent to this worker is hedged if it has not started. */
+  /**
+   * Returns the time in ms after which a request sent to this worker is hedged if it has not
+   * started.
+   */
   double delay(PendingRequest request, WorkerStats worker) {
     double min = 2 * settings.roundMs() + 2 * registry.roundTripTime(worker);
     return Math.max(min, DELAY_SHARE * deadlines.spareTime(request, worker));
   }
 
-  /** True while attempts are in flight and none of them has started. */
+  /** Returns true while attempts are in flight and none of them has started. */
   boolean stillWaits(PendingRequest request) {
     return !request.completed
         && request.inFlight > 0
         && request.attempts.stream().noneMatch(Attempt::running);
   }
 
-  /** True if the budget and the retry policy allow a hedge now. */
+  /** Returns true if the budget and the retry policy allow a hedge now. */
   boolean mayHedge(PendingRequest request, double now) {
     return budget >= 1 && retries.maySend(request, now);
   }
 
-  /** Pays for a hedged request. */
+  /** Takes a hedge that is being sent from the budget. */
   void hedgeSent() {
     budget--;
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/IdempotencyScope.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/IdempotencyScope.java
@@ -1,6 +1,6 @@
 package ferngrade.dispatch;
 
-/** The workers that drop each other's repeats of a keyed request. */
+/** The group of workers that drops repeats of a request with the same idempotency key. */
 public enum IdempotencyScope {
   ALL,
   ZONE,
--- a/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
@@ -1,27 +1,33 @@
 package ferngrade.dispatch;
 
 /**
- * Says whether workers have idle cores for a request that the slot budget does not cover. The slice
- * is learned from what was admitted, so that a small one proves nothing but itself; the jobs in
- * flight from here, against this dispatcher's part of the cores, show directly that more can be
- * borne. Only warm workers count that have done jobs for this dispatcher and have rejected none
- * lately. Event thread only.
+ * Decides whether workers have idle cores for a request that the slot budget does not cover. The
+ * slice is learned from admitted requests, so a slice that is too small cannot reveal unused
+ * capacity. The jobs in flight compared with this dispatcher's part of the cores reveal it
+ * directly. Only warm workers are counted that have completed jobs for this dispatcher and have not
+ * rejected an attempt recently. Event thread only.
  */
 final class IdleCapacity {
-  /** For how long a worker that has rejected an attempt counts as busy, ms. */
+  /** Time in ms for which a worker counts as busy after it has rejected an attempt. */
   private static final double REJECTION_MEMORY_MS = 1000;
 
   private final WorkerRegistry registry;
   private final OutlierDetector outliers;
   private final SlowStart slowStart;
 
-  /** Requests beyond the budget in one cycle, for each that was served in the cycle before. */
+  /**
+   * Number of requests admitted beyond the budget per cycle, for each request completed in the
+   * previous cycle.
+   */
   private static final double GROWTH = 1;
 
-  /** Requests beyond the budget in one cycle for each core, before any was served. */
+  /**
+   * Number of requests admitted beyond the budget per cycle and core, independent of completed
+   * requests, so that the first ones are admitted.
+   */
   private static final double FIRST_PER_CORE = 2.5;
 
-  /** This dispatcher's part of the cores that count, as of the last budget cycle. */
+  /** This dispatcher's part of the eligible cores, as of the last budget cycle. */
   private double cores;
 
   private int served;
@@ -33,7 +39,7 @@
     this.slowStart = slowStart;
   }
 
-  /** Looks over the workers, once in each budget cycle. */
+  /** Recomputes the idle capacity, once per budget cycle. */
   void startCycle(double now) {
     double sum =
         registry
@@ -46,7 +52,7 @@
     served = 0;
   }
 
-  /** An attempt has ended well. */
+  /** Records that an attempt has succeeded. */
   void attemptSucceeded() {
     served++;
   }
@@ -62,7 +68,9 @@
     return Math.max(worker.group.size, worker.group.slots);
   }
 
-  /** A worker has rejected an attempt: it is not idle, from now on. */
+  /**
+   * Records that a worker has rejected an attempt. The worker does not count as idle from then on.
+   */
   void workerRejected(WorkerStats worker, double now) {
     if (counts(worker, now)) {
       cores = Math.max(0, cores - cores(worker) / slowStart.participants());
@@ -71,8 +79,8 @@
   }
 
   /**
-   * Admits a job beyond the budget if it has a core of its own in this dispatcher's part, beside
-   * the jobs in flight from here.
+   * Returns true, and uses up part of the allowance, if this dispatcher's part of the cores has a
+   * free core for the job beside the jobs in flight.
    */
   boolean admit(Job job) {
     boolean idle = registry.heldSlots() + job.slots() <= cores;
--- a/dispatch/src/main/java/ferngrade/dispatch/Job.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Job.java
@@ -1,10 +1,13 @@
 package ferngrade.dispatch;
 
 /**
- * A client's request: {@code due} is the time at which the client gives up, {@code work} the
- * expected ms on a standard core (0 if unknown), {@code slots} and {@code memory} what the job
- * holds while it runs, {@code object} the mark of what a worker must have at hand for it, 0 for
- * nothing.
+ * A client's request.
+ *
+ * @param due time in ms at which the client stops waiting
+ * @param work expected ms on a standard core, 0 if unknown
+ * @param slots slots that the job holds while it runs
+ * @param memory memory that the job holds while it runs
+ * @param object identifies the object that a worker needs to have cached for the job, 0 for none
  */
 public record Job(
     String id,
--- a/dispatch/src/main/java/ferngrade/dispatch/JobClass.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/JobClass.java
@@ -1,8 +1,16 @@
 package ferngrade.dispatch;
 
 /**
- * A class of jobs: an answer is in time within {@code aim} ms plus {@code stretch} times its own
- * work.
+ * A class of jobs. An answer is in time if it takes at most {@code aim} ms plus {@code stretch}
+ * times the job's own work.
+ *
+ * @param effect how often a request may run
+ * @param scope the workers that drop repeats of a request with the same key
+ * @param window time in ms for which workers remember a key
+ * @param deadline time in ms after which clients stop waiting
+ * @param worth value of an answer in time
+ * @param lateWorth value of a late answer
+ * @param kind kind of workers that run the class, -1 for any
  */
 public record JobClass(
     String name,
--- a/dispatch/src/main/java/ferngrade/dispatch/LoadReport.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/LoadReport.java
@@ -1,15 +1,22 @@
 package ferngrade.dispatch;
 
 /**
- * A worker's load report, NaN where a value is not reported: {@code queued} requests wait, {@code
- * held} wait or run, from all dispatchers.
+ * A worker's load report. A value is NaN if it is not reported.
+ *
+ * @param freeSlots number of free slots
+ * @param freeMemory free memory
+ * @param queued number of requests that wait, from all dispatchers
+ * @param held number of requests that wait or run, from all dispatchers
  */
 public record LoadReport(double freeSlots, double freeMemory, double queued, double held) {
-  /** No report came with the event. */
+  /** Stands for an event without a report. */
   public static final LoadReport NONE =
       new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-  /** No worker is so large; a figure beyond it, or below 0, counts as not reported. */
+  /**
+   * Upper bound of valid values, which exceeds the size of any worker. A larger or negative value
+   * counts as not reported.
+   */
   private static final double MAX_FIGURE = 1e6;
 
   public LoadReport {
--- a/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
@@ -4,23 +4,29 @@
 import java.util.SplittableRandom;
 
 /**
- * The objects that a worker is thought to have cached: those that the last jobs from here needed.
- * Where an object must be fetched, all dispatchers prefer the same worker for it, so that their
- * jobs meet there.
+ * Tracks the objects that a worker is expected to have cached, which are those used by the last
+ * jobs from this dispatcher. If an object must be fetched, all dispatchers prefer the same worker,
+ * so that jobs that need it share one copy.
  */
 final class ObjectAffinity {
   /**
-   * Objects cached for each slot: each fetch brings one, and few workers cache more than they run
-   * jobs.
+   * Number of objects cached per slot: each fetch adds one, and most workers cache no more objects
+   * than they run jobs.
    */
   private static final double CACHED_PER_SLOT = 0.85;
 
-  /** What is taken off a fetch at most at the worker that all prefer; more would crowd it. */
+  /**
+   * Maximum discount on a fetch at the worker that all dispatchers prefer; a larger discount would
+   * overload that worker.
+   */
   private static final double PREFERENCE = 0.1;
 
   private final LinkedHashMap<Long, Boolean> cached = new LinkedHashMap<>(8, 0.75f, true);
 
-  /** A job goes to the worker, which has this many slots; {@code object} is 0 if it needs none. */
+  /**
+   * Records that a job that needs {@code object} is sent to the worker, which has {@code slots}
+   * slots. The object is 0 if the job needs none.
+   */
   void use(long object, double slots) {
     if (object != 0) {
       cached.put(object, true);
@@ -30,7 +36,7 @@
     }
   }
 
-  /** The part of a fetch that a job has to wait for at this worker. */
+  /** Returns the fraction of a fetch that a job has to wait for at this worker. */
   double missing(long object, long worker) {
     if (object == 0 || cached.containsKey(object)) {
       return 0;
--- a/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
@@ -3,30 +3,40 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps jobs from workers that fail: ejections, ejections of one class, short holds after a worker
- * was full, and zones that have gone silent. Times are milliseconds. Event thread only.
+ * Excludes failing workers from selection. Ejects workers after failures, entirely or for one
+ * class, holds back jobs briefly after a worker was full, and detects zones that have stopped
+ * responding. Times are milliseconds. Event thread only.
  */
 final class OutlierDetector {
-  /** First and longest ejection of a worker that fails. */
+  /** Duration of the first and of the longest ejection of a failing worker. */
   private static final double MIN_EJECTION_MS = 1000;
 
   private static final double MAX_EJECTION_MS = 16_000;
 
-  /** First and longest time for which a worker gets no jobs of a class that it does not take. */
+  /** Duration of the first and of the longest ejection of a worker for one class. */
   private static final double MIN_CLASS_EJECTION_MS = 8000;
 
   private static final double MAX_CLASS_EJECTION_MS = 32_000;
 
-  /** Share of the fleet that may be ejected at a time. */
+  /** Maximum share of the fleet that may be ejected at a time. */
   private static final double MAX_EJECTED_SHARE = 0.4;
 
-  /** Attempts to a zone without any sign of life before it is taken for cut off. */
+  /**
+   * Number of attempts or failed connections to a zone, without any response in between, after
+   * which the zone counts as unreachable.
+   */
   private static final int SILENT_ATTEMPTS = 4;
 
-  /** Silence of a zone, on top of a mean service time. */
+  /**
+   * Time without a response, in addition to a mean service time, after which a zone counts as
+   * unreachable.
+   */
   private static final double SILENCE_MS = 100;
 
-  /** Part of the mean service time for which a worker without memory or slots is held back. */
+  /**
+   * Fraction of the mean service time for which a worker without free memory or slots receives no
+   * jobs.
+   */
   private static final double EXHAUSTED_HOLD = 0.25;
 
   private final WorkerRegistry registry;
@@ -40,17 +50,21 @@
     this.random = random;
   }
 
-  /** The number of ready workers that are ejected. */
+  /** Returns the number of ready workers that are ejected. */
   int ejectedCount(double now) {
     return (int) registry.ready().filter(worker -> worker.ejectedUntil > now).count();
   }
 
-  /** True if the worker is not ejected and its zone answers. */
+  /** Returns true if the worker is not ejected and its zone responds. */
   boolean reachable(WorkerStats worker, double now) {
     return worker.ejectedUntil <= now && !silent(registry.zone(worker), now);
   }
 
-  /** True if nothing speaks against a job of this class at the worker. */
+  /**
+   * Returns true if the worker may receive a job of this class. An ejected worker receives one
+   * probe at a time once its ejection has ended, and an unreachable zone receives one per probe
+   * interval.
+   */
   boolean accepts(WorkerStats worker, int jobClass, double now) {
     boolean probed = worker.ejection > 0 && worker.heldSlots > 0;
     if (probed || blockedUntil(worker, jobClass) > now) {
@@ -60,15 +74,15 @@
     return !silent(zone, now) || now >= zone.nextProbeAt;
   }
 
-  /** When the worker's holds and ejections, for this class, end. */
+  /** Returns the time at which the worker's ejections and backoff for this class end. */
   double blockedUntil(WorkerStats worker, int jobClass) {
     return Math.max(
         worker.classEjectedUntil[jobClass], Math.max(worker.holdUntil, worker.ejectedUntil));
   }
 
-  /** Notes an attempt to the worker, which its zone should answer. */
+  /** Records an attempt sent to the worker, to which its zone is expected to respond. */
   void attemptSent(WorkerStats worker, int jobClass, double now) {
-    // One job at a time shows whether the worker takes the class again.
+    // After a class ejection a single job at a time tests whether the worker runs the class again.
     worker.classEjectedUntil[jobClass] =
         worker.classEjection[jobClass] > 0 ? now + MIN_CLASS_EJECTION_MS : 0;
     ZoneStats zone = registry.zone(worker);
@@ -78,7 +92,7 @@
     zone.nextProbeAt = now + SILENCE_MS + serviceTimes.mean();
   }
 
-  /** Notes any answer of the worker. */
+  /** Records any response from the worker. */
   void signOfLife(WorkerStats worker, double now) {
     ZoneStats zone = registry.zone(worker);
     zone.lastSignAt = now;
@@ -87,34 +101,45 @@
     zone.unreachable = 0;
   }
 
-  /** True if the worker has answered anything since the attempt was sent. */
+  /** Returns true if the worker has sent any response since the attempt was sent. */
   boolean answeredSince(Attempt attempt) {
     return attempt.worker.lastSignAt >= attempt.sentAt;
   }
 
-  /** The worker takes jobs of the class: its ejection for the class ends. */
+  /**
+   * Records that the worker has started a job of the class, which ends its ejection for the class.
+   */
   void attemptStarted(WorkerStats worker, int jobClass) {
     worker.classEjection[jobClass] = 0;
     worker.classEjectedUntil[jobClass] = 0;
   }
 
-  /** An attempt at the worker has ended well: the next ejection is a first one again. */
+  /**
+   * Records the success of an attempt at the worker. The next ejection has the minimum duration
+   * again.
+   */
   void attemptSucceeded(WorkerStats worker, int jobClass) {
     worker.ejection = 0;
     attemptStarted(worker, jobClass);
   }
 
-  /** The worker could not be connected to. */
+  /** Records a failed connection to the worker. */
   void connectFailed(WorkerStats worker) {
     registry.zone(worker).unreachable++;
   }
 
-  /** The worker has rejected an attempt since it is full: it is passed over for a while. */
+  /**
+   * Records that the worker rejected an attempt because it is full. It receives no jobs for a
+   * random time around the mean service time.
+   */
   void workerFull(WorkerStats worker, double now) {
     worker.holdUntil = now + serviceTimes.mean() * (0.5 + random.nextDouble());
   }
 
-  /** Passes over a worker without memory, or without slots where what it holds is not reported. */
+  /**
+   * Holds back jobs from a worker without free memory, and from one without free slots if it does
+   * not report the number of jobs that it holds.
+   */
   void reportReceived(WorkerStats worker, LoadReport report, double now) {
     if (report.freeMemory() <= 0 || (Double.isNaN(report.held()) && report.freeSlots() < 1)) {
       double until = now + serviceTimes.mean() * EXHAUSTED_HOLD;
@@ -123,8 +148,8 @@
   }
 
   /**
-   * Ejects a worker that fails, longer each time: failing fast it looks idle and would draw every
-   * job.
+   * Ejects a failing worker, for twice as long each time. A worker that fails fast appears idle and
+   * would attract all jobs.
    */
   void eject(WorkerStats worker, double now) {
     if (worker.ejectedUntil > now
@@ -136,8 +161,8 @@
   }
 
   /**
-   * Ejects a worker for one class: it works but did not start this job, and may hang on all of its
-   * class while it does others well.
+   * Ejects a worker for one class only. The worker responds but did not start a job of this class;
+   * it may block on every job of the class and still run other classes.
    */
   void ejectClass(WorkerStats worker, int jobClass, double now) {
     double doubled = Math.max(MIN_CLASS_EJECTION_MS, 2 * worker.classEjection[jobClass]);
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
@@ -3,16 +3,22 @@
 import java.util.Arrays;
 import java.util.stream.IntStream;
 
-/** The graph of peers: a ring with chords, so that spare slots cross a large fleet in few steps. */
+/**
+ * Computes the graph of peers: a ring with chords, in which unused slots cross a large fleet in few
+ * steps.
+ */
 final class PeerGraph {
-  /** Peers a dispatcher has at most; bounds messages and, through 1/(bound + 1), the step. */
+  /**
+   * Maximum number of peers of a dispatcher. It bounds the number of messages and, through 1/(bound
+   * + 1), the change of a slice per link.
+   */
   private static final int MAX_PEERS = 6;
 
   private PeerGraph() {}
 
   /**
-   * The numbers of this dispatcher's peers, ascending; the other end of each link has this one
-   * among its own.
+   * Returns the numbers of this dispatcher's peers, in ascending order. Links are symmetric: each
+   * peer has this dispatcher among its own peers.
    */
   static int[] links(int me, int dispatchers) {
     if (dispatchers <= MAX_PEERS + 1) {
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerMessage.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerMessage.java
@@ -3,9 +3,10 @@
 import java.nio.ByteBuffer;
 
 /**
- * The message that a dispatcher sends to its peers each budget cycle: the number of the cycle, its
- * slice, its excess demand (negative if its slice is larger), and the demand of each tenant, all
- * big-endian and in slots a second.
+ * Encodes the message that a dispatcher sends to its peers in each budget cycle: the number of the
+ * cycle, the slice, the excess demand (negative if the slice exceeds the demand), and the demand of
+ * each tenant. All values are big-endian and in slots per second, except for the number of the
+ * cycle.
  */
 final class PeerMessage {
   private static final int HEAD = 12;
@@ -22,8 +23,8 @@
   }
 
   /**
-   * Reads a message of so many tenants. Null if it is malformed: of a wrong length, or with figures
-   * that no dispatcher has (a slice or a demand below 0, or what is not finite).
+   * Decodes a message with this number of tenants. Returns null if it is malformed: if its length
+   * is wrong, the slice or a demand is negative, or a value is not finite.
    */
   static PeerState read(byte[] message, int tenants) {
     if (message.length != HEAD + 4 * tenants) {
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerState.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerState.java
@@ -1,8 +1,8 @@
 package ferngrade.dispatch;
 
-/** The last message of a peer, in slots a second. */
+/** The content of the last message from a peer. Rates are in slots per second. */
 final class PeerState {
-  /** The budget cycle of this dispatcher in which the message came. */
+  /** This dispatcher's budget cycle in which the message was received. */
   int receivedInCycle;
 
   final double slice;
--- a/dispatch/src/main/java/ferngrade/dispatch/PendingRequest.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PendingRequest.java
@@ -3,16 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's request and its attempts, kept until it is completed and none is in flight. */
+/**
+ * A client's request and its attempts. It is kept until it is completed and has no attempt in
+ * flight.
+ */
 final class PendingRequest {
   final Job job;
   final JobClass jobClass;
   final List<Attempt> attempts = new ArrayList<>(2);
 
-  /** Attempts that have not ended. */
+  /** Number of attempts that have not ended. */
   int inFlight;
 
-  /** True once no answer is owed any more. */
+  /** True once the request needs no answer. */
   boolean completed;
 
   PendingRequest(Job job, JobClass jobClass) {
@@ -20,12 +23,12 @@
     this.jobClass = jobClass;
   }
 
-  /** The first attempt that may have run the job, or null. */
+  /** Returns the first attempt that may have run the job, or null if there is none. */
   Attempt firstThatMayHaveRun() {
     return attempts.stream().filter(Attempt::mayHaveRun).findFirst().orElse(null);
   }
 
-  /** True if an attempt of this request went to the worker. */
+  /** Returns true if an attempt of this request was sent to the worker. */
   boolean triedAt(WorkerStats worker) {
     return attempts.stream().anyMatch(attempt -> attempt.worker == worker);
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/PendingRequests.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PendingRequests.java
@@ -3,7 +3,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The requests that are not completed or have attempts in flight, by id. Event thread only. */
+/**
+ * Indexes by id the requests that are not completed or have attempts in flight. Event thread only.
+ */
 final class PendingRequests {
   private final Map<String, PendingRequest> byId = new HashMap<>();
 
@@ -11,12 +13,12 @@
     byId.put(request.job.id(), request);
   }
 
-  /** The request, or null if there is none of this id. */
+  /** Returns the request with this id, or null if there is none. */
   PendingRequest find(String id) {
     return byId.get(id);
   }
 
-  /** The attempt of this number, or null if there is none. */
+  /** Returns the attempt with this number, or null if there is none. */
   Attempt findAttempt(String id, int number) {
     PendingRequest request = byId.get(id);
     return request == null || number >= request.attempts.size()
@@ -24,7 +26,7 @@
         : request.attempts.get(number);
   }
 
-  /** Drops the request if it is completed and none of its attempts is in flight. */
+  /** Removes the request if it is completed and none of its attempts is in flight. */
   void removeIfDone(PendingRequest request) {
     if (request.completed && request.inFlight == 0) {
       byId.remove(request.job.id());
--- a/dispatch/src/main/java/ferngrade/dispatch/Preconditions.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Preconditions.java
@@ -1,6 +1,6 @@
 package ferngrade.dispatch;
 
-/** Argument checks that name the field at fault. */
+/** Checks arguments and names the invalid field in the exception. */
 final class Preconditions {
   private Preconditions() {}
 
--- a/dispatch/src/main/java/ferngrade/dispatch/RejectionCause.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RejectionCause.java
@@ -1,15 +1,15 @@
 package ferngrade.dispatch;
 
-/** Which limit had the dispatcher reject a request. */
+/** The reason for which the dispatcher rejected a request. */
 public enum RejectionCause {
-  /** The tenant's level within the dispatcher's slot budget was used up. */
+  /** The tenant's quota of the dispatcher's slot budget was exhausted. */
   QUOTA,
-  /** No ready worker may have the request. */
+  /** No ready worker may run the request. */
   NO_WORKER,
   /** The request would start too late at the best worker. */
   START_TOO_LATE,
-  /** No further attempt is allowed after those that failed. */
+  /** The retry policy allows no further attempt. */
   NO_RETRY,
-  /** Its deadline was reached. */
+  /** The request's deadline was reached. */
   DEADLINE
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -1,25 +1,28 @@
 package ferngrade.dispatch;
 
 /**
- * Says whether a request may be sent (again), to which workers, until when, and with which final
- * answer it may end. Holds no state.
+ * Decides whether a request may be sent or retried, which workers may receive it, until when, and
+ * which final answers are allowed. Stateless.
  */
 final class RetryPolicy {
   private final DeploymentLimits limits;
   private final double roundMs;
 
-  /** {@code roundMs}: the time between batches of events, kept clear of every deadline. */
+  /**
+   * Creates a policy. {@code roundMs} is the time between batches of events, by which decisions are
+   * made ahead of each deadline.
+   */
   RetryPolicy(DeploymentLimits limits, double roundMs) {
     this.limits = limits;
     this.roundMs = roundMs;
   }
 
-  /** True if the request has attempts left. */
+  /** Returns true if the request has attempts left. */
   boolean attemptsLeft(PendingRequest request) {
     return request.attempts.size() < limits.tries();
   }
 
-  /** True if a further attempt is safe and still of use. */
+  /** Returns true if another attempt is safe and can still be useful to the client. */
   boolean maySend(PendingRequest request, double now) {
     if (request.completed || !attemptsLeft(request) || now >= request.job.due()) {
       return false;
@@ -38,7 +41,7 @@
     };
   }
 
-  /** True if the client may be answered that a retry is harmless. */
+  /** Returns true if the client may be told that a retry is safe. */
   boolean mayReject(PendingRequest request) {
     Idempotency effect = request.jobClass.effect();
     boolean keyedEverywhere =
@@ -46,14 +49,17 @@
     return effect == Idempotency.SAFE || keyedEverywhere || request.firstThatMayHaveRun() == null;
   }
 
-  /** True if the client is about to give up or has done so. */
+  /**
+   * Returns true if the client has stopped waiting or will do so before the next batch of events.
+   */
   boolean deadlineReached(PendingRequest request, double now) {
     return now >= request.job.due() - roundMs;
   }
 
   /**
-   * The attempt whose idempotency group all further ones must stay in: the first that may have run
-   * a request with a key. Null if the request may go anywhere.
+   * Returns the attempt whose idempotency group all further attempts must stay in, which is the
+   * first attempt that may have run a request with an idempotency key. Null if the request may go
+   * to any group.
    */
   Attempt groupAttempt(PendingRequest request) {
     boolean keyed =
@@ -62,7 +68,10 @@
     return keyed ? request.firstThatMayHaveRun() : null;
   }
 
-  /** True if the worker shares idempotency keys with the one of this attempt, null for any. */
+  /**
+   * Returns true if the worker shares idempotency keys with the worker of this attempt, or if the
+   * attempt is null.
+   */
   boolean sameGroup(Attempt groupAttempt, WorkerStats worker, IdempotencyScope scope) {
     if (groupAttempt == null) {
       return true;
--- a/dispatch/src/main/java/ferngrade/dispatch/ServiceObjective.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ServiceObjective.java
@@ -1,8 +1,10 @@
 package ferngrade.dispatch;
 
 /**
- * The service objective: the weights of the total value served and of the share served of the worst
- * class; 0 where not configured.
+ * The service objective. A weight is 0 if it is not configured.
+ *
+ * @param whole weight of the total value served
+ * @param worstClass weight of the served share of the worst class
  */
 public record ServiceObjective(double whole, double worstClass) {
   public ServiceObjective {
--- a/dispatch/src/main/java/ferngrade/dispatch/ServiceTimeEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ServiceTimeEstimator.java
@@ -1,26 +1,29 @@
 package ferngrade.dispatch;
 
 /**
- * Learns how long jobs run: by class, over all, and how slow each worker is against the mean. All
- * times are milliseconds. Event thread only.
+ * Estimates how long jobs run, by class and overall, and the speed of each worker relative to the
+ * mean. All times are milliseconds. Event thread only.
  */
 final class ServiceTimeEstimator {
-  /** Mean service time before the first job has ended. */
+  /** Mean service time assumed before the first job has ended. */
   private static final double INITIAL_MEAN_MS = 100;
 
   /** Weight of one job in a worker's own slowness. */
   private static final double WORKER_WEIGHT = 0.1;
 
-  /** Weight of one job in the means of its class, its worker's group and the whole. */
+  /** Weight of one job in the mean of its class, of its worker's group and of all jobs. */
   private static final double SHARED_WEIGHT = 0.05;
 
-  /** Weight of one job in the mean work: slow-start budgets must not swing with single jobs. */
+  /**
+   * Weight of one job in the mean work. It is small because single jobs must not make the
+   * slow-start budgets fluctuate.
+   */
   private static final double WORK_WEIGHT = 0.02;
 
-  /** Shortest time that a job counts as: clocks are no finer. */
+  /** Minimum service time of a job; the clocks have no finer resolution. */
   private static final double MIN_SERVICE_MS = 0.1;
 
-  /** Greatest slowness that one job may show: hints of work are rough. */
+  /** Maximum slowness derived from one job; hints of a job's work are imprecise. */
   private static final double MAX_SLOWNESS = 8;
 
   private final double[] meanByClass;
@@ -34,38 +37,44 @@
     this.meanByClass = new double[classes];
   }
 
-  /** The mean service time of all jobs. */
+  /** Returns the mean service time of all jobs. */
   double mean() {
     return mean;
   }
 
-  /** The mean work of a request, ms on a worker of mean speed times slots; 0 before the first. */
+  /**
+   * Returns the mean work of a request, which is its time in ms on a worker of mean speed times its
+   * slots; 0 before the first request.
+   */
   double meanWork() {
     return meanWork;
   }
 
-  /** The mean slots of a request; 0 before the first. */
+  /** Returns the mean slots of a request; 0 before the first request. */
   double meanSlots() {
     return meanSlots;
   }
 
-  /** The job's time on a worker of mean speed, as hinted or as its class shows. */
+  /**
+   * Returns the job's time on a worker of mean speed: the hint of its work if present, else the
+   * mean of its class.
+   */
   double standardTime(PendingRequest request) {
     double known = meanByClass[request.job.jobClass()];
     return request.job.work() > 0 ? request.job.work() : known > 0 ? known : mean;
   }
 
-  /** The job's expected time on this worker. */
+  /** Returns the job's expected time on this worker. */
   double timeAt(PendingRequest request, WorkerStats worker) {
     return standardTime(request) * (worker.outcomes > 0 ? worker.slowness : worker.group.slowness);
   }
 
-  /** The request's work: its standard time times its slots. */
+  /** Returns the request's work, which is its standard time times its slots. */
   double work(PendingRequest request) {
     return standardTime(request) * request.job.slots();
   }
 
-  /** Counts a request's work and slots; returns the work. */
+  /** Counts a request's work and slots, and returns its work. */
   double requestArrived(PendingRequest request) {
     double work = work(request);
     double weight = Math.max(WORK_WEIGHT, 1.0 / ++arrived);
@@ -74,7 +83,7 @@
     return work;
   }
 
-  /** Learns from an attempt that has ended well now. */
+  /** Updates the estimates from an attempt that succeeded at {@code now}. */
   void attemptSucceeded(PendingRequest request, Attempt attempt, double now) {
     double from = attempt.hasStarted() ? attempt.startedAt : attempt.sentAt;
     double took = Math.max(MIN_SERVICE_MS, now - from);
--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -1,53 +1,68 @@
 package ferngrade.dispatch;
 
 /**
- * The slice: the slots a second that this dispatcher may start. Where the endpoint list shows
- * loads, it follows this dispatcher's share of the fleet; else it grows while attempts are accepted
- * and is trimmed when they are rejected or start too late. Event thread only.
+ * Controls the slice, which is the number of slots per second that this dispatcher may start. If
+ * the endpoint list includes loads, the slice follows this dispatcher's share of the fleet.
+ * Otherwise it grows while attempts are accepted and is cut when they are rejected or start too
+ * late. Event thread only.
  */
 final class SlotBudget {
   /**
-   * Part of the fleet's idle cores that one dispatcher may take at once, whatever it had before.
+   * Share of the fleet's idle cores that one dispatcher may use at once, regardless of its previous
+   * slice.
    */
   private static final double IDLE_SHARE = 0.5;
 
-  /** A slice is at most so many times its share of the fleet; it could never grow otherwise. */
+  /**
+   * Maximum ratio of a slice to its share of the fleet. Without headroom a slice could never grow.
+   */
   private static final double HEADROOM = 1.75;
 
-  /** What is taken off the headroom where every worker has a job waiting for each core. */
+  /** Reduction of the headroom when every worker has one job queued for each core. */
   private static final double QUEUED_HEADROOM_LOSS = 0.55;
 
-  /** How far a slice moves to its share in a cycle; all the way it would swing with each list. */
+  /**
+   * Fraction of the difference to its share by which a slice changes in a cycle. With the whole
+   * difference it would oscillate with each update of the endpoint list.
+   */
   private static final double SETTLE = 0.6;
 
-  /** Part of the cores that must be busy before loads show a dispatcher's share. */
+  /** Minimum share of busy cores at which a dispatcher's share can be derived from the loads. */
   private static final double MIN_BUSY = 0.05;
 
   /**
-   * Jobs queued for each core from which on a fleet is crowded, where passing over queues feeds
-   * others.
+   * Number of queued jobs per core above which the fleet is congested. In a congested fleet,
+   * avoiding workers with long queues only lengthens the queues of other workers.
    */
   private static final double CROWDED_QUEUE = 0.35;
 
-  /** Share by which a slice in demand grows in a cycle: back from a half in 2 s. */
+  /** Growth of a slice per cycle while there is demand for it; a halved slice recovers in 2 s. */
   private static final double GROW = 0.2;
 
   /**
-   * Cut of a slice, times the rejected share of its attempts: it settles where a twentieth is
-   * rejected.
+   * Ratio of the relative cut of a slice to the share of rejected attempts. The slice is stable
+   * when a twentieth of the attempts is rejected.
    */
   private static final double TRIM = 4;
 
-  /** The least that one cut leaves: the rejections of one burst must not stop a dispatcher. */
+  /**
+   * Minimum fraction of a slice that remains after one cut: the rejections of a single burst must
+   * not stop a dispatcher.
+   */
   private static final double MIN_KEPT = 0.3;
 
-  /** A slice is at most so many times the demand, so that a trim is felt within two cycles. */
+  /**
+   * Maximum ratio of a slice to the demand; bounded so that a cut takes effect within two cycles.
+   */
   private static final double SLACK = 1.5;
 
-  /** Slots a second that a slice keeps in any case, so that an idle dispatcher can start again. */
+  /** Minimum slice in slots per second, with which an idle dispatcher can start again. */
   private static final double FLOOR = 1;
 
-  /** Weight of the newest cycle in the counts for cuts: of few jobs, some are late by chance. */
+  /**
+   * Weight of the newest cycle in the counts that decide about cuts. Of a small number of jobs some
+   * are late by chance.
+   */
   private static final double COUNT_WEIGHT = 0.2;
 
   private final boolean loadsListed;
@@ -65,32 +80,35 @@
   private boolean followsLoads;
   private boolean crowded;
 
-  /** {@code loadsListed}: the endpoint list shows each worker's load over all dispatchers. */
+  /**
+   * Creates a budget without a slice. {@code loadsListed} is true if the endpoint list includes
+   * each worker's load from all dispatchers.
+   */
   SlotBudget(boolean loadsListed) {
     this.loadsListed = loadsListed;
   }
 
-  /** The slots a second that may be started; NaN before the first cycle. */
+  /** Returns the number of slots per second that may be started, or NaN before the first cycle. */
   double slice() {
     return slice;
   }
 
-  /** True while the slice, and estimates of waits, follow the loads in the endpoint list. */
+  /** Returns true while the slice and the estimated waits follow the loads in the endpoint list. */
   boolean followsLoads() {
     return followsLoads;
   }
 
-  /** True while queues are long all over the fleet. */
+  /** Returns true while queues are long throughout the fleet. */
   boolean crowded() {
     return crowded;
   }
 
-  /** The smoothed slots a second of attempts accepted in time. */
+  /** Returns the smoothed rate of slots per second of attempts that were accepted in time. */
   double acceptedRate() {
     return acceptedRate;
   }
 
-  /** The smoothed share of attempts that were rejected or started late. */
+  /** Returns the smoothed share of attempts that were rejected or started late. */
   double rejectedShare() {
     return rejectedMean == 0 ? 0 : rejectedMean / Math.max(sentMean, rejectedMean);
   }
@@ -104,15 +122,15 @@
   }
 
   /**
-   * True if an attempt's fate says something of the present slice. One sent before the last cut
-   * waits for what was cut for: counted again it would cut a slice that is small already, for as
-   * long as the queues take to drain.
+   * Returns true if the attempt was sent after the last cut. An earlier attempt waits in a queue
+   * that the cut has already taken into account. Counting it again would cut an already small slice
+   * for as long as the queues take to drain.
    */
   boolean reflectsSlice(Attempt attempt) {
     return attempt.sentAt >= lastCutAt;
   }
 
-  /** Counts an attempt that has started, or has ended well without a notice of its start. */
+  /** Counts an attempt that has started, or has succeeded without a report of its start. */
   void attemptStarted(Attempt attempt, double slots) {
     if (!attempt.late && reflectsSlice(attempt)) {
       acceptedSlots += slots;
@@ -120,9 +138,9 @@
   }
 
   /**
-   * Counts an attempt as rejected if it still has not started: where queues are deep a worker's
-   * rejection comes too late. It counts once it is too late, not when it starts: by then the queue
-   * has grown for as long again.
+   * Counts an attempt as rejected if it has not started by its start deadline: with long queues a
+   * worker rejects attempts too late. The attempt is counted at the deadline and not at its start,
+   * because the queue would grow for as long again until then.
    */
   void startDeadlinePassed(Attempt attempt) {
     if (attempt.inFlight() && !attempt.hasStarted() && reflectsSlice(attempt)) {
@@ -131,7 +149,7 @@
     }
   }
 
-  /** Ends a budget cycle: sets the slice by the fleet's load or by the counts of this cycle. */
+  /** Ends a budget cycle: sets the slice from the fleet's load or from the counts of this cycle. */
   void endCycle(FleetLoad load, double meanWork, double demand, double seconds, double now) {
     followsLoads = loadsListed && load.startRateKnown() && load.busy() > MIN_BUSY * load.size();
     crowded = load.queued() > CROWDED_QUEUE * load.size();
@@ -145,15 +163,15 @@
     rejected = 0;
   }
 
-  /** Changes the slice by so many slots a second, which peers lose or gain. */
+  /** Changes the slice by {@code step} slots per second, which peers lose or gain. */
   void move(double step) {
     slice = Math.max(FLOOR, slice + step);
   }
 
   /**
-   * This dispatcher's share of the fleet: its own starts over the busy part of the reachable
-   * workers. All dispatchers see the same loads, so that the sum of the slices follows a lost zone
-   * without a message.
+   * Returns this dispatcher's share of the fleet: its own start rate divided by the busy fraction
+   * of the reachable workers. All dispatchers read the same loads, so the sum of the slices adapts
+   * to the loss of a zone without any message between them.
    */
   private static double fleetShare(FleetLoad load, double meanWork) {
     double own = load.startRate() * load.size() / load.busy();
@@ -167,23 +185,28 @@
     acceptedRate += COUNT_WEIGHT * (acceptedSlots / seconds - acceptedRate);
     double max = SLACK * demand + FLOOR;
     double change = GROW - TRIM * rejectedShare();
-    // The start is generous until a first cut shows a limit. A dispatcher that waits for its
-    // clients
-    // sees no demand for some cycles; growing from the floor then rejects them on an idle fleet.
+    // The slice stays at its maximum until the first cut reveals a limit. A dispatcher that waits
+    // for its clients has no demand for several cycles; growing from the minimum slice would then
+    // reject requests on an idle fleet.
     if (Double.isNaN(slice) || (change >= 0 && lastCutAt == Double.NEGATIVE_INFINITY)) {
       slice = Double.isNaN(slice) ? max : Math.max(max, slice);
     }
-    // Only growth stops at the maximum: cutting to it would destroy what peers pass through here.
+    // The maximum only stops growth. Cutting the slice to it would destroy slots that peers
+    // transfer through this dispatcher.
     if (change < 0 || slice < max) {
       applyChange(change, now);
     } else {
       slice = Math.max(max, slice * (1 - GROW));
     }
-    // Idle workers may have been given more than the slice: what they accepted proves it.
+    // Requests may have been admitted to idle workers beyond the slice; the accepted ones show that
+    // the slots exist.
     slice = Math.max(slice, acceptedRate);
   }
 
-  /** What was accepted proves that the slots exist; cutting below it starves an idle fleet. */
+  /**
+   * Changes the slice by this fraction, but does not cut it below the accepted rate. The workers
+   * have shown that these slots exist, and a lower slice would leave the fleet idle.
+   */
   private void applyChange(double change, double now) {
     if (change < 0) {
       lastCutAt = now;
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -6,53 +6,60 @@
 import java.util.Map;
 
 /**
- * Slow start: what one dispatcher may send to a worker that is warming up. Such a worker fails from
- * what all dispatchers send it together within one window, so its budget is dealt out as grants,
- * each worth one request of mean work, to one dispatcher after another. A grant that is not used
- * expires. No message is needed: every dispatcher derives its grants from the worker's age and its
- * own number. In any window the dispatchers together use the grants of two windows at most, and one
- * more, however many they are.
+ * Limits the requests that one dispatcher sends to a worker that is warming up. Such a worker fails
+ * if all dispatchers together send it too much within one window. Its budget is therefore divided
+ * into grants, each worth one request of mean work, which are assigned to the dispatchers in turn.
+ * An unused grant expires. The dispatchers exchange no messages: each one derives its grants from
+ * the worker's age and its own number. In any window all dispatchers together use at most the
+ * grants of two windows plus one, regardless of their number. Event thread only.
  */
 final class SlowStart {
   /**
-   * Share of the limit that is dealt out in a window. The grants of two windows can be used within
-   * one; the rest is for requests that arrive late and for errors of the estimate.
+   * Share of the limit that is granted per window. The grants of two windows can be used within one
+   * window; the rest covers requests that arrive late and errors of the estimate.
    */
   private static final double LIMIT_SHARE = 0.35;
 
   /**
-   * Share of the slack for chance that is dealt out in a window beyond that; two windows can meet
-   * here as well.
+   * Share of the tolerance for random variation that is granted per window in addition; the grants
+   * of two windows can coincide here as well.
    */
   private static final double SLACK_SHARE = 0.25;
 
-  /** Limit from which on the slack for chance is the smaller one. */
+  /** Limit above which the smaller formula for the tolerance applies. */
   private static final double LARGE_LIMIT = 30;
 
   /**
-   * Windows after which an unused grant expires: one dispatcher of many has few requests to use it
-   * for.
+   * Lifetime of an unused grant in windows. Bounded because one of many dispatchers has few
+   * requests that could use the grant.
    */
   private static final double GRANT_LIFETIME = 1;
 
   /**
-   * Grants of a window, at the least: the slack of the limit covers them while its size is unknown.
+   * Minimum number of grants per window. The tolerance of the limit covers them while the worker's
+   * capacity is unknown.
    */
   private static final double LEAST_GRANTS = 1;
 
-  /** Share of a request's cost that must be granted when it is sent; later grants pay the rest. */
+  /**
+   * Share of a request's cost that must be granted when it is sent; later grants cover the rest.
+   */
   private static final double COVERED_SHARE = 0.5;
 
-  /** Spreads the first turns of workers; odd and not a divisor of common fleet sizes. */
+  /**
+   * Offsets the first grant of each worker so that dispatchers do not all begin with the same
+   * worker. The number is odd and does not divide common fleet sizes.
+   */
   private static final long TURN_STRIDE = 31;
 
   private final SlowStartPolicy rule;
   private final int me;
   private final int dispatchers;
 
-  /** The processes of this dispatcher that run side by side, and the number of this one. */
+  /** Number of concurrent processes of this dispatcher. */
   private int processes = 1;
 
+  /** Zero-based number of this process. */
   private int process;
   private boolean stopped;
   private final Map<Long, Account> accounts = new HashMap<>();
@@ -64,9 +71,9 @@
   }
 
   /**
-   * This is one of {@code count} processes of the dispatcher, number {@code index} of them from 0:
-   * each has the grants of a dispatcher of its own in a fleet of so many more. All accounts are
-   * opened anew.
+   * Sets the number of concurrent processes of the dispatcher and the zero-based number of this
+   * one. Each process gets the grants of a separate dispatcher in a fleet that is larger by this
+   * factor. All accounts are reopened.
    */
   void sharedBy(int count, int index) {
     processes = count;
@@ -74,46 +81,52 @@
     accounts.values().forEach(account -> account.received = Double.NaN);
   }
 
-  /** From now on this process has no grants: others have them. */
+  /** Stops the use of grants by this process; they are left to the other processes. */
   void stop() {
     stopped = true;
   }
 
-  /** Between how many the grants of a worker are divided. */
+  /**
+   * Returns the number of processes of all dispatchers, among which the grants of a worker are
+   * divided.
+   */
   int participants() {
     return dispatchers * processes;
   }
 
-  /** A request sent to a worker: when, and its work in requests of mean work. */
+  /** A request sent to a worker at time {@code at} (ms). The cost is in requests of mean work. */
   private record Sent(double at, double cost) {}
 
-  /** The grants of one process of a worker, counted from its start. */
+  /** The grants of this process for one worker, counted from the start of the worker's process. */
   private static final class Account {
     final Deque<Sent> recent = new ArrayDeque<>();
     double startedAt;
 
-    /** Grants up to {@code receivedAt}, with the fraction of the next; NaN before the first use. */
+    /**
+     * Number of grants received until {@code receivedAt}, including the fraction of the next one;
+     * NaN before the first use.
+     */
     double received = Double.NaN;
 
     double receivedAt;
 
-    /** Grants that are used up, expired or owed. */
+    /** Number of grants that are used, expired or owed for requests already sent. */
     double used;
   }
 
-  /** True while the worker may fail from a load that it could bear later. */
+  /** Returns true while the worker may fail under a load that it can sustain once it is warm. */
   boolean warmingUp(Worker worker, double now) {
     return worker.startedAt() > 0 && now - worker.startedAt() < rule.coldMs();
   }
 
-  /** The share of its capacity that a worker of this age has at the least. */
+  /** Returns the minimum share of its capacity that a worker of this age has. */
   double warmth(Worker worker, double now) {
     return rule.coldMs() == 0 ? 1 : warmthAt(age(worker, now));
   }
 
   /**
-   * True if a request of this cost, in requests of mean work, may be sent now to a worker that
-   * carries {@code capacity} of them a second once it is warm.
+   * Returns true if a request of this cost, in requests of mean work, may be sent now to a worker
+   * that serves {@code capacity} requests of mean work per second once it is warm.
    */
   boolean allows(Worker worker, double cost, double capacity, double now) {
     if (!warmingUp(worker, now)) {
@@ -128,7 +141,8 @@
   }
 
   /**
-   * Counts a request that is being sent, also to a warm worker: it may have restarted unnoticed.
+   * Counts a request that is being sent. Requests to a warm worker are counted too, because it may
+   * have restarted without this dispatcher being notified yet.
    */
   void sent(Worker worker, double cost, double now) {
     if (rule.coldMs() == 0) {
@@ -151,7 +165,7 @@
     return account;
   }
 
-  /** Adds the grants since the last call and drops those that have expired. */
+  /** Adds the grants received since the last call and drops the expired ones. */
   private void receive(Account account, Worker worker, double capacity, double now) {
     if (Double.isNaN(account.received)) {
       open(account, worker, capacity, now);
@@ -165,9 +179,9 @@
   }
 
   /**
-   * The first look at a process. Grants from before are void: an earlier process of this dispatcher
-   * may have used them. Requests that were on their way when its start became known are paid for,
-   * but for no longer than they stay in the window.
+   * Opens the account of a worker process. Earlier grants are void because a previous process of
+   * this dispatcher may have used them. Requests in flight to the process when its start became
+   * known are charged, up to the grants of one window.
    */
   private void open(Account account, Worker worker, double capacity, double now) {
     double age = age(worker, now);
@@ -186,14 +200,17 @@
         Math.floor(account.received) + Math.min(early, Math.max(1, grants(capacity, age)));
   }
 
-  /** The grants of this dispatcher in one window, at this age of the worker. */
+  /** Returns the number of grants of this process per window for a worker of this age. */
   private double grants(double capacity, double age) {
     double limit = rule.fallMultiple() * warmthAt(age) * capacity * rule.tipMs() / 1000;
     double dealt = LIMIT_SHARE * limit + SLACK_SHARE * slack(limit);
     return Math.max(LEAST_GRANTS, dealt) / participants();
   }
 
-  /** What chance may add to the limit before the worker fails. */
+  /**
+   * Returns the tolerance: the excess over the limit by random variation that does not make the
+   * worker fail.
+   */
   private static double slack(double limit) {
     double root = Math.sqrt(limit);
     return limit < LARGE_LIMIT ? 3 * root + 3 : 2 * root + 2;
@@ -203,7 +220,10 @@
     return rule.startCapacity() + (1 - rule.startCapacity()) * Math.min(1, age / rule.coldMs());
   }
 
-  /** A start that the clocks put into the future counts as now. */
+  /**
+   * Returns the worker's age in ms. A start time in the future, from clocks that differ, counts as
+   * age 0.
+   */
   private static double age(Worker worker, double now) {
     return Math.max(0, now - worker.startedAt());
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
@@ -2,9 +2,12 @@
 
 import java.util.List;
 
-/** Admits requests to workers that are warming up, within {@link SlowStart}'s budgets. */
+/**
+ * Admits requests to workers that are warming up, within the budgets of {@link SlowStart}. Event
+ * thread only.
+ */
 final class SlowStartGate {
-  /** The least that a job costs, in requests of mean work: hints of its work are rough. */
+  /** Minimum cost of a job in requests of mean work; hints of a job's work are imprecise. */
   private static final double MIN_COST = 0.5;
 
   private final WorkerRegistry registry;
@@ -27,7 +30,7 @@
     this.fleetLoad = fleetLoad;
   }
 
-  /** Looks for the workers at which this dispatcher has a grant, once in each budget cycle. */
+  /** Determines the workers for which this dispatcher has a grant, once per budget cycle. */
   void startCycle(double now) {
     granted =
         registry
@@ -37,28 +40,31 @@
             .toList();
   }
 
-  /** The workers that are warming up at which this dispatcher had a grant in this budget cycle. */
+  /**
+   * Returns the workers that are warming up and for which this dispatcher had a grant at the start
+   * of this budget cycle.
+   */
   List<WorkerStats> granted() {
     return granted;
   }
 
-  /** True while the worker is warming up. */
+  /** Returns true while the worker is warming up. */
   boolean warmingUp(WorkerStats worker, double now) {
     return slowStart.warmingUp(worker.entry, now);
   }
 
-  /** True unless the worker is warming up and its budget does not cover the request. */
+  /** Returns false if the worker is warming up and its budget does not cover the request. */
   boolean allows(PendingRequest request, WorkerStats worker, double now) {
     return !slowStart.warmingUp(worker.entry, now)
         || slowStart.allows(worker.entry, cost(request), warmCapacity(worker), now);
   }
 
-  /** Counts a request that is sent to the worker. */
+  /** Counts a request that is being sent to the worker. */
   void attemptSent(PendingRequest request, WorkerStats worker, double now) {
     slowStart.sent(worker.entry, cost(request), now);
   }
 
-  /** What a request adds to the load of a worker, in requests of mean work. */
+  /** Returns the load that a request adds to a worker, in requests of mean work. */
   private double cost(PendingRequest request) {
     double work = serviceTimes.work(request);
     double meanWork = serviceTimes.meanWork();
@@ -66,8 +72,9 @@
   }
 
   /**
-   * Requests of mean work a second that the worker carries when warm: by its listed size, else by
-   * what the warm workers accept from this dispatcher.
+   * Returns the number of requests of mean work per second that the worker serves once it is warm.
+   * It is derived from the listed size, or without listed loads from the rate that the warm workers
+   * accept from this dispatcher.
    */
   private double warmCapacity(WorkerStats worker) {
     if (budget.followsLoads()) {
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStartPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStartPolicy.java
@@ -1,9 +1,9 @@
 package ferngrade.dispatch;
 
 /**
- * The rules for fresh workers: one starts with {@code startCapacity} of its capacity, is warm after
- * {@code coldMs}, and falls over when sent more than {@code fallMultiple} times its present
- * capacity for {@code tipMs}.
+ * The behaviour of freshly started workers. A worker starts with {@code startCapacity} (0 to 1) of
+ * its capacity and reaches full capacity after {@code coldMs}. It fails if it receives more than
+ * {@code fallMultiple} times its present capacity for {@code tipMs}.
  */
 public record SlowStartPolicy(
     double startCapacity, double coldMs, double fallMultiple, double tipMs) {
--- a/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
@@ -1,13 +1,13 @@
 package ferngrade.dispatch;
 
 /**
- * Says until when a job must start at a worker to be in time for its class's latency objective. All
- * times are milliseconds. Event thread only.
+ * Computes the latest start of a job at a worker that still meets the latency objective of its
+ * class. All times are milliseconds. Event thread only.
  */
 final class StartDeadlines {
   /**
-   * Share of its spare time from which on a job's wait counts as a rejection: queues have begun to
-   * build.
+   * Fraction of its spare time after which a waiting job counts as rejected, because queues have
+   * begun to grow.
    */
   private static final double LATE_SHARE = 0.75;
 
@@ -21,7 +21,7 @@
     this.budget = budget;
   }
 
-  /** The time that a job can wait and still be in time if this worker runs it. */
+  /** Returns the time that a job can wait and still meet its objective if this worker runs it. */
   double spareTime(PendingRequest request, WorkerStats worker) {
     JobClass jobClass = request.jobClass;
     return jobClass.aim()
@@ -29,12 +29,14 @@
         - serviceTimes.timeAt(request, worker);
   }
 
-  /** The wait for its start from which on a job counts as rejected. */
+  /** Returns the time without a start after which a job counts as rejected. */
   double lateAfter(PendingRequest request, WorkerStats worker) {
     return LATE_SHARE * Math.max(spareTime(request, worker), request.jobClass.aim());
   }
 
-  /** True for a first attempt that would start so late that it only delays later jobs. */
+  /**
+   * Returns true for a first attempt that would start so late that it would only delay later jobs.
+   */
   boolean wouldStartLate(PendingRequest request, WorkerStats worker, double now) {
     return budget.followsLoads()
         && request.attempts.isEmpty()
--- a/dispatch/src/main/java/ferngrade/dispatch/Tenant.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Tenant.java
@@ -1,8 +1,10 @@
 package ferngrade.dispatch;
 
 /**
- * A tenant: its share of the service, and the requests a second, over all dispatchers, inside that
- * share.
+ * A tenant of the service.
+ *
+ * @param share weight of the tenant when slots are scarce
+ * @param allowance requests per second over all dispatchers that are within that share
  */
 public record Tenant(String name, double share, double allowance) {
   public Tenant {
--- a/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
@@ -8,29 +8,32 @@
 
 /**
  * Divides the dispatcher's slice among tenants by weighted water filling, and admits each tenant's
- * requests through a token bucket filled at its level. All rates are slots a second. Event thread
- * only.
+ * requests through a token bucket that is refilled at the rate of its quota. All rates are slots
+ * per second. Event thread only.
  */
 final class TenantQuotas {
   /** Weight of the newest budget cycle in the smoothed demand. */
   private static final double DEMAND_WEIGHT = 0.4;
 
-  /** Seconds of its level that a tenant's token bucket holds. */
+  /** Capacity of a tenant's token bucket, in seconds of its quota. */
   private static final double BURST_S = 0.25;
 
   /**
-   * Seconds of its level by which classes that go first may overdraw the bucket; others pay for it.
+   * Amount by which prioritised classes may overdraw the bucket, in seconds of the quota; the other
+   * classes of the tenant get correspondingly less.
    */
   private static final double OVERDRAFT_S = 1;
 
-  /** Weight of a tenant with none, so that it gets what nobody else wants. */
+  /** Weight of a tenant with a share of 0, which receives the slots that no other tenant uses. */
   private static final double MIN_WEIGHT = 1e-6;
 
   private final List<TenantShare> shares = new ArrayList<>();
   private final double[] weights;
   private boolean demandKnown;
 
-  /** Quotas of these tenants; without any, one tenant has all. */
+  /**
+   * Creates the quotas of these tenants. If the list is empty, a single tenant receives all slots.
+   */
   TenantQuotas(List<Tenant> tenants) {
     tenants.forEach(each -> shares.add(new TenantShare(Math.max(each.share(), MIN_WEIGHT))));
     if (shares.isEmpty()) {
@@ -39,17 +42,20 @@
     this.weights = shares.stream().mapToDouble(share -> share.weight).toArray();
   }
 
-  /** The number of tenants, at least one. */
+  /** Returns the number of tenants, which is at least one. */
   int size() {
     return shares.size();
   }
 
-  /** The smoothed demand of each tenant. */
+  /** Returns the smoothed demand of each tenant. */
   double[] demands() {
     return shares.stream().mapToDouble(share -> share.demand).toArray();
   }
 
-  /** Takes what was requested in the budget cycle that ends, which lasted so many seconds. */
+  /**
+   * Updates the demands from the requests of the budget cycle that ends and that lasted {@code
+   * seconds}.
+   */
   void endCycle(double seconds) {
     double weight = demandKnown ? DEMAND_WEIGHT : 1;
     demandKnown = true;
@@ -59,13 +65,16 @@
     }
   }
 
-  /** Sets the tenants' levels so that together they use the slots. */
+  /** Sets the tenants' quotas so that they add up to the given slots. */
   void divide(double slots) {
     double level = waterLevel(slots, demands(), weights);
     shares.forEach(each -> each.level = level * each.weight);
   }
 
-  /** Counts the job as demand; true if the tenant's bucket covers it, which then pays for it. */
+  /**
+   * Counts the job as demand. Returns true, and takes the job's slots from the tenant's bucket, if
+   * the bucket covers the job.
+   */
   boolean admit(Job job, ClassPriorities priorities, double now) {
     TenantShare share = share(job.tenant());
     share.requested += job.slots();
@@ -84,15 +93,15 @@
     return true;
   }
 
-  /** True if the tenant asks for more than its level. */
+  /** Returns true if the tenant's demand exceeds its quota. */
   boolean exceedsLevel(int tenant) {
     TenantShare share = share(tenant);
     return share.demand > share.level;
   }
 
   /**
-   * The part of the demand here that fits if these slots are divided among all these demands, which
-   * include the demand here.
+   * Returns the part of the local demand that fits if the given slots are divided among all the
+   * given demands, which include the local demand.
    */
   double demandWithin(double slots, double[] demands) {
     double level = waterLevel(slots, demands, weights);
@@ -104,14 +113,17 @@
     return fitting;
   }
 
-  /** A tenant beyond the settings' list counts as the last one. */
+  /**
+   * Returns the share of a tenant. A tenant number beyond the list of the settings counts as the
+   * last tenant.
+   */
   private TenantShare share(int tenant) {
     return shares.get(Math.min(tenant, shares.size() - 1));
   }
 
   /**
-   * Weighted water filling: the level a unit of weight at which the demands use up the slots;
-   * infinite if all demands fit.
+   * Computes the weighted water level: the rate per unit of weight at which the demands use exactly
+   * the available slots. The level is infinite if all demands fit.
    */
   static double waterLevel(double slots, double[] demands, double[] weights) {
     double slotsLeft = slots;
--- a/dispatch/src/main/java/ferngrade/dispatch/TenantShare.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/TenantShare.java
@@ -1,16 +1,19 @@
 package ferngrade.dispatch;
 
-/** One tenant's quota of the slice and its token bucket, in slots and slots a second. */
+/**
+ * The state of one tenant: its quota of the slice and its token bucket. Amounts are in slots, rates
+ * in slots per second.
+ */
 final class TenantShare {
   final double weight;
 
   /** Slots requested since the last budget cycle. */
   double requested;
 
-  /** Smoothed slots requested a second. */
+  /** Smoothed rate of requested slots per second. */
   double demand;
 
-  /** Slots a second that are admitted; infinite while all demand fits. */
+  /** Rate of slots that is admitted, per second; infinite while the slice covers all demand. */
   double level = Double.POSITIVE_INFINITY;
 
   /** Slots in the token bucket as of {@code tokensAt} (ms); negative while overdrawn. */
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -4,21 +4,25 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of one dispatcher, behind {@link Dispatcher}: passes each event through the parts
- * that own the state. A request passes its tenant's quota of this dispatcher's slot budget, the
- * selection of a worker, and, when an attempt ends badly, the retry policy. Reads no clock; time
- * comes with events, in ms. One instance belongs to one thread.
+ * Implements {@link Dispatcher} by passing each event to the components that own the state. A
+ * request is checked against its tenant's quota of this dispatcher's slot budget, then a worker is
+ * selected, and the retry policy decides whether a failed attempt is repeated. The class reads no
+ * clock: each event carries the time in ms. An instance must be used by one thread only.
  */
 public final class ThrottlingDispatcher implements Dispatcher {
   private static final long CYCLE_TOKEN = 1;
   private static final long WATCH_TOKEN = 2;
 
   /**
-   * Span over which the dispatchers' first watches are spread, so that discovery is not flooded.
+   * Interval over which the dispatchers spread their first subscriptions to the endpoint list, so
+   * that they do not overload discovery.
    */
   private static final double FIRST_WATCH_SPREAD_MS = 2000;
 
-  /** Least delay and random addition before the endpoint list is watched again after a failure. */
+  /**
+   * Minimum delay before the endpoint list is watched again after a failure; a random jitter is
+   * added.
+   */
   private static final double MIN_WATCH_BACKOFF_MS = 1000;
 
   private static final double WATCH_BACKOFF_JITTER_MS = 2000;
@@ -44,7 +48,10 @@
   private final AttemptOutcomeHandler outcomes;
   private final IdleCapacity idle;
 
-  /** Starts a dispatcher's decisions at {@code now}; the seed is its only source of chance. */
+  /**
+   * Creates a dispatcher that starts its timers at {@code now}. The seed determines all random
+   * choices.
+   */
   public ThrottlingDispatcher(DispatcherSettings settings, long seed, double now, Actions actions) {
     this.settings = settings;
     this.actions = actions;
@@ -79,7 +86,10 @@
     }
   }
 
-  /** The slots a second that this dispatcher may start; NaN before its first budget cycle. */
+  /**
+   * Returns the number of slots per second that this dispatcher may start, or NaN before the first
+   * budget cycle.
+   */
   public double slice() {
     return budget.slice();
   }
@@ -119,13 +129,14 @@
     }
   }
 
-  /** Admits a job that the budget does not cover if idle workers can bear it. */
+  /** Returns true if the job exceeds the budget but idle workers have capacity for it. */
   private boolean admitBeyondBudget(Job job) {
     return !budget.followsLoads() && idle.admit(job);
   }
 
   /**
-   * Sends the request (again) if that is allowed, else answers it unless an attempt is in flight.
+   * Sends or retries the request if that is allowed. Otherwise answers it, unless an attempt is
+   * still in flight.
    */
   private void sendOrAnswer(PendingRequest request, double now) {
     boolean overQuota =
@@ -177,7 +188,10 @@
     }
   }
 
-  /** Sends a request that waits in a queue to a second worker; its place in the queue is kept. */
+  /**
+   * Sends a request that is queued at a worker to a second worker. The queued attempt stays in
+   * flight.
+   */
   private void hedge(PendingRequest request, double now) {
     if (!hedging.stillWaits(request)) {
       return;
@@ -216,7 +230,10 @@
     outcomes.attemptStarted(request, attempt);
   }
 
-  /** Gives up the request's places in other queues, now that the attempt of this number runs. */
+  /**
+   * Cancels the attempts that are queued at other workers, now that attempt {@code number} is
+   * running.
+   */
   private void cancelWaitingAttempts(PendingRequest request, int number) {
     if (!settings.limits().cancel()) {
       return;
@@ -276,14 +293,14 @@
     if (outcome == AttemptOutcome.TIMEOUT && retries.deadlineReached(request, now)) {
       answer(request, 0, RejectionCause.DEADLINE);
     } else if (request.inFlight == 0 && outcome == AttemptOutcome.UNUSABLE) {
-      // Retried, one bad request would bring a worker under suspicion with each attempt.
+      // A retry would make the request fail at further workers and cause their ejection.
       fail(request);
     } else if (request.inFlight == 0) {
       sendOrAnswer(request, now);
     }
   }
 
-  /** Rejects the request if a retry by the client is harmless, else fails it. */
+  /** Rejects the request if the client can safely retry it; otherwise fails it. */
   private void answer(PendingRequest request, double retryAfter, RejectionCause cause) {
     if (!retries.mayReject(request)) {
       fail(request);
--- a/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
@@ -1,17 +1,21 @@
 package ferngrade.dispatch;
 
 /**
- * Estimates how long a job waits for its start at a worker: from starts seen here, and from loads
- * in the endpoint list where these are known. All times are milliseconds. Event thread only.
+ * Estimates how long a job waits for its start at a worker, from starts observed by this dispatcher
+ * and from the loads in the endpoint list if these are known. All times are milliseconds. Event
+ * thread only.
  */
 final class WaitEstimator {
-  /** Weight of one wait in a worker's own mean. */
+  /** Weight of one observed wait in a worker's own mean. */
   private static final double WORKER_WEIGHT = 0.3;
 
-  /** Weight of one wait in the mean of the worker's group. */
+  /** Weight of one observed wait in the mean of the worker's group. */
   private static final double GROUP_WEIGHT = 0.1;
 
-  /** Time in which a worker's own mean fades into its group's. */
+  /**
+   * Time constant with which the estimate returns from a worker's own mean to the mean of its
+   * group.
+   */
   private static final double MEMORY_MS = 3000;
 
   private final WorkerRegistry registry;
@@ -30,7 +34,7 @@
     this.dispatchers = dispatchers;
   }
 
-  /** Learns the round-trip time and the wait from an attempt's start. */
+  /** Updates the round-trip time and the wait from an attempt's start. */
   void attemptStarted(Attempt attempt, double now) {
     double delay = now - attempt.sentAt;
     ZoneStats zone = registry.zone(attempt.worker);
@@ -38,7 +42,10 @@
     learn(attempt.worker, delay - zone.roundTripTime, now);
   }
 
-  /** Learns from an attempt that is still waiting: its start takes at least this long. */
+  /**
+   * Updates the wait from an attempt that has not started yet, with the time since it was sent as a
+   * lower bound.
+   */
   void attemptStillWaits(Attempt attempt, double now) {
     WorkerStats worker = attempt.worker;
     learn(worker, Math.max(now - attempt.sentAt, expected(worker, now)), now);
@@ -52,9 +59,9 @@
   }
 
   /**
-   * The expected wait: what was seen here, moved towards the listed load by this dispatcher's part
-   * of all. Every dispatcher reads the same list: going by it alone, all would send to the same few
-   * workers until the next one.
+   * Returns the expected wait: the observed wait, adjusted towards the wait derived from the listed
+   * load by this dispatcher's fraction of all dispatchers. If every dispatcher relied on the list
+   * alone, all would send to the same few workers until the next update of the list.
    */
   double expected(WorkerStats worker, double now) {
     double observed = observed(worker, now);
@@ -63,12 +70,15 @@
         : observed;
   }
 
-  /** True while the endpoint list shows the load of each worker. */
+  /** Returns true while the endpoint list includes the load of each worker. */
   boolean followsLoads() {
     return budget.followsLoads();
   }
 
-  /** The wait by the listed jobs for each core and those sent that the list cannot show yet. */
+  /**
+   * Returns the wait derived from the listed jobs per core and the jobs sent that the list cannot
+   * include yet.
+   */
   double byListedLoad(WorkerStats worker, double now) {
     double slowness = worker.group.slowness;
     double unlisted = registry.recentSlots(worker, now);
@@ -76,7 +86,7 @@
     return Math.max(0, load - 1) * serviceTimes.mean() * slowness;
   }
 
-  /** What was seen of this worker, fading into what its group shows. */
+  /** Returns the observed wait of this worker, which decays to the mean of its group. */
   private static double observed(WorkerStats worker, double now) {
     double groupMean = worker.group.wait;
     return groupMean + (worker.wait - groupMean) * Math.exp((worker.waitAt - now) / MEMORY_MS);
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
@@ -9,17 +9,20 @@
 import java.util.stream.Stream;
 
 /**
- * The workers of the endpoint list, their zones and groups, and the slots that attempts from here
- * hold. Event thread only.
+ * Tracks the workers of the endpoint list, their zones and groups, and the slots of the attempts
+ * that this dispatcher has in flight. Event thread only.
  */
 final class WorkerRegistry {
-  /** Time in which the endpoint list comes to show a job sent, ms. */
+  /** Time constant with which the endpoint list comes to include a job that was sent. */
   private static final double LIST_DELAY_MS = 1000;
 
-  /** Weight of one load report in the learned slots of a group. */
+  /** Weight of one load report in the estimated number of slots of a group. */
   private static final double SLOTS_WEIGHT = 0.1;
 
-  /** Free slots from which on one is free: reports are a little noisy. */
+  /**
+   * Minimum reported number of free slots at which a slot counts as free; reports are slightly
+   * noisy.
+   */
   private static final double MIN_FREE_SLOTS = 0.5;
 
   private final int ownZone;
@@ -30,13 +33,15 @@
   private List<WorkerStats> remote = new ArrayList<>();
   private double heldSlots;
 
-  /** An empty registry of a dispatcher in this zone, for so many job classes. */
+  /** Creates an empty registry for a dispatcher in this zone and for this number of job classes. */
   WorkerRegistry(int ownZone, int classes) {
     this.ownZone = ownZone;
     this.classes = classes;
   }
 
-  /** Takes entries of the endpoint list; all but CHANGES replace the whole list. */
+  /**
+   * Applies entries of the endpoint list. Any update other than CHANGES replaces the whole list.
+   */
   void update(EndpointListUpdate update, List<Worker> entries) {
     if (update != EndpointListUpdate.CHANGES) {
       workers.values().forEach(worker -> worker.listed = false);
@@ -50,7 +55,8 @@
   private void update(Worker entry) {
     WorkerStats worker = workers.get(entry.id());
     if (worker == null || worker.entry.startedAt() != entry.startedAt()) {
-      // A restarted process shares nothing with the old one: neither its jobs nor what was learned.
+      // A restarted process has none of the jobs of the previous one, and the estimates learned for
+      // the previous process do not apply to it.
       if (worker != null) {
         worker.listed = false;
       }
@@ -65,7 +71,10 @@
     worker.load = entry.weight() > 0 ? worker.group.size / entry.weight() - 1 : 0;
   }
 
-  /** Sorts the ready workers by zone; one that is no longer listed is gone at once. */
+  /**
+   * Rebuilds the lists of local and remote ready workers. A worker that is no longer listed is
+   * removed immediately.
+   */
   private void rebuildPools() {
     local = new ArrayList<>();
     remote = new ArrayList<>();
@@ -78,37 +87,37 @@
     remote.sort(Comparator.comparingLong(worker -> worker.id));
   }
 
-  /** All workers ever listed, in no order that means anything. */
+  /** Returns all workers that were ever listed, in no particular order. */
   Collection<WorkerStats> all() {
     return workers.values();
   }
 
-  /** The ready workers of this dispatcher's zone, by id. */
+  /** Returns the ready workers in this dispatcher's zone, ordered by id. */
   List<WorkerStats> local() {
     return local;
   }
 
-  /** The ready workers of all other zones, by id. */
+  /** Returns the ready workers in all other zones, ordered by id. */
   List<WorkerStats> remote() {
     return remote;
   }
 
-  /** The ready workers. */
+  /** Returns the ready workers of all zones. */
   Stream<WorkerStats> ready() {
     return Stream.concat(local.stream(), remote.stream());
   }
 
-  /** The number of ready workers. */
+  /** Returns the number of ready workers. */
   int readyCount() {
     return local.size() + remote.size();
   }
 
-  /** The slots of all attempts from here that are in flight. */
+  /** Returns the slots of all attempts from this dispatcher that are in flight. */
   double heldSlots() {
     return heldSlots;
   }
 
-  /** The zone of a worker. */
+  /** Returns the statistics of the worker's zone. */
   ZoneStats zone(WorkerStats worker) {
     return zone(worker.entry.zone());
   }
@@ -117,18 +126,21 @@
     return zones.computeIfAbsent(index, key -> new ZoneStats());
   }
 
-  /** True if the worker is in this dispatcher's zone. */
+  /** Returns true if the worker is in this dispatcher's zone. */
   boolean isLocal(WorkerStats worker) {
     return worker.entry.zone() == ownZone;
   }
 
-  /** Round-trip time to the worker's zone, ms; 0 until a start has shown it. */
+  /**
+   * Returns the round-trip time to the worker's zone in ms, or 0 until the first start there is
+   * reported.
+   */
   double roundTripTime(WorkerStats worker) {
     double time = zone(worker).roundTripTime;
     return time == Double.MAX_VALUE ? 0 : time;
   }
 
-  /** Counts an attempt that is sent to the worker. */
+  /** Counts an attempt that is being sent to the worker. */
   void attemptSent(WorkerStats worker, Job job, double now) {
     worker.heldSlots += job.slots();
     heldSlots += job.slots();
@@ -137,7 +149,7 @@
     worker.objects.use(job.object(), Math.max(worker.group.size, worker.group.slots));
   }
 
-  /** Counts an attempt that the worker has begun to run. */
+  /** Counts an attempt that the worker has started. */
   void attemptStarted(WorkerStats worker, Job job) {
     worker.startedSlots += job.slots();
   }
@@ -149,26 +161,31 @@
   }
 
   /**
-   * Notes that an attempt at this worker has run or failed, so that its held slots mean something.
+   * Records that an attempt at this worker has succeeded or failed, so that its held slots are
+   * meaningful.
    */
   void markProven(WorkerStats worker) {
     worker.proven = true;
   }
 
-  /** Slots held at a worker; one that has proven nothing counts as holding the mean at least. */
+  /**
+   * Returns the slots held at a worker. A worker without any outcome so far counts as holding at
+   * least the mean.
+   */
   double effectiveHeldSlots(WorkerStats worker) {
     double mean = heldSlots / readyCount();
     return worker.proven ? worker.heldSlots : Math.max(worker.heldSlots, mean);
   }
 
-  /** Slots sent to the worker that the endpoint list cannot show yet. */
+  /** Returns the slots recently sent to the worker that the endpoint list cannot include yet. */
   double recentSlots(WorkerStats worker, double now) {
     return worker.recentSlots * Math.exp((worker.recentAt - now) / LIST_DELAY_MS);
   }
 
   /**
-   * Learns the slots of the worker's group from a load report. What the worker holds is not used:
-   * it is reported late, and all dispatchers would send to the one that was idle then.
+   * Updates the estimated number of slots of the worker's group from a load report. The reported
+   * load itself is not used: it arrives late, and all dispatchers would send to the worker that was
+   * idle at that time.
    */
   void learnSlots(WorkerStats worker, LoadReport report) {
     if (report.held() >= 0 && report.freeSlots() >= MIN_FREE_SLOTS) {
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerSelector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerSelector.java
@@ -4,22 +4,32 @@
 import java.util.SplittableRandom;
 
 /**
- * Selects the cheapest worker among a sample of those that a request may go to. Event thread only.
+ * Selects the worker with the lowest cost from a sample of the permitted workers. Event thread
+ * only.
  */
 final class WorkerSelector {
-  /** Workers looked at in the own zone, and as many elsewhere; of fewer, all. */
+  /**
+   * Maximum number of workers sampled from the local zone, and from all other zones together.
+   * Smaller pools are scanned completely.
+   */
   private static final int SAMPLE_SIZE = 8;
 
-  /** Pool up to which all are looked at for a job that needs an object, which any may have. */
+  /**
+   * Maximum size of a pool that is scanned completely for a job that needs an object, since any
+   * worker may have it cached.
+   */
   private static final int MAX_OBJECT_SCAN = 32;
 
-  /** Which workers one look takes in. */
+  /** The set of workers that a scan considers. */
   private enum Extent {
-    /** Some of the healthy ones that start the request in time, and those with a grant. */
+    /**
+     * A random sample of the healthy workers that start the request in time, and the workers with a
+     * slow-start grant.
+     */
     SAMPLE,
-    /** All healthy ones that start the request in time. */
+    /** All healthy workers that start the request in time. */
     ALL_PREFERRED,
-    /** All to which the request may go. */
+    /** All workers to which the request may be sent. */
     ALL_PERMITTED
   }
 
@@ -45,7 +55,11 @@
     this.random = random;
   }
 
-  /** The best worker; failing any good one, the one that is blocked least. Null if none may be. */
+  /**
+   * Returns the worker with the lowest cost. If no worker is preferred, returns the permitted
+   * worker with the lowest sum of cost and remaining ejection time, or null if no worker is
+   * permitted.
+   */
   WorkerStats select(PendingRequest request, Attempt groupAttempt, double now) {
     WorkerStats best = selectPreferred(request, groupAttempt, now);
     if (best == null) {
@@ -54,12 +68,15 @@
     return best != null ? best : new Scan(request, groupAttempt, now, Extent.ALL_PERMITTED).run();
   }
 
-  /** The best worker among the good ones; null if there is none. */
+  /**
+   * Returns the worker with the lowest cost among the preferred ones in a sample, or null if there
+   * is none.
+   */
   WorkerStats selectPreferred(PendingRequest request, Attempt groupAttempt, double now) {
     return new Scan(request, groupAttempt, now, Extent.SAMPLE).run();
   }
 
-  /** One look over the workers, which draws one random number for the tie-break of each. */
+  /** A single pass over the workers. It draws one random number per candidate to break ties. */
   private final class Scan {
     private final PendingRequest request;
     private final Attempt groupAttempt;
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerState.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerState.java
@@ -1,6 +1,6 @@
 package ferngrade.dispatch;
 
-/** What the list says of a worker. */
+/** The state of a worker according to the endpoint list. */
 public enum WorkerState {
   READY,
   DRAINING,
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
@@ -1,62 +1,70 @@
 package ferngrade.dispatch;
 
 /**
- * What this dispatcher knows of one process of a worker. Times are milliseconds on the host's
- * clock; each group of fields is written by the part that its comment names. Event thread only.
+ * The state that this dispatcher keeps for one process of a worker. Times are milliseconds on the
+ * host's clock. The comment above each group of fields names the class that writes them. Event
+ * thread only.
  */
 final class WorkerStats {
-  // WorkerRegistry: the endpoint list's entry and the slots in flight.
+  // WorkerRegistry: the entry of the endpoint list and the slots in flight.
   final long id;
   Worker entry;
   WorkerGroup group;
 
-  /** True while the endpoint list holds this worker. */
+  /** True while the endpoint list contains this worker. */
   boolean listed;
 
-  /** Slots of the attempts from here that are in flight. */
+  /** Slots of the attempts from this dispatcher that are in flight. */
   double heldSlots;
 
-  /** Jobs held for each core, from all dispatchers, as the endpoint list showed last. */
+  /** Jobs per core from all dispatchers, according to the last update of the endpoint list. */
   double load;
 
-  /** Slots sent lately, decaying, as of {@code recentAt}: what the list cannot show yet. */
+  /**
+   * Slots sent recently that the endpoint list cannot include yet, exponentially decayed as of
+   * {@code recentAt}.
+   */
   double recentSlots;
 
   double recentAt;
 
-  /** Slots that began here since the last budget cycle, and the smoothed number a second. */
+  /** Slots started at this worker since the last budget cycle. */
   double startedSlots;
 
+  /** Smoothed number of slots started here per second. */
   double startRate;
 
-  /** True once an attempt here has ended, well or badly. */
+  /** True once an attempt at this worker has succeeded or failed. */
   boolean proven;
 
-  /** Objects thought to be cached here. */
+  /** Objects that the worker is expected to have cached. */
   final ObjectAffinity objects = new ObjectAffinity();
 
-  // WaitEstimator: the smoothed wait for a start, ms, and when it was seen.
+  // WaitEstimator: the smoothed wait for a start in ms, and the time of the last update.
   double wait;
   double waitAt = Double.NEGATIVE_INFINITY;
 
-  // ServiceTimeEstimator: time for a job over that on a worker of mean speed, and its samples.
+  // ServiceTimeEstimator: the ratio of job times here to those on a worker of mean speed, and the
+  // number of samples.
   double slowness = 1;
   int outcomes;
 
-  // IdleCapacity: when the worker last rejected an attempt.
+  // IdleCapacity: the time at which the worker last rejected an attempt.
   double rejectedAt = Double.NEGATIVE_INFINITY;
 
-  // OutlierDetector: no jobs before these times; the length of the last ejection, ms.
+  // OutlierDetector: the times before which the worker receives no jobs, and the duration of the
+  // last ejection in ms.
   double holdUntil = Double.NEGATIVE_INFINITY;
   double ejectedUntil = Double.NEGATIVE_INFINITY;
   double ejection;
 
-  /** By class: no jobs of it before this time, and the length of the last such ejection, ms. */
+  /** By class: the time until which the worker receives no jobs of the class. */
   final double[] classEjectedUntil;
 
+  /** By class: the duration of the last ejection for the class in ms. */
   final double[] classEjection;
 
-  /** When the worker last answered anything. */
+  /** Time of the last response from the worker. */
   double lastSignAt = Double.NEGATIVE_INFINITY;
 
   WorkerStats(Worker entry, int classes) {
--- a/dispatch/src/main/java/ferngrade/dispatch/ZoneStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ZoneStats.java
@@ -3,25 +3,31 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What this dispatcher knows of one zone; times are milliseconds on the host's clock. */
+/**
+ * The state that this dispatcher keeps for one zone. Times are milliseconds on the host's clock.
+ * Event thread only.
+ */
 final class ZoneStats {
-  /** The shortest delay between an attempt and its start, ms; MAX_VALUE until one was seen. */
+  /**
+   * Minimum delay in ms between sending an attempt and the report of its start; MAX_VALUE until the
+   * first report.
+   */
   double roundTripTime = Double.MAX_VALUE;
 
   double lastSignAt = Double.NEGATIVE_INFINITY;
 
-  /** When the first of the {@code unanswered} attempts was sent. */
+  /** Time at which the first of the attempts without a response was sent. */
   double firstUnansweredAt;
 
-  /** Attempts sent since the zone's last sign of life. */
+  /** Number of attempts sent since the last response from the zone. */
   int unanswered;
 
-  /** Failed connects since the zone's last sign of life. */
+  /** Number of failed connections since the last response from the zone. */
   int unreachable;
 
-  /** When the next attempt may probe the zone while it is silent. */
+  /** Time from which another attempt may probe the zone while it is unreachable. */
   double nextProbeAt;
 
-  /** The zone's workers by kind. */
+  /** The zone's workers grouped by kind. */
   final Map<Integer, WorkerGroup> groups = new HashMap<>();
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/package-info.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The decisions of one dispatcher, which pushes jobs to workers: admission, selection of a worker,
- * retries and hedging. {@link ferngrade.dispatch.Dispatcher} is the seam to the host, which
- * delivers events with the time and carries out {@link ferngrade.dispatch.Dispatcher.Actions};
- * {@link ferngrade.dispatch.ThrottlingDispatcher} passes each event through parts that own their
- * state. No class here reads a clock, starts a thread or touches a socket or file, and all chance
- * comes from one seeded generator, so that a run is repeated to the last bit. Times are ms, rates a
- * second.
+ * Decides which jobs a dispatcher admits, which worker runs each job, and when a job is retried or
+ * hedged. The host delivers events with the time to {@link ferngrade.dispatch.Dispatcher} and
+ * performs its {@link ferngrade.dispatch.Dispatcher.Actions}. {@link
+ * ferngrade.dispatch.ThrottlingDispatcher} passes each event to the components that own the state.
+ * No class in this package reads a clock, starts a thread or uses sockets or files, and all random
+ * numbers come from one seeded generator, so that a run can be reproduced exactly. Times are in ms,
+ * rates per second.
  */
 package ferngrade.dispatch;
