--- a/dispatch/src/main/java/ferngrade/dispatch/Attempt.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Attempt.java
@@ -11,7 +11,7 @@
   /**
    * True once the attempt was counted as rejected because it had not started by its start deadline.
    */
-  boolean late;
+  boolean countedLate;
 
   /** The outcome of the attempt; null while it is in flight. */
   AttemptOutcome outcome;
--- a/dispatch/src/main/java/ferngrade/dispatch/AttemptOutcomeHandler.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/AttemptOutcomeHandler.java
@@ -7,7 +7,7 @@
   private final SlotBudget budget;
   private final ServiceTimeEstimator serviceTimes;
   private final RetryPolicy retries;
-  private final IdleCapacity idle;
+  private final IdleCapacity idleCapacity;
 
   AttemptOutcomeHandler(
       WorkerRegistry registry,
@@ -15,13 +15,13 @@
       SlotBudget budget,
       ServiceTimeEstimator serviceTimes,
       RetryPolicy retries,
-      IdleCapacity idle) {
+      IdleCapacity idleCapacity) {
     this.registry = registry;
     this.outliers = outliers;
     this.budget = budget;
     this.serviceTimes = serviceTimes;
     this.retries = retries;
-    this.idle = idle;
+    this.idleCapacity = idleCapacity;
   }
 
   /** Counts an attempt whose start was reported or is implied by its success. */
@@ -33,32 +33,32 @@
   /** Updates the estimates and ejections after an attempt has ended with this outcome. */
   void attemptEnded(PendingRequest request, Attempt attempt, AttemptOutcome outcome, double now) {
     switch (outcome) {
-      case OK -> succeeded(request, attempt, now);
+      case OK -> handleSuccess(request, attempt, now);
       case FULL -> {
-        outliers.signOfLife(attempt.worker, now);
+        outliers.responseReceived(attempt.worker, now);
         outliers.workerFull(attempt.worker, now);
-        idle.workerRejected(attempt.worker, now);
+        idleCapacity.workerRejected(attempt.worker, now);
         budget.attemptRejected();
       }
-      case TIMEOUT -> timedOut(request, attempt, now);
+      case TIMEOUT -> handleTimeout(request, attempt, now);
       case ERROR -> {
-        outliers.signOfLife(attempt.worker, now);
-        failed(attempt.worker, now);
+        outliers.responseReceived(attempt.worker, now);
+        handleFailure(attempt.worker, now);
       }
       case CONNECT_FAILED -> {
         outliers.connectFailed(attempt.worker);
-        failed(attempt.worker, now);
+        handleFailure(attempt.worker, now);
       }
-      case RESET -> failed(attempt.worker, now);
+      case RESET -> handleFailure(attempt.worker, now);
       case CANCELLED, NEVER_SENT, UNUSABLE -> {}
     }
   }
 
-  private void succeeded(PendingRequest request, Attempt attempt, double now) {
-    outliers.signOfLife(attempt.worker, now);
+  private void handleSuccess(PendingRequest request, Attempt attempt, double now) {
+    outliers.responseReceived(attempt.worker, now);
     outliers.attemptSucceeded(attempt.worker, request.job.jobClass());
-    registry.markProven(attempt.worker);
-    idle.attemptSucceeded();
+    registry.markObserved(attempt.worker);
+    idleCapacity.attemptSucceeded();
     if (!attempt.hasStarted()) {
       attemptStarted(request, attempt);
     }
@@ -69,8 +69,8 @@
    * Ejects the worker. The slice is not cut: a failure concerns one worker only, while late starts
    * indicate a shortage throughout the fleet.
    */
-  private void failed(WorkerStats worker, double now) {
-    registry.markProven(worker);
+  private void handleFailure(WorkerStats worker, double now) {
+    registry.markObserved(worker);
     outliers.eject(worker, now);
   }
 
@@ -80,18 +80,18 @@
    * responded to other attempts but did not start this job in time may be unable to run its class,
    * so it is ejected for that class only.
    */
-  private void timedOut(PendingRequest request, Attempt attempt, double now) {
+  private void handleTimeout(PendingRequest request, Attempt attempt, double now) {
     WorkerStats worker = attempt.worker;
-    boolean answered = outliers.answeredSince(attempt);
-    if (answered && !attempt.hasStarted() && !retries.deadlineReached(request, now)) {
+    boolean responded = outliers.respondedSince(attempt);
+    if (responded && !attempt.hasStarted() && !retries.deadlineReached(request, now)) {
       outliers.ejectClass(worker, request.job.jobClass(), now);
       return;
     }
-    if (budget.reflectsSlice(attempt) && worker.ejectedUntil <= now && !attempt.late) {
+    if (budget.sentSinceLastCut(attempt) && worker.ejectedUntil <= now && !attempt.countedLate) {
       budget.attemptRejected();
     }
-    registry.markProven(worker);
-    if (!answered) {
+    registry.markObserved(worker);
+    if (!responded) {
       outliers.eject(worker, now);
     }
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
@@ -15,56 +15,56 @@
   static final double PERIOD_MS = 500;
 
   /** Minimum length of a cycle in the computation of rates, which keeps them finite. */
-  private static final double MIN_CYCLE_MS = 1;
+  private static final double MIN_PERIOD_MS = 1;
 
-  private final boolean peersAllowed;
+  private final boolean exchangesWithPeers;
   private final Actions actions;
   private final SlotBudget budget;
   private final TenantQuotas quotas;
-  private final ClassPriorities priorities;
+  private final ClassPriorities classPriorities;
   private final BudgetDiffusion diffusion;
-  private double lastCycleAt;
+  private double cycleStartedAt;
   private double demand = Double.NaN;
-  private FleetLoad load = new FleetLoad(Double.NaN, Double.NaN, Double.NaN, Double.NaN, false);
+  private FleetLoad lastLoad = new FleetLoad(Double.NaN, Double.NaN, Double.NaN, Double.NaN, false);
 
   /** Creates a budget without a slice; the first cycle after {@code now} sets it. */
   BudgetCycle(DispatcherSettings settings, SlotBudget budget, double now, Actions actions) {
-    this.peersAllowed = settings.limits().peers();
+    this.exchangesWithPeers = settings.limits().peers();
     this.actions = actions;
     this.budget = budget;
     this.quotas = new TenantQuotas(settings.tenants());
-    this.priorities = new ClassPriorities(settings.classes(), settings.goal());
+    this.classPriorities = new ClassPriorities(settings.classes(), settings.goal());
     this.diffusion = new BudgetDiffusion(settings.me(), settings.dispatchers(), quotas);
-    this.lastCycleAt = now;
+    this.cycleStartedAt = now;
   }
 
   /** Counts a request with this work as demand. Returns true if its tenant's quota admits it. */
   boolean admit(Job job, double work, double now) {
-    priorities.requestArrived(job.jobClass(), work);
-    return quotas.admit(job, priorities, now);
+    classPriorities.requestArrived(job.jobClass(), work);
+    return quotas.admit(job, classPriorities, now);
   }
 
   /** Returns true if the tenant's demand exceeds its quota. */
   boolean exceedsQuota(int tenant) {
-    return quotas.exceedsLevel(tenant);
+    return quotas.exceedsQuota(tenant);
   }
 
   /** Handles a message from a peer; ignores a malformed one. */
-  void receive(int from, byte[] message) {
-    diffusion.receive(from, message);
+  void receive(int sender, byte[] message) {
+    diffusion.receive(sender, message);
   }
 
   /** Ends the current cycle and begins the next one. */
   void run(FleetLoadMeter fleetLoad, double meanWork, double now) {
-    double seconds = Math.max(MIN_CYCLE_MS, now - lastCycleAt) / 1000;
-    lastCycleAt = now;
+    double seconds = Math.max(MIN_PERIOD_MS, now - cycleStartedAt) / 1000;
+    cycleStartedAt = now;
     diffusion.startCycle();
     quotas.endCycle(seconds);
-    priorities.endCycle();
+    classPriorities.endCycle();
     demand = Arrays.stream(quotas.demands()).sum();
-    load = fleetLoad.measure(seconds, now);
-    budget.endCycle(load, meanWork, demand, seconds, now);
-    if (peersAllowed && diffusion.peers().length > 0) {
+    lastLoad = fleetLoad.measure(seconds, now);
+    budget.endCycle(lastLoad, meanWork, demand, seconds, now);
+    if (exchangesWithPeers && diffusion.peers().length > 0) {
       exchangeWithPeers();
     }
     quotas.divide(budget.slice());
@@ -81,13 +81,13 @@
         budget.acceptedRate(),
         budget.rejectedShare(),
         heldSlots,
-        load.size(),
-        load.busy(),
+        lastLoad.size(),
+        lastLoad.busy(),
         budget.followsLoads());
   }
 
   private void exchangeWithPeers() {
-    budget.move(diffusion.step());
+    budget.adjust(diffusion.sliceChange());
     byte[] message = diffusion.message(budget.slice());
     for (int peer : diffusion.peers()) {
       actions.tell(peer, message);
--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetDiffusion.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetDiffusion.java
@@ -12,7 +12,7 @@
  */
 final class BudgetDiffusion {
   /** Number of budget cycles for which a peer's last message remains valid. */
-  private static final int FRESH_CYCLES = 3;
+  private static final int MAX_MESSAGE_AGE_CYCLES = 3;
 
   private final TenantQuotas quotas;
   private final int[] peers;
@@ -20,15 +20,15 @@
   private double sentExcessDemand;
   private int cycle;
 
-  BudgetDiffusion(int me, int dispatchers, TenantQuotas quotas) {
-    this.peers = PeerGraph.links(me, dispatchers);
+  BudgetDiffusion(int dispatcherIndex, int dispatchers, TenantQuotas quotas) {
+    this.peers = PeerGraph.peersOf(dispatcherIndex, dispatchers);
     this.quotas = quotas;
   }
 
   /** Begins a budget cycle and drops the messages of peers that have stopped sending. */
   void startCycle() {
     cycle++;
-    lastMessages.values().removeIf(peer -> cycle - peer.receivedInCycle > FRESH_CYCLES);
+    lastMessages.values().removeIf(peer -> cycle - peer.receivedInCycle > MAX_MESSAGE_AGE_CYCLES);
   }
 
   /** Returns the numbers of the peers of this dispatcher, in ascending order. */
@@ -38,30 +38,30 @@
 
   /**
    * Returns the change of the slice. It is computed from the messages sent last, so that both ends
-   * of a link compute the same amount.
+   * of a link compute opposite amounts.
    */
-  double step() {
-    double step = 0;
-    double gamma = 1.0 / (peers.length + 1);
-    for (PeerState last : lastMessages.values()) {
-      step += gamma * (sentExcessDemand - last.excessDemand);
+  double sliceChange() {
+    double change = 0;
+    double linkWeight = 1.0 / (peers.length + 1);
+    for (PeerState peer : lastMessages.values()) {
+      change += linkWeight * (sentExcessDemand - peer.excessDemand);
     }
-    return step;
+    return change;
   }
 
   /** Returns this cycle's message, which goes to all peers. */
   byte[] message(double slice) {
-    sentExcessDemand = sharedDemand(slice) - slice;
+    sentExcessDemand = pooledDemand(slice) - slice;
     return PeerMessage.write(cycle, slice, sentExcessDemand, quotas.demands());
   }
 
   /** Handles a message; ignores a malformed one or one from a dispatcher that is not a peer. */
-  void receive(int from, byte[] message) {
+  void receive(int sender, byte[] message) {
     PeerState peer =
-        Arrays.binarySearch(peers, from) < 0 ? null : PeerMessage.read(message, quotas.size());
+        Arrays.binarySearch(peers, sender) < 0 ? null : PeerMessage.read(message, quotas.size());
     if (peer != null) {
       peer.receivedInCycle = cycle;
-      lastMessages.put(from, peer);
+      lastMessages.put(sender, peer);
     }
   }
 
@@ -70,15 +70,15 @@
    * slots. Counting the whole demand would starve small dispatchers: in a deep overload every slice
    * shrinks by the same amount, which may exceed the whole demand of a small dispatcher.
    */
-  private double sharedDemand(double slice) {
-    double slots = slice;
+  private double pooledDemand(double slice) {
+    double pooledSlots = slice;
     double[] demands = quotas.demands();
-    for (PeerState last : lastMessages.values()) {
-      slots += last.slice;
+    for (PeerState peer : lastMessages.values()) {
+      pooledSlots += peer.slice;
       for (int i = 0; i < demands.length; i++) {
-        demands[i] += last.demands[i];
+        demands[i] += peer.demands[i];
       }
     }
-    return quotas.demandWithin(slots, demands);
+    return quotas.demandWithin(pooledSlots, demands);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -18,37 +18,37 @@
    * Factor of the cross-zone delay, which is charge x objective x factor. It assumes that half of
    * the jobs that are in time become late when half an objective is added.
    */
-  private static final double CROSS_ZONE_DELAY = 2;
+  private static final double CROSS_ZONE_DELAY_FACTOR = 2;
 
   private final DispatcherSettings settings;
   private final WorkerRegistry registry;
   private final ServiceTimeEstimator serviceTimes;
   private final WaitEstimator waits;
-  private final SlowStartGate slowStart;
+  private final SlowStartGate slowStartGate;
 
   CandidateCost(
       DispatcherSettings settings,
       WorkerRegistry registry,
       ServiceTimeEstimator serviceTimes,
       WaitEstimator waits,
-      SlowStartGate slowStart) {
+      SlowStartGate slowStartGate) {
     this.settings = settings;
     this.registry = registry;
     this.serviceTimes = serviceTimes;
     this.waits = waits;
-    this.slowStart = slowStart;
+    this.slowStartGate = slowStartGate;
   }
 
   /** Returns the sum of the costs of queueing, service time, object fetch and zone crossing. */
   double of(PendingRequest request, WorkerStats worker, double now) {
-    double missing = worker.objects.missing(request.job.object(), worker.id);
+    double fetchFraction = worker.cachedObjects.fetchFraction(request.job.object(), worker.id);
     double cost =
-        queueing(worker, now)
+        queueingDelay(worker, now)
             + SERVICE_TIME_WEIGHT * serviceTimes.timeAt(request, worker)
-            + FETCH_COST * serviceTimes.meanWork() * missing;
+            + FETCH_COST * serviceTimes.meanWork() * fetchFraction;
     if (!registry.isLocal(worker)) {
-      double objective = request.jobClass.aim() + request.jobClass.stretch() * serviceTimes.mean();
-      cost += CROSS_ZONE_DELAY * settings.crossCharge() * objective;
+      double latencyObjective = request.jobClass.aim() + request.jobClass.stretch() * serviceTimes.mean();
+      cost += CROSS_ZONE_DELAY_FACTOR * settings.crossCharge() * latencyObjective;
     }
     return cost + registry.roundTripTime(worker);
   }
@@ -61,8 +61,8 @@
    * number of slots. If many dispatchers relied on the listed sizes, they would overload the large
    * workers.
    */
-  private double queueing(WorkerStats worker, double now) {
-    if (slowStart.warmingUp(worker, now) && waits.followsLoads()) {
+  private double queueingDelay(WorkerStats worker, double now) {
+    if (slowStartGate.warmingUp(worker, now) && waits.followsLoads()) {
       return waits.byListedLoad(worker, now);
     }
     return registry.effectiveHeldSlots(worker) * serviceTimes.mean() / worker.group.slots
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
@@ -6,26 +6,26 @@
  */
 final class CandidateFilter {
   private final RetryPolicy retries;
-  private final SlowStartGate slowStart;
+  private final SlowStartGate slowStartGate;
   private final OutlierDetector outliers;
   private final StartDeadlines deadlines;
   private final SlotBudget budget;
 
   CandidateFilter(
       RetryPolicy retries,
-      SlowStartGate slowStart,
+      SlowStartGate slowStartGate,
       OutlierDetector outliers,
       StartDeadlines deadlines,
       SlotBudget budget) {
     this.retries = retries;
-    this.slowStart = slowStart;
+    this.slowStartGate = slowStartGate;
     this.outliers = outliers;
     this.deadlines = deadlines;
     this.budget = budget;
   }
 
   /**
-   * Returns true if the request may be sent to the worker under any circumstances: checks
+   * Returns true if the request may be sent to the worker at all: checks
    * readiness, kind, idempotency group and slow start.
    */
   boolean permits(PendingRequest request, Attempt groupAttempt, WorkerStats worker, double now) {
@@ -33,7 +33,7 @@
     return worker.entry.state() == WorkerState.READY
         && (kind < 0 || kind == worker.entry.kind())
         && retries.sameGroup(groupAttempt, worker, request.jobClass.scope())
-        && slowStart.allows(request, worker, now);
+        && slowStartGate.allows(request, worker, now);
   }
 
   /**
@@ -43,6 +43,6 @@
   boolean prefers(PendingRequest request, WorkerStats worker, double now) {
     return outliers.accepts(worker, request.job.jobClass(), now)
         && !request.triedAt(worker)
-        && (budget.crowded() || !deadlines.wouldStartLate(request, worker, now));
+        && (budget.congested() || !deadlines.wouldStartLate(request, worker, now));
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
@@ -12,7 +12,7 @@
    * Factor by which the work counted by class decays per budget cycle, which keeps about half a
    * minute of history.
    */
-  private static final double WORK_MEMORY = 0.985;
+  private static final double WORK_DECAY = 0.985;
 
   private final List<JobClass> classes;
   private final ServiceObjective objective;
@@ -31,21 +31,21 @@
 
   /** Decays the counts by one budget cycle. */
   void endCycle() {
-    Arrays.setAll(recentWork, i -> recentWork[i] * WORK_MEMORY);
+    Arrays.setAll(recentWork, i -> recentWork[i] * WORK_DECAY);
   }
 
   /**
    * Returns true if giving slots to this class increases the total value by more than the worst
    * class loses.
    */
-  boolean goesFirst(int jobClass) {
-    double value = 0;
-    double work = 0;
+  boolean hasPriority(int jobClass) {
+    double totalValue = 0;
+    double totalWork = 0;
     for (int i = 0; i < recentWork.length; i++) {
-      value += recentWork[i] * classes.get(i).worth();
-      work += recentWork[i];
+      totalValue += recentWork[i] * classes.get(i).worth();
+      totalWork += recentWork[i];
     }
-    double gain = classes.get(jobClass).worth() * work - value;
-    return objective.whole() * gain > objective.worstClass() * value;
+    double gain = classes.get(jobClass).worth() * totalWork - totalValue;
+    return objective.whole() * gain > objective.worstClass() * totalValue;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/DeploymentLimits.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DeploymentLimits.java
@@ -19,7 +19,7 @@
     boolean peers,
     double retryAfterMax) {
   public DeploymentLimits {
-    Preconditions.that(tries >= 1, "Limits.tries", tries);
-    Preconditions.that(retryAfterMax >= 0, "Limits.retryAfterMax", retryAfterMax);
+    Preconditions.checkRange(tries >= 1, "Limits.tries", tries);
+    Preconditions.checkRange(retryAfterMax >= 0, "Limits.retryAfterMax", retryAfterMax);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
@@ -18,42 +18,42 @@
   void arrived(double now, Job job);
 
   /** Reports that the worker has started to run this attempt. */
-  void started(double now, String id, int attempt);
+  void started(double now, String requestId, int attemptNumber);
 
   /** Reports that the worker has completed this share (0 to 1) of the attempt. */
-  void progressed(double now, String id, int attempt, double share);
+  void progressed(double now, String requestId, int attemptNumber, double share);
 
   /**
    * Reports that the attempt's answer has started to stream to the client; no deadline applies to
    * it from then on.
    */
-  default void streaming(double now, String id, int attempt) {
-    started(now, id, attempt);
+  default void streaming(double now, String requestId, int attemptNumber) {
+    started(now, requestId, attemptNumber);
   }
 
   /**
-   * Reports that the attempt has ended after {@code took} ms. {@code over} is true if the request
+   * Reports that the attempt has ended after {@code durationMs} ms. {@code completed} is true if the request
    * no longer needs an answer.
    */
   void ended(
       double now,
-      String id,
-      int attempt,
+      String requestId,
+      int attemptNumber,
       AttemptOutcome outcome,
-      double took,
-      boolean over,
+      double durationMs,
+      boolean completed,
       LoadReport report);
 
   /**
    * Reports that the client no longer waits for this request. The host still reports the end of
    * attempts that are in flight.
    */
-  void abandoned(double now, String id);
+  void abandoned(double now, String requestId);
 
   /**
    * Reports the complete endpoint list or only its changed entries, depending on {@code update}.
    */
-  void members(double now, EndpointListUpdate news, List<Worker> workers);
+  void members(double now, EndpointListUpdate update, List<Worker> workers);
 
   /**
    * Reports that the endpoint list could not be fetched or that the subscription to it has failed.
@@ -62,17 +62,17 @@
 
   /** Reports the result of a health check requested by {@link Actions#check}. */
   default void checked(
-      double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {}
+      double now, long workerId, AttemptOutcome outcome, double durationMs, LoadReport report) {}
 
   /** Reports a message from another dispatcher. */
-  void heard(double now, int from, byte[] message);
+  void heard(double now, int sender, byte[] message);
 
   /**
-   * Reports that {@code count} processes of this dispatcher are running and that this host is the
-   * one with the zero-based number {@code index}. The processes share the capacity granted to the
+   * Reports that {@code processCount} processes of this dispatcher are running and that this host is the
+   * one with the zero-based number {@code processIndex}. The processes share the capacity granted to the
    * dispatcher.
    */
-  default void sharedBy(double now, int count, int index) {}
+  default void sharedBy(double now, int processCount, int processIndex) {}
 
   /**
    * Reports that the host has stopped accepting requests. The capacity granted to the dispatcher is
@@ -102,41 +102,41 @@
    */
   interface Actions {
     /**
-     * Sends an attempt of the request to a worker; the host cancels it after {@code timeout} ms.
+     * Sends an attempt of the request to a worker; the host cancels it after {@code timeoutMs} ms.
      * The attempts of each request are numbered from 0.
      */
-    void send(String id, long worker, double timeout);
+    void send(String requestId, long workerId, double timeoutMs);
 
     /**
      * Rejects the request as its final answer and tells the client that a retry is safe. {@code
-     * retryAfter} is the delay in ms suggested to the client, or 0 for none.
+     * retryAfterMs} is the delay in ms suggested to the client, or 0 for none.
      */
-    void refuse(String id, double retryAfter);
+    void refuse(String requestId, double retryAfterMs);
 
     /**
      * Rejects the request like {@link #refuse(String, double)}. The host may count rejections by
      * {@code cause}.
      */
-    default void refuse(String id, double retryAfter, RejectionCause cause) {
-      refuse(id, retryAfter);
+    default void refuse(String requestId, double retryAfterMs, RejectionCause cause) {
+      refuse(requestId, retryAfterMs);
     }
 
     /** Fails the request as its final answer; the client cannot tell whether the job has run. */
-    void fail(String id);
+    void fail(String requestId);
 
     /** Cancels an attempt. The worker may run the job to its end nevertheless. */
-    void cancel(String id, int attempt);
+    void cancel(String requestId, int attemptNumber);
 
     /** Requests a health check of a worker. */
-    void check(long worker);
+    void check(long workerId);
 
     /** Sends a message of at most 256 bytes to another dispatcher. */
     void tell(int peer, byte[] message);
 
     /**
-     * Sets a timer that calls {@link Dispatcher#timer} with {@code token} after {@code after} ms.
+     * Sets a timer that calls {@link Dispatcher#timer} with {@code token} after {@code delayMs} ms.
      */
-    void timer(double after, long token);
+    void timer(double delayMs, long token);
 
     /** Subscribes to changes of the endpoint list. */
     void watch();
--- a/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
@@ -36,16 +36,16 @@
     double crossCharge,
     ServiceObjective goal) {
   public DispatcherSettings {
-    Preconditions.that(dispatchers >= 1, "Settings.dispatchers", dispatchers);
-    Preconditions.that(me >= 0 && me < dispatchers, "Settings.me", me);
-    Preconditions.that(zone >= 0, "Settings.zone", zone);
-    Preconditions.that(roundMs >= 0, "Settings.roundMs", roundMs);
-    Preconditions.that(classes != null && !classes.isEmpty(), "Settings.classes", classes);
-    Preconditions.that(tenants != null, "Settings.tenants", tenants);
-    Preconditions.that(limits != null, "Settings.limits", limits);
-    Preconditions.that(cold != null, "Settings.cold", cold);
-    Preconditions.that(crossCharge >= 0, "Settings.crossCharge", crossCharge);
-    Preconditions.that(goal != null, "Settings.goal", goal);
+    Preconditions.checkRange(dispatchers >= 1, "Settings.dispatchers", dispatchers);
+    Preconditions.checkRange(me >= 0 && me < dispatchers, "Settings.me", me);
+    Preconditions.checkRange(zone >= 0, "Settings.zone", zone);
+    Preconditions.checkRange(roundMs >= 0, "Settings.roundMs", roundMs);
+    Preconditions.checkRange(classes != null && !classes.isEmpty(), "Settings.classes", classes);
+    Preconditions.checkRange(tenants != null, "Settings.tenants", tenants);
+    Preconditions.checkRange(limits != null, "Settings.limits", limits);
+    Preconditions.checkRange(cold != null, "Settings.cold", cold);
+    Preconditions.checkRange(crossCharge >= 0, "Settings.crossCharge", crossCharge);
+    Preconditions.checkRange(goal != null, "Settings.goal", goal);
     classes = List.copyOf(classes);
     tenants = List.copyOf(tenants);
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
@@ -7,19 +7,19 @@
  */
 final class HedgingPolicy {
   /** Number of hedges that the first attempt of each request adds to the budget. */
-  private static final double EARNED_PER_REQUEST = 0.05;
+  private static final double HEDGES_PER_REQUEST = 0.05;
 
   /** Maximum number of hedges in the budget. */
-  private static final double MAX_SAVED = 3;
+  private static final double MAX_HEDGE_BUDGET = 3;
 
   /** Fraction of its spare time after which a job that has not started is hedged. */
-  private static final double DELAY_SHARE = 0.2;
+  private static final double DELAY_FRACTION = 0.2;
 
   private final DispatcherSettings settings;
   private final WorkerRegistry registry;
   private final StartDeadlines deadlines;
   private final RetryPolicy retries;
-  private double budget = MAX_SAVED;
+  private double hedgeBudget = MAX_HEDGE_BUDGET;
 
   HedgingPolicy(
       DispatcherSettings settings,
@@ -34,7 +34,7 @@
 
   /** Adds to the budget for a request's first attempt. */
   void firstAttemptSent() {
-    budget = Math.min(MAX_SAVED, budget + EARNED_PER_REQUEST);
+    hedgeBudget = Math.min(MAX_HEDGE_BUDGET, hedgeBudget + HEDGES_PER_REQUEST);
   }
 
   /**
@@ -52,12 +52,12 @@
    * started.
    */
   double delay(PendingRequest request, WorkerStats worker) {
-    double min = 2 * settings.roundMs() + 2 * registry.roundTripTime(worker);
-    return Math.max(min, DELAY_SHARE * deadlines.spareTime(request, worker));
+    double minDelay = 2 * settings.roundMs() + 2 * registry.roundTripTime(worker);
+    return Math.max(minDelay, DELAY_FRACTION * deadlines.spareTime(request, worker));
   }
 
   /** Returns true while attempts are in flight and none of them has started. */
-  boolean stillWaits(PendingRequest request) {
+  boolean isWaiting(PendingRequest request) {
     return !request.completed
         && request.inFlight > 0
         && request.attempts.stream().noneMatch(Attempt::running);
@@ -65,11 +65,11 @@
 
   /** Returns true if the budget and the retry policy allow a hedge now. */
   boolean mayHedge(PendingRequest request, double now) {
-    return budget >= 1 && retries.maySend(request, now);
+    return hedgeBudget >= 1 && retries.maySend(request, now);
   }
 
   /** Takes a hedge that is being sent from the budget. */
   void hedgeSent() {
-    budget--;
+    hedgeBudget--;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
@@ -9,7 +9,7 @@
  */
 final class IdleCapacity {
   /** Time in ms for which a worker counts as busy after it has rejected an attempt. */
-  private static final double REJECTION_MEMORY_MS = 1000;
+  private static final double REJECTION_BACKOFF_MS = 1000;
 
   private final WorkerRegistry registry;
   private final OutlierDetector outliers;
@@ -19,18 +19,18 @@
    * Number of requests admitted beyond the budget per cycle, for each request completed in the
    * previous cycle.
    */
-  private static final double GROWTH = 1;
+  private static final double ADMITTED_PER_COMPLETED = 1;
 
   /**
    * Number of requests admitted beyond the budget per cycle and core, independent of completed
    * requests, so that the first ones are admitted.
    */
-  private static final double FIRST_PER_CORE = 2.5;
+  private static final double ADMITTED_PER_CORE = 2.5;
 
   /** This dispatcher's part of the eligible cores, as of the last budget cycle. */
   private double cores;
 
-  private int served;
+  private int completedRequests;
   private double allowance;
 
   IdleCapacity(WorkerRegistry registry, OutlierDetector outliers, SlowStart slowStart) {
@@ -41,25 +41,25 @@
 
   /** Recomputes the idle capacity, once per budget cycle. */
   void startCycle(double now) {
-    double sum =
+    double eligibleCores =
         registry
             .ready()
-            .filter(worker -> counts(worker, now))
+            .filter(worker -> isEligible(worker, now))
             .mapToDouble(IdleCapacity::cores)
             .sum();
-    cores = sum / slowStart.participants();
-    allowance = FIRST_PER_CORE * cores + GROWTH * served;
-    served = 0;
+    cores = eligibleCores / slowStart.participants();
+    allowance = ADMITTED_PER_CORE * cores + ADMITTED_PER_COMPLETED * completedRequests;
+    completedRequests = 0;
   }
 
   /** Records that an attempt has succeeded. */
   void attemptSucceeded() {
-    served++;
+    completedRequests++;
   }
 
-  private boolean counts(WorkerStats worker, double now) {
-    return worker.outcomes > 0
-        && now - worker.rejectedAt > REJECTION_MEMORY_MS
+  private boolean isEligible(WorkerStats worker, double now) {
+    return worker.completedJobs > 0
+        && now - worker.rejectedAt > REJECTION_BACKOFF_MS
         && outliers.reachable(worker, now)
         && !slowStart.warmingUp(worker.entry, now);
   }
@@ -72,7 +72,7 @@
    * Records that a worker has rejected an attempt. The worker does not count as idle from then on.
    */
   void workerRejected(WorkerStats worker, double now) {
-    if (counts(worker, now)) {
+    if (isEligible(worker, now)) {
       cores = Math.max(0, cores - cores(worker) / slowStart.participants());
     }
     worker.rejectedAt = now;
@@ -83,8 +83,8 @@
    * free core for the job beside the jobs in flight.
    */
   boolean admit(Job job) {
-    boolean idle = registry.heldSlots() + job.slots() <= cores;
-    boolean admitted = idle && allowance >= 1;
+    boolean coreFree = registry.heldSlots() + job.slots() <= cores;
+    boolean admitted = coreFree && allowance >= 1;
     allowance -= admitted ? 1 : 0;
     return admitted;
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/Job.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Job.java
@@ -19,12 +19,12 @@
     double memory,
     long object) {
   public Job {
-    Preconditions.that(id != null && !id.isEmpty(), "Job.id", id);
-    Preconditions.that(jobClass >= 0, "Job.jobClass", jobClass);
-    Preconditions.that(tenant >= 0, "Job.tenant", tenant);
-    Preconditions.that(!Double.isNaN(due), "Job.due", due);
-    Preconditions.that(work >= 0, "Job.work", work);
-    Preconditions.that(slots >= 0, "Job.slots", slots);
-    Preconditions.that(memory >= 0, "Job.memory", memory);
+    Preconditions.checkRange(id != null && !id.isEmpty(), "Job.id", id);
+    Preconditions.checkRange(jobClass >= 0, "Job.jobClass", jobClass);
+    Preconditions.checkRange(tenant >= 0, "Job.tenant", tenant);
+    Preconditions.checkRange(!Double.isNaN(due), "Job.due", due);
+    Preconditions.checkRange(work >= 0, "Job.work", work);
+    Preconditions.checkRange(slots >= 0, "Job.slots", slots);
+    Preconditions.checkRange(memory >= 0, "Job.memory", memory);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/JobClass.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/JobClass.java
@@ -7,7 +7,7 @@
  * @param effect how often a request may run
  * @param scope the workers that drop repeats of a request with the same key
  * @param window time in ms for which workers remember a key
- * @param deadline time in ms after which clients stop waiting
+ * @param deadline maximum deadline of a request, in ms after its arrival
  * @param worth value of an answer in time
  * @param lateWorth value of a late answer
  * @param kind kind of workers that run the class, -1 for any
@@ -25,12 +25,12 @@
     int kind,
     int priority) {
   public JobClass {
-    Preconditions.that(effect != null, "JobClass.effect", effect);
-    Preconditions.that(scope != null, "JobClass.scope", scope);
-    Preconditions.that(window >= 0, "JobClass.window", window);
-    Preconditions.that(aim > 0, "JobClass.aim", aim);
-    Preconditions.that(stretch >= 0, "JobClass.stretch", stretch);
-    Preconditions.that(deadline > 0, "JobClass.deadline", deadline);
-    Preconditions.that(kind >= -1, "JobClass.kind", kind);
+    Preconditions.checkRange(effect != null, "JobClass.effect", effect);
+    Preconditions.checkRange(scope != null, "JobClass.scope", scope);
+    Preconditions.checkRange(window >= 0, "JobClass.window", window);
+    Preconditions.checkRange(aim > 0, "JobClass.aim", aim);
+    Preconditions.checkRange(stretch >= 0, "JobClass.stretch", stretch);
+    Preconditions.checkRange(deadline > 0, "JobClass.deadline", deadline);
+    Preconditions.checkRange(kind >= -1, "JobClass.kind", kind);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/LoadReport.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/LoadReport.java
@@ -17,16 +17,16 @@
    * Upper bound of valid values, which exceeds the size of any worker. A larger or negative value
    * counts as not reported.
    */
-  private static final double MAX_FIGURE = 1e6;
+  private static final double MAX_VALID_VALUE = 1e6;
 
   public LoadReport {
-    freeSlots = figure(freeSlots);
-    freeMemory = figure(freeMemory);
-    queued = figure(queued);
-    held = figure(held);
+    freeSlots = validOrNaN(freeSlots);
+    freeMemory = validOrNaN(freeMemory);
+    queued = validOrNaN(queued);
+    held = validOrNaN(held);
   }
 
-  private static double figure(double reported) {
-    return reported >= 0 && reported <= MAX_FIGURE ? reported : Double.NaN;
+  private static double validOrNaN(double reported) {
+    return reported >= 0 && reported <= MAX_VALID_VALUE ? reported : Double.NaN;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
@@ -13,13 +13,13 @@
    * Number of objects cached per slot: each fetch adds one, and most workers cache no more objects
    * than they run jobs.
    */
-  private static final double CACHED_PER_SLOT = 0.85;
+  private static final double CACHED_OBJECTS_PER_SLOT = 0.85;
 
   /**
    * Maximum discount on a fetch at the worker that all dispatchers prefer; a larger discount would
    * overload that worker.
    */
-  private static final double PREFERENCE = 0.1;
+  private static final double MAX_PREFERENCE_DISCOUNT = 0.1;
 
   private final LinkedHashMap<Long, Boolean> cached = new LinkedHashMap<>(8, 0.75f, true);
 
@@ -27,20 +27,20 @@
    * Records that a job that needs {@code object} is sent to the worker, which has {@code slots}
    * slots. The object is 0 if the job needs none.
    */
-  void use(long object, double slots) {
+  void recordUse(long object, double slots) {
     if (object != 0) {
       cached.put(object, true);
-      if (cached.size() > Math.max(1, Math.round(CACHED_PER_SLOT * slots))) {
+      if (cached.size() > Math.max(1, Math.round(CACHED_OBJECTS_PER_SLOT * slots))) {
         cached.remove(cached.keySet().iterator().next());
       }
     }
   }
 
   /** Returns the fraction of a fetch that a job has to wait for at this worker. */
-  double missing(long object, long worker) {
+  double fetchFraction(long object, long workerId) {
     if (object == 0 || cached.containsKey(object)) {
       return 0;
     }
-    return 1 - PREFERENCE * new SplittableRandom(object ^ Long.rotateLeft(worker, 32)).nextDouble();
+    return 1 - MAX_PREFERENCE_DISCOUNT * new SplittableRandom(object ^ Long.rotateLeft(workerId, 32)).nextDouble();
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
@@ -25,19 +25,19 @@
    * Number of attempts or failed connections to a zone, without any response in between, after
    * which the zone counts as unreachable.
    */
-  private static final int SILENT_ATTEMPTS = 4;
+  private static final int MAX_UNANSWERED_ATTEMPTS = 4;
 
   /**
    * Time without a response, in addition to a mean service time, after which a zone counts as
    * unreachable.
    */
-  private static final double SILENCE_MS = 100;
+  private static final double ZONE_TIMEOUT_MS = 100;
 
   /**
    * Fraction of the mean service time for which a worker without free memory or slots receives no
    * jobs.
    */
-  private static final double EXHAUSTED_HOLD = 0.25;
+  private static final double EXHAUSTED_BACKOFF_FRACTION = 0.25;
 
   private final WorkerRegistry registry;
   private final ServiceTimeEstimator serviceTimes;
@@ -57,7 +57,7 @@
 
   /** Returns true if the worker is not ejected and its zone responds. */
   boolean reachable(WorkerStats worker, double now) {
-    return worker.ejectedUntil <= now && !silent(registry.zone(worker), now);
+    return worker.ejectedUntil <= now && !unreachable(registry.zone(worker), now);
   }
 
   /**
@@ -66,66 +66,66 @@
    * interval.
    */
   boolean accepts(WorkerStats worker, int jobClass, double now) {
-    boolean probed = worker.ejection > 0 && worker.heldSlots > 0;
-    if (probed || blockedUntil(worker, jobClass) > now) {
+    boolean probeInFlight = worker.ejectionMs > 0 && worker.heldSlots > 0;
+    if (probeInFlight || blockedUntil(worker, jobClass) > now) {
       return false;
     }
     ZoneStats zone = registry.zone(worker);
-    return !silent(zone, now) || now >= zone.nextProbeAt;
+    return !unreachable(zone, now) || now >= zone.nextProbeAt;
   }
 
   /** Returns the time at which the worker's ejections and backoff for this class end. */
   double blockedUntil(WorkerStats worker, int jobClass) {
     return Math.max(
-        worker.classEjectedUntil[jobClass], Math.max(worker.holdUntil, worker.ejectedUntil));
+        worker.classEjectedUntil[jobClass], Math.max(worker.backoffUntil, worker.ejectedUntil));
   }
 
   /** Records an attempt sent to the worker, to which its zone is expected to respond. */
   void attemptSent(WorkerStats worker, int jobClass, double now) {
-    // After a class ejection a single job at a time tests whether the worker runs the class again.
+    // After a class ejectionMs a single job at a time tests whether the worker runs the class again.
     worker.classEjectedUntil[jobClass] =
-        worker.classEjection[jobClass] > 0 ? now + MIN_CLASS_EJECTION_MS : 0;
+        worker.classEjectionMs[jobClass] > 0 ? now + MIN_CLASS_EJECTION_MS : 0;
     ZoneStats zone = registry.zone(worker);
-    if (zone.unanswered++ == 0) {
+    if (zone.unansweredAttempts++ == 0) {
       zone.firstUnansweredAt = now;
     }
-    zone.nextProbeAt = now + SILENCE_MS + serviceTimes.mean();
+    zone.nextProbeAt = now + ZONE_TIMEOUT_MS + serviceTimes.mean();
   }
 
   /** Records any response from the worker. */
-  void signOfLife(WorkerStats worker, double now) {
+  void responseReceived(WorkerStats worker, double now) {
     ZoneStats zone = registry.zone(worker);
-    zone.lastSignAt = now;
-    worker.lastSignAt = now;
-    zone.unanswered = 0;
-    zone.unreachable = 0;
+    zone.lastResponseAt = now;
+    worker.lastResponseAt = now;
+    zone.unansweredAttempts = 0;
+    zone.failedConnects = 0;
   }
 
   /** Returns true if the worker has sent any response since the attempt was sent. */
-  boolean answeredSince(Attempt attempt) {
-    return attempt.worker.lastSignAt >= attempt.sentAt;
+  boolean respondedSince(Attempt attempt) {
+    return attempt.worker.lastResponseAt >= attempt.sentAt;
   }
 
   /**
-   * Records that the worker has started a job of the class, which ends its ejection for the class.
+   * Records that the worker has started a job of the class, which ends its ejectionMs for the class.
    */
   void attemptStarted(WorkerStats worker, int jobClass) {
-    worker.classEjection[jobClass] = 0;
+    worker.classEjectionMs[jobClass] = 0;
     worker.classEjectedUntil[jobClass] = 0;
   }
 
   /**
-   * Records the success of an attempt at the worker. The next ejection has the minimum duration
+   * Records the success of an attempt at the worker. The next ejectionMs has the minimum duration
    * again.
    */
   void attemptSucceeded(WorkerStats worker, int jobClass) {
-    worker.ejection = 0;
+    worker.ejectionMs = 0;
     attemptStarted(worker, jobClass);
   }
 
   /** Records a failed connection to the worker. */
   void connectFailed(WorkerStats worker) {
-    registry.zone(worker).unreachable++;
+    registry.zone(worker).failedConnects++;
   }
 
   /**
@@ -133,7 +133,7 @@
    * random time around the mean service time.
    */
   void workerFull(WorkerStats worker, double now) {
-    worker.holdUntil = now + serviceTimes.mean() * (0.5 + random.nextDouble());
+    worker.backoffUntil = now + serviceTimes.mean() * (0.5 + random.nextDouble());
   }
 
   /**
@@ -142,8 +142,8 @@
    */
   void reportReceived(WorkerStats worker, LoadReport report, double now) {
     if (report.freeMemory() <= 0 || (Double.isNaN(report.held()) && report.freeSlots() < 1)) {
-      double until = now + serviceTimes.mean() * EXHAUSTED_HOLD;
-      worker.holdUntil = Math.max(worker.holdUntil, until);
+      double backoffUntil = now + serviceTimes.mean() * EXHAUSTED_BACKOFF_FRACTION;
+      worker.backoffUntil = Math.max(worker.backoffUntil, backoffUntil);
     }
   }
 
@@ -156,8 +156,8 @@
         || ejectedCount(now) >= MAX_EJECTED_SHARE * registry.readyCount()) {
       return;
     }
-    worker.ejection = Math.min(MAX_EJECTION_MS, Math.max(MIN_EJECTION_MS, 2 * worker.ejection));
-    worker.ejectedUntil = now + worker.ejection * (0.75 + 0.5 * random.nextDouble());
+    worker.ejectionMs = Math.min(MAX_EJECTION_MS, Math.max(MIN_EJECTION_MS, 2 * worker.ejectionMs));
+    worker.ejectedUntil = now + worker.ejectionMs * (0.75 + 0.5 * random.nextDouble());
   }
 
   /**
@@ -165,15 +165,15 @@
    * it may block on every job of the class and still run other classes.
    */
   void ejectClass(WorkerStats worker, int jobClass, double now) {
-    double doubled = Math.max(MIN_CLASS_EJECTION_MS, 2 * worker.classEjection[jobClass]);
-    worker.classEjection[jobClass] = Math.min(MAX_CLASS_EJECTION_MS, doubled);
-    worker.classEjectedUntil[jobClass] = now + worker.classEjection[jobClass];
+    double doubledMs = Math.max(MIN_CLASS_EJECTION_MS, 2 * worker.classEjectionMs[jobClass]);
+    worker.classEjectionMs[jobClass] = Math.min(MAX_CLASS_EJECTION_MS, doubledMs);
+    worker.classEjectedUntil[jobClass] = now + worker.classEjectionMs[jobClass];
   }
 
-  private boolean silent(ZoneStats zone, double now) {
-    double since = Math.max(zone.lastSignAt, zone.firstUnansweredAt);
-    boolean unanswered =
-        zone.unanswered >= SILENT_ATTEMPTS && now - since > SILENCE_MS + serviceTimes.mean();
-    return unanswered || zone.unreachable >= SILENT_ATTEMPTS;
+  private boolean unreachable(ZoneStats zone, double now) {
+    double lastContactAt = Math.max(zone.lastResponseAt, zone.firstUnansweredAt);
+    boolean timedOut =
+        zone.unansweredAttempts >= MAX_UNANSWERED_ATTEMPTS && now - lastContactAt > ZONE_TIMEOUT_MS + serviceTimes.mean();
+    return timedOut || zone.failedConnects >= MAX_UNANSWERED_ATTEMPTS;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
@@ -20,17 +20,17 @@
    * Returns the numbers of this dispatcher's peers, in ascending order. Links are symmetric: each
    * peer has this dispatcher among its own peers.
    */
-  static int[] links(int me, int dispatchers) {
+  static int[] peersOf(int dispatcherIndex, int dispatchers) {
     if (dispatchers <= MAX_PEERS + 1) {
-      return IntStream.range(0, dispatchers).filter(peer -> peer != me).toArray();
+      return IntStream.range(0, dispatchers).filter(peer -> peer != dispatcherIndex).toArray();
     }
-    int[] links = new int[MAX_PEERS];
+    int[] peers = new int[MAX_PEERS];
     int chords = MAX_PEERS / 2;
     for (int i = 0; i < chords; i++) {
-      int reach = (int) Math.round(Math.pow(dispatchers / 2.0, (double) i / chords));
-      links[2 * i] = Math.floorMod(me + reach, dispatchers);
-      links[2 * i + 1] = Math.floorMod(me - reach, dispatchers);
+      int distance = (int) Math.round(Math.pow(dispatchers / 2.0, (double) i / chords));
+      peers[2 * i] = Math.floorMod(dispatcherIndex + distance, dispatchers);
+      peers[2 * i + 1] = Math.floorMod(dispatcherIndex - distance, dispatchers);
     }
-    return Arrays.stream(links).sorted().distinct().toArray();
+    return Arrays.stream(peers).sorted().distinct().toArray();
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/PendingRequest.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PendingRequest.java
@@ -33,7 +33,7 @@
     return attempts.stream().anyMatch(attempt -> attempt.worker == worker);
   }
 
-  Attempt newest() {
+  Attempt newestAttempt() {
     return attempts.get(attempts.size() - 1);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/PendingRequests.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PendingRequests.java
@@ -19,11 +19,11 @@
   }
 
   /** Returns the attempt with this number, or null if there is none. */
-  Attempt findAttempt(String id, int number) {
+  Attempt findAttempt(String id, int attemptNumber) {
     PendingRequest request = byId.get(id);
-    return request == null || number >= request.attempts.size()
+    return request == null || attemptNumber >= request.attempts.size()
         ? null
-        : request.attempts.get(number);
+        : request.attempts.get(attemptNumber);
   }
 
   /** Removes the request if it is completed and none of its attempts is in flight. */
--- a/dispatch/src/main/java/ferngrade/dispatch/Preconditions.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Preconditions.java
@@ -4,8 +4,8 @@
 final class Preconditions {
   private Preconditions() {}
 
-  static void that(boolean holds, String field, Object value) {
-    if (!holds) {
+  static void checkRange(boolean inRange, String field, Object value) {
+    if (!inRange) {
       throw new IllegalArgumentException(field + " is out of range: " + value);
     }
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -30,23 +30,23 @@
     if (request.inFlight > 0 && !limits.secondCopies()) {
       return false;
     }
-    Attempt first = request.firstThatMayHaveRun();
-    if (first == null) {
+    Attempt firstAttempt = request.firstThatMayHaveRun();
+    if (firstAttempt == null) {
       return true;
     }
     return switch (request.jobClass.effect()) {
       case SAFE -> true;
-      case KEYED -> now < first.sentAt + request.jobClass.window() - roundMs;
+      case KEYED -> now < firstAttempt.sentAt + request.jobClass.window() - roundMs;
       case UNSAFE -> false;
     };
   }
 
   /** Returns true if the client may be told that a retry is safe. */
   boolean mayReject(PendingRequest request) {
-    Idempotency effect = request.jobClass.effect();
-    boolean keyedEverywhere =
-        effect == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
-    return effect == Idempotency.SAFE || keyedEverywhere || request.firstThatMayHaveRun() == null;
+    Idempotency idempotency = request.jobClass.effect();
+    boolean keyedForAllWorkers =
+        idempotency == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
+    return idempotency == Idempotency.SAFE || keyedForAllWorkers || request.firstThatMayHaveRun() == null;
   }
 
   /**
@@ -62,10 +62,10 @@
    * to any group.
    */
   Attempt groupAttempt(PendingRequest request) {
-    boolean keyed =
+    boolean keyedWithinGroup =
         request.jobClass.effect() == Idempotency.KEYED
             && request.jobClass.scope() != IdempotencyScope.ALL;
-    return keyed ? request.firstThatMayHaveRun() : null;
+    return keyedWithinGroup ? request.firstThatMayHaveRun() : null;
   }
 
   /**
@@ -76,9 +76,9 @@
     if (groupAttempt == null) {
       return true;
     }
-    Worker first = groupAttempt.worker.entry;
+    Worker firstWorker = groupAttempt.worker.entry;
     return scope == IdempotencyScope.ZONE
-        ? first.zone() == worker.entry.zone()
-        : first.cell() == worker.entry.cell();
+        ? firstWorker.zone() == worker.entry.zone()
+        : firstWorker.cell() == worker.entry.cell();
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/ServiceObjective.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ServiceObjective.java
@@ -8,7 +8,7 @@
  */
 public record ServiceObjective(double whole, double worstClass) {
   public ServiceObjective {
-    Preconditions.that(whole >= 0, "Goal.whole", whole);
-    Preconditions.that(worstClass >= 0, "Goal.worstClass", worstClass);
+    Preconditions.checkRange(whole >= 0, "Goal.whole", whole);
+    Preconditions.checkRange(worstClass >= 0, "Goal.worstClass", worstClass);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/ServiceTimeEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ServiceTimeEstimator.java
@@ -9,29 +9,29 @@
   private static final double INITIAL_MEAN_MS = 100;
 
   /** Weight of one job in a worker's own slowness. */
-  private static final double WORKER_WEIGHT = 0.1;
+  private static final double WORKER_SAMPLE_WEIGHT = 0.1;
 
   /** Weight of one job in the mean of its class, of its worker's group and of all jobs. */
-  private static final double SHARED_WEIGHT = 0.05;
+  private static final double SHARED_SAMPLE_WEIGHT = 0.05;
 
   /**
    * Weight of one job in the mean work. It is small because single jobs must not make the
    * slow-start budgets fluctuate.
    */
-  private static final double WORK_WEIGHT = 0.02;
+  private static final double WORK_SAMPLE_WEIGHT = 0.02;
 
   /** Minimum service time of a job; the clocks have no finer resolution. */
-  private static final double MIN_SERVICE_MS = 0.1;
+  private static final double MIN_SERVICE_TIME_MS = 0.1;
 
   /** Maximum slowness derived from one job; hints of a job's work are imprecise. */
   private static final double MAX_SLOWNESS = 8;
 
   private final double[] meanByClass;
   private double mean = INITIAL_MEAN_MS;
-  private long completed;
+  private long completedCount;
   private double meanWork;
   private double meanSlots;
-  private long arrived;
+  private long arrivedCount;
 
   ServiceTimeEstimator(int classes) {
     this.meanByClass = new double[classes];
@@ -60,13 +60,13 @@
    * mean of its class.
    */
   double standardTime(PendingRequest request) {
-    double known = meanByClass[request.job.jobClass()];
-    return request.job.work() > 0 ? request.job.work() : known > 0 ? known : mean;
+    double classMean = meanByClass[request.job.jobClass()];
+    return request.job.work() > 0 ? request.job.work() : classMean > 0 ? classMean : mean;
   }
 
   /** Returns the job's expected time on this worker. */
   double timeAt(PendingRequest request, WorkerStats worker) {
-    return standardTime(request) * (worker.outcomes > 0 ? worker.slowness : worker.group.slowness);
+    return standardTime(request) * (worker.completedJobs > 0 ? worker.slowness : worker.group.slowness);
   }
 
   /** Returns the request's work, which is its standard time times its slots. */
@@ -77,7 +77,7 @@
   /** Counts a request's work and slots, and returns its work. */
   double requestArrived(PendingRequest request) {
     double work = work(request);
-    double weight = Math.max(WORK_WEIGHT, 1.0 / ++arrived);
+    double weight = Math.max(WORK_SAMPLE_WEIGHT, 1.0 / ++arrivedCount);
     meanWork += weight * (work - meanWork);
     meanSlots += weight * (request.job.slots() - meanSlots);
     return work;
@@ -85,25 +85,25 @@
 
   /** Updates the estimates from an attempt that succeeded at {@code now}. */
   void attemptSucceeded(PendingRequest request, Attempt attempt, double now) {
-    double from = attempt.hasStarted() ? attempt.startedAt : attempt.sentAt;
-    double took = Math.max(MIN_SERVICE_MS, now - from);
-    double slowness = completed == 0 ? 1 : took / standardTime(request);
-    learnMeans(request.job.jobClass(), took);
-    learnSlowness(attempt.worker, Math.min(MAX_SLOWNESS, slowness));
+    double runningSince = attempt.hasStarted() ? attempt.startedAt : attempt.sentAt;
+    double serviceTime = Math.max(MIN_SERVICE_TIME_MS, now - runningSince);
+    double slowness = completedCount == 0 ? 1 : serviceTime / standardTime(request);
+    updateMeans(request.job.jobClass(), serviceTime);
+    updateSlowness(attempt.worker, Math.min(MAX_SLOWNESS, slowness));
   }
 
-  private void learnMeans(int jobClass, double took) {
-    double known = meanByClass[jobClass];
-    meanByClass[jobClass] = known == 0 ? took : known + SHARED_WEIGHT * (took - known);
-    mean += Math.max(SHARED_WEIGHT, 1.0 / ++completed) * (took - mean);
+  private void updateMeans(int jobClass, double serviceTime) {
+    double classMean = meanByClass[jobClass];
+    meanByClass[jobClass] = classMean == 0 ? serviceTime : classMean + SHARED_SAMPLE_WEIGHT * (serviceTime - classMean);
+    mean += Math.max(SHARED_SAMPLE_WEIGHT, 1.0 / ++completedCount) * (serviceTime - mean);
   }
 
-  private static void learnSlowness(WorkerStats worker, double sample) {
+  private static void updateSlowness(WorkerStats worker, double sample) {
     WorkerGroup group = worker.group;
     group.slowness =
-        group.slownessKnown ? group.slowness + SHARED_WEIGHT * (sample - group.slowness) : sample;
+        group.slownessKnown ? group.slowness + SHARED_SAMPLE_WEIGHT * (sample - group.slowness) : sample;
     group.slownessKnown = true;
-    double before = worker.outcomes++ == 0 ? group.slowness : worker.slowness;
-    worker.slowness = before + WORKER_WEIGHT * (sample - before);
+    double oldSlowness = worker.completedJobs++ == 0 ? group.slowness : worker.slowness;
+    worker.slowness = oldSlowness + WORKER_SAMPLE_WEIGHT * (sample - oldSlowness);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -11,7 +11,7 @@
    * Share of the fleet's idle cores that one dispatcher may use at once, regardless of its previous
    * slice.
    */
-  private static final double IDLE_SHARE = 0.5;
+  private static final double MAX_IDLE_SHARE = 0.5;
 
   /**
    * Maximum ratio of a slice to its share of the fleet. Without headroom a slice could never grow.
@@ -19,45 +19,45 @@
   private static final double HEADROOM = 1.75;
 
   /** Reduction of the headroom when every worker has one job queued for each core. */
-  private static final double QUEUED_HEADROOM_LOSS = 0.55;
+  private static final double QUEUED_HEADROOM_REDUCTION = 0.55;
 
   /**
    * Fraction of the difference to its share by which a slice changes in a cycle. With the whole
    * difference it would oscillate with each update of the endpoint list.
    */
-  private static final double SETTLE = 0.6;
+  private static final double SHARE_GAIN = 0.6;
 
   /** Minimum share of busy cores at which a dispatcher's share can be derived from the loads. */
-  private static final double MIN_BUSY = 0.05;
+  private static final double MIN_BUSY_SHARE = 0.05;
 
   /**
    * Number of queued jobs per core above which the fleet is congested. In a congested fleet,
    * avoiding workers with long queues only lengthens the queues of other workers.
    */
-  private static final double CROWDED_QUEUE = 0.35;
+  private static final double CONGESTED_QUEUE = 0.35;
 
   /** Growth of a slice per cycle while there is demand for it; a halved slice recovers in 2 s. */
-  private static final double GROW = 0.2;
+  private static final double GROWTH_PER_CYCLE = 0.2;
 
   /**
    * Ratio of the relative cut of a slice to the share of rejected attempts. The slice is stable
    * when a twentieth of the attempts is rejected.
    */
-  private static final double TRIM = 4;
+  private static final double CUT_FACTOR = 4;
 
   /**
    * Minimum fraction of a slice that remains after one cut: the rejections of a single burst must
    * not stop a dispatcher.
    */
-  private static final double MIN_KEPT = 0.3;
+  private static final double MIN_REMAINING_FRACTION = 0.3;
 
   /**
    * Maximum ratio of a slice to the demand; bounded so that a cut takes effect within two cycles.
    */
-  private static final double SLACK = 1.5;
+  private static final double MAX_DEMAND_MULTIPLE = 1.5;
 
   /** Minimum slice in slots per second, with which an idle dispatcher can start again. */
-  private static final double FLOOR = 1;
+  private static final double MIN_SLICE = 1;
 
   /**
    * Weight of the newest cycle in the counts that decide about cuts. Of a small number of jobs some
@@ -71,14 +71,14 @@
   private double slice = Double.NaN;
 
   private double lastCutAt = Double.NEGATIVE_INFINITY;
-  private int sent;
-  private int rejected;
+  private int sentCount;
+  private int rejectedCount;
   private double acceptedSlots;
-  private double sentMean;
-  private double rejectedMean;
+  private double meanSent;
+  private double meanRejected;
   private double acceptedRate;
   private boolean followsLoads;
-  private boolean crowded;
+  private boolean congested;
 
   /**
    * Creates a budget without a slice. {@code loadsListed} is true if the endpoint list includes
@@ -99,8 +99,8 @@
   }
 
   /** Returns true while queues are long throughout the fleet. */
-  boolean crowded() {
-    return crowded;
+  boolean congested() {
+    return congested;
   }
 
   /** Returns the smoothed rate of slots per second of attempts that were accepted in time. */
@@ -110,15 +110,15 @@
 
   /** Returns the smoothed share of attempts that were rejected or started late. */
   double rejectedShare() {
-    return rejectedMean == 0 ? 0 : rejectedMean / Math.max(sentMean, rejectedMean);
+    return meanRejected == 0 ? 0 : meanRejected / Math.max(meanSent, meanRejected);
   }
 
   void attemptSent() {
-    sent++;
+    sentCount++;
   }
 
   void attemptRejected() {
-    rejected++;
+    rejectedCount++;
   }
 
   /**
@@ -126,13 +126,13 @@
    * that the cut has already taken into account. Counting it again would cut an already small slice
    * for as long as the queues take to drain.
    */
-  boolean reflectsSlice(Attempt attempt) {
+  boolean sentSinceLastCut(Attempt attempt) {
     return attempt.sentAt >= lastCutAt;
   }
 
   /** Counts an attempt that has started, or has succeeded without a report of its start. */
   void attemptStarted(Attempt attempt, double slots) {
-    if (!attempt.late && reflectsSlice(attempt)) {
+    if (!attempt.countedLate && sentSinceLastCut(attempt)) {
       acceptedSlots += slots;
     }
   }
@@ -143,29 +143,29 @@
    * because the queue would grow for as long again until then.
    */
   void startDeadlinePassed(Attempt attempt) {
-    if (attempt.inFlight() && !attempt.hasStarted() && reflectsSlice(attempt)) {
-      attempt.late = true;
-      rejected++;
+    if (attempt.inFlight() && !attempt.hasStarted() && sentSinceLastCut(attempt)) {
+      attempt.countedLate = true;
+      rejectedCount++;
     }
   }
 
   /** Ends a budget cycle: sets the slice from the fleet's load or from the counts of this cycle. */
   void endCycle(FleetLoad load, double meanWork, double demand, double seconds, double now) {
-    followsLoads = loadsListed && load.startRateKnown() && load.busy() > MIN_BUSY * load.size();
-    crowded = load.queued() > CROWDED_QUEUE * load.size();
+    followsLoads = loadsListed && load.startRateKnown() && load.busy() > MIN_BUSY_SHARE * load.size();
+    congested = load.queued() > CONGESTED_QUEUE * load.size();
     if (followsLoads) {
-      slice = Math.max(FLOOR, slice + SETTLE * (fleetShare(load, meanWork) - slice));
+      slice = Math.max(MIN_SLICE, slice + SHARE_GAIN * (fleetShare(load, meanWork) - slice));
     } else {
-      growOrTrim(demand, seconds, now);
+      growOrCut(demand, seconds, now);
     }
-    sent = 0;
+    sentCount = 0;
     acceptedSlots = 0;
-    rejected = 0;
+    rejectedCount = 0;
   }
 
-  /** Changes the slice by {@code step} slots per second, which peers lose or gain. */
-  void move(double step) {
-    slice = Math.max(FLOOR, slice + step);
+  /** Changes the slice by {@code change} slots per second, which peers lose or gain. */
+  void adjust(double change) {
+    slice = Math.max(MIN_SLICE, slice + change);
   }
 
   /**
@@ -174,29 +174,29 @@
    * to the loss of a zone without any message between them.
    */
   private static double fleetShare(FleetLoad load, double meanWork) {
-    double own = load.startRate() * load.size() / load.busy();
-    double headroom = HEADROOM - QUEUED_HEADROOM_LOSS * load.queued() / load.size();
-    return Math.max(own * headroom, IDLE_SHARE * (load.size() - load.busy()) * 1000 / meanWork);
+    double ownShare = load.startRate() * load.size() / load.busy();
+    double headroom = HEADROOM - QUEUED_HEADROOM_REDUCTION * load.queued() / load.size();
+    return Math.max(ownShare * headroom, MAX_IDLE_SHARE * (load.size() - load.busy()) * 1000 / meanWork);
   }
 
-  private void growOrTrim(double demand, double seconds, double now) {
-    sentMean += COUNT_WEIGHT * (sent - sentMean);
-    rejectedMean += COUNT_WEIGHT * (rejected - rejectedMean);
+  private void growOrCut(double demand, double seconds, double now) {
+    meanSent += COUNT_WEIGHT * (sentCount - meanSent);
+    meanRejected += COUNT_WEIGHT * (rejectedCount - meanRejected);
     acceptedRate += COUNT_WEIGHT * (acceptedSlots / seconds - acceptedRate);
-    double max = SLACK * demand + FLOOR;
-    double change = GROW - TRIM * rejectedShare();
+    double maxSlice = MAX_DEMAND_MULTIPLE * demand + MIN_SLICE;
+    double change = GROWTH_PER_CYCLE - CUT_FACTOR * rejectedShare();
     // The slice stays at its maximum until the first cut reveals a limit. A dispatcher that waits
     // for its clients has no demand for several cycles; growing from the minimum slice would then
     // reject requests on an idle fleet.
     if (Double.isNaN(slice) || (change >= 0 && lastCutAt == Double.NEGATIVE_INFINITY)) {
-      slice = Double.isNaN(slice) ? max : Math.max(max, slice);
+      slice = Double.isNaN(slice) ? maxSlice : Math.max(maxSlice, slice);
     }
     // The maximum only stops growth. Cutting the slice to it would destroy slots that peers
     // transfer through this dispatcher.
-    if (change < 0 || slice < max) {
+    if (change < 0 || slice < maxSlice) {
       applyChange(change, now);
     } else {
-      slice = Math.max(max, slice * (1 - GROW));
+      slice = Math.max(maxSlice, slice * (1 - GROWTH_PER_CYCLE));
     }
     // Requests may have been admitted to idle workers beyond the slice; the accepted ones show that
     // the slots exist.
@@ -210,9 +210,9 @@
   private void applyChange(double change, double now) {
     if (change < 0) {
       lastCutAt = now;
-      rejectedMean = 0;
+      meanRejected = 0;
     }
-    double proven = Math.min(slice, acceptedRate);
-    slice = Math.max(Math.max(FLOOR, proven), slice * Math.max(MIN_KEPT, 1 + change));
+    double acceptedSlice = Math.min(slice, acceptedRate);
+    slice = Math.max(Math.max(MIN_SLICE, acceptedSlice), slice * Math.max(MIN_REMAINING_FRACTION, 1 + change));
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -24,7 +24,7 @@
    * Share of the tolerance for random variation that is granted per window in addition; the grants
    * of two windows can coincide here as well.
    */
-  private static final double SLACK_SHARE = 0.25;
+  private static final double TOLERANCE_SHARE = 0.25;
 
   /** Limit above which the smaller formula for the tolerance applies. */
   private static final double LARGE_LIMIT = 30;
@@ -33,40 +33,41 @@
    * Lifetime of an unused grant in windows. Bounded because one of many dispatchers has few
    * requests that could use the grant.
    */
-  private static final double GRANT_LIFETIME = 1;
+  private static final double GRANT_LIFETIME_WINDOWS = 1;
 
   /**
    * Minimum number of grants per window. The tolerance of the limit covers them while the worker's
    * capacity is unknown.
    */
-  private static final double LEAST_GRANTS = 1;
+  private static final double MIN_GRANTS = 1;
 
   /**
    * Share of a request's cost that must be granted when it is sent; later grants cover the rest.
    */
-  private static final double COVERED_SHARE = 0.5;
+  private static final double MIN_COVERED_SHARE = 0.5;
 
   /**
    * Offsets the first grant of each worker so that dispatchers do not all begin with the same
    * worker. The number is odd and does not divide common fleet sizes.
    */
-  private static final long TURN_STRIDE = 31;
+  private static final long OFFSET_STRIDE = 31;
 
-  private final SlowStartPolicy rule;
-  private final int me;
+  private final SlowStartPolicy policy;
+  private final int dispatcherIndex;
   private final int dispatchers;
 
   /** Number of concurrent processes of this dispatcher. */
-  private int processes = 1;
+  private int processCount = 1;
 
   /** Zero-based number of this process. */
-  private int process;
+  private int processIndex;
+
   private boolean stopped;
   private final Map<Long, Account> accounts = new HashMap<>();
 
-  SlowStart(SlowStartPolicy rule, int me, int dispatchers) {
-    this.rule = rule;
-    this.me = me;
+  SlowStart(SlowStartPolicy policy, int dispatcherIndex, int dispatchers) {
+    this.policy = policy;
+    this.dispatcherIndex = dispatcherIndex;
     this.dispatchers = dispatchers;
   }
 
@@ -75,10 +76,10 @@
    * one. Each process gets the grants of a separate dispatcher in a fleet that is larger by this
    * factor. All accounts are reopened.
    */
-  void sharedBy(int count, int index) {
-    processes = count;
-    process = index;
-    accounts.values().forEach(account -> account.received = Double.NaN);
+  void setProcesses(int count, int index) {
+    processCount = count;
+    processIndex = index;
+    accounts.values().forEach(account -> account.receivedGrants = Double.NaN);
   }
 
   /** Stops the use of grants by this process; they are left to the other processes. */
@@ -91,37 +92,37 @@
    * divided.
    */
   int participants() {
-    return dispatchers * processes;
+    return dispatchers * processCount;
   }
 
   /** A request sent to a worker at time {@code at} (ms). The cost is in requests of mean work. */
-  private record Sent(double at, double cost) {}
+  private record SentRequest(double at, double cost) {}
 
   /** The grants of this process for one worker, counted from the start of the worker's process. */
   private static final class Account {
-    final Deque<Sent> recent = new ArrayDeque<>();
+    final Deque<SentRequest> recentRequests = new ArrayDeque<>();
     double startedAt;
 
     /**
      * Number of grants received until {@code receivedAt}, including the fraction of the next one;
      * NaN before the first use.
      */
-    double received = Double.NaN;
+    double receivedGrants = Double.NaN;
 
     double receivedAt;
 
     /** Number of grants that are used, expired or owed for requests already sent. */
-    double used;
+    double usedGrants;
   }
 
   /** Returns true while the worker may fail under a load that it can sustain once it is warm. */
   boolean warmingUp(Worker worker, double now) {
-    return worker.startedAt() > 0 && now - worker.startedAt() < rule.coldMs();
+    return worker.startedAt() > 0 && now - worker.startedAt() < policy.coldMs();
   }
 
   /** Returns the minimum share of its capacity that a worker of this age has. */
-  double warmth(Worker worker, double now) {
-    return rule.coldMs() == 0 ? 1 : warmthAt(age(worker, now));
+  double capacityShare(Worker worker, double now) {
+    return policy.coldMs() == 0 ? 1 : capacityShareAt(age(worker, now));
   }
 
   /**
@@ -136,23 +137,23 @@
       return false;
     }
     Account account = account(worker);
-    receive(account, worker, capacity, now);
-    return Math.floor(account.received) - account.used >= COVERED_SHARE * cost;
+    addGrants(account, worker, capacity, now);
+    return Math.floor(account.receivedGrants) - account.usedGrants >= MIN_COVERED_SHARE * cost;
   }
 
   /**
    * Counts a request that is being sent. Requests to a warm worker are counted too, because it may
    * have restarted without this dispatcher being notified yet.
    */
-  void sent(Worker worker, double cost, double now) {
-    if (rule.coldMs() == 0) {
+  void requestSent(Worker worker, double cost, double now) {
+    if (policy.coldMs() == 0) {
       return;
     }
     Account account = account(worker);
-    account.used += cost;
-    account.recent.add(new Sent(now, cost));
-    while (account.recent.peek().at() <= now - rule.tipMs()) {
-      account.recent.remove();
+    account.usedGrants += cost;
+    account.recentRequests.add(new SentRequest(now, cost));
+    while (account.recentRequests.peek().at() <= now - policy.tipMs()) {
+      account.recentRequests.remove();
     }
   }
 
@@ -160,22 +161,22 @@
     Account account = accounts.computeIfAbsent(worker.id(), id -> new Account());
     if (account.startedAt != worker.startedAt()) {
       account.startedAt = worker.startedAt();
-      account.received = Double.NaN;
+      account.receivedGrants = Double.NaN;
     }
     return account;
   }
 
   /** Adds the grants received since the last call and drops the expired ones. */
-  private void receive(Account account, Worker worker, double capacity, double now) {
-    if (Double.isNaN(account.received)) {
-      open(account, worker, capacity, now);
+  private void addGrants(Account account, Worker worker, double capacity, double now) {
+    if (Double.isNaN(account.receivedGrants)) {
+      openAccount(account, worker, capacity, now);
     }
-    double span = now - account.receivedAt;
-    double middle = (age(worker, now) + age(worker, account.receivedAt)) / 2;
-    account.received += grants(capacity, middle) * span / rule.tipMs();
+    double elapsed = now - account.receivedAt;
+    double meanAge = (age(worker, now) + age(worker, account.receivedAt)) / 2;
+    account.receivedGrants += grantsPerWindow(capacity, meanAge) * elapsed / policy.tipMs();
     account.receivedAt = now;
-    double unexpired = grants(capacity, age(worker, now)) * GRANT_LIFETIME;
-    account.used = Math.max(account.used, Math.floor(account.received - unexpired));
+    double unexpiredGrants = grantsPerWindow(capacity, age(worker, now)) * GRANT_LIFETIME_WINDOWS;
+    account.usedGrants = Math.max(account.usedGrants, Math.floor(account.receivedGrants - unexpiredGrants));
   }
 
   /**
@@ -183,41 +184,41 @@
    * this dispatcher may have used them. Requests in flight to the process when its start became
    * known are charged, up to the grants of one window.
    */
-  private void open(Account account, Worker worker, double capacity, double now) {
+  private void openAccount(Account account, Worker worker, double capacity, double now) {
     double age = age(worker, now);
     int participants = participants();
-    long number = (long) me * processes + process;
-    double turn = Math.floorMod(number + worker.id() * TURN_STRIDE, (long) participants);
-    account.received = turn / participants + grants(capacity, age / 2) * age / rule.tipMs();
+    long processNumber = (long) dispatcherIndex * processCount + processIndex;
+    double offset = Math.floorMod(processNumber + worker.id() * OFFSET_STRIDE, (long) participants);
+    account.receivedGrants = offset / participants + grantsPerWindow(capacity, age / 2) * age / policy.tipMs();
     account.receivedAt = now;
-    double early =
-        account.recent.stream()
-            .filter(each -> each.at() > now - rule.tipMs())
-            .filter(each -> each.at() >= worker.startedAt())
-            .mapToDouble(Sent::cost)
+    double alreadySent =
+        account.recentRequests.stream()
+            .filter(sent -> sent.at() > now - policy.tipMs())
+            .filter(sent -> sent.at() >= worker.startedAt())
+            .mapToDouble(SentRequest::cost)
             .sum();
-    account.used =
-        Math.floor(account.received) + Math.min(early, Math.max(1, grants(capacity, age)));
+    account.usedGrants =
+        Math.floor(account.receivedGrants) + Math.min(alreadySent, Math.max(1, grantsPerWindow(capacity, age)));
   }
 
   /** Returns the number of grants of this process per window for a worker of this age. */
-  private double grants(double capacity, double age) {
-    double limit = rule.fallMultiple() * warmthAt(age) * capacity * rule.tipMs() / 1000;
-    double dealt = LIMIT_SHARE * limit + SLACK_SHARE * slack(limit);
-    return Math.max(LEAST_GRANTS, dealt) / participants();
+  private double grantsPerWindow(double capacity, double age) {
+    double limit = policy.fallMultiple() * capacityShareAt(age) * capacity * policy.tipMs() / 1000;
+    double granted = LIMIT_SHARE * limit + TOLERANCE_SHARE * tolerance(limit);
+    return Math.max(MIN_GRANTS, granted) / participants();
   }
 
   /**
    * Returns the tolerance: the excess over the limit by random variation that does not make the
    * worker fail.
    */
-  private static double slack(double limit) {
-    double root = Math.sqrt(limit);
-    return limit < LARGE_LIMIT ? 3 * root + 3 : 2 * root + 2;
+  private static double tolerance(double limit) {
+    double deviation = Math.sqrt(limit);
+    return limit < LARGE_LIMIT ? 3 * deviation + 3 : 2 * deviation + 2;
   }
 
-  private double warmthAt(double age) {
-    return rule.startCapacity() + (1 - rule.startCapacity()) * Math.min(1, age / rule.coldMs());
+  private double capacityShareAt(double age) {
+    return policy.startCapacity() + (1 - policy.startCapacity()) * Math.min(1, age / policy.coldMs());
   }
 
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
@@ -15,7 +15,7 @@
   private final ServiceTimeEstimator serviceTimes;
   private final SlotBudget budget;
   private final FleetLoadMeter fleetLoad;
-  private List<WorkerStats> granted = List.of();
+  private List<WorkerStats> workersWithGrants = List.of();
 
   SlowStartGate(
       WorkerRegistry registry,
@@ -32,7 +32,7 @@
 
   /** Determines the workers for which this dispatcher has a grant, once per budget cycle. */
   void startCycle(double now) {
-    granted =
+    workersWithGrants =
         registry
             .ready()
             .filter(worker -> slowStart.warmingUp(worker.entry, now))
@@ -44,8 +44,8 @@
    * Returns the workers that are warming up and for which this dispatcher had a grant at the start
    * of this budget cycle.
    */
-  List<WorkerStats> granted() {
-    return granted;
+  List<WorkerStats> workersWithGrants() {
+    return workersWithGrants;
   }
 
   /** Returns true while the worker is warming up. */
@@ -61,7 +61,7 @@
 
   /** Counts a request that is being sent to the worker. */
   void attemptSent(PendingRequest request, WorkerStats worker, double now) {
-    slowStart.sent(worker.entry, cost(request), now);
+    slowStart.requestSent(worker.entry, cost(request), now);
   }
 
   /** Returns the load that a request adds to a worker, in requests of mean work. */
@@ -85,7 +85,7 @@
     if (warmWorkers == 0 || serviceTimes.meanSlots() == 0) {
       return 0;
     }
-    double requests = budget.acceptedRate() / serviceTimes.meanSlots() * slowStart.participants();
-    return requests / warmWorkers / Math.max(1, worker.group.slowness);
+    double requestRate = budget.acceptedRate() / serviceTimes.meanSlots() * slowStart.participants();
+    return requestRate / warmWorkers / Math.max(1, worker.group.slowness);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStartPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStartPolicy.java
@@ -8,10 +8,10 @@
 public record SlowStartPolicy(
     double startCapacity, double coldMs, double fallMultiple, double tipMs) {
   public SlowStartPolicy {
-    Preconditions.that(
+    Preconditions.checkRange(
         startCapacity >= 0 && startCapacity <= 1, "ColdRule.startCapacity", startCapacity);
-    Preconditions.that(coldMs >= 0, "ColdRule.coldMs", coldMs);
-    Preconditions.that(fallMultiple > 0, "ColdRule.fallMultiple", fallMultiple);
-    Preconditions.that(tipMs > 0, "ColdRule.tipMs", tipMs);
+    Preconditions.checkRange(coldMs >= 0, "ColdRule.coldMs", coldMs);
+    Preconditions.checkRange(fallMultiple > 0, "ColdRule.fallMultiple", fallMultiple);
+    Preconditions.checkRange(tipMs > 0, "ColdRule.tipMs", tipMs);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
@@ -9,7 +9,7 @@
    * Fraction of its spare time after which a waiting job counts as rejected, because queues have
    * begun to grow.
    */
-  private static final double LATE_SHARE = 0.75;
+  private static final double LATE_FRACTION = 0.75;
 
   private final ServiceTimeEstimator serviceTimes;
   private final WaitEstimator waits;
@@ -31,7 +31,7 @@
 
   /** Returns the time without a start after which a job counts as rejected. */
   double lateAfter(PendingRequest request, WorkerStats worker) {
-    return LATE_SHARE * Math.max(spareTime(request, worker), request.jobClass.aim());
+    return LATE_FRACTION * Math.max(spareTime(request, worker), request.jobClass.aim());
   }
 
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/Tenant.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Tenant.java
@@ -8,7 +8,7 @@
  */
 public record Tenant(String name, double share, double allowance) {
   public Tenant {
-    Preconditions.that(share >= 0, "Tenant.share", share);
-    Preconditions.that(allowance >= 0, "Tenant.allowance", allowance);
+    Preconditions.checkRange(share >= 0, "Tenant.share", share);
+    Preconditions.checkRange(allowance >= 0, "Tenant.allowance", allowance);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
@@ -16,13 +16,13 @@
   private static final double DEMAND_WEIGHT = 0.4;
 
   /** Capacity of a tenant's token bucket, in seconds of its quota. */
-  private static final double BURST_S = 0.25;
+  private static final double BURST_SECONDS = 0.25;
 
   /**
    * Amount by which prioritised classes may overdraw the bucket, in seconds of the quota; the other
    * classes of the tenant get correspondingly less.
    */
-  private static final double OVERDRAFT_S = 1;
+  private static final double OVERDRAFT_SECONDS = 1;
 
   /** Weight of a tenant with a share of 0, which receives the slots that no other tenant uses. */
   private static final double MIN_WEIGHT = 1e-6;
@@ -35,7 +35,7 @@
    * Creates the quotas of these tenants. If the list is empty, a single tenant receives all slots.
    */
   TenantQuotas(List<Tenant> tenants) {
-    tenants.forEach(each -> shares.add(new TenantShare(Math.max(each.share(), MIN_WEIGHT))));
+    tenants.forEach(tenant -> shares.add(new TenantShare(Math.max(tenant.share(), MIN_WEIGHT))));
     if (shares.isEmpty()) {
       shares.add(new TenantShare(1));
     }
@@ -65,27 +65,28 @@
     }
   }
 
-  /** Sets the tenants' quotas so that they add up to the given slots. */
+  /** Sets the tenants' quotas so that they add up to the given slots; they are
+   * infinite if all demands fit. */
   void divide(double slots) {
     double level = waterLevel(slots, demands(), weights);
-    shares.forEach(each -> each.level = level * each.weight);
+    shares.forEach(share -> share.quota = level * share.weight);
   }
 
   /**
    * Counts the job as demand. Returns true, and takes the job's slots from the tenant's bucket, if
    * the bucket covers the job.
    */
-  boolean admit(Job job, ClassPriorities priorities, double now) {
+  boolean admit(Job job, ClassPriorities classPriorities, double now) {
     TenantShare share = share(job.tenant());
     share.requested += job.slots();
-    if (Double.isInfinite(share.level)) {
+    if (Double.isInfinite(share.quota)) {
       return true;
     }
-    double capacity = Math.max(job.slots(), share.level * BURST_S);
-    share.tokens = Math.min(capacity, share.tokens + share.level * (now - share.tokensAt) / 1000);
+    double capacity = Math.max(job.slots(), share.quota * BURST_SECONDS);
+    share.tokens = Math.min(capacity, share.tokens + share.quota * (now - share.tokensAt) / 1000);
     share.tokensAt = now;
-    boolean overdraws = share.tokens < job.slots() && priorities.goesFirst(job.jobClass());
-    double overdraft = overdraws ? OVERDRAFT_S * share.level : 0;
+    boolean mayOverdraw = share.tokens < job.slots() && classPriorities.hasPriority(job.jobClass());
+    double overdraft = mayOverdraw ? OVERDRAFT_SECONDS * share.quota : 0;
     if (share.tokens + overdraft < job.slots()) {
       return false;
     }
@@ -94,9 +95,9 @@
   }
 
   /** Returns true if the tenant's demand exceeds its quota. */
-  boolean exceedsLevel(int tenant) {
+  boolean exceedsQuota(int tenant) {
     TenantShare share = share(tenant);
-    return share.demand > share.level;
+    return share.demand > share.quota;
   }
 
   /**
@@ -105,12 +106,12 @@
    */
   double demandWithin(double slots, double[] demands) {
     double level = waterLevel(slots, demands, weights);
-    double fitting = 0;
+    double fittingDemand = 0;
     for (int i = 0; i < demands.length; i++) {
       double quota = level * shares.get(i).weight;
-      fitting += shares.get(i).demand * (quota < demands[i] ? quota / demands[i] : 1);
+      fittingDemand += shares.get(i).demand * (quota < demands[i] ? quota / demands[i] : 1);
     }
-    return fitting;
+    return fittingDemand;
   }
 
   /**
@@ -128,14 +129,14 @@
   static double waterLevel(double slots, double[] demands, double[] weights) {
     double slotsLeft = slots;
     double weightLeft = Arrays.stream(weights).sum();
-    Integer[] byNeed = IntStream.range(0, demands.length).boxed().toArray(Integer[]::new);
-    Arrays.sort(byNeed, Comparator.comparingDouble(i -> demands[i] / weights[i]));
-    for (int least : byNeed) {
-      if (demands[least] * weightLeft > slotsLeft * weights[least]) {
+    Integer[] tenantsByDemand = IntStream.range(0, demands.length).boxed().toArray(Integer[]::new);
+    Arrays.sort(tenantsByDemand, Comparator.comparingDouble(i -> demands[i] / weights[i]));
+    for (int tenant : tenantsByDemand) {
+      if (demands[tenant] * weightLeft > slotsLeft * weights[tenant]) {
         return Math.max(0, slotsLeft) / weightLeft;
       }
-      slotsLeft -= demands[least];
-      weightLeft -= weights[least];
+      slotsLeft -= demands[tenant];
+      weightLeft -= weights[tenant];
     }
     return Double.POSITIVE_INFINITY;
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/TenantShare.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/TenantShare.java
@@ -14,7 +14,7 @@
   double demand;
 
   /** Rate of slots that is admitted, per second; infinite while the slice covers all demand. */
-  double level = Double.POSITIVE_INFINITY;
+  double quota = Double.POSITIVE_INFINITY;
 
   /** Slots in the token bucket as of {@code tokensAt} (ms); negative while overdrawn. */
   double tokens;
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -10,7 +10,7 @@
  * clock: each event carries the time in ms. An instance must be used by one thread only.
  */
 public final class ThrottlingDispatcher implements Dispatcher {
-  private static final long CYCLE_TOKEN = 1;
+  private static final long BUDGET_CYCLE_TOKEN = 1;
   private static final long WATCH_TOKEN = 2;
 
   /**
@@ -40,13 +40,13 @@
   private final StartDeadlines deadlines;
   private final OutlierDetector outliers;
   private final FleetLoadMeter fleetLoad;
-  private final SlowStart grants;
-  private final SlowStartGate slowStart;
+  private final SlowStart slowStart;
+  private final SlowStartGate slowStartGate;
   private final RetryPolicy retries;
   private final HedgingPolicy hedging;
   private final WorkerSelector selector;
-  private final AttemptOutcomeHandler outcomes;
-  private final IdleCapacity idle;
+  private final AttemptOutcomeHandler outcomeHandler;
+  private final IdleCapacity idleCapacity;
 
   /**
    * Creates a dispatcher that starts its timers at {@code now}. The seed determines all random
@@ -65,21 +65,21 @@
     waits = new WaitEstimator(registry, serviceTimes, budget, dispatchers);
     deadlines = new StartDeadlines(serviceTimes, waits, budget);
     outliers = new OutlierDetector(registry, serviceTimes, random);
-    grants = new SlowStart(settings.cold(), settings.me(), dispatchers);
-    fleetLoad = new FleetLoadMeter(registry, outliers, grants);
-    slowStart = new SlowStartGate(registry, grants, serviceTimes, budget, fleetLoad);
+    slowStart = new SlowStart(settings.cold(), settings.me(), dispatchers);
+    fleetLoad = new FleetLoadMeter(registry, outliers, slowStart);
+    slowStartGate = new SlowStartGate(registry, slowStart, serviceTimes, budget, fleetLoad);
     retries = new RetryPolicy(settings.limits(), settings.roundMs());
     hedging = new HedgingPolicy(settings, registry, deadlines, retries);
-    CandidateFilter filter = new CandidateFilter(retries, slowStart, outliers, deadlines, budget);
-    CandidateCost cost = new CandidateCost(settings, registry, serviceTimes, waits, slowStart);
-    selector = new WorkerSelector(registry, slowStart, filter, cost, outliers, random);
-    idle = new IdleCapacity(registry, outliers, grants);
-    outcomes = new AttemptOutcomeHandler(registry, outliers, budget, serviceTimes, retries, idle);
+    CandidateFilter filter = new CandidateFilter(retries, slowStartGate, outliers, deadlines, budget);
+    CandidateCost cost = new CandidateCost(settings, registry, serviceTimes, waits, slowStartGate);
+    selector = new WorkerSelector(registry, slowStartGate, filter, cost, outliers, random);
+    idleCapacity = new IdleCapacity(registry, outliers, slowStart);
+    outcomeHandler = new AttemptOutcomeHandler(registry, outliers, budget, serviceTimes, retries, idleCapacity);
     startTimers();
   }
 
   private void startTimers() {
-    actions.timer(random.nextDouble() * BudgetCycle.PERIOD_MS, CYCLE_TOKEN);
+    actions.timer(random.nextDouble() * BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
     if (settings.asks()) {
       double delay = 1 + FIRST_WATCH_SPREAD_MS * settings.me() / settings.dispatchers();
       actions.timer(delay, WATCH_TOKEN);
@@ -105,13 +105,13 @@
   }
 
   @Override
-  public void sharedBy(double now, int count, int index) {
-    grants.sharedBy(count, index);
+  public void sharedBy(double now, int processCount, int processIndex) {
+    slowStart.setProcesses(processCount, processIndex);
   }
 
   @Override
   public void acceptNoMore(double now) {
-    grants.stop();
+    slowStart.stop();
   }
 
   @Override
@@ -131,7 +131,7 @@
 
   /** Returns true if the job exceeds the budget but idle workers have capacity for it. */
   private boolean admitBeyondBudget(Job job) {
-    return !budget.followsLoads() && idle.admit(job);
+    return !budget.followsLoads() && idleCapacity.admit(job);
   }
 
   /**
@@ -141,22 +141,22 @@
   private void sendOrAnswer(PendingRequest request, double now) {
     boolean overQuota =
         !request.attempts.isEmpty() && budgetCycle.exceedsQuota(request.job.tenant());
-    boolean maySend = !overQuota && retries.maySend(request, now);
+    boolean sendAllowed = !overQuota && retries.maySend(request, now);
     WorkerStats worker =
-        maySend ? selector.select(request, retries.groupAttempt(request), now) : null;
+        sendAllowed ? selector.select(request, retries.groupAttempt(request), now) : null;
     if (worker != null && !deadlines.wouldStartLate(request, worker, now)) {
       send(request, worker, now);
     } else if (request.inFlight == 0) {
-      answer(request, serviceTimes.mean(), notSentCause(overQuota, maySend, worker));
+      answer(request, serviceTimes.mean(), rejectionCause(overQuota, sendAllowed, worker));
     }
   }
 
-  private static RejectionCause notSentCause(
-      boolean overQuota, boolean maySend, WorkerStats worker) {
+  private static RejectionCause rejectionCause(
+      boolean overQuota, boolean sendAllowed, WorkerStats worker) {
     if (overQuota) {
       return RejectionCause.QUOTA;
     }
-    if (!maySend) {
+    if (!sendAllowed) {
       return RejectionCause.NO_RETRY;
     }
     return worker == null ? RejectionCause.NO_WORKER : RejectionCause.START_TOO_LATE;
@@ -171,7 +171,7 @@
     if (request.attempts.size() == 1) {
       hedging.firstAttemptSent();
     }
-    slowStart.attemptSent(request, worker, now);
+    slowStartGate.attemptSent(request, worker, now);
     outliers.attemptSent(worker, request.job.jobClass(), now);
     actions.send(request.job.id(), worker.id, 0);
     if (settings.tellsStart()) {
@@ -193,13 +193,13 @@
    * flight.
    */
   private void hedge(PendingRequest request, double now) {
-    if (!hedging.stillWaits(request)) {
+    if (!hedging.isWaiting(request)) {
       return;
     }
-    int newestNumber = request.attempts.size() - 1;
-    Attempt newest = request.newest();
-    if (newest.inFlight()) {
-      waits.attemptStillWaits(newest, now);
+    int newestAttemptNumber = request.attempts.size() - 1;
+    Attempt newestAttempt = request.newestAttempt();
+    if (newestAttempt.inFlight()) {
+      waits.attemptStillWaits(newestAttempt, now);
     }
     WorkerStats worker =
         hedging.mayHedge(request, now)
@@ -208,74 +208,74 @@
     if (worker == null) {
       return;
     }
-    if (request.inFlight > 1 && newest.inFlight() && settings.limits().cancel()) {
-      actions.cancel(request.job.id(), newestNumber);
+    if (request.inFlight > 1 && newestAttempt.inFlight() && settings.limits().cancel()) {
+      actions.cancel(request.job.id(), newestAttemptNumber);
     }
     hedging.hedgeSent();
     send(request, worker, now);
   }
 
   @Override
-  public void started(double now, String id, int number) {
-    Attempt attempt = requests.findAttempt(id, number);
+  public void started(double now, String requestId, int attemptNumber) {
+    Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt == null || !attempt.inFlight()) {
       return;
     }
-    PendingRequest request = requests.find(id);
+    PendingRequest request = requests.find(requestId);
     attempt.startedAt = now;
-    cancelWaitingAttempts(request, number);
+    cancelWaitingAttempts(request, attemptNumber);
     outliers.attemptStarted(attempt.worker, request.job.jobClass());
-    outliers.signOfLife(attempt.worker, now);
+    outliers.responseReceived(attempt.worker, now);
     waits.attemptStarted(attempt, now);
-    outcomes.attemptStarted(request, attempt);
+    outcomeHandler.attemptStarted(request, attempt);
   }
 
   /**
-   * Cancels the attempts that are queued at other workers, now that attempt {@code number} is
+   * Cancels the attempts that are queued at other workers, now that attempt {@code attemptNumber} is
    * running.
    */
-  private void cancelWaitingAttempts(PendingRequest request, int number) {
+  private void cancelWaitingAttempts(PendingRequest request, int attemptNumber) {
     if (!settings.limits().cancel()) {
       return;
     }
     for (int i = 0; i < request.attempts.size() && request.inFlight > 1; i++) {
-      Attempt other = request.attempts.get(i);
-      if (i != number && other.inFlight() && !other.running()) {
+      Attempt otherAttempt = request.attempts.get(i);
+      if (i != attemptNumber && otherAttempt.inFlight() && !otherAttempt.running()) {
         actions.cancel(request.job.id(), i);
       }
     }
   }
 
   @Override
-  public void progressed(double now, String id, int number, double share) {
-    Attempt attempt = requests.findAttempt(id, number);
+  public void progressed(double now, String requestId, int attemptNumber, double share) {
+    Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt != null) {
-      outliers.signOfLife(attempt.worker, now);
+      outliers.responseReceived(attempt.worker, now);
     }
   }
 
   @Override
   public void ended(
       double now,
-      String id,
-      int number,
+      String requestId,
+      int attemptNumber,
       AttemptOutcome outcome,
-      double took,
-      boolean over,
+      double durationMs,
+      boolean completed,
       LoadReport report) {
-    Attempt attempt = requests.findAttempt(id, number);
+    Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt == null || !attempt.inFlight()) {
       return;
     }
-    PendingRequest request = requests.find(id);
+    PendingRequest request = requests.find(requestId);
     attempt.outcome = outcome;
     request.inFlight--;
     registry.attemptEnded(attempt.worker, request.job);
-    outcomes.attemptEnded(request, attempt, outcome, now);
+    outcomeHandler.attemptEnded(request, attempt, outcome, now);
     reportReceived(attempt.worker, report, now);
-    request.completed |= over;
+    request.completed |= completed;
     if (request.completed) {
-      cancelWaitingAttempts(request, number);
+      cancelWaitingAttempts(request, attemptNumber);
       requests.removeIfDone(request);
     } else {
       retryOrAnswer(request, outcome, now);
@@ -301,14 +301,14 @@
   }
 
   /** Rejects the request if the client can safely retry it; otherwise fails it. */
-  private void answer(PendingRequest request, double retryAfter, RejectionCause cause) {
+  private void answer(PendingRequest request, double retryAfterMs, RejectionCause cause) {
     if (!retries.mayReject(request)) {
       fail(request);
       return;
     }
     request.completed = true;
-    double wait = Math.min(retryAfter, settings.limits().retryAfterMax());
-    actions.refuse(request.job.id(), wait, cause);
+    double cappedRetryAfterMs = Math.min(retryAfterMs, settings.limits().retryAfterMax());
+    actions.refuse(request.job.id(), cappedRetryAfterMs, cause);
     requests.removeIfDone(request);
   }
 
@@ -319,8 +319,8 @@
   }
 
   @Override
-  public void abandoned(double now, String id) {
-    PendingRequest request = requests.find(id);
+  public void abandoned(double now, String requestId) {
+    PendingRequest request = requests.find(requestId);
     if (request != null) {
       request.completed = true;
       requests.removeIfDone(request);
@@ -342,11 +342,11 @@
 
   @Override
   public void timer(double now, long token) {
-    if (token == CYCLE_TOKEN) {
+    if (token == BUDGET_CYCLE_TOKEN) {
       budgetCycle.run(fleetLoad, serviceTimes.meanWork(), now);
-      idle.startCycle(now);
-      slowStart.startCycle(now);
-      actions.timer(BudgetCycle.PERIOD_MS, CYCLE_TOKEN);
+      idleCapacity.startCycle(now);
+      slowStartGate.startCycle(now);
+      actions.timer(BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
     } else if (token == WATCH_TOKEN) {
       actions.watch();
     } else {
@@ -355,7 +355,7 @@
   }
 
   @Override
-  public void heard(double now, int from, byte[] message) {
-    budgetCycle.receive(from, message);
+  public void heard(double now, int sender, byte[] message) {
+    budgetCycle.receive(sender, message);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
@@ -7,16 +7,16 @@
  */
 final class WaitEstimator {
   /** Weight of one observed wait in a worker's own mean. */
-  private static final double WORKER_WEIGHT = 0.3;
+  private static final double WORKER_SAMPLE_WEIGHT = 0.3;
 
   /** Weight of one observed wait in the mean of the worker's group. */
-  private static final double GROUP_WEIGHT = 0.1;
+  private static final double GROUP_SAMPLE_WEIGHT = 0.1;
 
   /**
    * Time constant with which the estimate returns from a worker's own mean to the mean of its
    * group.
    */
-  private static final double MEMORY_MS = 3000;
+  private static final double DECAY_MS = 3000;
 
   private final WorkerRegistry registry;
   private final ServiceTimeEstimator serviceTimes;
@@ -36,10 +36,10 @@
 
   /** Updates the round-trip time and the wait from an attempt's start. */
   void attemptStarted(Attempt attempt, double now) {
-    double delay = now - attempt.sentAt;
+    double startDelay = now - attempt.sentAt;
     ZoneStats zone = registry.zone(attempt.worker);
-    zone.roundTripTime = Math.min(zone.roundTripTime, delay);
-    learn(attempt.worker, delay - zone.roundTripTime, now);
+    zone.roundTripTime = Math.min(zone.roundTripTime, startDelay);
+    updateWait(attempt.worker, startDelay - zone.roundTripTime, now);
   }
 
   /**
@@ -48,14 +48,14 @@
    */
   void attemptStillWaits(Attempt attempt, double now) {
     WorkerStats worker = attempt.worker;
-    learn(worker, Math.max(now - attempt.sentAt, expected(worker, now)), now);
+    updateWait(worker, Math.max(now - attempt.sentAt, expected(worker, now)), now);
   }
 
-  private void learn(WorkerStats worker, double wait, double now) {
-    double before = observed(worker, now);
-    worker.wait = before + WORKER_WEIGHT * (wait - before);
+  private void updateWait(WorkerStats worker, double wait, double now) {
+    double oldWait = observed(worker, now);
+    worker.wait = oldWait + WORKER_SAMPLE_WEIGHT * (wait - oldWait);
     worker.waitAt = now;
-    worker.group.wait += GROUP_WEIGHT * (wait - worker.group.wait);
+    worker.group.wait += GROUP_SAMPLE_WEIGHT * (wait - worker.group.wait);
   }
 
   /**
@@ -64,10 +64,10 @@
    * alone, all would send to the same few workers until the next update of the list.
    */
   double expected(WorkerStats worker, double now) {
-    double observed = observed(worker, now);
+    double observedWait = observed(worker, now);
     return budget.followsLoads()
-        ? observed + (byListedLoad(worker, now) - observed) / Math.max(2, dispatchers)
-        : observed;
+        ? observedWait + (byListedLoad(worker, now) - observedWait) / Math.max(2, dispatchers)
+        : observedWait;
   }
 
   /** Returns true while the endpoint list includes the load of each worker. */
@@ -81,14 +81,14 @@
    */
   double byListedLoad(WorkerStats worker, double now) {
     double slowness = worker.group.slowness;
-    double unlisted = registry.recentSlots(worker, now);
-    double load = worker.load + unlisted / Math.max(1, worker.group.size * slowness);
+    double unlistedSlots = registry.recentSlots(worker, now);
+    double load = worker.load + unlistedSlots / Math.max(1, worker.group.size * slowness);
     return Math.max(0, load - 1) * serviceTimes.mean() * slowness;
   }
 
   /** Returns the observed wait of this worker, which decays to the mean of its group. */
   private static double observed(WorkerStats worker, double now) {
     double groupMean = worker.group.wait;
-    return groupMean + (worker.wait - groupMean) * Math.exp((worker.waitAt - now) / MEMORY_MS);
+    return groupMean + (worker.wait - groupMean) * Math.exp((worker.waitAt - now) / DECAY_MS);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
@@ -17,7 +17,7 @@
   private static final double LIST_DELAY_MS = 1000;
 
   /** Weight of one load report in the estimated number of slots of a group. */
-  private static final double SLOTS_WEIGHT = 0.1;
+  private static final double SLOTS_SAMPLE_WEIGHT = 0.1;
 
   /**
    * Minimum reported number of free slots at which a slot counts as free; reports are slightly
@@ -146,7 +146,7 @@
     heldSlots += job.slots();
     worker.recentSlots = recentSlots(worker, now) + job.slots();
     worker.recentAt = now;
-    worker.objects.use(job.object(), Math.max(worker.group.size, worker.group.slots));
+    worker.cachedObjects.recordUse(job.object(), Math.max(worker.group.size, worker.group.slots));
   }
 
   /** Counts an attempt that the worker has started. */
@@ -164,8 +164,8 @@
    * Records that an attempt at this worker has succeeded or failed, so that its held slots are
    * meaningful.
    */
-  void markProven(WorkerStats worker) {
-    worker.proven = true;
+  void markObserved(WorkerStats worker) {
+    worker.observed = true;
   }
 
   /**
@@ -173,8 +173,8 @@
    * least the mean.
    */
   double effectiveHeldSlots(WorkerStats worker) {
-    double mean = heldSlots / readyCount();
-    return worker.proven ? worker.heldSlots : Math.max(worker.heldSlots, mean);
+    double meanHeldSlots = heldSlots / readyCount();
+    return worker.observed ? worker.heldSlots : Math.max(worker.heldSlots, meanHeldSlots);
   }
 
   /** Returns the slots recently sent to the worker that the endpoint list cannot include yet. */
@@ -189,10 +189,10 @@
    */
   void learnSlots(WorkerStats worker, LoadReport report) {
     if (report.held() >= 0 && report.freeSlots() >= MIN_FREE_SLOTS) {
-      double slots = report.freeSlots() + report.held();
-      double known = worker.group.slots;
-      double weight = known == 1 ? 1 : SLOTS_WEIGHT;
-      worker.group.slots = Math.max(1, known + weight * (slots - known));
+      double reportedSlots = report.freeSlots() + report.held();
+      double oldSlots = worker.group.slots;
+      double weight = oldSlots == 1 ? 1 : SLOTS_SAMPLE_WEIGHT;
+      worker.group.slots = Math.max(1, oldSlots + weight * (reportedSlots - oldSlots));
     }
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerSelector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerSelector.java
@@ -18,7 +18,7 @@
    * Maximum size of a pool that is scanned completely for a job that needs an object, since any
    * worker may have it cached.
    */
-  private static final int MAX_OBJECT_SCAN = 32;
+  private static final int MAX_OBJECT_SCAN_SIZE = 32;
 
   /** The set of workers that a scan considers. */
   private enum Extent {
@@ -34,7 +34,7 @@
   }
 
   private final WorkerRegistry registry;
-  private final SlowStartGate slowStart;
+  private final SlowStartGate slowStartGate;
   private final CandidateFilter filter;
   private final CandidateCost cost;
   private final OutlierDetector outliers;
@@ -42,13 +42,13 @@
 
   WorkerSelector(
       WorkerRegistry registry,
-      SlowStartGate slowStart,
+      SlowStartGate slowStartGate,
       CandidateFilter filter,
       CandidateCost cost,
       OutlierDetector outliers,
       SplittableRandom random) {
     this.registry = registry;
-    this.slowStart = slowStart;
+    this.slowStartGate = slowStartGate;
     this.filter = filter;
     this.cost = cost;
     this.outliers = outliers;
@@ -95,29 +95,29 @@
     WorkerStats run() {
       scan(registry.local());
       scan(registry.remote());
-      if (!exhaustive()) {
-        slowStart.granted().stream().filter(worker -> worker.listed).forEach(this::consider);
+      if (!scansAll()) {
+        slowStartGate.workersWithGrants().stream().filter(worker -> worker.listed).forEach(this::consider);
       }
       return best;
     }
 
     private void scan(List<WorkerStats> pool) {
       int size = pool.size();
-      int looks = looks(size);
-      for (int i = 0; i < looks; i++) {
-        consider(pool.get(looks == size ? i : random.nextInt(size)));
+      int sampleSize = sampleSize(size);
+      for (int i = 0; i < sampleSize; i++) {
+        consider(pool.get(sampleSize == size ? i : random.nextInt(size)));
       }
     }
 
-    private boolean exhaustive() {
+    private boolean scansAll() {
       return groupAttempt != null || extent != Extent.SAMPLE;
     }
 
-    private int looks(int size) {
-      boolean object = request.job.object() != 0;
-      return exhaustive() || (object && size <= MAX_OBJECT_SCAN)
-          ? size
-          : Math.min(size, SAMPLE_SIZE);
+    private int sampleSize(int poolSize) {
+      boolean needsObject = request.job.object() != 0;
+      return scansAll() || (needsObject && poolSize <= MAX_OBJECT_SCAN_SIZE)
+          ? poolSize
+          : Math.min(poolSize, SAMPLE_SIZE);
     }
 
     private void consider(WorkerStats worker) {
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
@@ -35,10 +35,10 @@
   double startRate;
 
   /** True once an attempt at this worker has succeeded or failed. */
-  boolean proven;
+  boolean observed;
 
   /** Objects that the worker is expected to have cached. */
-  final ObjectAffinity objects = new ObjectAffinity();
+  final ObjectAffinity cachedObjects = new ObjectAffinity();
 
   // WaitEstimator: the smoothed wait for a start in ms, and the time of the last update.
   double wait;
@@ -47,29 +47,29 @@
   // ServiceTimeEstimator: the ratio of job times here to those on a worker of mean speed, and the
   // number of samples.
   double slowness = 1;
-  int outcomes;
+  int completedJobs;
 
   // IdleCapacity: the time at which the worker last rejected an attempt.
   double rejectedAt = Double.NEGATIVE_INFINITY;
 
   // OutlierDetector: the times before which the worker receives no jobs, and the duration of the
   // last ejection in ms.
-  double holdUntil = Double.NEGATIVE_INFINITY;
+  double backoffUntil = Double.NEGATIVE_INFINITY;
   double ejectedUntil = Double.NEGATIVE_INFINITY;
-  double ejection;
+  double ejectionMs;
 
   /** By class: the time until which the worker receives no jobs of the class. */
   final double[] classEjectedUntil;
 
   /** By class: the duration of the last ejection for the class in ms. */
-  final double[] classEjection;
+  final double[] classEjectionMs;
 
   /** Time of the last response from the worker. */
-  double lastSignAt = Double.NEGATIVE_INFINITY;
+  double lastResponseAt = Double.NEGATIVE_INFINITY;
 
   WorkerStats(Worker entry, int classes) {
     this.classEjectedUntil = new double[classes];
-    this.classEjection = new double[classes];
+    this.classEjectionMs = new double[classes];
     this.id = entry.id();
     this.entry = entry;
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/ZoneStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ZoneStats.java
@@ -14,16 +14,16 @@
    */
   double roundTripTime = Double.MAX_VALUE;
 
-  double lastSignAt = Double.NEGATIVE_INFINITY;
+  double lastResponseAt = Double.NEGATIVE_INFINITY;
 
   /** Time at which the first of the attempts without a response was sent. */
   double firstUnansweredAt;
 
   /** Number of attempts sent since the last response from the zone. */
-  int unanswered;
+  int unansweredAttempts;
 
   /** Number of failed connections since the last response from the zone. */
-  int unreachable;
+  int failedConnects;
 
   /** Time from which another attempt may probe the zone while it is unreachable. */
   double nextProbeAt;
--- a/dispatch/src/test/java/ferngrade/dispatch/BudgetDiffusionTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetDiffusionTest.java
@@ -27,8 +27,8 @@
     idle.receive(0, busy.message(40));
     busy.receive(1, idle.message(40));
     assertEquals(
-        10, busy.step(), 1e-9, "half of 20 unused slots; alone, busy can keep only its 40");
-    assertEquals(-10, idle.step(), 1e-9);
+        10, busy.sliceChange(), 1e-9, "half of 20 unused slots; alone, busy can keep only its 40");
+    assertEquals(-10, idle.sliceChange(), 1e-9);
   }
 
   @Test
@@ -38,13 +38,13 @@
     one.message(40);
     one.receive(7, message);
     one.receive(1, new byte[] {1, 2, 3});
-    assertEquals(0, one.step());
+    assertEquals(0, one.sliceChange());
     one.receive(1, message);
     for (int cycle = 0; cycle < 3; cycle++) {
       one.startCycle();
-      assertEquals(10, one.step(), 1e-9, "cycle " + cycle);
+      assertEquals(10, one.sliceChange(), 1e-9, "cycle " + cycle);
     }
     one.startCycle();
-    assertEquals(0, one.step());
+    assertEquals(0, one.sliceChange());
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/HedgingPolicyTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/HedgingPolicyTest.java
@@ -42,9 +42,9 @@
     assertTrue(hedging.appliesTo(request));
     assertFalse(hedging.appliesTo(waiting(Idempotency.UNSAFE)));
     assertEquals(40, hedging.delay(request, worker), 1e-9, "a fifth of 200 ms of spare time");
-    assertTrue(hedging.stillWaits(request));
+    assertTrue(hedging.isWaiting(request));
     request.attempts.get(0).startedAt = 10;
-    assertFalse(hedging.stillWaits(request));
+    assertFalse(hedging.isWaiting(request));
   }
 
   @Test
--- a/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
@@ -113,14 +113,14 @@
   @Test
   void aRestartedHolderHasNothingAtHand() {
     ObjectAffinity kept = new ObjectAffinity();
-    kept.use(5, 4);
-    assertEquals(0, kept.missing(5, 1));
-    assertTrue(new ObjectAffinity().missing(5, 1) > 0.8);
+    kept.recordUse(5, 4);
+    assertEquals(0, kept.fetchFraction(5, 1));
+    assertTrue(new ObjectAffinity().fetchFraction(5, 1) > 0.8);
     for (long object = 10; object < 14; object++) {
-      kept.use(object, 4);
+      kept.recordUse(object, 4);
     }
-    assertTrue(kept.missing(5, 1) > 0.8, "four later objects have taken its place");
-    assertEquals(0, kept.missing(0, 1), "a job that needs none misses none");
+    assertTrue(kept.fetchFraction(5, 1) > 0.8, "four later objects have taken its place");
+    assertEquals(0, kept.fetchFraction(0, 1), "a job that needs none misses none");
   }
 
   @Test
--- a/dispatch/src/test/java/ferngrade/dispatch/OutlierDetectorTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/OutlierDetectorTest.java
@@ -25,14 +25,14 @@
   @Test
   void ejectionsDoubleUntilAnAttemptSucceeds() {
     outliers.eject(worker, 0);
-    assertEquals(1_000, worker.ejection);
+    assertEquals(1_000, worker.ejectionMs);
     assertFalse(outliers.accepts(worker, 0, 700));
     assertTrue(outliers.accepts(worker, 0, 1_300));
     outliers.eject(worker, 2_000);
-    assertEquals(2_000, worker.ejection);
+    assertEquals(2_000, worker.ejectionMs);
     outliers.attemptSucceeded(worker, 0);
     outliers.eject(worker, 10_000);
-    assertEquals(1_000, worker.ejection);
+    assertEquals(1_000, worker.ejectionMs);
   }
 
   @Test
@@ -60,7 +60,7 @@
     assertFalse(outliers.reachable(remote, 201));
     assertFalse(outliers.accepts(remote, 0, 202));
     assertTrue(outliers.accepts(remote, 0, 203), "a probe");
-    outliers.signOfLife(remote, 204);
+    outliers.responseReceived(remote, 204);
     assertTrue(outliers.reachable(remote, 205));
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/SlotBudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlotBudgetTest.java
@@ -38,14 +38,14 @@
     SlotBudget budget = new SlotBudget(false);
     Attempt early = new Attempt(null, 400);
     cycle(budget, 50, 0, 500);
-    assertTrue(budget.reflectsSlice(early));
+    assertTrue(budget.sentSinceLastCut(early));
     cycle(budget, 50, 50, 1_000);
-    assertFalse(budget.reflectsSlice(early));
+    assertFalse(budget.sentSinceLastCut(early));
     budget.startDeadlinePassed(early);
-    assertFalse(early.late);
+    assertFalse(early.countedLate);
     Attempt waiting = new Attempt(null, 1_000);
     budget.startDeadlinePassed(waiting);
-    assertTrue(waiting.late);
+    assertTrue(waiting.countedLate);
   }
 
   @Test
@@ -57,9 +57,9 @@
       budget.endCycle(new FleetLoad(100, 80, 0, 40, true), 1_000, 100, 0.5, 1_000 + 500 * i);
     }
     assertTrue(budget.followsLoads());
-    assertFalse(budget.crowded());
+    assertFalse(budget.congested());
     assertEquals(87.5, budget.slice(), 1e-3, "1.75 times 40 a second of 80 busy cores of 100");
     budget.endCycle(new FleetLoad(100, 100, 36, 40, true), 1_000, 100, 0.5, 20_000);
-    assertTrue(budget.crowded());
+    assertTrue(budget.congested());
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartTest.java
@@ -19,7 +19,7 @@
   private static final double START = 1_000;
   private static final double STEP = 10;
 
-  private record Sent(double at, double cost) {}
+  private record SentRequest(double at, double cost) {}
 
   private static Worker worker(double startedAt) {
     return new Worker(9, WorkerState.READY, 0, 0, 0, startedAt, 1);
@@ -30,10 +30,10 @@
     return RULE.fallMultiple() * warmth * capacity * RULE.tipMs() / 1000;
   }
 
-  private static double sum(List<Sent> sends, double after, double until) {
+  private static double sum(List<SentRequest> sends, double after, double until) {
     return sends.stream()
-        .filter(each -> each.at() > after && each.at() <= until)
-        .mapToDouble(Sent::cost)
+        .filter(request -> request.at() > after && request.at() <= until)
+        .mapToDouble(SentRequest::cost)
         .sum();
   }
 
@@ -49,20 +49,20 @@
    * Every dispatcher sends whenever it may; requests in {@code burst} ms out of 6 s, the rest is
    * quiet.
    */
-  private static List<Sent> greedy(
+  private static List<SentRequest> greedy(
       List<SlowStart> fleet, double capacity, double burst, double restartAt) {
     SplittableRandom random = new SplittableRandom(3);
-    List<Sent> sends = new ArrayList<>();
+    List<SentRequest> sends = new ArrayList<>();
     List<SlowStart> running = fleet;
     for (double now = START; now < START + RULE.coldMs(); now += STEP) {
       if (now == restartAt) {
         running = fleet(fleet.size());
       }
-      for (SlowStart each : running) {
+      for (SlowStart slowStart : running) {
         double cost = 0.2 + 1.6 * random.nextDouble();
-        while (now % 6_000 < burst && each.allows(worker(START), cost, capacity, now)) {
-          each.sent(worker(START), cost, now);
-          sends.add(new Sent(now, cost));
+        while (now % 6_000 < burst && slowStart.allows(worker(START), cost, capacity, now)) {
+          slowStart.requestSent(worker(START), cost, now);
+          sends.add(new SentRequest(now, cost));
           cost = 0.2 + 1.6 * random.nextDouble();
         }
       }
@@ -70,8 +70,8 @@
     return sends;
   }
 
-  private static void assertKept(List<Sent> sends, double capacity) {
-    for (Sent last : sends) {
+  private static void assertKept(List<SentRequest> sends, double capacity) {
+    for (SentRequest last : sends) {
       double n = limit(capacity, last.at());
       double slack = n < 30 ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2;
       double sent = sum(sends, last.at() - RULE.tipMs(), last.at());
@@ -85,7 +85,7 @@
     "30,200", "100,0.1", "100,2", "100,20", "100,200"
   })
   void noWindowHoldsMoreThanTheLimitAndTheBudgetIsUsed(int dispatchers, double capacity) {
-    List<Sent> steady = greedy(fleet(dispatchers), capacity, 6_000, 0);
+    List<SentRequest> steady = greedy(fleet(dispatchers), capacity, 6_000, 0);
     assertKept(steady, capacity);
     double mean = limit(capacity, START + RULE.coldMs() / 2) * RULE.coldMs() / RULE.tipMs();
     double used = sum(steady, 0, Double.MAX_VALUE);
@@ -103,7 +103,7 @@
   void requestsThatReachedANewProcessUnnoticedArePaidForWithinAWindow() {
     SlowStart slowStart = new SlowStart(RULE, 0, 1);
     for (int i = 0; i < 50; i++) {
-      slowStart.sent(worker(0), 1, START + 10 * i);
+      slowStart.requestSent(worker(0), 1, START + 10 * i);
     }
     Worker restarted = worker(START);
     assertFalse(slowStart.allows(restarted, 1, 20, START + 500));
@@ -114,7 +114,7 @@
   @Test
   void requestsToTheProcessBeforeTheRestartDoNotCount() {
     SlowStart slowStart = new SlowStart(RULE, 0, 1);
-    slowStart.sent(worker(0), 50, START - 10);
+    slowStart.requestSent(worker(0), 50, START - 10);
     assertFalse(slowStart.allows(worker(START), 1, 20, START));
     assertTrue(slowStart.allows(worker(START), 1, 20, START + 500));
   }
@@ -123,7 +123,7 @@
   void aStartInTheFutureCountsAsNow() {
     SlowStart slowStart = new SlowStart(RULE, 0, 1);
     Worker future = worker(3_600_000);
-    assertEquals(0.2, slowStart.warmth(future, START), 1e-9);
+    assertEquals(0.2, slowStart.capacityShare(future, START), 1e-9);
     slowStart.allows(future, 1, 20, START);
     assertTrue(slowStart.allows(future, 1, 20, START + 1_000));
   }
@@ -135,7 +135,7 @@
     assertTrue(slowStart.allows(worker(START), 1e6, 0, START + RULE.coldMs()));
     SlowStart none = new SlowStart(new SlowStartPolicy(1, 0, 1, 1_000), 0, 100);
     assertTrue(none.allows(worker(START), 1e6, 0, START));
-    assertEquals(1, none.warmth(worker(START), START));
+    assertEquals(1, none.capacityShare(worker(START), START));
   }
 
   /** Twice the processes, each of which would have a dispatcher's grants: the sum must not grow. */
@@ -146,7 +146,7 @@
     for (int me = 0; me < 2; me++) {
       for (int process = 0; process < 2; process++) {
         SlowStart shared = new SlowStart(RULE, me, 2);
-        shared.sharedBy(2, process);
+        shared.setProcesses(2, process);
         sideBySide.add(shared);
       }
     }
--- a/dispatch/src/test/java/ferngrade/dispatch/TenantQuotasTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/TenantQuotasTest.java
@@ -38,7 +38,7 @@
     quotas.divide(80);
     assertEquals(15, admitted(quotas, 0, 100, 10_000), "a quarter second of 60 a second");
     assertEquals(5, admitted(quotas, 1, 100, 10_000), "a quarter second of 20 a second");
-    assertTrue(quotas.exceedsLevel(0));
+    assertTrue(quotas.exceedsQuota(0));
     assertEquals(80, quotas.demandWithin(80, quotas.demands()), 1e-9);
   }
 
@@ -58,8 +58,8 @@
     ClassPriorities priorities = new ClassPriorities(List.of(jobClass(1), jobClass(5)), TOTAL_ONLY);
     priorities.requestArrived(0, 100);
     priorities.requestArrived(1, 100);
-    assertFalse(priorities.goesFirst(0));
-    assertTrue(priorities.goesFirst(1));
+    assertFalse(priorities.hasPriority(0));
+    assertTrue(priorities.hasPriority(1));
     TenantQuotas quotas = new TenantQuotas(List.of());
     admitted(quotas, 0, 100, 0);
     quotas.endCycle(1);
--- a/dispatch/src/test/java/ferngrade/dispatch/WorkerRegistryTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/WorkerRegistryTest.java
@@ -47,7 +47,7 @@
     Job job = Fixture.job("r", 0, 5_000);
     registry.attemptSent(one, job, 0);
     assertEquals(0.5, registry.effectiveHeldSlots(other));
-    registry.markProven(other);
+    registry.markObserved(other);
     assertEquals(0, registry.effectiveHeldSlots(other));
     registry.attemptEnded(one, job);
     assertEquals(0, registry.effectiveHeldSlots(one));
--- a/dispatch/src/test/java/ferngrade/dispatch/WorkerSelectorTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/WorkerSelectorTest.java
@@ -53,7 +53,7 @@
 
   @Test
   void theWorkerThatHoldsTheFewestSlotsIsSelected() {
-    registry.ready().forEach(registry::markProven);
+    registry.ready().forEach(registry::markObserved);
     registry.attemptSent(worker(1), JOB, 0);
     registry.attemptSent(worker(3), JOB, 0);
     assertEquals(2, selected());
@@ -118,7 +118,7 @@
   }
 
   private void hold(WorkerStats worker, double now) {
-    registry.markProven(worker);
+    registry.markObserved(worker);
     registry.attemptSent(worker, JOB, now);
   }
 }
