--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -47,7 +47,8 @@
             + SERVICE_TIME_WEIGHT * serviceTimes.timeAt(request, worker)
             + FETCH_COST * serviceTimes.meanWork() * fetchFraction;
     if (!registry.isLocal(worker)) {
-      double latencyObjective = request.jobClass.aim() + request.jobClass.stretch() * serviceTimes.mean();
+      double latencyObjective =
+          request.jobClass.aim() + request.jobClass.stretch() * serviceTimes.mean();
       cost += CROSS_ZONE_DELAY_FACTOR * settings.crossCharge() * latencyObjective;
     }
     return cost + registry.roundTripTime(worker);
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Returns true if the request may be sent to the worker at all: checks
-   * readiness, kind, idempotency group and slow start.
+   * Returns true if the request may be sent to the worker at all: checks readiness, kind,
+   * idempotency group and slow start.
    */
   boolean permits(PendingRequest request, Attempt groupAttempt, WorkerStats worker, double now) {
     int kind = request.jobClass.kind();
--- a/dispatch/src/main/java/ferngrade/dispatch/DeploymentLimits.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DeploymentLimits.java
@@ -9,7 +9,7 @@
  * @param checks true if health checks are permitted
  * @param peers true if dispatchers may exchange messages
  * @param retryAfterMax maximum delay in ms for which clients honour a retry-after hint, 0 if they
- * ignore it
+ *     ignore it
  */
 public record DeploymentLimits(
     int tries,
--- a/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Reports that the attempt has ended after {@code durationMs} ms. {@code completed} is true if the request
-   * no longer needs an answer.
+   * Reports that the attempt has ended after {@code durationMs} ms. {@code completed} is true if
+   * the request no longer needs an answer.
    */
   void ended(
       double now,
@@ -68,9 +68,9 @@
   void heard(double now, int sender, byte[] message);
 
   /**
-   * Reports that {@code processCount} processes of this dispatcher are running and that this host is the
-   * one with the zero-based number {@code processIndex}. The processes share the capacity granted to the
-   * dispatcher.
+   * Reports that {@code processCount} processes of this dispatcher are running and that this host
+   * is the one with the zero-based number {@code processIndex}. The processes share the capacity
+   * granted to the dispatcher.
    */
   default void sharedBy(double now, int processCount, int processIndex) {}
 
--- a/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
@@ -41,6 +41,8 @@
     if (object == 0 || cached.containsKey(object)) {
       return 0;
     }
-    return 1 - MAX_PREFERENCE_DISCOUNT * new SplittableRandom(object ^ Long.rotateLeft(workerId, 32)).nextDouble();
+    return 1
+        - MAX_PREFERENCE_DISCOUNT
+            * new SplittableRandom(object ^ Long.rotateLeft(workerId, 32)).nextDouble();
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
@@ -82,7 +82,7 @@
 
   /** Records an attempt sent to the worker, to which its zone is expected to respond. */
   void attemptSent(WorkerStats worker, int jobClass, double now) {
-    // After a class ejectionMs a single job at a time tests whether the worker runs the class again.
+    // After a class ejection a single job at a time tests whether the worker runs the class again.
     worker.classEjectedUntil[jobClass] =
         worker.classEjectionMs[jobClass] > 0 ? now + MIN_CLASS_EJECTION_MS : 0;
     ZoneStats zone = registry.zone(worker);
@@ -107,7 +107,7 @@
   }
 
   /**
-   * Records that the worker has started a job of the class, which ends its ejectionMs for the class.
+   * Records that the worker has started a job of the class, which ends its ejection for the class.
    */
   void attemptStarted(WorkerStats worker, int jobClass) {
     worker.classEjectionMs[jobClass] = 0;
@@ -115,7 +115,7 @@
   }
 
   /**
-   * Records the success of an attempt at the worker. The next ejectionMs has the minimum duration
+   * Records the success of an attempt at the worker. The next ejection has the minimum duration
    * again.
    */
   void attemptSucceeded(WorkerStats worker, int jobClass) {
@@ -173,7 +173,8 @@
   private boolean unreachable(ZoneStats zone, double now) {
     double lastContactAt = Math.max(zone.lastResponseAt, zone.firstUnansweredAt);
     boolean timedOut =
-        zone.unansweredAttempts >= MAX_UNANSWERED_ATTEMPTS && now - lastContactAt > ZONE_TIMEOUT_MS + serviceTimes.mean();
+        zone.unansweredAttempts >= MAX_UNANSWERED_ATTEMPTS
+            && now - lastContactAt > ZONE_TIMEOUT_MS + serviceTimes.mean();
     return timedOut || zone.failedConnects >= MAX_UNANSWERED_ATTEMPTS;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -46,7 +46,9 @@
     Idempotency idempotency = request.jobClass.effect();
     boolean keyedForAllWorkers =
         idempotency == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
-    return idempotency == Idempotency.SAFE || keyedForAllWorkers || request.firstThatMayHaveRun() == null;
+    return idempotency == Idempotency.SAFE
+        || keyedForAllWorkers
+        || request.firstThatMayHaveRun() == null;
   }
 
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/ServiceTimeEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ServiceTimeEstimator.java
@@ -66,7 +66,8 @@
 
   /** Returns the job's expected time on this worker. */
   double timeAt(PendingRequest request, WorkerStats worker) {
-    return standardTime(request) * (worker.completedJobs > 0 ? worker.slowness : worker.group.slowness);
+    return standardTime(request)
+        * (worker.completedJobs > 0 ? worker.slowness : worker.group.slowness);
   }
 
   /** Returns the request's work, which is its standard time times its slots. */
@@ -94,14 +95,17 @@
 
   private void updateMeans(int jobClass, double serviceTime) {
     double classMean = meanByClass[jobClass];
-    meanByClass[jobClass] = classMean == 0 ? serviceTime : classMean + SHARED_SAMPLE_WEIGHT * (serviceTime - classMean);
+    meanByClass[jobClass] =
+        classMean == 0 ? serviceTime : classMean + SHARED_SAMPLE_WEIGHT * (serviceTime - classMean);
     mean += Math.max(SHARED_SAMPLE_WEIGHT, 1.0 / ++completedCount) * (serviceTime - mean);
   }
 
   private static void updateSlowness(WorkerStats worker, double sample) {
     WorkerGroup group = worker.group;
     group.slowness =
-        group.slownessKnown ? group.slowness + SHARED_SAMPLE_WEIGHT * (sample - group.slowness) : sample;
+        group.slownessKnown
+            ? group.slowness + SHARED_SAMPLE_WEIGHT * (sample - group.slowness)
+            : sample;
     group.slownessKnown = true;
     double oldSlowness = worker.completedJobs++ == 0 ? group.slowness : worker.slowness;
     worker.slowness = oldSlowness + WORKER_SAMPLE_WEIGHT * (sample - oldSlowness);
--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -151,7 +151,8 @@
 
   /** Ends a budget cycle: sets the slice from the fleet's load or from the counts of this cycle. */
   void endCycle(FleetLoad load, double meanWork, double demand, double seconds, double now) {
-    followsLoads = loadsListed && load.startRateKnown() && load.busy() > MIN_BUSY_SHARE * load.size();
+    followsLoads =
+        loadsListed && load.startRateKnown() && load.busy() > MIN_BUSY_SHARE * load.size();
     congested = load.queued() > CONGESTED_QUEUE * load.size();
     if (followsLoads) {
       slice = Math.max(MIN_SLICE, slice + SHARE_GAIN * (fleetShare(load, meanWork) - slice));
@@ -176,7 +177,8 @@
   private static double fleetShare(FleetLoad load, double meanWork) {
     double ownShare = load.startRate() * load.size() / load.busy();
     double headroom = HEADROOM - QUEUED_HEADROOM_REDUCTION * load.queued() / load.size();
-    return Math.max(ownShare * headroom, MAX_IDLE_SHARE * (load.size() - load.busy()) * 1000 / meanWork);
+    return Math.max(
+        ownShare * headroom, MAX_IDLE_SHARE * (load.size() - load.busy()) * 1000 / meanWork);
   }
 
   private void growOrCut(double demand, double seconds, double now) {
@@ -213,6 +215,9 @@
       meanRejected = 0;
     }
     double acceptedSlice = Math.min(slice, acceptedRate);
-    slice = Math.max(Math.max(MIN_SLICE, acceptedSlice), slice * Math.max(MIN_REMAINING_FRACTION, 1 + change));
+    slice =
+        Math.max(
+            Math.max(MIN_SLICE, acceptedSlice),
+            slice * Math.max(MIN_REMAINING_FRACTION, 1 + change));
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -176,7 +176,8 @@
     account.receivedGrants += grantsPerWindow(capacity, meanAge) * elapsed / policy.tipMs();
     account.receivedAt = now;
     double unexpiredGrants = grantsPerWindow(capacity, age(worker, now)) * GRANT_LIFETIME_WINDOWS;
-    account.usedGrants = Math.max(account.usedGrants, Math.floor(account.receivedGrants - unexpiredGrants));
+    account.usedGrants =
+        Math.max(account.usedGrants, Math.floor(account.receivedGrants - unexpiredGrants));
   }
 
   /**
@@ -189,7 +190,8 @@
     int participants = participants();
     long processNumber = (long) dispatcherIndex * processCount + processIndex;
     double offset = Math.floorMod(processNumber + worker.id() * OFFSET_STRIDE, (long) participants);
-    account.receivedGrants = offset / participants + grantsPerWindow(capacity, age / 2) * age / policy.tipMs();
+    account.receivedGrants =
+        offset / participants + grantsPerWindow(capacity, age / 2) * age / policy.tipMs();
     account.receivedAt = now;
     double alreadySent =
         account.recentRequests.stream()
@@ -198,7 +200,8 @@
             .mapToDouble(SentRequest::cost)
             .sum();
     account.usedGrants =
-        Math.floor(account.receivedGrants) + Math.min(alreadySent, Math.max(1, grantsPerWindow(capacity, age)));
+        Math.floor(account.receivedGrants)
+            + Math.min(alreadySent, Math.max(1, grantsPerWindow(capacity, age)));
   }
 
   /** Returns the number of grants of this process per window for a worker of this age. */
@@ -218,7 +221,8 @@
   }
 
   private double capacityShareAt(double age) {
-    return policy.startCapacity() + (1 - policy.startCapacity()) * Math.min(1, age / policy.coldMs());
+    return policy.startCapacity()
+        + (1 - policy.startCapacity()) * Math.min(1, age / policy.coldMs());
   }
 
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
@@ -85,7 +85,8 @@
     if (warmWorkers == 0 || serviceTimes.meanSlots() == 0) {
       return 0;
     }
-    double requestRate = budget.acceptedRate() / serviceTimes.meanSlots() * slowStart.participants();
+    double requestRate =
+        budget.acceptedRate() / serviceTimes.meanSlots() * slowStart.participants();
     return requestRate / warmWorkers / Math.max(1, worker.group.slowness);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
@@ -65,8 +65,10 @@
     }
   }
 
-  /** Sets the tenants' quotas so that they add up to the given slots; they are
-   * infinite if all demands fit. */
+  /**
+   * Sets the tenants' quotas so that they add up to the given slots; they are infinite if all
+   * demands fit.
+   */
   void divide(double slots) {
     double level = waterLevel(slots, demands(), weights);
     shares.forEach(share -> share.quota = level * share.weight);
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -70,11 +70,13 @@
     slowStartGate = new SlowStartGate(registry, slowStart, serviceTimes, budget, fleetLoad);
     retries = new RetryPolicy(settings.limits(), settings.roundMs());
     hedging = new HedgingPolicy(settings, registry, deadlines, retries);
-    CandidateFilter filter = new CandidateFilter(retries, slowStartGate, outliers, deadlines, budget);
+    CandidateFilter filter =
+        new CandidateFilter(retries, slowStartGate, outliers, deadlines, budget);
     CandidateCost cost = new CandidateCost(settings, registry, serviceTimes, waits, slowStartGate);
     selector = new WorkerSelector(registry, slowStartGate, filter, cost, outliers, random);
     idleCapacity = new IdleCapacity(registry, outliers, slowStart);
-    outcomeHandler = new AttemptOutcomeHandler(registry, outliers, budget, serviceTimes, retries, idleCapacity);
+    outcomeHandler =
+        new AttemptOutcomeHandler(registry, outliers, budget, serviceTimes, retries, idleCapacity);
     startTimers();
   }
 
@@ -231,8 +233,8 @@
   }
 
   /**
-   * Cancels the attempts that are queued at other workers, now that attempt {@code attemptNumber} is
-   * running.
+   * Cancels the attempts that are queued at other workers, now that attempt {@code attemptNumber}
+   * is running.
    */
   private void cancelWaitingAttempts(PendingRequest request, int attemptNumber) {
     if (!settings.limits().cancel()) {
--- a/dispatch/src/main/java/ferngrade/dispatch/Worker.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Worker.java
@@ -6,7 +6,7 @@
  * @param startedAt start of the worker's process in ms, 0 if it started long ago
  * @param cell group of workers that share idempotency keys
  * @param weight size of the worker in cores, divided by 1 + its jobs per core if the list includes
- * loads
+ *     loads
  */
 public record Worker(
     long id, WorkerState state, int zone, int kind, int cell, double startedAt, double weight) {}
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerSelector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerSelector.java
@@ -96,7 +96,9 @@
       scan(registry.local());
       scan(registry.remote());
       if (!scansAll()) {
-        slowStartGate.workersWithGrants().stream().filter(worker -> worker.listed).forEach(this::consider);
+        slowStartGate.workersWithGrants().stream()
+            .filter(worker -> worker.listed)
+            .forEach(this::consider);
       }
       return best;
     }
--- a/dispatch/src/test/java/ferngrade/dispatch/ActionDigest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ActionDigest.java
@@ -7,36 +7,36 @@
 import java.util.HexFormat;
 
 /**
- * A digest of the actions that a dispatcher asked for, in their order and to the last bit of each
- * number.
+ * Computes a digest of the actions requested by a dispatcher. The digest covers their order and
+ * every bit of each number.
  */
 final class ActionDigest {
-  private static final int NUMBERS = 2 * Integer.BYTES + Long.BYTES + Double.BYTES;
+  private static final int FIXED_LENGTH = 2 * Integer.BYTES + Long.BYTES + Double.BYTES;
 
   private final MessageDigest digest;
 
   ActionDigest() {
     try {
       digest = MessageDigest.getInstance("SHA-256");
-    } catch (NoSuchAlgorithmException impossible) {
-      throw new IllegalStateException(impossible);
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
     }
   }
 
-  /** Takes an action: its kind, what it is about, and its numbers. */
-  void add(int kind, String about, long number, double value) {
-    byte[] text = about.getBytes(StandardCharsets.UTF_8);
+  /** Adds an action: its type, the id or message that it refers to, and its numbers. */
+  void add(int actionType, String subject, long number, double value) {
+    byte[] encodedSubject = subject.getBytes(StandardCharsets.UTF_8);
     digest.update(
-        ByteBuffer.allocate(NUMBERS)
-            .putInt(kind)
-            .putInt(text.length)
+        ByteBuffer.allocate(FIXED_LENGTH)
+            .putInt(actionType)
+            .putInt(encodedSubject.length)
             .putLong(number)
             .putDouble(value)
             .flip());
-    digest.update(text);
+    digest.update(encodedSubject);
   }
 
-  /** The digest in hexadecimal; ends it. */
+  /** Returns the digest in hexadecimal. No action can be added afterwards. */
   String hex() {
     return HexFormat.of().formatHex(digest.digest());
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/EstimatorsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/EstimatorsTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Learned service times, waits and start deadlines. */
+/** Checks the estimated service times and waits, and the start deadlines derived from them. */
 class EstimatorsTest {
   private final WorkerRegistry registry = new WorkerRegistry(0, 1);
   private final ServiceTimeEstimator serviceTimes = new ServiceTimeEstimator(1);
@@ -19,35 +19,35 @@
           Fixture.job("r", 0, 5_000), Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL));
 
   EstimatorsTest() {
-    list(1);
+    updateList(1);
     worker = registry.local().get(0);
   }
 
-  private void list(double weight) {
+  private void updateList(double weight) {
     Worker entry = new Worker(1, WorkerState.READY, 0, 0, 0, 0, weight);
     registry.update(EndpointListUpdate.WHOLE, List.of(entry));
   }
 
-  private void run(double took) {
+  private void runJob(double durationMs) {
     Attempt attempt = new Attempt(worker, 0);
     attempt.startedAt = 0;
-    serviceTimes.attemptSucceeded(request, attempt, took);
+    serviceTimes.attemptSucceeded(request, attempt, durationMs);
   }
 
   @Test
-  void aWorkerThatTakesTwiceTheStandardTimeIsLearnedAsSlow() {
-    assertEquals(100, serviceTimes.standardTime(request), "before anything is known");
-    run(40);
+  void learnsSlownessOfWorkerThatTakesTwiceTheStandardTime() {
+    assertEquals(100, serviceTimes.standardTime(request), "the initial value");
+    runJob(40);
     assertEquals(40, serviceTimes.mean());
     assertEquals(1, worker.slowness);
-    run(80);
+    runJob(80);
     assertEquals(42, serviceTimes.standardTime(request), 1e-9);
     assertEquals(1.1, worker.slowness, 1e-9);
     assertEquals(42 * 1.1, serviceTimes.timeAt(request, worker), 1e-9);
   }
 
   @Test
-  void theWaitIsTheDelayBeyondTheRoundTripTimeAndFades() {
+  void estimatesWaitAsDelayMinusRoundTripTimeAndDecaysIt() {
     waits.attemptStarted(new Attempt(worker, 0), 10);
     assertEquals(10, registry.roundTripTime(worker));
     assertEquals(0, waits.expected(worker, 10), 1e-9);
@@ -57,12 +57,13 @@
   }
 
   @Test
-  void aListedQueueDelaysTheStart() {
+  void predictsLateStartFromListedQueue() {
     StartDeadlines deadlines = new StartDeadlines(serviceTimes, waits, budget);
-    assertEquals(200, deadlines.spareTime(request, worker), "100 ms and twice 100, less 100");
+    assertEquals(
+        200, deadlines.spareTime(request, worker), "100 ms plus twice 100 ms, minus 100 ms");
     assertEquals(150, deadlines.lateAfter(request, worker));
-    list(0.25);
-    assertEquals(3, worker.load, "a size of 1 over 1 + the jobs held");
+    updateList(0.25);
+    assertEquals(3, worker.load, "the weight is the size of 1 divided by 1 + the jobs per core");
     assertEquals(200, waits.byListedLoad(worker, 0));
     assertFalse(deadlines.wouldStartLate(request, worker, 0), "loads are not followed yet");
     budget.endCycle(new FleetLoad(10, 9, 0, 1, true), 100, 1, 0.5, 0);
--- a/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
@@ -4,9 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Settings, workers and a recorder of actions for hand-written event sequences. */
+/**
+ * Creates settings, workers and jobs for tests with hand-written event sequences, and records the
+ * requested actions.
+ */
 final class Fixture {
-  static final SlowStartPolicy COLD = new SlowStartPolicy(0.2, 20_000, 3, 3_000);
+  static final SlowStartPolicy SLOW_START = new SlowStartPolicy(0.2, 20_000, 3, 3_000);
 
   private Fixture() {}
 
@@ -14,35 +17,39 @@
     return new JobClass("job", effect, scope, 7_500, 100, 2, 5_000, 1, 0, -1, 0);
   }
 
-  static DispatcherSettings settings(int me, int dispatchers, JobClass jobClass) {
-    return settings(me, dispatchers, jobClass, List.of(new Tenant("a", 1, 10)), false);
+  static DispatcherSettings settings(int dispatcherIndex, int dispatchers, JobClass jobClass) {
+    return settings(dispatcherIndex, dispatchers, jobClass, List.of(new Tenant("a", 1, 10)), false);
   }
 
   static DispatcherSettings settings(
-      int me, int dispatchers, JobClass jobClass, List<Tenant> tenants, boolean secondCopies) {
-    return settings(me, dispatchers, jobClass, tenants, secondCopies, false);
+      int dispatcherIndex,
+      int dispatchers,
+      JobClass jobClass,
+      List<Tenant> tenants,
+      boolean secondCopies) {
+    return settings(dispatcherIndex, dispatchers, jobClass, tenants, secondCopies, false);
   }
 
   static DispatcherSettings settings(
-      int me,
+      int dispatcherIndex,
       int dispatchers,
       JobClass jobClass,
       List<Tenant> tenants,
       boolean secondCopies,
-      boolean loads) {
+      boolean loadsListed) {
     DeploymentLimits limits = new DeploymentLimits(3, secondCopies, true, true, true, 1_000);
     return new DispatcherSettings(
-        me,
+        dispatcherIndex,
         dispatchers,
         0,
         2,
         List.of(jobClass),
         tenants,
         limits,
-        COLD,
+        SLOW_START,
         false,
         true,
-        loads,
+        loadsListed,
         0.01,
         new ServiceObjective(0.5, 0.2));
   }
@@ -51,7 +58,7 @@
     return new Worker(id, WorkerState.READY, zone, 0, cell, 0, 1);
   }
 
-  static Worker with(Worker worker, WorkerState state, double startedAt) {
+  static Worker withState(Worker worker, WorkerState state, double startedAt) {
     return new Worker(
         worker.id(),
         state,
@@ -66,12 +73,12 @@
     return new Job(id, 0, tenant, due, 0, 1, 0, 0);
   }
 
-  record Send(String id, long worker) {}
+  record Send(String requestId, long workerId) {}
 
-  /** Keeps what the module asked for. */
+  /** Records the actions that the dispatcher requests. */
   static final class Recorder implements Actions {
     final List<Send> sends = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
+    final List<String> rejected = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<long[]> timers = new ArrayList<>();
@@ -79,27 +86,27 @@
     final List<Integer> messagedPeers = new ArrayList<>();
 
     @Override
-    public void send(String id, long worker, double timeout) {
-      sends.add(new Send(id, worker));
+    public void send(String requestId, long workerId, double timeoutMs) {
+      sends.add(new Send(requestId, workerId));
     }
 
     @Override
-    public void refuse(String id, double retryAfter) {
-      refused.add(id);
+    public void refuse(String requestId, double retryAfterMs) {
+      rejected.add(requestId);
     }
 
     @Override
-    public void fail(String id) {
-      failed.add(id);
+    public void fail(String requestId) {
+      failed.add(requestId);
     }
 
     @Override
-    public void cancel(String id, int attempt) {
-      cancelled.add(id + "/" + attempt);
+    public void cancel(String requestId, int attemptNumber) {
+      cancelled.add(requestId + "/" + attemptNumber);
     }
 
     @Override
-    public void check(long worker) {}
+    public void check(long workerId) {}
 
     @Override
     public void tell(int peer, byte[] message) {
@@ -108,8 +115,8 @@
     }
 
     @Override
-    public void timer(double after, long token) {
-      timers.add(new long[] {Math.round(after), token});
+    public void timer(double delayMs, long token) {
+      timers.add(new long[] {Math.round(delayMs), token});
     }
 
     @Override
@@ -118,7 +125,7 @@
     @Override
     public void log(String line) {}
 
-    Send last() {
+    Send lastSend() {
       return sends.get(sends.size() - 1);
     }
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/HedgingPolicyTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/HedgingPolicyTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which requests are hedged, when, and how many. */
+/** Checks which requests are hedged, after which delay, and how many. */
 class HedgingPolicyTest {
   private final DispatcherSettings settings =
       Fixture.settings(
@@ -27,20 +27,20 @@
     hedging = new HedgingPolicy(settings, registry, deadlines, retries);
   }
 
-  private PendingRequest waiting(Idempotency effect) {
+  private PendingRequest waitingRequest(Idempotency idempotency) {
     PendingRequest request =
         new PendingRequest(
-            Fixture.job("r", 0, 5_000), Fixture.jobClass(effect, IdempotencyScope.ALL));
+            Fixture.job("r", 0, 5_000), Fixture.jobClass(idempotency, IdempotencyScope.ALL));
     request.attempts.add(new Attempt(worker, 0));
     request.inFlight = 1;
     return request;
   }
 
   @Test
-  void onlyWhatWaitsAndMayRunTwiceIsHedged() {
-    PendingRequest request = waiting(Idempotency.SAFE);
+  void hedgesOnlyWaitingRequestsThatMayRunTwice() {
+    PendingRequest request = waitingRequest(Idempotency.SAFE);
     assertTrue(hedging.appliesTo(request));
-    assertFalse(hedging.appliesTo(waiting(Idempotency.UNSAFE)));
+    assertFalse(hedging.appliesTo(waitingRequest(Idempotency.UNSAFE)));
     assertEquals(40, hedging.delay(request, worker), 1e-9, "a fifth of 200 ms of spare time");
     assertTrue(hedging.isWaiting(request));
     request.attempts.get(0).startedAt = 10;
@@ -48,8 +48,8 @@
   }
 
   @Test
-  void twentyRequestsEarnOneHedge() {
-    PendingRequest request = waiting(Idempotency.SAFE);
+  void allowsOneHedgePerTwentyRequests() {
+    PendingRequest request = waitingRequest(Idempotency.SAFE);
     for (int i = 0; i < 3; i++) {
       assertTrue(hedging.mayHedge(request, 10));
       hedging.hedgeSent();
--- a/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
@@ -10,51 +10,55 @@
 import org.junit.jupiter.api.extension.ExtendWith;
 
 /**
- * A process that has served little sees some late starts, because the machine is short of processor
- * time, and trims its slice to the floor: nothing it has accepted so far proves a higher one. From
- * there the slice grows by a fifth each half second, so that for ten seconds it rejects what idle
- * workers could do. The log of such a process, second by second:
+ * Guards against rejections while workers are idle. A process that has served few requests sees
+ * some late starts because the machine is short of processor time, and cuts its slice to the
+ * minimum, since no accepted request proves a higher one. The slice then grows by a fifth per half
+ * second, so that for ten seconds the process rejects requests that idle workers could run. The log
+ * of an affected process, one line per second:
  *
  * <pre>
  * budget answered=281 rejected_quota=279 slice=1.7 demand=203.2 accepted=1.0 rejected_share=0.000 held=0 size=3.0
  * budget answered=292 rejected_quota=286 slice=7.4 demand=307.9 accepted=3.6 rejected_share=0.000 held=0 size=3.0
  * </pre>
  *
- * No slot is held, no attempt is rejected, and the slice is the only limit.
+ * <p>No slot is held, no attempt is rejected, and the slice is the only limit.
  */
 @ExtendWith(SkipKnownFailures.class)
 class IdleCapacityTest {
-  private static final long CYCLE = 1;
-  private static final double PERIOD = 500;
+  private static final long BUDGET_CYCLE_TOKEN = 1;
+  private static final double BUDGET_CYCLE_MS = 500;
   private static final int WORKERS = 4;
   private static final int CORES = 4;
 
-  private final Fixture.Recorder out = new Fixture.Recorder();
+  private final Fixture.Recorder actions = new Fixture.Recorder();
   private final ThrottlingDispatcher dispatcher = dispatcher(1);
   private double now;
-  private int ids;
+  private int nextId;
 
   private ThrottlingDispatcher dispatcher(int dispatchers) {
     JobClass jobClass = Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL);
-    ThrottlingDispatcher made =
-        new ThrottlingDispatcher(Fixture.settings(0, dispatchers, jobClass), 1, 0, out);
+    ThrottlingDispatcher created =
+        new ThrottlingDispatcher(Fixture.settings(0, dispatchers, jobClass), 1, 0, actions);
     List<Worker> workers = new ArrayList<>();
     for (int id = 1; id <= WORKERS; id++) {
       workers.add(new Worker(id, WorkerState.READY, 0, 0, 0, 0, CORES));
     }
-    made.members(0, EndpointListUpdate.STORED, workers);
-    return made;
+    created.members(0, EndpointListUpdate.STORED, workers);
+    return created;
   }
 
-  /** One request that its worker runs for 20 ms, or that waits for its start until it is late. */
-  private void request(boolean late) {
-    String id = "r" + ids++;
-    int sent = out.sends.size();
+  /**
+   * Sends one request. Its worker runs it for 20 ms; if {@code late} is true, it passes its start
+   * deadline first.
+   */
+  private void sendRequest(boolean late) {
+    String id = "r" + nextId++;
+    int sendsBefore = actions.sends.size();
     dispatcher.arrived(now, Fixture.job(id, 0, now + 5_000));
-    if (out.sends.size() > sent) {
+    if (actions.sends.size() > sendsBefore) {
       if (late) {
-        out.timers.stream()
-            .filter(timer -> timer[1] > CYCLE + 1)
+        actions.timers.stream()
+            .filter(timer -> timer[1] > BUDGET_CYCLE_TOKEN + 1)
             .reduce((first, second) -> second)
             .ifPresent(timer -> dispatcher.timer(now + timer[0], timer[1]));
       }
@@ -63,65 +67,71 @@
     }
   }
 
-  /** A budget cycle with so many requests spread over it; returns how many were rejected. */
-  private int cycle(int requests, boolean late) {
-    int before = out.refused.size();
-    double begin = now;
+  /**
+   * Runs a budget cycle with the requests spread over it, and returns the number of rejected
+   * requests.
+   */
+  private int runCycle(int requests, boolean late) {
+    int rejectedBefore = actions.rejected.size();
+    double cycleStart = now;
     for (int i = 0; i < requests; i++) {
-      now = begin + i * PERIOD / requests;
-      request(late);
+      now = cycleStart + i * BUDGET_CYCLE_MS / requests;
+      sendRequest(late);
     }
-    now = begin + PERIOD;
-    dispatcher.timer(now, CYCLE);
-    return out.refused.size() - before;
+    now = cycleStart + BUDGET_CYCLE_MS;
+    dispatcher.timer(now, BUDGET_CYCLE_TOKEN);
+    return actions.rejected.size() - rejectedBefore;
   }
 
   @Test
-  void idleWorkersGetWhatIsAskedForSoonAfterLateStartsHaveTrimmedTheSlice() {
-    cycle(2, false);
+  void servesAllDemandSoonAfterLateStartsHaveCutTheSlice() {
+    runCycle(2, false);
     for (int i = 0; i < 4; i++) {
-      cycle(80, true);
+      runCycle(80, true);
     }
     List<Integer> rejected = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      rejected.add(cycle(80, false));
+      rejected.add(runCycle(80, false));
     }
     assertEquals(
-        0, rejected.stream().skip(2).mapToInt(Integer::intValue).sum(), "by cycle: " + rejected);
+        0,
+        rejected.stream().skip(2).mapToInt(Integer::intValue).sum(),
+        "rejected per cycle: " + rejected);
   }
 
   @Test
-  void workersThatRejectAreNotIdle() {
-    cycle(80, false);
+  void doesNotCountRejectingWorkersAsIdle() {
+    runCycle(80, false);
     for (int i = 0; i < 80; i++) {
       now += 5;
       String id = "full" + i;
-      int sent = out.sends.size();
+      int sendsBefore = actions.sends.size();
       dispatcher.arrived(now, Fixture.job(id, 0, now + 5_000));
-      for (int n = 0; out.sends.size() > sent + n; n++) {
+      for (int n = 0; actions.sends.size() > sendsBefore + n; n++) {
         dispatcher.ended(now + 1, id, n, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
       }
     }
-    now += PERIOD;
-    dispatcher.timer(now, CYCLE);
-    int sent = out.sends.size();
+    now += BUDGET_CYCLE_MS;
+    dispatcher.timer(now, BUDGET_CYCLE_TOKEN);
+    int sendsBefore = actions.sends.size();
     for (int i = 0; i < 100; i++) {
       dispatcher.arrived(now + 1, Fixture.job("burst" + i, 0, now + 5_000));
     }
-    assertTrue(out.sends.size() - sent < 60, "sent " + (out.sends.size() - sent));
+    assertTrue(
+        actions.sends.size() - sendsBefore < 60, "sent " + (actions.sends.size() - sendsBefore));
   }
 
   @Test
-  void jobsInFlightFillTheShareOfIdleWorkers() {
-    cycle(2, false);
+  void limitsJobsInFlightToTheCoresOfIdleWorkers() {
+    runCycle(2, false);
     for (int i = 0; i < 4; i++) {
-      cycle(80, true);
+      runCycle(80, true);
     }
-    int sent = out.sends.size();
+    int sendsBefore = actions.sends.size();
     for (int i = 0; i < 100; i++) {
       dispatcher.arrived(now + 1, Fixture.job("held" + i, 0, now + 5_000));
     }
-    int held = out.sends.size() - sent;
-    assertTrue(held <= WORKERS * CORES, "sent without an outcome: " + held);
+    int attemptsInFlight = actions.sends.size() - sendsBefore;
+    assertTrue(attemptsInFlight <= WORKERS * CORES, "attempts in flight: " + attemptsInFlight);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
@@ -12,56 +12,56 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What a dispatcher makes of the load that the endpoint list shows of each worker. */
+/** Checks how a dispatcher uses the load of each worker in the endpoint list. */
 class LoadTest {
-  private static final long CYCLE = 1;
+  private static final long BUDGET_CYCLE_TOKEN = 1;
   private static final int WORKERS = 8;
-  private static final double SIZE = 8;
-  private final Fixture.Recorder out = new Fixture.Recorder();
+  private static final double CORES = 8;
+  private final Fixture.Recorder actions = new Fixture.Recorder();
   private ThrottlingDispatcher dispatcher = dispatcher(0, 4);
   private final Deque<String> running = new ArrayDeque<>();
   private final double[] load = new double[WORKERS];
-  private final Set<Integer> gone = new HashSet<>();
-  private int ids;
+  private final Set<Integer> removed = new HashSet<>();
+  private int nextId;
   private double now;
 
-  private ThrottlingDispatcher dispatcher(int me, int dispatchers) {
+  private ThrottlingDispatcher dispatcher(int index, int dispatchers) {
     return new ThrottlingDispatcher(
         Fixture.settings(
-            me,
+            index,
             dispatchers,
             Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL),
             List.of(new Tenant("a", 1, 10)),
             true,
             true),
-        7 + me,
+        7 + index,
         0,
-        out);
+        actions);
   }
 
-  private void list() {
+  private void updateList() {
     List<Worker> entries = new ArrayList<>();
     for (int i = 0; i < WORKERS; i++) {
-      WorkerState state = gone.contains(i) ? WorkerState.GONE : WorkerState.READY;
-      entries.add(new Worker(i, state, 0, 0, 0, 0, SIZE / (1 + load[i])));
+      WorkerState state = removed.contains(i) ? WorkerState.GONE : WorkerState.READY;
+      entries.add(new Worker(i, state, 0, 0, 0, 0, CORES / (1 + load[i])));
     }
     dispatcher.members(now, EndpointListUpdate.CHANGES, entries);
   }
 
   /**
-   * Half seconds that begin with a list, in each of which so many jobs come and end; the jobs
-   * refused.
+   * Runs {@code count} budget cycles of half a second. Each begins with an update of the endpoint
+   * list, and {@code jobs} jobs arrive and end in it. Returns the number of rejected jobs.
    */
-  private int cycles(int count, int jobs) {
-    int refused = out.refused.size();
+  private int runCycles(int count, int jobs) {
+    int rejectedBefore = actions.rejected.size();
     for (int i = 0; i < count; i++, now += jobs == 0 ? 500 : 0) {
-      list();
+      updateList();
       for (int job = 0; job < jobs; job++) {
         now += 500.0 / jobs;
-        String id = "r" + ids++;
-        int sends = out.sends.size();
+        String id = "r" + nextId++;
+        int sendsBefore = actions.sends.size();
         dispatcher.arrived(now, Fixture.job(id, 0, now + 10_000));
-        if (out.sends.size() > sends) {
+        if (actions.sends.size() > sendsBefore) {
           dispatcher.started(now + 1, id, 0);
           running.add(id);
         }
@@ -69,109 +69,116 @@
           dispatcher.ended(now + 1, running.poll(), 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
         }
       }
-      dispatcher.timer(now, CYCLE);
+      dispatcher.timer(now, BUDGET_CYCLE_TOKEN);
     }
-    return out.refused.size() - refused;
+    return actions.rejected.size() - rejectedBefore;
   }
 
-  private double warmUp(double each) {
-    list();
-    Arrays.fill(load, each);
-    cycles(20, 10);
+  private double warmUp(double workerLoad) {
+    updateList();
+    Arrays.fill(load, workerLoad);
+    runCycles(20, 10);
     return dispatcher.slice();
   }
 
   @Test
-  void theSliceIsTheShareOfWhatTheFleetCanDo() {
-    // 20 slots a second of half the fleet's cores: its share is 40, and the slice is ample for
-    // that.
+  void setsSliceToShareOfTheFleetWithHeadroom() {
+    // The dispatcher starts 20 slots per second while half of the fleet's cores are busy, so its
+    // share is 40; the slice includes headroom above that.
     assertEquals(1.75 * 40, warmUp(0.5), 10);
   }
 
   @Test
-  void aSurgeAfterAQuietTimeGetsWhatTheFleetHasIdle() {
+  void admitsBurstAfterIdlePeriodUpToIdleCapacity() {
     warmUp(0.3);
-    cycles(20, 0);
-    assertEquals(0, cycles(4, 8));
+    runCycles(20, 0);
+    assertEquals(0, runCycles(4, 8));
   }
 
   @Test
-  void aLostZoneIsInTheSliceBeforeAnyJobIsLate() {
+  void reducesSliceAfterLossOfZoneBeforeAnyJobIsLate() {
     double before = warmUp(0.5);
-    gone.addAll(List.of(0, 1, 2, 3));
-    cycles(2, 10);
+    removed.addAll(List.of(0, 1, 2, 3));
+    runCycles(2, 10);
     assertTrue(dispatcher.slice() < 0.75 * before, before + " -> " + dispatcher.slice());
   }
 
   @Test
-  void oneWorkerWithADeepQueueIsPassedOverAndCutsNobodysSlice() {
+  void avoidsOneWorkerWithLongQueueWithoutCuttingSlice() {
     double before = warmUp(0.5);
     load[3] = 40;
-    int from = out.sends.size();
-    cycles(2, 10);
+    int firstNewSend = actions.sends.size();
+    runCycles(2, 10);
     assertTrue(
-        out.sends.subList(from, out.sends.size()).stream().noneMatch(send -> send.worker() == 3));
+        actions.sends.subList(firstNewSend, actions.sends.size()).stream()
+            .noneMatch(send -> send.workerId() == 3));
     assertTrue(dispatcher.slice() > 0.8 * before, before + " -> " + dispatcher.slice());
   }
 
   @Test
-  void aWorkerThatHoldsNothingOfOursButHasADeepQueueRefusesNoJob() {
+  void doesNotRejectJobsBecauseOfWorkerWithLongQueueFromOthers() {
     warmUp(0.5);
     load[3] = 3;
-    list();
-    // None of these begins: the others soon hold several jobs of ours each, the deep one none.
+    updateList();
+    // None of these jobs starts, so the other workers soon hold several jobs of this dispatcher
+    // each and the one with the long queue holds none.
     for (int i = 0; i < 20; i++) {
       dispatcher.arrived(now + 10 * i, Fixture.job("h" + i, 0, now + 10_000));
     }
-    assertTrue(out.refused.stream().noneMatch(id -> id.startsWith("h")), "refused " + out.refused);
+    assertTrue(
+        actions.rejected.stream().noneMatch(id -> id.startsWith("h")),
+        "rejected " + actions.rejected);
   }
 
   @Test
-  void aJobThatWouldBeLateEverywhereIsRefusedAtOnce() {
+  void rejectsJobThatWouldStartLateAtEveryWorker() {
     warmUp(0.5);
     Arrays.fill(load, 40);
-    assertTrue(cycles(1, 5) >= 4, "refused " + out.refused);
+    assertTrue(runCycles(1, 5) >= 4, "rejected " + actions.rejected);
     Arrays.fill(load, 0.2);
-    assertEquals(0, cycles(1, 5), "refused once the queues are gone");
+    assertEquals(0, runCycles(1, 5), "rejections after the queues have drained");
   }
 
   @Test
-  void aHundredDispatchersDoNotAllCrowdOnTheWorkerThatTheirCommonListShowsIdle() {
-    int crowd = 0;
+  void hundredDispatchersDoNotOverloadTheWorkerListedAsIdle() {
+    int sentToIdleWorker = 0;
     for (int number = 0; number < 100; number++) {
       dispatcher = dispatcher(number, 100);
       running.clear();
       warmUp(0.5);
       Arrays.fill(load, 1.95);
       load[3] = 0.2;
-      list();
+      updateList();
       dispatcher.arrived(now, Fixture.job("c" + number, 0, now + 10_000));
-      crowd += out.last().worker() == 3 ? 1 : 0;
+      sentToIdleWorker += actions.lastSend().workerId() == 3 ? 1 : 0;
       Arrays.fill(load, 0);
     }
-    assertTrue(crowd < 60, "of a hundred jobs, one from each, the idle worker got " + crowd);
+    assertTrue(
+        sentToIdleWorker < 60,
+        "jobs at the idle worker, of one from each of 100 dispatchers: " + sentToIdleWorker);
   }
 
   @Test
-  void jobsSpreadBeforeTheFastWorkersGetMoreHoweverLargeTheListSaysTheyAre() {
+  void spreadsJobsBeforeFastWorkersReceiveMoreRegardlessOfListedSize() {
     List<Worker> entries = new ArrayList<>();
     for (int i = 0; i < WORKERS; i++) {
-      entries.add(new Worker(i, WorkerState.READY, 0, i % 2, 0, 0, SIZE));
+      entries.add(new Worker(i, WorkerState.READY, 0, i % 2, 0, 0, CORES));
     }
     dispatcher.members(now, EndpointListUpdate.STORED, entries);
     for (int i = 0; i < 40; i++) {
       String id = "w" + i;
       dispatcher.arrived(now, new Job(id, 0, 0, now + 10_000, 1000, 1, 0, 0));
       dispatcher.started(now, id, 0);
-      double took = out.last().worker() % 2 == 0 ? 500 : 1000;
-      now += took;
-      dispatcher.ended(now, id, 0, AttemptOutcome.OK, took, true, LoadReport.NONE);
+      double durationMs = actions.lastSend().workerId() % 2 == 0 ? 500 : 1000;
+      now += durationMs;
+      dispatcher.ended(now, id, 0, AttemptOutcome.OK, durationMs, true, LoadReport.NONE);
     }
-    int from = out.sends.size();
+    int firstNewSend = actions.sends.size();
     for (int i = 0; i < WORKERS; i++) {
       dispatcher.arrived(now, new Job("b" + i, 0, 0, now + 10_000, 1000, 1, 0, 0));
     }
-    long used = out.sends.stream().skip(from).map(Fixture.Send::worker).distinct().count();
-    assertTrue(used > WORKERS / 2, "workers used for as many jobs: " + used);
+    long usedWorkers =
+        actions.sends.stream().skip(firstNewSend).map(Fixture.Send::workerId).distinct().count();
+    assertTrue(usedWorkers > WORKERS / 2, "workers used for one job per worker: " + usedWorkers);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/ModuleLimitsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ModuleLimitsTest.java
@@ -11,25 +11,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The limits that keep the module readable. */
+/** Checks the formatting limits of the module's sources. */
 class ModuleLimitsTest {
-  private static final Path FOLDER = Path.of("src/main/java/ferngrade/dispatch");
+  private static final Path SOURCE_DIRECTORY = Path.of("src/main/java/ferngrade/dispatch");
 
-  /** The lines of all main files of the module. */
-  private static List<String> module() throws IOException {
+  /** Returns the lines of all main source files of the module. */
+  private static List<String> sourceLines() throws IOException {
     List<String> lines = new ArrayList<>();
-    try (DirectoryStream<Path> files = Files.newDirectoryStream(FOLDER, "*.java")) {
+    try (DirectoryStream<Path> files = Files.newDirectoryStream(SOURCE_DIRECTORY, "*.java")) {
       for (Path file : files) {
         lines.addAll(Files.readAllLines(file));
       }
     }
-    assertFalse(lines.isEmpty(), "no source file in " + FOLDER);
+    assertFalse(lines.isEmpty(), "no source file in " + SOURCE_DIRECTORY);
     return lines;
   }
 
   @Test
-  void noLineOfTheModuleRunsPast110Characters() throws IOException {
-    List<String> wide = module().stream().filter(line -> line.length() > 110).toList();
-    assertEquals(List.of(), wide);
+  void noSourceLineExceeds110Characters() throws IOException {
+    List<String> longLines = sourceLines().stream().filter(line -> line.length() > 110).toList();
+    assertEquals(List.of(), longLines);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where jobs go that need an object, what reports tell of a worker's size, and which class goes
- * first.
+ * Checks the selection of workers for jobs that need an object, the use of load reports, and the
+ * priority of classes.
  */
 class ObjectAffinityTest {
   private static final List<Worker> FLEET =
@@ -23,108 +23,117 @@
   private static final double WORK = 300;
   private static final LoadReport FOUR_SLOTS = new LoadReport(3, 3, Double.NaN, 1);
 
-  private final Fixture.Recorder out = new Fixture.Recorder();
+  private final Fixture.Recorder actions = new Fixture.Recorder();
   private double now = 1000;
-  private int ids;
+  private int nextId;
 
-  private ThrottlingDispatcher dispatcher(int me, Idempotency effect) {
+  private ThrottlingDispatcher dispatcher(int index, Idempotency idempotency) {
     ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             Fixture.settings(
-                me,
+                index,
                 4,
-                Fixture.jobClass(effect, IdempotencyScope.ZONE),
+                Fixture.jobClass(idempotency, IdempotencyScope.ZONE),
                 List.of(new Tenant("a", 1, 10)),
                 true),
-            7 + me,
+            7 + index,
             0,
-            out);
+            actions);
     dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
     return dispatcher;
   }
 
-  /** Sends a job and returns its worker. */
-  private long send(ThrottlingDispatcher dispatcher, long object) {
-    dispatcher.arrived(now, new Job("r" + ids++, 0, 0, now + 5_000, WORK, 1, 0, object));
-    return out.last().worker();
+  /** Submits a job and returns the worker that it is sent to. */
+  private long submit(ThrottlingDispatcher dispatcher, long object) {
+    dispatcher.arrived(now, new Job("r" + nextId++, 0, 0, now + 5_000, WORK, 1, 0, object));
+    return actions.lastSend().workerId();
   }
 
-  private void serve(ThrottlingDispatcher dispatcher, LoadReport report) {
+  private void complete(ThrottlingDispatcher dispatcher, LoadReport report) {
     now += WORK;
-    dispatcher.ended(now, "r" + (ids - 1), 0, AttemptOutcome.OK, WORK, true, report);
+    dispatcher.ended(now, "r" + (nextId - 1), 0, AttemptOutcome.OK, WORK, true, report);
   }
 
-  /** Its workers have reported their slots, and one job of each of many objects has been served. */
-  private ThrottlingDispatcher warm(int me) {
-    ThrottlingDispatcher dispatcher = dispatcher(me, Idempotency.SAFE);
+  /**
+   * Returns a dispatcher whose workers have reported their slots, after one job for each of 40
+   * objects has completed.
+   */
+  private ThrottlingDispatcher warmDispatcher(int index) {
+    ThrottlingDispatcher dispatcher = dispatcher(index, Idempotency.SAFE);
     for (int i = 0; i < 40; i++) {
-      send(dispatcher, 100 + i);
-      serve(dispatcher, FOUR_SLOTS);
+      submit(dispatcher, 100 + i);
+      complete(dispatcher, FOUR_SLOTS);
     }
     return dispatcher;
   }
 
   @Test
-  void aJobGoesWhereItsObjectWentBefore() {
-    ThrottlingDispatcher dispatcher = warm(0);
-    long holder = send(dispatcher, 5);
-    serve(dispatcher, FOUR_SLOTS);
+  void sendsJobToWorkerThatHasItsObjectCached() {
+    ThrottlingDispatcher dispatcher = warmDispatcher(0);
+    long cachingWorker = submit(dispatcher, 5);
+    complete(dispatcher, FOUR_SLOTS);
     for (int i = 0; i < 20; i++) {
-      assertEquals(holder, send(dispatcher, 5));
-      serve(dispatcher, FOUR_SLOTS);
+      assertEquals(cachingWorker, submit(dispatcher, 5));
+      complete(dispatcher, FOUR_SLOTS);
     }
   }
 
   @Test
-  void dispatchersThatNeverSpokeLeanToOneWorkerForAnObject() {
-    int together = 0;
+  void dispatchersWithoutMessagesPreferTheSameWorkerForAnObject() {
+    int sameWorker = 0;
     for (long object = 1; object <= 20; object++) {
-      long first = send(warm(0), object);
-      together += first == send(warm(1), object) ? 1 : 0;
+      long first = submit(warmDispatcher(0), object);
+      sameWorker += first == submit(warmDispatcher(1), object) ? 1 : 0;
     }
     assertTrue(
-        together >= 12, "of 20 objects " + together + " met at one worker; by chance 5 would");
+        sameWorker >= 12,
+        "objects of 20 for which both dispatchers chose the same worker: "
+            + sameWorker
+            + "; by chance 5 of 20");
   }
 
   @Test
-  void aCrowdedHolderIsPassedOver() {
-    ThrottlingDispatcher dispatcher = warm(0);
+  void avoidsOverloadedWorkerThatHasTheObjectCached() {
+    ThrottlingDispatcher dispatcher = warmDispatcher(0);
     List<Long> workers = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
-      workers.add(send(dispatcher, 5));
+      workers.add(submit(dispatcher, 5));
     }
-    assertEquals(4, workers.stream().distinct().count(), "all waited for the holder: " + workers);
+    assertEquals(4, workers.stream().distinct().count(), "workers used: " + workers);
   }
 
   @Test
-  void theOnlyHolderDrainsAndAnotherTakesItsObject() {
-    ThrottlingDispatcher dispatcher = warm(0);
-    long holder = send(dispatcher, 5);
-    serve(dispatcher, FOUR_SLOTS);
-    Worker entry = FLEET.stream().filter(each -> each.id() == holder).findFirst().orElseThrow();
+  void movesObjectToAnotherWorkerWhenTheOnlyOneWithItDrains() {
+    ThrottlingDispatcher dispatcher = warmDispatcher(0);
+    long cachingWorker = submit(dispatcher, 5);
+    complete(dispatcher, FOUR_SLOTS);
+    Worker entry =
+        FLEET.stream().filter(worker -> worker.id() == cachingWorker).findFirst().orElseThrow();
     dispatcher.members(
-        now, EndpointListUpdate.CHANGES, List.of(Fixture.with(entry, WorkerState.DRAINING, 0)));
-    long next = send(dispatcher, 5);
-    assertNotEquals(holder, next);
-    serve(dispatcher, FOUR_SLOTS);
-    assertEquals(next, send(dispatcher, 5));
+        now,
+        EndpointListUpdate.CHANGES,
+        List.of(Fixture.withState(entry, WorkerState.DRAINING, 0)));
+    long next = submit(dispatcher, 5);
+    assertNotEquals(cachingWorker, next);
+    complete(dispatcher, FOUR_SLOTS);
+    assertEquals(next, submit(dispatcher, 5));
   }
 
   @Test
-  void aRestartedHolderHasNothingAtHand() {
-    ObjectAffinity kept = new ObjectAffinity();
-    kept.recordUse(5, 4);
-    assertEquals(0, kept.fetchFraction(5, 1));
+  void assumesEmptyCacheAfterRestart() {
+    ObjectAffinity cachedObjects = new ObjectAffinity();
+    cachedObjects.recordUse(5, 4);
+    assertEquals(0, cachedObjects.fetchFraction(5, 1));
     assertTrue(new ObjectAffinity().fetchFraction(5, 1) > 0.8);
     for (long object = 10; object < 14; object++) {
-      kept.recordUse(object, 4);
+      cachedObjects.recordUse(object, 4);
     }
-    assertTrue(kept.fetchFraction(5, 1) > 0.8, "four later objects have taken its place");
-    assertEquals(0, kept.fetchFraction(0, 1), "a job that needs none misses none");
+    assertTrue(cachedObjects.fetchFraction(5, 1) > 0.8, "four later objects must have evicted it");
+    assertEquals(0, cachedObjects.fetchFraction(0, 1), "a job without an object needs no fetch");
   }
 
   @Test
-  void aKeyedJobsSecondCopyStaysInItsSiteThoughItsObjectLiesElsewhere() {
+  void keepsRetryOfKeyedJobInItsZoneRegardlessOfObject() {
     ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             Fixture.settings(
@@ -135,41 +144,42 @@
                 true),
             7,
             0,
-            out);
+            actions);
     dispatcher.members(
         0, EndpointListUpdate.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(4, 1, 2)));
-    long first = send(dispatcher, 5);
+    long first = submit(dispatcher, 5);
     dispatcher.ended(now + 5, "r0", 0, AttemptOutcome.RESET, 5, false, LoadReport.NONE);
-    assertTrue(out.sends.stream().allMatch(send -> send.worker() == first), "" + out.sends);
+    assertTrue(
+        actions.sends.stream().allMatch(send -> send.workerId() == first), "" + actions.sends);
   }
 
   @Test
-  void aReportThatIsNoneOrWildChangesNothing() {
-    for (double wild :
+  void ignoresMissingAndInvalidReports() {
+    for (double invalid :
         new double[] {-1, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, Double.NaN, 1e300}) {
-      LoadReport report = new LoadReport(wild, wild, wild, wild);
+      LoadReport report = new LoadReport(invalid, invalid, invalid, invalid);
       assertTrue(Double.isNaN(report.held()) && Double.isNaN(report.freeSlots()), "" + report);
-      out.sends.clear();
+      actions.sends.clear();
       ThrottlingDispatcher dispatcher = dispatcher(0, Idempotency.SAFE);
       for (int i = 0; i < 40; i++) {
-        send(dispatcher, 0);
-        serve(dispatcher, report);
+        submit(dispatcher, 0);
+        complete(dispatcher, report);
       }
-      assertEquals(40, out.sends.size());
+      assertEquals(40, actions.sends.size());
     }
   }
 
   @Test
-  void nobodyIsEjectedWhereAllAreSlowAtOnce() {
-    ThrottlingDispatcher dispatcher = warm(0);
-    int first = ids;
+  void ejectsNoWorkerWhenAllAreSlow() {
+    ThrottlingDispatcher dispatcher = warmDispatcher(0);
+    int firstId = nextId;
     for (int i = 0; i < 32; i++) {
-      send(dispatcher, 100 + i);
+      submit(dispatcher, 100 + i);
     }
-    // All tell their starts a second late and end at four times their work; the last run out of
-    // time in the queue.
-    for (int i = first; i < first + 32; i++) {
-      if (i < first + 24) {
+    // All jobs start a second late and take four times their work; the last ones time out in the
+    // queue.
+    for (int i = firstId; i < firstId + 32; i++) {
+      if (i < firstId + 24) {
         dispatcher.started(now + 1000, "r" + i, 0);
         dispatcher.ended(
             now + 1000 + 4 * WORK,
@@ -187,16 +197,19 @@
     assertEquals(0, dispatcher.excluded(now + 5_000));
   }
 
-  /** The share of each class that is taken of 40 jobs each, offered at several times the slice. */
-  private double[] taken(ServiceObjective goal) {
+  /**
+   * Returns the share of each class that is admitted of 40 jobs each, which are offered at several
+   * times the slice.
+   */
+  private double[] admittedShares(ServiceObjective objective) {
     List<JobClass> classes =
         List.of(
             new JobClass(
                 "low", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 2, 0.5, -1, 0),
             new JobClass(
                 "high", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0));
-    Fixture.Recorder actions = new Fixture.Recorder();
-    DispatcherSettings from = Fixture.settings(0, 1, classes.get(0));
+    Fixture.Recorder recorder = new Fixture.Recorder();
+    DispatcherSettings base = Fixture.settings(0, 1, classes.get(0));
     ThrottlingDispatcher dispatcher =
         new ThrottlingDispatcher(
             new DispatcherSettings(
@@ -205,52 +218,59 @@
                 0,
                 2,
                 classes,
-                from.tenants(),
-                from.limits(),
-                from.cold(),
+                base.tenants(),
+                base.limits(),
+                base.cold(),
                 false,
                 true,
                 false,
                 0,
-                goal),
+                objective),
             7,
             0,
-            actions);
+            recorder);
     dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
-    double[] taken = new double[2];
-    double at = 0;
+    double[] shares = new double[2];
+    double time = 0;
     for (int cycle = 0; cycle < 20; cycle++) {
       for (int i = 0; i < 20; i++) {
-        at += 25;
+        time += 25;
         String id = "j" + cycle + "-" + i;
-        int before = actions.sends.size();
-        dispatcher.arrived(at, new Job(id, i % 4 == 0 ? 1 : 0, 0, at + 5_000, WORK, 1, 0, 0));
-        boolean sent = actions.sends.size() > before;
-        // The fleet turns two in three away, so that the slice settles below what is asked.
+        int sendsBefore = recorder.sends.size();
+        dispatcher.arrived(time, new Job(id, i % 4 == 0 ? 1 : 0, 0, time + 5_000, WORK, 1, 0, 0));
+        boolean sent = recorder.sends.size() > sendsBefore;
+        // The workers reject two of three attempts, so that the slice settles below the demand.
         boolean full = i % 3 != 0;
-        for (int n = 0; actions.sends.size() > before + n; n++) {
+        for (int n = 0; recorder.sends.size() > sendsBefore + n; n++) {
           dispatcher.ended(
-              at, id, n, full ? AttemptOutcome.FULL : AttemptOutcome.OK, 1, !full, LoadReport.NONE);
+              time,
+              id,
+              n,
+              full ? AttemptOutcome.FULL : AttemptOutcome.OK,
+              1,
+              !full,
+              LoadReport.NONE);
         }
-        taken[i % 4 == 0 ? 1 : 0] += cycle >= 10 && sent ? 1.0 / (i % 4 == 0 ? 50 : 150) : 0;
+        shares[i % 4 == 0 ? 1 : 0] += cycle >= 10 && sent ? 1.0 / (i % 4 == 0 ? 50 : 150) : 0;
       }
-      dispatcher.timer(at, 1);
+      dispatcher.timer(time, 1);
     }
-    return taken;
+    return shares;
   }
 
   @Test
-  void theWorthiestClassGoesFirstWhereTheWholeWeighsMost() {
-    double[] taken = taken(new ServiceObjective(0.5, 0.2));
-    assertTrue(taken[1] > 2 * taken[0], "low " + taken[0] + ", high " + taken[1]);
+  void prioritisesMostValuableClassWhenTotalValueHasMostWeight() {
+    double[] shares = admittedShares(new ServiceObjective(0.5, 0.2));
+    assertTrue(shares[1] > 2 * shares[0], "low " + shares[0] + ", high " + shares[1]);
   }
 
   @Test
-  void noClassGoesFirstWhereTheWorstClassWeighsMostOrNothingIsTold() {
-    for (ServiceObjective goal :
+  void prioritisesNoClassWhenWorstClassHasMostWeightOrNoObjectiveIsSet() {
+    for (ServiceObjective objective :
         List.of(new ServiceObjective(0.4, 0.9), new ServiceObjective(0, 0))) {
-      double[] taken = taken(goal);
-      assertFalse(taken[1] > 1.5 * taken[0], goal + ": low " + taken[0] + ", high " + taken[1]);
+      double[] shares = admittedShares(objective);
+      assertFalse(
+          shares[1] > 1.5 * shares[0], objective + ": low " + shares[0] + ", high " + shares[1]);
     }
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/OutlierDetectorTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/OutlierDetectorTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Ejections, ejections of a class, and zones that have gone silent. */
+/** Checks ejections, ejections for one class, and the detection of zones that do not respond. */
 class OutlierDetectorTest {
   private final WorkerRegistry registry = new WorkerRegistry(0, 2);
   private final OutlierDetector outliers =
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void ejectionsDoubleUntilAnAttemptSucceeds() {
+  void doublesEjectionUntilAnAttemptSucceeds() {
     outliers.eject(worker, 0);
     assertEquals(1_000, worker.ejectionMs);
     assertFalse(outliers.accepts(worker, 0, 700));
@@ -36,13 +36,13 @@
   }
 
   @Test
-  void onlyAPartOfTheFleetIsEjected() {
-    registry.ready().forEach(each -> outliers.eject(each, 0));
-    assertEquals(2, outliers.ejectedCount(1), "no more once 0.4 of three are ejected");
+  void ejectsOnlyALimitedShareOfTheFleet() {
+    registry.ready().forEach(readyWorker -> outliers.eject(readyWorker, 0));
+    assertEquals(2, outliers.ejectedCount(1), "ejections stop at a share of 0.4 of three workers");
   }
 
   @Test
-  void aClassEjectionLeavesTheOtherClasses() {
+  void ejectsForOneClassOnly() {
     outliers.ejectClass(worker, 0, 0);
     assertFalse(outliers.accepts(worker, 0, 7_999));
     assertTrue(outliers.accepts(worker, 1, 0));
@@ -51,15 +51,15 @@
   }
 
   @Test
-  void aSilentZoneIsProbedByOneAttemptAtATime() {
+  void probesUnreachableZoneWithOneAttemptAtATime() {
     WorkerStats remote = registry.remote().get(0);
     for (int i = 0; i < 4; i++) {
       outliers.attemptSent(remote, 0, i);
     }
-    assertTrue(outliers.reachable(remote, 200), "100 ms and a mean service time");
+    assertTrue(outliers.reachable(remote, 200), "100 ms plus a mean service time have not passed");
     assertFalse(outliers.reachable(remote, 201));
     assertFalse(outliers.accepts(remote, 0, 202));
-    assertTrue(outliers.accepts(remote, 0, 203), "a probe");
+    assertTrue(outliers.accepts(remote, 0, 203), "one probe is allowed");
     outliers.responseReceived(remote, 204);
     assertTrue(outliers.reachable(remote, 205));
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
@@ -13,44 +13,44 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded random events in any legal order; a checker of its own follows every rule that one
- * dispatcher can break.
+ * Feeds a dispatcher seeded random events in any legal order. An independent checker verifies every
+ * rule that a single dispatcher can violate.
  */
 class RandomStreamTest {
   private static final int WORKERS = 12;
   private static final double DEADLINE = 800;
 
   private final List<JobClass> classes = new ArrayList<>();
-  private final Map<String, Entry> open = new HashMap<>();
-  private final Map<Long, Worker> list = new HashMap<>();
+  private final Map<String, RequestRecord> requests = new HashMap<>();
+  private final Map<Long, Worker> workers = new HashMap<>();
   private final List<double[]> timers = new ArrayList<>();
   private double now;
   private int sends;
-  private boolean secondCopies;
+  private boolean hedgingAllowed;
   private ActionDigest digest;
 
-  /** The checker's own record of a request. */
-  private static final class Entry {
+  /** The checker's record of a request. */
+  private static final class RequestRecord {
     private final JobClass jobClass;
     private final double due;
-    private final List<Long> workers = new ArrayList<>();
+    private final List<Long> workerIds = new ArrayList<>();
     private final List<Double> sentAt = new ArrayList<>();
-    private final List<AttemptOutcome> ends = new ArrayList<>();
+    private final List<AttemptOutcome> outcomes = new ArrayList<>();
     private boolean answered;
 
-    Entry(JobClass jobClass, double due) {
+    RequestRecord(JobClass jobClass, double due) {
       this.jobClass = jobClass;
       this.due = due;
     }
 
-    int firstDoubtful() {
-      for (int i = 0; i < ends.size(); i++) {
-        AttemptOutcome end = ends.get(i);
-        boolean proof =
-            end == AttemptOutcome.FULL
-                || end == AttemptOutcome.CONNECT_FAILED
-                || end == AttemptOutcome.NEVER_SENT;
-        if (!proof) {
+    int firstThatMayHaveRun() {
+      for (int i = 0; i < outcomes.size(); i++) {
+        AttemptOutcome outcome = outcomes.get(i);
+        boolean provenNotRun =
+            outcome == AttemptOutcome.FULL
+                || outcome == AttemptOutcome.CONNECT_FAILED
+                || outcome == AttemptOutcome.NEVER_SENT;
+        if (!provenNotRun) {
           return i;
         }
       }
@@ -60,71 +60,78 @@
 
   private final class Checker implements Dispatcher.Actions {
     @Override
-    public void send(String id, long worker, double timeout) {
-      digest.add(1, id, worker, timeout);
-      Entry entry = open.get(id);
-      assertTrue(!entry.answered, "sent after its answer: " + id);
+    public void send(String id, long workerId, double timeoutMs) {
+      digest.add(1, id, workerId, timeoutMs);
+      RequestRecord request = requests.get(id);
+      assertTrue(!request.answered, "attempt sent after the final answer: " + id);
       assertEquals(
-          WorkerState.READY, list.get(worker).state(), "sent to a worker that drains or is gone");
-      assertTrue(entry.workers.size() < 3, "too many attempts");
-      int doubtful = entry.firstDoubtful();
-      if (doubtful >= 0) {
-        assertTrue(entry.jobClass.effect() != Idempotency.UNSAFE, "unsafe sent again");
-        assertTrue(secondCopies || !entry.ends.contains(null), "two attempts out");
-        if (entry.jobClass.effect() == Idempotency.KEYED) {
-          inGroup(entry, doubtful, worker);
+          WorkerState.READY,
+          workers.get(workerId).state(),
+          "attempt sent to a worker that is not ready");
+      assertTrue(request.workerIds.size() < 3, "too many attempts");
+      int firstAttempt = request.firstThatMayHaveRun();
+      if (firstAttempt >= 0) {
+        assertTrue(request.jobClass.effect() != Idempotency.UNSAFE, "unsafe request retried");
+        assertTrue(
+            hedgingAllowed || !request.outcomes.contains(null),
+            "two attempts in flight without hedging");
+        if (request.jobClass.effect() == Idempotency.KEYED) {
+          checkGroup(request, firstAttempt, workerId);
         }
       }
-      entry.workers.add(worker);
-      entry.sentAt.add(now);
-      entry.ends.add(null);
+      request.workerIds.add(workerId);
+      request.sentAt.add(now);
+      request.outcomes.add(null);
       sends++;
     }
 
-    private void inGroup(Entry entry, int doubtful, long worker) {
-      Worker first = list.get(entry.workers.get(doubtful));
-      Worker then = list.get(worker);
-      IdempotencyScope scope = entry.jobClass.scope();
-      boolean same =
+    private void checkGroup(RequestRecord request, int firstAttempt, long workerId) {
+      Worker firstWorker = workers.get(request.workerIds.get(firstAttempt));
+      Worker nextWorker = workers.get(workerId);
+      IdempotencyScope scope = request.jobClass.scope();
+      boolean sameGroup =
           scope == IdempotencyScope.ALL
               || (scope == IdempotencyScope.ZONE
-                  ? first.zone() == then.zone()
-                  : first.cell() == then.cell());
-      assertTrue(same, "keyed repeat left its group");
+                  ? firstWorker.zone() == nextWorker.zone()
+                  : firstWorker.cell() == nextWorker.cell());
+      assertTrue(sameGroup, "keyed request retried outside its group");
       assertTrue(
-          now <= entry.sentAt.get(doubtful) + entry.jobClass.window(),
-          "keyed repeat after its window");
+          now <= request.sentAt.get(firstAttempt) + request.jobClass.window(),
+          "keyed request retried after its window");
     }
 
     @Override
     public void refuse(String id, double retryAfter) {
       digest.add(2, id, 0, retryAfter);
-      Entry entry = open.get(id);
-      answer(entry, id);
-      boolean all =
-          entry.jobClass.effect() == Idempotency.KEYED
-              && entry.jobClass.scope() == IdempotencyScope.ALL;
+      RequestRecord request = requests.get(id);
+      answer(request, id);
+      boolean keyedForAllWorkers =
+          request.jobClass.effect() == Idempotency.KEYED
+              && request.jobClass.scope() == IdempotencyScope.ALL;
       assertTrue(
-          entry.firstDoubtful() < 0 || entry.jobClass.effect() == Idempotency.SAFE || all,
-          "refused in doubt");
+          request.firstThatMayHaveRun() < 0
+              || request.jobClass.effect() == Idempotency.SAFE
+              || keyedForAllWorkers,
+          "rejected although the job may have run");
     }
 
     @Override
     public void fail(String id) {
       digest.add(3, id, 0, 0);
-      answer(open.get(id), id);
+      answer(requests.get(id), id);
     }
 
-    private void answer(Entry entry, String id) {
-      assertTrue(!entry.answered, "answered twice: " + id);
-      assertTrue(now <= entry.due + 8, "answered late: " + id);
-      entry.answered = true;
+    private void answer(RequestRecord request, String id) {
+      assertTrue(!request.answered, "answered twice: " + id);
+      assertTrue(now <= request.due + 8, "answered late: " + id);
+      request.answered = true;
     }
 
     @Override
     public void cancel(String id, int attempt) {
       digest.add(4, id, attempt, 0);
-      assertTrue(attempt < open.get(id).workers.size(), "cancelled a never-made attempt");
+      assertTrue(
+          attempt < requests.get(id).workerIds.size(), "cancelled an attempt that does not exist");
     }
 
     @Override
@@ -139,9 +146,9 @@
     }
 
     @Override
-    public void timer(double after, long token) {
-      digest.add(7, "", token, after);
-      timers.add(new double[] {now + after, token});
+    public void timer(double delayMs, long token) {
+      digest.add(7, "", token, delayMs);
+      timers.add(new double[] {now + delayMs, token});
     }
 
     @Override
@@ -154,40 +161,41 @@
   }
 
   @Test
-  void noRuleBreaksOnRandomStreams() {
+  void keepsAllRulesOnRandomStreams() {
     for (int seed = 0; seed < 60; seed++) {
-      stream(seed);
+      runStream(seed);
     }
     assertTrue(sends > 10_000, "sends " + sends);
   }
 
   /**
-   * All that was asked for, to the last bit and in its order: so chance is drawn in the recorded
-   * order too.
+   * Guards against unintended changes of behaviour: compares all requested actions, to the last bit
+   * and in order, with recorded digests. A change in the order of random draws is detected as well.
    */
   @Test
-  void theActionsOnRandomStreamsAreAsRecorded() {
+  void requestsRecordedActionsOnRandomStreams() {
     GoldenFile golden = GoldenFile.open("random-streams.txt");
     for (int seed = 0; seed < 60; seed++) {
-      stream(seed);
+      runStream(seed);
       golden.verify("seed-" + seed, digest.hex());
     }
   }
 
-  private void stream(int seed) {
+  private void runStream(int seed) {
     digest = new ActionDigest();
     Random random = new Random(seed);
-    secondCopies = seed % 2 == 0;
-    // A share by the listed loads needs some cycles of traffic.
-    boolean live = seed % 4 < 2;
+    hedgingAllowed = seed % 2 == 0;
+    // A slice that follows the listed loads needs several cycles of traffic, so time advances
+    // faster.
+    boolean loadsListed = seed % 4 < 2;
     classes.clear();
-    open.clear();
-    list.clear();
+    requests.clear();
+    workers.clear();
     timers.clear();
     now = 0;
-    for (Idempotency effect : Idempotency.values()) {
+    for (Idempotency idempotency : Idempotency.values()) {
       for (IdempotencyScope scope : IdempotencyScope.values()) {
-        classes.add(new JobClass("c", effect, scope, 300, 50, 2, DEADLINE, 1, 0, -1, 0));
+        classes.add(new JobClass("c", idempotency, scope, 300, 50, 2, DEADLINE, 1, 0, -1, 0));
       }
     }
     DispatcherSettings settings =
@@ -198,32 +206,32 @@
             2,
             classes,
             List.of(new Tenant("a", 0.7, 9), new Tenant("b", 0, 0)),
-            new DeploymentLimits(3, secondCopies, true, false, true, 0),
-            Fixture.COLD,
+            new DeploymentLimits(3, hedgingAllowed, true, false, true, 0),
+            Fixture.SLOW_START,
             seed % 3 == 0,
             true,
-            live,
+            loadsListed,
             0.05,
             new ServiceObjective(0.5, 0.2));
     ThrottlingDispatcher dispatcher = new ThrottlingDispatcher(settings, seed, now, new Checker());
-    members(dispatcher, random, EndpointListUpdate.STORED);
+    updateEndpoints(dispatcher, random, EndpointListUpdate.STORED);
     for (int i = 0; i < 1_500; i++) {
-      now += random.nextInt(live ? 12 : 4);
+      now += random.nextInt(loadsListed ? 12 : 4);
       fireTimers(dispatcher);
-      expire(dispatcher);
-      event(dispatcher, random, seed + ":" + i);
+      expireRequests(dispatcher);
+      sendEvent(dispatcher, random, seed + ":" + i);
     }
     now += DEADLINE + 10;
-    expire(dispatcher);
-    open.forEach((id, entry) -> assertTrue(entry.answered, "never answered: " + id));
+    expireRequests(dispatcher);
+    requests.forEach((id, request) -> assertTrue(request.answered, "never answered: " + id));
   }
 
-  private void event(ThrottlingDispatcher dispatcher, Random random, String id) {
-    int kind = random.nextInt(20);
-    if (kind < 9) {
+  private void sendEvent(ThrottlingDispatcher dispatcher, Random random, String id) {
+    int eventType = random.nextInt(20);
+    if (eventType < 9) {
       int jobClass = random.nextInt(classes.size());
       double due = now + 50 + random.nextInt((int) DEADLINE - 50);
-      open.put(id, new Entry(classes.get(jobClass), due));
+      requests.put(id, new RequestRecord(classes.get(jobClass), due));
       dispatcher.arrived(
           now,
           new Job(
@@ -235,59 +243,62 @@
               1,
               0,
               random.nextInt(4)));
-    } else if (kind < 18) {
-      resolveOne(dispatcher, random);
-    } else if (kind == 18) {
-      members(
+    } else if (eventType < 18) {
+      advanceOneAttempt(dispatcher, random);
+    } else if (eventType == 18) {
+      updateEndpoints(
           dispatcher,
           random,
           random.nextBoolean() ? EndpointListUpdate.CHANGES : EndpointListUpdate.WHOLE);
     } else {
-      byte[] noise = new byte[random.nextInt(24)];
-      random.nextBytes(noise);
-      dispatcher.heard(now, random.nextInt(12), noise);
+      byte[] randomMessage = new byte[random.nextInt(24)];
+      random.nextBytes(randomMessage);
+      dispatcher.heard(now, random.nextInt(12), randomMessage);
     }
   }
 
-  private void resolveOne(ThrottlingDispatcher dispatcher, Random random) {
+  private void advanceOneAttempt(ThrottlingDispatcher dispatcher, Random random) {
     List<String> ids =
-        open.keySet().stream().sorted().filter(id -> open.get(id).ends.contains(null)).toList();
+        requests.keySet().stream()
+            .sorted()
+            .filter(id -> requests.get(id).outcomes.contains(null))
+            .toList();
     if (ids.isEmpty()) {
       return;
     }
     String id = ids.get(random.nextInt(ids.size()));
-    Entry entry = open.get(id);
-    int attempt = entry.ends.indexOf(null);
+    RequestRecord request = requests.get(id);
+    int attempt = request.outcomes.indexOf(null);
     if (random.nextInt(4) == 0) {
       dispatcher.started(now, id, attempt);
-    } else if (random.nextInt(12) == 0 && !entry.answered) {
-      entry.answered = true;
+    } else if (random.nextInt(12) == 0 && !request.answered) {
+      request.answered = true;
       dispatcher.abandoned(now, id);
     } else {
-      AttemptOutcome[] outcomes = AttemptOutcome.values();
-      end(dispatcher, id, attempt, outcomes[random.nextInt(outcomes.length)]);
+      AttemptOutcome[] allOutcomes = AttemptOutcome.values();
+      endAttempt(dispatcher, id, attempt, allOutcomes[random.nextInt(allOutcomes.length)]);
     }
   }
 
-  private void end(
+  private void endAttempt(
       ThrottlingDispatcher dispatcher, String id, int attempt, AttemptOutcome outcome) {
-    Entry entry = open.get(id);
-    entry.ends.set(attempt, outcome);
-    boolean over = entry.answered || outcome == AttemptOutcome.OK;
-    entry.answered = over;
+    RequestRecord request = requests.get(id);
+    request.outcomes.set(attempt, outcome);
+    boolean completed = request.answered || outcome == AttemptOutcome.OK;
+    request.answered = completed;
     dispatcher.ended(
-        now, id, attempt, outcome, now - entry.sentAt.get(attempt), over, LoadReport.NONE);
+        now, id, attempt, outcome, now - request.sentAt.get(attempt), completed, LoadReport.NONE);
   }
 
-  private void expire(ThrottlingDispatcher dispatcher) {
-    for (String id : open.keySet().stream().sorted().toList()) {
-      Entry entry = open.get(id);
-      for (int i = 0; i < entry.ends.size(); i++) {
-        if (now >= entry.due && entry.ends.get(i) == null) {
-          double real = now;
-          now = Math.min(now, entry.due + 2);
-          end(dispatcher, id, i, AttemptOutcome.TIMEOUT);
-          now = real;
+  private void expireRequests(ThrottlingDispatcher dispatcher) {
+    for (String id : requests.keySet().stream().sorted().toList()) {
+      RequestRecord request = requests.get(id);
+      for (int i = 0; i < request.outcomes.size(); i++) {
+        if (now >= request.due && request.outcomes.get(i) == null) {
+          double actualNow = now;
+          now = Math.min(now, request.due + 2);
+          endAttempt(dispatcher, id, i, AttemptOutcome.TIMEOUT);
+          now = actualNow;
         }
       }
     }
@@ -299,13 +310,15 @@
     due.forEach(timer -> dispatcher.timer(now, (long) timer[1]));
   }
 
-  private void members(ThrottlingDispatcher dispatcher, Random random, EndpointListUpdate news) {
+  private void updateEndpoints(
+      ThrottlingDispatcher dispatcher, Random random, EndpointListUpdate update) {
     List<Worker> entries = new ArrayList<>();
-    if (news != EndpointListUpdate.CHANGES) {
-      list.replaceAll((id, worker) -> Fixture.with(worker, WorkerState.GONE, worker.startedAt()));
+    if (update != EndpointListUpdate.CHANGES) {
+      workers.replaceAll(
+          (id, worker) -> Fixture.withState(worker, WorkerState.GONE, worker.startedAt()));
     }
     for (long id = 0; id < WORKERS; id++) {
-      if ((news == EndpointListUpdate.CHANGES && random.nextInt(4) > 0)
+      if ((update == EndpointListUpdate.CHANGES && random.nextInt(4) > 0)
           || random.nextInt(10) == 0) {
         continue;
       }
@@ -324,8 +337,8 @@
               startedAt,
               random.nextInt(4) / 2.0);
       entries.add(worker);
-      list.put(id, worker);
+      workers.put(id, worker);
     }
-    dispatcher.members(now, news, entries);
+    dispatcher.members(now, update, entries);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
@@ -10,29 +10,29 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a worker reports against what it does, and jobs far from the mean, on workers that are
- * played here.
+ * Checks workers whose load reports contradict their behaviour, and jobs far from the mean work.
+ * The workers are simulated.
  */
 class ReportsTest {
   private static final int WORKERS = 4;
   private static final int SLOTS = 4;
   private static final double WORK = 300;
-  private static final LoadReport FREE = new LoadReport(SLOTS - 1, SLOTS - 1, Double.NaN, 1);
+  private static final LoadReport ALMOST_IDLE = new LoadReport(SLOTS - 1, SLOTS - 1, Double.NaN, 1);
 
-  private final Fixture.Recorder out = new Fixture.Recorder();
+  private final Fixture.Recorder actions = new Fixture.Recorder();
   private final SplittableRandom random = new SplittableRandom(11);
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
-  private final double[][] slotFree = new double[WORKERS + 1][SLOTS];
+      new PriorityQueue<>((a, b) -> Double.compare(a.time, b.time));
+  private final double[][] slotFreeAt = new double[WORKERS + 1][SLOTS];
   private final double[] slowness = {1, 1, 1, 1, 1};
-  private final int[] given = new int[WORKERS + 1];
+  private final int[] attemptsSent = new int[WORKERS + 1];
   private ThrottlingDispatcher dispatcher;
-  private int seen;
+  private int deliveredSends;
 
-  private record Event(double at, Runnable run) {}
+  private record Event(double time, Runnable action) {}
 
-  private void start(JobClass... classes) {
-    DispatcherSettings from = Fixture.settings(0, 1, classes[0]);
+  private void createDispatcher(JobClass... classes) {
+    DispatcherSettings base = Fixture.settings(0, 1, classes[0]);
     dispatcher =
         new ThrottlingDispatcher(
             new DispatcherSettings(
@@ -41,9 +41,9 @@
                 0,
                 2,
                 List.of(classes),
-                from.tenants(),
-                from.limits(),
-                from.cold(),
+                base.tenants(),
+                base.limits(),
+                base.cold(),
                 false,
                 true,
                 false,
@@ -51,7 +51,7 @@
                 new ServiceObjective(0.5, 0.2)),
             7,
             0,
-            out);
+            actions);
     List<Worker> fleet =
         List.of(
             Fixture.worker(1, 0, 0),
@@ -62,139 +62,160 @@
   }
 
   /**
-   * Jobs come in the mean each {@code gap} ms; every worker tells that it is all but free, whatever
-   * it holds.
+   * Simulates jobs that arrive every {@code interval} ms on average. Every worker reports that it
+   * is almost idle, regardless of the jobs it holds.
    */
-  private void play(double from, double until, double gap, double heavyShare, double heavy) {
-    double at = from;
-    for (int i = 0; at < until; i++) {
-      at += gap * (0.5 + random.nextDouble());
-      double time = at;
-      double work = WORK * (random.nextDouble() < heavyShare ? heavy : 1);
-      Job job = new Job("j" + from + "-" + i, 0, 0, at + 6_000, WORK, 1, 0, 0);
+  private void simulate(
+      double startTime, double endTime, double interval, double heavyShare, double heavyFactor) {
+    double nextArrival = startTime;
+    for (int i = 0; nextArrival < endTime; i++) {
+      nextArrival += interval * (0.5 + random.nextDouble());
+      double time = nextArrival;
+      double work = WORK * (random.nextDouble() < heavyShare ? heavyFactor : 1);
+      Job job = new Job("j" + startTime + "-" + i, 0, 0, nextArrival + 6_000, WORK, 1, 0, 0);
       events.add(
           new Event(
-              at,
+              nextArrival,
               () -> {
                 dispatcher.arrived(time, job);
-                carryOut(time, work);
+                deliverSends(time, work);
               }));
     }
-    for (double cycle = from; cycle < until; cycle += 500) {
+    for (double cycle = startTime; cycle < endTime; cycle += 500) {
       double time = cycle;
       events.add(new Event(cycle, () -> dispatcher.timer(time, 1)));
     }
-    while (!events.isEmpty() && events.peek().at < until) {
-      events.poll().run.run();
+    while (!events.isEmpty() && events.peek().time < endTime) {
+      events.poll().action.run();
     }
   }
 
-  /** Gives what was sent just now to its worker: the slot that is free first runs it. */
-  private void carryOut(double now, double work) {
-    for (; seen < out.sends.size(); seen++) {
-      Fixture.Send send = out.sends.get(seen);
-      long attempts =
-          out.sends.subList(0, seen).stream().filter(each -> each.id().equals(send.id())).count();
-      int worker = (int) send.worker();
-      given[worker]++;
-      double[] free = slotFree[worker];
-      int first = 0;
+  /** Delivers the new attempts to their workers; each runs in the slot that becomes free first. */
+  private void deliverSends(double now, double work) {
+    for (; deliveredSends < actions.sends.size(); deliveredSends++) {
+      Fixture.Send send = actions.sends.get(deliveredSends);
+      long attemptNumber =
+          actions.sends.subList(0, deliveredSends).stream()
+              .filter(previous -> previous.requestId().equals(send.requestId()))
+              .count();
+      int worker = (int) send.workerId();
+      attemptsSent[worker]++;
+      double[] freeAt = slotFreeAt[worker];
+      int firstFree = 0;
       for (int i = 1; i < SLOTS; i++) {
-        first = free[i] < free[first] ? i : first;
+        firstFree = freeAt[i] < freeAt[firstFree] ? i : firstFree;
       }
-      double begins = Math.max(now, free[first]);
-      double ends = begins + work * slowness[worker];
-      free[first] = ends;
-      events.add(new Event(begins, () -> dispatcher.started(begins, send.id(), (int) attempts)));
+      double startedAt = Math.max(now, freeAt[firstFree]);
+      double endedAt = startedAt + work * slowness[worker];
+      freeAt[firstFree] = endedAt;
       events.add(
           new Event(
-              ends,
+              startedAt,
+              () -> dispatcher.started(startedAt, send.requestId(), (int) attemptNumber)));
+      events.add(
+          new Event(
+              endedAt,
               () -> {
                 dispatcher.ended(
-                    ends, send.id(), (int) attempts, AttemptOutcome.OK, ends - now, true, FREE);
-                carryOut(ends, work);
+                    endedAt,
+                    send.requestId(),
+                    (int) attemptNumber,
+                    AttemptOutcome.OK,
+                    endedAt - now,
+                    true,
+                    ALMOST_IDLE);
+                deliverSends(endedAt, work);
               }));
     }
   }
 
   @Test
-  void aWorkerEightTimesSlowerThatReportsFreeGetsFarLessThanAnEvenShare() {
-    start(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
-    play(0, 8_000, 40, 0, 1);
+  void sendsFewerJobsToSlowWorkerThatReportsIdle() {
+    createDispatcher(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
+    simulate(0, 8_000, 40, 0, 1);
     slowness[2] = 8;
-    play(8_000, 12_000, 40, 0, 1);
-    int before = given[2];
-    int others = given[1] + given[3] + given[4];
-    play(12_000, 25_000, 40, 0, 1);
-    int slow = given[2] - before;
-    double even = (given[1] + given[3] + given[4] - others) / 3.0;
-    assertTrue(slow < 0.4 * even, "the slow one got " + slow + ", each other " + even);
+    simulate(8_000, 12_000, 40, 0, 1);
+    int slowBefore = attemptsSent[2];
+    int othersBefore = attemptsSent[1] + attemptsSent[3] + attemptsSent[4];
+    simulate(12_000, 25_000, 40, 0, 1);
+    int slow = attemptsSent[2] - slowBefore;
+    double meanOfOthers =
+        (attemptsSent[1] + attemptsSent[3] + attemptsSent[4] - othersBefore) / 3.0;
+    assertTrue(
+        slow < 0.4 * meanOfOthers,
+        "attempts sent to the slow worker: " + slow + ", to each other worker: " + meanOfOthers);
   }
 
   @Test
-  void aFewJobsTwentyTimesAsCostlyEjectNobodyAndRefuseNobodyOnAnIdleFleet() {
-    start(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
-    play(0, 30_000, 60, 0.02, 20);
+  void neitherEjectsNorRejectsBecauseOfFewExpensiveJobsOnIdleFleet() {
+    createDispatcher(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
+    simulate(0, 30_000, 60, 0.02, 20);
     assertEquals(0, dispatcher.excluded(30_000));
     assertTrue(
-        out.refused.size() < 0.02 * out.sends.size(),
-        out.refused.size() + " of " + out.sends.size());
+        actions.rejected.size() < 0.02 * actions.sends.size(),
+        actions.rejected.size() + " rejected of " + actions.sends.size());
     for (int worker = 1; worker <= WORKERS; worker++) {
       assertTrue(
-          given[worker] > 0.15 * out.sends.size(), "worker " + worker + " got " + given[worker]);
+          attemptsSent[worker] > 0.15 * actions.sends.size(),
+          "attempts sent to worker " + worker + ": " + attemptsSent[worker]);
     }
   }
 
   @Test
-  void aWorkerWithoutMemoryIsPassedOverForAMomentThoughItsSlotsAreFree() {
-    start(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
+  void avoidsWorkerWithoutFreeMemoryBriefly() {
+    createDispatcher(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
     double now = 100;
     dispatcher.arrived(now, new Job("first", 0, 0, now + 5_000, WORK, 1, 0, 0));
-    long full = out.last().worker();
+    long full = actions.lastSend().workerId();
     now += 100;
     dispatcher.ended(
         now, "first", 0, AttemptOutcome.OK, 100, true, new LoadReport(SLOTS - 1, 0, Double.NaN, 1));
     for (int i = 0; i < 12; i++) {
       dispatcher.arrived(now, new Job("next" + i, 0, 0, now + 5_000, WORK, 1, 0, 0));
-      assertFalse(out.last().worker() == full, "a worker without memory got a job");
+      assertFalse(
+          actions.lastSend().workerId() == full,
+          "a job was sent to the worker without free memory");
     }
     dispatcher.arrived(now + 1_000, new Job("later", 0, 0, now + 6_000, WORK, 1, 0, 0));
-    assertEquals(full, out.last().worker(), "it holds the fewest once the moment is over");
+    assertEquals(
+        full, actions.lastSend().workerId(), "after the backoff the worker holds the fewest slots");
   }
 
   /**
-   * The class that asks most of the work may change within a minute, and with it the one that goes
-   * first.
+   * Guards against priorities that do not follow the load: the class with the most work may change
+   * within a minute, and with it the class that has priority.
    */
   @Test
-  void whichClassGoesFirstFollowsTheWorkOfTheLastHalfMinute() {
+  void prioritisesClassesByTheWorkOfTheLastHalfMinute() {
     JobClass low =
         new JobClass(
             "low", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 2, 0.5, -1, 0);
     JobClass high =
         new JobClass(
             "high", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, 10, 0.5, -1, 0);
-    start(low, high);
-    // Two minutes of nothing but the worthy class: then nobody can go before anybody, and the
-    // worthy has no gain.
+    createDispatcher(low, high);
+    // For two minutes only the class of high value has requests. No class can then have priority,
+    // since giving it more slots gains nothing.
     double now = 0;
     for (int i = 0; i < 2_400; i++, now += 50) {
-      offer("h" + i, 1, now, true);
+      submit("h" + i, 1, now, true);
     }
-    int[] taken = new int[2];
+    int[] admitted = new int[2];
     for (int i = 0; i < 1_500; i++, now += 10) {
       int jobClass = random.nextInt(5) == 0 ? 1 : 0;
-      taken[jobClass] += offer("m" + i, jobClass, now, random.nextInt(3) == 0) && i > 700 ? 1 : 0;
+      admitted[jobClass] +=
+          submit("m" + i, jobClass, now, random.nextInt(3) == 0) && i > 700 ? 1 : 0;
     }
     assertTrue(
-        taken[1] > 2 * taken[0] / 4, "of the worthy " + taken[1] + ", of the others " + taken[0]);
+        admitted[1] > 2 * admitted[0] / 4,
+        "admitted of high value: " + admitted[1] + ", of low value: " + admitted[0]);
   }
 
-  private boolean offer(String id, int jobClass, double now, boolean accepted) {
-    int before = out.sends.size();
+  private boolean submit(String id, int jobClass, double now, boolean accepted) {
+    int sendsBefore = actions.sends.size();
     dispatcher.arrived(now, new Job(id, jobClass, 0, now + 5_000, WORK, 1, 0, 0));
-    boolean sent = out.sends.size() > before;
-    for (int n = 0; out.sends.size() > before + n; n++) {
+    boolean sent = actions.sends.size() > sendsBefore;
+    for (int n = 0; actions.sends.size() > sendsBefore + n; n++) {
       dispatcher.ended(
           now,
           id,
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -13,212 +13,226 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whole fleets of dispatchers over one worker that restarts: what they send it together, in virtual
- * time.
+ * Simulates fleets of dispatchers and one worker that restarts, in virtual time, and checks what
+ * all dispatchers together send to that worker.
  */
 class SlowStartFleetTest {
-  private static final double RESTART = 8_000;
-  private static final double END = 28_000;
-  private static final long RESTARTED = 0;
+  private static final double RESTART_TIME = 8_000;
+  private static final double END_TIME = 28_000;
+  private static final long RESTARTED_ID = 0;
 
   /**
-   * Times the traffic before the restart; it queues up, and the restarted worker is the one that is
-   * idle.
+   * Ratio of the traffic after the restart to that before it. The traffic queues up, so the
+   * restarted worker is the only idle one.
    */
-  private static final double BURST = 2.5;
+  private static final double BURST_FACTOR = 2.5;
 
-  private record Event(double at, long order, Runnable action) {}
+  private record Event(double time, long order, Runnable action) {}
 
-  private record Arrival(double at, double work) {}
+  private record Arrival(double time, double work) {}
 
   /**
-   * One deployment: its dispatchers, its workers of {@code size} cores each, and the mean work of a
-   * job.
+   * A simulated deployment.
+   *
+   * @param size cores of each worker
+   * @param meanWork mean work of a job, ms
    */
   private record Deployment(
-      int dispatchers, int workers, double size, double meanWork, SlowStartPolicy rule) {}
+      int dispatchers, int workers, double size, double meanWork, SlowStartPolicy policy) {}
 
   /** Dispatchers and workers that share one event queue. */
   private static final class Fleet {
     final Deployment deployment;
     final SplittableRandom random = new SplittableRandom(5);
     final PriorityQueue<Event> events =
-        new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
+        new PriorityQueue<>(
+            Comparator.comparingDouble(Event::time).thenComparingLong(Event::order));
     final List<ThrottlingDispatcher> dispatchers = new ArrayList<>();
-    final double[] held;
+    final double[] jobsHeld;
     final List<Arrival> arrivals = new ArrayList<>();
 
-    /** Times the work of the jobs that arrive after the restart. */
-    final double heavier;
+    /** Factor of the work of the jobs that arrive after the restart. */
+    final double workFactor;
 
-    /** The time from the restart to the moment at which the last dispatcher is notified, ms. */
+    /** Time in ms from the restart until the last dispatcher is notified. */
     final double notifiedAfter;
 
     double now;
     long order;
     int attempts;
 
-    Fleet(Deployment deployment, double heavier, double notifiedAfter) {
+    Fleet(Deployment deployment, double workFactor, double notifiedAfter) {
       this.deployment = deployment;
-      this.heavier = heavier;
+      this.workFactor = workFactor;
       this.notifiedAfter = notifiedAfter;
-      this.held = new double[deployment.workers()];
-      for (int me = 0; me < deployment.dispatchers(); me++) {
-        add(me);
+      this.jobsHeld = new double[deployment.workers()];
+      for (int index = 0; index < deployment.dispatchers(); index++) {
+        add(index);
       }
     }
 
-    void after(double wait, Runnable action) {
-      events.add(new Event(now + wait, order++, action));
+    void schedule(double delay, Runnable action) {
+      events.add(new Event(now + delay, order++, action));
     }
 
     void run() {
-      while (events.peek().at() < END) {
+      while (events.peek().time() < END_TIME) {
         Event next = events.poll();
-        now = next.at();
+        now = next.time();
         next.action().run();
       }
     }
 
-    private void add(int me) {
+    private void add(int index) {
       DeploymentLimits limits = new DeploymentLimits(3, true, true, true, false, 1_000);
       DispatcherSettings settings =
           new DispatcherSettings(
-              me,
+              index,
               deployment.dispatchers(),
               0,
               2,
               List.of(Fixture.jobClass(Idempotency.SAFE, IdempotencyScope.ALL)),
               List.of(new Tenant("a", 1, 10)),
               limits,
-              deployment.rule(),
+              deployment.policy(),
               false,
               true,
               true,
               0.01,
               new ServiceObjective(0.5, 0.2));
       ThrottlingDispatcher dispatcher =
-          new ThrottlingDispatcher(settings, me, 0, new Host(this, me));
+          new ThrottlingDispatcher(settings, index, 0, new Host(this, index));
       dispatchers.add(dispatcher);
-      double notifiedAt = RESTART + (0.9 + 0.1 * random.nextDouble()) * notifiedAfter;
+      double notifiedAt = RESTART_TIME + (0.9 + 0.1 * random.nextDouble()) * notifiedAfter;
       dispatcher.members(0, EndpointListUpdate.STORED, list(0));
-      after(random.nextDouble() * 500, () -> notifyDispatcher(dispatcher, notifiedAt));
-      after(random.nextDouble() * gap(), () -> arrive(me));
+      schedule(random.nextDouble() * 500, () -> notifyDispatcher(dispatcher, notifiedAt));
+      schedule(random.nextDouble() * arrivalInterval(), () -> arrive(index));
     }
 
     private void notifyDispatcher(ThrottlingDispatcher dispatcher, double notifiedAt) {
-      boolean knows = now >= notifiedAt;
-      dispatcher.members(now, EndpointListUpdate.CHANGES, list(knows ? RESTART : 0));
-      after(
-          knows || now + 500 < notifiedAt ? 500 : notifiedAt - now,
+      boolean notified = now >= notifiedAt;
+      dispatcher.members(now, EndpointListUpdate.CHANGES, list(notified ? RESTART_TIME : 0));
+      schedule(
+          notified || now + 500 < notifiedAt ? 500 : notifiedAt - now,
           () -> notifyDispatcher(dispatcher, notifiedAt));
     }
 
     private List<Worker> list(double startedAt) {
       List<Worker> entries = new ArrayList<>();
-      for (int i = 0; i < held.length; i++) {
-        double load = held[i] / deployment.size();
-        double start = i == RESTARTED ? startedAt : 0;
+      for (int i = 0; i < jobsHeld.length; i++) {
+        double load = jobsHeld[i] / deployment.size();
+        double start = i == RESTARTED_ID ? startedAt : 0;
         entries.add(
             new Worker(i, WorkerState.READY, 0, 0, 0, start, deployment.size() / (1 + load)));
       }
       return entries;
     }
 
-    /** Mean ms between two jobs at one dispatcher, which keep three of four cores busy. */
-    private double gap() {
+    /**
+     * Returns the mean time in ms between two jobs at one dispatcher, which keeps three of four
+     * cores busy.
+     */
+    private double arrivalInterval() {
       return deployment.meanWork()
           * deployment.dispatchers()
           / 0.75
           / (deployment.workers() * deployment.size());
     }
 
-    private void arrive(int me) {
-      double scale = now < RESTART ? 1 : heavier;
-      double busier = now < RESTART ? 1 : BURST;
-      double work = deployment.meanWork() * scale * (0.2 + 1.6 * random.nextDouble());
+    private void arrive(int index) {
+      double jobWorkFactor = now < RESTART_TIME ? 1 : workFactor;
+      double rateFactor = now < RESTART_TIME ? 1 : BURST_FACTOR;
+      double work = deployment.meanWork() * jobWorkFactor * (0.2 + 1.6 * random.nextDouble());
       String id = work + "/" + order;
-      dispatchers.get(me).arrived(now, new Job(id, 0, 0, now + 20_000, work, 1, 0, 0));
-      after(-scale / busier * gap() * Math.log(1 - random.nextDouble()), () -> arrive(me));
+      dispatchers.get(index).arrived(now, new Job(id, 0, 0, now + 20_000, work, 1, 0, 0));
+      schedule(
+          -jobWorkFactor / rateFactor * arrivalInterval() * Math.log(1 - random.nextDouble()),
+          () -> arrive(index));
     }
 
-    void sent(int me, String id, int attempt, int worker) {
+    void attemptSent(int index, String id, int attempt, int worker) {
       double work = Double.parseDouble(id.substring(0, id.indexOf('/')));
-      after(1 + 20 * random.nextDouble(), () -> reach(me, id, attempt, worker, work));
+      schedule(1 + 20 * random.nextDouble(), () -> deliver(index, id, attempt, worker, work));
     }
 
     /**
-     * One request in ten is turned away and retried, and one in ten starts so late that it is
-     * hedged.
+     * Delivers a request to its worker. One in ten is rejected and retried, and one in ten starts
+     * so late that it is hedged.
      */
-    private void reach(int me, String id, int attempt, int worker, double work) {
-      if (worker == RESTARTED && now >= RESTART) {
+    private void deliver(int index, String id, int attempt, int worker, double work) {
+      if (worker == RESTARTED_ID && now >= RESTART_TIME) {
         arrivals.add(new Arrival(now, work));
       }
-      ThrottlingDispatcher dispatcher = dispatchers.get(me);
-      int kind = attempts++ % 10;
-      if (kind == 0) {
+      ThrottlingDispatcher dispatcher = dispatchers.get(index);
+      int variant = attempts++ % 10;
+      if (variant == 0) {
         dispatcher.ended(now, id, attempt, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
         return;
       }
-      held[worker]++;
-      after(kind == 1 ? deployment.meanWork() : 0, () -> dispatcher.started(now, id, attempt));
-      after(
-          (kind == 1 ? deployment.meanWork() : 0) + work,
+      jobsHeld[worker]++;
+      schedule(
+          variant == 1 ? deployment.meanWork() : 0, () -> dispatcher.started(now, id, attempt));
+      schedule(
+          (variant == 1 ? deployment.meanWork() : 0) + work,
           () -> {
-            held[worker]--;
+            jobsHeld[worker]--;
             dispatcher.ended(now, id, attempt, AttemptOutcome.OK, work, true, LoadReport.NONE);
           });
     }
 
     /**
-     * The most work that arrived within one window, of any start, as a share of the limit at its
-     * end.
+     * Returns the maximum work that arrived within any window, as a share of the limit at the end
+     * of that window.
      */
-    double worstShareOfLimit() {
-      double worst = 0;
-      double tip = deployment.rule().tipMs();
+    double maxShareOfLimit() {
+      double maxShare = 0;
+      double windowMs = deployment.policy().tipMs();
       for (int last = 0; last < arrivals.size(); last++) {
-        double end = arrivals.get(last).at();
+        double windowEnd = arrivals.get(last).time();
         double work = 0;
-        for (int i = last; i >= 0 && arrivals.get(i).at() > end - tip; i--) {
+        for (int i = last; i >= 0 && arrivals.get(i).time() > windowEnd - windowMs; i--) {
           work += arrivals.get(i).work();
         }
-        worst = Math.max(worst, work / deployment.meanWork() / limit(end));
+        maxShare = Math.max(maxShare, work / deployment.meanWork() / limit(windowEnd));
       }
-      return worst;
+      return maxShare;
     }
 
-    /** N requests of mean work, and the slack over them. */
-    private double limit(double at) {
-      SlowStartPolicy rule = deployment.rule();
-      double warmth =
-          rule.startCapacity() + (1 - rule.startCapacity()) * (at - RESTART) / rule.coldMs();
-      double n =
-          rule.fallMultiple() * warmth * deployment.size() * rule.tipMs() / deployment.meanWork();
-      return n < 30 ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
+    /** Returns the limit: the number of requests of mean work per window, plus the tolerance. */
+    private double limit(double time) {
+      SlowStartPolicy policy = deployment.policy();
+      double capacityShare =
+          policy.startCapacity()
+              + (1 - policy.startCapacity()) * (time - RESTART_TIME) / policy.coldMs();
+      double limit =
+          policy.fallMultiple()
+              * capacityShare
+              * deployment.size()
+              * policy.tipMs()
+              / deployment.meanWork();
+      return limit < 30 ? limit + 3 * Math.sqrt(limit) + 3 : limit + 2 * Math.sqrt(limit) + 2;
     }
   }
 
-  /** Leads the actions of one dispatcher back to the event queue. */
+  /** Performs the actions of one dispatcher by adding events to the event queue. */
   private static final class Host implements Dispatcher.Actions {
     private final Fleet fleet;
-    private final int me;
+    private final int index;
     private final Map<String, Integer> sends = new HashMap<>();
 
-    Host(Fleet fleet, int me) {
+    Host(Fleet fleet, int index) {
       this.fleet = fleet;
-      this.me = me;
+      this.index = index;
     }
 
     @Override
     public void send(String id, long worker, double timeout) {
-      fleet.sent(me, id, sends.merge(id, 1, Integer::sum) - 1, (int) worker);
+      fleet.attemptSent(index, id, sends.merge(id, 1, Integer::sum) - 1, (int) worker);
     }
 
     @Override
-    public void timer(double after, long token) {
-      fleet.after(after, () -> fleet.dispatchers.get(me).timer(fleet.now, token));
+    public void timer(double delayMs, long token) {
+      fleet.schedule(delayMs, () -> fleet.dispatchers.get(index).timer(fleet.now, token));
     }
 
     @Override
@@ -243,51 +257,58 @@
     public void log(String line) {}
   }
 
-  private static final SlowStartPolicy RULE = new SlowStartPolicy(0.2, 20_000, 3, 3_000);
-  private static final SlowStartPolicy STRICT = new SlowStartPolicy(0.2, 20_000, 1.5, 3_000);
+  private static final SlowStartPolicy POLICY = new SlowStartPolicy(0.2, 20_000, 3, 3_000);
+  private static final SlowStartPolicy STRICT_POLICY = new SlowStartPolicy(0.2, 20_000, 1.5, 3_000);
 
   /**
-   * Under it a window holds less than one request of mean work, for as long as these tests last.
+   * A policy whose limit is less than one request of mean work per window, for the duration of
+   * these tests.
    */
-  private static final SlowStartPolicy TINY = new SlowStartPolicy(0.01, 600_000, 1.5, 3_000);
+  private static final SlowStartPolicy TINY_POLICY = new SlowStartPolicy(0.01, 600_000, 1.5, 3_000);
 
-  private static Fleet play(Deployment deployment, double heavier, double notifiedAfter) {
-    Fleet fleet = new Fleet(deployment, heavier, notifiedAfter);
+  private static Fleet simulate(Deployment deployment, double workFactor, double notifiedAfter) {
+    Fleet fleet = new Fleet(deployment, workFactor, notifiedAfter);
     fleet.run();
     assertTrue(
-        fleet.worstShareOfLimit() <= 1, fleet.worstShareOfLimit() + " of the limit, " + deployment);
+        fleet.maxShareOfLimit() <= 1, fleet.maxShareOfLimit() + " of the limit, " + deployment);
     return fleet;
   }
 
-  /** As many workers as keep the traffic of each dispatcher alike in fleets of any size. */
+  /**
+   * Returns the number of workers that keeps the traffic of each dispatcher similar in fleets of
+   * any size.
+   */
   private static int workers(int dispatchers) {
     return Math.max(6, dispatchers / 2);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 30, 100})
-  void theBudgetIsKeptAndUsedWithRetriesAndHedgedRequests(int dispatchers) {
-    Fleet fleet = play(new Deployment(dispatchers, workers(dispatchers), 16, 100, RULE), 1, 0);
+  void staysWithinBudgetAndUsesItWithRetriesAndHedges(int dispatchers) {
+    Fleet fleet =
+        simulate(new Deployment(dispatchers, workers(dispatchers), 16, 100, POLICY), 1, 0);
     assertTrue(fleet.arrivals.size() > 500, "sent " + fleet.arrivals.size());
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 30, 100})
-  void aBudgetOfLessThanOneRequestEachIsKeptAndUsed(int dispatchers) {
-    Fleet fleet = play(new Deployment(dispatchers, workers(dispatchers), 1, 50, TINY), 1, 0);
-    long soon = fleet.arrivals.stream().filter(each -> each.at() < RESTART + 10_000).count();
-    assertTrue(soon > 0, "nothing was sent in the first ten seconds");
+  void staysWithinBudgetOfLessThanOneRequestPerDispatcher(int dispatchers) {
+    Fleet fleet =
+        simulate(new Deployment(dispatchers, workers(dispatchers), 1, 50, TINY_POLICY), 1, 0);
+    long early =
+        fleet.arrivals.stream().filter(arrival -> arrival.time() < RESTART_TIME + 10_000).count();
+    assertTrue(early > 0, "no request was sent in the first ten seconds");
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 30, 100})
-  void jobsOfMoreThanMeanWorkCountAsMore(int dispatchers) {
-    play(new Deployment(dispatchers, workers(dispatchers), 4, 200, STRICT), 4, 0);
+  void chargesJobsInProportionToTheirWork(int dispatchers) {
+    simulate(new Deployment(dispatchers, workers(dispatchers), 4, 200, STRICT_POLICY), 4, 0);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 30, 100})
-  void requestsOnTheirWayWhenTheRestartIsToldCount(int dispatchers) {
-    play(new Deployment(dispatchers, workers(dispatchers), 16, 100, STRICT), 1, 560);
+  void chargesRequestsInFlightWhenTheRestartIsNotified(int dispatchers) {
+    simulate(new Deployment(dispatchers, workers(dispatchers), 16, 100, STRICT_POLICY), 1, 560);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/TenantQuotasTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/TenantQuotasTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Levels by weight, token buckets, and the overdraft of classes that go first. */
+/** Checks quotas by weight, token buckets, and the overdraft of classes with priority. */
 class TenantQuotasTest {
-  private static final ServiceObjective TOTAL_ONLY = new ServiceObjective(1, 0);
+  private static final ServiceObjective TOTAL_VALUE_ONLY = new ServiceObjective(1, 0);
 
   private static JobClass jobClass(double worth) {
     return new JobClass(
@@ -21,41 +21,42 @@
   }
 
   private static int admitted(TenantQuotas quotas, int tenant, int requests, double now) {
-    ClassPriorities equal = new ClassPriorities(List.of(jobClass(1)), TOTAL_ONLY);
+    ClassPriorities equalPriorities = new ClassPriorities(List.of(jobClass(1)), TOTAL_VALUE_ONLY);
     int admitted = 0;
     for (int i = 0; i < requests; i++) {
-      admitted += quotas.admit(job(0, tenant), equal, now) ? 1 : 0;
+      admitted += quotas.admit(job(0, tenant), equalPriorities, now) ? 1 : 0;
     }
     return admitted;
   }
 
   @Test
-  void scarceSlotsAreDividedByWeight() {
+  void dividesScarceSlotsByWeight() {
     TenantQuotas quotas = new TenantQuotas(List.of(new Tenant("a", 3, 0), new Tenant("b", 1, 0)));
     assertEquals(100, admitted(quotas, 0, 100, 0), "unlimited before the first division");
     assertEquals(100, admitted(quotas, 1, 100, 0), "unlimited before the first division");
     quotas.endCycle(1);
     quotas.divide(80);
-    assertEquals(15, admitted(quotas, 0, 100, 10_000), "a quarter second of 60 a second");
-    assertEquals(5, admitted(quotas, 1, 100, 10_000), "a quarter second of 20 a second");
+    assertEquals(15, admitted(quotas, 0, 100, 10_000), "a quarter of a second at 60 per second");
+    assertEquals(5, admitted(quotas, 1, 100, 10_000), "a quarter of a second at 20 per second");
     assertTrue(quotas.exceedsQuota(0));
     assertEquals(80, quotas.demandWithin(80, quotas.demands()), 1e-9);
   }
 
   @Test
-  void theTokenBucketRefillsWithTime() {
+  void refillsTokenBucketOverTime() {
     TenantQuotas quotas = new TenantQuotas(List.of());
-    assertEquals(1, quotas.size(), "one tenant has all");
+    assertEquals(1, quotas.size(), "a single tenant receives all slots");
     admitted(quotas, 0, 100, 0);
     quotas.endCycle(1);
     quotas.divide(40);
     assertEquals(10, admitted(quotas, 0, 100, 10_000));
-    assertEquals(4, admitted(quotas, 0, 100, 10_100), "40 a second for 100 ms");
+    assertEquals(4, admitted(quotas, 0, 100, 10_100), "40 per second for 100 ms");
   }
 
   @Test
-  void aClassThatGoesFirstOverdrawsTheBucket() {
-    ClassPriorities priorities = new ClassPriorities(List.of(jobClass(1), jobClass(5)), TOTAL_ONLY);
+  void allowsClassWithPriorityToOverdrawBucket() {
+    ClassPriorities priorities =
+        new ClassPriorities(List.of(jobClass(1), jobClass(5)), TOTAL_VALUE_ONLY);
     priorities.requestArrived(0, 100);
     priorities.requestArrived(1, 100);
     assertFalse(priorities.hasPriority(0));
