--- a/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
@@ -10,18 +10,11 @@
 import org.junit.jupiter.api.extension.ExtendWith;
 
 /**
- * Guards against rejections while workers are idle. A process that has served few requests sees
- * some late starts because the machine is short of processor time, and cuts its slice to the
- * minimum, since no accepted request proves a higher one. The slice then grows by a fifth per half
- * second, so that for ten seconds the process rejects requests that idle workers could run. The log
- * of an affected process, one line per second:
- *
- * <pre>
- * budget answered=281 rejected_quota=279 slice=1.7 demand=203.2 accepted=1.0 rejected_share=0.000 held=0 size=3.0
- * budget answered=292 rejected_quota=286 slice=7.4 demand=307.9 accepted=3.6 rejected_share=0.000 held=0 size=3.0
- * </pre>
- *
- * <p>No slot is held, no attempt is rejected, and the slice is the only limit.
+ * Guards against rejections while workers are idle. Late starts on a machine short of processor
+ * time cut the slice of a process that has served few requests to the minimum. Growth by a fifth
+ * per half second then rejects requests for ten seconds: a log had slice=1.7 at demand=203.2 (279
+ * of 281 rejected by quota) and a second later slice=7.4 at 307.9 (286 of 292), with accepted=1.0
+ * and 3.6, held=0, size=3.0 and rejected_share=0, so the slice was the only limit.
  */
 @ExtendWith(SkipKnownFailures.class)
 class IdleCapacityTest {
--- a/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -325,7 +325,7 @@
           dispatchers + " dispatchers sent " + sentToWarmingWorker + " of " + budget);
       assertTrue(
           sentToWarmingWorker > 0,
-          dispatchers + " dispatchers sent nothing to the worker that is warming up");
+          "all " + dispatchers + " dispatchers sent nothing to the worker that is warming up");
     }
   }
 
