--- a/dispatch/src/main/java/ferngrade/dispatch/AttemptOutcomeHandler.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/AttemptOutcomeHandler.java
@@ -1,13 +1,13 @@
 package ferngrade.dispatch;
 
-/** Passes what the start and the end of an attempt show to the parts that learn from it. */
+/** Updates the components that learn from the start and the end of attempts. Event thread only. */
 final class AttemptOutcomeHandler {
   private final WorkerRegistry registry;
   private final OutlierDetector outliers;
   private final SlotBudget budget;
   private final ServiceTimeEstimator serviceTimes;
   private final RetryPolicy retries;
-  private final IdleCapacity idle;
+  private final IdleCapacity idleCapacity;
 
   AttemptOutcomeHandler(
       WorkerRegistry registry,
@@ -15,79 +15,83 @@
       SlotBudget budget,
       ServiceTimeEstimator serviceTimes,
       RetryPolicy retries,
-      IdleCapacity idle) {
+      IdleCapacity idleCapacity) {
     this.registry = registry;
     this.outliers = outliers;
     this.budget = budget;
     this.serviceTimes = serviceTimes;
     this.retries = retries;
-    this.idle = idle;
+    this.idleCapacity = idleCapacity;
   }
 
-  /** Counts an attempt whose start was reported or is shown by its good end. */
+  /** Counts an attempt whose start was reported or is implied by its success. */
   void attemptStarted(PendingRequest request, Attempt attempt) {
     budget.attemptStarted(attempt, request.job.slots());
     registry.attemptStarted(attempt.worker, request.job);
   }
 
-  /** Learns from an attempt that has ended with this outcome. */
+  /** Updates the estimates and ejections after an attempt has ended with this outcome. */
   void attemptEnded(PendingRequest request, Attempt attempt, AttemptOutcome outcome, double now) {
     switch (outcome) {
-      case OK -> succeeded(request, attempt, now);
+      case OK -> handleSuccess(request, attempt, now);
       case FULL -> {
-        outliers.signOfLife(attempt.worker, now);
+        outliers.responseReceived(attempt.worker, now);
         outliers.workerFull(attempt.worker, now);
-        idle.workerRejected(attempt.worker, now);
+        idleCapacity.workerRejected(attempt.worker, now);
         budget.attemptRejected();
       }
-      case TIMEOUT -> timedOut(request, attempt, now);
+      case TIMEOUT -> handleTimeout(request, attempt, now);
       case ERROR -> {
-        outliers.signOfLife(attempt.worker, now);
-        failed(attempt.worker, now);
+        outliers.responseReceived(attempt.worker, now);
+        handleFailure(attempt.worker, now);
       }
       case CONNECT_FAILED -> {
         outliers.connectFailed(attempt.worker);
-        failed(attempt.worker, now);
+        handleFailure(attempt.worker, now);
       }
-      case RESET -> failed(attempt.worker, now);
+      case RESET -> handleFailure(attempt.worker, now);
       case CANCELLED, NEVER_SENT, UNUSABLE -> {}
     }
   }
 
-  private void succeeded(PendingRequest request, Attempt attempt, double now) {
-    outliers.signOfLife(attempt.worker, now);
+  private void handleSuccess(PendingRequest request, Attempt attempt, double now) {
+    outliers.responseReceived(attempt.worker, now);
     outliers.attemptSucceeded(attempt.worker, request.job.jobClass());
-    registry.markProven(attempt.worker);
-    idle.attemptSucceeded();
+    registry.markObserved(attempt.worker);
+    idleCapacity.attemptSucceeded();
     if (!attempt.hasStarted()) {
       attemptStarted(request, attempt);
     }
     serviceTimes.attemptSucceeded(request, attempt, now);
   }
 
-  /** The slice is not trimmed: a failure says something of one worker, late starts of the rest. */
-  private void failed(WorkerStats worker, double now) {
-    registry.markProven(worker);
+  /**
+   * Ejects the worker. The slice is not cut: a failure concerns one worker only, while late starts
+   * indicate a shortage throughout the fleet.
+   */
+  private void handleFailure(WorkerStats worker, double now) {
+    registry.markObserved(worker);
     outliers.eject(worker, now);
   }
 
   /**
-   * In a deep queue a job runs out of time though its worker works: only a worker that was silent
-   * all along has failed. One that answered others, but did not start this job in time, may not
-   * take its class.
+   * Handles a timeout. A job in a long queue times out although its worker is healthy, so the
+   * worker is ejected only if it has sent no response since the attempt was sent. A worker that
+   * responded to other attempts but did not start this job in time may be unable to run its class,
+   * so it is ejected for that class only.
    */
-  private void timedOut(PendingRequest request, Attempt attempt, double now) {
+  private void handleTimeout(PendingRequest request, Attempt attempt, double now) {
     WorkerStats worker = attempt.worker;
-    boolean answered = outliers.answeredSince(attempt);
-    if (answered && !attempt.hasStarted() && !retries.deadlineReached(request, now)) {
+    boolean responded = outliers.respondedSince(attempt);
+    if (responded && !attempt.hasStarted() && !retries.deadlineReached(request, now)) {
       outliers.ejectClass(worker, request.job.jobClass(), now);
       return;
     }
-    if (budget.reflectsSlice(attempt) && worker.ejectedUntil <= now && !attempt.late) {
+    if (budget.sentSinceLastCut(attempt) && worker.ejectedUntil <= now && !attempt.countedLate) {
       budget.attemptRejected();
     }
-    registry.markProven(worker);
-    if (!answered) {
+    registry.markObserved(worker);
+    if (!responded) {
       outliers.eject(worker, now);
     }
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
@@ -1,39 +1,48 @@
 package ferngrade.dispatch;
 
-/** Says which workers a request may go to, and which of these look good. Event thread only. */
+/**
+ * Decides which workers a request may be sent to and which of them are preferred. Event thread
+ * only.
+ */
 final class CandidateFilter {
   private final RetryPolicy retries;
-  private final SlowStartGate slowStart;
+  private final SlowStartGate slowStartGate;
   private final OutlierDetector outliers;
   private final StartDeadlines deadlines;
   private final SlotBudget budget;
 
   CandidateFilter(
       RetryPolicy retries,
-      SlowStartGate slowStart,
+      SlowStartGate slowStartGate,
       OutlierDetector outliers,
       StartDeadlines deadlines,
       SlotBudget budget) {
     this.retries = retries;
-    this.slowStart = slowStart;
+    this.slowStartGate = slowStartGate;
     this.outliers = outliers;
     this.deadlines = deadlines;
     this.budget = budget;
   }
 
-  /** Rules that hold for any choice: readiness, kind, idempotency group and slow start. */
+  /**
+   * Returns true if the request may be sent to the worker at all: checks readiness, kind,
+   * idempotency group and slow start.
+   */
   boolean permits(PendingRequest request, Attempt groupAttempt, WorkerStats worker, double now) {
     int kind = request.jobClass.kind();
     return worker.entry.state() == WorkerState.READY
         && (kind < 0 || kind == worker.entry.kind())
         && retries.sameGroup(groupAttempt, worker, request.jobClass.scope())
-        && slowStart.allows(request, worker, now);
+        && slowStartGate.allows(request, worker, now);
   }
 
-  /** True if the worker is healthy, untried for this request, and starts it in time. */
+  /**
+   * Returns true if the worker is healthy, has no attempt of this request yet, and starts it in
+   * time. While the fleet is congested, the start time is not considered.
+   */
   boolean prefers(PendingRequest request, WorkerStats worker, double now) {
     return outliers.accepts(worker, request.job.jobClass(), now)
         && !request.triedAt(worker)
-        && (budget.crowded() || !deadlines.wouldStartLate(request, worker, now));
+        && (budget.congested() || !deadlines.wouldStartLate(request, worker, now));
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
@@ -3,31 +3,41 @@
 import java.util.SplittableRandom;
 
 /**
- * Keeps jobs from workers that fail: ejections, ejections of one class, short holds after a worker
- * was full, and zones that have gone silent. Times are milliseconds. Event thread only.
+ * Excludes failing workers from selection. Ejects workers after failures, entirely or for one
+ * class, holds back jobs briefly after a worker was full, and detects zones that have stopped
+ * responding. Times are milliseconds. Event thread only.
  */
 final class OutlierDetector {
-  /** First and longest ejection of a worker that fails. */
+  /** Duration of the first and of the longest ejection of a failing worker. */
   private static final double MIN_EJECTION_MS = 1000;
 
   private static final double MAX_EJECTION_MS = 16_000;
 
-  /** First and longest time for which a worker gets no jobs of a class that it does not take. */
+  /** Duration of the first and of the longest ejection of a worker for one class. */
   private static final double MIN_CLASS_EJECTION_MS = 8000;
 
   private static final double MAX_CLASS_EJECTION_MS = 32_000;
 
-  /** Share of the fleet that may be ejected at a time. */
+  /** Maximum share of the fleet that may be ejected at a time. */
   private static final double MAX_EJECTED_SHARE = 0.4;
 
-  /** Attempts to a zone without any sign of life before it is taken for cut off. */
-  private static final int SILENT_ATTEMPTS = 4;
+  /**
+   * Number of attempts or failed connections to a zone, without any response in between, after
+   * which the zone counts as unreachable.
+   */
+  private static final int MAX_UNANSWERED_ATTEMPTS = 4;
 
-  /** Silence of a zone, on top of a mean service time. */
-  private static final double SILENCE_MS = 100;
+  /**
+   * Time without a response, in addition to a mean service time, after which a zone counts as
+   * unreachable.
+   */
+  private static final double ZONE_TIMEOUT_MS = 100;
 
-  /** Part of the mean service time for which a worker without memory or slots is held back. */
-  private static final double EXHAUSTED_HOLD = 0.25;
+  /**
+   * Fraction of the mean service time for which a worker without free memory or slots receives no
+   * jobs.
+   */
+  private static final double EXHAUSTED_BACKOFF_FRACTION = 0.25;
 
   private final WorkerRegistry registry;
   private final ServiceTimeEstimator serviceTimes;
@@ -40,115 +50,131 @@
     this.random = random;
   }
 
-  /** The number of ready workers that are ejected. */
+  /** Returns the number of ready workers that are ejected. */
   int ejectedCount(double now) {
     return (int) registry.ready().filter(worker -> worker.ejectedUntil > now).count();
   }
 
-  /** True if the worker is not ejected and its zone answers. */
+  /** Returns true if the worker is not ejected and its zone responds. */
   boolean reachable(WorkerStats worker, double now) {
-    return worker.ejectedUntil <= now && !silent(registry.zone(worker), now);
+    return worker.ejectedUntil <= now && !unreachable(registry.zone(worker), now);
   }
 
-  /** True if nothing speaks against a job of this class at the worker. */
+  /**
+   * Returns true if the worker may receive a job of this class. An ejected worker receives one
+   * probe at a time once its ejection has ended, and an unreachable zone receives one per probe
+   * interval.
+   */
   boolean accepts(WorkerStats worker, int jobClass, double now) {
-    boolean probed = worker.ejection > 0 && worker.heldSlots > 0;
-    if (probed || blockedUntil(worker, jobClass) > now) {
+    boolean probeInFlight = worker.ejectionMs > 0 && worker.heldSlots > 0;
+    if (probeInFlight || blockedUntil(worker, jobClass) > now) {
       return false;
     }
     ZoneStats zone = registry.zone(worker);
-    return !silent(zone, now) || now >= zone.nextProbeAt;
+    return !unreachable(zone, now) || now >= zone.nextProbeAt;
   }
 
-  /** When the worker's holds and ejections, for this class, end. */
+  /** Returns the time at which the worker's ejections and backoff for this class end. */
   double blockedUntil(WorkerStats worker, int jobClass) {
     return Math.max(
-        worker.classEjectedUntil[jobClass], Math.max(worker.holdUntil, worker.ejectedUntil));
+        worker.classEjectedUntil[jobClass], Math.max(worker.backoffUntil, worker.ejectedUntil));
   }
 
-  /** Notes an attempt to the worker, which its zone should answer. */
+  /** Records an attempt sent to the worker, to which its zone is expected to respond. */
   void attemptSent(WorkerStats worker, int jobClass, double now) {
-    // One job at a time shows whether the worker takes the class again.
+    // After a class ejection a single job at a time tests whether the worker runs the class again.
     worker.classEjectedUntil[jobClass] =
-        worker.classEjection[jobClass] > 0 ? now + MIN_CLASS_EJECTION_MS : 0;
+        worker.classEjectionMs[jobClass] > 0 ? now + MIN_CLASS_EJECTION_MS : 0;
     ZoneStats zone = registry.zone(worker);
-    if (zone.unanswered++ == 0) {
+    if (zone.unansweredAttempts++ == 0) {
       zone.firstUnansweredAt = now;
     }
-    zone.nextProbeAt = now + SILENCE_MS + serviceTimes.mean();
+    zone.nextProbeAt = now + ZONE_TIMEOUT_MS + serviceTimes.mean();
   }
 
-  /** Notes any answer of the worker. */
-  void signOfLife(WorkerStats worker, double now) {
+  /** Records any response from the worker. */
+  void responseReceived(WorkerStats worker, double now) {
     ZoneStats zone = registry.zone(worker);
-    zone.lastSignAt = now;
-    worker.lastSignAt = now;
-    zone.unanswered = 0;
-    zone.unreachable = 0;
+    zone.lastResponseAt = now;
+    worker.lastResponseAt = now;
+    zone.unansweredAttempts = 0;
+    zone.failedConnects = 0;
   }
 
-  /** True if the worker has answered anything since the attempt was sent. */
-  boolean answeredSince(Attempt attempt) {
-    return attempt.worker.lastSignAt >= attempt.sentAt;
+  /** Returns true if the worker has sent any response since the attempt was sent. */
+  boolean respondedSince(Attempt attempt) {
+    return attempt.worker.lastResponseAt >= attempt.sentAt;
   }
 
-  /** The worker takes jobs of the class: its ejection for the class ends. */
+  /**
+   * Records that the worker has started a job of the class, which ends its ejection for the class.
+   */
   void attemptStarted(WorkerStats worker, int jobClass) {
-    worker.classEjection[jobClass] = 0;
+    worker.classEjectionMs[jobClass] = 0;
     worker.classEjectedUntil[jobClass] = 0;
   }
 
-  /** An attempt at the worker has ended well: the next ejection is a first one again. */
+  /**
+   * Records the success of an attempt at the worker. The next ejection has the minimum duration
+   * again.
+   */
   void attemptSucceeded(WorkerStats worker, int jobClass) {
-    worker.ejection = 0;
+    worker.ejectionMs = 0;
     attemptStarted(worker, jobClass);
   }
 
-  /** The worker could not be connected to. */
+  /** Records a failed connection to the worker. */
   void connectFailed(WorkerStats worker) {
-    registry.zone(worker).unreachable++;
+    registry.zone(worker).failedConnects++;
   }
 
-  /** The worker has rejected an attempt since it is full: it is passed over for a while. */
+  /**
+   * Records that the worker rejected an attempt because it is full. It receives no jobs for a
+   * random time around the mean service time.
+   */
   void workerFull(WorkerStats worker, double now) {
-    worker.holdUntil = now + serviceTimes.mean() * (0.5 + random.nextDouble());
+    worker.backoffUntil = now + serviceTimes.mean() * (0.5 + random.nextDouble());
   }
 
-  /** Passes over a worker without memory, or without slots where what it holds is not reported. */
+  /**
+   * Holds back jobs from a worker without free memory, and from one without free slots if it does
+   * not report the number of jobs that it holds.
+   */
   void reportReceived(WorkerStats worker, LoadReport report, double now) {
     if (report.freeMemory() <= 0 || (Double.isNaN(report.held()) && report.freeSlots() < 1)) {
-      double until = now + serviceTimes.mean() * EXHAUSTED_HOLD;
-      worker.holdUntil = Math.max(worker.holdUntil, until);
+      double backoffUntil = now + serviceTimes.mean() * EXHAUSTED_BACKOFF_FRACTION;
+      worker.backoffUntil = Math.max(worker.backoffUntil, backoffUntil);
     }
   }
 
   /**
-   * Ejects a worker that fails, longer each time: failing fast it looks idle and would draw every
-   * job.
+   * Ejects a failing worker, for twice as long each time. A worker that fails fast appears idle and
+   * would attract all jobs.
    */
   void eject(WorkerStats worker, double now) {
     if (worker.ejectedUntil > now
         || ejectedCount(now) >= MAX_EJECTED_SHARE * registry.readyCount()) {
       return;
     }
-    worker.ejection = Math.min(MAX_EJECTION_MS, Math.max(MIN_EJECTION_MS, 2 * worker.ejection));
-    worker.ejectedUntil = now + worker.ejection * (0.75 + 0.5 * random.nextDouble());
+    worker.ejectionMs = Math.min(MAX_EJECTION_MS, Math.max(MIN_EJECTION_MS, 2 * worker.ejectionMs));
+    worker.ejectedUntil = now + worker.ejectionMs * (0.75 + 0.5 * random.nextDouble());
   }
 
   /**
-   * Ejects a worker for one class: it works but did not start this job, and may hang on all of its
-   * class while it does others well.
+   * Ejects a worker for one class only. The worker responds but did not start a job of this class;
+   * it may block on every job of the class and still run other classes.
    */
   void ejectClass(WorkerStats worker, int jobClass, double now) {
-    double doubled = Math.max(MIN_CLASS_EJECTION_MS, 2 * worker.classEjection[jobClass]);
-    worker.classEjection[jobClass] = Math.min(MAX_CLASS_EJECTION_MS, doubled);
-    worker.classEjectedUntil[jobClass] = now + worker.classEjection[jobClass];
+    double doubledMs = Math.max(MIN_CLASS_EJECTION_MS, 2 * worker.classEjectionMs[jobClass]);
+    worker.classEjectionMs[jobClass] = Math.min(MAX_CLASS_EJECTION_MS, doubledMs);
+    worker.classEjectedUntil[jobClass] = now + worker.classEjectionMs[jobClass];
   }
 
-  private boolean silent(ZoneStats zone, double now) {
-    double since = Math.max(zone.lastSignAt, zone.firstUnansweredAt);
-    boolean unanswered =
-        zone.unanswered >= SILENT_ATTEMPTS && now - since > SILENCE_MS + serviceTimes.mean();
-    return unanswered || zone.unreachable >= SILENT_ATTEMPTS;
+  private boolean unreachable(ZoneStats zone, double now) {
+    double lastContactAt = Math.max(zone.lastResponseAt, zone.firstUnansweredAt);
+    boolean timedOut =
+        zone.unansweredAttempts >= MAX_UNANSWERED_ATTEMPTS
+            && now - lastContactAt > ZONE_TIMEOUT_MS + serviceTimes.mean();
+    return timedOut || zone.failedConnects >= MAX_UNANSWERED_ATTEMPTS;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/Preconditions.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Preconditions.java
@@ -1,11 +1,11 @@
 package ferngrade.dispatch;
 
-/** Argument checks that name the field at fault. */
+/** Checks arguments and names the invalid field in the exception. */
 final class Preconditions {
   private Preconditions() {}
 
-  static void that(boolean holds, String field, Object value) {
-    if (!holds) {
+  static void checkRange(boolean inRange, String field, Object value) {
+    if (!inRange) {
       throw new IllegalArgumentException(field + " is out of range: " + value);
     }
   }
