--- a/node/src/main/java/ferngrade/peer/UdpPeers.java
+++ b/node/src/main/java/ferngrade/peer/UdpPeers.java
@@ -19,41 +19,46 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** Messages between nodes, one datagram each. */
+/** Sends and receives messages between nodes, one UDP datagram each. */
 public final class UdpPeers implements PeerTransport {
-  /** The longest datagram that the platform permits, in bytes. */
-  private static final int MAX_BYTES = 256;
+  /** The maximum size of a datagram that the platform permits, in bytes. */
+  private static final int MAX_DATAGRAM_BYTES = 256;
 
   private final List<InetSocketAddress> addresses;
-  private final InetSocketAddress all;
+  private final InetSocketAddress allPeers;
   private final RateLimitedLog log;
   private final ChannelProvider channels;
-  private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+  private final Map<InetSocketAddress, Integer> numberByAddress = new HashMap<>();
   private Channel channel;
-  private boolean silent;
+  private boolean handedOver;
 
+  /**
+   * Creates a transport to the peers at these addresses; the number of a peer is its index. {@code
+   * allPeers} is the address that reaches all peers. Messages cannot be sent before {@link #listen}
+   * has been called.
+   */
   public UdpPeers(
       List<InetSocketAddress> addresses,
-      InetSocketAddress all,
+      InetSocketAddress allPeers,
       RateLimitedLog log,
       ChannelProvider channels) {
     this.channels = channels;
     this.addresses = addresses;
-    this.all = all;
+    this.allPeers = allPeers;
     this.log = log;
     for (int i = 0; i < addresses.size(); i++) {
-      numbers.put(addresses.get(i), i);
+      numberByAddress.put(addresses.get(i), i);
     }
   }
 
   /**
-   * Listens; what a known peer sends goes to {@code receiver} with the peer's number, on the event
-   * loop.
+   * Binds the address. Messages of known peers are passed to {@code receiver} together with the
+   * peer's number, on the event loop.
    */
   public ChannelFuture listen(
       EventLoopGroup group, InetSocketAddress address, BiConsumer<Integer, byte[]> receiver) {
-    // Shared for a while with the next process of this node, which an upgrade starts beside this
-    // one: both send from the address that the peers know.
+    // During an upgrade the address is shared with the next process of this node, so that both
+    // processes send from the address that the peers know.
     ChannelFuture bound =
         new Bootstrap()
             .group(group)
@@ -63,13 +68,17 @@
                 new SimpleChannelInboundHandler<DatagramPacket>() {
                   @Override
                   protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                    Integer from = numbers.get(packet.sender());
+                    Integer from = numberByAddress.get(packet.sender());
                     if (from == null) {
-                      log.line("stranger", "datagram from unknown sender: " + packet.sender());
-                    } else if (packet.content().readableBytes() > MAX_BYTES) {
+                      log.line(
+                          "stranger", "dropped a datagram from unknown sender " + packet.sender());
+                    } else if (packet.content().readableBytes() > MAX_DATAGRAM_BYTES) {
                       log.line(
                           "long datagram",
-                          "datagram of more than " + MAX_BYTES + " bytes from " + packet.sender());
+                          "dropped a datagram of more than "
+                              + MAX_DATAGRAM_BYTES
+                              + " bytes from "
+                              + packet.sender());
                     } else {
                       receiver.accept(from, ByteBufUtil.getBytes(packet.content()));
                     }
@@ -77,7 +86,8 @@
 
                   @Override
                   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                    log.line("peers", "peers: " + cause.getMessage());
+                    log.line(
+                        "peers", "error on the peers' datagram channel: " + cause.getMessage());
                   }
                 })
             .bind(address);
@@ -86,11 +96,12 @@
   }
 
   /**
-   * Leaves the address to another process of this node: nothing is sent or received any more, so
-   * that the peers hear one process only, and that one hears them.
+   * Stops sending and receiving, so that the address belongs to another process of this node alone:
+   * the peers then receive messages from one process only, and that process receives all messages
+   * of the peers.
    */
   public void handOver() {
-    silent = true;
+    handedOver = true;
     if (channel != null) {
       channel.close();
     }
@@ -98,14 +109,19 @@
 
   @Override
   public void tell(int peer, byte[] message) {
-    InetSocketAddress to = peer < 0 ? all : peer < addresses.size() ? addresses.get(peer) : null;
-    if (silent) {
+    InetSocketAddress target =
+        peer < 0 ? allPeers : peer < addresses.size() ? addresses.get(peer) : null;
+    if (handedOver) {
       return;
     }
-    if (channel == null || to == null || message.length > MAX_BYTES) {
-      log.line("message", "message for peer " + peer + " cannot be sent");
+    if (channel == null || target == null || message.length > MAX_DATAGRAM_BYTES) {
+      log.line(
+          "message",
+          "cannot send a message to peer "
+              + peer
+              + ": no channel, unknown peer or message too long");
       return;
     }
-    channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
+    channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), target));
   }
 }
--- a/node/src/main/java/ferngrade/peer/package-info.java
+++ b/node/src/main/java/ferngrade/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between the nodes of a deployment, one UDP datagram each. */
+/** Exchanges messages between the nodes of a deployment, one UDP datagram each. */
 package ferngrade.peer;
--- a/node/src/main/java/ferngrade/transport/ChannelProvider.java
+++ b/node/src/main/java/ferngrade/transport/ChannelProvider.java
@@ -8,14 +8,14 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * Opens the channels of a node. The defaults open ordinary sockets; tests pass channels whose
- * system calls fail.
+ * Opens the channels of a node. The default methods open ordinary sockets; tests provide channels
+ * whose system calls fail.
  */
 public interface ChannelProvider {
-  /** Ordinary sockets. */
+  /** Opens ordinary sockets. */
   ChannelProvider SOCKETS = new ChannelProvider() {};
 
-  /** What a channel is for. */
+  /** The purpose of a channel. */
   enum Purpose {
     CLIENTS,
     ADMIN,
@@ -25,19 +25,19 @@
   }
 
   /**
-   * A listening channel; around {@code inherited}, a socket that listens already, unless that is
-   * null.
+   * Opens a listening channel. The channel wraps {@code inherited}, a socket that is already
+   * listening, unless that is null.
    */
   default ServerChannel listener(Purpose purpose, ServerSocketChannel inherited) {
     return inherited == null ? new NioServerSocketChannel() : new NioServerSocketChannel(inherited);
   }
 
-  /** A channel for a connection that this node opens. */
+  /** Opens a channel for an outgoing connection of this node. */
   default Channel connection(Purpose purpose) {
     return new NioSocketChannel();
   }
 
-  /** A channel for datagrams to and from peers. */
+  /** Opens a channel for datagrams to and from peers. */
   default Channel datagrams() {
     return new NioDatagramChannel();
   }
--- a/node/src/main/java/ferngrade/transport/Dialer.java
+++ b/node/src/main/java/ferngrade/transport/Dialer.java
@@ -12,40 +12,46 @@
 import java.net.InetSocketAddress;
 
 /**
- * Opens connections for one purpose. A dial that fails for a lack of this machine's own resources
- * says nothing about the peer: it is retried after a short backoff, for as long as it is wanted and
- * its timeout lasts. Its listener is called on the event loop only; Netty reports a socket that
- * could not be opened on a thread of its own.
+ * Opens outgoing connections for one purpose. A connection attempt that fails for a shortage of
+ * this machine's own resources reveals nothing about the peer; it is retried after a short backoff,
+ * as long as the connection is wanted and its retry time lasts. Listeners are called on the event
+ * loop only, although Netty reports a socket that could not be opened on another thread.
  */
 public final class Dialer {
-  /** The backoff before a dial that failed for a lack of this machine is retried, ms. */
+  /**
+   * The backoff before a connection attempt that failed for a local resource shortage is retried,
+   * ms.
+   */
   public static final double BACKOFF = 20;
 
   private final EventLoop loop;
   private final Timers timers;
   private final Bootstrap bootstrap;
 
-  /** Is notified of one dial: either of its connection or of its failure, once. */
+  /** Receives the outcome of one dial: either its connection or its failure, once. */
   public interface Listener {
-    /** Called before a retry: false if nobody needs the connection any more. */
+    /** Called before a retry. Returns false if the connection is no longer needed. */
     boolean wanted();
 
-    /** An attempt has failed for a lack of this machine; a retry follows. */
+    /**
+     * Called when a connection attempt has failed for a local resource shortage and will be
+     * retried.
+     */
     default void delayed() {}
 
-    /** The connection is up. */
+    /** Called when the connection is established. */
     void connected(Channel channel);
 
     /**
-     * There is no connection; LOCAL: for a lack of this machine, up to the end, or it is not wanted
-     * any more.
+     * Called when the dial has failed. The origin is LOCAL if a local resource shortage lasted
+     * until the end of the retries or if the connection is no longer needed.
      */
     void failed(FaultOrigin origin, Throwable cause);
   }
 
   /**
-   * Dials with channels of this provider, each attempt for {@code timeout} ms, with {@code handler}
-   * in their pipelines.
+   * Creates a dialer that uses the channels of this provider, with a connect timeout of {@code
+   * timeout} ms for each attempt and with {@code handler} in the channels' pipelines.
    */
   public Dialer(
       EventLoopGroup group,
@@ -66,45 +72,47 @@
   }
 
   /**
-   * Dials; a dial that fails for a lack of this machine is retried for about {@code retryFor} ms.
+   * Opens a connection. Attempts that fail for a local resource shortage are retried for about
+   * {@code retryFor} ms.
    */
   public void dial(InetSocketAddress peer, double retryFor, Listener listener) {
     new Dial(peer, (int) (retryFor / BACKOFF), listener).attempt();
   }
 
-  /** One connection that is being opened. */
+  /** A connection that is being opened. */
   private final class Dial {
     private final InetSocketAddress peer;
     private final Listener listener;
-    private int retries;
+    private int retriesLeft;
 
-    Dial(InetSocketAddress peer, int retries, Listener listener) {
+    Dial(InetSocketAddress peer, int retriesLeft, Listener listener) {
       this.peer = peer;
-      this.retries = retries;
+      this.retriesLeft = retriesLeft;
       this.listener = listener;
     }
 
     void attempt() {
-      ChannelFuture connecting = bootstrap.connect(peer);
-      if (connecting.isDone()) {
-        // No socket: the future's own executor is another thread than the loop.
-        loop.execute(() -> ended(connecting));
+      ChannelFuture connectFuture = bootstrap.connect(peer);
+      if (connectFuture.isDone()) {
+        // The socket could not be opened; the future's own executor runs on a thread other than the
+        // loop's.
+        loop.execute(() -> ended(connectFuture));
       } else {
-        connecting.addListener(done -> ended(connecting));
+        connectFuture.addListener(ignored -> ended(connectFuture));
       }
     }
 
-    private void ended(ChannelFuture connecting) {
-      if (connecting.isSuccess()) {
-        listener.connected(connecting.channel());
+    private void ended(ChannelFuture connectFuture) {
+      if (connectFuture.isSuccess()) {
+        listener.connected(connectFuture.channel());
         return;
       }
-      FaultOrigin origin = FaultOrigin.of(connecting.cause());
-      if (origin == FaultOrigin.LOCAL && retries-- > 0) {
+      FaultOrigin origin = FaultOrigin.of(connectFuture.cause());
+      if (origin == FaultOrigin.LOCAL && retriesLeft-- > 0) {
         listener.delayed();
-        timers.after(BACKOFF, () -> retry(connecting.cause()));
+        timers.after(BACKOFF, () -> retry(connectFuture.cause()));
       } else {
-        listener.failed(origin, connecting.cause());
+        listener.failed(origin, connectFuture.cause());
       }
     }
 
--- a/node/src/main/java/ferngrade/transport/FaultOrigin.java
+++ b/node/src/main/java/ferngrade/transport/FaultOrigin.java
@@ -8,22 +8,28 @@
 import java.util.List;
 
 /**
- * Whose fault an error of the operating system is. The runtime reports most of them by their text
- * alone; this is the one place that reads it.
+ * Classifies operating system errors by their origin. The Java runtime reports most of them only by
+ * their message; this is the only class that evaluates the messages.
  */
 public enum FaultOrigin {
   /**
-   * This machine lacks something: a descriptor, memory, a port, a route. It says nothing about the
-   * peer.
+   * This machine lacks a resource: a descriptor, memory, a port or a route. The error reveals
+   * nothing about the peer.
    */
   LOCAL,
-  /** The peer, or the network to it, does not answer or has refused. */
+  /** The peer, or the network to it, does not respond or has refused the connection. */
   PEER,
-  /** A connection broke for an unknown reason: what was written to it may have been executed. */
+  /**
+   * A connection broke for an unknown reason; the peer may have processed the bytes that were
+   * written to it.
+   */
   UNKNOWN;
 
-  /** ENOBUFS, ENOMEM, EMFILE and ENFILE, ENETUNREACH, ENETDOWN, EADDRNOTAVAIL, EAGAIN. */
-  private static final List<String> LOCAL_TEXTS =
+  /**
+   * The messages of ENOBUFS, ENOMEM, EMFILE and ENFILE, ENETUNREACH, ENETDOWN, EADDRNOTAVAIL and
+   * EAGAIN, in this order.
+   */
+  private static final List<String> LOCAL_SHORTAGE_MESSAGES =
       List.of(
           "No buffer space available",
           "Cannot allocate memory",
@@ -33,15 +39,15 @@
           "Cannot assign requested address",
           "Resource temporarily unavailable");
 
-  /** Sorts an error, which may be wrapped in others. */
+  /** Classifies an error by the first of its causes that can be classified. */
   public static FaultOrigin of(Throwable error) {
-    for (Throwable each = error; each != null; each = each.getCause()) {
-      if (each instanceof BindException || lacks(each)) {
+    for (Throwable cause = error; cause != null; cause = cause.getCause()) {
+      if (cause instanceof BindException || isLocalShortage(cause)) {
         return LOCAL;
       }
-      if (each instanceof ConnectException
-          || each instanceof NoRouteToHostException
-          || each instanceof PortUnreachableException) {
+      if (cause instanceof ConnectException
+          || cause instanceof NoRouteToHostException
+          || cause instanceof PortUnreachableException) {
         return PEER;
       }
     }
@@ -49,20 +55,20 @@
   }
 
   /**
-   * True if a lack of this machine may be over in a moment; an address in use, or not permitted, is
-   * no such lack.
+   * Returns true if the error is a local resource shortage that may pass soon. An address that is
+   * in use or not permitted is not a temporary shortage.
    */
   public static boolean isPassingLack(Throwable error) {
-    for (Throwable each = error; each != null; each = each.getCause()) {
-      if (lacks(each)) {
+    for (Throwable cause = error; cause != null; cause = cause.getCause()) {
+      if (isLocalShortage(cause)) {
         return true;
       }
     }
     return false;
   }
 
-  private static boolean lacks(Throwable error) {
-    String text = error instanceof IOException ? error.getMessage() : null;
-    return text != null && LOCAL_TEXTS.stream().anyMatch(text::contains);
+  private static boolean isLocalShortage(Throwable error) {
+    String message = error instanceof IOException ? error.getMessage() : null;
+    return message != null && LOCAL_SHORTAGE_MESSAGES.stream().anyMatch(message::contains);
   }
 }
--- a/node/src/main/java/ferngrade/transport/PendingReads.java
+++ b/node/src/main/java/ferngrade/transport/PendingReads.java
@@ -5,21 +5,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads a connection at once, ahead of the event loop's next select. The loop notices a close when
- * it selects; between two selects it may be held up, by its own work or by the machine, for longer
- * than a close may go unnoticed.
+ * Reads a connection immediately, ahead of the event loop's next select. The loop detects that a
+ * connection was closed when it selects; between two selects it may be held up, by its own work or
+ * by the machine, for longer than a close may remain undetected.
  */
 public final class PendingReads {
-  /** Bytes read in one go at most: more than the system holds for one connection by default. */
-  private static final int MAX_BYTES = 8 << 20;
+  /**
+   * The maximum number of bytes to read in one call: more than the operating system buffers for one
+   * connection by default.
+   */
+  private static final int MAX_READ_BYTES = 8 << 20;
 
-  /** Connections that one read of a listener accepts at most. */
+  /** The maximum number of connections that one read of a listener accepts. */
   public static final int MAX_ACCEPTS = 16;
 
   private PendingReads() {}
 
   /**
-   * Reads some of what waits on the connection, if that is open, on the thread of its event loop.
+   * Reads some of the bytes that are pending on the connection, if it is open. Must be called on
+   * the thread of its event loop.
    */
   public static void read(AbstractNioChannel connection) {
     if (connection.isActive()) {
@@ -28,35 +32,37 @@
   }
 
   /**
-   * Accepts the connections that wait on a listener, on the thread of its event loop: closing it
-   * would reset them, and with them what their peers have sent.
+   * Accepts the connections that are pending on a listener, so that closing the listener does not
+   * reset them and discard what their peers have sent. Must be called on the thread of the
+   * listener's event loop.
    *
-   * @param accepted the count of connections accepted so far
-   * @param capacity true while more connections fit
+   * @param accepted returns the number of connections accepted so far
+   * @param hasCapacity returns true while more connections can be accepted
    */
   public static void acceptWaiting(
-      AbstractNioChannel listener, LongSupplier accepted, BooleanSupplier capacity) {
-    long before = -1;
-    while (listener.isActive() && accepted.getAsLong() > before && capacity.getAsBoolean()) {
-      before = accepted.getAsLong();
+      AbstractNioChannel listener, LongSupplier accepted, BooleanSupplier hasCapacity) {
+    long previous = -1;
+    while (listener.isActive() && accepted.getAsLong() > previous && hasCapacity.getAsBoolean()) {
+      previous = accepted.getAsLong();
       listener.unsafe().read();
     }
   }
 
   /**
-   * Reads what waits on the connection, through its pipeline, on the thread of its event loop.
+   * Reads the bytes that are pending on the connection and passes them to its pipeline. Must be
+   * called on the thread of its event loop.
    *
-   * @param bytesRead the count of bytes that the pipeline has been passed so far
+   * @param bytesRead returns the number of bytes that have been passed to the pipeline so far
    * @return false if the peer has closed the connection
    */
   public static boolean openAfterReading(AbstractNioChannel connection, LongSupplier bytesRead) {
-    long limit = bytesRead.getAsLong() + MAX_BYTES;
-    long before;
+    long limit = bytesRead.getAsLong() + MAX_READ_BYTES;
+    long previous;
     do {
-      before = bytesRead.getAsLong();
+      previous = bytesRead.getAsLong();
       connection.unsafe().read();
     } while (connection.isActive()
-        && bytesRead.getAsLong() > before
+        && bytesRead.getAsLong() > previous
         && bytesRead.getAsLong() < limit);
     return connection.isActive();
   }
--- a/node/src/main/java/ferngrade/transport/package-info.java
+++ b/node/src/main/java/ferngrade/transport/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What all protocols of a node share on Netty: opening channels, dialling with retries, reading
- * ahead of the event loop, and telling whose fault an error of the operating system is.
+ * Contains the Netty code that all protocols of a node share: opening channels, opening connections
+ * with retries, reading ahead of the event loop, and classifying operating system errors by their
+ * origin.
  */
 package ferngrade.transport;
--- a/node/src/test/java/ferngrade/peer/UdpPeersTest.java
+++ b/node/src/test/java/ferngrade/peer/UdpPeersTest.java
@@ -24,58 +24,58 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Datagrams between nodes. */
+/** Exchanges datagrams with peers, over real and fault-injecting sockets. */
 @Test(timeOut = 30_000)
 public class UdpPeersTest {
   /**
-   * Calls that fail in a row where the fault lasts; even, so that where every second call fails the
-   * last succeeds.
+   * The number of consecutive calls that fail when the fault is persistent. Even, so that the last
+   * call succeeds when every second call fails.
    */
-  private static final int FAULTS = 20;
+  private static final int FAULT_COUNT = 20;
 
-  private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> results = new LinkedBlockingQueue<>();
   private final MultiThreadIoEventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
   @Test
-  public void datagramsOfStrangersAndLongOnesAreIgnored() throws Exception {
-    InetAddress here = InetAddress.getLoopbackAddress();
-    try (DatagramSocket peer = new DatagramSocket(0, here);
-        DatagramSocket stranger = new DatagramSocket(0, here)) {
+  public void ignoresDatagramsFromUnknownSendersAndOversizedOnes() throws Exception {
+    InetAddress loopback = InetAddress.getLoopbackAddress();
+    try (DatagramSocket peer = new DatagramSocket(0, loopback);
+        DatagramSocket stranger = new DatagramSocket(0, loopback)) {
       List<InetSocketAddress> peers = List.of((InetSocketAddress) peer.getLocalSocketAddress());
       UdpPeers udp =
           new UdpPeers(
               peers,
               null,
-              new RateLimitedLog(() -> 0, line -> told.add("logged")),
+              new RateLimitedLog(() -> 0, line -> results.add("logged")),
               ChannelProvider.SOCKETS);
-      InetSocketAddress own =
+      InetSocketAddress ownAddress =
           (InetSocketAddress)
               udp.listen(
                       group,
-                      new InetSocketAddress(here, 0),
-                      (from, body) -> told.add(from + ":" + body.length))
+                      new InetSocketAddress(loopback, 0),
+                      (from, body) -> results.add(from + ":" + body.length))
                   .sync()
                   .channel()
                   .localAddress();
-      stranger.send(new DatagramPacket(new byte[7], 7, own));
-      assertEquals(told.take(), "logged");
-      peer.send(new DatagramPacket(new byte[300], 300, own));
-      assertEquals(told.take(), "logged");
-      peer.send(new DatagramPacket(new byte[7], 7, own));
-      assertEquals(told.take(), "0:7");
+      stranger.send(new DatagramPacket(new byte[7], 7, ownAddress));
+      assertEquals(results.take(), "logged");
+      peer.send(new DatagramPacket(new byte[300], 300, ownAddress));
+      assertEquals(results.take(), "logged");
+      peer.send(new DatagramPacket(new byte[7], 7, ownAddress));
+      assertEquals(results.take(), "0:7");
       group.next().submit(() -> udp.tell(0, new byte[9])).get();
-      DatagramPacket got = new DatagramPacket(new byte[300], 300);
-      peer.receive(got);
-      assertEquals(got.getLength(), 9);
+      DatagramPacket received = new DatagramPacket(new byte[300], 300);
+      peer.receive(received);
+      assertEquals(received.getLength(), 9);
       group.next().submit(() -> udp.tell(0, new byte[257])).get();
-      assertEquals(told.take(), "logged");
+      assertEquals(results.take(), "logged");
     }
   }
 
   @DataProvider
   public Object[][] faults() {
-    List<Object[]> all = new ArrayList<>();
+    List<Object[]> rows = new ArrayList<>();
     for (Errno errno :
         List.of(
             Errno.ENOBUFS,
@@ -84,51 +84,56 @@
             Errno.EHOSTUNREACH,
             Errno.ECONNREFUSED)) {
       for (SystemCall call : List.of(SystemCall.SEND, SystemCall.RECEIVE)) {
-        all.add(new Object[] {call, errno, FaultInjectingChannels.once()});
-        all.add(new Object[] {call, errno, FaultInjectingChannels.everySecondCall()});
+        rows.add(new Object[] {call, errno, FaultInjectingChannels.once()});
+        rows.add(new Object[] {call, errno, FaultInjectingChannels.everySecondCall()});
         AtomicInteger calls = new AtomicInteger();
-        all.add(
-            new Object[] {call, errno, (BooleanSupplier) () -> calls.incrementAndGet() <= FAULTS});
+        rows.add(
+            new Object[] {
+              call, errno, (BooleanSupplier) () -> calls.incrementAndGet() <= FAULT_COUNT
+            });
       }
     }
-    return all.toArray(Object[][]::new);
+    return rows.toArray(Object[][]::new);
   }
 
   @Test(dataProvider = "faults")
-  public void datagramsThatFailCostNoChannelAndFewLines(
-      SystemCall call, Errno errno, BooleanSupplier strikes) throws Exception {
+  public void failingDatagramCallsKeepChannelOpenAndLogLittle(
+      SystemCall call, Errno errno, BooleanSupplier shouldFail) throws Exception {
     FaultInjectingChannels channels = new FaultInjectingChannels();
     AtomicInteger lines = new AtomicInteger();
-    InetAddress here = InetAddress.getLoopbackAddress();
-    BlockingQueue<Integer> heard = new LinkedBlockingQueue<>();
-    try (DatagramSocket peer = new DatagramSocket(0, here)) {
+    InetAddress loopback = InetAddress.getLoopbackAddress();
+    BlockingQueue<Integer> receivedSizes = new LinkedBlockingQueue<>();
+    try (DatagramSocket peer = new DatagramSocket(0, loopback)) {
       peer.setSoTimeout(10_000);
       List<InetSocketAddress> peers = List.of((InetSocketAddress) peer.getLocalSocketAddress());
       UdpPeers udp =
           new UdpPeers(
               peers, null, new RateLimitedLog(() -> 0, line -> lines.incrementAndGet()), channels);
       Channel channel =
-          udp.listen(group, new InetSocketAddress(here, 0), (from, body) -> heard.add(body.length))
+          udp.listen(
+                  group,
+                  new InetSocketAddress(loopback, 0),
+                  (from, body) -> receivedSizes.add(body.length))
               .sync()
               .channel();
-      InetSocketAddress own = (InetSocketAddress) channel.localAddress();
-      channels.fail(null, call, errno, strikes);
-      for (int i = 1; i <= FAULTS + 2; i++) {
+      InetSocketAddress ownAddress = (InetSocketAddress) channel.localAddress();
+      channels.fail(null, call, errno, shouldFail);
+      for (int i = 1; i <= FAULT_COUNT + 2; i++) {
         int size = i;
         group.next().submit(() -> udp.tell(0, new byte[size])).get();
-        peer.send(new DatagramPacket(new byte[size], size, own));
+        peer.send(new DatagramPacket(new byte[size], size, ownAddress));
       }
-      // The last comes through each way: the channel stands.
-      DatagramPacket got = new DatagramPacket(new byte[300], 300);
-      while (got.getLength() != FAULTS + 2) {
-        peer.receive(got);
+      // The last datagram must arrive in both directions, which shows that the channel still works.
+      DatagramPacket received = new DatagramPacket(new byte[300], 300);
+      while (received.getLength() != FAULT_COUNT + 2) {
+        peer.receive(received);
       }
-      while (heard.take() != FAULTS + 2) {
+      while (receivedSizes.take() != FAULT_COUNT + 2) {
         Thread.onSpinWait();
       }
       assertTrue(channel.isOpen());
-      assertTrue(channels.raised.get() > 0, "a call has failed");
-      assertTrue(lines.get() <= 1, "lines in the log: " + lines);
+      assertTrue(channels.raised.get() > 0, "the fault must have been injected at least once");
+      assertTrue(lines.get() <= 1, "at most one log line expected: " + lines);
       channel.close().sync();
     }
   }
--- a/node/src/test/java/ferngrade/transport/Errno.java
+++ b/node/src/test/java/ferngrade/transport/Errno.java
@@ -6,7 +6,7 @@
 import java.net.NoRouteToHostException;
 import java.net.SocketException;
 
-/** Errors of Linux, as the runtime reports them for the calls of a socket. */
+/** Linux errors as the Java runtime reports them for socket calls. */
 public enum Errno {
   ECONNABORTED("Software caused connection abort"),
   EMFILE("Too many open files"),
@@ -27,8 +27,8 @@
   }
 
   /**
-   * As {@code socket} and {@code connect} report it: the runtime gives some errors a type of their
-   * own.
+   * Returns the exception that {@code socket} and {@code connect} throw; the Java runtime uses
+   * specific exception types for some errors.
    */
   IOException ofConnect() {
     return switch (this) {
@@ -39,7 +39,10 @@
     };
   }
 
-  /** As {@code accept}, {@code read} and {@code write} report it: text alone. */
+  /**
+   * Returns the exception that {@code accept}, {@code read} and {@code write} throw; only its
+   * message identifies the error.
+   */
   IOException ofTransfer() {
     return new IOException(message);
   }
--- a/node/src/test/java/ferngrade/transport/FaultInjectingChannels.java
+++ b/node/src/test/java/ferngrade/transport/FaultInjectingChannels.java
@@ -21,8 +21,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Ordinary channels whose system calls fail as a test asks, one kind of call of one purpose at a
- * time.
+ * Opens ordinary channels and makes their system calls fail as a test requests, one type of call
+ * for one purpose at a time.
  */
 public final class FaultInjectingChannels implements ChannelProvider {
   /** A system call that can be made to fail. */
@@ -36,57 +36,54 @@
     RECEIVE
   }
 
-  /** The faults raised so far. */
+  /** The number of faults injected so far. */
   public final AtomicInteger raised = new AtomicInteger();
 
-  /** Every read and every write carries one byte. */
+  /** Limits every read and every write to one byte. */
   public volatile boolean oneByte;
 
-  /**
-   * Bytes that the system holds back for each connection that the node opens; 0 leaves that to the
-   * system.
-   */
+  /** The send buffer size in bytes of each outgoing connection; 0 for the system default. */
   public volatile int sendBuffer;
 
   private volatile Fault fault;
 
-  private record Fault(Purpose purpose, SystemCall call, Errno errno, BooleanSupplier strikes) {}
+  private record Fault(Purpose purpose, SystemCall call, Errno errno, BooleanSupplier shouldFail) {}
 
   /**
-   * From now on this call fails whenever {@code strikes} says so; datagrams have no purpose, hence
-   * null.
+   * Makes this call fail from now on whenever {@code shouldFail} returns true. The purpose is null
+   * for datagrams, which have none.
    */
-  public void fail(Purpose purpose, SystemCall call, Errno errno, BooleanSupplier strikes) {
-    fault = new Fault(purpose, call, errno, strikes);
+  public void fail(Purpose purpose, SystemCall call, Errno errno, BooleanSupplier shouldFail) {
+    fault = new Fault(purpose, call, errno, shouldFail);
   }
 
-  /** Strikes once. */
+  /** Returns a condition that is true for the first call only. */
   public static BooleanSupplier once() {
     AtomicInteger calls = new AtomicInteger();
     return () -> calls.getAndIncrement() == 0;
   }
 
-  /** Strikes the first call and every second one from there on. */
+  /** Returns a condition that is true for the first call and for every second call after it. */
   public static BooleanSupplier everySecondCall() {
     AtomicInteger calls = new AtomicInteger();
     return () -> calls.getAndIncrement() % 2 == 0;
   }
 
-  private boolean strikes(Purpose purpose, SystemCall call) {
-    Fault present = fault;
-    boolean hit =
-        present != null
-            && present.purpose() == purpose
-            && present.call() == call
-            && present.strikes().getAsBoolean();
-    if (hit) {
+  private boolean takeFault(Purpose purpose, SystemCall call) {
+    Fault current = fault;
+    boolean injected =
+        current != null
+            && current.purpose() == purpose
+            && current.call() == call
+            && current.shouldFail().getAsBoolean();
+    if (injected) {
       raised.incrementAndGet();
     }
-    return hit;
+    return injected;
   }
 
-  private void pass(Purpose purpose, SystemCall call) throws IOException {
-    if (strikes(purpose, call)) {
+  private void throwIfInjected(Purpose purpose, SystemCall call) throws IOException {
+    if (takeFault(purpose, call)) {
       throw call == SystemCall.CONNECT ? fault.errno().ofConnect() : fault.errno().ofTransfer();
     }
   }
@@ -108,7 +105,7 @@
   }
 
   private void failSocket(Purpose purpose) {
-    if (strikes(purpose, SystemCall.SOCKET)) {
+    if (takeFault(purpose, SystemCall.SOCKET)) {
       throw new ChannelException("Failed to open a socket.", fault.errno().ofConnect());
     }
   }
@@ -134,7 +131,7 @@
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-      pass(purpose, SystemCall.ACCEPT);
+      throwIfInjected(purpose, SystemCall.ACCEPT);
       SocketChannel socket = javaChannel().accept();
       if (socket == null) {
         return 0;
@@ -158,13 +155,13 @@
 
     @Override
     protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-      pass(purpose, SystemCall.CONNECT);
+      throwIfInjected(purpose, SystemCall.CONNECT);
       return super.doConnect(remote, local);
     }
 
     @Override
     protected int doReadBytes(ByteBuf into) throws Exception {
-      pass(purpose, SystemCall.READ);
+      throwIfInjected(purpose, SystemCall.READ);
       if (!oneByte) {
         return super.doReadBytes(into);
       }
@@ -174,7 +171,7 @@
 
     @Override
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
-      pass(purpose, SystemCall.WRITE);
+      throwIfInjected(purpose, SystemCall.WRITE);
       if (!oneByte) {
         super.doWrite(out);
         return;
@@ -194,13 +191,13 @@
   }
 
   /**
-   * The datagram channel is final: its faults are raised right behind it, as it passes on those of
-   * its calls.
+   * Injects faults in the pipeline right behind the datagram channel, since the channel class is
+   * final. The pipeline reports them as it reports failures of the channel's own calls.
    */
   private final class DatagramFaults extends ChannelDuplexHandler {
     @Override
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-      if (strikes(null, SystemCall.SEND)) {
+      if (takeFault(null, SystemCall.SEND)) {
         ReferenceCountUtil.release(message);
         promise.setFailure(fault.errno().ofConnect());
       } else {
@@ -210,7 +207,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      if (strikes(null, SystemCall.RECEIVE)) {
+      if (takeFault(null, SystemCall.RECEIVE)) {
         ReferenceCountUtil.release(message);
         ctx.fireExceptionCaught(fault.errno().ofConnect());
       } else {
--- a/node/src/test/java/ferngrade/transport/FaultOriginTest.java
+++ b/node/src/test/java/ferngrade/transport/FaultOriginTest.java
@@ -14,7 +14,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Whose fault an error is, by the types and texts that the runtime and Netty give it. */
+/**
+ * Classifies errors by the exception types and messages that the Java runtime and Netty use for
+ * them.
+ */
 public class FaultOriginTest {
   @DataProvider
   public Object[][] errors() {
@@ -31,7 +34,7 @@
         new ChannelException("Failed to open a socket.", Errno.ENFILE.ofConnect()),
         FaultOrigin.LOCAL
       },
-      // As Netty adds the address to what a dial fails by.
+      // Netty appends the address to the message of a failed connect.
       {new SocketException("Cannot assign requested address: /127.0.0.1:9"), FaultOrigin.LOCAL},
       {new ConnectException("Connection refused: /127.0.0.1:9"), FaultOrigin.PEER},
       {
@@ -50,12 +53,12 @@
   }
 
   @Test(dataProvider = "errors")
-  public void errorIsSortedByItsTypeAndText(Throwable error, FaultOrigin origin) {
+  public void classifiesErrorByTypeAndMessage(Throwable error, FaultOrigin origin) {
     assertEquals(FaultOrigin.of(error), origin);
   }
 
   @Test
-  public void addressInUseIsNoPassingLack() {
+  public void addressInUseIsNotTemporaryShortage() {
     assertFalse(
         FaultOrigin.isPassingLack(
             new ExecutionException(new BindException("Address already in use"))));
