--- a/node/src/test/java/ferngrade/node/FaultInjectingFileOperations.java
+++ b/node/src/test/java/ferngrade/node/FaultInjectingFileOperations.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * Files in memory, with what a kill and what a power failure leaves of them. Operations fail as
- * told; a write takes one byte at a time, so that a crash can come behind each.
+ * An in-memory file system that simulates kills and power failures, and whose operations fail on
+ * request. A write transfers one byte at a time, so that a crash can be injected after each byte.
  */
 public final class FaultInjectingFileOperations implements FileOperations {
   /** The operations that can fail. */
@@ -23,7 +23,7 @@
     SYNC_FOLDER
   }
 
-  /** Thrown by the operation at which the process ends. */
+  /** Thrown by the operation at which the simulated process is killed. */
   static final class Killed extends Error {
     private static final long serialVersionUID = 1;
   }
@@ -33,94 +33,94 @@
     private byte[] synced = new byte[0];
   }
 
-  private final Map<Path, Inode> names = new HashMap<>();
-  private Map<Path, Inode> syncedNames = new HashMap<>();
+  private final Map<Path, Inode> inodes = new HashMap<>();
+  private Map<Path, Inode> syncedInodes = new HashMap<>();
   private Operation failing;
   private Failure failure;
-  private int operationsLeft = Integer.MAX_VALUE;
+  private int operationsBeforeKill = Integer.MAX_VALUE;
   private int failures;
 
-  /** What an operation fails with: an I/O error, or a runtime exception. */
+  /** A fault to inject: an I/O error or a runtime exception. */
   @FunctionalInterface
   public interface Failure {
-    /** Returns, or throws the failure. */
+    /** Returns normally or throws the fault. */
     void fail() throws IOException;
   }
 
-  /** An error of the operating system, by its message. */
+  /** Returns a fault that throws an operating system error with this message. */
   public static Failure error(String message) {
     return () -> {
       throw new FileSystemException(message);
     };
   }
 
-  /** This operation fails from now on. */
-  public synchronized void fail(Operation operation, Failure with) {
+  /** Makes this operation fail from now on. */
+  public synchronized void fail(Operation operation, Failure fault) {
     failing = operation;
-    failure = with;
+    failure = fault;
   }
 
-  /** Everything works again. */
+  /** Removes the injected fault, so that all operations succeed. */
   public synchronized void heal() {
     failing = null;
   }
 
-  /** How many operations have failed. */
+  /** Returns the number of operations that have failed. */
   public synchronized int failures() {
     return failures;
   }
 
-  /** The process ends at the operation behind this many. */
+  /** Kills the simulated process at the operation that follows this number of operations. */
   void killAfter(int operations) {
-    operationsLeft = operations;
+    operationsBeforeKill = operations;
   }
 
-  /** What a process finds that starts after a kill: all that was done. */
+  /** Returns the files that a process finds after a kill: every completed write is kept. */
   FaultInjectingFileOperations afterKill() {
-    FaultInjectingFileOperations left = new FaultInjectingFileOperations();
-    names.forEach((name, inode) -> left.put(name, inode.content.toByteArray()));
-    return left;
+    FaultInjectingFileOperations copy = new FaultInjectingFileOperations();
+    inodes.forEach((name, inode) -> copy.put(name, inode.content.toByteArray()));
+    return copy;
   }
 
   /**
-   * What it finds after a power failure: names as last synced or as last changed, contents as last
-   * synced.
+   * Returns the files that a process finds after a power failure: file contents as of their last
+   * sync, and directory entries as of their last change or their last sync.
    */
-  FaultInjectingFileOperations afterPowerFailure(boolean namesWritten) {
-    FaultInjectingFileOperations left = new FaultInjectingFileOperations();
-    (namesWritten ? names : syncedNames).forEach((name, inode) -> left.put(name, inode.synced));
-    return left;
+  FaultInjectingFileOperations afterPowerFailure(boolean namesDurable) {
+    FaultInjectingFileOperations copy = new FaultInjectingFileOperations();
+    (namesDurable ? inodes : syncedInodes).forEach((name, inode) -> copy.put(name, inode.synced));
+    return copy;
   }
 
-  /** Puts a file there that is wholly on the disk. */
+  /** Creates or replaces a file that is entirely durable. */
   void put(Path file, byte[] content) {
     Inode inode = new Inode();
     inode.content.writeBytes(content);
     inode.synced = content;
-    names.put(file, inode);
-    syncedNames.put(file, inode);
+    inodes.put(file, inode);
+    syncedInodes.put(file, inode);
   }
 
-  private void enter(Operation operation) throws IOException {
-    Failure due = null;
+  private void beginOperation(Operation operation) throws IOException {
+    Failure injected = null;
     synchronized (this) {
-      if (operationsLeft-- == 0) {
+      if (operationsBeforeKill-- == 0) {
         throw new Killed();
       }
       if (operation == failing) {
         failures++;
-        due = failure;
+        injected = failure;
       }
     }
-    // Without the lock: a sync that hangs holds up no other operation.
-    if (due != null) {
-      due.fail();
+    // Called without the lock, so that a sync that hangs does not block other operations.
+    if (injected != null) {
+      injected.fail();
     }
   }
 
   @Override
   public synchronized byte[] read(Path file) throws IOException {
-    Inode inode = names.get(file);
+    Inode inode = inodes.get(file);
     if (inode == null) {
       throw new NoSuchFileException(file.toString());
     }
@@ -129,21 +129,21 @@
 
   @Override
   public synchronized OutputFile create(Path file) throws IOException {
-    enter(Operation.CREATE);
+    beginOperation(Operation.CREATE);
     Inode inode = new Inode();
-    if (names.putIfAbsent(file, inode) != null) {
-      throw new FileSystemException(file + " exists");
+    if (inodes.putIfAbsent(file, inode) != null) {
+      throw new FileSystemException(file + " already exists");
     }
     return new OutputFile() {
       @Override
       public void write(ByteBuffer bytes) throws IOException {
-        enter(Operation.WRITE);
+        beginOperation(Operation.WRITE);
         inode.content.write(bytes.get());
       }
 
       @Override
       public void sync() throws IOException {
-        enter(Operation.SYNC);
+        beginOperation(Operation.SYNC);
         inode.synced = inode.content.toByteArray();
       }
 
@@ -154,19 +154,19 @@
 
   @Override
   public synchronized SyncableFile append(Path file, ByteBuffer bytes) throws IOException {
-    if (!names.containsKey(file)) {
-      enter(Operation.CREATE);
-      names.put(file, new Inode());
+    if (!inodes.containsKey(file)) {
+      beginOperation(Operation.CREATE);
+      inodes.put(file, new Inode());
     }
-    Inode inode = names.get(file);
+    Inode inode = inodes.get(file);
     while (bytes.hasRemaining()) {
-      enter(Operation.WRITE);
+      beginOperation(Operation.WRITE);
       inode.content.write(bytes.get());
     }
     return new SyncableFile() {
       @Override
       public void sync() throws IOException {
-        enter(Operation.SYNC);
+        beginOperation(Operation.SYNC);
         inode.synced = inode.content.toByteArray();
       }
 
@@ -177,7 +177,7 @@
 
   @Override
   public synchronized FollowedFile follow(Path file) throws IOException {
-    Inode inode = names.get(file);
+    Inode inode = inodes.get(file);
     if (inode == null) {
       throw new NoSuchFileException(file.toString());
     }
@@ -197,7 +197,7 @@
 
       @Override
       public boolean isAt(Path path) {
-        return names.get(path) == inode;
+        return inodes.get(path) == inode;
       }
 
       @Override
@@ -207,18 +207,18 @@
 
   @Override
   public synchronized void rename(Path from, Path to) throws IOException {
-    enter(Operation.RENAME);
-    names.put(to, names.remove(from));
+    beginOperation(Operation.RENAME);
+    inodes.put(to, inodes.remove(from));
   }
 
   @Override
   public synchronized void delete(Path file) {
-    names.remove(file);
+    inodes.remove(file);
   }
 
   @Override
   public synchronized void syncFolder(Path folder) throws IOException {
-    enter(Operation.SYNC_FOLDER);
-    syncedNames = new HashMap<>(names);
+    beginOperation(Operation.SYNC_FOLDER);
+    syncedInodes = new HashMap<>(inodes);
   }
 }
--- a/node/src/test/java/ferngrade/node/SettableClock.java
+++ b/node/src/test/java/ferngrade/node/SettableClock.java
@@ -1,14 +1,14 @@
 package ferngrade.node;
 
 /**
- * A clock whose two parts a test sets; as on a machine, a step of the wall clock leaves the
- * monotonic one alone.
+ * A clock whose monotonic and wall clock times are set by the test. As on a real machine, a step of
+ * the wall clock does not affect the monotonic clock.
  */
 public final class SettableClock implements Clock {
   private volatile double now;
-  private volatile double wallAhead;
+  private volatile double wallOffset;
 
-  /** A clock whose two parts agree. */
+  /** Creates a clock whose wall clock agrees with its monotonic clock. */
   public SettableClock(double now) {
     this.now = now;
   }
@@ -20,20 +20,20 @@
 
   @Override
   public double wall() {
-    return now + wallAhead;
+    return now + wallOffset;
   }
 
-  /** Time passes, by both parts. */
+  /** Advances both clocks. */
   public synchronized void pass(double millis) {
     now += millis;
   }
 
-  /** The wall clock alone is stepped. */
+  /** Steps the wall clock only. */
   public synchronized void step(double millis) {
-    wallAhead += millis;
+    wallOffset += millis;
   }
 
-  /** The steps that a machine may see, ms, for a TestNG data provider. */
+  /** Returns the clock steps that a machine may see, in ms, as rows of a TestNG data provider. */
   public static Object[][] steps() {
     return new Object[][] {{3_600_000.0}, {-3_600_000.0}, {5_000.0}, {-5_000.0}};
   }
--- a/node/src/test/java/ferngrade/node/SharedLogTest.java
+++ b/node/src/test/java/ferngrade/node/SharedLogTest.java
@@ -16,48 +16,49 @@
 import java.util.Queue;
 import org.junit.jupiter.api.Test;
 
+/** Appends to and follows one log from several processes, with injected disk faults. */
 class SharedLogTest {
   private static final Path PATH = Path.of("/shared/log");
 
   private final FaultInjectingFileOperations files = new FaultInjectingFileOperations();
-  private final Queue<Runnable> scheduled = new ArrayDeque<>();
-  private final Queue<Runnable> appends = new ArrayDeque<>();
-  private final List<String> logged = new ArrayList<>();
+  private final Queue<Runnable> backgroundTasks = new ArrayDeque<>();
+  private final Queue<Runnable> appendTasks = new ArrayDeque<>();
+  private final List<String> logLines = new ArrayList<>();
 
-  /** One process's view of the log. */
+  /** The log as one process opens and follows it. */
   private final class Follower {
     final List<String> records = new ArrayList<>();
-    int replaced;
+    int replacements;
     final SharedLog log =
         new SharedLog(
             PATH,
             files,
-            (task, delay) -> scheduled.add(task),
-            (task, delay) -> appends.add(task),
+            (task, delay) -> backgroundTasks.add(task),
+            (task, delay) -> appendTasks.add(task),
             Runnable::run,
-            logged::add,
+            logLines::add,
             records::add,
-            () -> replaced++);
+            () -> replacements++);
 
     Follower() {
       log.open(true);
     }
   }
 
-  /** Runs what is scheduled now: writes, and one check of each log. */
-  private void runScheduled() {
-    for (int tasks = scheduled.size(); tasks > 0; tasks--) {
-      scheduled.remove().run();
+  /** Runs the tasks that are scheduled now: writes, and one check of each log. */
+  private void runBackgroundTasks() {
+    for (int tasks = backgroundTasks.size(); tasks > 0; tasks--) {
+      backgroundTasks.remove().run();
     }
   }
 
   @Test
-  void eachProcessGetsTheRecordsOfAllInOneOrder() {
+  void allProcessesReadAllRecordsInSameOrder() {
     Follower first = new Follower();
     Follower second = new Follower();
     first.log.append("a", () -> {});
     second.log.append("b", () -> {});
-    runScheduled();
+    runBackgroundTasks();
     first.log.poll();
     second.log.poll();
     assertEquals(List.of("a", "b"), first.records);
@@ -65,9 +66,9 @@
     assertEquals(List.of("a", "b"), new Follower().records);
   }
 
-  /** Fails where a poll within the handling of a record spoils the poll that passed it on. */
+  /** Fails if a poll during the handling of a record corrupts the state of the outer poll. */
   @Test
-  void recordsPolledWhileAnotherIsHandledAreNotLost() {
+  void reentrantPollLosesNoRecords() {
     Follower writer = new Follower();
     List<String> records = new ArrayList<>();
     SharedLog[] nested = new SharedLog[1];
@@ -75,15 +76,15 @@
         new SharedLog(
             PATH,
             files,
-            (task, delay) -> scheduled.add(task),
-            (task, delay) -> appends.add(task),
+            (task, delay) -> backgroundTasks.add(task),
+            (task, delay) -> appendTasks.add(task),
             Runnable::run,
-            logged::add,
+            logLines::add,
             record -> {
               records.add(record);
               if (records.equals(List.of("a"))) {
                 writer.log.append("c".repeat(40), () -> {});
-                runScheduled();
+                runBackgroundTasks();
                 nested[0].poll();
               }
             },
@@ -91,59 +92,62 @@
     nested[0].open(true);
     writer.log.append("a", () -> {});
     writer.log.append("b", () -> {});
-    runScheduled();
+    runBackgroundTasks();
     nested[0].poll();
     nested[0].poll();
-    assertEquals(List.of("a", "b", "c".repeat(40)), records, logged::toString);
+    assertEquals(List.of("a", "b", "c".repeat(40)), records, logLines::toString);
   }
 
   @Test
-  void recordIsReportedStoredOnlyOnceTheDiskHasTaken() {
+  void reportsRecordAsDurableOnlyAfterSync() {
     Follower follower = new Follower();
     List<String> stored = new ArrayList<>();
     files.fail(Operation.SYNC, FaultInjectingFileOperations.error("Input/output error"));
     follower.log.append("a", () -> stored.add("a"));
-    runScheduled();
+    runBackgroundTasks();
     assertEquals(List.of(), stored);
     files.heal();
-    runScheduled();
+    runBackgroundTasks();
     assertEquals(List.of("a"), stored);
-    // What the disk has taken before the error is there too: records may repeat, none is lost.
+    // Bytes written before the error are in the file too: records may repeat, but none is lost.
     follower.log.poll();
     assertEquals("a", follower.records.get(0));
   }
 
-  /** Fails where a process that ends waits for a disk, or leaves a record unread behind it. */
+  /**
+   * Fails if a process that shuts down has to wait for a slow disk, or leaves a record that other
+   * processes cannot read.
+   */
   @Test
-  void recordCanBeReadBeforeADiskThatIsBusyHasTakenIt() {
+  void recordIsReadableBeforeSlowDiskSyncsIt() {
     Follower ending = new Follower();
     Follower other = new Follower();
-    List<String> reached = new ArrayList<>();
-    ending.log.append("a", () -> reached.add("durable"));
-    ending.log.whenAppended(() -> reached.add("appended"));
-    assertEquals(List.of(), reached);
-    appends.remove().run();
+    List<String> events = new ArrayList<>();
+    ending.log.append("a", () -> events.add("durable"));
+    ending.log.whenAppended(() -> events.add("appended"));
+    assertEquals(List.of(), events);
+    appendTasks.remove().run();
     other.log.poll();
     assertEquals(List.of("a"), other.records);
-    assertEquals(List.of("appended"), reached);
-    runScheduled();
-    assertEquals(List.of("appended", "durable"), reached);
+    assertEquals(List.of("appended"), events);
+    runBackgroundTasks();
+    assertEquals(List.of("appended", "durable"), events);
     other.log.poll();
     assertEquals(List.of("a"), other.records);
   }
 
   @Test
-  void recordCutShortAnywhereIsSkippedAndSpoilsNoOther() {
-    Follower whole = new Follower();
-    whole.log.append("{\"worker\":\"s-1\"}", () -> {});
-    runScheduled();
+  void skipsRecordTruncatedAtAnyByte() {
+    Follower writer = new Follower();
+    writer.log.append("{\"worker\":\"s-1\"}", () -> {});
+    runBackgroundTasks();
     byte[] bytes = contents();
     for (int cut = 0; cut < bytes.length - 1; cut++) {
-      FaultInjectingFileOperations torn = new FaultInjectingFileOperations();
-      torn.put(PATH, Arrays.copyOf(bytes, cut));
-      appendTo(torn, "next");
-      List<String> read = read(torn);
-      assertEquals(List.of("next"), read, "cut at " + cut);
+      FaultInjectingFileOperations truncatedFiles = new FaultInjectingFileOperations();
+      truncatedFiles.put(PATH, Arrays.copyOf(bytes, cut));
+      appendTo(truncatedFiles, "next");
+      List<String> records = readRecords(truncatedFiles);
+      assertEquals(List.of("next"), records, "truncated at byte " + cut);
     }
   }
 
@@ -165,13 +169,13 @@
             (task, delay) -> {},
             Runnable::run,
             line -> {},
-            each -> {},
+            ignored -> {},
             () -> {});
     writer.append(record, () -> {});
     tasks.remove().run();
   }
 
-  private static List<String> read(FaultInjectingFileOperations files) {
+  private static List<String> readRecords(FaultInjectingFileOperations files) {
     List<String> records = new ArrayList<>();
     new SharedLog(
             PATH,
@@ -187,38 +191,41 @@
   }
 
   @Test
-  void anotherFileInItsPlaceIsFollowedAndAskedToBeFilledAgain() {
+  void followsReplacementFileAndRequestsRecordsAgain() {
     Follower follower = new Follower();
     follower.log.append("a", () -> {});
-    runScheduled();
+    runBackgroundTasks();
     follower.log.poll();
     files.put(PATH, "\n".getBytes(StandardCharsets.US_ASCII));
-    runScheduled();
-    assertEquals(1, follower.replaced);
+    runBackgroundTasks();
+    assertEquals(1, follower.replacements);
     appendTo(files, "b");
     follower.log.poll();
     assertEquals(List.of("a", "b"), follower.records);
   }
 
   @Test
-  void logThatCannotBeOpenedIsNotCompleteUntilItCan() {
+  void logIsIncompleteUntilItCanBeOpened() {
     files.fail(Operation.CREATE, FaultInjectingFileOperations.error("No space left on device"));
     Follower follower = new Follower();
     assertFalse(follower.log.complete());
     files.heal();
-    runScheduled();
+    runBackgroundTasks();
     assertTrue(follower.log.complete());
-    assertEquals(1, follower.replaced);
+    assertEquals(1, follower.replacements);
   }
 
-  /** Fails where a process relies on a file that the others do not write to any more. */
+  /** Fails if a process relies on a file to which the other processes no longer append. */
   @Test
-  void logIsNotCurrentWhileAnotherFileStandsInItsPlace() {
+  void logIsNotCurrentAfterFileWasReplaced() {
     Follower follower = new Follower();
     assertTrue(follower.log.current());
     files.put(PATH, "\n".getBytes(StandardCharsets.US_ASCII));
     appendTo(files, "b");
     follower.log.poll();
-    assertEquals(follower.log.current(), follower.records.contains("b"), "all that the log holds");
+    assertEquals(
+        follower.log.current(),
+        follower.records.contains("b"),
+        "the log must be current if and only if all its records were passed on");
   }
 }
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
@@ -23,27 +23,27 @@
 import org.testng.annotations.Test;
 
 /**
- * What the decisions send a worker that joins and warms up, at 200 requests a second and with both
- * machines' wall clocks stepped at some moment before: the same as without a step.
+ * A worker that joins and warms up at 200 requests a second must get the same number of requests in
+ * each second, whether or not wall clocks were stepped at some earlier time.
  */
 public class SlowStartAcrossStepsTest {
-  private static final double START = 1_700_000_000_000.0;
-  private static final int SECONDS_OBSERVED = 10;
-  private static final double PAUSE = 5;
-  private static final double SERVICE = 20;
-
-  /** When the step comes. */
-  private enum Moment {
-    BEFORE_THE_FIRST_LIST,
-    BEFORE_THE_WORKER_STARTS,
-    BETWEEN_ITS_START_AND_ITS_LISTING,
-    WHILE_IT_WARMS_UP
+  private static final double START_MILLIS = 1_700_000_000_000.0;
+  private static final int OBSERVED_SECONDS = 10;
+  private static final double REQUEST_INTERVAL_MILLIS = 5;
+  private static final double SERVICE_TIME_MILLIS = 20;
+
+  /** When the wall clocks are stepped. */
+  private enum StepTime {
+    BEFORE_FIRST_LIST,
+    BEFORE_WORKER_START,
+    BETWEEN_START_AND_LISTING,
+    DURING_WARM_UP
   }
 
-  /** Whose wall clock is stepped: of all machines, or of this one alone. */
-  private enum Stepped {
-    ALL,
-    THIS_ONE
+  /** The machines whose wall clocks are stepped: all of them, or only the one of this process. */
+  private enum SteppedClocks {
+    ALL_MACHINES,
+    THIS_MACHINE
   }
 
   @DataProvider
@@ -51,39 +51,46 @@
     return Arrays.stream(SettableClock.steps())
         .flatMap(
             step ->
-                Arrays.stream(Moment.values())
+                Arrays.stream(StepTime.values())
                     .flatMap(
-                        moment ->
-                            Arrays.stream(Stepped.values())
-                                .map(who -> new Object[] {step[0], moment, who})))
+                        stepTime ->
+                            Arrays.stream(SteppedClocks.values())
+                                .map(
+                                    steppedClocks ->
+                                        new Object[] {step[0], stepTime, steppedClocks})))
         .toArray(Object[][]::new);
   }
 
   @Test(dataProvider = "cases")
-  public void joinedWorkersSlowStartGoesAsWithoutAStep(double step, Moment moment, Stepped who) {
-    int[] without = new Run().sends(0, moment, who);
+  public void clockStepDoesNotChangeSlowStartOfJoinedWorker(
+      double step, StepTime stepTime, SteppedClocks steppedClocks) {
+    int[] expected = new SimulatedNode().sendsPerSecond(0, stepTime, steppedClocks);
     assertTrue(
-        without[0] > 0 && without[0] < without[SECONDS_OBSERVED - 1] / 2, Arrays.toString(without));
-    assertEquals(new Run().sends(step, moment, who), without);
+        expected[0] > 0 && expected[0] < expected[OBSERVED_SECONDS - 1] / 2,
+        Arrays.toString(expected));
+    assertEquals(new SimulatedNode().sendsPerSecond(step, stepTime, steppedClocks), expected);
   }
 
-  /** A node with the module's own decisions, between two workers that serve all they get. */
-  private static final class Run implements WorkerTransport {
-    private final SettableClock clock = new SettableClock(START);
+  /**
+   * Simulates a node that uses the real dispatcher, with two workers that serve all requests they
+   * receive.
+   */
+  private static final class SimulatedNode implements WorkerTransport {
+    private final SettableClock clock = new SettableClock(START_MILLIS);
     private final Timers timers = new Timers(clock, (millis, run) -> {});
     private final Deque<Runnable> tasks = new ArrayDeque<>();
-    private final int[] sent = new int[SECONDS_OBSERVED];
-    private final RequestCoordinator node;
+    private final int[] sentPerSecond = new int[OBSERVED_SECONDS];
+    private final RequestCoordinator coordinator;
     private double step;
-    private Moment moment;
+    private StepTime stepTime;
 
-    /** The wall clock of the workers' machines, less the monotonic one here. */
-    private double theirsAhead;
+    /** The wall clock of the workers' machines minus the monotonic clock of this machine, ms. */
+    private double workerWallOffset;
 
     private double joinedAt = Double.NaN;
     private int requests;
 
-    Run() {
+    SimulatedNode() {
       SettingsMapping settings = new SettingsMapping();
       settings.put(
           Json.parse(
@@ -92,7 +99,7 @@
                   "Rules":{"StartCapacity":0.1,"Cold":6000,"FallMultiple":1.5,"TipAfter":500},
                   "Classes":[{"Name":"draft","Effect":"idempotent","Deadline":1000.0}]}""")
               .asObject());
-      node =
+      coordinator =
           new RequestCoordinator(
               new RequestCoordinator.Surroundings(
                   clock,
@@ -105,29 +112,29 @@
               actions -> new ThrottlingDispatcher(settings.build(), 7, clock.now(), actions));
     }
 
-    int[] sends(double by, Moment when, Stepped who) {
-      step = by;
-      moment = when;
-      at(Moment.BEFORE_THE_FIRST_LIST, who);
-      node.members(EndpointListUpdate.WHOLE, List.of(entry(1, 0)));
-      traffic(20_000);
-      at(Moment.BEFORE_THE_WORKER_STARTS, who);
-      double listedStart = clock.now() + theirsAhead;
-      at(Moment.BETWEEN_ITS_START_AND_ITS_LISTING, who);
-      traffic(100);
+    int[] sendsPerSecond(double stepMillis, StepTime stepTime, SteppedClocks steppedClocks) {
+      step = stepMillis;
+      this.stepTime = stepTime;
+      stepIfDue(StepTime.BEFORE_FIRST_LIST, steppedClocks);
+      coordinator.members(EndpointListUpdate.WHOLE, List.of(entry(1, 0)));
+      sendRequests(20_000);
+      stepIfDue(StepTime.BEFORE_WORKER_START, steppedClocks);
+      double listedStart = clock.now() + workerWallOffset;
+      stepIfDue(StepTime.BETWEEN_START_AND_LISTING, steppedClocks);
+      sendRequests(100);
       joinedAt = clock.now();
-      node.members(EndpointListUpdate.CHANGES, List.of(entry(2, listedStart)));
-      traffic(1_000);
-      at(Moment.WHILE_IT_WARMS_UP, who);
-      node.members(EndpointListUpdate.WHOLE, List.of(entry(1, 0), entry(2, listedStart)));
-      traffic(SECONDS_OBSERVED * 1000 - 1_000 - PAUSE);
-      return sent;
+      coordinator.members(EndpointListUpdate.CHANGES, List.of(entry(2, listedStart)));
+      sendRequests(1_000);
+      stepIfDue(StepTime.DURING_WARM_UP, steppedClocks);
+      coordinator.members(EndpointListUpdate.WHOLE, List.of(entry(1, 0), entry(2, listedStart)));
+      sendRequests(OBSERVED_SECONDS * 1000 - 1_000 - REQUEST_INTERVAL_MILLIS);
+      return sentPerSecond;
     }
 
-    private void at(Moment here, Stepped who) {
-      if (moment == here) {
+    private void stepIfDue(StepTime current, SteppedClocks steppedClocks) {
+      if (stepTime == current) {
         clock.step(step);
-        theirsAhead += who == Stepped.ALL ? step : 0;
+        workerWallOffset += steppedClocks == SteppedClocks.ALL_MACHINES ? step : 0;
       }
     }
 
@@ -138,15 +145,15 @@
           new Worker(id, WorkerState.READY, 0, 0, 0, listedStart, 1));
     }
 
-    private void traffic(double millis) {
-      for (double passed = 0; passed < millis; passed += PAUSE) {
-        clock.pass(PAUSE);
+    private void sendRequests(double millis) {
+      for (double elapsed = 0; elapsed < millis; elapsed += REQUEST_INTERVAL_MILLIS) {
+        clock.pass(REQUEST_INTERVAL_MILLIS);
         timers.run();
         String id = "r" + requests++;
-        node.request(
+        coordinator.request(
             new Job(id, 0, 0, clock.now() + 1000, 0, 1, 0, 0),
             new JobRequest(id, "POST", "/api", null, new byte[0]),
-            new Unheard());
+            new IgnoredResponse());
         while (!tasks.isEmpty()) {
           tasks.poll().run();
         }
@@ -155,16 +162,16 @@
 
     @Override
     public AttemptHandle send(
-        JobRequest call, InetSocketAddress worker, double patience, Listener listener) {
+        JobRequest call, InetSocketAddress worker, double timeout, Listener listener) {
       if (worker.getPort() == 2) {
-        sent[(int) ((clock.now() - joinedAt) / 1000)]++;
+        sentPerSecond[(int) ((clock.now() - joinedAt) / 1000)]++;
       }
       listener.written();
       listener.taken();
       timers.after(
-          SERVICE,
+          SERVICE_TIME_MILLIS,
           () ->
-              node.callback(
+              coordinator.callback(
                   new WorkerCallback(
                       call.id(),
                       "s-" + worker.getPort(),
@@ -172,7 +179,7 @@
                       1,
                       "r",
                       LoadReport.NONE)));
-      return told -> {};
+      return whenNotified -> {};
     }
 
     @Override
@@ -181,8 +188,8 @@
     }
   }
 
-  /** The client of a request, whose answer does not matter here. */
-  private static final class Unheard implements ResponseHandler {
+  /** Ignores the answer to a request. */
+  private static final class IgnoredResponse implements ResponseHandler {
     @Override
     public void served(String result) {}
 
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
@@ -24,25 +24,26 @@
 import org.testng.annotations.Test;
 
 /**
- * Deadlines, idempotency windows, Retry-After, drains and waits are spans of real time: the same
- * events, with the wall clock stepped at any point between them, bring the same answers, sends and
- * times.
+ * Deadlines, idempotency windows, Retry-After delays, drains and timeouts must be measured in
+ * monotonic time: the same input must lead to the same answers, sends and times when the wall clock
+ * is stepped at any point.
  */
 public class SpansAcrossStepsTest {
-  private static final double START = 1_700_000_000_000.0;
-  private static final int POINTS = 10;
+  private static final double START_MILLIS = 1_700_000_000_000.0;
+  private static final int STEP_POINTS = 10;
 
   @DataProvider
   public Object[][] cases() {
     return Stream.of(SettableClock.steps())
         .flatMap(
-            step -> IntStream.range(0, POINTS).mapToObj(point -> new Object[] {step[0], point}))
+            step ->
+                IntStream.range(0, STEP_POINTS).mapToObj(point -> new Object[] {step[0], point}))
         .toArray(Object[][]::new);
   }
 
   @Test(dataProvider = "cases")
-  public void stepOfTheWallClockAtAnyPointChangesNothing(double step, int point) {
-    List<String> events = new Run(0, point).events();
+  public void wallClockStepAtAnyPointChangesNoEvent(double step, int point) {
+    List<String> events = new SimulatedNode(0, point).events();
     assertEquals(
         events,
         List.of(
@@ -52,27 +53,27 @@
             "120.0 outside to s-2 for 1000.0",
             "620.0 outside refused for 20.0",
             "620.0 hangs to s-2 for 1000.0",
-            "1620.0 hangs given up",
+            "1620.0 hangs cancelled",
             "1620.0 hangs failed",
             "1620.0 drained refused for 20.0"),
-        "without a step");
-    assertEquals(new Run(step, point).events(), events);
+        "events without a clock step");
+    assertEquals(new SimulatedNode(step, point).events(), events);
   }
 
-  /** One course of events at a node with the module's own decisions. */
-  private static final class Run implements WorkerTransport {
-    private final SettableClock clock = new SettableClock(START);
+  /** Simulates a node that uses the real dispatcher, and runs one fixed sequence of events. */
+  private static final class SimulatedNode implements WorkerTransport {
+    private final SettableClock clock = new SettableClock(START_MILLIS);
     private final Timers timers = new Timers(clock, (millis, run) -> {});
     private final Deque<Runnable> tasks = new ArrayDeque<>();
     private final List<String> events = new ArrayList<>();
-    private final RequestCoordinator node;
+    private final RequestCoordinator coordinator;
     private final double step;
     private final int point;
-    private int passed;
-    private Listener last;
+    private int stepPointsPassed;
+    private Listener lastListener;
     private String lastWorker;
 
-    Run(double step, int point) {
+    SimulatedNode(double step, int point) {
       this.step = step;
       this.point = point;
       SettingsMapping settings = new SettingsMapping();
@@ -84,7 +85,7 @@
 "Classes":[{"Name":"plan","Effect":"deduplicated","KeyScope":"all","Window":400,"Deadline":1000.0},
 {"Name":"order","Effect":"at_most_once","Deadline":1000.0}]}""")
               .asObject());
-      node =
+      coordinator =
           new RequestCoordinator(
               new RequestCoordinator.Surroundings(
                   clock,
@@ -97,40 +98,43 @@
               actions -> new ThrottlingDispatcher(settings.build(), 7, clock.now(), actions));
     }
 
-    /** All of it; a point at which the step may come lies between any two events. */
+    /**
+     * Runs the whole sequence and returns the recorded events. The clock may be stepped between any
+     * two events.
+     */
     List<String> events() {
-      point();
-      list(WorkerState.READY);
-      point();
+      stepIfDue();
+      updateList(WorkerState.READY);
+      stepIfDue();
       request("keyed", 0);
-      pass(100);
-      last.ended(AttemptOutcome.RESET, LoadReport.NONE);
+      advance(100);
+      lastListener.ended(AttemptOutcome.RESET, LoadReport.NONE);
       run();
-      pass(20);
-      node.callback(
+      advance(20);
+      coordinator.callback(
           new WorkerCallback(
               "keyed", lastWorker, WorkerCallback.State.DONE, 1, "r", LoadReport.NONE));
       run();
       request("outside", 0);
-      pass(500);
-      last.ended(AttemptOutcome.RESET, LoadReport.NONE);
+      advance(500);
+      lastListener.ended(AttemptOutcome.RESET, LoadReport.NONE);
       run();
       request("hangs", 1);
-      pass(1_000);
-      list(WorkerState.DRAINING);
+      advance(1_000);
+      updateList(WorkerState.DRAINING);
       request("drained", 1);
-      pass(100);
+      advance(100);
       return events;
     }
 
-    private void point() {
-      if (passed++ == point) {
+    private void stepIfDue() {
+      if (stepPointsPassed++ == point) {
         clock.step(step);
       }
     }
 
-    private void list(WorkerState state) {
-      node.members(EndpointListUpdate.WHOLE, List.of(entry(1, state), entry(2, state)));
+    private void updateList(WorkerState state) {
+      coordinator.members(EndpointListUpdate.WHOLE, List.of(entry(1, state), entry(2, state)));
       run();
     }
 
@@ -142,21 +146,21 @@
     }
 
     private void request(String id, int jobClass) {
-      node.request(
+      coordinator.request(
           new Job(id, jobClass, 0, clock.now() + 1000, 0, 1, 0, 0),
           new JobRequest(id, "POST", "/api", id, new byte[0]),
-          new Answers(id));
+          new AnswerRecorder(id));
       run();
-      point();
+      stepIfDue();
     }
 
-    private void pass(double millis) {
-      for (double gone = 0; gone < millis; gone += 10) {
+    private void advance(double millis) {
+      for (double elapsed = 0; elapsed < millis; elapsed += 10) {
         clock.pass(10);
         timers.run();
         run();
       }
-      point();
+      stepIfDue();
     }
 
     private void run() {
@@ -165,21 +169,21 @@
       }
     }
 
-    private void event(String what) {
-      events.add((clock.now() - START) + " " + what);
+    private void event(String description) {
+      events.add((clock.now() - START_MILLIS) + " " + description);
     }
 
     @Override
     public AttemptHandle send(
-        JobRequest call, InetSocketAddress worker, double patience, Listener listener) {
+        JobRequest call, InetSocketAddress worker, double timeout, Listener listener) {
       lastWorker = "s-" + worker.getPort();
-      event(call.id() + " to " + lastWorker + " for " + patience);
-      last = listener;
+      event(call.id() + " to " + lastWorker + " for " + timeout);
+      lastListener = listener;
       listener.written();
       listener.taken();
-      return told -> {
-        event(call.id() + " given up");
-        told.run();
+      return whenNotified -> {
+        event(call.id() + " cancelled");
+        whenNotified.run();
       };
     }
 
@@ -188,11 +192,11 @@
       listener.accept(AttemptOutcome.OK, LoadReport.NONE);
     }
 
-    /** Notes the answer to one request. */
-    private final class Answers implements ResponseHandler {
+    /** Records the answer to one request. */
+    private final class AnswerRecorder implements ResponseHandler {
       private final String id;
 
-      Answers(String id) {
+      AnswerRecorder(String id) {
         this.id = id;
       }
 
--- a/node/src/test/java/ferngrade/node/StartTimesTest.java
+++ b/node/src/test/java/ferngrade/node/StartTimesTest.java
@@ -13,17 +13,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Where the translated starts of workers come to lie when wall clocks are stepped. */
+/** Converts workers' start times while wall clocks are stepped. */
 public class StartTimesTest {
-  private static final double START = 1_700_000_000_000.0;
-  private static final double HOUR = 3_600_000;
+  private static final double START_MILLIS = 1_700_000_000_000.0;
+  private static final double HOUR_MILLIS = 3_600_000;
   private SettableClock clock;
-  private StartTimes times;
+  private StartTimes startTimes;
 
   @BeforeMethod
-  public void begin() {
-    clock = new SettableClock(START);
-    times = new StartTimes(clock);
+  public void createStartTimes() {
+    clock = new SettableClock(START_MILLIS);
+    startTimes = new StartTimes(clock);
   }
 
   @DataProvider
@@ -38,30 +38,31 @@
         new Worker(id, WorkerState.READY, 0, 0, 0, listedStart, 1));
   }
 
-  private double translated(EndpointListUpdate news, Endpoint entry) {
-    return times.translate(news, List.of(entry)).get(0).worker().startedAt();
+  private double translated(EndpointListUpdate updateType, Endpoint entry) {
+    return startTimes.translate(updateType, List.of(entry)).get(0).worker().startedAt();
   }
 
-  /** The age, ms, that a worker is given which this list is the first to hold. */
-  private double age(EndpointListUpdate news, long id, double listedStart) {
-    return clock.now() - translated(news, entry(id, listedStart));
+  /** Returns the age, ms, that is assumed for a worker in the first list that contains it. */
+  private double age(EndpointListUpdate updateType, long id, double listedStart) {
+    return clock.now() - translated(updateType, entry(id, listedStart));
   }
 
   @Test
-  public void withoutAStepEntriesPassAsTheyAre() {
-    List<Endpoint> list = List.of(entry(1, 0), entry(2, START - 70_000), entry(3, START));
-    assertEquals(times.translate(EndpointListUpdate.WHOLE, list), list);
+  public void entriesAreUnchangedWithoutClockStep() {
+    List<Endpoint> list =
+        List.of(entry(1, 0), entry(2, START_MILLIS - 70_000), entry(3, START_MILLIS));
+    assertEquals(startTimes.translate(EndpointListUpdate.WHOLE, list), list);
   }
 
   @Test(dataProvider = "steps")
-  public void stepBeforeTheFirstListOfBothMachinesIsTakenOut(double step) {
+  public void correctsStepOfBothMachinesBeforeFirstList(double step) {
     clock.step(step);
     assertEquals(age(EndpointListUpdate.WHOLE, 1, clock.wall() - 2_000), 2_000.0);
     assertEquals(translated(EndpointListUpdate.WHOLE, entry(2, 0)), 0.0);
   }
 
   @Test(dataProvider = "steps")
-  public void stepBetweenTwoListsOfBothMachinesIsTakenOut(double step) {
+  public void correctsStepOfBothMachinesBetweenTwoLists(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
     clock.step(step);
@@ -70,7 +71,7 @@
   }
 
   @Test(dataProvider = "steps")
-  public void stepOfThisMachineAloneDoesNotCount(double step) {
+  public void ignoresStepOfThisMachineOnly(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
     clock.step(step);
@@ -79,69 +80,74 @@
   }
 
   @Test(dataProvider = "steps")
-  public void stepOfAWorkersMachineAloneLeavesItNoOlderThanAListWithoutIt(double step) {
+  public void boundsAgeByEarlierListAfterStepOfWorkersMachineOnly(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
-    times.unchanged();
+    startTimes.unchanged();
     clock.pass(300);
     double age = age(EndpointListUpdate.CHANGES, 2, clock.now() - 300 + step);
     assertEquals(age, step > 0 ? 0.0 : Math.min(300 - step, 6_300));
   }
 
   @Test(dataProvider = "steps")
-  public void stepDuringASilenceOfTheListIsTakenOutThoughStartsFromBeforeItComeLater(double step) {
+  public void correctsStepForStartRecordedBeforeIt(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
-    double noted = clock.wall() - 200;
+    double recordedStart = clock.wall() - 200;
     clock.step(step);
     clock.pass(100);
-    assertEquals(age(EndpointListUpdate.CHANGES, 2, noted), 300.0);
+    assertEquals(age(EndpointListUpdate.CHANGES, 2, recordedStart), 300.0);
   }
 
   @Test(dataProvider = "steps")
-  public void startOnceKnownStaysThroughStepsAndAbsences(double step) {
-    Endpoint listed = entry(1, START - 2_000);
+  public void knownStartIsKeptThroughStepsAndAbsences(double step) {
+    Endpoint listed = entry(1, START_MILLIS - 2_000);
     double start = translated(EndpointListUpdate.STORED, listed);
-    for (EndpointListUpdate news :
+    for (EndpointListUpdate updateType :
         List.of(EndpointListUpdate.WHOLE, EndpointListUpdate.CHANGES, EndpointListUpdate.WHOLE)) {
       clock.step(step);
       clock.pass(10_000);
-      assertEquals(translated(news, listed), start, news.name());
+      assertEquals(translated(updateType, listed), start, updateType.name());
       translated(EndpointListUpdate.WHOLE, entry(2, 0));
     }
-    assertEquals(translated(EndpointListUpdate.WHOLE, listed), start, "it was left out for a time");
+    assertEquals(
+        translated(EndpointListUpdate.WHOLE, listed),
+        start,
+        "the start must be kept although a list did not contain the worker");
   }
 
   @Test(dataProvider = "steps")
-  public void restartIsSeenThoughTheBoundsPutBothStartsOnOneMoment(double step) {
+  public void restartIsDetectedWhenBoundsYieldEqualStarts(double step) {
     clock.step(step);
-    double first = translated(EndpointListUpdate.WHOLE, entry(1, clock.now() + 10 * HOUR));
+    double first = translated(EndpointListUpdate.WHOLE, entry(1, clock.now() + 10 * HOUR_MILLIS));
     assertNotEquals(
-        translated(EndpointListUpdate.CHANGES, entry(1, clock.now() + 11 * HOUR)), first);
+        translated(EndpointListUpdate.CHANGES, entry(1, clock.now() + 11 * HOUR_MILLIS)), first);
   }
 
   @Test(dataProvider = "steps")
-  public void startAheadOfBothClocksIsNotAheadOfTheList(double step) {
+  public void startAheadOfBothClocksIsLimitedToTimeOfList(double step) {
     clock.step(step);
-    assertEquals(age(EndpointListUpdate.WHOLE, 1, clock.wall() + 20 * HOUR), 0.0);
+    assertEquals(age(EndpointListUpdate.WHOLE, 1, clock.wall() + 20 * HOUR_MILLIS), 0.0);
   }
 
   @Test
-  public void manyStepsBackAndForthKeepTheRelationsThatHold() {
+  public void repeatedStepsKeepMatchingOffsets() {
     for (int i = 0; i < 100; i++) {
-      clock.step(i % 2 == 0 ? HOUR : -HOUR);
+      clock.step(i % 2 == 0 ? HOUR_MILLIS : -HOUR_MILLIS);
       clock.pass(5_000);
       assertEquals(age(EndpointListUpdate.CHANGES, i + 1, clock.wall() - 10), 10.0);
     }
   }
 
   @Test(dataProvider = "steps")
-  public void savedTimesPassFromProcessToProcessByTheWallClock(double step) {
+  public void savedTimesAreConvertedBetweenProcessesByWallClock(double step) {
     clock.step(step);
-    double saved = times.toWall(clock.now() - 4_000);
-    SettableClock later = new SettableClock(clock.wall() + 1_000);
-    assertEquals(new StartTimes(later).toMonotonic(saved), later.now() - 5_000);
+    double saved = startTimes.toWall(clock.now() - 4_000);
+    SettableClock laterClock = new SettableClock(clock.wall() + 1_000);
+    assertEquals(new StartTimes(laterClock).toMonotonic(saved), laterClock.now() - 5_000);
     assertEquals(
-        new StartTimes(later).toMonotonic(later.now() + HOUR), later.now(), "not ahead of now");
+        new StartTimes(laterClock).toMonotonic(laterClock.now() + HOUR_MILLIS),
+        laterClock.now(),
+        "the converted time must not be later than now");
   }
 }
--- a/node/src/test/java/ferngrade/node/TimersTest.java
+++ b/node/src/test/java/ferngrade/node/TimersTest.java
@@ -11,42 +11,42 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Timers on a clock and a waker that the test sets. */
+/** Runs timers with a clock and a waker that the test controls. */
 class TimersTest {
-  private record Wake(double at, Runnable run) {}
+  private record WakeUp(double at, Runnable run) {}
 
-  private final PriorityQueue<Wake> wakes =
-      new PriorityQueue<>(Comparator.comparingDouble(Wake::at));
+  private final PriorityQueue<WakeUp> wakeUps =
+      new PriorityQueue<>(Comparator.comparingDouble(WakeUp::at));
   private double now;
-  private long woken;
+  private long wakeUpCount;
   private final Timers timers =
-      new Timers(() -> now, (millis, run) -> wakes.add(new Wake(now + millis, run)));
+      new Timers(() -> now, (millis, run) -> wakeUps.add(new WakeUp(now + millis, run)));
 
   private void runUntil(double end) {
-    while (!wakes.isEmpty() && wakes.peek().at() <= end) {
-      Wake wake = wakes.poll();
-      now = wake.at();
-      woken++;
-      wake.run().run();
+    while (!wakeUps.isEmpty() && wakeUps.peek().at() <= end) {
+      WakeUp wakeUp = wakeUps.poll();
+      now = wakeUp.at();
+      wakeUpCount++;
+      wakeUp.run().run();
     }
     now = end;
   }
 
   @Test
-  void wakeUpsDoNotGrowWithTimersThatComeFirst() {
-    int set = 20_000;
-    for (int i = 0; i < set; i++) {
+  void wakeUpsDoNotGrowWithTimersThatAreDueFirst() {
+    int iterations = 20_000;
+    for (int i = 0; i < iterations; i++) {
       timers.after(2000, () -> {});
-      // Due before everything else: each asks for a wake-up of its own.
+      // Due before all other timers, so each of these timers requests its own wake-up.
       timers.after(1, () -> {});
       runUntil(now + 10);
     }
-    assertTrue(woken <= 3L * set, "woken " + woken);
-    assertTrue(wakes.size() <= 2, "wake-ups left over: " + wakes.size());
+    assertTrue(wakeUpCount <= 3L * iterations, "number of wake-ups: " + wakeUpCount);
+    assertTrue(wakeUps.size() <= 2, "wake-ups that are still scheduled: " + wakeUps.size());
   }
 
   @Test
-  void everyTimerRunsInItsTimeAndOrderUnlessCalledOff() {
+  void timersRunAtDueTimeInOrderUnlessCancelled() {
     SplittableRandom random = new SplittableRandom(7);
     List<Double> ran = new ArrayList<>();
     List<Double> due = new ArrayList<>();
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void taskThatThrowsLeavesTheOthersTheirWakeUp() {
+  void throwingTaskDoesNotCancelWakeUpOfOthers() {
     List<String> ran = new ArrayList<>();
     timers.after(
         1,
