--- a/node/src/main/java/ferngrade/node/AtomicFile.java
+++ b/node/src/main/java/ferngrade/node/AtomicFile.java
@@ -9,73 +9,73 @@
 import java.util.function.Consumer;
 
 /**
- * A small file that a later process of the same node takes over, say across an upgrade. Its content
- * is replaced atomically and durably: written to a temporary file beside it and synced, renamed
- * over it, and the folder synced. A reader finds the old content or the new one, whenever the
- * process or the machine stops.
+ * A small file that passes state to a later process of the same node, for example across an
+ * upgrade. Replaces the file's content atomically and durably: writes a temporary file in the same
+ * directory, syncs it, renames it over the file, and syncs the directory. Whenever the process or
+ * the machine stops, a reader finds either the old content or the new content.
  *
- * <p>Writes run in the background, see {@link BackgroundWriter}, until the newest content is
- * durable; content that newer content has replaced meanwhile is not written any more. Every attempt
- * begins with a new temporary file, since nothing is known of what the disk holds of a file whose
- * sync has failed.
+ * <p>Writes run in the background, see {@link BackgroundWriter}, until the latest content is
+ * durable; content that has been superseded before its write is skipped. Every attempt starts with
+ * a new temporary file, because the on-disk state of a file whose sync failed is unknown.
  */
 public final class AtomicFile {
   private final Path path;
-  private final Path temporary;
-  private final FileOperations files;
+  private final Path temporaryPath;
+  private final FileOperations fileOperations;
   private final BackgroundWriter writer;
 
-  /** What is to be durable, null before the first write. */
-  private volatile String newest;
+  /** The content to make durable; null before the first write. */
+  private volatile String latestContent;
 
   /**
-   * The file at {@code path}, whose folder must exist. {@code log} gets a line when writes begin to
-   * fail and when they succeed again; it is called on the scheduler's thread.
+   * Creates a handle for the file at {@code path}, whose directory must exist. {@code log} receives
+   * a line when writes start to fail and when they succeed again; it is called on the scheduler's
+   * thread.
    */
   public AtomicFile(
-      Path path, FileOperations files, TaskScheduler scheduler, Consumer<String> log) {
+      Path path, FileOperations fileOperations, TaskScheduler scheduler, Consumer<String> log) {
     this.path = path;
-    // Two processes of a node may run at once: neither may write into the other's temporary file.
-    this.temporary =
+    // Two processes of a node may run at the same time, so the process id keeps their temporary
+    // files apart.
+    this.temporaryPath =
         path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid() + ".next");
-    this.files = files;
+    this.fileOperations = fileOperations;
     this.writer =
         new BackgroundWriter(path.getFileName().toString(), scheduler, log, this::replace);
   }
 
-  /** What an earlier process wrote, or null where there is no such file. */
+  /** Returns the content that an earlier process wrote; null if the file does not exist. */
   public String read() throws IOException {
     try {
-      // A decoder of its own, since that of a String takes damaged text for good.
+      // A decoder reports malformed input; the String constructor would replace it silently.
       return StandardCharsets.UTF_8
           .newDecoder()
-          .decode(ByteBuffer.wrap(files.read(path)))
+          .decode(ByteBuffer.wrap(fileOperations.read(path)))
           .toString();
-    } catch (NoSuchFileException none) {
+    } catch (NoSuchFileException missing) {
       return null;
     }
   }
 
   /**
-   * Makes {@code text} the file's content in the background. {@code durable} runs on the
-   * scheduler's thread once this content, or newer content, is on the disk; until then attempts go
-   * on.
+   * Writes {@code text} as the file's content in the background, and retries until that succeeds.
+   * {@code durable} runs on the scheduler's thread once this content, or later content, is on disk.
    */
   public void write(String text, Runnable durable) {
-    newest = text;
+    latestContent = text;
     writer.request(durable);
   }
 
   private void replace() throws IOException {
-    files.delete(temporary);
-    try (OutputFile file = files.create(temporary)) {
-      ByteBuffer remaining = ByteBuffer.wrap(newest.getBytes(StandardCharsets.UTF_8));
+    fileOperations.delete(temporaryPath);
+    try (OutputFile file = fileOperations.create(temporaryPath)) {
+      ByteBuffer remaining = ByteBuffer.wrap(latestContent.getBytes(StandardCharsets.UTF_8));
       while (remaining.hasRemaining()) {
         file.write(remaining);
       }
       file.sync();
     }
-    files.rename(temporary, path);
-    files.syncFolder(path.getParent());
+    fileOperations.rename(temporaryPath, path);
+    fileOperations.syncFolder(path.getParent());
   }
 }
--- a/node/src/main/java/ferngrade/node/Attempt.java
+++ b/node/src/main/java/ferngrade/node/Attempt.java
@@ -2,42 +2,51 @@
 
 import ferngrade.dispatch.AttemptOutcome;
 
-/** One attempt to run a request on a worker. Belongs to the loop's thread. */
+/** One attempt to run a request on a worker. Confined to the event loop's thread. */
 final class Attempt {
   final PendingRequest request;
   final int number;
   final long worker;
 
-  /** The worker's endpoint at the time of the send; null if the list held none. */
+  /**
+   * The worker's endpoint at the time of the send; null if the endpoint list did not contain the
+   * worker.
+   */
   final Endpoint endpoint;
 
   final double sentAt;
-  WorkerTransport.AttemptHandle sending;
-  Timers.Timer timeout;
-  Timers.Timer acceptance;
+  WorkerTransport.AttemptHandle handle;
+  Timers.Timer timeoutTimer;
+  Timers.Timer acceptanceTimer;
   boolean written;
 
-  /** Its end has been reported and is handed over in the next turn. */
+  /** True once the transport has reported the end of the attempt; the next turn processes it. */
   boolean endReported;
 
   boolean ended;
 
-  /** When it was written whole, accepted and ended, ms on the clock; NaN before that. */
+  /**
+   * When the attempt was fully written, accepted and ended, ms on the monotonic clock; NaN until
+   * then.
+   */
   double writtenAt = Double.NaN;
 
   double acceptedAt = Double.NaN;
   double endedAt = Double.NaN;
 
-  /** How it ended; null before that. */
+  /** The outcome of the attempt; null until it has ended. */
   AttemptOutcome outcome;
 
-  /** The worker has sent a callback about it. */
+  /** True once the worker has sent a callback about the attempt. */
   boolean calledBack;
 
-  /** It ended without a response of the worker, which may still run it. */
-  private boolean doubtful;
+  /**
+   * True if the attempt ended without a response of the worker, so that the worker may still run
+   * the job.
+   */
+  private boolean mayStillRun;
 
-  /** Its end has proven that the worker did not run it. */
+  /** True if the outcome proves that the worker did not run the job. */
   private boolean neverRan;
 
   Attempt(PendingRequest request, long worker, Endpoint endpoint, double sentAt) {
@@ -48,48 +57,57 @@
     this.sentAt = sentAt;
   }
 
-  /** The attempt has ended; its timeouts are cancelled. */
+  /** Records the end of the attempt and cancels its timers. */
   void ended(AttemptOutcome outcome, double now) {
     ended = true;
     endedAt = now;
     this.outcome = outcome;
     neverRan = outcome.neverRan;
-    doubtful =
+    mayStillRun =
         written
             && (outcome == AttemptOutcome.TIMEOUT
                 || outcome == AttemptOutcome.CANCELLED
                 || outcome == AttemptOutcome.RESET);
-    if (timeout != null) {
-      timeout.cancel();
-      acceptance.cancel();
+    if (timeoutTimer != null) {
+      timeoutTimer.cancel();
+      acceptanceTimer.cancel();
     }
   }
 
   /**
-   * True while the worker must not get the request again: the attempt is in flight, or may be, or
-   * the worker has sent a callback about it. A repeat of that callback could not be distinguished
-   * from one about a new attempt, and would end that.
+   * Returns true while the request must not be sent to this worker again: the attempt is in flight,
+   * or may be, or the worker has sent a callback about it. A repetition of that callback could not
+   * be distinguished from a callback about a new attempt, and would end the new attempt.
    */
-  boolean bars() {
-    return !ended || calledBack || doubtful;
+  boolean excludesWorker() {
+    return !ended || calledBack || mayStillRun;
   }
 
-  /** The worker has accepted the job, or has answered otherwise. */
-  boolean answered() {
+  /**
+   * Returns true if the worker has accepted the job, the attempt's end has been reported, or the
+   * attempt has ended.
+   */
+  boolean hasAnswer() {
     return !Double.isNaN(acceptedAt) || endReported || ended;
   }
 
-  /** The worker has answered it or called back about it, or it has ended otherwise. */
-  boolean heardOf() {
-    return answered() || calledBack;
+  /**
+   * Returns true if the worker has answered the attempt or sent a callback about it, or the attempt
+   * has ended otherwise.
+   */
+  boolean hasResponded() {
+    return hasAnswer() || calledBack;
   }
 
-  /** Written and not ended: what a callback can be about. */
+  /**
+   * Returns true if the attempt is fully written and has not ended, so that a callback can refer to
+   * it.
+   */
   boolean running() {
     return written && !ended;
   }
 
-  /** True unless it is known that the worker has not run the job by this attempt. */
+  /** Returns true unless it is known that the worker did not run the job in this attempt. */
   boolean mayHaveRun() {
     return written && !neverRan;
   }
--- a/node/src/main/java/ferngrade/node/AttemptRunner.java
+++ b/node/src/main/java/ferngrade/node/AttemptRunner.java
@@ -5,17 +5,17 @@
 import ferngrade.dispatch.WorkerState;
 
 /**
- * Runs attempts: sends each to its worker with its timeouts, cancels it, and reports its end once.
- * Belongs to the loop's thread.
+ * Runs attempts: sends each one to its worker, enforces its timeouts, cancels it, and reports its
+ * end exactly once. Confined to the event loop's thread.
  */
 final class AttemptRunner {
   /**
-   * How long a worker may take to accept a job, ms; it accepts before it begins. One that does not,
-   * for example because it hangs on all jobs of a class, would hold the job until its deadline, and
-   * the dispatcher would count the job as in flight there. A pause of the worker's machine is
-   * shorter.
+   * The time in which a worker must accept a job, ms; a worker accepts a job before it starts it. A
+   * worker that does not accept, for example because it hangs on all jobs of a class, would
+   * otherwise hold the job until its deadline, and the dispatcher would count the job as in flight
+   * there. Pauses of a worker's machine are shorter than this timeout.
    */
-  private static final double ACCEPTANCE_TIMEOUT = 1000;
+  private static final double ACCEPTANCE_TIMEOUT_MILLIS = 1000;
 
   private final Clock clock;
   private final Timers timers;
@@ -26,22 +26,22 @@
   private final RateLimitedLog log;
   private final EndListener listener;
 
-  /** Is notified of the end of each attempt, once. */
+  /** Receives the end of each attempt, once. */
   @FunctionalInterface
   interface EndListener {
     void ended(Attempt attempt, AttemptOutcome outcome, LoadReport report);
   }
 
   AttemptRunner(
-      RequestCoordinator.Surroundings around,
+      RequestCoordinator.Surroundings surroundings,
       TurnQueue turns,
       EndpointRegistry endpoints,
       NodeMetrics metrics,
       EndListener listener) {
-    this.clock = around.clock();
-    this.timers = around.timers();
-    this.transport = around.workers();
-    this.log = around.log();
+    this.clock = surroundings.clock();
+    this.timers = surroundings.timers();
+    this.transport = surroundings.workers();
+    this.log = surroundings.log();
     this.turns = turns;
     this.endpoints = endpoints;
     this.metrics = metrics;
@@ -49,41 +49,45 @@
   }
 
   /**
-   * Starts an attempt of a request on a worker, for {@code timeout} ms at most, 0 for the whole
-   * time to the request's deadline. An attempt that may not be sent ends as such.
+   * Starts an attempt of a request on a worker. The attempt may take {@code timeout} ms, or the
+   * time to the request's deadline if {@code timeout} is 0 or longer than that. An attempt that
+   * must not be sent ends as never sent.
    */
   void start(PendingRequest request, long worker, double timeout) {
     double now = clock.now();
     Endpoint endpoint = endpoints.get(worker);
-    boolean barred = request.barred(worker);
+    boolean excluded = request.excludesWorker(worker);
     Attempt attempt = new Attempt(request, worker, endpoint, now);
     request.attempts.add(attempt);
     request.attemptsInFlight++;
-    double left = request.job.due() - now;
+    double remaining = request.job.due() - now;
     WithheldReason reason = null;
     if (request.completed()) {
       reason = WithheldReason.REQUEST_COMPLETED;
-    } else if (left <= 0) {
+    } else if (remaining <= 0) {
       reason = WithheldReason.DEADLINE_PASSED;
-    } else if (barred) {
+    } else if (excluded) {
       reason = WithheldReason.EARLIER_ATTEMPT;
     } else if (endpoint == null || endpoint.worker().state() != WorkerState.READY) {
       reason = WithheldReason.WORKER_UNAVAILABLE;
     }
     if (reason != null) {
-      withheld(attempt, reason);
+      withhold(attempt, reason);
       turns.event(() -> end(attempt, AttemptOutcome.NEVER_SENT, LoadReport.NONE));
       return;
     }
-    double limit = timeout > 0 ? Math.min(timeout, left) : left;
-    attempt.timeout = timers.after(limit, () -> timedOut(attempt));
-    attempt.acceptance = timers.after(ACCEPTANCE_TIMEOUT, () -> notAccepted(attempt));
-    attempt.sending =
+    double limit = timeout > 0 ? Math.min(timeout, remaining) : remaining;
+    attempt.timeoutTimer = timers.after(limit, () -> timedOut(attempt));
+    attempt.acceptanceTimer = timers.after(ACCEPTANCE_TIMEOUT_MILLIS, () -> notAccepted(attempt));
+    attempt.handle =
         transport.send(request.call, endpoint.address(), limit, new ProgressListener(attempt));
   }
 
-  /** Counts and logs that an attempt is not begun; false, for those who ask whether it may be. */
-  private boolean withheld(Attempt attempt, WithheldReason reason) {
+  /**
+   * Counts and logs that an attempt is withheld. Always returns false, the result of {@link
+   * ProgressListener#mayStart} for a withheld attempt.
+   */
+  private boolean withhold(Attempt attempt, WithheldReason reason) {
     metrics.withheld(reason);
     log.line(
         "withheld " + reason,
@@ -101,55 +105,61 @@
   private void timedOut(Attempt attempt) {
     readPending(attempt);
     if (!attempt.endReported) {
-      giveUp(attempt, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECT_FAILED);
+      cancelUnlessEnded(attempt, AttemptOutcome.TIMEOUT, AttemptOutcome.CONNECT_FAILED);
     }
   }
 
   /**
-   * Reads what has come about an attempt that has not ended: a loop that was held up runs timers
-   * before it reads that. What a timer decides is handed over behind it.
+   * Reads pending input for an attempt that has not ended. An event loop that was held up runs its
+   * timers before it reads input; reading here puts the input ahead of any event that the timer
+   * adds.
    */
   void readPending(Attempt attempt) {
-    if (!attempt.ended && attempt.sending != null) {
-      attempt.sending.readPending();
+    if (!attempt.ended && attempt.handle != null) {
+      attempt.handle.readPending();
       transport.readCallbacks();
     }
   }
 
-  /** Cancels an attempt in the next turn, if it has not ended by then. */
+  /** Cancels an attempt in the next turn, unless it has ended by then. */
   void cancel(Attempt attempt) {
-    giveUp(attempt, AttemptOutcome.CANCELLED, AttemptOutcome.NEVER_SENT);
+    cancelUnlessEnded(attempt, AttemptOutcome.CANCELLED, AttemptOutcome.NEVER_SENT);
   }
 
-  private void giveUp(Attempt attempt, AttemptOutcome ifWritten, AttemptOutcome ifNot) {
-    if (!attempt.ended && attempt.sending != null) {
+  private void cancelUnlessEnded(
+      Attempt attempt, AttemptOutcome ifWritten, AttemptOutcome ifNotWritten) {
+    if (!attempt.ended && attempt.handle != null) {
       turns.event(
           () -> {
             if (!attempt.ended) {
-              attempt.sending.giveUp(() -> {});
+              attempt.handle.giveUp(() -> {});
               end(
                   attempt,
-                  attempt.written ? ifWritten : unwritten(attempt, ifNot),
+                  attempt.written ? ifWritten : outcomeIfUnwritten(attempt, ifNotWritten),
                   LoadReport.NONE);
             }
           });
     }
   }
 
-  /** The outcome of an attempt that was not written: a lack of this machine is not the worker's. */
-  private static AttemptOutcome unwritten(Attempt attempt, AttemptOutcome otherwise) {
-    return attempt.sending.delayedLocally() ? AttemptOutcome.NEVER_SENT : otherwise;
+  /**
+   * Returns the outcome of an attempt that was not written. A resource shortage of this machine is
+   * not attributed to the worker.
+   */
+  private static AttemptOutcome outcomeIfUnwritten(Attempt attempt, AttemptOutcome otherwise) {
+    return attempt.handle.delayedLocally() ? AttemptOutcome.NEVER_SENT : otherwise;
   }
 
   /**
-   * The worker has not accepted the job, and its client still waits: a retry may follow. That must
-   * not overtake the cancellation to this worker, whose 202 may be under way.
+   * Cancels an attempt that the worker has not accepted in time, because the client still waits and
+   * a retry may follow. The retry must wait until the worker has been notified of the cancellation,
+   * since its 202 response may already be on its way.
    */
   private void notAccepted(Attempt attempt) {
-    if (!attempt.ended && !attempt.written && attempt.sending.delayedLocally()) {
-      attempt.acceptance = timers.after(ACCEPTANCE_TIMEOUT, () -> notAccepted(attempt));
-    } else if (!heardOfAfterReading(attempt)) {
-      attempt.sending.giveUp(
+    if (!attempt.ended && !attempt.written && attempt.handle.delayedLocally()) {
+      attempt.acceptanceTimer = timers.after(ACCEPTANCE_TIMEOUT_MILLIS, () -> notAccepted(attempt));
+    } else if (!hasRespondedAfterRead(attempt)) {
+      attempt.handle.giveUp(
           () ->
               turns.event(
                   () ->
@@ -157,19 +167,19 @@
                           attempt,
                           attempt.written
                               ? AttemptOutcome.TIMEOUT
-                              : unwritten(attempt, AttemptOutcome.CONNECT_FAILED),
+                              : outcomeIfUnwritten(attempt, AttemptOutcome.CONNECT_FAILED),
                           LoadReport.NONE)));
     }
   }
 
-  private boolean heardOfAfterReading(Attempt attempt) {
-    if (!attempt.heardOf()) {
+  private boolean hasRespondedAfterRead(Attempt attempt) {
+    if (!attempt.hasResponded()) {
       readPending(attempt);
     }
-    return attempt.heardOf();
+    return attempt.hasResponded();
   }
 
-  /** Ends an attempt and reports that; does nothing for one that has ended. */
+  /** Ends an attempt and reports its end; does nothing if the attempt has already ended. */
   void end(Attempt attempt, AttemptOutcome outcome, LoadReport report) {
     if (!attempt.ended) {
       attempt.ended(outcome, clock.now());
@@ -178,7 +188,7 @@
     }
   }
 
-  /** Follows one attempt on its way to the worker. */
+  /** Tracks the progress of one attempt. */
   private final class ProgressListener implements WorkerTransport.Listener {
     private final Attempt attempt;
 
@@ -188,18 +198,18 @@
 
     @Override
     public boolean mayStart() {
-      // A dial may outlast its purpose: the client may have gone, or another attempt have
-      // succeeded.
+      // While the connection was being opened, the client may have disconnected or another attempt
+      // may have succeeded.
       if (attempt.ended) {
         return false;
       }
       if (attempt.request.completed()) {
-        return withheld(attempt, WithheldReason.REQUEST_COMPLETED);
+        return withhold(attempt, WithheldReason.REQUEST_COMPLETED);
       }
       if (!endpoints.isCurrent(attempt.endpoint)) {
-        return withheld(attempt, WithheldReason.WORKER_UNAVAILABLE);
+        return withhold(attempt, WithheldReason.WORKER_UNAVAILABLE);
       }
-      return attempt.request.clientPresent() || withheld(attempt, WithheldReason.CLIENT_GONE);
+      return attempt.request.clientPresent() || withhold(attempt, WithheldReason.CLIENT_GONE);
     }
 
     @Override
@@ -212,7 +222,7 @@
     @Override
     public void taken() {
       attempt.acceptedAt = clock.now();
-      attempt.acceptance.cancel();
+      attempt.acceptanceTimer.cancel();
     }
 
     @Override
--- a/node/src/main/java/ferngrade/node/BackgroundWriter.java
+++ b/node/src/main/java/ferngrade/node/BackgroundWriter.java
@@ -6,37 +6,43 @@
 import java.util.function.Consumer;
 
 /**
- * Runs writes to a disk on a {@link TaskScheduler}, so that the event loop never waits for them,
- * and retries one that fails with backoff until it succeeds. Any thread may request a write.
+ * Runs disk writes on a {@link TaskScheduler}, so that the event loop never waits for them, and
+ * retries a failed write with backoff until it succeeds. Any thread may request a write.
  */
 final class BackgroundWriter {
-  /** The pause after a first failure, ms; it doubles with each further one. */
-  static final long RETRY_MIN = 20;
+  /** The delay before the first retry, ms; it doubles with each further failure. */
+  static final long MIN_RETRY_DELAY_MILLIS = 20;
 
-  /** The longest pause, ms: a process that is told to stop has time for one more attempt. */
-  static final long RETRY_MAX = 500;
+  /**
+   * The maximum delay before a retry, ms; short enough that a process that is asked to stop has
+   * time for one more attempt.
+   */
+  static final long MAX_RETRY_DELAY_MILLIS = 500;
 
   private final String name;
   private final TaskScheduler scheduler;
   private final Consumer<String> log;
   private final Write write;
 
-  /** Who waits for the next write; guarded by this object, as is all below. */
-  private List<Runnable> waiting = new ArrayList<>();
+  /**
+   * The listeners to notify after the next successful write. Guarded by this object, as are the
+   * fields below.
+   */
+  private List<Runnable> pendingListeners = new ArrayList<>();
 
-  private long retryPause = RETRY_MIN;
+  private long retryDelay = MIN_RETRY_DELAY_MILLIS;
   private boolean attemptScheduled;
 
-  /** Writes all that was requested up to its call; it is repeated if it fails. */
+  /** Writes everything that was requested before its call; called again if it fails. */
   @FunctionalInterface
   interface Write {
-    /** Returns once everything is on the disk. */
+    /** Returns once everything is on disk. */
     void run() throws IOException;
   }
 
   /**
-   * A writer of the file called {@code name}. {@code log} gets a line when writes begin to fail and
-   * when they succeed again, on the scheduler's thread.
+   * Creates a writer for the file called {@code name}. {@code log} receives a line when writes
+   * start to fail and when they succeed again; it is called on the scheduler's thread.
    */
   BackgroundWriter(String name, TaskScheduler scheduler, Consumer<String> log, Write write) {
     this.name = name;
@@ -45,9 +51,12 @@
     this.write = write;
   }
 
-  /** Has a write run; {@code durable} runs on the scheduler's thread once one has succeeded. */
+  /**
+   * Requests a write. {@code durable} runs on the scheduler's thread once a later write has
+   * succeeded.
+   */
   synchronized void request(Runnable durable) {
-    waiting.add(durable);
+    pendingListeners.add(durable);
     if (!attemptScheduled) {
       attemptScheduled = true;
       scheduler.schedule(this::attempt, 0);
@@ -55,31 +64,31 @@
   }
 
   private void attempt() {
-    List<Runnable> served;
+    List<Runnable> listeners;
     synchronized (this) {
-      served = waiting;
-      waiting = new ArrayList<>();
+      listeners = pendingListeners;
+      pendingListeners = new ArrayList<>();
     }
     try {
       write.run();
     } catch (IOException | RuntimeException failure) {
-      retry(served, failure);
+      retry(listeners, failure);
       return;
     }
     succeed();
-    served.forEach(this::notifyDurable);
+    listeners.forEach(this::notifyDurable);
   }
 
-  private void retry(List<Runnable> unserved, Exception failure) {
-    long pause;
+  private void retry(List<Runnable> unnotified, Exception failure) {
+    long delay;
     synchronized (this) {
-      unserved.addAll(waiting);
-      waiting = unserved;
-      pause = retryPause;
-      retryPause = Math.min(RETRY_MAX, 2 * retryPause);
+      unnotified.addAll(pendingListeners);
+      pendingListeners = unnotified;
+      delay = retryDelay;
+      retryDelay = Math.min(MAX_RETRY_DELAY_MILLIS, 2 * retryDelay);
     }
-    scheduler.schedule(this::attempt, pause);
-    if (pause == RETRY_MIN) {
+    scheduler.schedule(this::attempt, delay);
+    if (delay == MIN_RETRY_DELAY_MILLIS) {
       log.accept(name + " is not stored yet, trying again: " + failure);
     }
   }
@@ -87,9 +96,9 @@
   private void succeed() {
     boolean hadFailed;
     synchronized (this) {
-      hadFailed = retryPause > RETRY_MIN;
-      retryPause = RETRY_MIN;
-      attemptScheduled = !waiting.isEmpty();
+      hadFailed = retryDelay > MIN_RETRY_DELAY_MILLIS;
+      retryDelay = MIN_RETRY_DELAY_MILLIS;
+      attemptScheduled = !pendingListeners.isEmpty();
       if (attemptScheduled) {
         scheduler.schedule(this::attempt, 0);
       }
@@ -100,7 +109,8 @@
   }
 
   /**
-   * One listener that fails must not keep the others from hearing, nor end the scheduler's thread.
+   * Calls one listener. A listener that throws must not prevent the other listeners from being
+   * notified, nor terminate the scheduler's thread.
    */
   private void notifyDurable(Runnable listener) {
     try {
--- a/node/src/main/java/ferngrade/node/BudgetReporter.java
+++ b/node/src/main/java/ferngrade/node/BudgetReporter.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Logs the slot budget and the rejections of each second in which requests came, as one line of
- * {@code name=value} pairs that a program can plot. Belongs to the loop's thread.
+ * Logs the slot budget and the rejections once a second while there are requests, as one line of
+ * {@code name=value} pairs that a program can plot. Confined to the event loop's thread.
  */
 public final class BudgetReporter {
-  /** How often a line is written, ms. */
-  private static final double INTERVAL = 1000;
+  /** The interval between two lines, ms. */
+  private static final double INTERVAL_MILLIS = 1000;
 
   private final RequestCoordinator coordinator;
   private final Timers timers;
@@ -19,16 +19,16 @@
   private long lastAnswered;
   private Map<RejectionCause, Long> lastRejected = Map.of();
 
-  /** Reports on the requests of {@code coordinator}. */
+  /** Creates a reporter for the requests of {@code coordinator}. */
   public BudgetReporter(RequestCoordinator coordinator, Timers timers, RateLimitedLog log) {
     this.coordinator = coordinator;
     this.timers = timers;
     this.log = log;
   }
 
-  /** Begins to report; it goes on from there by itself. */
+  /** Starts the periodic reports. */
   public void start() {
-    timers.after(INTERVAL, this::report);
+    timers.after(INTERVAL_MILLIS, this::report);
   }
 
   private void report() {
@@ -39,19 +39,19 @@
     }
     lastAnswered = answered;
     lastRejected = metrics.rejectedFor();
-    timers.after(INTERVAL, this::report);
+    timers.after(INTERVAL_MILLIS, this::report);
   }
 
-  private String describe(NodeMetrics.Snapshot metrics, long answers) {
+  private String describe(NodeMetrics.Snapshot metrics, long newAnswers) {
     StringBuilder line = new StringBuilder(256);
-    line.append("budget answered=").append(answers);
+    line.append("budget answered=").append(newAnswers);
     line.append(" in_flight=").append(metrics.inFlight());
     for (RejectionCause cause : RejectionCause.values()) {
       long count = metrics.rejectedFor().getOrDefault(cause, 0L);
-      long before = lastRejected.getOrDefault(cause, 0L);
-      if (count > before) {
+      long previous = lastRejected.getOrDefault(cause, 0L);
+      if (count > previous) {
         String name = cause.name().toLowerCase(Locale.ROOT);
-        line.append(" rejected_").append(name).append('=').append(count - before);
+        line.append(" rejected_").append(name).append('=').append(count - previous);
       }
     }
     BudgetState budget = coordinator.budgetState();
--- a/node/src/main/java/ferngrade/node/Clock.java
+++ b/node/src/main/java/ferngrade/node/Clock.java
@@ -1,25 +1,25 @@
 package ferngrade.node;
 
 /**
- * The one source of time in a node. Its two parts may drift apart: the machine's wall clock may be
- * stepped, forward or back, by seconds or by an hour, while the monotonic part runs on. Deadlines,
- * windows, waits and graces are spans of {@link #now}; {@link #wall} is only for reading times that
- * other machines wrote, and for writing such times.
+ * The only source of time in a node. The two clocks may diverge: the machine's wall clock may be
+ * stepped forward or back, by seconds or by an hour, while the monotonic clock continues.
+ * Deadlines, windows, waits and grace periods are measured with {@link #now}; {@link #wall} is only
+ * for reading timestamps that other machines wrote, and for writing such timestamps.
  */
 @FunctionalInterface
 public interface Clock {
   /**
-   * The monotonic time in ms, with fractions: close to Unix time when the process starts, and never
-   * stepped.
+   * Returns the monotonic time in ms, with fractions. It is close to Unix time when the process
+   * starts and is never stepped.
    */
   double now();
 
-  /** The machine's wall clock, Unix time in ms. */
+  /** Returns the machine's wall clock time, Unix time in ms. */
   default double wall() {
     return now();
   }
 
-  /** The clocks of this machine. */
+  /** Returns the clock of this machine. */
   static Clock system() {
     return new SystemClock();
   }
--- a/node/src/main/java/ferngrade/node/DiscoveryRecord.java
+++ b/node/src/main/java/ferngrade/node/DiscoveryRecord.java
@@ -3,10 +3,11 @@
 import java.net.InetSocketAddress;
 
 /**
- * A reload of the configuration at one process of the node has moved discovery.
+ * Records that a reload of the configuration at one process of the node has changed the address of
+ * discovery.
  *
  * @param former the address that the process watched before
- * @param current the address that it watches since
+ * @param current the address that the process watches from now on
  */
 public record DiscoveryRecord(InetSocketAddress former, InetSocketAddress current)
     implements SharedRecord {}
--- a/node/src/main/java/ferngrade/node/DurationBuckets.java
+++ b/node/src/main/java/ferngrade/node/DurationBuckets.java
@@ -1,8 +1,8 @@
 package ferngrade.node;
 
 /**
- * Counts durations by fixed upper bounds, for metrics that must not cost memory or a library at
- * start. Belongs to one thread.
+ * Counts durations in buckets with fixed upper bounds. Uses constant memory and needs no metrics
+ * library at startup. Not thread-safe.
  */
 public final class DurationBuckets {
   private static final int[] BOUNDS_MS = {1, 5, 20, 50, 150, 500, 2000};
@@ -10,7 +10,7 @@
   private final long[] counts = new long[BOUNDS_MS.length + 1];
   private double max;
 
-  /** Counts one duration, ms. */
+  /** Counts one duration, in ms. */
   void add(double millis) {
     int bucket = 0;
     while (bucket < BOUNDS_MS.length && millis > BOUNDS_MS[bucket]) {
@@ -20,19 +20,23 @@
     max = Math.max(max, millis);
   }
 
-  /** The longest duration so far, ms; 0 before the first. */
+  /** Returns the longest duration so far, in ms; 0 before the first. */
   public double max() {
     return max;
   }
 
-  /** Is passed the buckets in ascending order, with their own counts. */
+  /** Receives the buckets in ascending order of their bounds. */
   @FunctionalInterface
   public interface Visitor {
-    /** {@code count} durations were at most {@code bound} long, such as {@code 50ms} or inf. */
+    /**
+     * Receives one bucket: {@code count} durations were at most {@code bound} and longer than the
+     * previous bound. {@code bound} is a text such as {@code 50ms}, or {@code inf} for the last
+     * bucket.
+     */
     void bucket(String bound, long count);
   }
 
-  /** Passes all buckets to {@code visitor}. */
+  /** Passes every bucket to {@code visitor}. */
   public void forEach(Visitor visitor) {
     for (int i = 0; i < counts.length; i++) {
       visitor.bucket(i < BOUNDS_MS.length ? BOUNDS_MS[i] + "ms" : "inf", counts[i]);
--- a/node/src/main/java/ferngrade/node/Endpoint.java
+++ b/node/src/main/java/ferngrade/node/Endpoint.java
@@ -5,16 +5,16 @@
 import java.net.InetSocketAddress;
 
 /**
- * An entry of the worker list: its name, its address as seen from here, and what the module is
- * told.
+ * An entry of the endpoint list: the worker's name, its address as seen from this node, and the
+ * description that is passed to the dispatcher.
  */
 public record Endpoint(String name, InetSocketAddress address, Worker worker) {
-  /** The same entry with another start of its worker. */
+  /** Returns a copy with another start time of the worker, in ms. */
   Endpoint startedAt(double startedAt) {
     return with(worker.state(), startedAt);
   }
 
-  /** The same entry with another state and start of its worker. */
+  /** Returns a copy with another state and start time of the worker. */
   Endpoint with(WorkerState state, double startedAt) {
     return new Endpoint(
         name,
--- a/node/src/main/java/ferngrade/node/EndpointList.java
+++ b/node/src/main/java/ferngrade/node/EndpointList.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** The endpoint list as received last. */
+/** The most recently received endpoint list. */
 final class EndpointList {
   private final Map<Long, Endpoint> byId = new HashMap<>();
 
-  /** Applies an update; what a complete list leaves out is gone. */
-  void update(EndpointListUpdate kind, List<Endpoint> entries) {
-    if (kind != EndpointListUpdate.CHANGES) {
+  /** Applies an update. A complete list replaces all previous entries. */
+  void update(EndpointListUpdate updateType, List<Endpoint> entries) {
+    if (updateType != EndpointListUpdate.CHANGES) {
       byId.clear();
     }
     for (Endpoint entry : entries) {
@@ -28,15 +28,15 @@
     return byId.isEmpty();
   }
 
-  /** The worker's entry, or null if the list does not hold it. */
+  /** Returns the worker's entry; null if the list does not contain the worker. */
   Endpoint get(long id) {
     return byId.get(id);
   }
 
   /**
-   * True while a job for which this entry was selected may be sent to it: not once it drains, is
-   * gone, has moved or has restarted, because the selection was made for the process that the entry
-   * describes.
+   * Returns true while a job for which this entry was selected may be sent to the worker. Returns
+   * false once the worker drains, is gone, has moved or has restarted, because the selection
+   * applies only to the worker process that the entry describes.
    */
   boolean isCurrent(Endpoint entry) {
     Endpoint current = byId.get(entry.worker().id());
--- a/node/src/main/java/ferngrade/node/EndpointRegistry.java
+++ b/node/src/main/java/ferngrade/node/EndpointRegistry.java
@@ -6,8 +6,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * The endpoint list in force: as discovery sent it, with start times on this process's clock, and
- * with the operators' maintenance laid over it. Belongs to the loop's thread.
+ * Maintains the effective endpoint list: the list that discovery sent, with start times converted
+ * to this process's monotonic clock and with the operators' maintenance applied. Confined to the
+ * event loop's thread.
  */
 final class EndpointRegistry {
   private final Clock clock;
@@ -16,10 +17,10 @@
   private final StartTimes startTimes;
   private final MaintenanceOverrides maintenance = new MaintenanceOverrides();
 
-  /** The list of an earlier process while none has been received; null from then on. */
-  private List<Endpoint> stored;
+  /** The list that an earlier process stored; null once a list has been received. */
+  private List<Endpoint> storedList;
 
-  /** Passes each update, as it is in force, to {@code listener}. */
+  /** Creates a registry that passes each update, with maintenance applied, to {@code listener}. */
   EndpointRegistry(Clock clock, BiConsumer<EndpointListUpdate, List<Worker>> listener) {
     this.clock = clock;
     this.listener = listener;
@@ -30,116 +31,124 @@
     return endpoints.isEmpty();
   }
 
-  /** The worker's endpoint; null if the list does not hold it. */
+  /** Returns the worker's endpoint; null if the list does not contain the worker. */
   Endpoint get(long worker) {
     return endpoints.get(worker);
   }
 
-  /** True while a job picked for this endpoint may be sent to it. */
+  /** Returns true while a job for which this endpoint was selected may be sent to it. */
   boolean isCurrent(Endpoint endpoint) {
     return endpoints.isCurrent(endpoint);
   }
 
-  /** An update of the list, whose start times are by the wall clock. */
-  void update(EndpointListUpdate kind, List<Endpoint> entries) {
-    stored = null;
-    apply(kind, maintenance.over(kind, startTimes.translate(kind, entries)));
+  /** Applies an update of the list, whose start times are wall clock times. */
+  void update(EndpointListUpdate updateType, List<Endpoint> entries) {
+    storedList = null;
+    apply(updateType, maintenance.apply(updateType, startTimes.translate(updateType, entries)));
   }
 
-  /** Discovery reports that nothing has changed. */
+  /** Records that discovery has confirmed the current list. */
   void unchanged() {
     startTimes.unchanged();
   }
 
-  /** Keeps the list of an earlier process, for {@link #useStored}. */
+  /** Keeps the list of an earlier process for {@link #useStored}. */
   void store(List<Endpoint> entries) {
-    stored = entries;
+    storedList = entries;
   }
 
-  /** Puts the stored list in force, if none has been received. */
+  /** Puts the stored list into effect, unless a list has been received. */
   void useStored() {
-    if (stored != null) {
-      update(EndpointListUpdate.STORED, stored);
+    if (storedList != null) {
+      update(EndpointListUpdate.STORED, storedList);
     }
   }
 
-  /** Puts a worker in maintenance; false if nobody has that name. */
+  /** Starts a worker's maintenance; returns false if no worker has this name. */
   boolean startMaintenance(String name) {
-    return mayExist(name) && changed(maintenance.take(name));
+    return mayBeWorker(name) && publish(maintenance.start(name));
   }
 
-  /** Ends a worker's maintenance; false if nobody has that name. */
+  /** Ends a worker's maintenance; returns false if no worker has this name. */
   boolean endMaintenance(String name) {
-    return mayExist(name) && changed(maintenance.giveBack(name, clock.now()));
+    return mayBeWorker(name) && publish(maintenance.end(name, clock.now()));
   }
 
-  /** Before the first list any name may be that of a worker, and decisions on it must hold. */
-  private boolean mayExist(String name) {
-    return endpoints.isEmpty() || maintenance.knows(name);
+  /**
+   * Returns true if operators may name this worker. Before the first list any name may be that of a
+   * worker, and a decision on it must take effect.
+   */
+  private boolean mayBeWorker(String name) {
+    return endpoints.isEmpty() || maintenance.isKnown(name);
   }
 
   /**
-   * Takes over a decision of another process of this node, with times by the wall clock.
+   * Applies a decision of another process of this node, with times of the wall clock.
    *
-   * @param notBefore when the decision had not been made yet, ms on the monotonic clock: the wall
-   *     clock may have been stepped since
-   * @return false if it is known or superseded
+   * @param notBefore a time before the decision was made, ms on the monotonic clock; a lower bound
+   *     for the converted time, since the wall clock may have been stepped in the meantime
+   * @return false if the decision is already known or superseded
    */
   boolean mergeMaintenance(MaintenanceEntry decision, double notBefore) {
-    boolean isNew =
+    boolean applied =
         maintenance.merge(
             decision.translated(wall -> Math.max(notBefore, startTimes.toMonotonic(wall))));
-    if (isNew) {
-      changed(maintenance.inForce(decision.worker()));
+    if (applied) {
+      publish(maintenance.effectiveEntry(decision.worker()));
     }
-    return isNew;
+    return applied;
   }
 
   /**
-   * The latest decision on this worker, with times by the wall clock; null if there has been none.
+   * Returns the latest decision on this worker, with times of the wall clock; null if there is
+   * none.
    */
   MaintenanceEntry maintenanceDecision(String name) {
     MaintenanceEntry decision = maintenance.decision(name);
     return decision == null ? null : decision.translated(startTimes::toWall);
   }
 
-  /** The latest decision on each worker that operators have named, with times by the wall clock. */
+  /**
+   * Returns the latest decision on each worker for which operators have made one, with times of the
+   * wall clock.
+   */
   List<MaintenanceEntry> maintenanceDecisions() {
     return maintenance.decisions().stream()
         .map(decision -> decision.translated(startTimes::toWall))
         .toList();
   }
 
-  private boolean changed(Endpoint entry) {
+  private boolean publish(Endpoint entry) {
     if (entry != null) {
       apply(EndpointListUpdate.CHANGES, List.of(entry));
     }
     return true;
   }
 
-  /** What is in maintenance, with times by the wall clock. */
+  /** Returns the maintenance state, with times of the wall clock. */
   MaintenanceOverrides.Saved savedMaintenance() {
     return maintenance.saved().translated(startTimes::toWall);
   }
 
-  /** Takes over saved maintenance, with times by the wall clock. */
+  /** Restores saved maintenance state, with times of the wall clock. */
   void restoreMaintenance(MaintenanceOverrides.Saved saved) {
     maintenance.restore(saved.translated(startTimes::toMonotonic));
   }
 
-  /** The number of listed workers. */
+  /** Returns the number of listed workers. */
   int listed() {
-    return maintenance.listedAll();
+    return maintenance.listedCount();
   }
 
-  /** The number of listed workers in maintenance. */
+  /** Returns the number of listed workers in maintenance. */
   int inMaintenance() {
-    return maintenance.listedOut();
+    return maintenance.inMaintenanceCount();
   }
 
-  private void apply(EndpointListUpdate kind, List<Endpoint> entries) {
-    // In force at once, not with the next batch of events: the drain rule counts from the receipt.
-    endpoints.update(kind, entries);
-    listener.accept(kind, entries.stream().map(Endpoint::worker).toList());
+  private void apply(EndpointListUpdate updateType, List<Endpoint> entries) {
+    // The update takes effect immediately instead of with the next batch of events: the time limit
+    // for the last send to a draining worker runs from the receipt of the update.
+    endpoints.update(updateType, entries);
+    listener.accept(updateType, entries.stream().map(Endpoint::worker).toList());
   }
 }
--- a/node/src/main/java/ferngrade/node/FileOperations.java
+++ b/node/src/main/java/ferngrade/node/FileOperations.java
@@ -12,66 +12,79 @@
 import java.util.Objects;
 
 /**
- * The operations of a file system that small durable files need: their atomic replacement, and
- * appends by several processes.
+ * The file system operations that small durable files need: atomic replacement, and appends by
+ * several processes.
  */
 public interface FileOperations {
   /** The file system of this machine. */
   FileOperations SYSTEM = new SystemFileOperations();
 
-  /** Reads a whole file; a {@link java.nio.file.NoSuchFileException} says that there is none. */
+  /**
+   * Reads a whole file; throws {@link java.nio.file.NoSuchFileException} if the file does not
+   * exist.
+   */
   byte[] read(Path file) throws IOException;
 
-  /** Creates a new, empty file to write; one that is there already is an error. */
+  /** Creates a new, empty file for writing; fails if the file already exists. */
   OutputFile create(Path file) throws IOException;
 
-  /** Renames a file in one step, over one that has the new name. */
+  /** Renames a file atomically, replacing any file that has the new name. */
   void rename(Path from, Path to) throws IOException;
 
-  /** Removes a file, if there is one. */
+  /** Deletes a file if it exists. */
   void delete(Path file) throws IOException;
 
-  /** Returns once the names in this folder are on the disk. */
+  /** Syncs the directory; returns once its entries are on disk. */
   void syncFolder(Path folder) throws IOException;
 
   /**
-   * Appends all of these bytes to a file by one write, which does not mix with those of other
-   * processes; creates the file where there is none. Returns once other processes can read them; a
-   * sync of what it returns puts them on the disk. After an error some of them may be in the file.
+   * Appends all of these bytes to a file with a single write, which does not interleave with the
+   * writes of other processes. Creates the file if it does not exist. Other processes can read the
+   * bytes once this method returns; syncing the returned file puts the bytes on disk. After an
+   * error some of the bytes may be in the file.
    */
   SyncableFile append(Path file, ByteBuffer bytes) throws IOException;
 
   /**
-   * Opens a file to read what others append to it; a {@link java.nio.file.NoSuchFileException} says
-   * that there is none.
+   * Opens a file for reading while others append to it; throws {@link
+   * java.nio.file.NoSuchFileException} if the file does not exist.
    */
   FollowedFile follow(Path file) throws IOException;
 
   /** A file that is read while others append to it. */
   interface FollowedFile extends Closeable {
-    /** Its size in bytes. */
+    /** Returns the file's size in bytes. */
     long size() throws IOException;
 
-    /** Reads from {@code position} on; returns the number of bytes, -1 at the end. */
+    /**
+     * Reads from {@code position} on. Returns the number of bytes read, or -1 at the end of the
+     * file.
+     */
     int read(ByteBuffer into, long position) throws IOException;
 
-    /** True if the file at this path is this very file, and not one that has replaced it. */
+    /**
+     * Returns true if the file at this path is the opened file and not another file that has
+     * replaced it.
+     */
     boolean isAt(Path file) throws IOException;
   }
 
-  /** A file that was written to. */
+  /** A file that has been written to. */
   interface SyncableFile extends Closeable {
-    /** Returns once all that was written is on the disk. */
+    /** Returns once everything that was written is on disk. */
     void sync() throws IOException;
   }
 
   /** A file that is being written. */
   interface OutputFile extends SyncableFile {
-    /** Writes some or all of the remaining bytes, and moves the buffer's position on by them. */
+    /**
+     * Writes some or all of the remaining bytes, and advances the buffer's position by the number
+     * of bytes written.
+     */
     void write(ByteBuffer bytes) throws IOException;
   }
 
-  /** The real operations. */
+  /** Performs the operations on the file system of this machine. */
   final class SystemFileOperations implements FileOperations {
     private SystemFileOperations() {}
 
@@ -87,7 +100,7 @@
       return new ChannelFile(channel);
     }
 
-    /** A channel that is written to. */
+    /** A file that is written through a channel. */
     private record ChannelFile(FileChannel channel) implements OutputFile {
       @Override
       public void write(ByteBuffer bytes) throws IOException {
@@ -122,7 +135,7 @@
       try {
         int length = bytes.remaining();
         if (channel.write(bytes) < length) {
-          throw new IOException("only a part could be appended to " + file);
+          throw new IOException("could not append all bytes to " + file);
         }
         return new ChannelFile(channel);
       } catch (IOException | RuntimeException failure) {
@@ -134,7 +147,7 @@
     @Override
     public FollowedFile follow(Path file) throws IOException {
       FileChannel channel = FileChannel.open(file, StandardOpenOption.READ);
-      Object key = key(file);
+      Object fileKey = fileKey(file);
       return new FollowedFile() {
         @Override
         public long size() throws IOException {
@@ -148,7 +161,7 @@
 
         @Override
         public boolean isAt(Path path) throws IOException {
-          return Objects.equals(key, key(path));
+          return Objects.equals(fileKey, fileKey(path));
         }
 
         @Override
@@ -158,14 +171,14 @@
       };
     }
 
-    private static Object key(Path file) throws IOException {
+    private static Object fileKey(Path file) throws IOException {
       return Files.readAttributes(file, BasicFileAttributes.class).fileKey();
     }
 
     @Override
     public void syncFolder(Path folder) throws IOException {
-      try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-        names.force(true);
+      try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+        directory.force(true);
       }
     }
   }
--- a/node/src/main/java/ferngrade/node/FinalAnswer.java
+++ b/node/src/main/java/ferngrade/node/FinalAnswer.java
@@ -1,10 +1,10 @@
 package ferngrade.node;
 
-/** How a request ended for its client. */
+/** The outcome of a request for its client. */
 enum FinalAnswer {
   SERVED,
   REJECTED,
   FAILED,
-  /** The client left before there was an answer. */
+  /** The client disconnected before there was an answer. */
   ABANDONED
 }
--- a/node/src/main/java/ferngrade/node/FinishingRecord.java
+++ b/node/src/main/java/ferngrade/node/FinishingRecord.java
@@ -1,9 +1,9 @@
 package ferngrade.node;
 
 /**
- * A process of the node that accepts no more jobs: what is granted to the node is divided between
- * the others. It still answers what it has accepted.
+ * Records that a process of the node accepts no more jobs, so that the capacity granted to the node
+ * is divided among the other processes. The process still answers the jobs that it has accepted.
  *
- * @param pid its process id
+ * @param pid the process id
  */
 public record FinishingRecord(long pid) implements SharedRecord {}
--- a/node/src/main/java/ferngrade/node/JobRequest.java
+++ b/node/src/main/java/ferngrade/node/JobRequest.java
@@ -1,7 +1,7 @@
 package ferngrade.node;
 
 /**
- * What a client asked for, as it is to reach a worker: every part is passed on unchanged. {@code
- * repeatKey} is null where the client gave none.
+ * A client's request as it is forwarded to a worker; every part is forwarded unchanged. {@code
+ * repeatKey} is the idempotency key, null if the client sent none.
  */
 public record JobRequest(String id, String method, String target, String repeatKey, byte[] body) {}
--- a/node/src/main/java/ferngrade/node/MaintenanceEntry.java
+++ b/node/src/main/java/ferngrade/node/MaintenanceEntry.java
@@ -3,18 +3,18 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * The latest decision of operators on one worker. Entries of one worker are ordered by their
- * version, which each decision raises, so that all processes of a node end with the same one in
- * whatever order entries reach them.
+ * The latest decision of operators on one worker. Each decision on a worker has a higher version
+ * than the previous one, so all processes of a node converge to the same entry, in whatever order
+ * they receive the entries.
  *
  * @param worker the worker's name in the endpoint list
- * @param version counts the decisions on this worker, across all processes of the node
+ * @param version the number of decisions on this worker so far, across all processes of the node
  * @param out true while the worker is in maintenance
- * @param returnedAt when its last maintenance ended, in ms; 0 while it is out
+ * @param returnedAt when the worker's last maintenance ended, in ms; 0 while it is in maintenance
  */
 public record MaintenanceEntry(String worker, long version, boolean out, double returnedAt)
     implements SharedRecord {
-  /** The version of what an earlier release stored, which did not count decisions. */
+  /** The version of entries that an earlier release stored without a version. */
   static final long UNVERSIONED = 0;
 
   static MaintenanceEntry out(String worker, long version) {
@@ -26,9 +26,9 @@
   }
 
   /**
-   * True if this entry replaces the other: a later version does. Of two decisions that were made at
-   * once in two processes, the one that takes the worker out counts, since jobs must not be sent to
-   * a worker that is being restarted.
+   * Returns true if this entry replaces the other one because its version is higher. If the
+   * versions are equal because two processes decided concurrently, the entry that starts
+   * maintenance wins, since no jobs may be sent to a worker that is being restarted.
    */
   boolean supersedes(MaintenanceEntry other) {
     return other == null
@@ -36,7 +36,7 @@
         || (version == other.version && out && !other.out);
   }
 
-  /** The same with its time by another clock. */
+  /** Returns a copy with its time converted to another clock. */
   MaintenanceEntry translated(DoubleUnaryOperator clock) {
     return out ? this : returned(worker, version, clock.applyAsDouble(returnedAt));
   }
--- a/node/src/main/java/ferngrade/node/MaintenanceOverrides.java
+++ b/node/src/main/java/ferngrade/node/MaintenanceOverrides.java
@@ -13,31 +13,35 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * The menu workers that operators have put in maintenance, applied on top of the endpoint list. The
- * dispatcher sees such a worker as draining, whatever discovery says, until operators end the
- * maintenance; it then counts as a process started at that moment, since operators restart it
- * meanwhile and it has to warm up. A state, not a count: two calls out need one call back. Each
- * decision is a {@link MaintenanceEntry} with a version, so that the decisions of several processes
- * of a node merge to the same state in each.
+ * Tracks the workers that operators have put in maintenance, and applies the maintenance to the
+ * endpoint list. The dispatcher sees a worker in maintenance as draining, whatever state discovery
+ * reports, until operators end the maintenance. The worker then counts as started at that moment,
+ * because operators restart the process during maintenance and the new process has to warm up.
+ * Maintenance is a state and not a count: two starts need only one end. Each decision is a {@link
+ * MaintenanceEntry} with a version, so that the decisions of several processes of a node merge to
+ * the same state in each process.
  *
- * <p>No I/O and no clock: times come as arguments, by the node's monotonic clock, as do those of
- * the list's entries.
+ * <p>Performs no I/O and reads no clock: times are passed as arguments, on the node's monotonic
+ * clock, like the start times of the list's entries.
  */
 public final class MaintenanceOverrides {
-  /** The latest decision on each worker that operators have named. */
+  /** The latest decision on each worker for which operators have made one, by worker name. */
   private final Map<String, MaintenanceEntry> entries = new TreeMap<>();
 
   /**
-   * Workers whose listed start is later than their return: operators' decisions are over for them.
+   * The workers whose start time in the list is later than the end of their maintenance, so that
+   * the end of the maintenance no longer determines their start time.
    */
-  private final Set<String> restarted = new HashSet<>();
+  private final Set<String> restartedSinceReturn = new HashSet<>();
 
-  /** The list's own entries, as received last, by name. */
+  /**
+   * The most recently received entries of the list, by worker name, without maintenance applied.
+   */
   private final Map<String, Endpoint> listed = new HashMap<>();
 
-  /** Applies maintenance to an update of the list, and keeps the list's own entries. */
-  List<Endpoint> over(EndpointListUpdate kind, List<Endpoint> entries) {
-    if (kind != EndpointListUpdate.CHANGES) {
+  /** Records an update of the list and returns its entries with maintenance applied. */
+  List<Endpoint> apply(EndpointListUpdate updateType, List<Endpoint> entries) {
+    if (updateType != EndpointListUpdate.CHANGES) {
       listed.clear();
     }
     List<Endpoint> effective = new ArrayList<>(entries.size());
@@ -47,12 +51,12 @@
       } else {
         listed.put(entry.name(), entry);
       }
-      effective.add(overlaid(entry));
+      effective.add(applyDecision(entry));
     }
     return effective;
   }
 
-  private Endpoint overlaid(Endpoint entry) {
+  private Endpoint applyDecision(Endpoint entry) {
     Worker worker = entry.worker();
     if (worker.state() == WorkerState.GONE) {
       return entry;
@@ -64,8 +68,9 @@
     if (decision.out()) {
       return entry.with(WorkerState.DRAINING, worker.startedAt());
     }
-    if (restarted.contains(entry.name()) || worker.startedAt() >= decision.returnedAt()) {
-      restarted.add(entry.name());
+    if (restartedSinceReturn.contains(entry.name())
+        || worker.startedAt() >= decision.returnedAt()) {
+      restartedSinceReturn.add(entry.name());
       return entry;
     }
     return entry.startedAt(decision.returnedAt());
@@ -76,18 +81,20 @@
     return decision != null && decision.out();
   }
 
-  /** True if the list holds this worker or it is in maintenance: operators may name it. */
-  public boolean knows(String name) {
+  /**
+   * Returns true if operators may name this worker: the list contains it or it is in maintenance.
+   */
+  public boolean isKnown(String name) {
     return listed.containsKey(name) || isOut(name);
   }
 
   /**
-   * Puts a worker in maintenance. Returns the entry that is in force now, or null where the list
-   * does not hold it at present.
+   * Starts a worker's maintenance. Returns the effective entry, or null if the list does not
+   * contain the worker at present.
    */
-  Endpoint take(String name) {
+  Endpoint start(String name) {
     put(MaintenanceEntry.out(name, nextVersion(name)));
-    return inForce(name);
+    return effectiveEntry(name);
   }
 
   private long nextVersion(String name) {
@@ -97,57 +104,65 @@
 
   private void put(MaintenanceEntry decision) {
     entries.put(decision.worker(), decision);
-    restarted.remove(decision.worker());
+    restartedSinceReturn.remove(decision.worker());
   }
 
-  /** The listed entry of this worker as it is in force; null if the list does not hold it. */
-  Endpoint inForce(String name) {
+  /**
+   * Returns the listed entry of this worker with maintenance applied; null if the list does not
+   * contain the worker.
+   */
+  Endpoint effectiveEntry(String name) {
     Endpoint entry = listed.get(name);
-    return entry == null ? null : overlaid(entry);
+    return entry == null ? null : applyDecision(entry);
   }
 
   /**
-   * Takes a worker back at {@code now}; returns the entry that is in force now, or null as above.
+   * Ends a worker's maintenance at {@code now}. Returns the effective entry, or null if the list
+   * does not contain the worker at present.
    */
-  Endpoint giveBack(String name, double now) {
+  Endpoint end(String name, double now) {
     if (isOut(name)) {
       put(MaintenanceEntry.returned(name, nextVersion(name), now));
     }
-    return inForce(name);
+    return effectiveEntry(name);
   }
 
-  /** The latest decision on this worker; null if there has been none. */
+  /** Returns the latest decision on this worker; null if there is none. */
   MaintenanceEntry decision(String name) {
     return entries.get(name);
   }
 
-  /** The latest decision on each worker that operators have named. */
+  /** Returns the latest decision on each worker for which operators have made one. */
   List<MaintenanceEntry> decisions() {
     return List.copyOf(entries.values());
   }
 
-  /** Takes over a decision of another process, unless it is superseded; true if it is new. */
+  /**
+   * Applies a decision of another process unless it is already known or superseded. Returns true if
+   * it was applied.
+   */
   boolean merge(MaintenanceEntry decision) {
-    boolean isNew = decision.supersedes(entries.get(decision.worker()));
-    if (isNew) {
+    boolean supersedes = decision.supersedes(entries.get(decision.worker()));
+    if (supersedes) {
       put(decision);
     }
-    return isNew;
+    return supersedes;
   }
 
-  /** Listed workers in maintenance. */
-  public int listedOut() {
+  /** Returns the number of listed workers in maintenance. */
+  public int inMaintenanceCount() {
     return (int) listed.keySet().stream().filter(this::isOut).count();
   }
 
-  /** Listed workers, whatever their phase. */
-  public int listedAll() {
+  /** Returns the number of listed workers in any state. */
+  public int listedCount() {
     return listed.size();
   }
 
   /**
-   * What a later process takes over: names in maintenance, and when each worker taken back
-   * returned. Outside the node, as in a file, these are times of the wall clock.
+   * The state that a later process restores: the names of the workers in maintenance, and for each
+   * returned worker the time at which its maintenance ended. Outside the node, for example in a
+   * file, the times are wall clock times.
    */
   public record Saved(Set<String> out, Map<String, Double> back) {
     public Saved {
@@ -155,22 +170,22 @@
       back = Map.copyOf(back);
     }
 
-    /** The same by another clock. */
+    /** Returns a copy with its times converted to another clock. */
     Saved translated(DoubleUnaryOperator clock) {
       Map<String, Double> times = new HashMap<>();
-      back.forEach((name, returned) -> times.put(name, clock.applyAsDouble(returned)));
+      back.forEach((name, returnedAt) -> times.put(name, clock.applyAsDouble(returnedAt)));
       return new Saved(out, times);
     }
   }
 
-  /** The state that a later process takes over. */
+  /** Returns the state for a later process to restore. */
   public Saved saved() {
     Set<String> out = new HashSet<>();
     Map<String, Double> back = new HashMap<>();
     for (MaintenanceEntry decision : entries.values()) {
       if (decision.out()) {
         out.add(decision.worker());
-      } else if (!restarted.contains(decision.worker())) {
+      } else if (!restartedSinceReturn.contains(decision.worker())) {
         back.put(decision.worker(), decision.returnedAt());
       }
     }
@@ -178,8 +193,8 @@
   }
 
   /**
-   * Takes over what an earlier process saved, for workers on which no decision with a version is
-   * known.
+   * Restores the state that an earlier process saved, for workers on which no decision with a
+   * version is known.
    */
   public void restore(Saved saved) {
     saved.out().forEach(name -> merge(MaintenanceEntry.out(name, MaintenanceEntry.UNVERSIONED)));
--- a/node/src/main/java/ferngrade/node/NodeMetrics.java
+++ b/node/src/main/java/ferngrade/node/NodeMetrics.java
@@ -6,11 +6,10 @@
 import java.util.Map;
 
 /**
- * What a node has done since its start, as operators read it: final answers by class, and attempts
- * written whole to workers. Counted where the node does these things, once each; what is in work
- * and what is listed is not counted here but looked up when asked for, so that nothing is kept
- * twice. Retries, and what was withheld, rejected or abandoned, are counted by reason. One thread
- * owns it, the node's.
+ * Counts what a node has done since it started: final answers by job class, attempts fully written
+ * to workers, retries, and withheld, rejected and abandoned requests by reason. Values that exist
+ * elsewhere, such as the number of requests in flight or of listed workers, are passed in when a
+ * snapshot is taken instead of being counted a second time. Confined to the event loop's thread.
  */
 public final class NodeMetrics {
   private long[] served = new long[0];
@@ -24,9 +23,11 @@
   private final Map<RejectionCause, Long> rejectedFor = new EnumMap<>(RejectionCause.class);
 
   /**
-   * A snapshot; {@code inFlight} are jobs taken and not ended, {@code excluded} listed workers
-   * avoided now, {@code retries} those of the attempts that were not their request's first, {@code
-   * abandoned} requests whose client left. A reason without an entry has not occurred.
+   * The metrics at one moment. {@code inFlight} is the number of accepted jobs without a final
+   * answer, {@code known} the number of listed workers, {@code excluded} the number of listed
+   * workers that the dispatcher avoids at present, {@code retries} the number of attempts that were
+   * not the first of their request, and {@code abandoned} the number of requests whose client
+   * disconnected. Reasons that have not occurred have no entry.
    */
   public record Snapshot(
       long[] served,
@@ -41,7 +42,7 @@
       Map<WithheldReason, Long> withheld,
       Map<RejectionReason, Long> rejected,
       Map<RejectionCause, Long> rejectedFor) {
-    /** All final answers of any kind. */
+    /** Returns the number of final answers of any type. */
     long answered() {
       return Arrays.stream(served).sum()
           + Arrays.stream(refused).sum()
@@ -50,24 +51,27 @@
   }
 
   void served(int jobClass) {
-    served = counted(served, jobClass);
+    served = incremented(served, jobClass);
   }
 
   void refused(int jobClass, RejectionReason reason) {
-    refused = counted(refused, jobClass);
+    refused = incremented(refused, jobClass);
     rejected.merge(reason, 1L, Long::sum);
   }
 
   void failed(int jobClass) {
-    failed = counted(failed, jobClass);
+    failed = incremented(failed, jobClass);
   }
 
-  /** The dispatcher rejects a request for this cause. */
+  /** Counts a request that the dispatcher rejects for this cause. */
   void rejectedFor(RejectionCause cause) {
     rejectedFor.merge(cause, 1L, Long::sum);
   }
 
-  /** An attempt was written; {@code number} counts those of its request from 0. */
+  /**
+   * Counts an attempt that was fully written; {@code number} is its index among the attempts of its
+   * request, from 0.
+   */
   void attempt(int number) {
     attempts++;
     retries += number > 0 ? 1 : 0;
@@ -81,7 +85,7 @@
     abandoned++;
   }
 
-  private static long[] counted(long[] counts, int jobClass) {
+  private static long[] incremented(long[] counts, int jobClass) {
     long[] grown = jobClass < counts.length ? counts : Arrays.copyOf(counts, jobClass + 1);
     grown[jobClass]++;
     return grown;
--- a/node/src/main/java/ferngrade/node/OperatorState.java
+++ b/node/src/main/java/ferngrade/node/OperatorState.java
@@ -1,35 +1,38 @@
 package ferngrade.node;
 
 /**
- * Where the decisions of operators are kept, so that they hold in every process of the node and
- * outlive each. Belongs to the event loop.
+ * Stores the decisions of operators, so that they apply in every process of the node and survive
+ * the end of each process. Confined to the event loop's thread.
  */
 public interface OperatorState {
-  /** Takes over what other processes of the node have been told meanwhile. */
+  /** Applies the decisions that other processes of the node have made since the last call. */
   void refresh();
 
   /**
-   * Stores the latest decision on this worker; {@code stored} runs on the event loop once it holds
-   * in every process and is durable. Until then attempts to store it go on.
+   * Stores the latest decision on this worker, and retries until that succeeds. {@code stored} runs
+   * on the event loop once the decision is in effect in every process and is durable.
    */
   void storeMaintenance(String worker, Runnable stored);
 
   /**
-   * True if another process's decision on this worker was taken over here at {@code instant}, ms on
-   * the clock, or later.
+   * Returns true if a decision of another process on this worker was applied here at {@code
+   * instant}, ms on the monotonic clock, or later.
    */
   boolean decidedElsewhereSince(String worker, double instant);
 
-  /** Drains the node or ends that, in every process of it. */
+  /**
+   * Drains the node if {@code drained} is true, or ends the drain if it is false, in every process
+   * of the node.
+   */
   void drain(boolean drained);
 
   /**
-   * Takes over a record that another process of the node sent to this one.
+   * Applies a record that another process of the node sent to this process.
    *
-   * @throws IllegalArgumentException if the text is no record
+   * @throws IllegalArgumentException if the text is not a valid record
    */
   void received(String record);
 
-  /** True once all that was decided before this process started is known here. */
+  /** Returns true once all decisions that were made before this process started are known here. */
   boolean complete();
 }
--- a/node/src/main/java/ferngrade/node/PendingRequest.java
+++ b/node/src/main/java/ferngrade/node/PendingRequest.java
@@ -4,10 +4,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One client's request: its attempts, and whether its final answer has been given. */
+/** Tracks one client's request: its attempts and its final answer. */
 final class PendingRequest {
-  /** A fifth of the time for which a late answer still counts as one. */
-  private static final double REPORTED_LATENESS_MS = 100;
+  /**
+   * The lateness of an answer, ms, above which the request is traced: a fifth of the lateness up to
+   * which a late answer still counts as an answer.
+   */
+  private static final double MIN_TRACED_LATENESS_MILLIS = 100;
 
   final Job job;
   final JobRequest call;
@@ -16,21 +19,25 @@
   /** The number of attempts that have not ended. */
   int attemptsInFlight;
 
-  Timers.Timer guard;
+  /** Fires when the request must have its final answer. */
+  Timers.Timer overdueTimer;
+
   private final ResponseHandler reply;
   private final NodeMetrics metrics;
   private final Clock clock;
 
-  /** When it was read whole, ms on the clock. */
+  /** When the request was fully read, ms on the monotonic clock. */
   final double readAt;
 
-  /** When it was answered; NaN before that. */
+  /** When the request was answered, ms on the monotonic clock; NaN until then. */
   private double answeredAt = Double.NaN;
 
-  /** Null before it is answered. */
+  /** The final answer; null until the request is answered. */
   private FinalAnswer answer;
 
-  /** The final answer goes to {@code reply}, and is counted in {@code metrics}. */
+  /**
+   * Creates a request whose final answer is passed to {@code reply} and counted in {@code metrics}.
+   */
   PendingRequest(
       Job job, JobRequest call, ResponseHandler reply, NodeMetrics metrics, Clock clock) {
     this.job = job;
@@ -41,31 +48,37 @@
     this.readAt = clock.now();
   }
 
-  /** The final answer; null before there is one. */
+  /** Returns the final answer; null until there is one. */
   FinalAnswer answer() {
     return answer;
   }
 
-  /** When it was answered, ms on the clock; NaN before that. */
+  /** Returns when the request was answered, ms on the monotonic clock; NaN until then. */
   double answeredAt() {
     return answeredAt;
   }
 
-  /** True if the answer came so long after the client's deadline that it is worth a trace. */
+  /**
+   * Returns true if the answer came so long after the client's deadline that a trace should be
+   * written.
+   */
   boolean answeredLate() {
-    return answer != FinalAnswer.ABANDONED && answeredAt > job.due() + REPORTED_LATENESS_MS;
+    return answer != FinalAnswer.ABANDONED && answeredAt > job.due() + MIN_TRACED_LATENESS_MILLIS;
   }
 
   boolean completed() {
     return answer != null;
   }
 
-  /** Completes the request: true for the first caller only, who owes the final answer. */
-  private boolean complete(FinalAnswer with) {
+  /**
+   * Completes the request. Returns true for the first call only; that caller must send the final
+   * answer.
+   */
+  private boolean complete(FinalAnswer finalAnswer) {
     if (answer != null) {
       return false;
     }
-    answer = with;
+    answer = finalAnswer;
     answeredAt = clock.now();
     return true;
   }
@@ -84,7 +97,10 @@
     }
   }
 
-  /** True if this was the final answer. */
+  /**
+   * Answers that the request has failed, unless it is already answered. Returns true if this was
+   * the final answer.
+   */
   boolean failed() {
     boolean first = complete(FinalAnswer.FAILED);
     if (first) {
@@ -94,8 +110,11 @@
     return first;
   }
 
-  /** The final answer to a request that a shutdown cancels, by what its attempts may have done. */
-  void givenUp() {
+  /**
+   * Answers a request that a shutdown cancels: failed if an attempt may have run, rejected
+   * otherwise.
+   */
+  void cancelledByShutdown() {
     if (attempts.stream().anyMatch(Attempt::mayHaveRun)) {
       failed();
     } else {
@@ -103,19 +122,22 @@
     }
   }
 
-  /** False if the client has gone, whether or not that has been read yet. */
+  /**
+   * Returns false if the client has disconnected, even if the event loop has not read the close
+   * yet.
+   */
   boolean clientPresent() {
     return reply.clientPresent();
   }
 
-  /** The client has gone; there is nobody to answer. */
+  /** Completes the request without an answer, because its client has disconnected. */
   void abandoned() {
     metrics.abandoned();
     complete(FinalAnswer.ABANDONED);
   }
 
-  /** The attempt that a callback of this worker can be about; null if there is none. */
-  Attempt writtenTo(String worker) {
+  /** Returns the attempt to which a callback of this worker can refer; null if there is none. */
+  Attempt runningAttemptOn(String worker) {
     for (Attempt attempt : attempts) {
       if (attempt.running() && attempt.endpoint.name().equals(worker)) {
         return attempt;
@@ -124,8 +146,9 @@
     return null;
   }
 
-  /** True if the worker must not get the request again. */
-  boolean barred(long worker) {
-    return attempts.stream().anyMatch(each -> each.worker == worker && each.bars());
+  /** Returns true if the request must not be sent to this worker again. */
+  boolean excludesWorker(long worker) {
+    return attempts.stream()
+        .anyMatch(attempt -> attempt.worker == worker && attempt.excludesWorker());
   }
 }
--- a/node/src/main/java/ferngrade/node/ProcessRecord.java
+++ b/node/src/main/java/ferngrade/node/ProcessRecord.java
@@ -3,12 +3,12 @@
 import java.net.InetSocketAddress;
 
 /**
- * A process of the node that has started.
+ * Records that a process of the node has started.
  *
- * @param pid its process id
- * @param operators where it takes operators' calls and relayed callbacks
- * @param first true if no other process of the node ran when it started: decisions on the node as a
- *     whole that were made before are over
+ * @param pid the process id
+ * @param operators the address at which the process accepts operators' calls and relayed callbacks
+ * @param first true if no other process of the node was running when this process started; earlier
+ *     decisions on the node as a whole no longer apply then
  */
 public record ProcessRecord(long pid, InetSocketAddress operators, boolean first)
     implements SharedRecord {}
--- a/node/src/main/java/ferngrade/node/RateLimitedLog.java
+++ b/node/src/main/java/ferngrade/node/RateLimitedLog.java
@@ -5,70 +5,75 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' log, limited in rate so that no flood of bad input can fill it: one line a second
- * of each kind that others can bring about, and a bound on all lines together. Lines that tell of a
- * loss have a bound of their own, so that no others keep them out.
+ * Writes the operators' log at a limited rate, so that a flood of bad input cannot fill the log:
+ * one line per second for each category of message that clients or peers can trigger, and a limit
+ * on all lines together. Lines that report a loss have a separate limit, so that other lines cannot
+ * displace them.
  */
 public final class RateLimitedLog {
-  private static final int LINES_A_SECOND = 20;
-  private static final int LOSSES_A_SECOND = 50;
+  private static final int MAX_LINES_PER_SECOND = 20;
+  private static final int MAX_LOSSES_PER_SECOND = 50;
 
   private final Clock clock;
-  private final Consumer<String> out;
+  private final Consumer<String> sink;
 
-  /** The lines asked for in this second, by kind. */
-  private final Map<String, Integer> kinds = new HashMap<>();
+  /** The number of lines requested in the current second, by category. */
+  private final Map<String, Integer> linesByCategory = new HashMap<>();
 
-  private double second = Double.NEGATIVE_INFINITY;
+  private double secondStart = Double.NEGATIVE_INFINITY;
   private int lines;
   private int dropped;
   private int losses;
 
-  /** A log that hands its lines to {@code out}. */
-  public RateLimitedLog(Clock clock, Consumer<String> out) {
+  /** Creates a log that passes its lines to {@code sink}. */
+  public RateLimitedLog(Clock clock, Consumer<String> sink) {
     this.clock = clock;
-    this.out = out;
+    this.sink = sink;
   }
 
-  /** Writes one line, unless this second has had its share of them. */
+  /** Writes one line, unless the limit of the current second is reached. */
   public void line(String text) {
-    turn();
-    if (lines++ < LINES_A_SECOND) {
-      out.accept(text);
+    startSecondIfDue();
+    if (lines++ < MAX_LINES_PER_SECOND) {
+      sink.accept(text);
     } else {
       dropped++;
     }
   }
 
-  /** Writes one line, unless this second has had one of that kind, a short fixed name. */
-  public void line(String kind, String text) {
-    turn();
-    if (kinds.merge(kind, 1, Integer::sum) == 1) {
+  /**
+   * Writes one line, unless the current second has already had a line of this category. {@code
+   * category} must be a short constant name.
+   */
+  public void line(String category, String text) {
+    startSecondIfDue();
+    if (linesByCategory.merge(category, 1, Integer::sum) == 1) {
       line(text);
     } else {
       dropped++;
     }
   }
 
-  /** Writes one line that tells of something lost, whatever other lines this second has had. */
+  /** Writes one line that reports a loss; only the limit on losses applies to it. */
   public void loss(String text) {
-    turn();
-    if (losses++ < LOSSES_A_SECOND) {
-      out.accept(text);
+    startSecondIfDue();
+    if (losses++ < MAX_LOSSES_PER_SECOND) {
+      sink.accept(text);
     }
   }
 
-  private void turn() {
+  private void startSecondIfDue() {
     double now = clock.now();
-    if (now - second >= 1000) {
+    if (now - secondStart >= 1000) {
       if (dropped > 0) {
-        out.accept(dropped + " lines left out");
+        sink.accept(dropped + " log lines dropped by the rate limit");
       }
-      if (losses > LOSSES_A_SECOND) {
-        out.accept((losses - LOSSES_A_SECOND) + " lines that tell of losses left out");
+      if (losses > MAX_LOSSES_PER_SECOND) {
+        sink.accept(
+            (losses - MAX_LOSSES_PER_SECOND) + " log lines about losses dropped by the rate limit");
       }
-      second = now;
-      kinds.clear();
+      secondStart = now;
+      linesByCategory.clear();
       lines = 0;
       dropped = 0;
       losses = 0;
--- a/node/src/main/java/ferngrade/node/RecentIds.java
+++ b/node/src/main/java/ferngrade/node/RecentIds.java
@@ -4,21 +4,21 @@
 import java.util.Set;
 
 /**
- * The ids of the requests that ended last. Each request brings a new one; a worker that has had an
- * id turns the next request under it away, and a late call-back for the first could be taken for
- * the second's.
+ * Remembers the ids of the most recently finished requests, up to a limit. Each request must have a
+ * new id: a worker rejects a request whose id it has already received, and a late callback for the
+ * first request could be mistaken for one for the second.
  */
 final class RecentIds {
-  private final int most;
+  private final int maxIds;
   private final Set<String> ids = new LinkedHashSet<>();
 
-  RecentIds(int most) {
-    this.most = most;
+  RecentIds(int maxIds) {
+    this.maxIds = maxIds;
   }
 
   void add(String id) {
     ids.add(id);
-    if (ids.size() > most) {
+    if (ids.size() > maxIds) {
       ids.remove(ids.iterator().next());
     }
   }
--- a/node/src/main/java/ferngrade/node/RejectionReason.java
+++ b/node/src/main/java/ferngrade/node/RejectionReason.java
@@ -1,11 +1,13 @@
 package ferngrade.node;
 
-/** Why a request was rejected with a promise that it has not run. */
+/** Why a request was rejected. A rejection guarantees that the request has not run. */
 public enum RejectionReason {
-  /** The dispatcher decided so, before or after attempts that cannot have run. */
+  /**
+   * The dispatcher rejected the request, without attempts or after attempts that cannot have run.
+   */
   DISPATCHER,
-  /** This process has no capacity for it. */
+  /** This process has no capacity for the request. */
   CAPACITY,
-  /** This process shuts down. */
+  /** This process is shutting down. */
   SHUTDOWN
 }
--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -18,16 +18,20 @@
 import java.util.function.Function;
 
 /**
- * Coordinates requests without any protocol of its own: it gathers events, hands them to the
- * dispatcher in one turn, and then carries out what the dispatcher requested. It owns the table of
- * pending requests and ensures that each request gets one final answer; attempts are run by {@link
- * AttemptRunner}, the endpoint list is kept by {@link EndpointRegistry}.
+ * Coordinates client requests independently of any protocol. Collects events, passes them to the
+ * dispatcher together in one turn of the loop, and then runs the actions that the dispatcher
+ * requested. Owns the table of pending requests and ensures that each request gets exactly one
+ * final answer. {@link AttemptRunner} runs the attempts, and {@link EndpointRegistry} maintains the
+ * endpoint list.
  *
- * <p>All methods belong to one thread, the one on which {@code loop} runs its tasks.
+ * <p>All methods must be called on the thread on which {@code loop} runs its tasks.
  */
 public final class RequestCoordinator {
-  /** The node fails a request itself this long after its deadline, ms, if it is still pending. */
-  static final double GUARD = 10;
+  /**
+   * The delay after a request's deadline, ms, after which the node itself fails a request that is
+   * still pending.
+   */
+  static final double FINAL_ANSWER_GRACE_MILLIS = 10;
 
   private final Clock clock;
   private final Timers timers;
@@ -44,17 +48,20 @@
   private final NodeMetrics metrics = new NodeMetrics();
   private final TraceLog traces;
 
-  /** Bytes of the bodies of the pending requests. */
-  private long bytes;
+  /** The total size of the bodies of the pending requests, in bytes. */
+  private long pendingBytes;
 
   private boolean readyLogged;
 
   private Runnable whenReady = () -> {};
 
-  /** The process ends: {@link #answerAllBy} has been called. */
-  private boolean ending;
+  /** True once {@link #answerAllBy} has been called because the process shuts down. */
+  private boolean shuttingDown;
 
-  /** What a coordinator uses. {@code loop} runs tasks later, in order, on the node's thread. */
+  /**
+   * The collaborators of a coordinator. {@code loop} runs tasks later, in submission order, on the
+   * node's thread.
+   */
   public record Surroundings(
       Clock clock,
       Timers timers,
@@ -64,75 +71,80 @@
       RateLimitedLog log) {}
 
   /**
-   * Bounds on the node's memory: pending requests, and bytes of their bodies. Beyond them requests
-   * are rejected with a Retry-After of {@code retryAfter} ms, 0 for none.
+   * Limits the node's memory: the number of pending requests and the total size of their bodies in
+   * bytes. Requests beyond either limit are rejected with a Retry-After of {@code retryAfter} ms,
+   * or with none if it is 0.
    */
   public record RequestLimits(int requests, long bytes, double retryAfter) {}
 
-  /** A coordinator around the dispatcher that {@code start} makes. */
+  /**
+   * Creates a coordinator for the dispatcher that {@code start} returns. {@code start} receives the
+   * actions that the dispatcher can request.
+   */
   public RequestCoordinator(
-      Surroundings around, RequestLimits limits, Function<Actions, Dispatcher> start) {
-    this.clock = around.clock();
-    this.timers = around.timers();
-    this.workers = around.workers();
-    this.peers = around.peers();
-    this.log = around.log();
+      Surroundings surroundings, RequestLimits limits, Function<Actions, Dispatcher> start) {
+    this.clock = surroundings.clock();
+    this.timers = surroundings.timers();
+    this.workers = surroundings.workers();
+    this.peers = surroundings.peers();
+    this.log = surroundings.log();
     this.limits = limits;
     this.traces = new TraceLog(clock, log);
     this.finished = new RecentIds(limits.requests());
-    this.turns = new TurnQueue(around.loop(), log);
+    this.turns = new TurnQueue(surroundings.loop(), log);
     this.endpoints = new EndpointRegistry(clock, this::endpointsChanged);
-    this.attempts = new AttemptRunner(around, turns, endpoints, metrics, this::attemptEnded);
+    this.attempts = new AttemptRunner(surroundings, turns, endpoints, metrics, this::attemptEnded);
     this.dispatcher = start.apply(new RequestedActions());
     turns.schedule();
   }
 
-  /** True once an endpoint list is known, so that requests can be served. */
+  /** Returns true once an endpoint list is known, so that requests can be served. */
   public boolean ready() {
     return !endpoints.isEmpty();
   }
 
-  /** Has a task run when an endpoint list first becomes known. */
+  /** Sets the task that runs when an endpoint list first becomes known. */
   public void whenReady(Runnable task) {
     whenReady = task;
   }
 
-  /** The number of requests that are pending or still have attempts in flight. */
+  /** Returns the number of requests that are unanswered or still have attempts in flight. */
   public int open() {
     return pending.size();
   }
 
-  // ---- Requests of clients ----
+  // ---- Client requests ----
 
   /**
-   * Accepts a request; exactly one method of {@code reply} will be called.
+   * Accepts a request. Exactly one method of {@code reply} will be called.
    *
-   * @return false if its id has been used, and no method will be called
+   * @return false if the id has been used before; no method of {@code reply} is called then
    */
   public boolean request(Job job, JobRequest call, ResponseHandler reply) {
     if (pending.containsKey(job.id()) || finished.contains(job.id())) {
       return false;
     }
-    if (pending.size() >= limits.requests() || bytes + call.body().length > limits.bytes()) {
+    if (pending.size() >= limits.requests() || pendingBytes + call.body().length > limits.bytes()) {
       rejectForCapacity(job, reply);
       return true;
     }
     PendingRequest request = new PendingRequest(job, call, reply, metrics, clock);
     pending.put(job.id(), request);
-    bytes += call.body().length;
-    request.guard = timers.after(job.due() - clock.now() + GUARD, () -> overdue(request));
+    pendingBytes += call.body().length;
+    request.overdueTimer =
+        timers.after(job.due() - clock.now() + FINAL_ANSWER_GRACE_MILLIS, () -> overdue(request));
     turns.event(() -> dispatcher.arrived(clock.now(), job));
     return true;
   }
 
-  /** Rejects a request that the dispatcher does not see, for lack of capacity. */
+  /** Rejects a request for lack of capacity, without passing it to the dispatcher. */
   public void rejectForCapacity(Job job, ResponseHandler reply) {
     reject(job, reply, limits.retryAfter(), RejectionReason.CAPACITY);
   }
 
   /**
-   * Rejects a request that the dispatcher does not see, for example because the node shuts down;
-   * {@code retryAfter} in ms, 0 for none.
+   * Rejects a request without passing it to the dispatcher, for example because the node shuts
+   * down. {@code retryAfter} is the Retry-After in ms, or 0 for none.
    */
   public void reject(Job job, ResponseHandler reply, double retryAfter, RejectionReason reason) {
     metrics.refused(job.jobClass(), reason);
@@ -140,22 +152,25 @@
   }
 
   /**
-   * The process ends: each pending request has its final answer at {@code end} on the clock, even
-   * if its deadline is later.
+   * Ensures that each pending request has its final answer at {@code end} on the monotonic clock,
+   * even if its deadline is later. Called when the process shuts down.
    */
   public void answerAllBy(double end) {
-    ending = true;
-    double left = end - clock.now();
+    shuttingDown = true;
+    double remaining = end - clock.now();
     pending.values().stream()
-        .filter(each -> !each.completed() && each.job.due() > end)
+        .filter(request -> !request.completed() && request.job.due() > end)
         .forEach(
-            each -> {
-              each.guard.cancel();
-              each.guard = timers.after(left, () -> overdue(each));
+            request -> {
+              request.overdueTimer.cancel();
+              request.overdueTimer = timers.after(remaining, () -> overdue(request));
             });
   }
 
-  /** The requests without a final answer, by what they wait for and the age of the oldest, ms. */
+  /**
+   * Returns the number of requests without a final answer and the age of the oldest one, ms, for
+   * each state in which there are any.
+   */
   public Map<RequestState, OpenRequests> openByState() {
     Map<RequestState, OpenRequests> open = new EnumMap<>(RequestState.class);
     double now = clock.now();
@@ -170,7 +185,10 @@
     return open;
   }
 
-  /** The client of this request has gone. */
+  /**
+   * Records that the client of this request has disconnected, and cancels the attempts that are not
+   * fully written.
+   */
   public void clientGone(String id) {
     PendingRequest request = pending.get(id);
     if (request != null && !request.completed()) {
@@ -180,24 +198,29 @@
             dispatcher.abandoned(clock.now(), id);
             release(request);
           });
-      // A worker begins with the last byte: attempts not written completely must not get there.
+      // A worker starts a job once it has received the last byte, so attempts that are not fully
+      // written must not be completed.
       request.attempts.stream().filter(attempt -> !attempt.written).forEach(attempts::cancel);
     }
   }
 
-  /** True if this node has or had the request with this id, as far as it remembers. */
+  /**
+   * Returns true if the request with this id is pending here or is among the finished requests that
+   * this node remembers.
+   */
   public boolean knowsOf(String id) {
     return pending.containsKey(id) || finished.contains(id);
   }
 
   /**
-   * A worker's callback on a job.
+   * Processes a worker's callback about a job.
    *
-   * @return false if it fits no attempt in flight, being late or of an unknown job; it is ignored
+   * @return false if the callback matches no attempt in flight, because it is late or the job is
+   *     unknown; the callback is ignored then
    */
   public boolean callback(WorkerCallback callback) {
     PendingRequest request = pending.get(callback.id());
-    Attempt attempt = request == null ? null : request.writtenTo(callback.from());
+    Attempt attempt = request == null ? null : request.runningAttemptOn(callback.from());
     if (attempt == null) {
       return false;
     }
@@ -224,7 +247,8 @@
             case FAILED -> attempts.end(attempt, AttemptOutcome.ERROR, callback.report());
             case RETURNED -> attempts.end(attempt, AttemptOutcome.FULL, callback.report());
             case LOST -> attempts.end(attempt, AttemptOutcome.RESET, callback.report());
-            default -> throw new IllegalStateException("no such state: " + callback.state());
+            default ->
+                throw new IllegalStateException("unknown callback state: " + callback.state());
           }
         });
     return true;
@@ -232,39 +256,48 @@
 
   // ---- The endpoint list ----
 
-  /** An update of the endpoint list, whose start times are by the wall clock. */
-  public void members(EndpointListUpdate kind, List<Endpoint> entries) {
-    endpoints.update(kind, entries);
+  /**
+   * Applies an update of the endpoint list. The start times of its entries are wall clock times.
+   */
+  public void members(EndpointListUpdate updateType, List<Endpoint> entries) {
+    endpoints.update(updateType, entries);
   }
 
-  private void endpointsChanged(EndpointListUpdate kind, List<Worker> workerUpdates) {
+  private void endpointsChanged(EndpointListUpdate updateType, List<Worker> workerUpdates) {
     if (!readyLogged && ready()) {
       readyLogged = true;
       log.line("ready: a worker list of " + endpoints.listed() + " is known");
       whenReady.run();
     }
-    turns.event(() -> dispatcher.members(clock.now(), kind, workerUpdates));
+    turns.event(() -> dispatcher.members(clock.now(), updateType, workerUpdates));
   }
 
-  /** Discovery reports that nothing has changed. */
+  /** Records that discovery has confirmed the current endpoint list. */
   public void listUnchanged() {
     endpoints.unchanged();
   }
 
   /**
-   * The endpoint list of an earlier process. It may be old, and what discovery holds counts from
-   * this process's first moment: so it is used only once discovery could not be reached.
+   * Keeps the endpoint list that an earlier process stored. The list may be outdated, and this
+   * process must follow the list that discovery has held since the process started, so the stored
+   * list is used only after discovery could not be reached.
    */
   public void stored(List<Endpoint> entries) {
     endpoints.store(entries);
   }
 
-  /** Discovery has not answered as quickly as it does when it can be reached. */
+  /**
+   * Puts the stored endpoint list into effect, because discovery has not answered within the time
+   * that it takes when it is reachable.
+   */
   public void discoverySilent() {
     endpoints.useStored();
   }
 
-  /** The endpoint list could not be read; the last one stays. */
+  /**
+   * Reports to the dispatcher that the endpoint list could not be read. The last known list stays
+   * in effect.
+   */
   public void listFailed() {
     discoverySilent();
     turns.event(() -> dispatcher.listFailed(clock.now()));
@@ -273,52 +306,63 @@
   // ---- Operators and peers ----
 
   /**
-   * Operators put a worker in maintenance: until {@link #endMaintenance} the dispatcher sees it as
-   * draining, whatever discovery says. False: nobody has that name.
+   * Starts a worker's maintenance on behalf of operators: until {@link #endMaintenance} the
+   * dispatcher sees the worker as draining, whatever state discovery reports. Returns false if no
+   * worker has this name.
    */
   public boolean startMaintenance(String name) {
     return endpoints.startMaintenance(name);
   }
 
-  /** Operators end a worker's maintenance; it starts slowly. False: nobody has that name. */
+  /**
+   * Ends a worker's maintenance on behalf of operators; the worker then goes through slow start.
+   * Returns false if no worker has this name.
+   */
   public boolean endMaintenance(String name) {
     return endpoints.endMaintenance(name);
   }
 
   /**
-   * Takes over a decision on a worker that another process of this node made, with times by the
-   * wall clock; {@code notBefore} on the monotonic clock. False if it is known or superseded.
+   * Applies a decision on a worker that another process of this node made, with times of the wall
+   * clock. {@code notBefore} is a lower bound for these times on the monotonic clock. Returns false
+   * if the decision is already known or superseded.
    */
   public boolean mergeMaintenance(MaintenanceEntry decision, double notBefore) {
     return endpoints.mergeMaintenance(decision, notBefore);
   }
 
-  /** The latest decision on this worker, with times by the wall clock; null if there is none. */
+  /**
+   * Returns the latest decision on this worker, with times of the wall clock; null if there is
+   * none.
+   */
   public MaintenanceEntry maintenanceDecision(String worker) {
     return endpoints.maintenanceDecision(worker);
   }
 
-  /** The latest decision on each worker that operators have named, with times by the wall clock. */
+  /**
+   * Returns the latest decision on each worker for which operators have made one, with times of the
+   * wall clock.
+   */
   public List<MaintenanceEntry> maintenanceDecisions() {
     return endpoints.maintenanceDecisions();
   }
 
-  /** What is in maintenance, for a later process to take over. */
+  /** Returns the maintenance state, for a later process to restore. */
   public MaintenanceOverrides.Saved savedMaintenance() {
     return endpoints.savedMaintenance();
   }
 
-  /** Takes over the maintenance that an earlier process saved. */
+  /** Restores the maintenance state that an earlier process saved. */
   public void restoreMaintenance(MaintenanceOverrides.Saved saved) {
     endpoints.restoreMaintenance(saved);
   }
 
-  /** The dispatcher's slot budget; null where it has none. */
+  /** Returns the state of the dispatcher's slot budget; null if the dispatcher has no budget. */
   public BudgetState budgetState() {
     return dispatcher.budgetState();
   }
 
-  /** The metrics for operators, as of now. */
+  /** Returns the current metrics for operators. */
   public NodeMetrics.Snapshot metrics() {
     int inFlight = (int) pending.values().stream().filter(request -> !request.completed()).count();
     return metrics.snapshot(
@@ -326,33 +370,36 @@
   }
 
   /**
-   * This process is one of {@code count} processes of the node that run now, number {@code index}
-   * of them from 0.
+   * Informs the dispatcher that {@code count} processes of the node run now and that this process
+   * has the index {@code index} among them, counted from 0.
    */
   public void sharedBy(int count, int index) {
     turns.event(() -> dispatcher.sharedBy(clock.now(), count, index));
   }
 
-  /** No more requests are accepted: grants for workers that warm up are left to others. */
+  /**
+   * Informs the dispatcher that this process accepts no more requests, so that it leaves the
+   * capacity grants for workers that warm up to other processes.
+   */
   public void acceptNoMore() {
     turns.event(() -> dispatcher.acceptNoMore(clock.now()));
   }
 
-  /** A message from another node. */
+  /** Processes a message from another node. */
   public void heard(int from, byte[] message) {
     turns.event(() -> dispatcher.heard(clock.now(), from, message));
   }
 
-  // ---- The end of requests and attempts ----
+  // ---- Completion of requests and attempts ----
 
   private void overdue(PendingRequest request) {
-    // The process may have been paused: what has come until now, and attempts whose timeouts are
-    // due, are handed over in this turn, too, and come first.
+    // The process may have been paused. Input that has arrived by now, and attempts whose timeouts
+    // are due, are processed in this turn too, ahead of this event.
     request.attempts.forEach(attempts::readPending);
     turns.event(
         () -> {
-          if (ending) {
-            cutShort(request);
+          if (shuttingDown) {
+            cancelAtShutdown(request);
           } else {
             failOverdue(request);
           }
@@ -367,23 +414,29 @@
     }
   }
 
-  /** Cancels the request with all its attempts, and answers it by what they may have done. */
-  private void cutShort(PendingRequest request) {
+  /**
+   * Cancels the request and all its attempts. The final answer depends on whether an attempt may
+   * have run.
+   */
+  private void cancelAtShutdown(PendingRequest request) {
     if (request.completed()) {
       return;
     }
-    List<Attempt> running =
-        request.attempts.stream().filter(each -> !each.ended && each.sending != null).toList();
-    // None is begun or written completely from here on; only then is it known which have been.
-    running.forEach(each -> each.sending.giveUp(() -> {}));
-    request.givenUp();
+    List<Attempt> inFlight =
+        request.attempts.stream()
+            .filter(attempt -> !attempt.ended && attempt.handle != null)
+            .toList();
+    // No attempt can start or finish its write after this, so only now is it certain which attempts
+    // were fully written.
+    inFlight.forEach(attempt -> attempt.handle.giveUp(() -> {}));
+    request.cancelledByShutdown();
     traces.write(request, "cut-short-by-shutdown");
     dispatcher.abandoned(clock.now(), request.job.id());
-    running.forEach(
-        each ->
+    inFlight.forEach(
+        attempt ->
             attempts.end(
-                each,
-                each.written ? AttemptOutcome.CANCELLED : AttemptOutcome.NEVER_SENT,
+                attempt,
+                attempt.written ? AttemptOutcome.CANCELLED : AttemptOutcome.NEVER_SENT,
                 LoadReport.NONE));
     release(request);
   }
@@ -392,12 +445,12 @@
     if (request.completed()
         && request.attemptsInFlight == 0
         && pending.remove(request.job.id(), request)) {
-      request.guard.cancel();
+      request.overdueTimer.cancel();
       if (request.answeredLate() && request.answer() != FinalAnswer.FAILED) {
         traces.write(request, "answered-late");
       }
       finished.add(request.job.id());
-      bytes -= request.call.body().length;
+      pendingBytes -= request.call.body().length;
     }
   }
 
@@ -415,12 +468,12 @@
     release(request);
   }
 
-  // ---- What the dispatcher requests ----
+  // ---- Actions that the dispatcher requests ----
 
   private void send(String id, long worker, double timeout) {
     PendingRequest request = pending.get(id);
     if (request == null) {
-      log.line("send for a completed request: " + id);
+      log.line("dispatcher requested an attempt for a completed request: " + id);
     } else {
       attempts.start(request, worker, timeout);
     }
@@ -448,7 +501,10 @@
     }
   }
 
-  /** Queues what the dispatcher requests, until all events of the turn have been handed over. */
+  /**
+   * Queues the actions that the dispatcher requests until all events of the turn have been
+   * processed.
+   */
   private final class RequestedActions implements Actions {
     @Override
     public void send(String id, long worker, double timeout) {
@@ -471,12 +527,12 @@
       answer(id, PendingRequest::failed);
     }
 
-    private void answer(String id, Consumer<PendingRequest> how) {
+    private void answer(String id, Consumer<PendingRequest> answer) {
       turns.action(
           () -> {
             PendingRequest request = pending.get(id);
             if (request != null) {
-              how.accept(request);
+              answer.accept(request);
               release(request);
             }
           });
@@ -505,7 +561,7 @@
 
     @Override
     public void watch() {
-      // Not needed: a discovery watch is always open.
+      // Nothing to do: the discovery watch is always open.
     }
 
     @Override
--- a/node/src/main/java/ferngrade/node/RequestTrace.java
+++ b/node/src/main/java/ferngrade/node/RequestTrace.java
@@ -3,13 +3,16 @@
 import java.util.Locale;
 
 /**
- * The steps of one request as a structured line for the log: when it was read, sent, written,
- * accepted, answered, in ms since it was read. Stateless.
+ * Formats the steps of one request as a structured log line: when the request was read, sent,
+ * written, accepted and answered, in ms since it was read. Stateless.
  */
 final class RequestTrace {
   private RequestTrace() {}
 
-  /** What became of the request up to {@code now}; {@code occasion} says why it is told. */
+  /**
+   * Returns the trace of the request up to {@code now}; {@code occasion} is the reason for which
+   * the trace is written.
+   */
   static String describe(PendingRequest request, String occasion, double now) {
     StringBuilder line = new StringBuilder(256);
     line.append("request-trace id=").append(request.job.id());
@@ -37,7 +40,7 @@
     line.append(" outcome=").append(attempt.outcome == null ? "none" : attempt.outcome);
   }
 
-  /** What the request waits for. */
+  /** Returns the step for which the request is waiting. */
   static RequestState state(PendingRequest request) {
     if (request.completed()) {
       return RequestState.ANSWERED;
@@ -58,7 +61,7 @@
     return attempt.written ? RequestState.WRITTEN_TO_WORKER : RequestState.CONNECTING;
   }
 
-  private static String since(PendingRequest request, double at) {
-    return Double.isNaN(at) ? "-" : String.format(Locale.ROOT, "%.1f", at - request.readAt);
+  private static String since(PendingRequest request, double time) {
+    return Double.isNaN(time) ? "-" : String.format(Locale.ROOT, "%.1f", time - request.readAt);
   }
 }
--- a/node/src/main/java/ferngrade/node/ResponseHandler.java
+++ b/node/src/main/java/ferngrade/node/ResponseHandler.java
@@ -1,19 +1,23 @@
 package ferngrade.node;
 
-/** Answers one client. The node calls exactly one of the answering methods, once. */
+/** Sends the answer of one client. The node calls exactly one of the answering methods, once. */
 public interface ResponseHandler {
-  /** Served, with the result of a worker. */
+  /** Sends the result of a worker. */
   void served(String result);
 
-  /** Rejected: a retry is harmless; {@code retryAfter} is the Retry-After in ms, 0 for none. */
+  /**
+   * Rejects the request, which guarantees that a retry is safe. {@code retryAfter} is the
+   * Retry-After in ms, 0 for none.
+   */
   void refused(double retryAfter);
 
-  /** Failed, which promises nothing about the effect. */
+  /** Reports a failure, which leaves open whether the request had an effect. */
   void failed();
 
   /**
-   * Asked right before an attempt begins: false if the client has gone, also if its close lies here
-   * unread. Then the node has been notified by the time that this returns.
+   * Returns false if the client has disconnected, even if the event loop has not read the close
+   * yet. Called immediately before an attempt is written. If this method returns false, the node
+   * has already been notified that the client is gone.
    */
   default boolean clientPresent() {
     return true;
--- a/node/src/main/java/ferngrade/node/SchedulerStats.java
+++ b/node/src/main/java/ferngrade/node/SchedulerStats.java
@@ -5,27 +5,32 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What the system's scheduler says of the calling thread since its start, ms: how long it ran, and
- * how long it was runnable without a processor. Source: {@code /proc/thread-self/schedstat}.
+ * The operating system's scheduler statistics for the calling thread since it started, in ms: how
+ * long the thread ran, and how long it was runnable without a processor. Read from {@code
+ * /proc/thread-self/schedstat}.
  */
 record SchedulerStats(double ran, double waitedForProcessor) {
-  /** Where the system tells nothing. */
+  /** The value used if the system provides no statistics. */
   static final SchedulerStats UNKNOWN = new SchedulerStats(Double.NaN, Double.NaN);
 
-  private static final String FILE = "/proc/thread-self/schedstat";
+  private static final String PATH = "/proc/thread-self/schedstat";
   private static final int MAX_BYTES = 128;
-  private static final double NANOS_PER_MS = 1e6;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  /** Reads the present values for the calling thread; {@link #UNKNOWN} if there are none. */
+  /**
+   * Reads the current values for the calling thread; returns {@link #UNKNOWN} if they are
+   * unavailable.
+   */
   static SchedulerStats read() {
-    try (FileInputStream file = new FileInputStream(FILE)) {
-      String[] words =
+    try (FileInputStream file = new FileInputStream(PATH)) {
+      String[] fields =
           new String(file.readNBytes(MAX_BYTES), StandardCharsets.US_ASCII).strip().split(" ", -1);
-      return words.length < 2
+      return fields.length < 2
           ? UNKNOWN
           : new SchedulerStats(
-              Long.parseLong(words[0]) / NANOS_PER_MS, Long.parseLong(words[1]) / NANOS_PER_MS);
-    } catch (IOException | NumberFormatException absent) {
+              Long.parseLong(fields[0]) / NANOS_PER_MILLI,
+              Long.parseLong(fields[1]) / NANOS_PER_MILLI);
+    } catch (IOException | NumberFormatException unavailable) {
       return UNKNOWN;
     }
   }
--- a/node/src/main/java/ferngrade/node/SharedLog.java
+++ b/node/src/main/java/ferngrade/node/SharedLog.java
@@ -16,33 +16,34 @@
 import java.util.zip.CRC32;
 
 /**
- * An append-only file through which the processes of one node tell each other what must hold for
- * the node, whichever of them was told. Every process appends to it and follows it; nobody rewrites
- * it, so that none can undo what another has appended.
+ * An append-only file through which the processes of one node exchange decisions that apply to the
+ * whole node, whichever process received them. Every process appends to the file and follows it. No
+ * process rewrites it, so none can undo what another process has appended.
  *
- * <p>A record is one line with a checksum, between line feeds, written by one append of the
- * operating system: records of several processes do not mix, and one that a kill or a full disk has
- * cut short is skipped. Appends run in the background and are durable when they are reported; they
- * are visible to the other processes before that. A process reads what has come with {@link #poll},
- * which costs a query of the file's size where nothing has: a process that was held up for any time
- * reads what it missed before it acts again.
+ * <p>A record is one line with a checksum, between line feeds, written by a single append of the
+ * operating system. Records of several processes therefore do not interleave, and a record that was
+ * truncated by a kill or a full disk is skipped. Appends run in the background and are durable when
+ * they are reported; other processes can read them before that. A process reads new records with
+ * {@link #poll}, which costs one query of the file's size if there are none. A process that was
+ * paused, for however long, reads the records that it missed before it acts again.
  *
- * <p>Belongs to the event loop, except where a method says otherwise.
+ * <p>Confined to the event loop's thread, except where a method says otherwise.
  */
 public final class SharedLog {
-  /** How often it is checked that the file which is followed is still the one at its path, ms. */
-  static final long VERIFY_INTERVAL = 100;
+  /** The interval between checks that the followed file is still the file at the log's path, ms. */
+  static final long VERIFY_INTERVAL_MILLIS = 100;
 
   /**
-   * How long after the first record that this process could append another one, which could not
-   * until then, may take to append its own, ms: its longest pause between tries, and a moment.
+   * The maximum time, ms, that another process whose appends failed until now may take to append
+   * its record after the first successful append of this process: the longest delay between its
+   * retries, plus a margin of the same length.
    */
-  public static final double MAX_APPEND_DELAY = 2 * BackgroundWriter.RETRY_MAX;
+  public static final double MAX_APPEND_DELAY = 2 * BackgroundWriter.MAX_RETRY_DELAY_MILLIS;
 
-  /** A longer line is none of this log's. */
-  private static final int MAX_LINE = 4096;
+  /** The maximum length of a line, in bytes; a longer line is not a record of this log. */
+  private static final int MAX_LINE_BYTES = 4096;
 
-  private static final int CHUNK = 8192;
+  private static final int READ_BUFFER_BYTES = 8192;
   private static final int CHECKSUM_DIGITS = 8;
 
   private final Path path;
@@ -54,52 +55,56 @@
   private final BackgroundWriter writer;
   private final Consumer<String> records;
   private final Runnable replaced;
-  private final ByteBuffer chunk = ByteBuffer.allocate(CHUNK);
+  private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-  /** Records that are not on the disk yet; guarded by itself, as are the three below. */
+  /** Records that are not on disk yet. Guarded by itself, as are the three fields below. */
   private final List<String> pending = new ArrayList<>();
 
-  /** How many of them, from the first on, other processes can read. */
+  /** The number of pending records, from the first on, that other processes can read. */
   private int appended;
 
-  /** The files as the appends of these left them; each is synced and closed. */
+  /** The files returned by the appends of pending records; each one is synced and closed. */
   private List<SyncableFile> unsynced = new ArrayList<>();
 
-  /** What runs once all of them can be read by other processes. */
-  private List<Runnable> waiting = new ArrayList<>();
+  /** Tasks that run once other processes can read all pending records. */
+  private List<Runnable> appendListeners = new ArrayList<>();
 
   /** Held while records are appended, so that they keep their order. */
-  private final Object appending = new Object();
+  private final Object appendLock = new Object();
 
-  /** The file that is followed; null while it could not be opened. Set by the loop only. */
+  /** The followed file; null until it could be opened. Set on the event loop only. */
   private volatile FollowedFile followed;
 
-  /** Whether the log is created where there is none; set before the checks begin. */
-  private volatile boolean create;
+  /** Whether a missing log is created. Set before the periodic checks start. */
+  private volatile boolean createIfMissing;
 
-  /** Set where there was no log to begin with. */
+  /** True if there was no log when this process opened it. */
   private boolean complete;
 
   private long position;
   private boolean readFailed;
 
-  /** True while records are passed on: what that sets off may ask for what has come, too. */
+  /** True while records are passed on; the handling of a record may call {@link #poll} again. */
   private boolean polling;
 
-  /** Whether the folder is known to hold the file's name durably; belongs to the scheduler. */
+  /**
+   * Whether the directory entry of the file is known to be durable. Confined to the scheduler's
+   * thread.
+   */
   private boolean nameSynced;
 
   /**
-   * The log at {@code path}, whose folder must exist.
+   * Creates a log at {@code path}, whose directory must exist.
    *
-   * @param scheduler runs writes and checks, apart from the loop; it waits for the disk
-   * @param appender runs appends, and never waits for a sync
+   * @param scheduler runs writes and checks on a thread other than the loop's; its tasks may wait
+   *     for the disk
+   * @param appender runs appends; its tasks never wait for a sync
    * @param loop runs tasks on the event loop
-   * @param log gets a line when something fails, on any thread
-   * @param records gets each record, on the event loop, those of this process included
-   * @param replaced runs on the event loop when the file at the path has been found to be another
-   *     one: what is in force has to be appended again
+   * @param log receives a line when an operation fails, on any thread
+   * @param records receives each record on the event loop, including the records of this process
+   * @param replaced runs on the event loop when another file is found at the path; the records that
+   *     are still in effect must then be appended again
    */
   public SharedLog(
       Path path,
@@ -123,36 +128,39 @@
   }
 
   /**
-   * Opens the log and passes on all records in it; waits for the disk. Where that fails it is
-   * retried in the background.
+   * Opens the log and passes on all of its records; blocks on disk reads. If the log cannot be
+   * opened, opening it is retried in the background.
    *
-   * @param shared true where other processes may append to the log: it is created if there is none,
-   *     to be followed from here on
+   * @param shared true if other processes may append to the log: a missing log is created then, so
+   *     that it can be followed from the start
    */
   public void open(boolean shared) {
-    create = shared;
+    createIfMissing = shared;
     try {
       followed = follow();
-    } catch (NoSuchFileException none) {
+    } catch (NoSuchFileException missing) {
       complete = true;
     } catch (IOException | RuntimeException failure) {
-      log.accept(path.getFileName() + " cannot be followed yet, trying again: " + failure);
+      log.accept(path.getFileName() + " cannot be opened for following yet, retrying: " + failure);
     }
     poll();
-    scheduler.schedule(this::verify, VERIFY_INTERVAL);
+    scheduler.schedule(this::verify, VERIFY_INTERVAL_MILLIS);
   }
 
-  /** True once all that the log held when this process started has been passed on. */
+  /**
+   * Returns true once all records that the log contained when this process started have been passed
+   * on.
+   */
   public boolean complete() {
     return complete || followed != null;
   }
 
-  /** True if the last {@link #poll} has passed on all that the file at the log's path held. */
+  /** Returns true if the last {@link #poll} passed on all records of the file at the log's path. */
   public boolean current() {
     FollowedFile file = followed;
     try {
       return file != null && !polling && !readFailed && file.isAt(path);
-    } catch (IOException unknown) {
+    } catch (IOException unreadable) {
       return false;
     }
   }
@@ -160,9 +168,9 @@
   private FollowedFile follow() throws IOException {
     try {
       return files.follow(path);
-    } catch (NoSuchFileException none) {
-      if (!create) {
-        throw none;
+    } catch (NoSuchFileException missing) {
+      if (!createIfMissing) {
+        throw missing;
       }
       try (SyncableFile created = files.append(path, ByteBuffer.wrap(new byte[] {'\n'}))) {
         created.sync();
@@ -171,30 +179,34 @@
     }
   }
 
-  /** On the scheduler: follows the file that is at the path now, if that is another one. */
+  /**
+   * Switches to the file that is now at the path if it is not the followed file. Runs on the
+   * scheduler.
+   */
   private void verify() {
     try {
       FollowedFile current = followed;
       if (current == null || !current.isAt(path)) {
-        FollowedFile fresh = follow();
-        loop.execute(() -> switchTo(fresh));
+        FollowedFile replacement = follow();
+        loop.execute(() -> switchTo(replacement));
       }
     } catch (IOException | RuntimeException failure) {
-      // Followed as soon as it can be; a write to it that fails is logged.
+      // The next check retries; failed writes to the log are logged separately.
     }
-    scheduler.schedule(this::verify, VERIFY_INTERVAL);
+    scheduler.schedule(this::verify, VERIFY_INTERVAL_MILLIS);
   }
 
-  private void switchTo(FollowedFile fresh) {
+  private void switchTo(FollowedFile replacement) {
     poll();
-    FollowedFile former = followed;
-    followed = fresh;
+    FollowedFile previous = followed;
+    followed = replacement;
     position = 0;
     line.reset();
     poll();
-    if (former != null) {
-      log.accept(path.getFileName() + " was replaced; it is followed anew");
-      close(former);
+    if (previous != null) {
+      log.accept(
+          path.getFileName() + " was replaced by another file, which is followed from now on");
+      close(previous);
     }
     replaced.run();
   }
@@ -202,14 +214,14 @@
   private static void close(Closeable file) {
     try {
       file.close();
-    } catch (IOException unclosed) {
-      // Nothing is read from it any more, and what was written is synced or appended anew.
+    } catch (IOException ignored) {
+      // The file is not read any more, and its records are synced or will be appended again.
     }
   }
 
   /**
-   * Passes on the records that have been appended since the last call. A call from within does
-   * nothing: the one in progress passes on what there is, in its order.
+   * Passes on the records that have been appended since the last call. A reentrant call does
+   * nothing: the call in progress passes on the remaining records in order.
    */
   public void poll() {
     FollowedFile file = followed;
@@ -218,13 +230,13 @@
     }
     polling = true;
     try {
-      passOn(file);
+      readRecords(file);
     } finally {
       polling = false;
     }
   }
 
-  private void passOn(FollowedFile file) {
+  private void readRecords(FollowedFile file) {
     try {
       long size = file.size();
       if (size < position) {
@@ -232,13 +244,13 @@
         line.reset();
       }
       while (position < size) {
-        chunk.clear();
-        int read = file.read(chunk, position);
-        if (read <= 0) {
+        readBuffer.clear();
+        int bytesRead = file.read(readBuffer, position);
+        if (bytesRead <= 0) {
           return;
         }
-        position += read;
-        split(read);
+        position += bytesRead;
+        parseLines(bytesRead);
       }
       readFailed = false;
     } catch (IOException failure) {
@@ -249,14 +261,14 @@
     }
   }
 
-  private void split(int bytes) {
-    for (int i = 0; i < bytes; i++) {
-      byte next = chunk.get(i);
-      if (next == '\n') {
+  private void parseLines(int count) {
+    for (int i = 0; i < count; i++) {
+      byte nextByte = readBuffer.get(i);
+      if (nextByte == '\n') {
         record(line.toString(StandardCharsets.UTF_8));
         line.reset();
-      } else if (line.size() <= MAX_LINE) {
-        line.write(next);
+      } else if (line.size() <= MAX_LINE_BYTES) {
+        line.write(nextByte);
       }
     }
   }
@@ -269,43 +281,51 @@
     if (text.length() > start && text.startsWith(checksum(text.substring(start)))) {
       records.accept(text.substring(start));
     } else {
-      log.accept(path.getFileName() + " holds a line that is no record; it is skipped");
+      log.accept(
+          path.getFileName() + " contains a line that is not a valid record; the line is skipped");
     }
   }
 
   /**
-   * Appends a record, a line without line feeds, in the background. {@code durable} runs on the
-   * scheduler's thread once it is on the disk; until then attempts go on. Other processes can read
-   * it before that, also while the disk is busy with earlier ones. Any thread may call this.
+   * Appends a record, which must not contain line feeds, in the background, and retries until that
+   * succeeds. {@code durable} runs on the scheduler's thread once the record is on disk. Other
+   * processes can read the record earlier than that, even while the disk is busy with earlier
+   * records. May be called on any thread.
    */
   public void append(String record, Runnable durable) {
     synchronized (pending) {
       pending.add(record);
     }
-    appender.schedule(this::appendEarly, 0);
+    appender.schedule(this::appendWithoutSync, 0);
     writer.request(durable);
   }
 
-  /** Runs a task, on any thread, once other processes can read all that was appended so far. */
+  /**
+   * Runs a task, on any thread, once other processes can read all records that were appended before
+   * this call.
+   */
   public void whenAppended(Runnable task) {
     synchronized (pending) {
       if (appended < pending.size()) {
-        waiting.add(task);
+        appendListeners.add(task);
         return;
       }
     }
     task.run();
   }
 
-  private void appendEarly() {
+  private void appendWithoutSync() {
     try {
       appendPending();
     } catch (IOException | RuntimeException failure) {
-      // The writer appends it, with retries, and logs what fails.
+      // The background writer appends the records again and logs failures.
     }
   }
 
-  /** Appends what is pending and puts it on the disk; where that fails, it is appended anew. */
+  /**
+   * Appends the pending records and syncs them to disk. After a failed sync they are appended
+   * again.
+   */
   private void storePending() throws IOException {
     appendPending();
     List<SyncableFile> written;
@@ -324,7 +344,7 @@
         nameSynced = true;
       }
     } catch (IOException | RuntimeException failure) {
-      appendAnew();
+      markUnappended();
       throw failure;
     } finally {
       written.forEach(SharedLog::close);
@@ -335,8 +355,8 @@
     }
   }
 
-  private void appendAnew() {
-    synchronized (appending) {
+  private void markUnappended() {
+    synchronized (appendLock) {
       synchronized (pending) {
         appended = 0;
       }
@@ -344,7 +364,7 @@
   }
 
   private void appendPending() throws IOException {
-    synchronized (appending) {
+    synchronized (appendLock) {
       List<String> batch;
       synchronized (pending) {
         batch = List.copyOf(pending.subList(appended, pending.size()));
@@ -353,18 +373,18 @@
         append(batch);
       }
     }
-    appendedAll().forEach(Runnable::run);
+    takeAppendListeners().forEach(Runnable::run);
   }
 
-  /** Takes what waits for the appends, if there is none left to do. */
-  private List<Runnable> appendedAll() {
+  /** Removes and returns the tasks that wait for appends, if no append is outstanding. */
+  private List<Runnable> takeAppendListeners() {
     synchronized (pending) {
       if (appended < pending.size()) {
         return List.of();
       }
-      List<Runnable> ready = waiting;
-      waiting = new ArrayList<>();
-      return ready;
+      List<Runnable> listeners = appendListeners;
+      appendListeners = new ArrayList<>();
+      return listeners;
     }
   }
 
@@ -373,7 +393,7 @@
     for (String record : batch) {
       text.append(checksum(record)).append(' ').append(record).append('\n');
     }
-    // A batch of which the disk took a part only is appended whole again: records may repeat.
+    // A batch that was only partly written is appended again as a whole, so records may repeat.
     SyncableFile written =
         files.append(path, ByteBuffer.wrap(text.toString().getBytes(StandardCharsets.UTF_8)));
     synchronized (pending) {
--- a/node/src/main/java/ferngrade/node/SharedRecord.java
+++ b/node/src/main/java/ferngrade/node/SharedRecord.java
@@ -1,5 +1,5 @@
 package ferngrade.node;
 
-/** Something that the processes of one node tell each other through their {@link SharedLog}. */
+/** A record that the processes of one node exchange through their {@link SharedLog}. */
 public sealed interface SharedRecord
     permits MaintenanceEntry, DrainRecord, ProcessRecord, FinishingRecord, DiscoveryRecord {}
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -11,122 +11,132 @@
 import java.util.Map;
 
 /**
- * Translates the start times of workers, which the list gives by the wall clocks of their machines,
- * to this process's monotonic time. Wall clocks may be stepped, that of the worker's machine, of
- * this one, or of both together, and a start may have been noted before a step or after it. So the
- * relation of this machine's two clocks is measured with each list, every relation that was
- * measured is a candidate, and what the monotonic clock shows bounds the outcome: a worker started
- * no later than its list came, and one that an earlier list did not hold no longer before that list
- * than a list may lag.
+ * Converts the start times of workers, which the endpoint list gives as wall clock times of the
+ * workers' machines, to this process's monotonic clock. Wall clocks may be stepped, on the worker's
+ * machine, on this machine or on both at once, and a start may have been recorded before or after a
+ * step. The offset between this machine's two clocks is therefore measured with each list, and
+ * every measured offset is a candidate for the conversion. The monotonic clock bounds the result: a
+ * worker started no later than the list that contains it was received, and a worker that an earlier
+ * list did not contain started no earlier than the maximum lag of a list before that list was
+ * received.
  *
- * <p>The two possible errors are not alike. A cold worker taken for a warm one is overloaded and
- * falls over, which is not to be mended; a warm one taken for cold only gets less than it could
- * carry, for one slow start. So the latest start that is possible is assumed. What remains: a
- * process that starts after its machine's clock was set forward takes the cold workers of its first
- * list for older than they are.
+ * <p>The two possible errors differ in their consequences. A cold worker that is taken for a warm
+ * one is overloaded and crashes, which cannot be undone; a warm worker that is taken for a cold one
+ * only gets less load than it could carry for one slow start. The latest possible start is
+ * therefore assumed. One error remains: a process that starts after its machine's clock was set
+ * forward assumes too high an age for the cold workers of its first list.
  *
- * <p>Start times are translated once. An incarnation of a worker is known by the time in the list,
- * as it stands there, and keeps its translation whatever the clocks do later, also while the list
- * leaves it out for a time.
+ * <p>Each start time is converted once. An incarnation of a worker is identified by its start time
+ * as listed, and keeps its converted start time whatever steps follow, even while the list does not
+ * contain the worker.
  *
- * <p>Reads only the clock that it is given; belongs to the node's thread.
+ * <p>Reads no clock other than the one that it is given. Confined to the node's thread.
  */
 final class StartTimes {
   /**
-   * The relation of the two clocks changes by steps only; less than this is the time between their
-   * readings, ms.
+   * The minimum change of the offset between the two clocks that counts as a step, ms. The offset
+   * changes only by steps; the time between the readings of the two clocks is shorter than this.
    */
-  private static final double SMALLEST_STEP = 200;
+  private static final double MIN_STEP_MILLIS = 200;
 
-  /** How many relations are kept: a machine's clock that is stepped more often is out of order. */
-  private static final int MAX_RELATIONS = 8;
+  /**
+   * The maximum number of offsets to keep. A machine whose clock is stepped more often than that is
+   * considered faulty.
+   */
+  private static final int MAX_OFFSETS = 8;
 
   /**
-   * How far a start may seem to lie ahead of its list, as the clocks of two machines differ a
-   * little, ms.
+   * The maximum time by which a start may appear to be later than the receipt of its list, ms,
+   * because the clocks of two machines differ slightly.
    */
-  private static final double CLOCK_SKEW = 1000;
+  private static final double MAX_CLOCK_SKEW_MILLIS = 1000;
 
   /**
-   * How long a worker may have been up when a list still came without it, ms: so long a change may
-   * take to arrive.
+   * The maximum time for which a worker may have been running when a list without it was received,
+   * ms: the maximum delay of a change on its way to this process.
    */
-  private static final double LIST_LAG = 6000;
+  private static final double MAX_LIST_LAG_MILLIS = 6000;
 
   /**
-   * Incarnations to remember at the least, so that those left out of the list for a time keep their
-   * start.
+   * The minimum number of incarnations to remember, so that workers that are temporarily missing
+   * from the list keep their start time.
    */
-  private static final int MIN_REMEMBERED = 4096;
+  private static final int MIN_INCARNATIONS = 4096;
 
   private final Clock clock;
 
-  /** Wall time less monotonic time, as measured; the latest first. */
-  private final Deque<Double> relations = new ArrayDeque<>();
+  /** The measured offsets, wall clock time minus monotonic time, ms; the latest first. */
+  private final Deque<Double> wallOffsets = new ArrayDeque<>();
 
-  private final Map<Long, Incarnation> known = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<Long, Incarnation> incarnations = new LinkedHashMap<>(16, 0.75f, true);
 
-  /** When the source of the list told last what it holds, NaN before that. */
-  private double lastTold = Double.NaN;
+  /** When discovery last sent or confirmed a list, ms on the monotonic clock; NaN before that. */
+  private double lastListAt = Double.NaN;
 
   /**
-   * A worker's process: its start as listed, by a wall clock, and by this process's monotonic one.
+   * A process of a worker: its start time as listed, on a wall clock, and its start time on this
+   * process's monotonic clock.
    */
   private record Incarnation(double listedStart, double startedAt) {}
 
   StartTimes(Clock clock) {
     this.clock = clock;
-    // The monotonic part of a process's clock begins with the wall's time.
-    relations.addFirst(0.0);
-    measure();
+    // The monotonic clock of a process starts at the wall clock time.
+    wallOffsets.addFirst(0.0);
+    measureOffset();
   }
 
-  /** The entries of a list that came now, with start times by the monotonic clock. */
-  List<Endpoint> translate(EndpointListUpdate news, List<Endpoint> entries) {
+  /**
+   * Returns the entries of a list received now, with their start times converted to the monotonic
+   * clock.
+   */
+  List<Endpoint> translate(EndpointListUpdate updateType, List<Endpoint> entries) {
     double now = clock.now();
-    measure();
+    measureOffset();
     List<Endpoint> translated = new ArrayList<>(entries.size());
     for (Endpoint entry : entries) {
       translated.add(translate(entry, now));
     }
-    forgetOldest(Math.max(MIN_REMEMBERED, 2 * entries.size()));
-    if (news != EndpointListUpdate.STORED) {
-      lastTold = now;
+    evictOldest(Math.max(MIN_INCARNATIONS, 2 * entries.size()));
+    if (updateType != EndpointListUpdate.STORED) {
+      lastListAt = now;
     }
     return translated;
   }
 
-  /** The source of the list said now that nothing has changed. */
+  /** Records that discovery has just confirmed the current list. */
   void unchanged() {
-    if (!Double.isNaN(lastTold)) {
-      lastTold = clock.now();
+    if (!Double.isNaN(lastListAt)) {
+      lastListAt = clock.now();
     }
   }
 
-  /** A time by the monotonic clock as the wall clock now shows it, for a later process to read. */
+  /**
+   * Converts a time of the monotonic clock to the current wall clock, for a later process to read.
+   */
   double toWall(double monotonic) {
-    measure();
-    return monotonic + relations.peekFirst();
+    measureOffset();
+    return monotonic + wallOffsets.peekFirst();
   }
 
   /**
-   * A time by the wall clock, of an earlier process on this machine, by the monotonic clock: not
-   * after now.
+   * Converts a wall clock time that an earlier process on this machine recorded to the monotonic
+   * clock. The result is not later than now.
    */
   double toMonotonic(double wall) {
-    measure();
-    return Math.min(clock.now(), wall - relations.peekFirst());
+    measureOffset();
+    return Math.min(clock.now(), wall - wallOffsets.peekFirst());
   }
 
-  private void measure() {
-    double relation = clock.wall() - clock.now();
-    if (Math.abs(relation - relations.peekFirst()) < SMALLEST_STEP) {
+  private void measureOffset() {
+    double offset = clock.wall() - clock.now();
+    if (Math.abs(offset - wallOffsets.peekFirst()) < MIN_STEP_MILLIS) {
       return;
     }
-    relations.removeIf(earlier -> Math.abs(relation - earlier) < SMALLEST_STEP);
-    relations.addFirst(relation);
-    if (relations.size() > MAX_RELATIONS) {
-      relations.removeLast();
+    wallOffsets.removeIf(earlier -> Math.abs(offset - earlier) < MIN_STEP_MILLIS);
+    wallOffsets.addFirst(offset);
+    if (wallOffsets.size() > MAX_OFFSETS) {
+      wallOffsets.removeLast();
     }
   }
 
@@ -134,14 +144,15 @@
     Worker worker = entry.worker();
     double listedStart = worker.startedAt();
     if (listedStart <= 0) {
-      // Long ago, by any clock.
+      // The start is long past on any clock.
       return entry;
     }
-    Incarnation incarnation = known.get(worker.id());
+    Incarnation incarnation = incarnations.get(worker.id());
     if (incarnation == null || incarnation.listedStart() != listedStart) {
-      incarnation = new Incarnation(listedStart, apart(startedAt(listedStart, now), incarnation));
+      incarnation =
+          new Incarnation(listedStart, distinctStart(startedAt(listedStart, now), incarnation));
       if (worker.state() != WorkerState.GONE) {
-        known.put(worker.id(), incarnation);
+        incarnations.put(worker.id(), incarnation);
       }
     }
     return incarnation.startedAt() == listedStart
@@ -149,34 +160,38 @@
         : entry.startedAt(incarnation.startedAt());
   }
 
-  /** The latest start that the clocks allow. */
+  /** Returns the latest start time that is consistent with the measured offsets and the bounds. */
   private double startedAt(double listedStart, double now) {
-    double latest = Double.NEGATIVE_INFINITY;
-    for (double relation : relations) {
-      double start = listedStart - relation;
-      if (start <= now + CLOCK_SKEW) {
-        latest = Math.max(latest, start);
+    double latestStart = Double.NEGATIVE_INFINITY;
+    for (double offset : wallOffsets) {
+      double start = listedStart - offset;
+      if (start <= now + MAX_CLOCK_SKEW_MILLIS) {
+        latestStart = Math.max(latestStart, start);
       }
     }
-    if (latest == Double.NEGATIVE_INFINITY) {
-      // The worker's machine has stepped its clock: all that is known is that it runs by now.
+    if (latestStart == Double.NEGATIVE_INFINITY) {
+      // The clock of the worker's machine was stepped; all that is known is that the worker is
+      // running now.
       return now;
     }
-    double earliest = Double.isNaN(lastTold) ? latest : lastTold - LIST_LAG;
-    return Math.min(now, Math.max(earliest, latest));
+    double earliestStart =
+        Double.isNaN(lastListAt) ? latestStart : lastListAt - MAX_LIST_LAG_MILLIS;
+    return Math.min(now, Math.max(earliestStart, latestStart));
   }
 
   /**
-   * Two incarnations must not look like one, even if the bounds have put their starts on the same
-   * moment.
+   * Returns a start time that differs from the one of the previous incarnation. Two incarnations
+   * must be distinguishable even if the bounds yield the same start time for both.
    */
-  private static double apart(double startedAt, Incarnation former) {
-    return former != null && former.startedAt() == startedAt ? Math.nextUp(startedAt) : startedAt;
+  private static double distinctStart(double startedAt, Incarnation previous) {
+    return previous != null && previous.startedAt() == startedAt
+        ? Math.nextUp(startedAt)
+        : startedAt;
   }
 
-  private void forgetOldest(int most) {
-    var oldest = known.keySet().iterator();
-    for (int excess = known.size() - most; excess > 0; excess--) {
+  private void evictOldest(int maxIncarnations) {
+    var oldest = incarnations.keySet().iterator();
+    for (int excess = incarnations.size() - maxIncarnations; excess > 0; excess--) {
       oldest.next();
       oldest.remove();
     }
--- a/node/src/main/java/ferngrade/node/SystemClock.java
+++ b/node/src/main/java/ferngrade/node/SystemClock.java
@@ -1,15 +1,15 @@
 package ferngrade.node;
 
-/** The clocks of this machine, and the only class that reads its wall clock. */
+/** Reads the clocks of this machine. No other class reads the machine's wall clock. */
 final class SystemClock implements Clock {
-  private static final double NANOS_PER_MS = 1e6;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  private final double startWall = System.currentTimeMillis();
+  private final double startWallMillis = System.currentTimeMillis();
   private final long startNanos = System.nanoTime();
 
   @Override
   public double now() {
-    return startWall + (System.nanoTime() - startNanos) / NANOS_PER_MS;
+    return startWallMillis + (System.nanoTime() - startNanos) / NANOS_PER_MILLI;
   }
 
   @Override
--- a/node/src/main/java/ferngrade/node/Timers.java
+++ b/node/src/main/java/ferngrade/node/Timers.java
@@ -4,32 +4,35 @@
 import java.util.TreeSet;
 
 /**
- * All timers of a node, on its {@link Clock}. Something outside calls {@link #run} when the next is
- * due.
+ * Manages all timers of a node on its {@link Clock}. The {@link Waker} must call {@link #run} when
+ * the next timer is due.
  */
 public final class Timers {
   private final Clock clock;
   private final Waker waker;
-  private DelayListener delays = delay -> {};
+  private DelayListener delayListener = delay -> {};
   private final NavigableSet<Timer> queue = new TreeSet<>();
   private long sequence;
   private double wakeAt = Double.POSITIVE_INFINITY;
 
-  /** Calls back later, on the node's thread. */
+  /** Schedules wake-ups on the node's thread. */
   @FunctionalInterface
   public interface Waker {
-    /** Runs this after so many milliseconds; what was asked for before is run too, in its time. */
+    /**
+     * Calls {@code run} after this many milliseconds. Earlier requests are not replaced; each one
+     * runs when it is due.
+     */
     void wakeAfter(double millis, Runnable run);
   }
 
-  /** Is notified how late timers run. */
+  /** Receives the delays of timers. */
   @FunctionalInterface
   public interface DelayListener {
-    /** The earliest of the timers that run now was due so many ms ago. */
+    /** Called before timers run; the earliest of them was due {@code millis} ms ago. */
     void delayed(double millis);
   }
 
-  /** One timer, which can be called off. */
+  /** A timer that can be cancelled. */
   public final class Timer implements Comparable<Timer> {
     private final double due;
     private final long order = sequence++;
@@ -40,74 +43,76 @@
       this.task = task;
     }
 
-    /** Calls the timer off; no effect once it has run. */
+    /** Cancels the timer; has no effect once the timer has run. */
     public void cancel() {
       queue.remove(this);
     }
 
     @Override
     public int compareTo(Timer other) {
-      int byTime = Double.compare(due, other.due);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+      int byDueTime = Double.compare(due, other.due);
+      return byDueTime != 0 ? byDueTime : Long.compare(order, other.order);
     }
   }
 
-  /** Timers on this clock, woken by {@code waker}. */
+  /** Creates timers on this clock, which {@code waker} wakes up. */
   public Timers(Clock clock, Waker waker) {
     this.clock = clock;
     this.waker = waker;
   }
 
-  /** Sets who is notified of delays. */
+  /** Sets the listener for the delays of timers. */
   public void onDelay(DelayListener listener) {
-    delays = listener;
+    delayListener = listener;
   }
 
   /**
-   * Runs the task after this many milliseconds, at once in the next {@link #run} if they are none.
+   * Runs the task after this many milliseconds. If the number is not positive, the next call of
+   * {@link #run} runs the task.
    */
   public Timer after(double millis, Runnable task) {
     Timer timer = new Timer(clock.now() + Math.max(0, millis), task);
     queue.add(timer);
-    wake();
+    scheduleWakeUp();
     return timer;
   }
 
   /**
-   * Runs everything that is due. A task set meanwhile waits for the next call, so that this one
-   * ends.
+   * Runs all tasks that are due. A task that is scheduled meanwhile waits for the next call, so
+   * that this call terminates.
    */
   public void run() {
     wakeAt = Double.POSITIVE_INFINITY;
     double now = clock.now();
     if (!queue.isEmpty() && queue.first().due <= now) {
-      delays.delayed(now - queue.first().due);
+      delayListener.delayed(now - queue.first().due);
     }
-    long set = sequence;
+    long firstNewOrder = sequence;
     try {
-      while (!queue.isEmpty() && queue.first().due <= now && queue.first().order < set) {
+      while (!queue.isEmpty() && queue.first().due <= now && queue.first().order < firstNewOrder) {
         queue.pollFirst().task.run();
       }
     } finally {
-      // A task that throws must not leave the others without a wake-up.
-      wake();
+      // If a task throws, a wake-up for the remaining timers is still needed.
+      scheduleWakeUp();
     }
   }
 
-  private void wake() {
+  private void scheduleWakeUp() {
     if (!queue.isEmpty() && queue.first().due < wakeAt) {
-      double at = queue.first().due;
-      wakeAt = at;
-      waker.wakeAfter(Math.max(0, at - clock.now()), () -> woken(at));
+      double wakeTime = queue.first().due;
+      wakeAt = wakeTime;
+      waker.wakeAfter(Math.max(0, wakeTime - clock.now()), () -> onWakeUp(wakeTime));
     }
   }
 
   /**
-   * A wake-up that an earlier one has overtaken does nothing: if each of them set up the next,
-   * their number would grow with every timer that is due before all others, and never fall.
+   * Runs the timers unless an earlier wake-up has replaced this one. If every wake-up scheduled the
+   * next one, their number would grow with every timer that is due before all others, and would
+   * never decrease.
    */
-  private void woken(double at) {
-    if (at == wakeAt) {
+  private void onWakeUp(double wakeTime) {
+    if (wakeTime == wakeAt) {
       run();
     }
   }
--- a/node/src/main/java/ferngrade/node/TraceLog.java
+++ b/node/src/main/java/ferngrade/node/TraceLog.java
@@ -1,43 +1,44 @@
 package ferngrade.node;
 
 /**
- * Writes traces of requests to the log, a few a second at most; the next second tells how many were
- * withheld. Belongs to the loop's thread.
+ * Writes traces of requests to the log at a limited rate. Once the second is over, the next trace
+ * is preceded by a line with the number of traces that were dropped. Confined to the event loop's
+ * thread.
  */
 final class TraceLog {
-  private static final int LINES_A_SECOND = 4;
-  private static final double SECOND = 1000;
+  private static final int MAX_TRACES_PER_SECOND = 4;
+  private static final double SECOND_MILLIS = 1000;
 
   private final Clock clock;
   private final RateLimitedLog log;
-  private double begun = Double.NEGATIVE_INFINITY;
-  private int lines;
-  private int withheld;
+  private double secondStart = Double.NEGATIVE_INFINITY;
+  private int traces;
+  private int dropped;
 
   TraceLog(Clock clock, RateLimitedLog log) {
     this.clock = clock;
     this.log = log;
   }
 
-  /** Writes the trace of a request, unless this second has had its share of them. */
+  /** Writes the trace of a request, unless the limit of the current second is reached. */
   void write(PendingRequest request, String occasion) {
     double now = clock.now();
-    if (now - begun >= SECOND) {
+    if (now - secondStart >= SECOND_MILLIS) {
       startSecond(now);
     }
-    if (lines++ < LINES_A_SECOND) {
+    if (traces++ < MAX_TRACES_PER_SECOND) {
       log.line(RequestTrace.describe(request, occasion, now));
     } else {
-      withheld++;
+      dropped++;
     }
   }
 
   private void startSecond(double now) {
-    if (withheld > 0) {
-      log.line(withheld + " request traces withheld");
+    if (dropped > 0) {
+      log.line(dropped + " request traces dropped by the rate limit");
     }
-    begun = now;
-    lines = 0;
-    withheld = 0;
+    secondStart = now;
+    traces = 0;
+    dropped = 0;
   }
 }
--- a/node/src/main/java/ferngrade/node/TurnQueue.java
+++ b/node/src/main/java/ferngrade/node/TurnQueue.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.Executor;
 
 /**
- * Gathers events for the dispatcher, hands them over together in one turn of the loop, and then
- * runs the actions that the dispatcher requested meanwhile. Belongs to the loop's thread.
+ * Collects events for the dispatcher, processes them together in one turn of the event loop, and
+ * then runs the actions that the dispatcher requested while it processed them. Confined to the
+ * event loop's thread.
  */
 final class TurnQueue {
   private final Executor loop;
@@ -20,18 +21,18 @@
     this.log = log;
   }
 
-  /** Adds an event, which is handed over in the next turn. */
+  /** Adds an event, which the next turn processes. */
   void event(Runnable event) {
     events.add(event);
     schedule();
   }
 
-  /** Adds an action, which runs behind all events of the turn. */
+  /** Adds an action, which runs after all events of the turn. */
   void action(Runnable action) {
     actions.add(action);
   }
 
-  /** Sees to it that a turn comes, even if there is no event. */
+  /** Schedules a turn, even if there is no event. */
   void schedule() {
     if (!scheduled) {
       scheduled = true;
@@ -41,23 +42,26 @@
 
   private void turn() {
     scheduled = false;
-    List<Runnable> gathered = events;
+    List<Runnable> turnEvents = events;
     events = new ArrayList<>();
-    gathered.forEach(this::guarded);
-    List<Runnable> requested = actions;
+    turnEvents.forEach(this::runSafely);
+    List<Runnable> turnActions = actions;
     actions = new ArrayList<>();
-    requested.forEach(this::guarded);
+    turnActions.forEach(this::runSafely);
   }
 
-  /** One event that fails must not affect the others; a request still has its final answer. */
-  private void guarded(Runnable step) {
+  /**
+   * Runs one event or action. If it throws, the others still run, and the request still gets its
+   * final answer.
+   */
+  private void runSafely(Runnable step) {
     try {
       step.run();
-    } catch (RuntimeException broken) {
-      StackTraceElement[] trace = broken.getStackTrace();
+    } catch (RuntimeException failure) {
+      StackTraceElement[] trace = failure.getStackTrace();
       log.line(
-          "module failed",
-          "dispatcher event failed: " + broken + (trace.length > 0 ? " at " + trace[0] : ""));
+          "dispatcher event failed",
+          "dispatcher event failed: " + failure + (trace.length > 0 ? " at " + trace[0] : ""));
     }
   }
 }
--- a/node/src/main/java/ferngrade/node/WithheldReason.java
+++ b/node/src/main/java/ferngrade/node/WithheldReason.java
@@ -1,15 +1,18 @@
 package ferngrade.node;
 
-/** Why an attempt that the dispatcher asked for was ended before its first byte was written. */
+/** Why an attempt that the dispatcher requested ended before its first byte was written. */
 public enum WithheldReason {
-  /** The request has its final answer. */
+  /** The request already has its final answer. */
   REQUEST_COMPLETED,
   /** The client has closed its connection. */
   CLIENT_GONE,
-  /** The worker drains, is gone, has moved or has restarted since it was selected. */
+  /**
+   * The worker is draining, has been removed from the list, has moved or has restarted since it was
+   * selected.
+   */
   WORKER_UNAVAILABLE,
-  /** The worker has, or may still have, an earlier attempt of the same request. */
+  /** The worker is running an earlier attempt of the same request, or may still be running it. */
   EARLIER_ATTEMPT,
-  /** Nothing is left of the request's time. */
+  /** The deadline of the request has passed. */
   DEADLINE_PASSED
 }
--- a/node/src/main/java/ferngrade/node/WorkerTransport.java
+++ b/node/src/main/java/ferngrade/node/WorkerTransport.java
@@ -5,57 +5,63 @@
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
 
-/** The transport that carries attempts to workers. */
+/** Carries attempts and health checks to workers. */
 public interface WorkerTransport {
   /**
-   * Sends the call to a worker; {@code timeout} ms is how long the node will wait for its end. What
-   * becomes of it goes to the listener, never from inside this method.
+   * Sends the call to a worker. {@code timeout} is the time, ms, for which the node waits for the
+   * attempt's end. The listener receives the progress of the attempt, but is never called from
+   * within this method.
    */
   AttemptHandle send(JobRequest call, InetSocketAddress worker, double timeout, Listener listener);
 
-  /** Asks a worker for its health and load; the answer goes to the listener. */
+  /** Sends a health check to a worker; the listener receives the outcome and the reported load. */
   void check(InetSocketAddress worker, BiConsumer<AttemptOutcome, LoadReport> listener);
 
   /**
-   * Reads the callbacks that have come and that the event loop has not come to read, so that they
-   * are handed over before anything that is decided after this call.
+   * Reads callbacks that have arrived but that the event loop has not read yet, so that they are
+   * processed before anything that is decided after this call.
    */
   default void readCallbacks() {}
 
   /** One attempt in flight. */
   interface AttemptHandle {
     /**
-     * Gives the attempt up, wherever it is; the listener is called no more. {@code whenNotified}
-     * runs once, when the worker has been notified or cannot be; at once if it cannot have begun.
+     * Cancels the attempt in any state; the listener is not called any more. {@code whenNotified}
+     * runs once, as soon as the worker has been notified or cannot be reached, and immediately if
+     * the worker cannot have started the job.
      */
     void giveUp(Runnable whenNotified);
 
-    /** Reads what the worker has sent and the event loop has not come to read. */
+    /** Reads input from the worker that has arrived but that the event loop has not read yet. */
     default void readPending() {}
 
     /**
-     * True if it has waited for what this machine lacks, so that it was late by no fault of the
-     * worker.
+     * Returns true if the attempt was delayed by a resource shortage of this machine, so that the
+     * delay is not the worker's fault.
      */
     default boolean delayedLocally() {
       return false;
     }
   }
 
-  /** Is notified of the progress of one attempt. */
+  /** Receives the progress of one attempt. */
   interface Listener {
     /**
-     * Called right before the first byte is written: false if the call must not go out any more.
+     * Called immediately before the first byte is written. Returns false if the call must not be
+     * sent any more.
      */
     boolean mayStart();
 
-    /** The last byte is written: from here on the worker may run it. */
+    /** Called when the last byte has been written; from now on the worker may run the job. */
     void written();
 
-    /** The worker has accepted the job: its result comes by callback. */
+    /** Called when the worker has accepted the job; the outcome will arrive by callback. */
     void taken();
 
-    /** The attempt has ended; a job that the worker has accepted ends by its callback instead. */
+    /**
+     * Called when the attempt has ended without being accepted. An accepted job ends by its
+     * callback instead.
+     */
     void ended(AttemptOutcome outcome, LoadReport report);
   }
 }
--- a/node/src/main/java/ferngrade/transport/FaultOrigin.java
+++ b/node/src/main/java/ferngrade/transport/FaultOrigin.java
@@ -27,7 +27,7 @@
 
   /**
    * The messages of ENOBUFS, ENOMEM, EMFILE and ENFILE, ENETUNREACH, ENETDOWN, EADDRNOTAVAIL and
-   * EAGAIN, in this order.
+   * EAGAIN.
    */
   private static final List<String> LOCAL_SHORTAGE_MESSAGES =
       List.of(
--- a/node/src/test/java/ferngrade/node/AtomicFileTest.java
+++ b/node/src/test/java/ferngrade/node/AtomicFileTest.java
@@ -19,131 +19,132 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A file that is replaced whole, on a disk that fails, with a schedule that the test runs. */
+/** Writes files with injected disk faults, on a schedule that the test runs. */
 class AtomicFileTest {
   private static final Path PATH = Path.of("/state/file");
-  private static final String OLD = "{\"out\":[\"s-1\"],\"back\":{}}";
-  private static final String NEW = "{\"out\":[\"s-1\",\"s-2\"],\"back\":{\"s-3\":900}}";
+  private static final String OLD_CONTENT = "{\"out\":[\"s-1\"],\"back\":{}}";
+  private static final String NEW_CONTENT = "{\"out\":[\"s-1\",\"s-2\"],\"back\":{\"s-3\":900}}";
 
   private final FaultInjectingFileOperations files = new FaultInjectingFileOperations();
   private final Deque<Runnable> tasks = new ArrayDeque<>();
-  private final List<Long> pauses = new ArrayList<>();
+  private final List<Long> delays = new ArrayList<>();
   private final List<String> log = new ArrayList<>();
   private final List<String> durable = new ArrayList<>();
   private final AtomicFile file = new AtomicFile(PATH, files, this::schedule, log::add);
 
   private void schedule(Runnable task, long delayMillis) {
     tasks.add(task);
-    pauses.add(delayMillis);
+    delays.add(delayMillis);
   }
 
   private void write(String text) {
     file.write(text, () -> durable.add(text));
   }
 
-  private void attempt() {
+  private void runNextTask() {
     tasks.remove().run();
   }
 
   @Test
-  void failuresOfEachOperationAreRetriedUntilTheContentStands() throws IOException {
+  void retriesFailuresOfEachOperationUntilContentIsDurable() throws IOException {
     for (Operation operation : Operation.values()) {
       for (String message : List.of("No space left on device", "Input/output error")) {
         String content = operation + " " + message;
         files.fail(operation, FaultInjectingFileOperations.error(message));
         write(content);
         for (int i = 0; i < 20; i++) {
-          attempt();
+          runNextTask();
           assertFalse(durable.contains(content), content);
-          assertEquals(1, tasks.size(), "one attempt is scheduled");
+          assertEquals(1, tasks.size(), "exactly one attempt must be scheduled");
         }
         files.heal();
-        attempt();
+        runNextTask();
         assertTrue(durable.contains(content), content);
         assertEquals(content, file.read());
         assertEquals(
             content,
             new AtomicFile(PATH, files.afterPowerFailure(false), this::schedule, log::add).read());
-        assertTrue(tasks.isEmpty(), "nothing is left to do");
+        assertTrue(tasks.isEmpty(), "no attempt may be scheduled after a success");
       }
     }
     assertEquals(
         2 * 2 * Operation.values().length,
         log.size(),
-        "a line when it begins and one when it ends: " + log);
+        "one line must be logged when failures start and one when they end: " + log);
   }
 
   @Test
-  void pausesGrowToABoundAndBeginAnewAfterASuccess() {
+  void retryDelayGrowsToLimitAndIsResetAfterSuccess() {
     files.fail(Operation.SYNC, FaultInjectingFileOperations.error("Input/output error"));
-    write(NEW);
+    write(NEW_CONTENT);
     for (int i = 0; i < 7; i++) {
-      attempt();
+      runNextTask();
     }
-    assertEquals(List.of(0L, 20L, 40L, 80L, 160L, 320L, 500L, 500L), pauses);
+    assertEquals(List.of(0L, 20L, 40L, 80L, 160L, 320L, 500L, 500L), delays);
     files.heal();
-    attempt();
-    pauses.clear();
+    runNextTask();
+    delays.clear();
     files.fail(Operation.RENAME, FaultInjectingFileOperations.error("Input/output error"));
-    write(OLD);
-    attempt();
-    assertEquals(List.of(0L, BackgroundWriter.RETRY_MIN), pauses);
+    write(OLD_CONTENT);
+    runNextTask();
+    assertEquals(List.of(0L, BackgroundWriter.MIN_RETRY_DELAY_MILLIS), delays);
   }
 
   @Test
-  void onlyTheNewestContentIsWrittenAndAllWhoWaitHearOfIt() throws IOException {
+  void writesOnlyLatestContentAndNotifiesAllListeners() throws IOException {
     files.fail(Operation.WRITE, FaultInjectingFileOperations.error("No space left on device"));
     write("first");
-    attempt();
+    runNextTask();
     write("second");
     write("third");
     assertEquals(1, tasks.size());
     files.heal();
-    attempt();
+    runNextTask();
     assertEquals("third", file.read());
     assertEquals(List.of("first", "second", "third"), durable);
   }
 
   @Test
-  void runtimeExceptionsNeitherLoseTheWriteNorTheOtherListeners() throws IOException {
+  void runtimeExceptionsLoseNeitherWriteNorOtherListeners() throws IOException {
     files.fail(
         Operation.CREATE,
         () -> {
-          throw new IllegalStateException("by the test");
+          throw new IllegalStateException("injected by the test");
         });
     file.write(
-        NEW,
+        NEW_CONTENT,
         () -> {
-          throw new IllegalStateException("a listener's");
+          throw new IllegalStateException("thrown by a listener");
         });
-    write(NEW);
-    attempt();
+    write(NEW_CONTENT);
+    runNextTask();
     files.heal();
-    attempt();
-    assertEquals(NEW, file.read());
-    assertEquals(List.of(NEW), durable);
-    write(OLD);
-    attempt();
-    assertEquals(OLD, file.read());
+    runNextTask();
+    assertEquals(NEW_CONTENT, file.read());
+    assertEquals(List.of(NEW_CONTENT), durable);
+    write(OLD_CONTENT);
+    runNextTask();
+    assertEquals(OLD_CONTENT, file.read());
   }
 
   @Test
-  void contentAskedForWhileAnAttemptRunsIsWrittenNext() throws IOException {
-    file.write(OLD, () -> write(NEW));
-    attempt();
-    attempt();
-    assertEquals(NEW, file.read());
-    assertEquals(List.of(NEW), durable);
+  void contentRequestedDuringAttemptIsWrittenNext() throws IOException {
+    file.write(OLD_CONTENT, () -> write(NEW_CONTENT));
+    runNextTask();
+    runNextTask();
+    assertEquals(NEW_CONTENT, file.read());
+    assertEquals(List.of(NEW_CONTENT), durable);
   }
 
   @Test
-  void killOrPowerFailureBehindEveryByteLeavesTheOldContentOrTheNew() throws IOException {
-    // With a temporary file of an earlier life in the way: its bytes never show.
+  void killOrPowerFailureAfterAnyByteLeavesOldOrNewContent() throws IOException {
+    // A temporary file of an earlier process with the same id already exists; its bytes must never
+    // be read.
     Path leftover = PATH.resolveSibling("file." + ProcessHandle.current().pid() + ".next");
     boolean completed = false;
     for (int operations = 0; !completed; operations++) {
       FaultInjectingFileOperations disk = new FaultInjectingFileOperations();
-      disk.put(PATH, OLD.getBytes(StandardCharsets.UTF_8));
+      disk.put(PATH, OLD_CONTENT.getBytes(StandardCharsets.UTF_8));
       disk.put(
           leftover,
           "{\"out\":[\"s-9\",\"s-8\",\"s-7\",\"s-6\",\"s-5\",\"s-4\"],\"ba"
@@ -151,52 +152,54 @@
       disk.killAfter(operations);
       durable.clear();
       AtomicFile writer = new AtomicFile(PATH, disk, this::schedule, log::add);
-      writer.write(NEW, () -> durable.add(NEW));
+      writer.write(NEW_CONTENT, () -> durable.add(NEW_CONTENT));
       try {
-        attempt();
+        runNextTask();
         completed = true;
       } catch (FaultInjectingFileOperations.Killed killed) {
-        assertTrue(durable.isEmpty(), "no yes before the end");
+        assertTrue(
+            durable.isEmpty(), "durability must not be reported before the write is complete");
       }
-      for (FaultInjectingFileOperations left :
+      for (FaultInjectingFileOperations remaining :
           List.of(disk.afterKill(), disk.afterPowerFailure(true), disk.afterPowerFailure(false))) {
-        AtomicFile later = new AtomicFile(PATH, left, this::schedule, log::add);
-        String found = later.read();
+        AtomicFile laterFile = new AtomicFile(PATH, remaining, this::schedule, log::add);
+        String content = laterFile.read();
         assertTrue(
-            found.equals(NEW) || (!completed && found.equals(OLD)), operations + ": " + found);
-        // What is left over keeps nobody from writing.
-        later.write("later", () -> {});
-        attempt();
-        assertEquals("later", later.read());
+            content.equals(NEW_CONTENT) || (!completed && content.equals(OLD_CONTENT)),
+            operations + ": " + content);
+        // Leftover files must not prevent later writes.
+        laterFile.write("later", () -> {});
+        runNextTask();
+        assertEquals("later", laterFile.read());
       }
     }
   }
 
   @Test
-  void missingFileIsNoneAndDamagedTextIsAnError() throws IOException {
+  void readReturnsNullForMissingFileAndFailsForMalformedText() throws IOException {
     assertNull(file.read());
     files.put(PATH, new byte[] {'{', (byte) 0xff, '}'});
     assertThrows(CharacterCodingException.class, file::read);
   }
 
   @Test
-  void realFolderTakesTheContentAndKeepsNoTemporaryFile(@TempDir Path folder) throws IOException {
+  void writesToRealDirectoryWithoutLeavingTemporaryFiles(@TempDir Path folder) throws IOException {
     AtomicFile real =
         new AtomicFile(folder.resolve("file"), FileOperations.SYSTEM, this::schedule, log::add);
-    for (String content : List.of(OLD, NEW, "")) {
+    for (String content : List.of(OLD_CONTENT, NEW_CONTENT, "")) {
       real.write(content, () -> durable.add(content));
-      attempt();
+      runNextTask();
       assertEquals(content, real.read());
     }
-    assertEquals(List.of(OLD, NEW, ""), durable);
+    assertEquals(List.of(OLD_CONTENT, NEW_CONTENT, ""), durable);
     assertEquals(1, folder.toFile().list().length);
     Files.delete(folder.resolve("file"));
     Files.delete(folder);
-    real.write(NEW, () -> durable.add(NEW));
-    attempt();
+    real.write(NEW_CONTENT, () -> durable.add(NEW_CONTENT));
+    runNextTask();
     assertEquals(3, durable.size());
     Files.createDirectory(folder);
-    attempt();
-    assertEquals(NEW, real.read());
+    runNextTask();
+    assertEquals(NEW_CONTENT, real.read());
   }
 }
--- a/node/src/test/java/ferngrade/node/MaintenanceOverridesTest.java
+++ b/node/src/test/java/ferngrade/node/MaintenanceOverridesTest.java
@@ -17,6 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Applies, saves and merges operators' maintenance decisions. */
 class MaintenanceOverridesTest {
   private static Endpoint entry(String name, WorkerState state, double startedAt) {
     return new Endpoint(
@@ -28,91 +29,93 @@
   private final MaintenanceOverrides maintenance = new MaintenanceOverrides();
 
   @Test
-  void aNameThatNobodyHasIsUnknownAndChangesNothing() {
-    maintenance.over(EndpointListUpdate.WHOLE, List.of(entry("s-1", WorkerState.READY, 0)));
-    assertFalse(maintenance.knows("s-9"));
-    assertTrue(maintenance.knows("s-1"));
-    assertEquals(0, maintenance.listedOut());
+  void unlistedNameIsUnknownAndChangesNothing() {
+    maintenance.apply(EndpointListUpdate.WHOLE, List.of(entry("s-1", WorkerState.READY, 0)));
+    assertFalse(maintenance.isKnown("s-9"));
+    assertTrue(maintenance.isKnown("s-1"));
+    assertEquals(0, maintenance.inMaintenanceCount());
   }
 
   @Test
-  void aWorkerTakenOutStaysOutWhateverTheListSaysLater() {
-    maintenance.over(
+  void workerInMaintenanceStaysDrainingAfterListUpdates() {
+    maintenance.apply(
         EndpointListUpdate.WHOLE,
         List.of(entry("s-1", WorkerState.READY, 0), entry("s-2", WorkerState.READY, 0)));
-    assertEquals(WorkerState.DRAINING, maintenance.take("s-1").worker().state());
-    // Discovery lists it anew as active, whole and as a change, and even after it was gone for a
-    // while.
-    for (EndpointListUpdate news :
+    assertEquals(WorkerState.DRAINING, maintenance.start("s-1").worker().state());
+    // Discovery lists the worker as active again, in complete lists and in a change, and even after
+    // the worker was temporarily gone.
+    for (EndpointListUpdate updateType :
         List.of(EndpointListUpdate.WHOLE, EndpointListUpdate.CHANGES, EndpointListUpdate.STORED)) {
-      List<Endpoint> told = maintenance.over(news, List.of(entry("s-1", WorkerState.READY, 0)));
-      assertEquals(WorkerState.DRAINING, told.get(0).worker().state(), news.name());
+      List<Endpoint> effective =
+          maintenance.apply(updateType, List.of(entry("s-1", WorkerState.READY, 0)));
+      assertEquals(WorkerState.DRAINING, effective.get(0).worker().state(), updateType.name());
     }
-    maintenance.over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.GONE, 0)));
-    assertTrue(maintenance.knows("s-1"));
-    assertNull(maintenance.giveBack("s-9", 5));
+    maintenance.apply(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.GONE, 0)));
+    assertTrue(maintenance.isKnown("s-1"));
+    assertNull(maintenance.end("s-9", 5));
     List<Endpoint> relisted =
-        maintenance.over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 0)));
+        maintenance.apply(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 0)));
     assertEquals(WorkerState.DRAINING, relisted.get(0).worker().state());
   }
 
   @Test
-  void twoCallsOutNeedOneCallBackAndTheReturnIsCold() {
-    maintenance.over(EndpointListUpdate.WHOLE, List.of(entry("s-1", WorkerState.READY, 100)));
-    maintenance.take("s-1");
-    maintenance.take("s-1");
-    assertEquals(1, maintenance.listedOut());
-    Endpoint back = maintenance.giveBack("s-1", 5000);
-    assertEquals(WorkerState.READY, back.worker().state());
-    assertEquals(5000, back.worker().startedAt());
-    assertEquals(0, maintenance.listedOut());
-    // The list's older start does not make it warm again; a later start of its own counts.
+  void twoStartsNeedOneEndAndReturnedWorkerIsCold() {
+    maintenance.apply(EndpointListUpdate.WHOLE, List.of(entry("s-1", WorkerState.READY, 100)));
+    maintenance.start("s-1");
+    maintenance.start("s-1");
+    assertEquals(1, maintenance.inMaintenanceCount());
+    Endpoint returned = maintenance.end("s-1", 5000);
+    assertEquals(WorkerState.READY, returned.worker().state());
+    assertEquals(5000, returned.worker().startedAt());
+    assertEquals(0, maintenance.inMaintenanceCount());
+    // The older start time in the list must not make the worker warm again; a later start time in
+    // the list takes effect.
     assertEquals(
         5000,
         maintenance
-            .over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 100)))
+            .apply(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 100)))
             .get(0)
             .worker()
             .startedAt());
     assertEquals(
         7000,
         maintenance
-            .over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 7000)))
+            .apply(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 7000)))
             .get(0)
             .worker()
             .startedAt());
     assertEquals(
         100,
         maintenance
-            .over(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 100)))
+            .apply(EndpointListUpdate.CHANGES, List.of(entry("s-1", WorkerState.READY, 100)))
             .get(0)
             .worker()
             .startedAt());
   }
 
   @Test
-  void aLaterProcessTakesOverWhatIsOutAndWhatCameBack() {
-    maintenance.over(
+  void laterProcessRestoresMaintenanceAndReturns() {
+    maintenance.apply(
         EndpointListUpdate.WHOLE,
         List.of(entry("s-1", WorkerState.READY, 0), entry("s-2", WorkerState.READY, 0)));
-    maintenance.take("s-1");
-    maintenance.take("s-2");
-    maintenance.giveBack("s-2", 900);
-    MaintenanceOverrides later = new MaintenanceOverrides();
-    later.restore(maintenance.saved());
-    List<Endpoint> told =
-        later.over(
+    maintenance.start("s-1");
+    maintenance.start("s-2");
+    maintenance.end("s-2", 900);
+    MaintenanceOverrides restored = new MaintenanceOverrides();
+    restored.restore(maintenance.saved());
+    List<Endpoint> effective =
+        restored.apply(
             EndpointListUpdate.STORED,
             List.of(entry("s-1", WorkerState.READY, 0), entry("s-2", WorkerState.READY, 0)));
-    assertEquals(WorkerState.DRAINING, told.get(0).worker().state());
-    assertEquals(WorkerState.READY, told.get(1).worker().state());
-    assertEquals(900, told.get(1).worker().startedAt());
-    assertEquals(1, later.listedOut());
-    assertEquals(2, later.listedAll());
+    assertEquals(WorkerState.DRAINING, effective.get(0).worker().state());
+    assertEquals(WorkerState.READY, effective.get(1).worker().state());
+    assertEquals(900, effective.get(1).worker().startedAt());
+    assertEquals(1, restored.inMaintenanceCount());
+    assertEquals(2, restored.listedCount());
   }
 
   @Test
-  void decisionsOfTwoProcessesMergeToTheSameInEveryOrder() {
+  void decisionsOfTwoProcessesMergeToSameStateInAnyOrder() {
     List<MaintenanceEntry> decisions =
         List.of(
             MaintenanceEntry.out("s-1", 1),
@@ -126,15 +129,17 @@
       Collections.rotate(order, rotation);
       MaintenanceOverrides merged = new MaintenanceOverrides();
       order.forEach(merged::merge);
-      order.forEach(each -> assertFalse(merged.merge(each), "a repeat changes nothing"));
-      // Of two decisions made at once, the one that takes the worker out counts.
+      order.forEach(
+          decision ->
+              assertFalse(merged.merge(decision), "a repeated decision must not be applied"));
+      // Of two concurrent decisions, the one that starts maintenance wins.
       assertEquals(MaintenanceEntry.out("s-1", 2), merged.decision("s-1"));
       assertEquals(MaintenanceEntry.returned("s-2", 3, 700), merged.decision("s-2"));
     }
   }
 
   @Test
-  void decisionWithAVersionReplacesWhatAnEarlierReleaseStored() {
+  void versionedDecisionReplacesStateOfEarlierRelease() {
     maintenance.restore(new MaintenanceOverrides.Saved(Set.of("s-1"), Map.of()));
     assertTrue(maintenance.merge(MaintenanceEntry.returned("s-1", 1, 500)));
     maintenance.restore(new MaintenanceOverrides.Saved(Set.of("s-1"), Map.of()));
