--- a/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
+++ b/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
@@ -23,29 +23,32 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The node between a scripted module and scripted workers, on a clock that the test sets. */
+/**
+ * Runs the coordinator between a scripted dispatcher and scripted workers, on a clock that the test
+ * sets.
+ */
 public class RequestCoordinatorTest {
-  private final List<String> heard = new ArrayList<>();
+  private final List<String> dispatcherEvents = new ArrayList<>();
   private final List<String> answers = new ArrayList<>();
-  private final List<String> given = new ArrayList<>();
+  private final List<String> cancelledIds = new ArrayList<>();
   private final List<String> log = new ArrayList<>();
-  private final List<WorkerTransport.Listener> sent = new ArrayList<>();
+  private final List<WorkerTransport.Listener> attemptListeners = new ArrayList<>();
   private final Deque<Runnable> tasks = new ArrayDeque<>();
-  private Runnable unread = () -> {};
+  private Runnable pendingInput = () -> {};
   private double now;
   private Timers timers;
   private Actions actions;
-  private RequestCoordinator node;
+  private RequestCoordinator coordinator;
 
   @BeforeMethod
   public void start() {
-    List.of(heard, answers, given, sent, log).forEach(List::clear);
+    List.of(dispatcherEvents, answers, cancelledIds, attemptListeners, log).forEach(List::clear);
     tasks.clear();
-    unread = () -> {};
+    pendingInput = () -> {};
     now = 1000;
     Clock clock = () -> now;
     timers = new Timers(clock, (millis, run) -> {});
-    node =
+    coordinator =
         new RequestCoordinator(
             new RequestCoordinator.Surroundings(
                 clock,
@@ -55,323 +58,338 @@
                 (peer, message) -> {},
                 new RateLimitedLog(clock, log::add)),
             new RequestCoordinator.RequestLimits(2, 100, 700),
-            asked -> {
-              actions = asked;
-              return new Recorder();
+            dispatcherActions -> {
+              actions = dispatcherActions;
+              return new RecordingDispatcher();
             });
-    node.members(
+    coordinator.members(
         EndpointListUpdate.WHOLE,
-        List.of(member("s-1", 1, WorkerState.READY, 0), member("s-2", 2, WorkerState.READY, 0)));
+        List.of(
+            endpoint("s-1", 1, WorkerState.READY, 0), endpoint("s-2", 2, WorkerState.READY, 0)));
     run();
   }
 
   @Test
-  public void callBackBeforeThe202ServesAndItsRepeatsDoNothing() {
-    out("a", 1);
-    say("a", "s-1", WorkerCallback.State.DONE);
-    say("a", "s-1", WorkerCallback.State.DONE);
-    say("a", "s-1", WorkerCallback.State.LOST);
+  public void callbackBeforeThe202ServesAndItsRepetitionsAreIgnored() {
+    sendWritten("a", 1);
+    callBack("a", "s-1", WorkerCallback.State.DONE);
+    callBack("a", "s-1", WorkerCallback.State.DONE);
+    callBack("a", "s-1", WorkerCallback.State.LOST);
     assertEquals(answers, List.of("served r"));
-    assertEquals(heard, List.of("arrived a", "ended a/0 OK over"));
-    assertEquals(node.open(), 0);
+    assertEquals(dispatcherEvents, List.of("arrived a", "ended a/0 OK over"));
+    assertEquals(coordinator.open(), 0);
   }
 
   @Test
-  public void newsOfUnknownJobsAndFromOtherWorkersIsIgnored() {
-    out("a", 1);
-    say("b", "s-1", WorkerCallback.State.DONE);
-    say("a", "s-2", WorkerCallback.State.DONE);
-    say("a", "s-9", WorkerCallback.State.STARTED);
-    assertEquals(heard, List.of("arrived a"));
+  public void ignoresCallbacksOfUnknownJobsAndFromOtherWorkers() {
+    sendWritten("a", 1);
+    callBack("b", "s-1", WorkerCallback.State.DONE);
+    callBack("a", "s-2", WorkerCallback.State.DONE);
+    callBack("a", "s-9", WorkerCallback.State.STARTED);
+    assertEquals(dispatcherEvents, List.of("arrived a"));
     assertEquals(answers, List.of());
   }
 
   @Test
-  public void newsFromAnEarlierAttemptsWorkerDoesNotEndTheNewOne() {
-    out("a", 1);
-    say("a", "s-1", WorkerCallback.State.RETURNED);
+  public void callbackFromWorkerOfEarlierAttemptDoesNotEndNewAttempt() {
+    sendWritten("a", 1);
+    callBack("a", "s-1", WorkerCallback.State.RETURNED);
     send("a", 2);
-    sent.get(1).written();
-    say("a", "s-1", WorkerCallback.State.RETURNED);
-    assertEquals(heard, List.of("arrived a", "ended a/0 FULL"));
-    say("a", "s-2", WorkerCallback.State.DONE);
+    attemptListeners.get(1).written();
+    callBack("a", "s-1", WorkerCallback.State.RETURNED);
+    assertEquals(dispatcherEvents, List.of("arrived a", "ended a/0 FULL"));
+    callBack("a", "s-2", WorkerCallback.State.DONE);
     assertEquals(answers, List.of("served r"));
   }
 
   @Test
-  public void workerThatCalledBackDoesNotGetTheRequestAgain() {
-    out("a", 1);
-    say("a", "s-1", WorkerCallback.State.RETURNED);
+  public void doesNotResendRequestToWorkerThatCalledBack() {
+    sendWritten("a", 1);
+    callBack("a", "s-1", WorkerCallback.State.RETURNED);
     send("a", 1);
-    assertEquals(sent.size(), 1);
-    assertEquals(heard.get(2), "ended a/1 NEVER_SENT");
+    assertEquals(attemptListeners.size(), 1);
+    assertEquals(dispatcherEvents.get(2), "ended a/1 NEVER_SENT");
   }
 
   @Test
-  public void workerHoldsOneAttemptOfARequestAtATime() {
-    out("a", 1);
+  public void workerRunsAtMostOneAttemptOfARequest() {
+    sendWritten("a", 1);
     send("a", 1);
-    assertEquals(sent.size(), 1);
-    assertEquals(heard.get(1), "ended a/1 NEVER_SENT");
+    assertEquals(attemptListeners.size(), 1);
+    assertEquals(dispatcherEvents.get(1), "ended a/1 NEVER_SENT");
   }
 
   /**
-   * Its connection broke, or was closed by us: whether the worker runs the job yet, nobody knows.
+   * The connection broke or the node closed it, so it is unknown whether the worker still runs the
+   * job.
    */
   @Test
-  public void workerThatMayStillRunAnAttemptDoesNotGetTheRequestAgain() {
+  public void doesNotResendRequestToWorkerThatMayStillRunIt() {
     request("a", 21_000);
     send("a", 1);
-    sent.get(0).written();
-    sent.get(0).ended(AttemptOutcome.RESET, LoadReport.NONE);
+    attemptListeners.get(0).written();
+    attemptListeners.get(0).ended(AttemptOutcome.RESET, LoadReport.NONE);
     run();
     send("a", 1);
-    assertEquals(sent.size(), 1);
+    assertEquals(attemptListeners.size(), 1);
     send("a", 2);
-    sent.get(1).written();
+    attemptListeners.get(1).written();
     actions.cancel("a", 2);
-    turn();
+    runTurn();
     send("a", 2);
-    assertEquals(sent.size(), 2);
+    assertEquals(attemptListeners.size(), 2);
     request("b", 21_000);
     send("b", 1);
-    sent.get(2).ended(AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
+    attemptListeners.get(2).ended(AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
     run();
     send("b", 1);
-    assertEquals(sent.size(), 4, "what was never written bars nobody");
+    assertEquals(
+        attemptListeners.size(),
+        4,
+        "an attempt that was never written must not exclude its worker");
   }
 
   @Test
-  public void clientThatGoesBetweenTwoAttemptsOrWhileItWaitsHasNoneBegun() {
-    out("a", 1);
-    node.clientGone("a");
-    say("a", "s-1", WorkerCallback.State.RETURNED);
+  public void startsNoAttemptAfterClientDisconnected() {
+    sendWritten("a", 1);
+    coordinator.clientGone("a");
+    callBack("a", "s-1", WorkerCallback.State.RETURNED);
     send("a", 2);
     request("b", 21_000);
-    node.clientGone("b");
+    coordinator.clientGone("b");
     send("b", 2);
-    assertEquals(sent.size(), 1);
+    assertEquals(attemptListeners.size(), 1);
     assertEquals(answers, List.of());
     assertEquals(
-        heard,
+        dispatcherEvents,
         List.of("arrived a", "abandoned a", "ended a/0 FULL over", "arrived b", "abandoned b"));
   }
 
   /**
-   * A worker begins with the last byte: an attempt that is dialled, or written in part, must not
-   * come to that.
+   * Fails if an attempt that is connecting or partly written is still completed: a worker starts a
+   * job once it has received the last byte.
    */
   @Test
-  public void clientThatGoesBeforeAnAttemptIsWhollyWrittenHasItGivenUp() {
-    out("a", 1);
+  public void cancelsPartlyWrittenAttemptWhenClientDisconnects() {
+    sendWritten("a", 1);
     send("a", 2);
-    node.clientGone("a");
+    coordinator.clientGone("a");
     run();
-    assertEquals(given, List.of("a"), "the hedged request alone");
-    assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/1 NEVER_SENT over"));
+    assertEquals(
+        cancelledIds, List.of("a"), "only the attempt that is not fully written must be cancelled");
+    assertEquals(
+        dispatcherEvents, List.of("arrived a", "abandoned a", "ended a/1 NEVER_SENT over"));
   }
 
   @Test
-  public void callBackAfterTheResetOfItsAttemptChangesNothing() {
-    out("a", 1);
-    sent.get(0).ended(AttemptOutcome.RESET, LoadReport.NONE);
+  public void ignoresCallbackAfterResetOfItsAttempt() {
+    sendWritten("a", 1);
+    attemptListeners.get(0).ended(AttemptOutcome.RESET, LoadReport.NONE);
     run();
-    say("a", "s-1", WorkerCallback.State.DONE);
-    say("a", "s-1", WorkerCallback.State.FAILED);
-    assertEquals(heard, List.of("arrived a", "ended a/0 RESET"));
+    callBack("a", "s-1", WorkerCallback.State.DONE);
+    callBack("a", "s-1", WorkerCallback.State.FAILED);
+    assertEquals(dispatcherEvents, List.of("arrived a", "ended a/0 RESET"));
     assertEquals(answers, List.of());
   }
 
   @Test
-  public void secondCopyStillOnItsWayBeginsNoMoreOnceTheFirstIsServed() {
-    out("a", 1);
+  public void withholdsHedgedAttemptOnceFirstIsServed() {
+    sendWritten("a", 1);
     send("a", 2);
-    assertTrue(sent.get(1).mayStart());
-    say("a", "s-1", WorkerCallback.State.DONE);
-    assertFalse(sent.get(1).mayStart());
+    assertTrue(attemptListeners.get(1).mayStart());
+    callBack("a", "s-1", WorkerCallback.State.DONE);
+    assertFalse(attemptListeners.get(1).mayStart());
   }
 
   @Test
-  public void timeOutGivesUpAndSaysWhetherItMayHaveRun() {
-    out("a", 1);
+  public void timeoutCancelsAttemptAndReportsWhetherItMayHaveRun() {
+    sendWritten("a", 1);
     request("b", 1100);
     send("b", 2);
-    pass(100);
-    assertEquals(given, List.of("a", "b"));
-    assertEquals(heard.subList(2, 4), List.of("ended a/0 TIMEOUT", "ended b/0 CONNECT_FAILED"));
+    advance(100);
+    assertEquals(cancelledIds, List.of("a", "b"));
+    assertEquals(
+        dispatcherEvents.subList(2, 4), List.of("ended a/0 TIMEOUT", "ended b/0 CONNECT_FAILED"));
   }
 
   @Test
-  public void jobThatItsWorkerDoesNotTakeIsGivenUpWellBeforeItsEnd() {
-    for (String id : List.of("hangs", "taken")) {
+  public void cancelsJobThatWorkerDoesNotAcceptBeforeItsDeadline() {
+    for (String id : List.of("hangs", "accepted")) {
       request(id, 21_000);
       send(id, 1);
-      sent.get(sent.size() - 1).written();
+      attemptListeners.get(attemptListeners.size() - 1).written();
     }
-    sent.get(1).taken();
-    pass(1000);
-    assertEquals(given, List.of("hangs"));
-    assertEquals(heard.subList(2, heard.size()), List.of("ended hangs/0 TIMEOUT"));
+    attemptListeners.get(1).taken();
+    advance(1000);
+    assertEquals(cancelledIds, List.of("hangs"));
+    assertEquals(
+        dispatcherEvents.subList(2, dispatcherEvents.size()), List.of("ended hangs/0 TIMEOUT"));
   }
 
-  /** Fails where an answer that came while the loop was held up is not looked at. */
+  /** Fails if a response that arrived while the event loop was held up is not read first. */
   @Test
-  public void jobIsNotGivenUpWhileItsWorkersAnswerLiesUnread() {
-    for (String id : List.of("taken", "rejected")) {
+  public void doesNotCancelJobWhileWorkersResponseIsUnread() {
+    for (String id : List.of("accepted", "rejected")) {
       request(id, 21_000);
       send(id, 1);
-      sent.get(sent.size() - 1).written();
+      attemptListeners.get(attemptListeners.size() - 1).written();
       now += 1;
     }
-    unread = () -> sent.get(0).taken();
-    pass(998);
-    unread = () -> sent.get(1).ended(AttemptOutcome.FULL, LoadReport.NONE);
-    pass(1);
-    assertEquals(given, List.of());
-    assertEquals(heard.subList(2, heard.size()), List.of("ended rejected/0 FULL"));
+    pendingInput = () -> attemptListeners.get(0).taken();
+    advance(998);
+    pendingInput = () -> attemptListeners.get(1).ended(AttemptOutcome.FULL, LoadReport.NONE);
+    advance(1);
+    assertEquals(cancelledIds, List.of());
+    assertEquals(
+        dispatcherEvents.subList(2, dispatcherEvents.size()), List.of("ended rejected/0 FULL"));
   }
 
-  /** Fails where an attempt's timeout overlooks a rejection, after which a retry is harmless. */
+  /**
+   * Fails if the timeout of an attempt ignores an unread rejection, after which a retry would be
+   * safe.
+   */
   @Test
-  public void attemptDoesNotTimeOutWhileItsWorkersAnswerLiesUnread() {
-    out("a", 1);
-    unread = () -> sent.get(0).ended(AttemptOutcome.FULL, LoadReport.NONE);
-    pass(100);
-    assertEquals(given, List.of());
-    assertEquals(heard, List.of("arrived a", "ended a/0 FULL"));
+  public void attemptDoesNotTimeOutWhileWorkersResponseIsUnread() {
+    sendWritten("a", 1);
+    pendingInput = () -> attemptListeners.get(0).ended(AttemptOutcome.FULL, LoadReport.NONE);
+    advance(100);
+    assertEquals(cancelledIds, List.of());
+    assertEquals(dispatcherEvents, List.of("arrived a", "ended a/0 FULL"));
   }
 
-  /** Fails where a shutdown takes a job for one that may have run beside its unread rejection. */
+  /**
+   * Fails if a shutdown ignores an unread rejection and treats the job as one that may have run.
+   */
   @Test
-  public void requestCutShortIsRefusedWhileItsWorkersRejectionLiesUnread() {
+  public void shutdownRejectsRequestWhoseWorkersRejectionIsUnread() {
     request("a", 21_000);
     send("a", 1);
-    sent.get(0).written();
-    node.answerAllBy(now + 50);
-    unread = () -> sent.get(0).ended(AttemptOutcome.FULL, LoadReport.NONE);
-    pass(50);
+    attemptListeners.get(0).written();
+    coordinator.answerAllBy(now + 50);
+    pendingInput = () -> attemptListeners.get(0).ended(AttemptOutcome.FULL, LoadReport.NONE);
+    advance(50);
     assertEquals(answers, List.of("refused 0.0"));
   }
 
   @Test
-  public void jobThatWasCalledBackAboutCountsAsTakenWithoutTheWorkersWord() {
+  public void callbackCountsAsAcceptanceWithout202() {
     request("a", 21_000);
     send("a", 1);
-    sent.get(0).written();
-    say("a", "s-1", WorkerCallback.State.STARTED);
-    pass(1000);
-    assertEquals(given, List.of());
+    attemptListeners.get(0).written();
+    callBack("a", "s-1", WorkerCallback.State.STARTED);
+    advance(1000);
+    assertEquals(cancelledIds, List.of());
   }
 
   @Test
-  public void cancelGivesUpOnceAndTheAttemptEndsOnce() {
-    out("a", 1);
+  public void repeatedCancelEndsAttemptOnce() {
+    sendWritten("a", 1);
     actions.cancel("a", 0);
     actions.cancel("a", 0);
-    turn();
-    say("a", "s-1", WorkerCallback.State.DONE);
-    assertEquals(given, List.of("a"));
-    assertEquals(heard, List.of("arrived a", "ended a/0 CANCELLED"));
+    runTurn();
+    callBack("a", "s-1", WorkerCallback.State.DONE);
+    assertEquals(cancelledIds, List.of("a"));
+    assertEquals(dispatcherEvents, List.of("arrived a", "ended a/0 CANCELLED"));
   }
 
   @Test
-  public void clientThatGoesAwayGetsNoAnswerAndItsAttemptIsStillReported() {
-    out("a", 1);
-    node.clientGone("a");
+  public void disconnectedClientGetsNoAnswerAndAttemptEndIsReported() {
+    sendWritten("a", 1);
+    coordinator.clientGone("a");
     run();
-    say("a", "s-1", WorkerCallback.State.DONE);
+    callBack("a", "s-1", WorkerCallback.State.DONE);
     assertEquals(answers, List.of());
-    assertEquals(heard, List.of("arrived a", "abandoned a", "ended a/0 OK over"));
-    assertEquals(node.open(), 0);
+    assertEquals(dispatcherEvents, List.of("arrived a", "abandoned a", "ended a/0 OK over"));
+    assertEquals(coordinator.open(), 0);
   }
 
   @Test
-  public void finalAnswerIsGivenOnceAndAtOnce() {
+  public void sendsFinalAnswerOnceAndImmediately() {
     request("a", 5000);
     actions.refuse("a", 500);
     actions.fail("a");
-    turn();
+    runTurn();
     assertEquals(answers, List.of("refused 500.0"));
-    assertEquals(node.open(), 0);
+    assertEquals(coordinator.open(), 0);
   }
 
   @Test
-  public void idOfARequestThatEndedIsNotTakenAgainUntilOthersHavePushedItOut() {
+  public void rejectsIdOfFinishedRequestUntilItIsEvicted() {
     for (String id : List.of("a", "b", "c")) {
       request(id, 5000);
       actions.refuse(id, 0);
-      turn();
-      assertFalse(node.request(job(id, 5000), call(id), new Answers()), id);
+      runTurn();
+      assertFalse(coordinator.request(job(id, 5000), call(id), new AnswerRecorder()), id);
     }
     assertEquals(answers, List.of("refused 0.0", "refused 0.0", "refused 0.0"));
-    // The memory holds as many ids as the table, two here.
+    // The coordinator remembers as many finished ids as it accepts pending requests, here two.
     request("a", 5000);
   }
 
   @Test
-  public void requestThatTheModuleForgetsFailsAtItsEnd() {
+  public void requestThatDispatcherForgetsFailsAfterItsDeadline() {
     request("a", 1100);
-    pass(100);
+    advance(100);
     assertEquals(answers, List.of());
-    pass(10);
+    advance(10);
     assertEquals(answers, List.of("failed"));
-    assertEquals(node.open(), 0);
+    assertEquals(coordinator.open(), 0);
   }
 
   @Test
-  public void sendWaitingOnAConnectStopsWhenItsWorkerDrainsRestartsOrMoves() {
-    out("a", 1);
-    assertTrue(sent.get(0).mayStart());
-    Endpoint ready = member("s-1", 1, WorkerState.READY, 0);
+  public void withholdsConnectingAttemptWhenWorkerDrainsRestartsOrMoves() {
+    sendWritten("a", 1);
+    assertTrue(attemptListeners.get(0).mayStart());
+    Endpoint ready = endpoint("s-1", 1, WorkerState.READY, 0);
     for (Endpoint changed :
         List.of(
-            member("s-1", 1, WorkerState.DRAINING, 0),
-            member("s-1", 1, WorkerState.GONE, 0),
-            member("s-1", 1, WorkerState.READY, 900),
+            endpoint("s-1", 1, WorkerState.DRAINING, 0),
+            endpoint("s-1", 1, WorkerState.GONE, 0),
+            endpoint("s-1", 1, WorkerState.READY, 900),
             new Endpoint("s-1", new InetSocketAddress("127.0.0.9", 9), ready.worker()))) {
-      node.members(EndpointListUpdate.CHANGES, List.of(changed));
-      assertFalse(sent.get(0).mayStart(), changed.toString());
-      node.members(EndpointListUpdate.CHANGES, List.of(ready));
-      assertTrue(sent.get(0).mayStart());
+      coordinator.members(EndpointListUpdate.CHANGES, List.of(changed));
+      assertFalse(attemptListeners.get(0).mayStart(), changed.toString());
+      coordinator.members(EndpointListUpdate.CHANGES, List.of(ready));
+      assertTrue(attemptListeners.get(0).mayStart());
     }
-    node.members(EndpointListUpdate.WHOLE, List.of(member("s-2", 2, WorkerState.READY, 0)));
-    assertFalse(sent.get(0).mayStart());
+    coordinator.members(
+        EndpointListUpdate.WHOLE, List.of(endpoint("s-2", 2, WorkerState.READY, 0)));
+    assertFalse(attemptListeners.get(0).mayStart());
   }
 
   @Test
-  public void fullTableRefusesWithoutTheModuleAndAnIdInUseIsNotTaken() {
+  public void rejectsRequestsBeyondLimitAndIdsInUseWithoutDispatcher() {
     request("a", 5000);
     request("b", 5000);
     request("c", 5000);
     assertEquals(answers, List.of("refused 700.0"));
-    assertFalse(node.request(job("a", 5000), call("a"), new Answers()));
-    assertEquals(heard, List.of("arrived a", "arrived b"));
+    assertFalse(coordinator.request(job("a", 5000), call("a"), new AnswerRecorder()));
+    assertEquals(dispatcherEvents, List.of("arrived a", "arrived b"));
   }
 
-  private void out(String id, long worker) {
+  private void sendWritten(String id, long worker) {
     request(id, 1100);
     send(id, worker);
-    sent.get(sent.size() - 1).written();
+    attemptListeners.get(attemptListeners.size() - 1).written();
   }
 
   private void request(String id, double due) {
-    assertTrue(node.request(job(id, due), call(id), new Answers()));
+    assertTrue(coordinator.request(job(id, due), call(id), new AnswerRecorder()));
     run();
   }
 
   private void send(String id, long worker) {
     actions.send(id, worker, 0);
-    turn();
+    runTurn();
   }
 
-  private void say(String id, String from, WorkerCallback.State state) {
-    node.callback(new WorkerCallback(id, from, state, 0, "r", LoadReport.NONE));
+  private void callBack(String id, String from, WorkerCallback.State state) {
+    coordinator.callback(new WorkerCallback(id, from, state, 0, "r", LoadReport.NONE));
     run();
   }
 
-  /** What the module asks for goes out with the next turn; any event brings one about. */
-  /** States of an attempt at the moment in which the loop is held up. */
-  private enum HeldUpAt {
+  /** The state of the attempt when the event loop is paused. */
+  private enum StateAtPause {
     NOT_SENT,
     SENT,
     WRITTEN,
@@ -379,9 +397,9 @@
   }
 
   @DataProvider
-  public Object[][] holdUps() {
+  public Object[][] pauses() {
     List<Object[]> cases = new ArrayList<>();
-    for (HeldUpAt state : HeldUpAt.values()) {
+    for (StateAtPause state : StateAtPause.values()) {
       for (double millis : new double[] {200, 400, 600, 800, 1000, 1500}) {
         cases.add(new Object[] {state, millis});
       }
@@ -390,50 +408,55 @@
   }
 
   /**
-   * Fails where a loop held up over a deadline leaves a request unanswered, or answers it twice.
+   * Fails if an event loop that is paused beyond a deadline leaves a request unanswered or answers
+   * it twice.
    */
-  @Test(dataProvider = "holdUps")
-  public void requestIsAnsweredOnceAtTheFirstTurnBehindAHoldUp(HeldUpAt state, double millis) {
+  @Test(dataProvider = "pauses")
+  public void answersRequestOnceInFirstTurnAfterPause(StateAtPause state, double millis) {
     request("a", now + 5_000);
-    if (state != HeldUpAt.NOT_SENT) {
+    if (state != StateAtPause.NOT_SENT) {
       send("a", 1);
     }
-    if (state.compareTo(HeldUpAt.WRITTEN) >= 0) {
-      sent.get(0).written();
+    if (state.compareTo(StateAtPause.WRITTEN) >= 0) {
+      attemptListeners.get(0).written();
     }
-    if (state == HeldUpAt.STARTED) {
-      say("a", "s-1", WorkerCallback.State.STARTED);
+    if (state == StateAtPause.STARTED) {
+      callBack("a", "s-1", WorkerCallback.State.STARTED);
     }
-    pass(4_990);
+    advance(4_990);
     assertEquals(answers, List.of());
-    pass(RequestCoordinator.GUARD + millis);
+    advance(RequestCoordinator.FINAL_ANSWER_GRACE_MILLIS + millis);
     assertEquals(answers, List.of("failed"));
-    say("a", "s-1", WorkerCallback.State.DONE);
-    pass(10_000);
+    callBack("a", "s-1", WorkerCallback.State.DONE);
+    advance(10_000);
     assertEquals(answers, List.of("failed"));
-    assertEquals(node.open(), 0);
+    assertEquals(coordinator.open(), 0);
   }
 
-  /** Fails where answers that are hardly late crowd the traces of others out of the log. */
+  /**
+   * Fails if traces of answers that are barely late displace the traces of other requests from the
+   * log.
+   */
   @Test
-  public void onlyAnswersThatAreLateByAFifthOfTheSlackAreTraced() {
+  public void tracesOnlyAnswersThatAreLateByAFifthOfTolerance() {
     for (double late : new double[] {90, 110}) {
       request("a" + late, now + 5_000);
       now += 5_000 + late;
       actions.refuse("a" + late, 0);
-      turn();
+      runTurn();
     }
     List<String> traced = log.stream().filter(line -> line.contains("answered-late")).toList();
     assertEquals(traced.size(), 1, log.toString());
     assertTrue(traced.get(0).contains("id=a110"), traced.get(0));
   }
 
-  private void turn() {
-    node.heard(0, new byte[0]);
+  /** Runs a turn, which executes the requested actions; any event triggers a turn. */
+  private void runTurn() {
+    coordinator.heard(0, new byte[0]);
     run();
   }
 
-  private void pass(double millis) {
+  private void advance(double millis) {
     now += millis;
     timers.run();
     run();
@@ -453,14 +476,14 @@
     return new JobRequest(id, "POST", "/api", null, new byte[0]);
   }
 
-  private static Endpoint member(String name, long id, WorkerState state, double startedAt) {
+  private static Endpoint endpoint(String name, long id, WorkerState state, double startedAt) {
     return new Endpoint(
         name,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), (int) id),
         new Worker(id, state, 0, 0, 0, startedAt, 1));
   }
 
-  private final class Answers implements ResponseHandler {
+  private final class AnswerRecorder implements ResponseHandler {
     @Override
     public void served(String result) {
       answers.add("served " + result);
@@ -480,18 +503,18 @@
   private final class ScriptedWorkers implements WorkerTransport {
     @Override
     public AttemptHandle send(
-        JobRequest call, InetSocketAddress worker, double patience, Listener listener) {
-      sent.add(listener);
+        JobRequest call, InetSocketAddress worker, double timeout, Listener listener) {
+      attemptListeners.add(listener);
       return new AttemptHandle() {
         @Override
         public void giveUp(Runnable whenNotified) {
-          given.add(call.id());
+          cancelledIds.add(call.id());
           whenNotified.run();
         }
 
         @Override
         public void readPending() {
-          unread.run();
+          pendingInput.run();
         }
       };
     }
@@ -502,15 +525,15 @@
     }
   }
 
-  private final class Recorder implements Dispatcher {
+  private final class RecordingDispatcher implements Dispatcher {
     @Override
     public void arrived(double time, Job job) {
-      heard.add("arrived " + job.id());
+      dispatcherEvents.add("arrived " + job.id());
     }
 
     @Override
     public void started(double time, String id, int attempt) {
-      heard.add("started " + id + "/" + attempt);
+      dispatcherEvents.add("started " + id + "/" + attempt);
     }
 
     @Override
@@ -525,26 +548,31 @@
         String id,
         int attempt,
         AttemptOutcome outcome,
-        double took,
-        boolean over,
+        double elapsedMillis,
+        boolean completed,
         LoadReport report) {
-      heard.add("ended " + id + "/" + attempt + " " + outcome + (over ? " over" : ""));
+      dispatcherEvents.add(
+          "ended " + id + "/" + attempt + " " + outcome + (completed ? " over" : ""));
     }
 
     @Override
     public void abandoned(double time, String id) {
-      heard.add("abandoned " + id);
+      dispatcherEvents.add("abandoned " + id);
     }
 
     @Override
-    public void members(double time, EndpointListUpdate news, List<Worker> workers) {}
+    public void members(double time, EndpointListUpdate updateType, List<Worker> workers) {}
 
     @Override
     public void listFailed(double time) {}
 
     @Override
     public void checked(
-        double time, long worker, AttemptOutcome outcome, double took, LoadReport report) {}
+        double time,
+        long worker,
+        AttemptOutcome outcome,
+        double elapsedMillis,
+        LoadReport report) {}
 
     @Override
     public void heard(double time, int from, byte[] message) {}
