--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -278,9 +278,9 @@
   }
 
   /**
-   * Keeps the endpoint list that an earlier process stored. The list may be outdated, and this
-   * process must follow the list that discovery has held since the process started, so the stored
-   * list is used only after discovery could not be reached.
+   * Keeps the endpoint list that an earlier process stored. The list may be outdated, and the list
+   * that discovery holds is authoritative from the moment this process starts, so the stored list
+   * is used only after discovery could not be reached.
    */
   public void stored(List<Endpoint> entries) {
     endpoints.store(entries);
--- a/node/src/main/java/ferngrade/node/Timers.java
+++ b/node/src/main/java/ferngrade/node/Timers.java
@@ -4,8 +4,8 @@
 import java.util.TreeSet;
 
 /**
- * Manages all timers of a node on its {@link Clock}. The {@link Waker} must call {@link #run} when
- * the next timer is due.
+ * Manages all timers of a node on its {@link Clock}. {@link #run} runs the timers that are due; the
+ * {@link Waker} schedules its calls.
  */
 public final class Timers {
   private final Clock clock;
