--- a/node/src/main/java/ferngrade/http/AcceptSwitch.java
+++ b/node/src/main/java/ferngrade/http/AcceptSwitch.java
@@ -13,15 +13,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one owner of whether a listening channel accepts, and how many connections at a time: it
- * accepts while there are places, unless there is another reason to pause. What it does not accept
- * waits in the backlog. A failed accept is one, for a moment; it stops here, so that Netty's own
- * answer, a second's pause that ends all others, is not given.
+ * Controls whether a listening channel accepts connections, and how many at a time; no other class
+ * does. The channel accepts while there is capacity, unless there is another reason to pause.
+ * Connections that are not accepted wait in the backlog. A failed accept pauses the channel for a
+ * moment. The exception is not passed on, because Netty's own reaction, a pause of 1 s, would end
+ * all other pauses when it expires.
  */
 final class AcceptSwitch extends ChannelInboundHandlerAdapter {
   /**
-   * The pause after a failed accept, ms. The connection that could not be accepted keeps the
-   * listener readable: with no pause at all, the loop would spin until the fault is over.
+   * The pause after a failed accept, in ms. The connection that could not be accepted keeps the
+   * listener readable, so that without a pause the event loop would spin until the fault is over.
    */
   static final double BACKOFF = 20;
 
@@ -33,21 +34,21 @@
   private final Set<Reason> reasons = EnumSet.noneOf(Reason.class);
   private Channel listener;
 
-  /** Why a listener does not accept. */
+  /** The reason why a listener does not accept. */
   enum Reason {
-    /** There are as many connections as may be open. */
+    /** The maximum number of connections is open. */
     FULL,
     /** The next process accepts on this socket. */
     HANDED_OVER,
-    /** This process cannot serve yet, and an earlier one accepts on this socket. */
+    /** This process is not ready yet, and an earlier process accepts on this socket. */
     NOT_READY,
     /** An accept has just failed. */
     ACCEPT_FAILED
   }
 
-  /** Is notified of pauses that leave connections waiting, with nobody else to accept them. */
+  /** Is notified of pauses that leave connections waiting while no other process accepts them. */
   interface PauseListener {
-    /** Is not interested. */
+    /** Ignores all notifications. */
     PauseListener NONE =
         new PauseListener() {
           @Override
@@ -57,10 +58,10 @@
           public void resumed() {}
         };
 
-    /** Connections that come from now on have to wait. */
+    /** Called when connections that arrive from now on have to wait. */
     void paused();
 
-    /** Those that have waited are accepted from now on. */
+    /** Called when waiting connections are accepted again. */
     void resumed();
   }
 
@@ -69,20 +70,21 @@
     this.pauses = pauses;
   }
 
-  /** Sets how many more connections there may be; with none left it pauses. */
+  /** Sets the number of further connections that fit; the channel pauses while there is none. */
   void places(int free) {
     places = Math.max(1, Math.min(free, PendingReads.MAX_ACCEPTS));
     limitAccepts();
     pause(Reason.FULL, free <= 0);
   }
 
-  /** How many connections one read of the listener accepts at most. */
+  /** Returns the maximum number of connections that one read of the listener accepts. */
   int acceptsAtOnce() {
     return places;
   }
 
   /**
-   * Accepts the connections that wait, unless it pauses; see {@link PendingReads#acceptWaiting}.
+   * Accepts the waiting connections unless the channel is paused; see {@link
+   * PendingReads#acceptWaiting}.
    */
   void acceptWaiting(LongSupplier accepted, BooleanSupplier capacity) {
     if (listener != null && reasons.isEmpty()) {
--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -5,20 +5,21 @@
 import java.util.function.IntSupplier;
 
 /**
- * Estimates since when an accepted connection may have waited in the listener's backlog: the time
- * that a client or an operator waits counts from then. Stands in the listener's pipeline, on the
- * event loop.
+ * Estimates the earliest time at which an accepted connection may have entered the listener's
+ * backlog. The time that a client or an operator waits for an answer counts from there. Part of the
+ * listener's pipeline, on the event loop.
  */
 final class AcceptTimeEstimator extends ChannelInboundHandlerAdapter
     implements AcceptSwitch.PauseListener {
   private final ArrivalClock arrivals;
 
   /**
-   * How many connections one read of the listener accepts at most; after so many, more may wait.
+   * The maximum number of connections that one read of the listener accepts; after that many, more
+   * may be waiting.
    */
   private final IntSupplier acceptsAtOnce;
 
-  /** How long a connection is taken to have waited at most, ms. */
+  /** The maximum time that a connection is assumed to have waited, in ms. */
   private final double maxWait;
 
   private double waitingSince;
@@ -26,17 +27,26 @@
   private int limit;
   private boolean paused;
 
-  /** What is accepted up to this turn of the loop may have waited since {@link #waitingSince}. */
+  /**
+   * The last turn of the event loop in which accepted connections may have waited since {@link
+   * #waitingSince}.
+   */
   private long waitedUntilTurn = -1;
 
-  /** An estimator that takes no connection to have waited for more than {@code maxWait} ms. */
+  /**
+   * Creates an estimator that assumes no connection to have waited for more than {@code maxWait}
+   * ms.
+   */
   AcceptTimeEstimator(ArrivalClock arrivals, IntSupplier acceptsAtOnce, double maxWait) {
     this.arrivals = arrivals;
     this.acceptsAtOnce = acceptsAtOnce;
     this.maxWait = maxWait;
   }
 
-  /** The earliest time at which the connection accepted last may have come, ms on the clock. */
+  /**
+   * Returns the earliest time at which the most recently accepted connection may have arrived, in
+   * ms on the node's clock.
+   */
   double waitingSince() {
     return waitingSince;
   }
@@ -55,7 +65,10 @@
     lookAgainInTheNextTurn();
   }
 
-  /** What waits now is seen by the next select at the latest. */
+  /**
+   * Treats connections accepted up to the next turn as having waited: the next select reports all
+   * that wait now.
+   */
   private void lookAgainInTheNextTurn() {
     waitedUntilTurn = arrivals.turn() + 1;
   }
@@ -79,7 +92,7 @@
     if (acceptedThisTurn >= limit) {
       lookAgainInTheNextTurn();
     } else if (acceptedThisTurn > 0) {
-      // Nothing waits any more. Where an accept has failed, what has waited still does.
+      // No more connections wait. After a failed accept, those that waited still do.
       waitedUntilTurn = -1;
     }
     acceptedThisTurn = 0;
--- a/node/src/main/java/ferngrade/http/Admin.java
+++ b/node/src/main/java/ferngrade/http/Admin.java
@@ -18,29 +18,36 @@
 import java.util.function.Consumer;
 
 /**
- * Where operators call: HTTP/1.1, one call to a connection, 2xx for yes and 4xx or 5xx for no. It
- * runs on the event loop; what the calls do is in {@link OperatorCalls}. A caller has {@link
- * #CALL_TIMEOUT} to bring its whole call, and a few callers are held at a time, those that say
- * nothing giving way, so that silent ones cost nobody else. The node's other processes call here,
- * too, and may keep their connections.
+ * The HTTP/1.1 endpoint for operators: one call per connection, answered with 2xx for success and
+ * 4xx or 5xx for failure. Runs on the event loop; {@link OperatorCalls} implements the calls. A
+ * caller has to send its whole call within {@link #CALL_TIMEOUT}. Only a few callers may be
+ * connected at a time, and those that have sent nothing are evicted first, so that idle callers do
+ * not keep out others. The other processes of the node make calls here, too, and may keep their
+ * connections open.
  */
 public final class Admin {
-  /** How long a caller may take to bring a whole call, ms; callers wait 1 s for the answer. */
+  /** The maximum time for a caller to send a whole call, in ms; callers wait 1 s for the answer. */
   static final double CALL_TIMEOUT = 1000;
 
-  /** Between the close of the listener and the end of the process, ms. */
+  /** The delay between the close of the listener and the end of the process, in ms. */
   private static final long CLOSE_DELAY = 1;
 
-  /** The largest body of a call, in bytes: a relayed callback is as large as any. */
+  /**
+   * The maximum size of the body of a call, in bytes. A relayed callback may have the size of any
+   * body.
+   */
   static final int MAX_CALL_BYTES = HttpFrontend.MAX_BODY;
 
-  /** Callers that may be silent at a time: the staff makes one call at a time. */
+  /**
+   * The maximum number of callers that have not sent a whole call; operators make one call at a
+   * time.
+   */
   private static final int MAX_SILENT = 8;
 
-  /** Calls that may wait for the disk at a time. */
+  /** The maximum number of calls that wait for the disk. */
   private static final int MAX_WAITING = 16;
 
-  /** Connections that may be open at a time, those of the node's other processes included. */
+  /** The maximum number of open connections, including those of the node's other processes. */
   private static final int MAX_OPEN = MAX_SILENT + MAX_WAITING + UpgradePeers.MAX_PEERS;
 
   private final OperatorCalls calls;
@@ -51,14 +58,17 @@
   private Channel listener;
   private boolean finishing;
 
-  /** What runs once no call is open; null if nothing waits for that. */
+  /** Runs when no call is open any more; null if nothing waits for that. */
   private Runnable whenAnswered;
 
-  /** The listener for {@code calls}; {@code loop} runs tasks at the end of the present turn. */
+  /**
+   * Creates an endpoint for {@code calls}; {@code loop} runs tasks at the end of the current turn
+   * of the event loop.
+   */
   public Admin(OperatorCalls calls, Clock clock, Timers timers, Executor loop) {
     this.calls = calls;
     this.clock = clock;
-    // A call that has waited for longer has the least time for the disk in any case.
+    // A call that has waited longer gets the minimum time for the disk in any case.
     this.acceptTimes =
         new AcceptTimeEstimator(calls.arrivals(), this::acceptsAtOnce, OperatorCalls.STORE_TIMEOUT);
     this.acceptSwitch = new AcceptSwitch(timers, acceptTimes);
@@ -74,22 +84,25 @@
     return acceptSwitch.acceptsAtOnce();
   }
 
-  /** The earliest time at which the connection accepted last may have come, ms on the clock. */
+  /**
+   * Returns the earliest time at which the most recently accepted connection may have arrived, in
+   * ms on the node's clock.
+   */
   double acceptedSince() {
     return acceptTimes.waitingSince();
   }
 
-  /** The time, ms on the clock. */
+  /** Returns the time in ms on the node's clock. */
   double now() {
     return clock.now();
   }
 
-  /** What the calls do. */
+  /** Returns the implementation of the calls. */
   OperatorCalls calls() {
     return calls;
   }
 
-  /** Begins to listen at {@code address}. */
+  /** Starts to listen at {@code address}. */
   public ChannelFuture listen(
       EventLoopGroup group, InetSocketAddress address, ChannelProvider channels) {
     ChannelFuture bound =
@@ -118,29 +131,32 @@
   }
 
   /**
-   * Answers every call that has reached this machine, stores what they ask for, and then runs
-   * {@code done}, which ends the process. It listens until nothing is left to do: who connects
-   * between the last look and the close is reset. A caller that sends nothing is awaited for {@link
-   * #CALL_TIMEOUT} at most.
+   * Answers every call that has reached this machine, stores the changes, and then runs {@code
+   * done}, which ends the process. The endpoint listens until nothing is left to do; a caller that
+   * connects between the last check and the close of the listener is reset. The endpoint waits for
+   * a caller that sends nothing for at most {@link #CALL_TIMEOUT}.
    *
-   * @param store runs a task once all that was answered is stored
+   * @param store runs a task once the changes of all answered calls are stored
    */
   public void finish(Consumer<Runnable> store, Runnable done) {
     finishing = true;
     whenAnswered(() -> store.accept(() -> endUnlessCalled(store, done)));
   }
 
-  /** Accepts and reads what has come and the event loop has not come to read. */
+  /**
+   * Accepts the connections and reads the bytes that have arrived but that the event loop has not
+   * read yet.
+   */
   public void readPending() {
     connections.readPending();
   }
 
-  /** True once the process ends: each connection closes behind its answer. */
+  /** Returns true when the process is ending: each connection closes after its answer. */
   boolean finishing() {
     return finishing;
   }
 
-  /** Runs a task once no call is open, counting those that wait to be accepted. */
+  /** Runs a task when no call is open, including calls that wait to be accepted. */
   private void whenAnswered(Runnable task) {
     acceptWaiting();
     connections.idle().forEach(AdminHandler::closeAfterReading);
@@ -155,8 +171,8 @@
     acceptWaiting();
     if (connections.isEmpty()) {
       listener.close();
-      // The system closes the listener with the next select; from then on callers are refused, also
-      // while the runtime ends, which takes some ms.
+      // The system closes the listener with the next select. From then on callers are refused, also
+      // while the JVM shuts down, which takes a few milliseconds.
       listener.eventLoop().schedule(done, CLOSE_DELAY, TimeUnit.MILLISECONDS);
     } else {
       finish(store, done);
@@ -168,12 +184,12 @@
         (AbstractNioChannel) listener, connections::accepted, connections::hasPlace);
   }
 
-  /** The connections of callers. */
+  /** Returns the connections of the callers. */
   ConnectionTable<AdminHandler> connections() {
     return connections;
   }
 
-  /** A caller's connection has ended. */
+  /** Handles the end of a caller's connection. */
   void closed(AdminHandler caller) {
     connections.closed(caller);
     if (whenAnswered != null && connections.isEmpty()) {
--- a/node/src/main/java/ferngrade/http/AdminHandler.java
+++ b/node/src/main/java/ferngrade/http/AdminHandler.java
@@ -26,9 +26,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One caller's connection. An operator's call is read whole, answered once, and the connection ends
- * behind the answer. Another process of this node, which asks for that, keeps its connection and
- * makes one call after the other on it.
+ * The connection of one caller of the operators' endpoint. An operator's call is read whole and
+ * answered once, and the connection closes after the answer. Another process of this node may ask
+ * to keep its connection, and then makes several calls on it, one after the other.
  */
 final class AdminHandler extends SimpleChannelInboundHandler<FullHttpRequest>
     implements ManagedConnection {
@@ -40,14 +40,17 @@
   private final double acceptedSince;
   private final long acceptTurn;
 
-  /** Since when the present call may have been on this machine, ms on the clock. */
+  /**
+   * The earliest time at which the current call may have arrived on this machine, in ms on the
+   * node's clock.
+   */
   private double arrived;
 
   private Channel channel;
   private ConnectionState state = ConnectionState.UNREAD;
   private long bytesRead;
 
-  /** Another process of this node calls on this connection. */
+  /** True if another process of this node makes its calls on this connection. */
   private boolean ofUpgradePeer;
 
   AdminHandler(Admin admin) {
@@ -58,7 +61,7 @@
     this.acceptTurn = calls.arrivals().turn();
   }
 
-  /** Puts the connection's codec and this handler at the end of a pipeline. */
+  /** Adds the connection's codec and this handler to the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(
         byteCounter(), new HttpServerCodec(), new HttpObjectAggregator(Admin.MAX_CALL_BYTES), this);
@@ -104,7 +107,7 @@
     admin.closed(this);
   }
 
-  // ---- The connection among others ----
+  // ---- Managed connection ----
 
   @Override
   public ConnectionState state() {
@@ -136,7 +139,10 @@
     channel.close();
   }
 
-  /** Ends the connection if no call lies there unread: that is answered, and ends it. */
+  /**
+   * Closes the connection unless an unread call is in the socket: the call is answered, and the
+   * answer closes the connection.
+   */
   void closeAfterReading() {
     if (readPending() && state == ConnectionState.RESTING) {
       channel.close();
@@ -196,8 +202,8 @@
   }
 
   /**
-   * Calls between the processes of this node on one clients' socket: a relayed callback, an
-   * address, or a record.
+   * Handles a call from another process of this node on the same client socket: a relayed callback,
+   * the announcement of an address, or a record.
    */
   private void fromUpgradePeer(ChannelHandlerContext ctx, String path, String body) {
     try {
@@ -214,7 +220,7 @@
     }
   }
 
-  /** {@code /-/menu-workers/ID/disable} or {@code .../enable}. */
+  /** Handles {@code /-/menu-workers/ID/disable} and {@code .../enable}. */
   private void worker(ChannelHandlerContext ctx, HttpMethod method, String path) {
     int slash = path.lastIndexOf('/');
     String verb = path.substring(slash + 1);
--- a/node/src/main/java/ferngrade/http/ArrivalClock.java
+++ b/node/src/main/java/ferngrade/http/ArrivalClock.java
@@ -7,22 +7,24 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * Since when bytes that are read now may have lain on this machine. A client's time for an answer
- * counts from its last byte, whether the loop reads that at once or after a turn full of other
- * work: what one turn reads has come after the turn before had looked. Belongs to the event loop,
- * whose turns it sees begin.
+ * Provides the earliest time at which the bytes that are read now may have arrived on this machine.
+ * A client's deadline counts from the last byte of its request, whether the event loop reads that
+ * byte at once or after a turn full of other work: the bytes that one turn reads arrived after the
+ * select of the previous turn. Confined to the event loop, which calls it at the beginning of each
+ * turn.
  */
 public final class ArrivalClock implements SelectStrategyFactory, SelectStrategy {
   private final Clock clock;
   private long turn;
 
-  /** When this turn looked first, and the one before for the last time. */
+  /** The time of this turn's first select, and of the previous turn's last select, in ms. */
   private double looked;
 
   private double lookedBefore;
 
   /**
-   * Whether this turn waited, as nothing was ready; then what it reads came when it began to work.
+   * True if this turn blocked in select because nothing was ready; the bytes it reads then arrived
+   * when it began to work.
    */
   private boolean waited;
 
@@ -35,7 +37,7 @@
     this.lookedBefore = looked;
   }
 
-  /** Sets who is passed the working time of each turn, ms. */
+  /** Sets the listener that receives the time each turn spent working, in ms. */
   public void onTurn(DoubleConsumer listener) {
     turnLengths = listener;
   }
@@ -60,19 +62,25 @@
     return waited ? SelectStrategy.SELECT : ready;
   }
 
-  /** The loop does something in this turn; the first call marks the end of its wait. */
+  /**
+   * Marks that the event loop does work in this turn; the first call in a turn marks the end of its
+   * wait.
+   */
   public void working() {
     if (Double.isNaN(began)) {
       began = clock.now();
     }
   }
 
-  /** The number of the loop's turn. */
+  /** Returns the number of the current turn of the event loop. */
   long turn() {
     return turn;
   }
 
-  /** The earliest time at which what this turn reads may have come, ms on the clock. */
+  /**
+   * Returns the earliest time at which the bytes read in this turn may have arrived, in ms on the
+   * node's clock.
+   */
   public double since() {
     working();
     return waited ? began : lookedBefore;
--- a/node/src/main/java/ferngrade/http/AttemptExchange.java
+++ b/node/src/main/java/ferngrade/http/AttemptExchange.java
@@ -15,15 +15,15 @@
 import java.net.InetSocketAddress;
 
 /**
- * An attempt to run a job on a worker: written once, and accepted by the worker with a 202. How the
- * job ends is reported later, by a callback of the worker.
+ * An attempt to run a job on a worker: the request is written once, and the worker accepts it with
+ * a 202. The worker reports the end of the job later, with a callback.
  */
 final class AttemptExchange extends HttpExchange implements AttemptHandle {
   private final WorkerClient client;
   private final JobRequest call;
   private final InetSocketAddress worker;
 
-  /** When the node stops waiting for the attempt, ms on its clock. */
+  /** The time at which the node stops waiting for the attempt, in ms on the node's clock. */
   private final double deadline;
 
   private final Listener listener;
@@ -43,7 +43,10 @@
     this.listener = listener;
   }
 
-  /** How far an attempt has come. Each step is taken once; its end is reported once. */
+  /**
+   * The progress of an attempt. The attempt enters each stage at most once, except that it may
+   * return from writing to connecting, and reports its end once.
+   */
   private enum Stage {
     CONNECTING,
     WRITING,
@@ -81,7 +84,7 @@
     }
     client.beforeStart();
     boolean wanted = listener.mayStart();
-    // Read as late as possible: a dial may have used up the time.
+    // Computed as late as possible, because a dial may have used up the time.
     double left = deadline - client.now();
     if (!wanted || left <= 0) {
       end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
@@ -143,7 +146,8 @@
   @Override
   void broken(FaultOrigin origin) {
     connection = null;
-    // Before the last byte the worker cannot have begun; afterwards it may have.
+    // Before the last byte is written the worker cannot have started the job; after that it may
+    // have.
     boolean mayRun = stage == Stage.WRITTEN;
     if (origin != FaultOrigin.LOCAL) {
       end(mayRun ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
@@ -177,8 +181,8 @@
   }
 
   /**
-   * Closing before the 202 cancels an attempt, but the 202 may be under way already: hence the
-   * DELETE.
+   * Gives the attempt up. Closing the connection before the 202 cancels the attempt, but the 202
+   * may already have been sent; hence the DELETE.
    */
   @Override
   public void giveUp(Runnable whenNotified) {
--- a/node/src/main/java/ferngrade/http/AwaitedConnections.java
+++ b/node/src/main/java/ferngrade/http/AwaitedConnections.java
@@ -7,14 +7,14 @@
 import java.util.stream.Stream;
 
 /**
- * The connections of a {@link ConnectionTable} that wait for their peers, which have to send the
- * rest of a request, to read a response or to close, and since when. The oldest comes first
- * wherever several are returned. Belongs to the event loop.
+ * The connections of a {@link ConnectionTable} whose peer has to act next, by sending the rest of a
+ * request, reading a response or closing, with the time since when. Lists are ordered by that time,
+ * oldest first. Confined to the event loop.
  */
 final class AwaitedConnections<C extends ManagedConnection> {
   /**
-   * How long a peer may need between its connect and its first byte, or to read a response, ms,
-   * before its connection gives way to others: its machine may be busy, too.
+   * The time that a peer has between its connect and its first byte, or for reading a response,
+   * before its connection may be evicted, in ms. The peer's machine may be busy, too.
    */
   static final double SENDING_GRACE = 500;
 
@@ -33,7 +33,7 @@
     return since.containsKey(connection);
   }
 
-  /** Counts from now on, also for a connection that was awaited before. */
+  /** Starts the wait for a connection, or restarts it for one already in this set. */
   void add(C connection) {
     since.remove(connection);
     since.put(connection, clock.now());
@@ -43,47 +43,50 @@
     since.remove(connection);
   }
 
-  /** Those that nobody has read since they were accepted. */
+  /** Returns the connections that have not been read since they were accepted. */
   List<C> unread() {
     return in(ConnectionState.UNREAD).toList();
   }
 
-  /** Those that have sent a part of a request. */
+  /** Returns the connections that have sent a part of a request. */
   List<C> receiving() {
     return in(ConnectionState.RECEIVING).toList();
   }
 
-  /** Those that have sent a part of a request, and none that was of use before. */
+  /** Returns the untrusted connections that have sent a part of a request. */
   List<C> receivingUntrusted() {
     return in(ConnectionState.RECEIVING).filter(each -> !each.trusted()).toList();
   }
 
-  /** Those that have been read and hold nothing, and have sent nothing of use before. */
+  /** Returns the untrusted connections that have been read and hold no part of a request. */
   List<C> silent() {
     return in(ConnectionState.RESTING).filter(each -> !each.trusted()).toList();
   }
 
-  /** Those whose peers have not read their responses. */
+  /** Returns the connections whose peers have not read their responses. */
   List<C> responding() {
     return in(ConnectionState.RESPONDING).toList();
   }
 
-  /** Those of them that have sent nothing of use before. */
+  /** Returns the untrusted connections whose peers have not read their responses. */
   List<C> respondingUntrusted() {
     return in(ConnectionState.RESPONDING).filter(each -> !each.trusted()).toList();
   }
 
-  /** Those whose peers have been sent all that they get. */
+  /** Returns the connections that have sent their last response and wait for the peer's close. */
   List<C> closing() {
     return in(ConnectionState.CLOSING).toList();
   }
 
-  /** True if the peer of an awaited connection has had its {@link #SENDING_GRACE}. */
+  /** Returns true if the {@link #SENDING_GRACE} of an awaited connection has expired. */
   boolean graceOver(C connection) {
     return awaitedFor(connection, SENDING_GRACE);
   }
 
-  /** Those that have sent or closed nothing for {@code timeout} ms; a response has no timeout. */
+  /**
+   * Returns the connections whose peers have neither sent nor closed anything for {@code timeout}
+   * ms. Reading a response has no timeout.
+   */
   List<C> late(double timeout) {
     return since.keySet().stream()
         .takeWhile(each -> awaitedFor(each, timeout))
@@ -91,7 +94,7 @@
         .toList();
   }
 
-  /** True if the connection is awaited, and for {@code millis} or longer. */
+  /** Returns true if the connection has been awaited for at least {@code millis} ms. */
   boolean awaitedFor(C connection, double millis) {
     Double from = since.get(connection);
     return from != null && clock.now() - from >= millis;
--- a/node/src/main/java/ferngrade/http/BadRequestException.java
+++ b/node/src/main/java/ferngrade/http/BadRequestException.java
@@ -1,6 +1,6 @@
 package ferngrade.http;
 
-/** A request that cannot be used; the message says why, for its sender. */
+/** Thrown for an invalid request; the message tells its sender the reason. */
 final class BadRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/ferngrade/http/BodyAggregator.java
+++ b/node/src/main/java/ferngrade/http/BodyAggregator.java
@@ -7,15 +7,18 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * Puts requests together up to a bound. Of one that is larger it keeps nothing from the moment on
- * that its length or its count shows it: it only says so, with {@link #TOO_LARGE}, and drops the
- * rest as it comes.
+ * Assembles requests up to a maximum size. When the content length or the bytes received show that
+ * a request is larger, the aggregator discards the request, fires {@link #TOO_LARGE} once, and
+ * drops the remaining bytes as they arrive.
  */
 final class BodyAggregator extends HttpObjectAggregator {
-  /** The event that stands in for a request with too large a body. */
+  /** The event fired in place of a request whose body is too large. */
   static final Object TOO_LARGE = new Object();
 
-  /** Parts that may hold a buffer each; a body that drips in is copied together beyond that. */
+  /**
+   * The maximum number of parts, each of which may hold a buffer; the parts of a body that arrives
+   * in small pieces are merged beyond that.
+   */
   private static final int MAX_PARTS = 16;
 
   BodyAggregator(int maxBody) {
@@ -24,8 +27,8 @@
   }
 
   /**
-   * Says "continue" and nothing else: a refusal from here would overtake the answers to requests
-   * before it, and the close that comes with it would leave those without one.
+   * Sends "continue" or nothing: a rejection sent here would overtake the responses to earlier
+   * requests, and its close would leave them without a response.
    */
   @Override
   protected Object newContinueResponse(HttpMessage start, int maxBody, ChannelPipeline pipeline) {
--- a/node/src/main/java/ferngrade/http/CancellationExchange.java
+++ b/node/src/main/java/ferngrade/http/CancellationExchange.java
@@ -9,11 +9,11 @@
 import java.net.InetSocketAddress;
 
 /**
- * Notifies a worker by a DELETE that nobody waits for a job any more. Nothing depends on the
- * response; a callback runs once, when the request is written or cannot be.
+ * Notifies a worker with a DELETE that no client waits for a job any more. The response is not
+ * evaluated; a callback runs once, when the request is written or cannot be written.
  */
 final class CancellationExchange extends HttpExchange {
-  /** How long a cancellation may take, ms. */
+  /** The maximum duration of a cancellation, in ms. */
   private static final double TIMEOUT = 2000;
 
   private final WorkerClient client;
@@ -65,8 +65,8 @@
   }
 
   /**
-   * An idle connection may have been closed while the request was under way: it is retried once, as
-   * a cancellation is idempotent.
+   * Retries the request once if the worker may have closed an idle connection while the request was
+   * on its way; this is safe because a cancellation is idempotent.
    */
   @Override
   void broken(FaultOrigin origin) {
--- a/node/src/main/java/ferngrade/http/ClientConnection.java
+++ b/node/src/main/java/ferngrade/http/ClientConnection.java
@@ -16,10 +16,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One connection to the frontend, a client's or a worker's with callbacks: what it is doing, the
- * responses on it, and its close. What is read from it comes through {@link
- * ClientConnectionHandler}. It carries one request at a time and closes behind the last response.
- * Belongs to the event loop.
+ * One connection to the frontend, opened by a client or by a worker that sends callbacks. Tracks
+ * the state of the connection, writes its responses, and closes it. {@link ClientConnectionHandler}
+ * reads its requests. The connection handles one request at a time and closes after its last
+ * response. Confined to the event loop.
  */
 final class ClientConnection implements ManagedConnection {
   private final HttpFrontend front;
@@ -27,24 +27,30 @@
   private final ClientRequestHandler requests;
   private final ClientConnectionHandler reader;
 
-  /** Since when it may have waited to be accepted, ms on the clock. */
+  /**
+   * The earliest time at which the connection may have entered the accept backlog, in ms on the
+   * node's clock.
+   */
   private final double acceptedSince;
 
   private Channel channel;
   private ConnectionState state = ConnectionState.UNREAD;
 
-  /** It closes behind the response to the last request read; what else arrives is rejected. */
+  /**
+   * True if the connection closes after the response to the last request read; requests that arrive
+   * later are rejected.
+   */
   private boolean closeRequested;
 
-  /** Nothing more is read until the connection closes behind its last response. */
+  /** True if nothing more is read before the connection closes after its last response. */
   private boolean readingEnded;
 
   private boolean trusted;
 
-  /** The job in progress; null if there is none. */
+  /** The id of the job in progress; null if there is none. */
   private String jobId;
 
-  /** The response to a request in bytes that are still being decoded; null if there is none. */
+  /** The response to a request whose bytes are still being decoded; null if there is none. */
   private FullHttpResponse deferred;
 
   ClientConnection(
@@ -59,13 +65,13 @@
     this.acceptedSince = acceptedSince;
   }
 
-  /** The connection has been accepted. */
+  /** Registers the accepted connection. */
   void opened(Channel accepted) {
     channel = accepted;
     connections.opened(this);
   }
 
-  /** The connection has ended, from whichever side. */
+  /** Handles the end of the connection, closed by either side. */
   void ended() {
     front.closed(this);
     clientGone();
@@ -88,23 +94,28 @@
 
   // ---- The request in progress ----
 
-  /** True if the next request that is read can be handled at once. */
+  /** Returns true if the next request can be handled at once. */
   boolean canBegin() {
     return !handlesRequest() && state != ConnectionState.CLOSING;
   }
 
-  /** True while a request is being handled or its response waits for the peer to read. */
+  /**
+   * Returns true while a request is being handled or its response waits for the peer to read it.
+   */
   boolean handlesRequest() {
     return state == ConnectionState.BUSY || state == ConnectionState.RESPONDING;
   }
 
-  /** A request is being handled from here on. */
+  /** Marks a request as being handled. */
   void begin() {
     state = ConnectionState.BUSY;
     connections.busy(this);
   }
 
-  /** All that had come has been read; {@code partialRequest} if it ends within a request. */
+  /**
+   * Updates the state after all available bytes were read; {@code partialRequest} is true if they
+   * end within a request.
+   */
   void read(boolean partialRequest) {
     if (canBegin()) {
       state = partialRequest ? ConnectionState.RECEIVING : ConnectionState.RESTING;
@@ -114,28 +125,31 @@
     }
   }
 
-  /** The connection closes behind the response to the last request that has been read. */
+  /** Closes the connection after the response to the last request that has been read. */
   void requestClose() {
     closeRequested = true;
   }
 
-  /** True once {@link #requestClose} was called. */
+  /** Returns true after {@link #requestClose} was called. */
   boolean closeRequested() {
     return closeRequested;
   }
 
-  /** Nothing more is read until the last response is written. */
+  /** Stops reading until the last response is written. */
   void endReading() {
     readingEnded = true;
     channel.config().setAutoRead(false);
   }
 
-  /** Nothing more is read until {@link #resumeReading}. */
+  /** Stops reading until {@link #resumeReading} is called. */
   void pauseReading() {
     channel.config().setAutoRead(false);
   }
 
-  /** Goes on reading, at once with what has come meanwhile, unless reading has ended. */
+  /**
+   * Resumes reading, and reads at once the bytes that have arrived meanwhile, unless {@link
+   * #endReading} was called.
+   */
   void resumeReading() {
     if (!readingEnded) {
       channel.config().setAutoRead(true);
@@ -143,29 +157,33 @@
     }
   }
 
-  /** The request in progress is a job. */
+  /** Records that the request in progress is a job. */
   void jobStarted(String id) {
     jobId = id;
   }
 
-  /** The request in progress has not become a job after all. */
+  /** Records that the request in progress did not become a job. */
   void jobNotStarted() {
     jobId = null;
   }
 
   /**
-   * True while a response to the request in progress has neither been made nor is owed by a job.
+   * Returns true while the request in progress has neither a response nor a job in flight that will
+   * produce one.
    */
   boolean unanswered() {
     return jobId == null && deferred == null;
   }
 
-  /** A job, or a callback of one, has come on this connection. */
+  /** Marks the connection as trusted: a job, or a callback for a job, has arrived on it. */
   void trust() {
     trusted = true;
   }
 
-  /** False if the client has closed its connection, even if the loop has not read that yet. */
+  /**
+   * Returns false if the client has closed its connection, even if the event loop has not read the
+   * close yet.
+   */
   boolean clientPresent() {
     boolean present = readPending();
     if (!present) {
@@ -189,21 +207,21 @@
 
   // ---- Responses ----
 
-  /** Responds to the request in progress, and closes behind that. */
+  /** Writes the response to the request in progress and closes the connection after it. */
   void respondAndClose(HttpResponseStatus status, String body) {
     closeRequested = true;
     respond(status, body);
   }
 
-  /** Responds to the request in progress. */
+  /** Writes the response to the request in progress. */
   void respond(HttpResponseStatus status, String body) {
     ByteBuf content = Unpooled.copiedBuffer(body, StandardCharsets.UTF_8);
     respond(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content));
   }
 
-  /** Responds to the request in progress. */
+  /** Writes the response to the request in progress. */
   void respond(FullHttpResponse response) {
-    // While bytes are being decoded, it is not known yet whether a response is the last.
+    // Whether a response is the last one is only known when all bytes read are decoded.
     if (reader.bytes().decoding()) {
       deferred = response;
       return;
@@ -219,14 +237,14 @@
     }
     ChannelFuture written = channel.writeAndFlush(response);
     if (written.isDone()) {
-      // A listener would run in a later task where many responses follow each other.
+      // With many responses in a row, a listener would run in a later task of the event loop.
       written(written.isSuccess(), wasJob, keep);
       return;
     }
     state = ConnectionState.RESPONDING;
     connections.await(this);
     if (!keep) {
-      // What cannot be answered any more is not read.
+      // Requests that can no longer be answered are not read.
       endReading();
     }
     written.addListener(future -> written(future.isSuccess(), wasJob, keep));
@@ -245,7 +263,7 @@
     }
   }
 
-  /** Writes the response that waited for the end of the decoding, if there is one. */
+  /** Writes the response that was deferred until the end of the decoding, if any. */
   void respondDeferred() {
     FullHttpResponse response = deferred;
     deferred = null;
@@ -255,15 +273,18 @@
   }
 
   /**
-   * True if the connection closes behind the present response: not while another is owed for what
-   * has been read.
+   * Returns true if the connection closes after the present response, which is never the case while
+   * another request that has been read needs a response.
    */
   private boolean lastResponse() {
     boolean draining = front.draining() && !reader.bytes().holdsPartialRequest();
     return !reader.hasPipelined() && (closeRequested || draining);
   }
 
-  /** No request is in progress any more: goes on with the next that has been read, if any. */
+  /**
+   * Handles the next request that has been read, or marks the connection as having no request in
+   * progress.
+   */
   void next() {
     if (reader.beginPipelined()) {
       return;
@@ -280,10 +301,10 @@
   // ---- Closing ----
 
   /**
-   * Closes the connection behind its last response, or while it rests. Closing with bytes unread
-   * would reset it and could lose a response on its way to a client that still sends: so only the
-   * outgoing direction is shut down, and what arrives is dropped until the client closes or the
-   * timeout for that ends.
+   * Closes the connection after its last response, or between two requests. Closing the socket with
+   * unread bytes would reset the connection, and a client that is still sending could lose the
+   * response. Therefore only the outgoing direction is shut down; incoming bytes are dropped until
+   * the client closes or the timeout expires.
    */
   void closeGracefully() {
     if (state == ConnectionState.CLOSING) {
@@ -296,8 +317,8 @@
   }
 
   /**
-   * Closes a connection that rests, unless a request lies there unread: that is handled, and closes
-   * the connection with its response.
+   * Closes a connection without a request in progress, unless an unread request is in the socket:
+   * the request is handled, and its response closes the connection.
    */
   void closeAfterReading() {
     if (canBegin() && readPending() && state == ConnectionState.RESTING) {
@@ -316,7 +337,7 @@
     }
   }
 
-  /** The process ends: a request that has arrived in part is rejected. */
+  /** Rejects a partially received request because the process is ending. */
   void rejectUnfinished() {
     if (state == ConnectionState.RECEIVING) {
       rejectPartialRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
@@ -336,7 +357,7 @@
     begin();
     reader.bytes().endDecoding();
     respondAndClose(status, body);
-    // The memory of the request is freed at once, and not when the client closes.
+    // Frees the memory of the request now and not only when the client closes.
     channel.pipeline().remove(BodyAggregator.class);
   }
 }
--- a/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
@@ -12,12 +12,12 @@
 import java.io.IOException;
 
 /**
- * Reads requests from one connection to the frontend and has them handled one at a time; what is
- * pipelined behind one waits. The connection itself is a {@link ClientConnection}.
+ * Reads requests from one connection to the frontend and has them handled one at a time; pipelined
+ * requests are queued. {@link ClientConnection} represents the connection itself.
  *
- * <p>An error closes the connection: whoever sent something unusable would otherwise repeat it at
- * once, indefinitely. It closes behind the responses to all requests read completely by then, as
- * each of those is owed one. Belongs to the event loop.
+ * <p>An error closes the connection, since a faulty sender would otherwise repeat the error at once
+ * and indefinitely. The connection closes after the responses to all requests that were read
+ * completely before the error. Confined to the event loop.
  */
 final class ClientConnectionHandler extends ChannelInboundHandlerAdapter {
   private final ClientConnection connection;
@@ -25,14 +25,14 @@
   private final RateLimitedLog log;
   private final RequestBytesReader bytes;
 
-  /** What has been read behind the request in progress. */
+  /** The requests that have been read behind the request in progress. */
   private final PipelinedRequests pipelined;
 
   private ChannelHandlerContext context;
 
   /**
-   * The reader of a connection that may have waited to be accepted since {@code acceptedSince}, ms
-   * on the clock.
+   * Creates the handler of a connection that may have waited in the backlog since {@code
+   * acceptedSince}, in ms on the node's clock.
    */
   ClientConnectionHandler(
       HttpFrontend front,
@@ -47,7 +47,7 @@
     this.pipelined = new PipelinedRequests(front);
   }
 
-  /** Puts the connection's codec and this handler at the end of a pipeline. */
+  /** Adds the connection's codec and this handler to the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(
         bytes,
@@ -57,12 +57,15 @@
         this);
   }
 
-  /** What is read from the connection, ahead of the requests in it. */
+  /** Returns the handler that passes the bytes of the connection to the decoder. */
   RequestBytesReader bytes() {
     return bytes;
   }
 
-  /** True if a request waits behind the one in progress, or may, as not all bytes are decoded. */
+  /**
+   * Returns true if a request is queued behind the one in progress, or may be among the bytes that
+   * are not decoded yet.
+   */
   boolean hasPipelined() {
     return !pipelined.isEmpty() || bytes.holdsUndecoded();
   }
@@ -143,7 +146,7 @@
           "bad request from " + context.channel().remoteAddress() + ": " + bad.getMessage());
       connection.respondAndClose(HttpResponseStatus.BAD_REQUEST, bad.getMessage());
     } catch (RuntimeException fault) {
-      // A response is owed all the same; for a job that has started, the coordinator gives it.
+      // The request still needs a response. If its job has started, the coordinator sends it.
       log.line("front failed", "request could not be handled: " + fault);
       connection.requestClose();
       if (connection.unanswered()) {
@@ -155,8 +158,8 @@
   }
 
   /**
-   * Begins the request that has waited longest, in the next turn where this one has done enough;
-   * false if none waits.
+   * Begins the oldest queued request, in the next turn of the event loop if this turn has used up
+   * its share. Returns false if no request is queued.
    */
   boolean beginPipelined() {
     if (pipelined.isEmpty()) {
--- a/node/src/main/java/ferngrade/http/ClientRequestHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -13,9 +13,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Handles the requests of all client connections by their path: readiness, workers' callbacks, and
- * jobs. Each ends in one response on the connection that it came on, now or later. Belongs to the
- * event loop.
+ * Dispatches the requests of all client connections by path: readiness checks, workers' callbacks,
+ * and jobs. Each request gets exactly one response on its own connection, at once or later.
+ * Confined to the event loop.
  */
 final class ClientRequestHandler {
   private static final String READY_PATH = "/-/ready";
@@ -37,8 +37,9 @@
   /**
    * Handles a complete request.
    *
-   * @param arrived since when it may have been on this machine, ms on the clock
-   * @throws BadRequestException if it cannot be used; there has been no response then
+   * @param arrived the earliest time at which the request may have arrived on this machine, in ms
+   *     on the node's clock
+   * @throws BadRequestException if the request is invalid; no response has been written then
    */
   void handle(ClientConnection connection, FullHttpRequest request, double arrived)
       throws BadRequestException {
@@ -60,16 +61,17 @@
     }
   }
 
-  /** The client of this job has closed its connection. */
+  /** Reports that the client of a job has closed its connection. */
   void clientGone(String jobId) {
     coordinator.clientGone(jobId);
   }
 
   /**
-   * A worker's callback. While processes share the clients' socket, one for a job that this process
-   * never had is relayed to the others. Where that fails the response is 503 and a close, so that
-   * the worker's retry comes on a new connection, which another process may accept. Where no other
-   * process runs, nobody waits for it any more, and the worker need not send it again.
+   * Handles a worker's callback. While several processes share the client socket, a callback for a
+   * job that this process never had is relayed to the other processes. If no process answers for
+   * it, the response is 503 and closes the connection, so that the worker's retry arrives on a new
+   * connection, which another process may accept. If no other process runs, no process waits for
+   * the callback, and the worker does not have to send it again.
    */
   private void callback(ClientConnection connection, WorkerCallback callback, String body) {
     if (front.upgradePeers() != null && !coordinator.knowsOf(callback.id())) {
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -10,31 +10,34 @@
 import java.util.Map;
 
 /**
- * The connections to workers: how many there are, and which stand idle. One that has stood idle for
- * a good part of the limit is ended: a worker closes it at the limit, and a job written into that
- * close would be reset, with nobody knowing whether it ran. Some machines close them far sooner
- * than they are said to: when one has ended a connection of its own accord, its next ones are kept
- * for half as long as that one lasted.
+ * Pools the connections to workers and limits their number. A connection that has been idle for a
+ * part of the workers' idle limit is closed: a worker closes it at the limit, and a job written at
+ * that moment would be reset, leaving it unknown whether the job ran. Some workers' machines close
+ * idle connections much earlier than configured. When a worker closes a connection, the pool keeps
+ * the next connections to that worker idle for at most half the time that the closed one lasted.
  */
 public final class ConnectionPool {
-  /** Share of the workers' idle limit after which a connection is ended. */
+  /** The share of the workers' idle limit after which an idle connection is closed. */
   private static final double RETIRE = 0.5;
 
   private static final double SWEEP = 1000;
 
-  /** The least that a learned limit becomes, ms, and the time in which it doubles again. */
+  /**
+   * The minimum of a learned idle limit, in ms, and the time after which a learned limit doubles,
+   * in ms.
+   */
   private static final double MIN_LEARNED_LIMIT = 20;
 
   private static final double RECOVERY = 10_000;
 
   /**
-   * How long a connection stands idle before it is used again, ms. A worker's second answer may
-   * come some milliseconds late; on a connection that carries the next request by then it would be
-   * taken for that one's.
+   * The minimum idle time before a connection is used again, in ms. A worker may send a second
+   * answer some milliseconds late; if the connection already carried the next request, that answer
+   * would be taken for the response to it.
    */
   private static final double SETTLED = 50;
 
-  /** Idle connections kept for one worker. */
+  /** The maximum number of idle connections kept for one worker. */
   private static final int MAX_IDLE = 16;
 
   private final Clock clock;
@@ -45,7 +48,10 @@
   private final Map<InetSocketAddress, Learned> learned = new HashMap<>();
   private int open;
 
-  /** How long a worker's idle connections were found to last, and when. */
+  /**
+   * The time after which a worker closed its idle connections, and when the pool learned it, both
+   * in ms.
+   */
   private record Learned(double limit, double at) {}
 
   public ConnectionPool(Clock clock, Timers timers, double idleLimit, int maxOpen) {
@@ -57,9 +63,9 @@
   }
 
   /**
-   * The idle connection used last that is fit for use, or null if there is none. It is read first:
-   * the event loop may not have come to notice that the worker has ended it, and a job written to
-   * it would be reset.
+   * Returns the most recently used idle connection that is usable, or null if there is none. The
+   * connection is read first: the event loop may not have noticed yet that the worker has closed
+   * it, and a job written to it would be reset.
    */
   WorkerConnection take(InetSocketAddress worker) {
     Deque<WorkerConnection> pooled = idle.get(worker);
@@ -86,18 +92,20 @@
         : Math.min(maxIdleMs, last.limit * Math.pow(2, (clock.now() - last.at) / RECOVERY));
   }
 
-  /** The worker's side has ended a connection that had stood idle for so many ms. */
+  /** Learns that the worker closed a connection that had been idle for {@code millis} ms. */
   private void lasted(InetSocketAddress worker, double millis) {
     double limit = Math.max(MIN_LEARNED_LIMIT, Math.min(limit(worker), RETIRE * millis));
     learned.put(worker, new Learned(limit, clock.now()));
   }
 
-  /** The connections that stand idle. */
+  /** Returns the number of idle connections. */
   int idle() {
     return idle.values().stream().mapToInt(Deque::size).sum();
   }
 
-  /** Changes how many connections there may be; idle ones close where there are too many now. */
+  /**
+   * Changes the maximum number of connections; idle connections are closed if there are too many.
+   */
   public void limitTo(int connections) {
     maxOpen = connections;
     for (int excess = open - maxOpen; excess > 0; excess--) {
@@ -105,7 +113,7 @@
     }
   }
 
-  /** Books a place for a new connection; false if there is none. */
+  /** Reserves capacity for a new connection. Returns false if there is none. */
   boolean reserve() {
     if (open >= maxOpen && !dropOldest()) {
       return false;
@@ -124,7 +132,7 @@
     return false;
   }
 
-  /** The connection that was booked did not come up. */
+  /** Releases the reservation of a connection that could not be opened. */
   void unreserve() {
     open--;
   }
--- a/node/src/main/java/ferngrade/http/ConnectionState.java
+++ b/node/src/main/java/ferngrade/http/ConnectionState.java
@@ -1,17 +1,19 @@
 package ferngrade.http;
 
-/** What a connection that others have opened is doing. */
+/** The state of a connection that a peer has opened to this process. */
 public enum ConnectionState {
-  /** Accepted, and not read yet: a whole request may lie there. */
+  /** Accepted and not read yet; a complete request may be in the socket. */
   UNREAD,
-  /** Between requests; when it was last read, nothing of the next one had come. */
+  /** Between requests; the last read found no bytes of the next request. */
   RESTING,
   /** A part of a request has been read. */
   RECEIVING,
   /** A request is being handled. */
   BUSY,
-  /** Its response waits for the peer to read: the socket takes no more of it. */
+  /** The response waits for the peer to read it, because the send buffer of the socket is full. */
   RESPONDING,
-  /** This side has closed; what still arrives is dropped, as it could not be answered. */
+  /**
+   * This side has closed its direction; incoming bytes are dropped, as they could not be answered.
+   */
   CLOSING
 }
--- a/node/src/main/java/ferngrade/http/ConnectionTable.java
+++ b/node/src/main/java/ferngrade/http/ConnectionTable.java
@@ -12,24 +12,25 @@
 import java.util.stream.Stream;
 
 /**
- * The open connections of one listener, and the one owner of the rule which of them gives way when
- * they are too many or take too long.
+ * Tracks the open connections of one listener and alone decides which of them to close when there
+ * are too many or when a peer exceeds its timeout.
  *
- * <p>No more are accepted than there are places; the rest waits in the listener's backlog, and is
- * not lost. A connection is read before it may have to give way, in the same turn: one with a whole
- * request in its socket is served and not closed. Those that then hold nothing give way first, the
- * oldest before the others, and before those that are trusted: a client that finds its connection
- * closed has to send its request anew.
+ * <p>No more connections are accepted than the limit allows; the others wait in the listener's
+ * backlog and are not lost. Before a connection is evicted, it is read once more in the same turn
+ * of the event loop, so that a connection with a complete request in its socket is served and not
+ * closed. Connections without a request are evicted first: the oldest before newer ones, and
+ * untrusted ones before trusted ones, because a client whose connection is closed has to send its
+ * request again.
  *
- * <p>Belongs to the event loop.
+ * <p>Confined to the event loop.
  */
 final class ConnectionTable<C extends ManagedConnection> {
-  /** The interval between two checks for connections that take too long, ms. */
+  /** The interval between two checks for connections that exceed their timeout, in ms. */
   private static final double SWEEP_INTERVAL = 250;
 
   /**
-   * The share of all places, or one accept's worth of them, which is kept free: with less of them
-   * free no silent connection has that grace.
+   * The share of all connections that is kept free, or the number of connections of one accept if
+   * that is smaller. With less free capacity, idle untrusted connections get no grace period.
    */
   private static final double SCARCE = 0.25;
 
@@ -39,7 +40,7 @@
   private final AcceptSwitch acceptSwitch;
   private final ForcedCloses closes;
 
-  /** How long a connection may be awaited, ms. */
+  /** The maximum time to wait for a peer's input, in ms. */
   private final double timeout;
 
   private Limits limits;
@@ -51,17 +52,24 @@
   private long accepted;
 
   /**
-   * How many connections there may be.
+   * Limits on the number of connections.
    *
-   * @param open those that are open
-   * @param awaited those of them that have sent a part of a request, or nothing
+   * @param open the maximum number of open connections
+   * @param awaited the maximum number of open connections that have sent no request or only a part
+   *     of one
    */
   record Limits(int open, int awaited) {}
 
-  /** What a table works with; {@code loop} runs tasks at the end of the present turn. */
+  /**
+   * The services that a table uses; {@code loop} runs tasks at the end of the current turn of the
+   * event loop.
+   */
   record Surroundings(Clock clock, Timers timers, Executor loop, ForcedCloses closes) {}
 
-  /** Connections that {@code acceptSwitch} lets in; one may be awaited for {@code timeout} ms. */
+  /**
+   * Creates a table of the connections that {@code acceptSwitch} accepts. The table waits for the
+   * input of a peer for at most {@code timeout} ms.
+   */
   ConnectionTable(
       Limits limits, double timeout, AcceptSwitch acceptSwitch, Surroundings surroundings) {
     this.limits = limits;
@@ -75,7 +83,7 @@
     acceptSwitch.places(limits.open());
   }
 
-  /** Begins to check timeouts; it goes on from there by itself. */
+  /** Starts the periodic check for timeouts. */
   void startSweeping() {
     timers.after(SWEEP_INTERVAL, this::sweep);
   }
@@ -84,22 +92,22 @@
     return open.isEmpty();
   }
 
-  /** The open connections as of now: those that close meanwhile do not disturb a loop over it. */
+  /** Returns a snapshot of the open connections, which may be iterated while connections close. */
   List<C> open() {
     return new ArrayList<>(open);
   }
 
-  /** The idle connections as of now. */
+  /** Returns a snapshot of the idle connections. */
   List<C> idle() {
     return new ArrayList<>(idle);
   }
 
-  /** How many connections have been accepted so far. */
+  /** Returns the number of connections accepted so far. */
   long accepted() {
     return accepted;
   }
 
-  /** True while another connection fits without closing others. */
+  /** Returns true while another connection fits without closing others. */
   boolean hasPlace() {
     return places() > 0;
   }
@@ -108,16 +116,18 @@
     return limits.open() - open.size();
   }
 
-  /** Changes the limits; connections that carry nothing close where there are too many now. */
+  /**
+   * Changes the limits. If they are exceeded, connections without a request in progress are closed.
+   */
   void limitTo(Limits changed) {
     limits = changed;
     acceptSwitch.places(places());
     reviewLater();
   }
 
-  // ---- What connections report ----
+  // ---- Notifications from connections ----
 
-  /** A connection has been accepted. */
+  /** Adds an accepted connection. */
   void opened(C connection) {
     accepted++;
     open.add(connection);
@@ -125,7 +135,7 @@
     acceptSwitch.places(places());
   }
 
-  /** A connection has ended, from whichever side. */
+  /** Removes a connection that has ended, closed by either side. */
   void closed(C connection) {
     open.remove(connection);
     idle.remove(connection);
@@ -133,7 +143,10 @@
     acceptSwitch.places(places());
   }
 
-  /** From now on its peer is awaited; for one that was before, the timeout starts anew. */
+  /**
+   * Starts to wait for the peer of a connection; if the table already waits for it, the timeout
+   * restarts.
+   */
   void await(C connection) {
     idle.remove(connection);
     if (open.contains(connection)) {
@@ -142,7 +155,7 @@
     }
   }
 
-  /** The first bytes of a request have arrived. */
+  /** Handles the arrival of the first bytes of a request. */
   void receiving(C connection) {
     if (!awaited.contains(connection)) {
       await(connection);
@@ -150,13 +163,16 @@
     reviewLater();
   }
 
-  /** A complete request has arrived, which is being handled from here on. */
+  /** Handles the arrival of a complete request, which is handled from now on. */
   void busy(C connection) {
     idle.remove(connection);
     awaited.remove(connection);
   }
 
-  /** The connection is between two requests; one that has not been trusted yet is awaited. */
+  /**
+   * Handles the end of a request: a trusted connection becomes idle, for an untrusted one the wait
+   * for its next request begins.
+   */
   void rest(C connection) {
     if (!connection.trusted()) {
       await(connection);
@@ -170,8 +186,9 @@
   }
 
   /**
-   * Accepts and reads what has come and the event loop has not come to read. Connections that carry
-   * a request, or close, are left out: what follows on them has to wait in any case.
+   * Accepts the connections and reads the bytes that have arrived but that the event loop has not
+   * read yet. Connections that are handling a request or closing are skipped, since their further
+   * input has to wait in any case.
    */
   void readPending() {
     acceptSwitch.acceptWaiting(this::accepted, this::hasPlace);
@@ -189,7 +206,7 @@
     };
   }
 
-  // ---- Who gives way ----
+  // ---- Eviction ----
 
   private boolean limitReached() {
     return awaited.size() > limits.awaited() || !hasPlace();
@@ -202,7 +219,10 @@
     }
   }
 
-  /** Reads what has been accepted, and then has connections give way where a limit demands it. */
+  /**
+   * Reads the connections that were accepted and not read yet, and then evicts connections if a
+   * limit is exceeded.
+   */
   private void review() {
     reviewScheduled = false;
     if (limitReached()) {
@@ -218,7 +238,9 @@
     makePlace();
   }
 
-  /** Bodies that are on their way take memory: these are bounded at once. */
+  /**
+   * Limits the connections that are receiving a request at once, because the bodies take memory.
+   */
   private void limitReceiving() {
     int excess = awaited.receiving().size() - limits.awaited();
     if (excess > 0) {
@@ -236,7 +258,7 @@
     }
   }
 
-  /** Frees a place for the next connection, which may be a callback that a job waits for. */
+  /** Frees capacity for the next connection, which may carry a callback that a job needs. */
   private void makePlace() {
     if (!hasPlace()) {
       Stream<C> candidates =
@@ -254,7 +276,10 @@
     }
   }
 
-  /** Closes so many of the candidates, but none whose state changes when it is read once more. */
+  /**
+   * Evicts up to {@code count} of the candidates, but none whose state changes when it is read once
+   * more.
+   */
   private void giveWay(Stream<C> candidates, int count, Reason reason) {
     int left = count;
     for (C each : candidates.toList()) {
@@ -281,7 +306,7 @@
     connection.evict();
   }
 
-  /** False if something has come on the connection, or its peer has closed it. */
+  /** Returns false if new bytes have arrived on the connection or its peer has closed it. */
   private boolean stillWaits(C connection) {
     ConnectionState before = connection.state();
     return open.contains(connection)
@@ -290,11 +315,15 @@
         && (awaited.contains(connection) || idle.contains(connection));
   }
 
-  /** Reads what waits on the connection; false if its peer has closed it: its place is free. */
+  /**
+   * Reads the pending bytes of the connection. Returns false if the peer has closed it, which frees
+   * its capacity.
+   */
   private boolean read(C connection) {
     boolean present = connection.readPending();
     if (!present) {
-      // Netty tells of the close at the end of the turn only; others would give way until then.
+      // Netty reports the close only at the end of the turn; until then other connections would be
+      // evicted needlessly.
       closed(connection);
     }
     return present;
--- a/node/src/main/java/ferngrade/http/ForcedCloses.java
+++ b/node/src/main/java/ferngrade/http/ForcedCloses.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Counts and logs the connections that the node closes though their peers have not asked for it.
- * One whose peer may have sent something is logged as a loss. Belongs to the event loop.
+ * Counts and logs the connections that the node closes without a request by their peers. A close
+ * that may discard bytes sent by the peer is logged as a loss. Confined to the event loop.
  */
 public final class ForcedCloses {
   private final String connections;
@@ -16,39 +16,45 @@
   private final RateLimitedLog log;
   private final Map<Reason, Long> counts = new EnumMap<>(Reason.class);
 
-  /** Why the node closes a connection. */
+  /** The reason why the node closes a connection. */
   public enum Reason {
-    /** More connections await a request than may. */
+    /** The number of connections that wait for a request exceeds its limit. */
     AWAITED_LIMIT,
-    /** More connections are open than may be. */
+    /** The number of open connections exceeds its limit. */
     CONNECTION_LIMIT,
-    /** A request, or the peer's close, has not come in time. */
+    /** A request, or the peer's close, has not arrived in time. */
     TIMEOUT
   }
 
   /**
-   * A connection as it was right before its close.
+   * A snapshot of a connection right before its close.
    *
-   * @param state what it was doing
-   * @param trusted whether a job or a callback had come on it
-   * @param bytesRead all bytes that had been read from it
-   * @param age how long it had been open, ms
+   * @param state the state of the connection
+   * @param trusted whether a job or a callback had arrived on the connection
+   * @param bytesRead the number of bytes read from the connection
+   * @param age the time since the connection was opened, in ms
    */
   record Closed(ConnectionState state, boolean trusted, long bytesRead, double age) {
-    /** True if its peer may have sent something that is not answered. */
+    /** Returns true if the peer may have sent bytes that remain unanswered. */
     boolean mayLoseRequest() {
       return state == ConnectionState.UNREAD || state == ConnectionState.RECEIVING;
     }
   }
 
-  /** The closes among {@code connections}, a name for log lines. */
+  /**
+   * Creates the statistics of one group of connections; {@code connections} names the group in log
+   * lines.
+   */
   public ForcedCloses(String connections, LoopMonitor loopMonitor, RateLimitedLog log) {
     this.connections = connections;
     this.loopMonitor = loopMonitor;
     this.log = log;
   }
 
-  /** A connection is being closed; {@code limit} is the one that is reached, in its own unit. */
+  /**
+   * Records a connection that is being closed; {@code limit} is the exceeded limit, in its own
+   * unit.
+   */
   void record(Reason reason, double limit, Closed closed) {
     counts.merge(reason, 1L, Long::sum);
     String line =
@@ -71,7 +77,10 @@
     }
   }
 
-  /** How many connections were closed, by reason; one without an entry has not occurred. */
+  /**
+   * Returns the number of closed connections by reason, without entries for reasons that have not
+   * occurred.
+   */
   public Map<Reason, Long> counts() {
     return Map.copyOf(counts);
   }
--- a/node/src/main/java/ferngrade/http/FrontendShutdown.java
+++ b/node/src/main/java/ferngrade/http/FrontendShutdown.java
@@ -6,13 +6,13 @@
 import java.util.function.IntSupplier;
 
 /**
- * The phases of a frontend's graceful shutdown, each entered once, on the event loop. {@link
- * ShutdownBudget} says when each ends at the latest.
+ * Runs the phases of the frontend's graceful shutdown on the event loop, each of them once. {@link
+ * ShutdownBudget} holds the latest end of each phase.
  */
 final class FrontendShutdown {
   /**
-   * How long a node whose last job is answered waits for clients to read their responses and close,
-   * ms; less if the budget ends.
+   * The maximum time after the last job is answered in which clients may read their responses and
+   * close, in ms; shorter if the budget ends earlier.
    */
   private static final double LINGER = 1000;
 
@@ -24,20 +24,23 @@
   private final Executor loop;
   private Phase phase = Phase.SERVING;
 
-  /** Null while no shutdown has been requested. */
+  /** The budget of the shutdown; null until one is requested. */
   private ShutdownBudget budget;
 
   private Runnable whenDone;
 
   /** The frontend's listener. */
   interface Listening {
-    /** Accepts what waits, as far as there are places; closes behind the last that waits. */
+    /**
+     * Accepts the waiting connections while there is capacity, and closes the listener when none is
+     * left.
+     */
     void acceptTheRest();
 
-    /** True until the listener is closed. */
+    /** Returns true until the listener is closed. */
     boolean listens();
 
-    /** Closes the listener, whatever waits there. */
+    /** Closes the listener, even if connections are waiting. */
     void close();
   }
 
@@ -45,9 +48,9 @@
     SERVING,
     /** Each response closes its connection. */
     DRAINING,
-    /** New jobs are rejected; those in flight wait for the workers' callbacks. */
+    /** New jobs are rejected; jobs in flight wait for the workers' callbacks. */
     FINISHING,
-    /** All jobs are answered; clients may still be reading. */
+    /** All jobs are answered; clients may still be reading responses. */
     LINGERING,
     ENDED
   }
@@ -67,22 +70,25 @@
     this.loop = loop;
   }
 
-  /** True until a shutdown is requested. */
+  /** Returns true until a shutdown is requested. */
   boolean serving() {
     return phase == Phase.SERVING;
   }
 
-  /** True from {@link #finish} on: new jobs are rejected. */
+  /** Returns true after {@link #finish} was called: new jobs are rejected. */
   boolean finishing() {
     return phase.compareTo(Phase.FINISHING) >= 0;
   }
 
-  /** The budget of the shutdown in progress; null if there is none. */
+  /** Returns the budget of the shutdown in progress, or null if there is none. */
   ShutdownBudget budget() {
     return budget;
   }
 
-  /** Requests a shutdown; returns the budget of the first request, which is the one that counts. */
+  /**
+   * Requests a shutdown. Returns the budget of the first request, which later requests do not
+   * change.
+   */
   ShutdownBudget drain(ShutdownBudget requested) {
     if (phase == Phase.SERVING) {
       phase = Phase.DRAINING;
@@ -92,8 +98,8 @@
   }
 
   /**
-   * Rejects new jobs, closes idle connections, and runs {@code done} once all is answered and read,
-   * or the budget has ended. Requires {@link #drain} before.
+   * Rejects new jobs, closes idle connections, and runs {@code done} when all responses are written
+   * and read or when the budget ends. {@link #drain} has to be called first.
    */
   void finish(Runnable done) {
     if (phase.compareTo(Phase.FINISHING) < 0) {
@@ -107,8 +113,8 @@
   }
 
   /**
-   * Enters the next phase if its time has come: called when a job has been answered or a connection
-   * has closed.
+   * Enters the next phase if its condition holds. Called when a job has been answered or a
+   * connection has closed.
    */
   void advance() {
     if (phase == Phase.FINISHING && jobsInFlight.getAsInt() == 0) {
@@ -124,14 +130,20 @@
     }
   }
 
-  /** No callback is awaited any more: listening ends, and so do connections between requests. */
+  /**
+   * Closes the listener and the connections without a request in progress, since no callbacks are
+   * expected any more.
+   */
   private void linger() {
     phase = Phase.LINGERING;
     connections.open().forEach(ClientConnection::closeAfterReading);
     acceptTheRest();
   }
 
-  /** What waits to be accepted gets its rejection as soon as there is a place for it. */
+  /**
+   * Accepts the waiting connections as capacity allows, so that their requests are rejected and not
+   * reset.
+   */
   private void acceptTheRest() {
     if (listening.listens()) {
       listening.acceptTheRest();
@@ -139,7 +151,7 @@
     }
   }
 
-  /** Rejects requests that have arrived in part, so that nothing read goes unanswered. */
+  /** Rejects partially received requests, so that every request that was read gets a response. */
   private void rejectUnfinished() {
     if (phase == Phase.FINISHING) {
       linger();
@@ -151,7 +163,8 @@
     if (phase != Phase.ENDED) {
       phase = Phase.ENDED;
       listening.close();
-      // In a process that was held up answers are due in this turn, too: they are written first.
+      // If the process was held up, answers may be due in this turn as well; they are written
+      // first.
       loop.execute(whenDone);
     }
   }
--- a/node/src/main/java/ferngrade/http/Headers.java
+++ b/node/src/main/java/ferngrade/http/Headers.java
@@ -1,6 +1,6 @@
 package ferngrade.http;
 
-/** The names of the headers that clients, workers and nodes use beside those of HTTP. */
+/** Names of the HTTP headers that are specific to this protocol. */
 final class Headers {
   static final String ID = "Req-Id";
   static final String KIND = "Req-Kind";
@@ -12,7 +12,7 @@
   static final String DECLINED = "Srv-Declined";
   static final String LOAD = "Srv-Load";
 
-  /** Name and process id of the sender, for the records of workers. */
+  /** The name and process id of the sender, for the workers' records. */
   static final String PROCESS = "Dispatcher-Process";
 
   private Headers() {}
--- a/node/src/main/java/ferngrade/http/HealthCheckExchange.java
+++ b/node/src/main/java/ferngrade/http/HealthCheckExchange.java
@@ -11,9 +11,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
 
-/** A health check: asks a worker for its load, and ends once, with an outcome and that load. */
+/**
+ * A health check: requests the load of a worker and reports an outcome and the load exactly once.
+ */
 final class HealthCheckExchange extends HttpExchange {
-  /** How long a health check may take, ms. */
+  /** The maximum duration of a health check, in ms. */
   private static final double TIMEOUT = 300;
 
   private final InetSocketAddress worker;
@@ -22,7 +24,7 @@
   private WorkerConnection connection;
   private boolean finished;
 
-  /** A check whose time begins now. */
+  /** Creates a health check; its timeout starts now. */
   HealthCheckExchange(
       InetSocketAddress worker, Timers timers, BiConsumer<AttemptOutcome, LoadReport> listener) {
     this.worker = worker;
@@ -74,7 +76,8 @@
 
   private void timedOut() {
     if (connection != null) {
-      // A loop that was held up comes here before it reads the answer.
+      // After a delay, the event loop runs this timer before it reads a response that has already
+      // arrived.
       connection.readPending();
     }
     finish(delayedLocally ? AttemptOutcome.NEVER_SENT : AttemptOutcome.TIMEOUT, LoadReport.NONE);
--- a/node/src/main/java/ferngrade/http/HttpExchange.java
+++ b/node/src/main/java/ferngrade/http/HttpExchange.java
@@ -12,41 +12,44 @@
 import java.net.InetSocketAddress;
 
 /**
- * One request to a worker and its response. {@link WorkerClient} finds it a connection, {@link
- * WorkerConnection} carries it. All methods run on the event loop.
+ * One request to a worker and its response. {@link WorkerClient} provides a connection for it, and
+ * {@link WorkerConnection} carries it. All methods run on the event loop.
  */
 abstract class HttpExchange {
   /**
-   * The exchange waits, or has waited, for a resource that this machine lacks: its delay is not the
-   * worker's fault.
+   * True if the exchange waits, or has waited, for a resource that this machine lacks. The worker
+   * is then not responsible for the delay.
    */
   boolean delayedLocally;
 
-  /** How long to retry a dial that fails for a lack of this machine, ms. */
+  /** Returns how long to retry a dial that fails because this machine lacks resources, in ms. */
   abstract double dialTimeout();
 
-  /** False if there is nothing to write any more. */
+  /** Returns false if the request no longer has to be sent. */
   abstract boolean wanted();
 
-  /** The request to write; null if there is nothing to write any more. */
+  /** Returns the request to write, or null if it no longer has to be sent. */
   abstract FullHttpRequest request();
 
-  /** The connection that carries the exchange from here on. */
+  /** Called with the connection that carries the exchange from now on. */
   void carriedBy(WorkerConnection connection) {}
 
-  /** The last byte of the request is written. */
+  /** Called when the last byte of the request is written. */
   void written() {}
 
-  /** The response is complete; the connection no longer carries the exchange. */
+  /** Called when the response is complete; the connection no longer carries the exchange. */
   abstract void answered(FullHttpResponse response);
 
-  /** The connection ended before the response; LOCAL: by a lack of this machine. */
+  /**
+   * Called when the connection ends before the response; {@code origin} is LOCAL if this machine
+   * lacked a resource.
+   */
   abstract void broken(FaultOrigin origin);
 
-  /** No connection could be had. */
+  /** Called when no connection could be opened. */
   abstract void notConnected(AttemptOutcome outcome);
 
-  /** A request to this worker, without a content length. */
+  /** Creates a request to this worker, without a content length. */
   static FullHttpRequest newRequest(
       HttpMethod method, String target, InetSocketAddress worker, byte[] body) {
     FullHttpRequest request =
--- a/node/src/main/java/ferngrade/http/HttpFrontend.java
+++ b/node/src/main/java/ferngrade/http/HttpFrontend.java
@@ -23,29 +23,35 @@
 import java.util.concurrent.Executor;
 
 /**
- * The address to which clients send jobs and workers their callbacks. It listens, owns the counts
- * of jobs in flight and of waiting bytes, and answers its connections whether the node drains;
- * which connection must close is up to {@link ConnectionTable}, the order of a shutdown to {@link
- * FrontendShutdown}. Belongs to the event loop.
+ * Accepts the connections on which clients send jobs and workers send their callbacks. Counts the
+ * jobs in flight and the buffered bytes of pipelined requests, and holds the draining state that
+ * its connections query. {@link ConnectionTable} decides which connections must close, and {@link
+ * FrontendShutdown} the order of a shutdown. Confined to the event loop.
  */
 public final class HttpFrontend {
-  /** The largest body, in bytes. */
+  /** The maximum size of a request or response body, in bytes. */
   static final int MAX_BODY = 64 << 10;
 
   private static final int BACKLOG = 1024;
 
-  /** Sizes of the buffer for one read, in bytes: a connection may hold one that is not decoded. */
+  /**
+   * The sizes of the buffer for one read, in bytes. A connection may hold one such buffer
+   * undecoded.
+   */
   private static final int MIN_READ = 64;
 
   private static final int FIRST_READ = 2048;
   private static final int MAX_READ = 16 << 10;
 
-  /** How long a connection may be awaited, ms: with the response on top it ends well within 3 s. */
+  /**
+   * The maximum time to wait for a peer's input, in ms. Together with the time for the response, a
+   * connection ends well within 3 s.
+   */
   private static final double INPUT_TIMEOUT = 1500;
 
   /**
-   * How long a connection is taken to have waited in the backlog at most, ms: an answer that is
-   * late by no more than that is not lost.
+   * The maximum time that a connection is assumed to have waited in the backlog, in ms. An answer
+   * that is late by no more than this time is not counted as lost.
    */
   static final double MAX_BACKLOG_WAIT = 500;
 
@@ -64,7 +70,7 @@
   private boolean drainedByOperators;
   private int jobsInFlight;
 
-  /** Bytes of the bodies of pipelined requests that wait for their turn, on all connections. */
+  /** The total size of the bodies of queued pipelined requests on all connections, in bytes. */
   private long waitingBytes;
 
   public HttpFrontend(
@@ -103,8 +109,8 @@
   }
 
   /**
-   * Begins to listen: on {@code inheritedSocket}, a listening socket that this process was handed,
-   * or if that is null on a socket of its own at {@code address}.
+   * Starts to listen on {@code inheritedSocket}, a listening socket that an earlier process handed
+   * over, or on a new socket bound to {@code address} if {@code inheritedSocket} is null.
    */
   public ChannelFuture listen(
       EventLoopGroup group,
@@ -143,19 +149,19 @@
                     .addTo(channel.pipeline());
               }
             });
-    // An inherited socket is bound already: it is only registered with the loop.
+    // An inherited socket is already bound and only has to be registered with the event loop.
     ChannelFuture bound = inherited ? bootstrap.register() : bootstrap.bind(address);
     listener = bound.channel();
     connections.startSweeping();
     return bound;
   }
 
-  /** What the shutdown does with the listener. */
+  /** Returns the operations on the listener that a shutdown needs. */
   private FrontendShutdown.Listening listening() {
     return new FrontendShutdown.Listening() {
       @Override
       public void acceptTheRest() {
-        // On a socket that another process shares, that one accepts it.
+        // On an inherited socket, the process that shares it accepts the waiting connections.
         if (!inherited) {
           PendingReads.acceptWaiting(
               (AbstractNioChannel) listener, connections::accepted, connections::hasPlace);
@@ -177,40 +183,49 @@
     };
   }
 
-  /** The address at which the frontend listens. */
+  /** Returns the address at which the frontend listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** Changes the limits of connections; jobs in flight go on. */
+  /** Changes the connection limits. Jobs in flight are not affected. */
   public void limitTo(ConnectionLimits changed) {
     limits = changed;
     connections.limitTo(limitsOf(changed));
   }
 
-  /** Leaves new connections to an earlier process that serves, or accepts them again. */
+  /**
+   * Stops accepting connections while an earlier process serves on the same socket, or resumes
+   * accepting.
+   */
   public void holdAccepting(boolean hold) {
     acceptSwitch.pause(Reason.NOT_READY, hold);
   }
 
-  /** Accepts and reads what has come and the event loop has not come to read. */
+  /**
+   * Accepts the connections and reads the bytes that have arrived but that the event loop has not
+   * read yet.
+   */
   public void readPending() {
     connections.readPending();
   }
 
   // ---- Draining and shutdown ----
 
-  /** True while every response closes its connection: the node or its operators drain it. */
+  /**
+   * Returns true while the node is shutting down or is drained by its operators. Every response
+   * then closes its connection.
+   */
   boolean draining() {
     return !shutdown.serving() || drainedByOperators;
   }
 
   /**
-   * Starts a graceful shutdown: from here on every response closes its connection. New connections
-   * are still accepted on a socket of this process's own; an inherited one is left to the next
-   * process, which listens on it already.
+   * Starts a graceful shutdown, after which every response closes its connection. New connections
+   * are still accepted on a socket that this process opened; an inherited socket is left to the
+   * next process, which already listens on it.
    *
-   * @return the budget of the first call, which is the one that counts
+   * @return the budget passed to the first call, which later calls do not change
    */
   public ShutdownBudget drain(ShutdownBudget requested) {
     ShutdownBudget budget = shutdown.drain(requested);
@@ -221,83 +236,94 @@
   }
 
   /**
-   * Operators drain the node: it is not ready, every response closes its connection, and idle ones
-   * close at once, so that the load balancer's new connections go elsewhere. Jobs in flight end as
-   * ever.
+   * Drains the node on behalf of its operators: the node reports not ready, every response closes
+   * its connection, and idle connections close at once, so that the load balancer opens new
+   * connections elsewhere. Jobs in flight complete normally.
    */
   public void drainForOperators() {
     drainedByOperators = true;
     connections.idle().forEach(ClientConnection::closeAfterReading);
   }
 
-  /** Operators end the draining. */
+  /** Ends the draining by operators. */
   public void resume() {
     drainedByOperators = false;
   }
 
   /**
    * Rejects new jobs, closes idle connections, and runs {@code done} when every job is answered and
-   * clients have read their responses. It listens until the last job is answered: the workers'
-   * callbacks that jobs wait for come on connections of their own.
+   * the clients have read their responses. The frontend listens until the last job is answered,
+   * because the workers' callbacks for the jobs in flight arrive on new connections.
    */
   public void finish(Runnable done) {
     shutdown.finish(done);
   }
 
-  /** True from {@link #finish} on: new jobs are rejected. */
+  /** Returns true after {@link #finish} was called: new jobs are rejected. */
   boolean finishing() {
     return shutdown.finishing();
   }
 
-  /** The budget of the shutdown in progress; null if there is none. */
+  /** Returns the budget of the shutdown in progress, or null if there is none. */
   public ShutdownBudget budget() {
     return shutdown.budget();
   }
 
-  // ---- What the connections report ----
+  // ---- Notifications from connections ----
 
-  /** How many client connections are open, by their state. */
+  /** Returns the number of open client connections by state. */
   public Map<ConnectionState, Integer> openConnections() {
     Map<ConnectionState, Integer> counts = new EnumMap<>(ConnectionState.class);
     connections.open().forEach(each -> counts.merge(each.state(), 1, Integer::sum));
     return counts;
   }
 
-  /** The connections that the frontend has closed unasked. */
+  /**
+   * Returns the statistics of the connections that the frontend closed without a request by the
+   * peer.
+   */
   ForcedCloses closes() {
     return closes;
   }
 
-  /** The open connections of this frontend. */
+  /** Returns the open connections of this frontend. */
   ConnectionTable<ClientConnection> connections() {
     return connections;
   }
 
   /**
-   * The other processes of this node that share the clients' socket; null where the socket is not
-   * shared.
+   * Returns the other processes of this node that share the client socket, or null if the socket is
+   * not shared.
    */
   UpgradePeers upgradePeers() {
     return upgradePeers;
   }
 
-  /** True if so many jobs are in flight that the connections left are reserved for callbacks. */
+  /**
+   * Returns true if the limit of jobs in flight is reached. The remaining connections are reserved
+   * for callbacks.
+   */
   boolean atJobLimit() {
     return jobsInFlight >= limits.jobs();
   }
 
-  /** A job has been accepted from a client. */
+  /** Counts a job that has been accepted from a client. */
   void jobStarted() {
     jobsInFlight++;
   }
 
-  /** A job's response has been written, or its client has gone. */
+  /**
+   * Releases the count of a job whose response has been written or whose client has disconnected.
+   */
   void jobEnded() {
     jobsInFlight--;
     shutdown.advance();
   }
 
-  /** The connection is between two requests. */
+  /**
+   * Closes a connection that has no request in progress if the node is draining or shutting down;
+   * otherwise keeps it open for the next request.
+   */
   void rest(ClientConnection connection) {
     if (finishing() || drainedByOperators) {
       connection.closeGracefully();
@@ -306,20 +332,22 @@
     }
   }
 
-  /** The connection has ended. */
+  /** Removes a connection that has ended. */
   void closed(ClientConnection connection) {
     connections.closed(connection);
     shutdown.advance();
   }
 
-  /** Reserves memory for a body that waits for its turn; false if there is no capacity for it. */
+  /**
+   * Reserves memory for the body of a queued request. Returns false if the limit would be exceeded.
+   */
   boolean reserveWaitingBytes(int bytes) {
     boolean fits = waitingBytes + bytes <= limits.waitingBytes();
     waitingBytes += fits ? bytes : 0;
     return fits;
   }
 
-  /** Returns the reservation of a body that waits no longer. */
+  /** Releases the reservation of a body that is no longer queued. */
   void releaseWaitingBytes(int bytes) {
     waitingBytes -= bytes;
   }
--- a/node/src/main/java/ferngrade/http/JobResponseHandler.java
+++ b/node/src/main/java/ferngrade/http/JobResponseHandler.java
@@ -9,7 +9,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Locale;
 
-/** Writes the final answer of a job to the connection that the job came on. */
+/** Writes the final answer to a job on the connection on which the job arrived. */
 final class JobResponseHandler implements ResponseHandler {
   private final ClientConnection connection;
 
--- a/node/src/main/java/ferngrade/http/LoadReportParser.java
+++ b/node/src/main/java/ferngrade/http/LoadReportParser.java
@@ -3,7 +3,8 @@
 import ferngrade.dispatch.LoadReport;
 
 /**
- * Reads load reports of the form {@code queue=2,x0=3}; what it cannot read counts as not reported.
+ * Parses load reports of the form {@code queue=2,x0=3}; values that cannot be parsed count as not
+ * reported.
  */
 final class LoadReportParser {
   private LoadReportParser() {}
--- a/node/src/main/java/ferngrade/http/ManagedConnection.java
+++ b/node/src/main/java/ferngrade/http/ManagedConnection.java
@@ -1,26 +1,36 @@
 package ferngrade.http;
 
-/** A connection that others have opened, as {@link ConnectionTable} sees it. On the event loop. */
+/**
+ * A connection opened by a peer, as {@link ConnectionTable} manages it. Confined to the event loop.
+ */
 interface ManagedConnection {
-  /** What the connection is doing. */
+  /** Returns the state of the connection. */
   ConnectionState state();
 
-  /** True if it is kept over those that have brought nothing of use yet. */
+  /**
+   * Returns true if the connection is to be kept in preference to untrusted ones. A connection is
+   * untrusted until it has carried a job or a call of this system.
+   */
   boolean trusted();
 
   /**
-   * Reads and handles what has come, so that the state tells of it.
+   * Reads and handles the bytes that have arrived, and updates the state accordingly.
    *
    * @return false if the connection has ended
    */
   boolean readPending();
 
-  /** What is logged of the connection when it is closed unasked, at {@code now} on the clock. */
+  /**
+   * Returns the details to log when the node closes the connection at {@code now}, in ms on the
+   * node's clock.
+   */
   ForcedCloses.Closed asClosed(double now);
 
-  /** Ends it since what is awaited, a whole request or the peer's close, has not come in time. */
+  /**
+   * Closes the connection because a complete request, or the peer's close, has not arrived in time.
+   */
   void timedOut();
 
-  /** Ends it to free its place. */
+  /** Closes the connection to free its capacity. */
   void evict();
 }
--- a/node/src/main/java/ferngrade/http/MetricsPage.java
+++ b/node/src/main/java/ferngrade/http/MetricsPage.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.IntSupplier;
 
-/** The node's metrics as operators read them, in plain text. Belongs to the event loop. */
+/** Formats the node's metrics as plain text for operators. Confined to the event loop. */
 final class MetricsPage {
   private final RequestCoordinator node;
   private final HttpFrontend front;
@@ -34,7 +34,7 @@
     this.reloadsFailed = parts.reloadsFailed();
   }
 
-  /** The metrics as of now, a {@code name=value} a line. */
+  /** Returns the current metrics, one {@code name=value} per line. */
   String text() {
     NodeMetrics.Snapshot now = node.metrics();
     StringBuilder text = new StringBuilder(256);
@@ -64,7 +64,7 @@
     return text.toString();
   }
 
-  /** A line for each reason, also for those that have not occurred. */
+  /** Appends a line for each reason, also for reasons that have not occurred. */
   private static <R extends Enum<R>> void lines(
       StringBuilder text, String prefix, R[] reasons, Map<R, Long> counts) {
     for (R reason : reasons) {
--- a/node/src/main/java/ferngrade/http/OncePerTurn.java
+++ b/node/src/main/java/ferngrade/http/OncePerTurn.java
@@ -1,16 +1,16 @@
 package ferngrade.http;
 
 /**
- * Runs a task at most once in a turn of the event loop, however often it is asked for. Timers of
- * one turn that look at what has come share one look: what comes behind it has come behind the time
- * at which each of them was due. Belongs to the event loop.
+ * Runs a task at most once per turn of the event loop, however often it is requested. Timers of the
+ * same turn that read pending input share one read: input that arrives after this read arrived
+ * after the time at which each of the timers was due. Confined to the event loop.
  */
 public final class OncePerTurn implements Runnable {
   private final ArrivalClock arrivals;
   private final Runnable task;
   private long lastTurn = -1;
 
-  /** Runs {@code task} in the turns that {@code arrivals} counts. */
+  /** Creates a task that runs at most once in each turn counted by {@code arrivals}. */
   public OncePerTurn(ArrivalClock arrivals, Runnable task) {
     this.arrivals = arrivals;
     this.task = task;
--- a/node/src/main/java/ferngrade/http/OperatorCalls.java
+++ b/node/src/main/java/ferngrade/http/OperatorCalls.java
@@ -13,18 +13,22 @@
 import java.util.function.IntSupplier;
 
 /**
- * What operators' calls do, and those of the node's other processes. Each sees the node as it is
- * and what other processes were told before it; nothing here waits. Belongs to the event loop.
+ * Implements the calls of operators and of the node's other processes. Each call sees the present
+ * state of the node and the changes made through other processes before it; no call blocks.
+ * Confined to the event loop.
  */
 public final class OperatorCalls {
   /**
-   * How long after its call a change of maintenance waits to be stored before the caller is
-   * notified that it is not yet, ms. A caller waits 1 s, and the node may be held up for 150 ms in
-   * between.
+   * The maximum time, counted from its call, that a maintenance change waits to be stored before
+   * the caller is notified that it is not stored yet, in ms. A caller waits 1 s, and the node may
+   * be held up for 150 ms meanwhile.
    */
   public static final double STORE_TIMEOUT = 700;
 
-  /** The least that the disk gets for that, ms: a call is not known to have come as early. */
+  /**
+   * The minimum time for the disk to store the change, in ms: the call may have arrived later than
+   * assumed.
+   */
   private static final double MIN_STORE_TIMEOUT = 50;
 
   private final RequestCoordinator node;
@@ -39,8 +43,8 @@
   private final ForcedCloses closes;
 
   /**
-   * What the operators' calls act on; {@code state} is null where nothing is to outlive the
-   * process, {@code upgradePeers} where it has no others beside it.
+   * The parts of the node that the calls act on. {@code state} is null if no state outlives the
+   * process, {@code upgradePeers} is null if the node has no other processes.
    */
   public record Parts(
       RequestCoordinator node,
@@ -54,7 +58,10 @@
       IntSupplier reloadsOk,
       IntSupplier reloadsFailed) {}
 
-  /** The operators' connections that the node has closed unasked. */
+  /**
+   * Returns the statistics of the operators' connections that the node closed without a request by
+   * the peer.
+   */
   ForcedCloses closes() {
     return closes;
   }
@@ -72,7 +79,7 @@
     this.log = log;
   }
 
-  /** Since when calls that are read now may have lain on this machine. */
+  /** Returns the clock that tells the earliest arrival time of the calls read now. */
   ArrivalClock arrivals() {
     return arrivals;
   }
@@ -82,7 +89,7 @@
     return node.ready() && !front.draining() && (state == null || state.complete());
   }
 
-  /** Each call sees what other processes of the node were told before it. */
+  /** Reads the changes made through other processes of the node before this call. */
   private void refresh() {
     if (state != null) {
       state.refresh();
@@ -90,8 +97,8 @@
   }
 
   /**
-   * A callback that the other process of this node got for a job of this one. True if this process
-   * has or had the job, and so accepted it.
+   * Handles a callback that another process of this node received and relayed. Returns true if this
+   * process has or had the job and therefore accepted the callback.
    */
   boolean callback(String body) throws BadRequestException {
     WorkerCallback callback = WorkerCallbackParser.read(body);
@@ -103,8 +110,8 @@
   }
 
   /**
-   * Another process of this node announces where it takes calls; false where this one has its own
-   * socket.
+   * Handles the announcement of the address at which another process of this node receives calls.
+   * Returns false if this process does not share a socket.
    */
   boolean announced(String address) {
     if (upgradePeers == null) {
@@ -115,8 +122,8 @@
   }
 
   /**
-   * Another process of this node sends a record that it has appended, or could not append, to the
-   * log of both; false where this one keeps no state.
+   * Handles a record that another process of this node has appended, or could not append, to the
+   * shared log. Returns false if this process keeps no state.
    */
   boolean recordReceived(String text) {
     if (state == null) {
@@ -147,29 +154,32 @@
     decided(false);
   }
 
-  /** What became of a call that takes a worker out or back. */
+  /** The result of a call that disables or enables a worker. */
   enum MaintenanceOutcome {
-    /** Nobody has that name; nothing has changed. */
+    /** No worker has this name; nothing has changed. */
     UNKNOWN_WORKER,
-    /** The change holds, and outlives this process. */
+    /** The change is in effect and outlives this process. */
     STORED,
     /**
-     * The change holds in this process, but could not be stored in time; attempts to store it go
-     * on.
+     * The change is in effect in this process, but could not be stored in time; the process keeps
+     * trying to store it.
      */
     NOT_STORED_YET
   }
 
   /**
-   * True if another process's decision on this worker may be later than a call that may have come
-   * as early as {@code arrived}, ms on the clock.
+   * Returns true if another process's decision on this worker may be later than a call that may
+   * have arrived as early as {@code arrived}, in ms on the node's clock.
    */
   boolean mayBeSuperseded(String worker, double arrived) {
     refresh();
     return state != null && state.decidedElsewhereSince(worker, arrived);
   }
 
-  /** A call back is passed over: its caller has gone, and another process has decided since. */
+  /**
+   * Ignores a call to enable a worker, because its caller has disconnected and another process has
+   * decided since.
+   */
   void passOver(String worker) {
     log.line(
         "menu worker "
@@ -178,11 +188,11 @@
   }
 
   /**
-   * Takes a worker out, or back; {@code answer} gets the outcome, {@link #STORE_TIMEOUT} after
-   * {@code arrived} if it is not stored by then. A change that is stored later is reported then;
-   * only the first outcome counts.
+   * Disables or enables a worker. {@code answer} receives the outcome, at the latest {@link
+   * #STORE_TIMEOUT} after {@code arrived}, even if the change is not stored by then. It is called
+   * again if the change is stored later; only the first outcome counts.
    *
-   * @param arrived the earliest time at which the call may have come, ms on the clock
+   * @param arrived the earliest time at which the call may have arrived, in ms on the node's clock
    */
   void maintain(String worker, boolean out, double arrived, Consumer<MaintenanceOutcome> answer) {
     refresh();
@@ -208,7 +218,7 @@
         });
   }
 
-  /** The metrics in the operators' form. */
+  /** Returns the metrics as text for operators. */
   String metrics() {
     refresh();
     return metrics.text();
--- a/node/src/main/java/ferngrade/http/PeerCall.java
+++ b/node/src/main/java/ferngrade/http/PeerCall.java
@@ -12,12 +12,12 @@
 import java.util.function.IntConsumer;
 
 /**
- * One call to another process of this node. It is idempotent: it may be made once more where its
- * connection broke before the answer. Its listener gets the status of the answer, or {@link
- * #NO_ANSWER}, once.
+ * One call to another process of this node. A call is idempotent and may be retried once if its
+ * connection breaks before the answer. The listener receives the status of the answer, or {@link
+ * #NO_ANSWER}, exactly once.
  */
 final class PeerCall {
-  /** The status if the other process did not answer. */
+  /** The status reported if the other process did not answer. */
   static final int NO_ANSWER = -1;
 
   private final String path;
@@ -27,10 +27,10 @@
   private boolean repeated;
   private boolean ended;
 
-  /** Ends the call when its time is up. */
+  /** The timer that ends the call when its timeout expires. */
   private Timers.Timer timer;
 
-  /** The connection that carries this call alone and ends with it; null if it has none. */
+  /** The connection that carries only this call and ends with it; null if there is none. */
   private PeerConnection ownConnection;
 
   PeerCall(String path, byte[] body, double timeout, IntConsumer listener) {
@@ -40,17 +40,20 @@
     this.listener = listener;
   }
 
-  /** How long the call may take from its beginning, ms. */
+  /** Returns the timeout of the call, counted from its start, in ms. */
   double timeout() {
     return timeout;
   }
 
-  /** The length of its body, bytes. */
+  /** Returns the size of the body in bytes. */
   int size() {
     return body.length;
   }
 
-  /** Its request, which says with {@code connection} whether the connection is to be kept. */
+  /**
+   * Creates the request; the header value {@code connection} asks to keep or to close the
+   * connection.
+   */
   FullHttpRequest request(AsciiString connection) {
     FullHttpRequest request =
         new DefaultFullHttpRequest(
@@ -72,14 +75,17 @@
     return ended;
   }
 
-  /** Takes the one repetition that the call has; false if it has been taken, or nobody waits. */
+  /** Uses the only retry of the call. Returns false if it has been used or the call has ended. */
   boolean repeat() {
     boolean allowed = !ended && !repeated;
     repeated = true;
     return allowed;
   }
 
-  /** Ends the call with the status of its answer, or {@link #NO_ANSWER}; once. */
+  /**
+   * Ends the call with the status of its answer, or {@link #NO_ANSWER}. Has no effect if the call
+   * has ended.
+   */
   void end(int status) {
     if (ended) {
       return;
--- a/node/src/main/java/ferngrade/http/PeerConnection.java
+++ b/node/src/main/java/ferngrade/http/PeerConnection.java
@@ -16,9 +16,8 @@
 import java.util.Queue;
 
 /**
- * One connection to another process of this node. Calls are written without awaiting the answers of
- * those before, and are answered in the order in which they were written; one that has timed out
- * keeps its place in that order.
+ * One connection to another process of this node. Calls are pipelined, and the answers arrive in
+ * the order of the calls; a call that has timed out keeps its position in that order.
  */
 final class PeerConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final Queue<PeerCall> unanswered = new ArrayDeque<>();
@@ -26,19 +25,28 @@
   private Owner owner;
   private boolean ended;
 
-  /** Is notified of answers, up to the end of the connection, which is either of the last two. */
+  /**
+   * Is notified of the answers on a connection. The last notification of a connection is {@link
+   * #answeredLast} or {@link #broken}.
+   */
   interface Owner {
-    /** The call is answered, and the connection kept. */
+    /** Called when a call is answered and the connection stays open. */
     void answered(PeerCall call, int status);
 
-    /** The call is answered; the connection ends with these calls unanswered, in their order. */
+    /**
+     * Called when a call is answered and the connection closes; {@code unanswered} holds the calls
+     * without an answer, in order.
+     */
     void answeredLast(PeerCall call, int status, List<PeerCall> unanswered);
 
-    /** The connection has ended with these calls unanswered, in their order. */
+    /**
+     * Called when the connection has ended; {@code unanswered} holds the calls without an answer,
+     * in order.
+     */
     void broken(List<PeerCall> unanswered);
   }
 
-  /** Puts the connection, behind its codec, at the end of a pipeline. */
+  /** Adds the connection and its codec to the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(new HttpClientCodec(), new HttpObjectAggregator(Admin.MAX_CALL_BYTES), this);
   }
@@ -48,19 +56,19 @@
     context = ctx;
   }
 
-  /** The connection of a channel that is up; {@code owner} is notified from now on. */
+  /** Returns the connection of a connected channel; {@code owner} is notified from now on. */
   static PeerConnection opened(Channel channel, Owner owner) {
     PeerConnection connection = channel.pipeline().get(PeerConnection.class);
     connection.owner = owner;
     return connection;
   }
 
-  /** True if a dial that failed so shows that nobody listens there any more. */
+  /** Returns true if a failed dial shows that no process listens at the address any more. */
   static boolean refused(FaultOrigin origin, Throwable cause) {
     return origin != FaultOrigin.LOCAL && !(cause instanceof ConnectTimeoutException);
   }
 
-  /** Writes a call, which says with {@code connection} whether the connection is to be kept. */
+  /** Writes a call; the header value {@code connection} asks to keep or to close the connection. */
   void write(PeerCall call, AsciiString connection) {
     unanswered.add(call);
     context
@@ -76,7 +84,7 @@
   /**
    * Closes the connection without notifying its owner.
    *
-   * @return the unanswered calls, in their order
+   * @return the unanswered calls in order
    */
   List<PeerCall> close() {
     ended = true;
--- a/node/src/main/java/ferngrade/http/PipelinedRequests.java
+++ b/node/src/main/java/ferngrade/http/PipelinedRequests.java
@@ -6,19 +6,19 @@
 import java.util.Deque;
 
 /**
- * The requests that one connection has sent behind the one in progress, each of which is owed a
- * response in turn. The first ones are kept; of those behind them only the count is kept, and they
+ * The requests that one connection has sent behind the one in progress; each gets a response in
+ * order. The first requests are kept. Of those beyond the limit only the number is kept, and they
  * are rejected.
  */
 final class PipelinedRequests {
-  /** The most requests kept for one connection. */
+  /** The maximum number of requests kept for one connection. */
   private static final int MAX_WAITING = 64;
 
   private final HttpFrontend front;
   private final Deque<Entry> waiting = new ArrayDeque<>();
   private int rejected;
 
-  /** What is to become of a request when its turn has come. */
+  /** The action to take when it is a request's turn. */
   enum Kind {
     HANDLE,
     TOO_LARGE,
@@ -26,8 +26,9 @@
   }
 
   /**
-   * One request, which is null unless it is to be handled, and since when it may have been on this
-   * machine, ms on the clock: its deadline counts from then.
+   * One queued request, which is null unless it is to be handled, and the earliest time at which it
+   * may have arrived on this machine, in ms on the node's clock. The request's deadline counts from
+   * that time.
    */
   record Entry(Kind kind, FullHttpRequest request, double arrived) {
     private int bytes() {
@@ -35,7 +36,7 @@
     }
   }
 
-  /** The bytes that wait count against the frontend's limit. */
+  /** Creates an empty queue, whose bytes count against the limit of {@code front}. */
   PipelinedRequests(HttpFrontend front) {
     this.front = front;
   }
@@ -44,7 +45,10 @@
     return waiting.isEmpty() && rejected == 0;
   }
 
-  /** Queues a request and takes over its reference; false, and neither, without capacity for it. */
+  /**
+   * Queues a request and takes over its reference. Returns false, and does neither, if there is no
+   * capacity.
+   */
   boolean add(FullHttpRequest request, double arrived) {
     boolean accepted =
         waiting.size() < MAX_WAITING
@@ -55,17 +59,20 @@
     return accepted;
   }
 
-  /** A request with too large a body has its turn here. */
+  /** Queues a request whose body is too large. */
   void addTooLarge(double arrived) {
     waiting.add(new Entry(Kind.TOO_LARGE, null, arrived));
   }
 
-  /** A request has arrived that is to be rejected behind all that wait. */
+  /** Queues a request that is rejected after all kept requests. */
   void reject() {
     rejected++;
   }
 
-  /** The request whose turn it is, which the caller takes over; null if there is none. */
+  /**
+   * Removes and returns the next request, whose reference the caller takes over; null if there is
+   * none.
+   */
   Entry poll() {
     Entry first = waiting.poll();
     if (first != null) {
@@ -77,7 +84,7 @@
     return first;
   }
 
-  /** Releases all requests: the client has gone. */
+  /** Releases all requests after the client has disconnected. */
   void release() {
     waiting.forEach(
         each -> {
--- a/node/src/main/java/ferngrade/http/RequestBytesReader.java
+++ b/node/src/main/java/ferngrade/http/RequestBytesReader.java
@@ -8,14 +8,14 @@
 
 /**
  * Passes the bytes of one client connection to its decoder, no faster than {@link RequestPacer}
- * allows: while requests wait for the next turn nothing more is read. It knows what has been read,
- * and since when that may have been on this machine. Stands first in the pipeline. Belongs to the
- * event loop.
+ * allows: while requests wait for the next turn, no more bytes are read. Tracks the number of bytes
+ * read and their earliest arrival time. First handler of the pipeline. Confined to the event loop.
  */
 final class RequestBytesReader extends ChannelInboundHandlerAdapter {
   /**
-   * Bytes read, while a request is in progress, from a connection that is closing anyway; the rest
-   * is left to its sender. Until then all is read: only reading shows that a client has closed.
+   * The maximum number of bytes read, while a request is in progress, from a connection that will
+   * close after it. The remaining bytes are left unread. Up to this limit everything is read,
+   * because only reading shows that a client has closed its connection.
    */
   private static final int MAX_READ_WHILE_CLOSING = 256 << 10;
 
@@ -25,7 +25,7 @@
   private final RequestPacer.Share share;
   private final RequestDecoder decoder = new RequestDecoder(this::mayDecodeAnother);
 
-  /** What has been read while the decoder was paused. */
+  /** The bytes that were read while the decoder was paused. */
   private final UndecodedBytes undecoded = new UndecodedBytes();
 
   private ChannelHandlerContext context;
@@ -34,26 +34,35 @@
   private boolean decoding;
   private boolean decodingEnded;
 
-  /** A part of a request has been read, and not its end. */
+  /** True if a part of a request has been read, but not its end. */
   private boolean partialRequest;
 
   private final double acceptedSince;
 
-  /** The loop's turn in which the connection was accepted. */
+  /** The turn of the event loop in which the connection was accepted. */
   private final long acceptTurn;
 
-  /** Since when the bytes read last may have been on this machine, ms on the clock. */
+  /**
+   * The earliest time at which the bytes read last may have arrived on this machine, in ms on the
+   * node's clock.
+   */
   private double arrived;
 
-  /** Since when bytes may lie in the socket because reading was paused, ms; NaN if none do. */
+  /**
+   * The earliest time at which bytes may have entered the socket while reading was paused, in ms;
+   * NaN if there are none.
+   */
   private double unreadSince = Double.NaN;
 
-  /** A pipelined request waits for the next turn. */
+  /** True if a pipelined request waits for the next turn. */
   private boolean beginDeferred;
 
   private boolean resumeScheduled;
 
-  /** For a connection that may have waited to be accepted since {@code acceptedSince}, ms. */
+  /**
+   * Creates the reader of a connection that may have waited in the backlog since {@code
+   * acceptedSince}, in ms on the node's clock.
+   */
   RequestBytesReader(ClientConnection connection, RequestPacer pacer, double acceptedSince) {
     this.connection = connection;
     this.pacer = pacer;
@@ -64,37 +73,40 @@
     this.arrived = acceptedSince;
   }
 
-  /** The decoder that stands behind this handler. */
+  /** Returns the decoder that follows this handler in the pipeline. */
   RequestDecoder decoder() {
     return decoder;
   }
 
-  /** All bytes that have been read so far. */
+  /** Returns the total number of bytes read. */
   long count() {
     return bytesRead;
   }
 
-  /** True while bytes that have just been read are being decoded. */
+  /** Returns true while bytes that have just been read are being decoded. */
   boolean decoding() {
     return decoding;
   }
 
-  /** True if a part of a request has been read, and not its end. */
+  /** Returns true if a part of a request has been read, but not its end. */
   boolean holdsPartialRequest() {
     return partialRequest;
   }
 
-  /** True if bytes wait to be decoded, which may hold whole requests. */
+  /** Returns true if undecoded bytes are buffered, which may contain complete requests. */
   boolean holdsUndecoded() {
     return decoder.paused() && !decodingEnded;
   }
 
-  /** Since when the bytes read last may have been on this machine, ms on the clock. */
+  /**
+   * Returns the earliest time at which the bytes read last may have arrived on this machine, in ms
+   * on the node's clock.
+   */
   double arrived() {
     return arrived;
   }
 
-  /** Nothing more is decoded, of what has been read either. */
+  /** Stops decoding, also of the bytes that have already been read. */
   void endDecoding() {
     decodingEnded = true;
     undecoded.release();
@@ -140,7 +152,10 @@
     }
   }
 
-  /** Reads while decoding is paused only look whether the client has closed its connection. */
+  /**
+   * Buffers bytes read while decoding is paused; such reads only serve to detect that the client
+   * has closed its connection.
+   */
   private void keepUndecoded(ByteBuf bytes) {
     if (!undecoded.add(bytes)) {
       connection.requestClose();
@@ -151,7 +166,8 @@
     if (!Double.isNaN(unreadSince)) {
       return unreadSince;
     }
-    // What came before a connection was accepted is read by the turn after that.
+    // Bytes that arrived before the connection was accepted are read by the end of the turn after
+    // the accept.
     return arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.since();
   }
 
@@ -163,7 +179,9 @@
         && !decodingEnded;
   }
 
-  /** What has been decoded is answered before more is. */
+  /**
+   * Returns true if another request may be decoded: requests already decoded are answered first.
+   */
   private boolean mayDecodeAnother() {
     return !beginDeferred && share.tryAcquire();
   }
@@ -182,7 +200,10 @@
     }
   }
 
-  /** True if the next pipelined request may begin in this turn; else it does in the next one. */
+  /**
+   * Returns true if the next pipelined request may begin in this turn; otherwise it begins in the
+   * next turn.
+   */
   boolean mayBeginNow() {
     beginDeferred = !share.tryAcquire();
     if (beginDeferred) {
--- a/node/src/main/java/ferngrade/http/RequestDecoder.java
+++ b/node/src/main/java/ferngrade/http/RequestDecoder.java
@@ -9,26 +9,27 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Reads requests off a connection, each once it is admitted, and knows whether it holds the
- * beginning of one whose rest has not come.
+ * Decodes requests, each of them only once it is admitted, and tracks whether a part of a request
+ * has been read.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-  /** Goes on over what may stand before a request. */
+  /** Skips the line ends that may precede a request. */
   private static final ByteProcessor BLANK = each -> each == '\r' || each == '\n';
 
   /**
-   * Bytes of a request have been taken in, and not yet its end; line ends before it don't count.
+   * True if a part of a request has been decoded, but not its end; line ends before a request do
+   * not count.
    */
   private boolean withinRequest;
 
   private final BooleanSupplier admission;
 
-  /** The request that begins with the next bytes may be decoded. */
+  /** True if the request that begins with the next bytes may be decoded. */
   private boolean admitted;
 
   private boolean paused;
 
-  /** {@code admission} is asked before each request whether that may be decoded now. */
+  /** Creates a decoder that queries {@code admission} before each request. */
   RequestDecoder(BooleanSupplier admission) {
     this.admission = admission;
   }
@@ -52,12 +53,15 @@
     }
   }
 
-  /** True if it holds bytes that were not admitted; any read, of no bytes too, asks again. */
+  /**
+   * Returns true if the decoder holds bytes that were not admitted. Any further read, even of no
+   * bytes, queries the admission again.
+   */
   boolean paused() {
     return paused;
   }
 
-  /** True if a part of a request has been read, and not its end. */
+  /** Returns true if a part of a request has been read, but not its end. */
   boolean holdsPartialRequest() {
     return withinRequest || actualReadableBytes() > 0;
   }
--- a/node/src/main/java/ferngrade/http/RequestPacer.java
+++ b/node/src/main/java/ferngrade/http/RequestPacer.java
@@ -3,13 +3,16 @@
 import ferngrade.node.Timers;
 
 /**
- * Bounds the requests that one turn of the event loop decodes and answers: one of each connection,
- * and so many further ones of all connections together. What is beyond that waits for the next
- * turn, so that a client that sends many requests at once holds up neither timers nor other
- * connections. Belongs to the event loop.
+ * Limits the number of requests that one turn of the event loop decodes and answers: one per
+ * connection, and a fixed number of further requests over all connections. The other requests wait
+ * for the next turn, so that a client that sends many requests at once delays neither timers nor
+ * other connections. Confined to the event loop.
  */
 final class RequestPacer {
-  /** Steps beyond the first of each connection in one turn; a request is decoded and answered. */
+  /**
+   * The maximum number of steps in one turn beyond the first step of each connection. Decoding a
+   * request is one step, and answering it is another.
+   */
   static final int MAX_FURTHER_STEPS = 32;
 
   private final ArrivalClock arrivals;
@@ -22,17 +25,17 @@
     this.timers = timers;
   }
 
-  /** Which turns there are, and when what they read may have come. */
+  /** Returns the clock that counts the turns and tells the arrival times of their input. */
   ArrivalClock arrivals() {
     return arrivals;
   }
 
-  /** The part of one connection. */
+  /** Creates the share of one connection. */
   Share newShare() {
     return new Share();
   }
 
-  /** Runs a task in the next turn of the loop, behind the reads of that turn. */
+  /** Runs a task in the next turn of the event loop, after the reads of that turn. */
   void nextTurn(Runnable task) {
     timers.after(0, task);
   }
@@ -49,11 +52,11 @@
     return true;
   }
 
-  /** What one connection may do in a turn. */
+  /** The share of one connection in the requests of a turn. */
   final class Share {
     private long lastTurn = -1;
 
-    /** True if the connection may decode or answer one more request in this turn. */
+    /** Returns true if the connection may decode or answer one more request in this turn. */
     boolean tryAcquire() {
       boolean first = lastTurn != arrivals.turn();
       lastTurn = arrivals.turn();
--- a/node/src/main/java/ferngrade/http/RequestReader.java
+++ b/node/src/main/java/ferngrade/http/RequestReader.java
@@ -18,15 +18,15 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Reads clients' requests: whether one is a job that a worker can use, and what job it is. */
+/** Validates clients' requests and converts them to jobs. */
 public final class RequestReader {
-  /** Longest id that is taken; it also stands in the path of a DELETE. */
+  /** The maximum length of a job id, which also becomes part of the path of a DELETE. */
   private static final int MAX_ID_LENGTH = 128;
 
   private static final Pattern PLAIN_ID = Pattern.compile("[A-Za-z0-9._:~-]+");
 
   /**
-   * What can be passed on unchanged: a path or a key with other characters would reach the worker
+   * Paths and keys that can be forwarded unchanged; other characters would reach the worker
    * altered.
    */
   private static final Pattern PATH = Pattern.compile("/[!-~]*");
@@ -34,18 +34,18 @@
   private static final Pattern KEY = Pattern.compile("[!-~]{1,256}");
 
   /**
-   * A number as the protocol writes it; the runtime's parser would take names, hexadecimals and
-   * suffixes too.
+   * The number format of the protocol; the parser of the JDK would also accept names, hexadecimals
+   * and suffixes.
    */
   private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}(\\.[0-9]{1,18})?");
 
   /**
-   * The most slots a job may ask for: an extreme value would outweigh all other jobs in the
-   * module's sums.
+   * The maximum number of slots, or amount of memory, of a job: an extreme value would outweigh all
+   * other jobs in the dispatcher's sums.
    */
   private static final double MAX_SLOTS = 1024;
 
-  /** The cookie that names what a request is about. */
+  /** The cookie that names the object of a request. */
   private static final String OBJECT = "obj";
 
   private final DispatcherSettings settings;
@@ -78,14 +78,14 @@
     int jobClass = position(classes, headers, Headers.KIND);
     String key = one(headers, Headers.REPEAT_KEY);
     boolean keyed = settings.classes().get(jobClass).effect() == Idempotency.KEYED;
-    // Without a key workers could not drop a repeat, and the module relies on that they do.
+    // Without a key, workers could not detect a repeated job, and the dispatcher relies on that.
     if (key == null ? keyed : !KEY.matcher(key).matches()) {
       throw new BadRequestException(Headers.REPEAT_KEY + " is missing or not plain");
     }
     int tenant = tenants.isEmpty() ? 0 : position(tenants, headers, Headers.OWNER);
     String wait = one(headers, Headers.DEADLINE);
-    // No client waits longer than its class says; an extreme value must not hold a table entry
-    // for days.
+    // No client waits longer than the deadline of its job class; an extreme value must not occupy a
+    // table entry for days.
     double longest = settings.classes().get(jobClass).deadline();
     double deadline = wait == null ? longest : Math.min(longest, deadline(wait));
     String cost = one(headers, Headers.COST);
@@ -112,7 +112,8 @@
   }
 
   /**
-   * The header's value, null if it is absent; of two nobody can say which one a worker would go by.
+   * Returns the value of a header, or null if it is absent. A repeated header is rejected, because
+   * it is unknown which value a worker would use.
    */
   private static String one(HttpHeaders headers, String header) throws BadRequestException {
     List<String> values = headers.getAll(header);
@@ -132,8 +133,8 @@
   }
 
   /**
-   * What the request is about, 0 where no cookie says so; a cookie that cannot be read says
-   * nothing.
+   * Returns the hash of the object that a cookie names, or 0 if there is no such cookie or the
+   * cookies cannot be parsed.
    */
   private static long object(String cookies) {
     if (cookies != null) {
@@ -147,8 +148,8 @@
   }
 
   /**
-   * A time in ms from a number and its unit: {@code m} for milliseconds, {@code u} for
-   * microseconds.
+   * Parses a duration, a number followed by {@code m} for milliseconds or {@code u} for
+   * microseconds, to ms.
    */
   private static double deadline(String text) throws BadRequestException {
     String number = text.isEmpty() ? "" : text.substring(0, text.length() - 1);
--- a/node/src/main/java/ferngrade/http/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -5,60 +5,66 @@
 import ferngrade.dispatch.JobClass;
 
 /**
- * The phases of a graceful shutdown, as instants on the node's clock, counted from the signal. The
- * platform may kill the process at a time that follows from the longest deadline of the deployment;
- * every phase is computed back from that time here and nowhere else, so that no two phases can add
- * up to more than there is.
+ * The ends of the phases of a graceful shutdown, in ms on the node's clock. The platform may kill
+ * the process at a time that depends on the longest deadline of the deployment. All phases are
+ * computed backwards from that time in this class only, so that together they never exceed the time
+ * available.
  *
- * @param acceptUntil until then jobs are taken as ever, on connections old and new; later ones are
- *     refused
- * @param answersBy when every job that was taken has its final answer
- * @param unfinishedUntil until then a request that has come in part may come whole; it is refused
- *     either way
- * @param end when the process ends, whatever its clients still do
+ * @param acceptUntil until then jobs are accepted normally, on new and existing connections; later
+ *     jobs are rejected
+ * @param answersBy when every accepted job has its final answer
+ * @param unfinishedUntil until then the rest of a partially received request may arrive; the
+ *     request is rejected in any case
+ * @param end when the process ends, even if clients are still connected
  */
 public record ShutdownBudget(
     double acceptUntil, double answersBy, double unfinishedUntil, double end) {
-  /** The platform kills no sooner than the longest deadline and this much after the signal, ms. */
+  /**
+   * The minimum time between the signal and the kill by the platform, beyond the longest deadline,
+   * in ms.
+   */
   private static final double KILL_AFTER_DEADLINE = 700;
 
-  /** The most of a deployment's longest deadline that the platform waits for, ms. */
+  /**
+   * The maximum part of the longest deadline of a deployment that the platform waits for, in ms.
+   */
   private static final double LONGEST_DEADLINE = 3000;
 
   /**
-   * How long new connections may come in after the signal, ms: till then balancers have noticed it.
+   * The time after the signal during which new connections may arrive, in ms; after it, load
+   * balancers have noticed the shutdown.
    */
   private static final double NEW_CONNECTIONS = 400;
 
-  /** How long the machine may hold up a node between reading its clock and writing, ms. */
+  /**
+   * The maximum time for which the machine may hold up a node between reading its clock and
+   * writing, in ms.
+   */
   private static final double MAX_PAUSE = 150;
 
-  /** What it takes to write the last answers, close the connections and end the process, ms. */
+  /** The time to write the last answers, close the connections and end the process, in ms. */
   private static final double WRITING = 50;
 
-  /** What clients have at the least to read the last answers and to end their connections, ms. */
+  /** The minimum time for clients to read the last answers and close their connections, in ms. */
   private static final double READING = 100;
 
   /**
-   * The last part of it, which is left to clients whose request came in part and was refused for
-   * that, ms.
+   * The last part of the time for reading, left to clients whose partially received request was
+   * rejected, in ms.
    */
   static final double READING_REJECTIONS = 50;
 
-  /**
-   * A job that would have been granted more, but has less than this left of the budget, is not
-   * begun, ms.
-   */
+  /** The minimum remaining time to start a job whose deadline lies beyond the budget, in ms. */
   private static final double MIN_REMAINING = 50;
 
   /**
-   * The budget of a shutdown that was asked for by a signal, in a deployment with these settings.
-   * Balancers send new connections until some time after the signal at the latest, and the platform
-   * may kill some time after it at the earliest: a process that was held up knows both only as
-   * bounds.
+   * Computes the budget of a shutdown requested by a signal, in a deployment with these settings.
+   * Load balancers send new connections until some time after the signal, and the platform does not
+   * kill before some time after it. A process that was held up knows the time of the signal only
+   * within bounds.
    *
-   * @param earliest when the signal may have come, ms
-   * @param noticed when this process noticed it, ms
+   * @param earliest the earliest time at which the signal may have arrived, in ms
+   * @param noticed the time at which this process noticed the signal, in ms
    */
   public static ShutdownBudget of(double earliest, double noticed, DispatcherSettings settings) {
     double deadline = settings.classes().stream().mapToDouble(JobClass::deadline).max().orElse(0);
@@ -70,14 +76,14 @@
   }
 
   /**
-   * True if a job that is due at {@code due} cannot be answered within the budget, or with too
-   * little time for it.
+   * Returns true if a job due at {@code due} cannot be answered within the budget, or would have
+   * too little time.
    */
   boolean tooLittleFor(double due, double now) {
     return due > answersBy && answersBy - now < MIN_REMAINING;
   }
 
-  /** The job as it is taken while the node shuts down: due within the budget. */
+  /** Returns the job with its deadline limited to the budget. */
   Job capped(Job job) {
     return new Job(
         job.id(),
--- a/node/src/main/java/ferngrade/http/SingleCallDial.java
+++ b/node/src/main/java/ferngrade/http/SingleCallDial.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Makes one call to another process of this node on a connection of its own. */
+/** Makes one call to another process of this node on a separate connection. */
 final class SingleCallDial implements Dialer.Listener, PeerConnection.Owner {
   private final PeerCall call;
   private final Runnable whenRefused;
--- a/node/src/main/java/ferngrade/http/UndecodedBytes.java
+++ b/node/src/main/java/ferngrade/http/UndecodedBytes.java
@@ -5,12 +5,12 @@
 import java.util.Deque;
 
 /**
- * Bytes of one connection that have been read and not decoded yet, up to a bound. What comes beyond
- * it is dropped, and so is all that follows: it could not be told where a request begins. Belongs
- * to the event loop.
+ * Buffers the bytes of one connection that have been read and not decoded yet, up to a limit. Bytes
+ * beyond the limit, and all bytes after them, are dropped, because the beginning of the next
+ * request could no longer be found. Confined to the event loop.
  */
 final class UndecodedBytes {
-  /** The most bytes kept for one connection. */
+  /** The maximum number of bytes buffered for one connection. */
   private static final int MAX_BYTES = 16 << 10;
 
   private final Deque<ByteBuf> waiting = new ArrayDeque<>();
@@ -21,12 +21,12 @@
     return waiting.isEmpty();
   }
 
-  /** True once bytes have been dropped. */
+  /** Returns true once bytes have been dropped. */
   boolean overflowed() {
     return overflowed;
   }
 
-  /** Takes over a buffer; false if it was dropped, for lack of capacity. */
+  /** Takes over a buffer. Returns false if it was dropped because the limit is exceeded. */
   boolean add(ByteBuf buffer) {
     overflowed = overflowed || bytes + buffer.readableBytes() > MAX_BYTES;
     if (overflowed) {
@@ -38,14 +38,14 @@
     return !overflowed;
   }
 
-  /** The buffer that came first, which the caller takes over; null if there is none. */
+  /** Removes and returns the oldest buffer, which the caller takes over; null if there is none. */
   ByteBuf poll() {
     ByteBuf first = waiting.poll();
     bytes -= first == null ? 0 : first.readableBytes();
     return first;
   }
 
-  /** Releases all buffers: the connection has ended. */
+  /** Releases all buffers after the connection has ended. */
   void release() {
     waiting.forEach(ByteBuf::release);
     waiting.clear();
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -14,16 +14,19 @@
 import java.util.function.Consumer;
 
 /**
- * Another process of this node, and the one connection to it that is kept between calls. The first
- * call asks the process to keep the connection, and the others wait for its answer. If it keeps the
- * connection, they are pipelined on it; a process of an earlier release closes it, and then each
- * call has a connection of its own. Belongs to the event loop.
+ * Another process of this node, with one connection to it that is kept open between calls. The
+ * first call requests a persistent connection, and later calls wait for its answer. If the other
+ * process keeps the connection open, the calls are pipelined on it. A process of an earlier release
+ * closes the connection, and then each call opens its own connection. Confined to the event loop.
  */
 final class UpgradePeer implements PeerConnection.Owner {
-  /** The calls that are held for one process, waiting or unanswered on its kept connection. */
+  /**
+   * The maximum number of calls held for one process, queued or unanswered on the persistent
+   * connection.
+   */
   static final int MAX_CALLS = 1024;
 
-  /** The bytes of their bodies. */
+  /** The maximum total size of the bodies of these calls, in bytes. */
   static final int MAX_BYTES = 1 << 20;
 
   private final InetSocketAddress address;
@@ -35,26 +38,26 @@
   private int heldCalls;
   private int heldBytes;
 
-  /** The connection that is asked for or kept; null in the other states. */
+  /** The connection that is being negotiated or kept open; null in the other states. */
   private PeerConnection connection;
 
   private enum State {
-    /** No connection; the next call opens one. */
+    /** There is no connection; the next call opens one. */
     DISCONNECTED,
-    /** A connection is being opened; calls wait. */
+    /** A connection is being opened; calls are queued. */
     DIALLING,
-    /** The first call on the connection is unanswered; the others wait. */
+    /** The first call on the connection is unanswered; the other calls are queued. */
     ASKING,
-    /** The process keeps the connection: calls are pipelined. */
+    /** The process keeps the connection open; calls are pipelined. */
     KEPT,
-    /** The process closes connections behind an answer: each call has one of its own. */
+    /** The process closes each connection after one answer; each call opens its own connection. */
     CONNECTION_PER_CALL,
-    /** The process has ended, or its place is taken; no more calls. */
+    /** The process has ended or was removed from the list of peers; calls fail at once. */
     FORGOTTEN
   }
 
   /**
-   * The process at this address; {@code dialer} puts a {@link PeerConnection} into each pipeline.
+   * Creates a peer at this address; {@code dialer} adds a {@link PeerConnection} to each pipeline.
    */
   UpgradePeer(
       InetSocketAddress address, Dialer dialer, Timers timers, Consumer<UpgradePeer> whenRefused) {
@@ -68,7 +71,7 @@
     return address;
   }
 
-  /** Makes a call; one that cannot be held ends at once without an answer. */
+  /** Makes a call. If the limits are exceeded, the call ends at once without an answer. */
   void call(PeerCall call) {
     if (state == State.FORGOTTEN || heldCalls >= MAX_CALLS || heldBytes + call.size() > MAX_BYTES) {
       call.end(PeerCall.NO_ANSWER);
@@ -81,7 +84,10 @@
     proceed();
   }
 
-  /** Closes the connection and ends all calls without an answer; again to no effect. */
+  /**
+   * Closes the connection and ends all calls without an answer. Further calls of this method have
+   * no effect.
+   */
   void forget() {
     if (state == State.FORGOTTEN) {
       return;
@@ -104,13 +110,13 @@
     call.end(PeerCall.NO_ANSWER);
   }
 
-  /** The call is held no more. */
+  /** Removes a call from the calls held. */
   private void release(PeerCall call) {
     heldCalls--;
     heldBytes -= call.size();
   }
 
-  /** Does for the waiting calls what the state allows. */
+  /** Sends the queued calls as far as the state allows. */
   private void proceed() {
     if (state == State.DISCONNECTED && !waiting.isEmpty()) {
       state = State.DIALLING;
@@ -127,7 +133,7 @@
     }
   }
 
-  // ---- The kept connection ----
+  // ---- The persistent connection ----
 
   @Override
   public void answered(PeerCall call, int status) {
@@ -162,9 +168,10 @@
   }
 
   /**
-   * Puts the calls of a kept connection that has ended before those that wait.
+   * Queues the unanswered calls of a persistent connection that has ended in front of the calls
+   * already queued.
    *
-   * @return those that may not be made again
+   * @return the calls that must not be retried
    */
   private List<PeerCall> repeat(List<PeerCall> unanswered) {
     List<PeerCall> later = List.copyOf(waiting);
@@ -187,7 +194,7 @@
     proceed();
   }
 
-  /** The dial of the connection that is to be kept; its failure ends the first call. */
+  /** The dial of the persistent connection; its failure ends the first call. */
   private final class Dial implements Dialer.Listener {
     private final PeerCall first;
 
--- a/node/src/main/java/ferngrade/http/UpgradePeers.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeers.java
@@ -21,22 +21,26 @@
 import java.util.function.IntConsumer;
 
 /**
- * The other processes of this node while an upgrade runs several on one clients' socket. Workers'
- * callbacks come to that socket, so any process may get one for a job of another; it is then
- * relayed to the others at their operators' addresses. They are known from the {@link
- * ferngrade.node.SharedLog}; with a process of an earlier release, which does not write there, the
- * two exchange their addresses by a file and an announcement. Belongs to the event loop.
+ * The other processes of this node while an upgrade runs several processes on one client socket.
+ * Workers send callbacks to that socket, so any process may receive a callback for a job of another
+ * process; the callback is then relayed to the operators' addresses of the other processes. The
+ * addresses are read from the {@link ferngrade.node.SharedLog}. A process of an earlier release
+ * does not write to that log; the addresses are then exchanged through a file and an announcement.
+ * Confined to the event loop.
  */
 public final class UpgradePeers {
-  /** How long a relay may take, ms: the worker waits for its response meanwhile. */
+  /** The maximum duration of a relay, in ms; the worker waits for its response meanwhile. */
   private static final double RELAY_TIMEOUT = 500;
 
-  /** How long an announcement may take, with its retries, ms. */
+  /** The maximum duration of an announcement including retries, in ms. */
   private static final double ANNOUNCE_TIMEOUT = 5000;
 
   private static final int CONNECT_TIMEOUT = 500;
 
-  /** The newest processes to keep: the earlier ones have ended long ago. */
+  /**
+   * The maximum number of peers; only the newest are kept, since earlier processes have ended by
+   * then.
+   */
   static final int MAX_PEERS = 8;
 
   private static final int TAKEN_STATUS = HttpResponseStatus.NO_CONTENT.code();
@@ -48,34 +52,40 @@
   private final Map<InetSocketAddress, UpgradePeer> peers = new LinkedHashMap<>();
   private final Map<RelayOutcome, Long> relayed = new EnumMap<>(RelayOutcome.class);
 
-  /** Addresses of processes that the log does not name: whether those run is never known. */
+  /**
+   * The addresses of processes that the log does not name; whether these processes still run is not
+   * known.
+   */
   private final Set<InetSocketAddress> unrecorded = new LinkedHashSet<>();
 
   private RunningProcesses processes = UNKNOWN_PROCESSES;
   private InetSocketAddress own;
 
-  /** What became of a callback that was relayed to the other processes. */
+  /** The outcome of a callback that was relayed to the other processes. */
   public enum RelayOutcome {
-    /** One of them has or had the job. */
+    /** One process has or had the job. */
     TAKEN,
-    /** All have answered that they never had it. */
+    /** All processes answered that they never had the job. */
     UNKNOWN,
-    /** No other process of the node runs: the one that had the job has ended. */
+    /** No other process of the node runs; the process that had the job has ended. */
     ENDED,
-    /** One did not answer, or one may run whose address is not known. */
+    /** A process did not answer, or a process with an unknown address may be running. */
     UNANSWERED
   }
 
-  /** Knows which processes of the node run, from what they write to the shared log. */
+  /** Provides the running processes of the node as recorded in the shared log. */
   public interface RunningProcesses {
-    /** Reads what the log has been appended since it was last read. */
+    /** Reads the records appended to the log since the last call. */
     void refresh();
 
-    /** False if no process runs beside this one, by a log that has been read whole. */
+    /**
+     * Returns false if the log has been read completely and shows no running process beside this
+     * one.
+     */
     boolean othersMayRun();
   }
 
-  /** Where no log is shared, another process may always run. */
+  /** Used without a shared log: another process may always be running. */
   private static final RunningProcesses UNKNOWN_PROCESSES =
       new RunningProcesses() {
         @Override
@@ -106,25 +116,34 @@
             });
   }
 
-  /** From now on a callback that nobody else can have the job of ends by these. */
+  /**
+   * Sets the source of the running processes, which decides whether a callback without any peer to
+   * relay it to has the outcome ENDED.
+   */
   public void knownBy(RunningProcesses running) {
     processes = running;
   }
 
-  /** This process takes calls at this address; another that had it before has ended. */
+  /**
+   * Sets the address at which this process receives calls; an earlier process with that address has
+   * ended.
+   */
   public void own(InetSocketAddress address) {
     own = address;
     unrecorded.remove(address);
     forget(address);
   }
 
-  /** Another process takes calls at this address; the shared log names it. */
+  /** Adds the address, taken from the shared log, at which another process receives calls. */
   public void recorded(InetSocketAddress other) {
     unrecorded.remove(other);
     add(other);
   }
 
-  /** Another process, perhaps of an earlier release, takes calls at this address. */
+  /**
+   * Adds the address at which another process receives calls; the process may belong to an earlier
+   * release.
+   */
   public void at(InetSocketAddress other) {
     if (!other.equals(own) && !peers.containsKey(other)) {
       unrecorded.add(other);
@@ -153,30 +172,36 @@
     }
   }
 
-  /** Announces to the others where this process takes calls. */
+  /** Announces the address of this process to the other processes. */
   public void announce() {
     String text = own.getHostString() + ":" + own.getPort();
     callAll("/-/sibling", text, ANNOUNCE_TIMEOUT, status -> {});
   }
 
-  /** Sends the others a record at once, beside the log; nothing depends on its arrival. */
+  /**
+   * Sends a record to the other processes at once, in addition to the shared log. Its delivery is
+   * not required.
+   */
   public void push(String record) {
     callAll("/-/state", record, ANNOUNCE_TIMEOUT, status -> {});
   }
 
-  /** Relays a callback; {@code outcome} runs once. */
+  /** Relays a callback; {@code outcome} is called exactly once. */
   void relay(String callback, Consumer<RelayOutcome> outcome) {
     processes.refresh();
     RelayRound round = new RelayRound(peers.size(), outcome);
     callAll("/-/news", callback, RELAY_TIMEOUT, round::answered);
   }
 
-  /** How many callbacks were relayed, by their outcome; one without an entry has not occurred. */
+  /**
+   * Returns the number of relayed callbacks by outcome, without entries for outcomes that have not
+   * occurred.
+   */
   public Map<RelayOutcome, Long> relayed() {
     return Map.copyOf(relayed);
   }
 
-  /** The answers of all processes to one callback. */
+  /** Collects the answers of all processes to one callback. */
   private final class RelayRound {
     private final Consumer<RelayOutcome> outcome;
     private int awaited;
@@ -218,7 +243,7 @@
     }
   }
 
-  /** Nobody listens there any more: that process has ended. */
+  /** Removes a peer that refused a connection, because its process has ended. */
   private void refused(UpgradePeer peer) {
     if (peers.remove(peer.address(), peer)) {
       log.line("the process of this node at " + peer.address() + " has ended");
--- a/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
+++ b/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
@@ -8,7 +8,7 @@
 import ferngrade.node.WorkerCallback;
 import java.util.Locale;
 
-/** Parses workers' callbacks. */
+/** Parses the callbacks of workers. */
 final class WorkerCallbackParser {
   private WorkerCallbackParser() {}
 
@@ -44,8 +44,8 @@
   }
 
   /**
-   * A report that cannot be read costs only itself: what the callback reports of the job still
-   * counts.
+   * Parses the load report. A report that cannot be parsed is ignored, so that the rest of the
+   * callback still counts.
    */
   private static LoadReport load(JsonValue load) {
     return load == null || !load.isObject()
--- a/node/src/main/java/ferngrade/http/WorkerClient.java
+++ b/node/src/main/java/ferngrade/http/WorkerClient.java
@@ -17,7 +17,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.BiConsumer;
 
-/** Carries attempts, their cancellations and health checks to workers over pooled connections. */
+/** Sends attempts, cancellations and health checks to workers over pooled connections. */
 public final class WorkerClient implements WorkerTransport {
   private final Clock clock;
   private final Timers timers;
@@ -55,12 +55,18 @@
             });
   }
 
-  /** Sets a task that runs right before it is decided whether an attempt may start, on the loop. */
+  /**
+   * Sets a task that runs on the event loop right before the node decides whether an attempt may
+   * start.
+   */
   public void beforeAttempt(Runnable task) {
     beforeAttempt = task;
   }
 
-  /** Sets a task that reads the callbacks that the event loop has not come to read, on the loop. */
+  /**
+   * Sets a task that reads, on the event loop, the callbacks that have arrived and are not read
+   * yet.
+   */
   public void readCallbacksBy(Runnable reader) {
     callbackReader = reader;
   }
@@ -70,12 +76,12 @@
     callbackReader.run();
   }
 
-  /** Sets what attempts say of the process that sends them, name and process id. */
+  /** Sets the identification, name and process id, that attempts carry in a header. */
   public void identifyAs(String sender) {
     process = sender;
   }
 
-  /** What attempts say of the process that sends them; null for nothing. */
+  /** Returns the identification of this process that attempts carry, or null if they carry none. */
   String process() {
     return process;
   }
@@ -105,12 +111,14 @@
     return log;
   }
 
-  /** Runs right before it is decided whether an attempt may start. */
+  /** Runs the task that precedes the decision whether an attempt may start. */
   void beforeStart() {
     beforeAttempt.run();
   }
 
-  /** Starts the exchange on an idle connection of the pool, or else on a new one. */
+  /**
+   * Starts the exchange on an idle connection of the pool, or on a new connection if there is none.
+   */
   void start(InetSocketAddress worker, HttpExchange exchange) {
     WorkerConnection idle = pool.take(worker);
     if (idle != null) {
@@ -130,7 +138,7 @@
     }
   }
 
-  /** A dial for an exchange, for which a connection of the pool is reserved. */
+  /** A dial for an exchange. A connection is reserved for it in the pool. */
   private final class ExchangeDial implements Dialer.Listener {
     private final InetSocketAddress worker;
     private final HttpExchange exchange;
--- a/node/src/main/java/ferngrade/http/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/http/WorkerConnection.java
@@ -19,9 +19,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * One connection to a worker: at most one exchange at a time, idle in the pool between them. Bytes
- * that arrive while it is idle belong to no exchange; kept, they would be read as the beginning of
- * the next response. So they end the connection, and so does anything behind a response.
+ * One connection to a worker, which carries at most one exchange at a time and is idle in the pool
+ * between exchanges. Bytes that arrive while it is idle belong to no exchange and would be read as
+ * the beginning of the next response. Therefore they close the connection, as do any bytes after a
+ * response.
  */
 final class WorkerConnection extends SimpleChannelInboundHandler<FullHttpResponse> {
   private final ConnectionPool pool;
@@ -29,21 +30,24 @@
   private ChannelHandlerContext context;
   private InetSocketAddress worker;
 
-  /** What the connection carries, null while it is idle. */
+  /** The exchange in progress; null while the connection is idle. */
   private HttpExchange exchange;
 
-  /** When the connection was put back into the pool. */
+  /** The time at which the connection was returned to the pool, in ms. */
   double idleSince;
 
-  /** How long it was idle before its present exchange, ms; negative if that is its first. */
+  /**
+   * How long the connection was idle before its present exchange, in ms; negative if that exchange
+   * is its first.
+   */
   double reusedAfter = -1;
 
   private boolean endedHere;
 
-  /** What broke the connection, where the system has said so. */
+  /** The cause of the connection's failure; null if the system reported none. */
   private Throwable fault;
 
-  /** Knows whether more bytes have arrived than the response that it has just passed on. */
+  /** Detects bytes that have arrived after the response just decoded. */
   private static final class TrailingBytesDecoder extends HttpResponseDecoder {
     boolean hasMore() {
       return actualReadableBytes() > 0;
@@ -54,7 +58,7 @@
     this.pool = pool;
   }
 
-  /** Puts the connection, behind its codec, at the end of a pipeline. */
+  /** Adds the connection and its codec to the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(
         idleGuard(),
@@ -83,7 +87,7 @@
     context = ctx;
   }
 
-  /** The connection is up; it counts in the pool until it ends. */
+  /** Marks the connection as established; it counts in the pool until it ends. */
   void opened(InetSocketAddress address) {
     worker = address;
     context.channel().closeFuture().addListener(closed -> ended());
@@ -144,21 +148,21 @@
     ctx.close();
   }
 
-  /** Reads at once what has come and the event loop has not come to read. */
+  /** Reads the bytes that have arrived but that the event loop has not read yet. */
   void readPending() {
     PendingReads.read((AbstractNioChannel) context.channel());
   }
 
   /**
-   * Reads what has come. False if the connection has ended, be it because the worker has closed it
-   * or because it was idle and bytes have come on it all the same.
+   * Reads the bytes that have arrived. Returns false if the connection has ended, either because
+   * the worker has closed it or because bytes arrived while it was idle.
    */
   boolean activeAfterReading() {
     readPending();
     return isActive();
   }
 
-  /** Ends the connection from this side. */
+  /** Closes the connection from this side. */
   void close() {
     endedHere = true;
     context.close();
@@ -168,14 +172,14 @@
     return endedHere;
   }
 
-  /** The one place where a connection ends, from whichever side. */
+  /** Handles the end of the connection, closed by either side; no other method does so. */
   private void ended() {
     pool.ended(this);
     HttpExchange broken = exchange;
     exchange = null;
     if (broken != null) {
-      // Netty closes the channel first and fails the write that broke it behind that: its cause
-      // counts here.
+      // Netty closes the channel before it fails the write that broke the connection, but the cause
+      // of that failure is needed here.
       context.executor().execute(() -> broken.broken(FaultOrigin.of(fault)));
     }
   }
--- a/node/src/main/java/ferngrade/http/WorkerDeadline.java
+++ b/node/src/main/java/ferngrade/http/WorkerDeadline.java
@@ -1,15 +1,15 @@
 package ferngrade.http;
 
 /**
- * The deadline that is sent to a worker with a job. Its client may have a little less than the node
- * counts, because the request was under way to the node, and the node may be held up between
- * reading its clock and writing. The latter fits into the slack that workers' deadlines are given;
- * the former has to be taken off.
+ * Computes the deadline that is sent to a worker with a job. The client may have slightly less time
+ * left than the node assumes, because its request was on its way to the node, and the node may be
+ * held up between reading its clock and writing. The tolerance of the workers' deadlines covers the
+ * second delay; the first one is subtracted here.
  */
 final class WorkerDeadline {
   /**
-   * What a request may have spent under way from its client, ms, and the most of a short rest that
-   * is given up for it.
+   * The assumed time that a request spent on its way from the client, in ms, and the maximum share
+   * of a short remaining time that is subtracted for it.
    */
   private static final double CLIENT_TRANSIT = 10;
 
@@ -18,7 +18,8 @@
   private WorkerDeadline() {}
 
   /**
-   * The header for an attempt that the node waits for {@code left} ms more, which is above zero.
+   * Returns the header value for an attempt for which the node waits {@code left} ms more, where
+   * {@code left} is above zero.
    */
   static String header(double left) {
     double sent = left - Math.min(CLIENT_TRANSIT, MAX_SHARE * left);
--- a/node/src/main/java/ferngrade/http/package-info.java
+++ b/node/src/main/java/ferngrade/http/package-info.java
@@ -1,8 +1,8 @@
 /**
- * HTTP/1.1 with everybody who calls a node or is called by it. Clients and workers' callbacks come
- * in through {@link ferngrade.http.HttpFrontend}, operators' calls through {@link
- * ferngrade.http.Admin}; attempts, cancellations and health checks go out through {@link
- * ferngrade.http.WorkerClient}, callbacks for the other process of an upgrade through {@link
- * ferngrade.http.UpgradePeer}. All classes belong to the event loop.
+ * The HTTP/1.1 servers and clients of a node. Clients' requests and workers' callbacks arrive
+ * through {@link ferngrade.http.HttpFrontend}, operators' calls through {@link
+ * ferngrade.http.Admin}. Attempts, cancellations and health checks are sent through {@link
+ * ferngrade.http.WorkerClient}, and callbacks for the other process of an upgrade through {@link
+ * ferngrade.http.UpgradePeer}. All classes are confined to the event loop.
  */
 package ferngrade.http;
