--- a/node/src/main/java/ferngrade/http/AcceptSwitch.java
+++ b/node/src/main/java/ferngrade/http/AcceptSwitch.java
@@ -24,13 +24,13 @@
    * The pause after a failed accept, in ms. The connection that could not be accepted keeps the
    * listener readable, so that without a pause the event loop would spin until the fault is over.
    */
-  static final double BACKOFF = 20;
+  static final double BACKOFF_MILLIS = 20;
 
   private final Timers timers;
 
-  private final PauseListener pauses;
+  private final PauseListener pauseListener;
 
-  private int places = PendingReads.MAX_ACCEPTS;
+  private int maxAccepts = PendingReads.MAX_ACCEPTS;
   private final Set<Reason> reasons = EnumSet.noneOf(Reason.class);
   private Channel listener;
 
@@ -65,36 +65,36 @@
     void resumed();
   }
 
-  AcceptSwitch(Timers timers, PauseListener pauses) {
+  AcceptSwitch(Timers timers, PauseListener pauseListener) {
     this.timers = timers;
-    this.pauses = pauses;
+    this.pauseListener = pauseListener;
   }
 
   /** Sets the number of further connections that fit; the channel pauses while there is none. */
-  void places(int free) {
-    places = Math.max(1, Math.min(free, PendingReads.MAX_ACCEPTS));
+  void setCapacity(int free) {
+    maxAccepts = Math.max(1, Math.min(free, PendingReads.MAX_ACCEPTS));
     limitAccepts();
     pause(Reason.FULL, free <= 0);
   }
 
   /** Returns the maximum number of connections that one read of the listener accepts. */
   int acceptsAtOnce() {
-    return places;
+    return maxAccepts;
   }
 
   /**
    * Accepts the waiting connections unless the channel is paused; see {@link
    * PendingReads#acceptWaiting}.
    */
-  void acceptWaiting(LongSupplier accepted, BooleanSupplier capacity) {
+  void acceptWaiting(LongSupplier accepted, BooleanSupplier hasCapacity) {
     if (listener != null && reasons.isEmpty()) {
-      PendingReads.acceptWaiting((AbstractNioChannel) listener, accepted, capacity);
+      PendingReads.acceptWaiting((AbstractNioChannel) listener, accepted, hasCapacity);
     }
   }
 
   /** Sets or clears one reason to pause. */
-  void pause(Reason reason, boolean holds) {
-    boolean changed = holds ? reasons.add(reason) : reasons.remove(reason);
+  void pause(Reason reason, boolean active) {
+    boolean changed = active ? reasons.add(reason) : reasons.remove(reason);
     if (changed) {
       apply();
       if (reason == Reason.FULL || reason == Reason.ACCEPT_FAILED) {
@@ -105,9 +105,9 @@
 
   private void notifyPauses() {
     if (reasons.contains(Reason.FULL) || reasons.contains(Reason.ACCEPT_FAILED)) {
-      pauses.paused();
+      pauseListener.paused();
     } else {
-      pauses.resumed();
+      pauseListener.resumed();
     }
   }
 
@@ -115,7 +115,7 @@
     if (listener != null
         && listener.config().getRecvByteBufAllocator()
             instanceof MaxMessagesRecvByteBufAllocator allocator) {
-      allocator.maxMessagesPerRead(places);
+      allocator.maxMessagesPerRead(maxAccepts);
     }
   }
 
@@ -136,7 +136,7 @@
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (!reasons.contains(Reason.ACCEPT_FAILED)) {
       pause(Reason.ACCEPT_FAILED, true);
-      timers.after(BACKOFF, () -> pause(Reason.ACCEPT_FAILED, false));
+      timers.after(BACKOFF_MILLIS, () -> pause(Reason.ACCEPT_FAILED, false));
     }
   }
 }
--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -24,7 +24,7 @@
 
   private double waitingSince;
   private int acceptedThisTurn;
-  private int limit;
+  private int acceptLimit;
   private boolean paused;
 
   /**
@@ -62,14 +62,14 @@
   @Override
   public void resumed() {
     paused = false;
-    lookAgainInTheNextTurn();
+    extendWaitToNextTurn();
   }
 
   /**
    * Treats connections accepted up to the next turn as having waited: the next select reports all
    * that wait now.
    */
-  private void lookAgainInTheNextTurn() {
+  private void extendWaitToNextTurn() {
     waitedUntilTurn = arrivals.turn() + 1;
   }
 
@@ -80,7 +80,7 @@
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object accepted) {
     if (acceptedThisTurn++ == 0) {
-      limit = acceptsAtOnce.getAsInt();
+      acceptLimit = acceptsAtOnce.getAsInt();
       waitingSince =
           mayHaveWaited() ? Math.max(waitingSince, arrivals.since() - maxWait) : arrivals.since();
     }
@@ -89,8 +89,8 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (acceptedThisTurn >= limit) {
-      lookAgainInTheNextTurn();
+    if (acceptedThisTurn >= acceptLimit) {
+      extendWaitToNextTurn();
     } else if (acceptedThisTurn > 0) {
       // No more connections wait. After a failed accept, those that waited still do.
       waitedUntilTurn = -1;
--- a/node/src/main/java/ferngrade/http/Admin.java
+++ b/node/src/main/java/ferngrade/http/Admin.java
@@ -20,35 +20,36 @@
 /**
  * The HTTP/1.1 endpoint for operators: one call per connection, answered with 2xx for success and
  * 4xx or 5xx for failure. Runs on the event loop; {@link OperatorCalls} implements the calls. A
- * caller has to send its whole call within {@link #CALL_TIMEOUT}. Only a few callers may be
+ * caller has to send its whole call within {@link #CALL_TIMEOUT_MILLIS}. Only a few callers may be
  * connected at a time, and those that have sent nothing are evicted first, so that idle callers do
  * not keep out others. The other processes of the node make calls here, too, and may keep their
  * connections open.
  */
 public final class Admin {
   /** The maximum time for a caller to send a whole call, in ms; callers wait 1 s for the answer. */
-  static final double CALL_TIMEOUT = 1000;
+  static final double CALL_TIMEOUT_MILLIS = 1000;
 
   /** The delay between the close of the listener and the end of the process, in ms. */
-  private static final long CLOSE_DELAY = 1;
+  private static final long CLOSE_DELAY_MILLIS = 1;
 
   /**
    * The maximum size of the body of a call, in bytes. A relayed callback may have the size of any
    * body.
    */
-  static final int MAX_CALL_BYTES = HttpFrontend.MAX_BODY;
+  static final int MAX_CALL_BYTES = HttpFrontend.MAX_BODY_BYTES;
 
   /**
    * The maximum number of callers that have not sent a whole call; operators make one call at a
    * time.
    */
-  private static final int MAX_SILENT = 8;
+  private static final int MAX_AWAITED_CALLERS = 8;
 
   /** The maximum number of calls that wait for the disk. */
-  private static final int MAX_WAITING = 16;
+  private static final int MAX_STORING_CALLS = 16;
 
   /** The maximum number of open connections, including those of the node's other processes. */
-  private static final int MAX_OPEN = MAX_SILENT + MAX_WAITING + UpgradePeers.MAX_PEERS;
+  private static final int MAX_OPEN_CONNECTIONS =
+      MAX_AWAITED_CALLERS + MAX_STORING_CALLS + UpgradePeers.MAX_PEERS;
 
   private final OperatorCalls calls;
   private final Clock clock;
@@ -74,10 +75,10 @@
     this.acceptSwitch = new AcceptSwitch(timers, acceptTimes);
     this.connections =
         new ConnectionTable<>(
-            new ConnectionTable.Limits(MAX_OPEN, MAX_SILENT),
-            CALL_TIMEOUT,
+            new ConnectionTable.Limits(MAX_OPEN_CONNECTIONS, MAX_AWAITED_CALLERS),
+            CALL_TIMEOUT_MILLIS,
             acceptSwitch,
-            new ConnectionTable.Surroundings(clock, timers, loop, calls.closes()));
+            new ConnectionTable.Dependencies(clock, timers, loop, calls.forcedCloses()));
   }
 
   private int acceptsAtOnce() {
@@ -134,13 +135,13 @@
    * Answers every call that has reached this machine, stores the changes, and then runs {@code
    * done}, which ends the process. The endpoint listens until nothing is left to do; a caller that
    * connects between the last check and the close of the listener is reset. The endpoint waits for
-   * a caller that sends nothing for at most {@link #CALL_TIMEOUT}.
+   * a caller that sends nothing for at most {@link #CALL_TIMEOUT_MILLIS}.
    *
    * @param store runs a task once the changes of all answered calls are stored
    */
   public void finish(Consumer<Runnable> store, Runnable done) {
     finishing = true;
-    whenAnswered(() -> store.accept(() -> endUnlessCalled(store, done)));
+    whenAnswered(() -> store.accept(() -> endIfNoCalls(store, done)));
   }
 
   /**
@@ -167,13 +168,13 @@
     }
   }
 
-  private void endUnlessCalled(Consumer<Runnable> store, Runnable done) {
+  private void endIfNoCalls(Consumer<Runnable> store, Runnable done) {
     acceptWaiting();
     if (connections.isEmpty()) {
       listener.close();
       // The system closes the listener with the next select. From then on callers are refused, also
       // while the JVM shuts down, which takes a few milliseconds.
-      listener.eventLoop().schedule(done, CLOSE_DELAY, TimeUnit.MILLISECONDS);
+      listener.eventLoop().schedule(done, CLOSE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     } else {
       finish(store, done);
     }
@@ -181,7 +182,7 @@
 
   private void acceptWaiting() {
     PendingReads.acceptWaiting(
-        (AbstractNioChannel) listener, connections::accepted, connections::hasPlace);
+        (AbstractNioChannel) listener, connections::accepted, connections::hasCapacity);
   }
 
   /** Returns the connections of the callers. */
--- a/node/src/main/java/ferngrade/http/AdminHandler.java
+++ b/node/src/main/java/ferngrade/http/AdminHandler.java
@@ -32,7 +32,7 @@
  */
 final class AdminHandler extends SimpleChannelInboundHandler<FullHttpRequest>
     implements ManagedConnection {
-  private static final String WORKERS = "/-/menu-workers/";
+  private static final String WORKERS_PATH = "/-/menu-workers/";
 
   private final Admin admin;
   private final OperatorCalls calls;
@@ -44,14 +44,14 @@
    * The earliest time at which the current call may have arrived on this machine, in ms on the
    * node's clock.
    */
-  private double arrived;
+  private double arrivedAt;
 
   private Channel channel;
   private ConnectionState state = ConnectionState.UNREAD;
   private long bytesRead;
 
   /** True if another process of this node makes its calls on this connection. */
-  private boolean ofUpgradePeer;
+  private boolean isUpgradePeer;
 
   AdminHandler(Admin admin) {
     this.admin = admin;
@@ -74,7 +74,7 @@
         bytesRead += ((ByteBuf) bytes).readableBytes();
         if (state == ConnectionState.UNREAD || state == ConnectionState.RESTING) {
           state = ConnectionState.RECEIVING;
-          arrived = arrivedSince();
+          arrivedAt = arrivedSince();
           admin.connections().receiving(AdminHandler.this);
         }
         ctx.fireChannelRead(bytes);
@@ -116,7 +116,7 @@
 
   @Override
   public boolean trusted() {
-    return ofUpgradePeer;
+    return isUpgradePeer;
   }
 
   @Override
@@ -125,8 +125,8 @@
   }
 
   @Override
-  public ForcedCloses.Closed asClosed(double now) {
-    return new ForcedCloses.Closed(state, ofUpgradePeer, bytesRead, now - acceptedAt);
+  public ForcedCloses.ConnectionSnapshot snapshot(double now) {
+    return new ForcedCloses.ConnectionSnapshot(state, isUpgradePeer, bytesRead, now - acceptedAt);
   }
 
   @Override
@@ -166,7 +166,7 @@
     HttpMethod method = call.method();
     switch (path) {
       case "/-/ready" -> {
-        if (expect(ctx, method, HttpMethod.GET)) {
+        if (requireMethod(ctx, method, HttpMethod.GET)) {
           boolean ready = calls.ready();
           answer(
               ctx,
@@ -175,29 +175,29 @@
         }
       }
       case "/-/metrics" -> {
-        if (expect(ctx, method, HttpMethod.GET)) {
+        if (requireMethod(ctx, method, HttpMethod.GET)) {
           answer(ctx, HttpResponseStatus.OK, calls.metrics());
         }
       }
       case "/-/drain" -> {
-        if (expect(ctx, method, HttpMethod.POST)) {
+        if (requireMethod(ctx, method, HttpMethod.POST)) {
           calls.drain();
           answer(ctx, HttpResponseStatus.OK, "draining\n");
         }
       }
       case "/-/resume" -> {
-        if (expect(ctx, method, HttpMethod.POST)) {
+        if (requireMethod(ctx, method, HttpMethod.POST)) {
           calls.resume();
           answer(ctx, HttpResponseStatus.OK, "taking clients\n");
         }
       }
       case "/-/news", "/-/sibling", "/-/state" -> {
-        if (expect(ctx, method, HttpMethod.POST)) {
-          ofUpgradePeer = call.headers().contains(HttpHeaderNames.CONNECTION, "keep-alive", true);
+        if (requireMethod(ctx, method, HttpMethod.POST)) {
+          isUpgradePeer = call.headers().contains(HttpHeaderNames.CONNECTION, "keep-alive", true);
           fromUpgradePeer(ctx, path, call.content().toString(StandardCharsets.UTF_8));
         }
       }
-      default -> worker(ctx, method, path);
+      default -> changeWorker(ctx, method, path);
     }
   }
 
@@ -207,41 +207,44 @@
    */
   private void fromUpgradePeer(ChannelHandlerContext ctx, String path, String body) {
     try {
-      boolean taken =
+      boolean accepted =
           switch (path) {
-            case "/-/news" -> calls.callback(body);
-            case "/-/sibling" -> calls.announced(body);
+            case "/-/news" -> calls.relayedCallback(body);
+            case "/-/sibling" -> calls.peerAnnounced(body);
             default -> calls.recordReceived(body);
           };
-      answer(ctx, taken ? HttpResponseStatus.NO_CONTENT : HttpResponseStatus.NOT_FOUND, "");
-    } catch (BadRequestException | IllegalArgumentException bad) {
-      ofUpgradePeer = false;
-      answer(ctx, HttpResponseStatus.BAD_REQUEST, bad.getMessage() + "\n");
+      answer(ctx, accepted ? HttpResponseStatus.NO_CONTENT : HttpResponseStatus.NOT_FOUND, "");
+    } catch (BadRequestException | IllegalArgumentException badRequest) {
+      isUpgradePeer = false;
+      answer(ctx, HttpResponseStatus.BAD_REQUEST, badRequest.getMessage() + "\n");
     }
   }
 
   /** Handles {@code /-/menu-workers/ID/disable} and {@code .../enable}. */
-  private void worker(ChannelHandlerContext ctx, HttpMethod method, String path) {
+  private void changeWorker(ChannelHandlerContext ctx, HttpMethod method, String path) {
     int slash = path.lastIndexOf('/');
-    String verb = path.substring(slash + 1);
-    boolean out = verb.equals("disable");
-    if (!path.startsWith(WORKERS) || slash <= WORKERS.length() || !(out || verb.equals("enable"))) {
+    String action = path.substring(slash + 1);
+    boolean disable = action.equals("disable");
+    if (!path.startsWith(WORKERS_PATH)
+        || slash <= WORKERS_PATH.length()
+        || !(disable || action.equals("enable"))) {
       answer(ctx, HttpResponseStatus.NOT_FOUND, "no such call\n");
       return;
     }
-    if (!expect(ctx, method, HttpMethod.POST)) {
+    if (!requireMethod(ctx, method, HttpMethod.POST)) {
       return;
     }
-    String worker = QueryStringDecoder.decodeComponent(path.substring(WORKERS.length(), slash));
-    if (!out && calls.mayBeSuperseded(worker, arrived) && !readPending()) {
-      calls.passOver(worker);
+    String worker =
+        QueryStringDecoder.decodeComponent(path.substring(WORKERS_PATH.length(), slash));
+    if (!disable && calls.mayBeSuperseded(worker, arrivedAt) && !readPending()) {
+      calls.ignoreEnable(worker);
       return;
     }
-    String change = (out ? "taken out: " : "taken back: ") + worker;
-    calls.maintain(
+    String change = (disable ? "taken out: " : "taken back: ") + worker;
+    calls.setMaintenance(
         worker,
-        out,
-        arrived,
+        disable,
+        arrivedAt,
         outcome -> {
           switch (outcome) {
             case STORED -> answer(ctx, HttpResponseStatus.OK, change + "\n");
@@ -258,11 +261,11 @@
         });
   }
 
-  private boolean expect(ChannelHandlerContext ctx, HttpMethod method, HttpMethod wanted) {
-    if (method.equals(wanted)) {
+  private boolean requireMethod(ChannelHandlerContext ctx, HttpMethod method, HttpMethod required) {
+    if (method.equals(required)) {
       return true;
     }
-    answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + wanted + "\n");
+    answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, "use " + required + "\n");
     return false;
   }
 
@@ -270,19 +273,19 @@
     if (state != ConnectionState.BUSY) {
       return;
     }
-    boolean keep = ofUpgradePeer && !admin.finishing();
+    boolean keepAlive = isUpgradePeer && !admin.finishing();
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, status, Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
     HttpUtil.setContentLength(response, response.content().readableBytes());
     response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN);
-    if (keep) {
+    if (keepAlive) {
       state = ConnectionState.RESTING;
-      admin.connections().rest(this);
+      admin.connections().betweenRequests(this);
       ctx.writeAndFlush(response);
     } else {
       state = ConnectionState.CLOSING;
-      admin.connections().await(this);
+      admin.connections().awaitPeer(this);
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
--- a/node/src/main/java/ferngrade/http/ArrivalClock.java
+++ b/node/src/main/java/ferngrade/http/ArrivalClock.java
@@ -18,28 +18,28 @@
   private long turn;
 
   /** The time of this turn's first select, and of the previous turn's last select, in ms. */
-  private double looked;
+  private double selectedAt;
 
-  private double lookedBefore;
+  private double previousSelectedAt;
 
   /**
    * True if this turn blocked in select because nothing was ready; the bytes it reads then arrived
    * when it began to work.
    */
-  private boolean waited;
+  private boolean blocked;
 
-  private double began = Double.NaN;
-  private DoubleConsumer turnLengths = length -> {};
+  private double workStartedAt = Double.NaN;
+  private DoubleConsumer turnListener = length -> {};
 
   public ArrivalClock(Clock clock) {
     this.clock = clock;
-    this.looked = clock.now();
-    this.lookedBefore = looked;
+    this.selectedAt = clock.now();
+    this.previousSelectedAt = selectedAt;
   }
 
   /** Sets the listener that receives the time each turn spent working, in ms. */
   public void onTurn(DoubleConsumer listener) {
-    turnLengths = listener;
+    turnListener = listener;
   }
 
   @Override
@@ -50,16 +50,16 @@
   @Override
   public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
     double now = clock.now();
-    if (!waited || !Double.isNaN(began)) {
-      turnLengths.accept(now - (waited ? began : looked));
+    if (!blocked || !Double.isNaN(workStartedAt)) {
+      turnListener.accept(now - (blocked ? workStartedAt : selectedAt));
     }
-    lookedBefore = waited && !Double.isNaN(began) ? began : looked;
-    looked = now;
-    began = Double.NaN;
+    previousSelectedAt = blocked && !Double.isNaN(workStartedAt) ? workStartedAt : selectedAt;
+    selectedAt = now;
+    workStartedAt = Double.NaN;
     turn++;
     int ready = selectNow.get();
-    waited = ready == 0 && !hasTasks;
-    return waited ? SelectStrategy.SELECT : ready;
+    blocked = ready == 0 && !hasTasks;
+    return blocked ? SelectStrategy.SELECT : ready;
   }
 
   /**
@@ -67,8 +67,8 @@
    * wait.
    */
   public void working() {
-    if (Double.isNaN(began)) {
-      began = clock.now();
+    if (Double.isNaN(workStartedAt)) {
+      workStartedAt = clock.now();
     }
   }
 
@@ -83,6 +83,6 @@
    */
   public double since() {
     working();
-    return waited ? began : lookedBefore;
+    return blocked ? workStartedAt : previousSelectedAt;
   }
 }
--- a/node/src/main/java/ferngrade/http/AttemptExchange.java
+++ b/node/src/main/java/ferngrade/http/AttemptExchange.java
@@ -20,7 +20,7 @@
  */
 final class AttemptExchange extends HttpExchange implements AttemptHandle {
   private final WorkerClient client;
-  private final JobRequest call;
+  private final JobRequest job;
   private final InetSocketAddress worker;
 
   /** The time at which the node stops waiting for the attempt, in ms on the node's clock. */
@@ -32,12 +32,12 @@
 
   AttemptExchange(
       WorkerClient client,
-      JobRequest call,
+      JobRequest job,
       InetSocketAddress worker,
       double timeout,
       Listener listener) {
     this.client = client;
-    this.call = call;
+    this.job = job;
     this.worker = worker;
     this.deadline = client.now() + timeout;
     this.listener = listener;
@@ -85,21 +85,21 @@
     client.beforeStart();
     boolean wanted = listener.mayStart();
     // Computed as late as possible, because a dial may have used up the time.
-    double left = deadline - client.now();
-    if (!wanted || left <= 0) {
+    double remaining = deadline - client.now();
+    if (!wanted || remaining <= 0) {
       end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
       return null;
     }
     FullHttpRequest request =
-        newRequest(HttpMethod.valueOf(call.method()), call.target(), worker, call.body());
-    request.headers().set(Headers.ID, call.id());
-    request.headers().set(Headers.DEADLINE, WorkerDeadline.header(left));
-    request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
+        newRequest(HttpMethod.valueOf(job.method()), job.target(), worker, job.body());
+    request.headers().set(Headers.ID, job.id());
+    request.headers().set(Headers.DEADLINE, WorkerDeadline.header(remaining));
+    request.headers().set(HttpHeaderNames.CONTENT_LENGTH, job.body().length);
     if (client.process() != null) {
       request.headers().set(Headers.PROCESS, client.process());
     }
-    if (call.repeatKey() != null) {
-      request.headers().set(Headers.REPEAT_KEY, call.repeatKey());
+    if (job.repeatKey() != null) {
+      request.headers().set(Headers.IDEMPOTENCY_KEY, job.repeatKey());
     }
     return request;
   }
@@ -137,14 +137,14 @@
           .log()
           .line(
               "worker's answer",
-              "worker " + worker + " answered " + status + " to job " + call.id());
+              "worker " + worker + " answered " + status + " to job " + job.id());
       boolean unusable = HttpStatusClass.valueOf(status) == HttpStatusClass.CLIENT_ERROR;
       end(unusable ? AttemptOutcome.UNUSABLE : AttemptOutcome.ERROR, report);
     }
   }
 
   @Override
-  void broken(FaultOrigin origin) {
+  void connectionLost(FaultOrigin origin) {
     connection = null;
     // Before the last byte is written the worker cannot have started the job; after that it may
     // have.
@@ -192,7 +192,7 @@
       connection.close();
     }
     if (mayRun) {
-      client.start(worker, new CancellationExchange(client, worker, call.id(), whenNotified));
+      client.start(worker, new CancellationExchange(client, worker, job.id(), whenNotified));
     } else {
       whenNotified.run();
     }
--- a/node/src/main/java/ferngrade/http/CancellationExchange.java
+++ b/node/src/main/java/ferngrade/http/CancellationExchange.java
@@ -14,11 +14,11 @@
  */
 final class CancellationExchange extends HttpExchange {
   /** The maximum duration of a cancellation, in ms. */
-  private static final double TIMEOUT = 2000;
+  private static final double TIMEOUT_MILLIS = 2000;
 
   private final WorkerClient client;
   private final InetSocketAddress worker;
-  private final String id;
+  private final String jobId;
   private final Runnable whenNotified;
   private WorkerConnection connection;
   private Timers.Timer timeout;
@@ -26,16 +26,16 @@
   private boolean notified;
 
   CancellationExchange(
-      WorkerClient client, InetSocketAddress worker, String id, Runnable whenNotified) {
+      WorkerClient client, InetSocketAddress worker, String jobId, Runnable whenNotified) {
     this.client = client;
     this.worker = worker;
-    this.id = id;
+    this.jobId = jobId;
     this.whenNotified = whenNotified;
   }
 
   @Override
   double dialTimeout() {
-    return TIMEOUT;
+    return TIMEOUT_MILLIS;
   }
 
   @Override
@@ -45,13 +45,13 @@
 
   @Override
   FullHttpRequest request() {
-    return newRequest(HttpMethod.DELETE, "/jobs/" + id, worker, new byte[0]);
+    return newRequest(HttpMethod.DELETE, "/jobs/" + jobId, worker, new byte[0]);
   }
 
   @Override
   void carriedBy(WorkerConnection carrier) {
     connection = carrier;
-    timeout = client.timers().after(TIMEOUT, carrier::close);
+    timeout = client.timers().after(TIMEOUT_MILLIS, carrier::close);
   }
 
   @Override
@@ -69,7 +69,7 @@
    * on its way; this is safe because a cancellation is idempotent.
    */
   @Override
-  void broken(FaultOrigin origin) {
+  void connectionLost(FaultOrigin origin) {
     timeout.cancel();
     if (!retried && (connection.reusedAfter >= 0 || origin == FaultOrigin.LOCAL)) {
       retried = true;
--- a/node/src/main/java/ferngrade/http/ClientConnection.java
+++ b/node/src/main/java/ferngrade/http/ClientConnection.java
@@ -22,10 +22,10 @@
  * response. Confined to the event loop.
  */
 final class ClientConnection implements ManagedConnection {
-  private final HttpFrontend front;
+  private final HttpFrontend frontend;
   private final ConnectionTable<ClientConnection> connections;
   private final ClientRequestHandler requests;
-  private final ClientConnectionHandler reader;
+  private final ClientConnectionHandler handler;
 
   /**
    * The earliest time at which the connection may have entered the accept backlog, in ms on the
@@ -51,17 +51,17 @@
   private String jobId;
 
   /** The response to a request whose bytes are still being decoded; null if there is none. */
-  private FullHttpResponse deferred;
+  private FullHttpResponse deferredResponse;
 
   ClientConnection(
-      HttpFrontend front,
+      HttpFrontend frontend,
       ClientRequestHandler requests,
-      ClientConnectionHandler reader,
+      ClientConnectionHandler handler,
       double acceptedSince) {
-    this.front = front;
-    this.connections = front.connections();
+    this.frontend = frontend;
+    this.connections = frontend.connections();
     this.requests = requests;
-    this.reader = reader;
+    this.handler = handler;
     this.acceptedSince = acceptedSince;
   }
 
@@ -73,7 +73,7 @@
 
   /** Handles the end of the connection, closed by either side. */
   void ended() {
-    front.closed(this);
+    frontend.closed(this);
     clientGone();
   }
 
@@ -88,8 +88,9 @@
   }
 
   @Override
-  public ForcedCloses.Closed asClosed(double now) {
-    return new ForcedCloses.Closed(state, trusted, reader.bytes().count(), now - acceptedSince);
+  public ForcedCloses.ConnectionSnapshot snapshot(double now) {
+    return new ForcedCloses.ConnectionSnapshot(
+        state, trusted, handler.bytesReader().bytesRead(), now - acceptedSince);
   }
 
   // ---- The request in progress ----
@@ -116,7 +117,7 @@
    * Updates the state after all available bytes were read; {@code partialRequest} is true if they
    * end within a request.
    */
-  void read(boolean partialRequest) {
+  void readCompleted(boolean partialRequest) {
     if (canBegin()) {
       state = partialRequest ? ConnectionState.RECEIVING : ConnectionState.RESTING;
       if (partialRequest) {
@@ -172,7 +173,7 @@
    * produce one.
    */
   boolean unanswered() {
-    return jobId == null && deferred == null;
+    return jobId == null && deferredResponse == null;
   }
 
   /** Marks the connection as trusted: a job, or a callback for a job, has arrived on it. */
@@ -194,14 +195,15 @@
 
   @Override
   public boolean readPending() {
-    return PendingReads.openAfterReading((AbstractNioChannel) channel, reader.bytes()::count);
+    return PendingReads.openAfterReading(
+        (AbstractNioChannel) channel, handler.bytesReader()::bytesRead);
   }
 
   private void clientGone() {
     if (jobId != null) {
       requests.clientGone(jobId);
       jobId = null;
-      front.jobEnded();
+      frontend.jobEnded();
     }
   }
 
@@ -222,42 +224,42 @@
   /** Writes the response to the request in progress. */
   void respond(FullHttpResponse response) {
     // Whether a response is the last one is only known when all bytes read are decoded.
-    if (reader.bytes().decoding()) {
-      deferred = response;
+    if (handler.bytesReader().decoding()) {
+      deferredResponse = response;
       return;
     }
     boolean wasJob = jobId != null;
     jobId = null;
-    boolean keep = !lastResponse();
+    boolean keepAlive = !lastResponse();
     if (!response.status().equals(HttpResponseStatus.NO_CONTENT)) {
       HttpUtil.setContentLength(response, response.content().readableBytes());
     }
-    if (!keep) {
+    if (!keepAlive) {
       response.headers().set(HttpHeaderNames.CONNECTION, "close");
     }
     ChannelFuture written = channel.writeAndFlush(response);
     if (written.isDone()) {
       // With many responses in a row, a listener would run in a later task of the event loop.
-      written(written.isSuccess(), wasJob, keep);
+      written(written.isSuccess(), wasJob, keepAlive);
       return;
     }
     state = ConnectionState.RESPONDING;
-    connections.await(this);
-    if (!keep) {
+    connections.awaitPeer(this);
+    if (!keepAlive) {
       // Requests that can no longer be answered are not read.
       endReading();
     }
-    written.addListener(future -> written(future.isSuccess(), wasJob, keep));
+    written.addListener(future -> written(future.isSuccess(), wasJob, keepAlive));
   }
 
-  private void written(boolean success, boolean wasJob, boolean keep) {
+  private void written(boolean success, boolean wasJob, boolean keepAlive) {
     if (wasJob) {
-      front.jobEnded();
+      frontend.jobEnded();
     }
     if (!success) {
       channel.close();
-    } else if (keep) {
-      next();
+    } else if (keepAlive) {
+      beginNext();
     } else {
       closeGracefully();
     }
@@ -265,8 +267,8 @@
 
   /** Writes the response that was deferred until the end of the decoding, if any. */
   void respondDeferred() {
-    FullHttpResponse response = deferred;
-    deferred = null;
+    FullHttpResponse response = deferredResponse;
+    deferredResponse = null;
     if (response != null) {
       respond(response);
     }
@@ -277,24 +279,24 @@
    * another request that has been read needs a response.
    */
   private boolean lastResponse() {
-    boolean draining = front.draining() && !reader.bytes().holdsPartialRequest();
-    return !reader.hasPipelined() && (closeRequested || draining);
+    boolean draining = frontend.draining() && !handler.bytesReader().holdsPartialRequest();
+    return !handler.hasPipelined() && (closeRequested || draining);
   }
 
   /**
    * Handles the next request that has been read, or marks the connection as having no request in
    * progress.
    */
-  void next() {
-    if (reader.beginPipelined()) {
+  void beginNext() {
+    if (handler.beginPipelined()) {
       return;
     }
-    if (reader.bytes().holdsPartialRequest()) {
+    if (handler.bytesReader().holdsPartialRequest()) {
       state = ConnectionState.RECEIVING;
-      connections.await(this);
+      connections.awaitPeer(this);
     } else {
       state = ConnectionState.RESTING;
-      front.rest(this);
+      frontend.betweenRequests(this);
     }
   }
 
@@ -311,7 +313,7 @@
       return;
     }
     state = ConnectionState.CLOSING;
-    connections.await(this);
+    connections.awaitPeer(this);
     ((DuplexChannel) channel).shutdownOutput();
     channel.config().setAutoRead(true);
   }
@@ -338,7 +340,7 @@
   }
 
   /** Rejects a partially received request because the process is ending. */
-  void rejectUnfinished() {
+  void rejectIfPartial() {
     if (state == ConnectionState.RECEIVING) {
       rejectPartialRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
     }
@@ -355,7 +357,7 @@
 
   private void rejectPartialRequest(HttpResponseStatus status, String body) {
     begin();
-    reader.bytes().endDecoding();
+    handler.bytesReader().endDecoding();
     respondAndClose(status, body);
     // Frees the memory of the request now and not only when the client closes.
     channel.pipeline().remove(BodyAggregator.class);
--- a/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
@@ -23,7 +23,7 @@
   private final ClientConnection connection;
   private final ClientRequestHandler requests;
   private final RateLimitedLog log;
-  private final RequestBytesReader bytes;
+  private final RequestBytesReader bytesReader;
 
   /** The requests that have been read behind the request in progress. */
   private final PipelinedRequests pipelined;
@@ -35,31 +35,31 @@
    * acceptedSince}, in ms on the node's clock.
    */
   ClientConnectionHandler(
-      HttpFrontend front,
+      HttpFrontend frontend,
       ClientRequestHandler requests,
       RateLimitedLog log,
       RequestPacer pacer,
       double acceptedSince) {
-    this.connection = new ClientConnection(front, requests, this, acceptedSince);
+    this.connection = new ClientConnection(frontend, requests, this, acceptedSince);
     this.requests = requests;
     this.log = log;
-    this.bytes = new RequestBytesReader(connection, pacer, acceptedSince);
-    this.pipelined = new PipelinedRequests(front);
+    this.bytesReader = new RequestBytesReader(connection, pacer, acceptedSince);
+    this.pipelined = new PipelinedRequests(frontend);
   }
 
   /** Adds the connection's codec and this handler to the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(
-        bytes,
-        bytes.decoder(),
+        bytesReader,
+        bytesReader.decoder(),
         new HttpResponseEncoder(),
-        new BodyAggregator(HttpFrontend.MAX_BODY),
+        new BodyAggregator(HttpFrontend.MAX_BODY_BYTES),
         this);
   }
 
   /** Returns the handler that passes the bytes of the connection to the decoder. */
-  RequestBytesReader bytes() {
-    return bytes;
+  RequestBytesReader bytesReader() {
+    return bytesReader;
   }
 
   /**
@@ -67,7 +67,7 @@
    * are not decoded yet.
    */
   boolean hasPipelined() {
-    return !pipelined.isEmpty() || bytes.holdsUndecoded();
+    return !pipelined.isEmpty() || bytesReader.holdsUndecoded();
   }
 
   // ---- Events of the connection ----
@@ -85,13 +85,13 @@
         || !(message instanceof FullHttpRequest request)) {
       ReferenceCountUtil.release(message);
     } else if (connection.canBegin() && !connection.closeRequested()) {
-      begin(request, bytes.arrived());
-    } else if (connection.closeRequested() || !pipelined.add(request, bytes.arrived())) {
+      begin(request, bytesReader.arrivedAt());
+    } else if (connection.closeRequested() || !pipelined.add(request, bytesReader.arrivedAt())) {
       connection.requestClose();
       pipelined.reject();
       request.release();
       if (connection.canBegin()) {
-        connection.next();
+        connection.beginNext();
       }
     }
   }
@@ -106,7 +106,7 @@
       pipelined.reject();
     } else {
       connection.requestClose();
-      pipelined.addTooLarge(bytes.arrived());
+      pipelined.addTooLarge(bytesReader.arrivedAt());
     }
   }
 
@@ -115,7 +115,7 @@
     if (cause instanceof IOException || connection.state() == ConnectionState.CLOSING) {
       ctx.close();
     } else {
-      log.line("front failed", "bytes could not be decoded: " + cause);
+      log.line("frontend failed", "bytes could not be decoded: " + cause);
       connection.requestClose();
       if (connection.canBegin()) {
         connection.begin();
@@ -127,7 +127,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     pipelined.release();
-    bytes.endDecoding();
+    bytesReader.endDecoding();
     connection.ended();
   }
 
@@ -140,14 +140,14 @@
         connection.requestClose();
       }
       requests.handle(connection, request, arrivedAt);
-    } catch (BadRequestException bad) {
+    } catch (BadRequestException badRequest) {
       log.line(
           "bad request",
-          "bad request from " + context.channel().remoteAddress() + ": " + bad.getMessage());
-      connection.respondAndClose(HttpResponseStatus.BAD_REQUEST, bad.getMessage());
+          "bad request from " + context.channel().remoteAddress() + ": " + badRequest.getMessage());
+      connection.respondAndClose(HttpResponseStatus.BAD_REQUEST, badRequest.getMessage());
     } catch (RuntimeException fault) {
       // The request still needs a response. If its job has started, the coordinator sends it.
-      log.line("front failed", "request could not be handled: " + fault);
+      log.line("frontend failed", "request could not be handled: " + fault);
       connection.requestClose();
       if (connection.unanswered()) {
         connection.respondAndClose(HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
@@ -165,19 +165,19 @@
     if (pipelined.isEmpty()) {
       return false;
     }
-    if (!bytes.mayBeginNow()) {
+    if (!bytesReader.mayBeginNow()) {
       connection.begin();
       return true;
     }
     PipelinedRequests.Entry first = pipelined.poll();
-    switch (first.kind()) {
-      case HANDLE -> begin(first.request(), first.arrived());
+    switch (first.action()) {
+      case HANDLE -> begin(first.request(), first.arrivedAt());
       case TOO_LARGE -> rejectTooLarge();
       case REJECT -> {
         connection.begin();
         connection.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
       }
-      default -> throw new IllegalStateException("no such kind: " + first.kind());
+      default -> throw new IllegalStateException("unknown action: " + first.action());
     }
     return true;
   }
@@ -186,6 +186,6 @@
     connection.begin();
     connection.respondAndClose(
         HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-        "a body holds at most " + HttpFrontend.MAX_BODY + " bytes");
+        "a body holds at most " + HttpFrontend.MAX_BODY_BYTES + " bytes");
   }
 }
--- a/node/src/main/java/ferngrade/http/ClientRequestHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -21,14 +21,14 @@
   private static final String READY_PATH = "/-/ready";
   private static final String CALLBACK_PATH = "/_jobs/news";
 
-  private final HttpFrontend front;
+  private final HttpFrontend frontend;
   private final RequestCoordinator coordinator;
   private final RequestReader reader;
   private final Clock clock;
 
   ClientRequestHandler(
-      HttpFrontend front, RequestCoordinator coordinator, RequestReader reader, Clock clock) {
-    this.front = front;
+      HttpFrontend frontend, RequestCoordinator coordinator, RequestReader reader, Clock clock) {
+    this.frontend = frontend;
     this.coordinator = coordinator;
     this.reader = reader;
     this.clock = clock;
@@ -37,27 +37,27 @@
   /**
    * Handles a complete request.
    *
-   * @param arrived the earliest time at which the request may have arrived on this machine, in ms
+   * @param arrivedAt the earliest time at which the request may have arrived on this machine, in ms
    *     on the node's clock
    * @throws BadRequestException if the request is invalid; no response has been written then
    */
-  void handle(ClientConnection connection, FullHttpRequest request, double arrived)
+  void handle(ClientConnection connection, FullHttpRequest request, double arrivedAt)
       throws BadRequestException {
     if (request.decoderResult().isFailure()) {
       throw new BadRequestException("not a request in HTTP");
     }
     String path = new QueryStringDecoder(request.uri()).rawPath();
     if (path.equals(READY_PATH)) {
-      boolean ready = coordinator.ready() && !front.draining();
+      boolean ready = coordinator.ready() && !frontend.draining();
       connection.respond(
           ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
     } else if (!request.method().equals(HttpMethod.POST)) {
       connection.respondAndClose(HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
     } else if (path.equals(CALLBACK_PATH)) {
       String body = request.content().toString(StandardCharsets.UTF_8);
-      callback(connection, WorkerCallbackParser.read(body), body);
+      callback(connection, WorkerCallbackParser.parse(body), body);
     } else {
-      job(connection, request, arrived);
+      job(connection, request, arrivedAt);
     }
   }
 
@@ -74,8 +74,8 @@
    * the callback, and the worker does not have to send it again.
    */
   private void callback(ClientConnection connection, WorkerCallback callback, String body) {
-    if (front.upgradePeers() != null && !coordinator.knowsOf(callback.id())) {
-      front
+    if (frontend.upgradePeers() != null && !coordinator.knowsOf(callback.id())) {
+      frontend
           .upgradePeers()
           .relay(
               body,
@@ -95,27 +95,27 @@
     connection.respond(HttpResponseStatus.NO_CONTENT, "");
   }
 
-  private void job(ClientConnection connection, FullHttpRequest request, double arrived)
+  private void job(ClientConnection connection, FullHttpRequest request, double arrivedAt)
       throws BadRequestException {
-    Job job = reader.job(request, arrived);
+    Job job = reader.job(request, arrivedAt);
     JobResponseHandler response = new JobResponseHandler(connection);
-    ShutdownBudget budget = front.budget();
+    ShutdownBudget budget = frontend.budget();
     if (budget != null) {
-      if (front.finishing() || budget.tooLittleFor(job.due(), clock.now())) {
+      if (frontend.finishing() || budget.tooShortFor(job.due(), clock.now())) {
         coordinator.reject(job, response, 0, RejectionReason.SHUTDOWN);
         return;
       }
-      job = budget.capped(job);
+      job = budget.capDeadline(job);
     }
-    if (front.atJobLimit()) {
+    if (frontend.atJobLimit()) {
       coordinator.rejectForCapacity(job, response);
       return;
     }
-    front.jobStarted();
+    frontend.jobStarted();
     connection.jobStarted(job.id());
-    if (!coordinator.request(job, RequestReader.call(request, job.id()), response)) {
+    if (!coordinator.request(job, RequestReader.jobRequest(request, job.id()), response)) {
       connection.jobNotStarted();
-      front.jobEnded();
+      frontend.jobEnded();
       throw new BadRequestException("Req-Id has been used");
     }
     connection.trust();
--- a/node/src/main/java/ferngrade/http/ConnectionLimits.java
+++ b/node/src/main/java/ferngrade/http/ConnectionLimits.java
@@ -14,41 +14,41 @@
    * The file descriptors of the runtime itself, the listeners, discovery (two while its address
    * changes) and the peers.
    */
-  private static final int OWN = 24;
+  private static final int RESERVED_DESCRIPTORS = 24;
 
   /**
    * The share of the descriptors reserved for connections that are not counted: accepts and closes
    * in progress.
    */
-  private static final double SPARE = 0.06;
+  private static final double UNCOUNTED_SHARE = 0.06;
 
   /**
    * The share of the remaining descriptors for connections to workers. Each is in use from the send
    * of an attempt to the 202.
    */
-  private static final double WORKERS = 0.3;
+  private static final double WORKER_SHARE = 0.3;
 
   /**
    * The share of the client connections for jobs in flight. It exceeds the third of all descriptors
    * that clients hold for requests, and leaves the rest to callbacks, without which no job in
    * flight would ever end.
    */
-  private static final double JOBS = 0.6;
+  private static final double JOB_SHARE = 0.6;
 
-  private static final double AWAITED = 0.25;
+  private static final double AWAITED_SHARE = 0.25;
 
   /** Returns the limits for a number of file descriptors and a size of memory. */
   public static ConnectionLimits within(int sockets, int memoryMb) {
-    int usable = (int) (sockets * (1 - SPARE)) - OWN;
-    int workers = (int) (WORKERS * usable);
+    int usable = (int) (sockets * (1 - UNCOUNTED_SHARE)) - RESERVED_DESCRIPTORS;
+    int workers = (int) (WORKER_SHARE * usable);
     int clients = usable - workers;
     // Each awaited connection may hold nearly a whole body. Together they may use a sixteenth of
     // the memory.
-    int bodies = (memoryMb << 20) / 16 / HttpFrontend.MAX_BODY;
+    int bodies = (memoryMb << 20) / 16 / HttpFrontend.MAX_BODY_BYTES;
     return new ConnectionLimits(
         clients,
-        (int) (JOBS * clients),
-        Math.min((int) (AWAITED * clients), bodies),
+        (int) (JOB_SHARE * clients),
+        Math.min((int) (AWAITED_SHARE * clients), bodies),
         workers,
         ((long) memoryMb << 20) / 32);
   }
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -18,48 +18,48 @@
  */
 public final class ConnectionPool {
   /** The share of the workers' idle limit after which an idle connection is closed. */
-  private static final double RETIRE = 0.5;
+  private static final double MAX_IDLE_SHARE = 0.5;
 
-  private static final double SWEEP = 1000;
+  private static final double SWEEP_INTERVAL_MILLIS = 1000;
 
   /**
    * The minimum of a learned idle limit, in ms, and the time after which a learned limit doubles,
    * in ms.
    */
-  private static final double MIN_LEARNED_LIMIT = 20;
+  private static final double MIN_LEARNED_LIMIT_MILLIS = 20;
 
-  private static final double RECOVERY = 10_000;
+  private static final double LEARNED_LIMIT_DOUBLING_MILLIS = 10_000;
 
   /**
    * The minimum idle time before a connection is used again, in ms. A worker may send a second
    * answer some milliseconds late; if the connection already carried the next request, that answer
    * would be taken for the response to it.
    */
-  private static final double SETTLED = 50;
+  private static final double MIN_IDLE_MILLIS = 50;
 
   /** The maximum number of idle connections kept for one worker. */
-  private static final int MAX_IDLE = 16;
+  private static final int MAX_IDLE_PER_WORKER = 16;
 
   private final Clock clock;
   private final Timers timers;
-  private final double maxIdleMs;
+  private final double maxIdleMillis;
   private int maxOpen;
   private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
-  private final Map<InetSocketAddress, Learned> learned = new HashMap<>();
-  private int open;
+  private final Map<InetSocketAddress, LearnedLimit> learnedLimits = new HashMap<>();
+  private int openConnections;
 
   /**
    * The time after which a worker closed its idle connections, and when the pool learned it, both
    * in ms.
    */
-  private record Learned(double limit, double at) {}
+  private record LearnedLimit(double limit, double learnedAt) {}
 
   public ConnectionPool(Clock clock, Timers timers, double idleLimit, int maxOpen) {
     this.clock = clock;
     this.timers = timers;
-    this.maxIdleMs = RETIRE * idleLimit;
+    this.maxIdleMillis = MAX_IDLE_SHARE * idleLimit;
     this.maxOpen = maxOpen;
-    timers.after(SWEEP, this::sweep);
+    timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 
   /**
@@ -76,7 +76,7 @@
       double idleFor = clock.now() - connection.idleSince;
       if (!connection.isActive() || idleFor >= limit(worker)) {
         connection.close();
-      } else if (idleFor >= SETTLED && connection.activeAfterReading()) {
+      } else if (idleFor >= MIN_IDLE_MILLIS && connection.activeAfterReading()) {
         pooled.remove(connection);
         connection.reusedAfter = idleFor;
         return connection;
@@ -86,16 +86,20 @@
   }
 
   private double limit(InetSocketAddress worker) {
-    Learned last = learned.get(worker);
-    return last == null
-        ? maxIdleMs
-        : Math.min(maxIdleMs, last.limit * Math.pow(2, (clock.now() - last.at) / RECOVERY));
+    LearnedLimit learned = learnedLimits.get(worker);
+    return learned == null
+        ? maxIdleMillis
+        : Math.min(
+            maxIdleMillis,
+            learned.limit
+                * Math.pow(2, (clock.now() - learned.learnedAt) / LEARNED_LIMIT_DOUBLING_MILLIS));
   }
 
   /** Learns that the worker closed a connection that had been idle for {@code millis} ms. */
-  private void lasted(InetSocketAddress worker, double millis) {
-    double limit = Math.max(MIN_LEARNED_LIMIT, Math.min(limit(worker), RETIRE * millis));
-    learned.put(worker, new Learned(limit, clock.now()));
+  private void learnLimit(InetSocketAddress worker, double millis) {
+    double limit =
+        Math.max(MIN_LEARNED_LIMIT_MILLIS, Math.min(limit(worker), MAX_IDLE_SHARE * millis));
+    learnedLimits.put(worker, new LearnedLimit(limit, clock.now()));
   }
 
   /** Returns the number of idle connections. */
@@ -108,25 +112,25 @@
    */
   public void limitTo(int connections) {
     maxOpen = connections;
-    for (int excess = open - maxOpen; excess > 0; excess--) {
-      dropOldest();
+    for (int excess = openConnections - maxOpen; excess > 0; excess--) {
+      closeOldestIdle();
     }
   }
 
   /** Reserves capacity for a new connection. Returns false if there is none. */
   boolean reserve() {
-    if (open >= maxOpen && !dropOldest()) {
+    if (openConnections >= maxOpen && !closeOldestIdle()) {
       return false;
     }
-    open++;
+    openConnections++;
     return true;
   }
 
-  private boolean dropOldest() {
+  private boolean closeOldestIdle() {
     for (Deque<WorkerConnection> pooled : idle.values()) {
       if (!pooled.isEmpty()) {
         pooled.pollLast().close();
-        return open < maxOpen;
+        return openConnections < maxOpen;
       }
     }
     return false;
@@ -134,13 +138,13 @@
 
   /** Releases the reservation of a connection that could not be opened. */
   void unreserve() {
-    open--;
+    openConnections--;
   }
 
   void release(WorkerConnection connection) {
     Deque<WorkerConnection> pooled =
         idle.computeIfAbsent(connection.worker(), worker -> new ArrayDeque<>());
-    if (!connection.isActive() || pooled.size() >= MAX_IDLE) {
+    if (!connection.isActive() || pooled.size() >= MAX_IDLE_PER_WORKER) {
       connection.close();
       return;
     }
@@ -150,14 +154,14 @@
   }
 
   void ended(WorkerConnection connection) {
-    open--;
+    openConnections--;
     Deque<WorkerConnection> pooled = idle.get(connection.worker());
     boolean wasIdle = pooled != null && pooled.remove(connection);
-    if (!connection.endedHere()) {
+    if (!connection.closedLocally()) {
       if (wasIdle) {
-        lasted(connection.worker(), clock.now() - connection.idleSince);
+        learnLimit(connection.worker(), clock.now() - connection.idleSince);
       } else if (connection.reusedAfter >= 0) {
-        lasted(connection.worker(), connection.reusedAfter);
+        learnLimit(connection.worker(), connection.reusedAfter);
       }
     }
   }
@@ -166,13 +170,13 @@
     double now = clock.now();
     for (Deque<WorkerConnection> pooled : idle.values()) {
       for (WorkerConnection connection : new ArrayList<>(pooled)) {
-        if (now - connection.idleSince >= maxIdleMs) {
+        if (now - connection.idleSince >= maxIdleMillis) {
           connection.close();
         }
       }
     }
     idle.values().removeIf(Deque::isEmpty);
-    learned.keySet().removeIf(worker -> limit(worker) >= maxIdleMs);
-    timers.after(SWEEP, this::sweep);
+    learnedLimits.keySet().removeIf(worker -> limit(worker) >= maxIdleMillis);
+    timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 }
--- a/node/src/main/java/ferngrade/http/ConnectionTable.java
+++ b/node/src/main/java/ferngrade/http/ConnectionTable.java
@@ -26,19 +26,19 @@
  */
 final class ConnectionTable<C extends ManagedConnection> {
   /** The interval between two checks for connections that exceed their timeout, in ms. */
-  private static final double SWEEP_INTERVAL = 250;
+  private static final double SWEEP_INTERVAL_MILLIS = 250;
 
   /**
    * The share of all connections that is kept free, or the number of connections of one accept if
    * that is smaller. With less free capacity, idle untrusted connections get no grace period.
    */
-  private static final double SCARCE = 0.25;
+  private static final double RESERVED_SHARE = 0.25;
 
   private final Clock clock;
   private final Timers timers;
   private final Executor loop;
   private final AcceptSwitch acceptSwitch;
-  private final ForcedCloses closes;
+  private final ForcedCloses forcedCloses;
 
   /** The maximum time to wait for a peer's input, in ms. */
   private final double timeout;
@@ -64,28 +64,28 @@
    * The services that a table uses; {@code loop} runs tasks at the end of the current turn of the
    * event loop.
    */
-  record Surroundings(Clock clock, Timers timers, Executor loop, ForcedCloses closes) {}
+  record Dependencies(Clock clock, Timers timers, Executor loop, ForcedCloses forcedCloses) {}
 
   /**
    * Creates a table of the connections that {@code acceptSwitch} accepts. The table waits for the
    * input of a peer for at most {@code timeout} ms.
    */
   ConnectionTable(
-      Limits limits, double timeout, AcceptSwitch acceptSwitch, Surroundings surroundings) {
+      Limits limits, double timeout, AcceptSwitch acceptSwitch, Dependencies dependencies) {
     this.limits = limits;
     this.timeout = timeout;
     this.acceptSwitch = acceptSwitch;
-    this.clock = surroundings.clock();
+    this.clock = dependencies.clock();
     this.awaited = new AwaitedConnections<>(clock);
-    this.timers = surroundings.timers();
-    this.loop = surroundings.loop();
-    this.closes = surroundings.closes();
-    acceptSwitch.places(limits.open());
+    this.timers = dependencies.timers();
+    this.loop = dependencies.loop();
+    this.forcedCloses = dependencies.forcedCloses();
+    acceptSwitch.setCapacity(limits.open());
   }
 
   /** Starts the periodic check for timeouts. */
   void startSweeping() {
-    timers.after(SWEEP_INTERVAL, this::sweep);
+    timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 
   boolean isEmpty() {
@@ -108,11 +108,11 @@
   }
 
   /** Returns true while another connection fits without closing others. */
-  boolean hasPlace() {
-    return places() > 0;
+  boolean hasCapacity() {
+    return freeCapacity() > 0;
   }
 
-  private int places() {
+  private int freeCapacity() {
     return limits.open() - open.size();
   }
 
@@ -121,8 +121,8 @@
    */
   void limitTo(Limits changed) {
     limits = changed;
-    acceptSwitch.places(places());
-    reviewLater();
+    acceptSwitch.setCapacity(freeCapacity());
+    scheduleReview();
   }
 
   // ---- Notifications from connections ----
@@ -131,8 +131,8 @@
   void opened(C connection) {
     accepted++;
     open.add(connection);
-    await(connection);
-    acceptSwitch.places(places());
+    awaitPeer(connection);
+    acceptSwitch.setCapacity(freeCapacity());
   }
 
   /** Removes a connection that has ended, closed by either side. */
@@ -140,27 +140,27 @@
     open.remove(connection);
     idle.remove(connection);
     awaited.remove(connection);
-    acceptSwitch.places(places());
+    acceptSwitch.setCapacity(freeCapacity());
   }
 
   /**
    * Starts to wait for the peer of a connection; if the table already waits for it, the timeout
    * restarts.
    */
-  void await(C connection) {
+  void awaitPeer(C connection) {
     idle.remove(connection);
     if (open.contains(connection)) {
       awaited.add(connection);
-      reviewLater();
+      scheduleReview();
     }
   }
 
   /** Handles the arrival of the first bytes of a request. */
   void receiving(C connection) {
     if (!awaited.contains(connection)) {
-      await(connection);
+      awaitPeer(connection);
     }
-    reviewLater();
+    scheduleReview();
   }
 
   /** Handles the arrival of a complete request, which is handled from now on. */
@@ -173,15 +173,15 @@
    * Handles the end of a request: a trusted connection becomes idle, for an untrusted one the wait
    * for its next request begins.
    */
-  void rest(C connection) {
+  void betweenRequests(C connection) {
     if (!connection.trusted()) {
-      await(connection);
+      awaitPeer(connection);
       return;
     }
     awaited.remove(connection);
     if (open.contains(connection)) {
       idle.add(connection);
-      reviewLater();
+      scheduleReview();
     }
   }
 
@@ -191,10 +191,10 @@
    * input has to wait in any case.
    */
   void readPending() {
-    acceptSwitch.acceptWaiting(this::accepted, this::hasPlace);
-    for (C each : open()) {
-      if (open.contains(each) && awaitsRequest(each)) {
-        read(each);
+    acceptSwitch.acceptWaiting(this::accepted, this::hasCapacity);
+    for (C connection : open()) {
+      if (open.contains(connection) && awaitsRequest(connection)) {
+        read(connection);
       }
     }
   }
@@ -209,10 +209,10 @@
   // ---- Eviction ----
 
   private boolean limitReached() {
-    return awaited.size() > limits.awaited() || !hasPlace();
+    return awaited.size() > limits.awaited() || !hasCapacity();
   }
 
-  private void reviewLater() {
+  private void scheduleReview() {
     if (limitReached() && !reviewScheduled) {
       reviewScheduled = true;
       loop.execute(this::review);
@@ -229,50 +229,53 @@
       awaited.unread().forEach(this::read);
       enforceLimits();
     }
-    acceptSwitch.places(places());
+    acceptSwitch.setCapacity(freeCapacity());
   }
 
   private void enforceLimits() {
-    limitReceiving();
-    limitSilent();
-    makePlace();
+    enforceReceivingLimit();
+    enforceAwaitedLimit();
+    evictForNextConnection();
   }
 
   /**
    * Limits the connections that are receiving a request at once, because the bodies take memory.
    */
-  private void limitReceiving() {
+  private void enforceReceivingLimit() {
     int excess = awaited.receiving().size() - limits.awaited();
     if (excess > 0) {
-      giveWay(awaited.receivingUntrusted().stream(), excess, Reason.AWAITED_LIMIT);
+      evictCandidates(awaited.receivingUntrusted().stream(), excess, Reason.AWAITED_LIMIT);
     }
   }
 
-  private void limitSilent() {
-    List<C> silent = awaited.silent();
-    int excess = silent.size() + awaited.receivingUntrusted().size() - limits.awaited();
+  private void enforceAwaitedLimit() {
+    List<C> idleUntrusted = awaited.idleUntrusted();
+    int excess = idleUntrusted.size() + awaited.receivingUntrusted().size() - limits.awaited();
     if (excess > 0) {
-      boolean scarce = places() < Math.min(PendingReads.MAX_ACCEPTS, SCARCE * limits.open());
-      Stream<C> candidates = silent.stream().filter(each -> scarce || awaited.graceOver(each));
-      giveWay(candidates, excess, Reason.AWAITED_LIMIT);
+      boolean capacityScarce =
+          freeCapacity() < Math.min(PendingReads.MAX_ACCEPTS, RESERVED_SHARE * limits.open());
+      Stream<C> candidates =
+          idleUntrusted.stream()
+              .filter(connection -> capacityScarce || awaited.gracePeriodExpired(connection));
+      evictCandidates(candidates, excess, Reason.AWAITED_LIMIT);
     }
   }
 
   /** Frees capacity for the next connection, which may carry a callback that a job needs. */
-  private void makePlace() {
-    if (!hasPlace()) {
+  private void evictForNextConnection() {
+    if (!hasCapacity()) {
       Stream<C> candidates =
           Stream.of(
-                  awaited.silent().stream().filter(awaited::graceOver),
+                  awaited.idleUntrusted().stream().filter(awaited::gracePeriodExpired),
                   awaited.closing().stream(),
-                  awaited.respondingUntrusted().stream().filter(awaited::graceOver),
-                  awaited.silent().stream(),
+                  awaited.respondingUntrusted().stream().filter(awaited::gracePeriodExpired),
+                  awaited.idleUntrusted().stream(),
                   idle.stream(),
-                  awaited.receivingUntrusted().stream().filter(awaited::graceOver),
-                  awaited.responding().stream().filter(awaited::graceOver))
-              .flatMap(each -> each)
+                  awaited.receivingUntrusted().stream().filter(awaited::gracePeriodExpired),
+                  awaited.responding().stream().filter(awaited::gracePeriodExpired))
+              .flatMap(group -> group)
               .distinct();
-      giveWay(candidates, 1 - places(), Reason.CONNECTION_LIMIT);
+      evictCandidates(candidates, 1 - freeCapacity(), Reason.CONNECTION_LIMIT);
     }
   }
 
@@ -280,24 +283,24 @@
    * Evicts up to {@code count} of the candidates, but none whose state changes when it is read once
    * more.
    */
-  private void giveWay(Stream<C> candidates, int count, Reason reason) {
-    int left = count;
-    for (C each : candidates.toList()) {
-      if (left <= 0) {
+  private void evictCandidates(Stream<C> candidates, int count, Reason reason) {
+    int remaining = count;
+    for (C connection : candidates.toList()) {
+      if (remaining <= 0) {
         return;
       }
-      if (stillWaits(each)) {
-        evict(each, reason);
-        left--;
-      } else if (reason == Reason.AWAITED_LIMIT || !open.contains(each)) {
-        left--;
+      if (stillWaiting(connection)) {
+        evict(connection, reason);
+        remaining--;
+      } else if (reason == Reason.AWAITED_LIMIT || !open.contains(connection)) {
+        remaining--;
       }
     }
   }
 
   private void evict(C connection, Reason reason) {
     double limit = reason == Reason.AWAITED_LIMIT ? limits.awaited() : limits.open();
-    closes.record(reason, limit, connection.asClosed(clock.now()));
+    forcedCloses.record(reason, limit, connection.snapshot(clock.now()));
     idle.remove(connection);
     awaited.remove(connection);
     if (connection.state() != ConnectionState.RECEIVING) {
@@ -307,7 +310,7 @@
   }
 
   /** Returns false if new bytes have arrived on the connection or its peer has closed it. */
-  private boolean stillWaits(C connection) {
+  private boolean stillWaiting(C connection) {
     ConnectionState before = connection.state();
     return open.contains(connection)
         && read(connection)
@@ -330,13 +333,13 @@
   }
 
   private void sweep() {
-    for (C each : awaited.late(timeout)) {
-      if (stillWaits(each) && awaited.awaitedFor(each, timeout)) {
-        closes.record(Reason.TIMEOUT, timeout, each.asClosed(clock.now()));
-        each.timedOut();
+    for (C connection : awaited.expired(timeout)) {
+      if (stillWaiting(connection) && awaited.awaitedFor(connection, timeout)) {
+        forcedCloses.record(Reason.TIMEOUT, timeout, connection.snapshot(clock.now()));
+        connection.timedOut();
       }
     }
     review();
-    timers.after(SWEEP_INTERVAL, this::sweep);
+    timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 }
--- a/node/src/main/java/ferngrade/http/ForcedCloses.java
+++ b/node/src/main/java/ferngrade/http/ForcedCloses.java
@@ -11,7 +11,7 @@
  * that may discard bytes sent by the peer is logged as a loss. Confined to the event loop.
  */
 public final class ForcedCloses {
-  private final String connections;
+  private final String connectionGroup;
   private final LoopMonitor loopMonitor;
   private final RateLimitedLog log;
   private final Map<Reason, Long> counts = new EnumMap<>(Reason.class);
@@ -34,7 +34,7 @@
    * @param bytesRead the number of bytes read from the connection
    * @param age the time since the connection was opened, in ms
    */
-  record Closed(ConnectionState state, boolean trusted, long bytesRead, double age) {
+  record ConnectionSnapshot(ConnectionState state, boolean trusted, long bytesRead, double age) {
     /** Returns true if the peer may have sent bytes that remain unanswered. */
     boolean mayLoseRequest() {
       return state == ConnectionState.UNREAD || state == ConnectionState.RECEIVING;
@@ -42,11 +42,11 @@
   }
 
   /**
-   * Creates the statistics of one group of connections; {@code connections} names the group in log
-   * lines.
+   * Creates the statistics of one group of connections; {@code connectionGroup} names the group in
+   * log lines.
    */
-  public ForcedCloses(String connections, LoopMonitor loopMonitor, RateLimitedLog log) {
-    this.connections = connections;
+  public ForcedCloses(String connectionGroup, LoopMonitor loopMonitor, RateLimitedLog log) {
+    this.connectionGroup = connectionGroup;
     this.loopMonitor = loopMonitor;
     this.log = log;
   }
@@ -55,14 +55,14 @@
    * Records a connection that is being closed; {@code limit} is the exceeded limit, in its own
    * unit.
    */
-  void record(Reason reason, double limit, Closed closed) {
+  void record(Reason reason, double limit, ConnectionSnapshot closed) {
     counts.merge(reason, 1L, Long::sum);
     String line =
         String.format(
             Locale.ROOT,
             "%s: connection closed by %s %.0f: %s, %s, %d bytes read, %.0f ms old, event loop held"
                 + " up for %.0f ms lately",
-            connections,
+            connectionGroup,
             reason,
             limit,
             closed.state(),
@@ -73,7 +73,7 @@
     if (closed.mayLoseRequest()) {
       log.loss(line);
     } else {
-      log.line(connections + " closed by " + reason, line);
+      log.line(connectionGroup + " closed by " + reason, line);
     }
   }
 
--- a/node/src/main/java/ferngrade/http/FrontendShutdown.java
+++ b/node/src/main/java/ferngrade/http/FrontendShutdown.java
@@ -14,11 +14,11 @@
    * The maximum time after the last job is answered in which clients may read their responses and
    * close, in ms; shorter if the budget ends earlier.
    */
-  private static final double LINGER = 1000;
+  private static final double MAX_LINGER_MILLIS = 1000;
 
   private final ConnectionTable<ClientConnection> connections;
   private final IntSupplier jobsInFlight;
-  private final Listening listening;
+  private final ListenerControl listener;
   private final Clock clock;
   private final Timers timers;
   private final Executor loop;
@@ -30,15 +30,15 @@
   private Runnable whenDone;
 
   /** The frontend's listener. */
-  interface Listening {
+  interface ListenerControl {
     /**
      * Accepts the waiting connections while there is capacity, and closes the listener when none is
      * left.
      */
-    void acceptTheRest();
+    void acceptWaiting();
 
     /** Returns true until the listener is closed. */
-    boolean listens();
+    boolean isListening();
 
     /** Closes the listener, even if connections are waiting. */
     void close();
@@ -58,13 +58,13 @@
   FrontendShutdown(
       ConnectionTable<ClientConnection> connections,
       IntSupplier jobsInFlight,
-      Listening listening,
+      ListenerControl listener,
       Clock clock,
       Timers timers,
       Executor loop) {
     this.connections = connections;
     this.jobsInFlight = jobsInFlight;
-    this.listening = listening;
+    this.listener = listener;
     this.clock = clock;
     this.timers = timers;
     this.loop = loop;
@@ -106,8 +106,8 @@
       phase = Phase.FINISHING;
       whenDone = done;
       connections.idle().forEach(ClientConnection::closeGracefully);
-      at(budget.unfinishedUntil(), this::rejectUnfinished);
-      at(budget.end(), this::end);
+      scheduleAt(budget.partialRequestsUntil(), this::rejectPartialRequests);
+      scheduleAt(budget.end(), this::end);
       advance();
     }
   }
@@ -119,11 +119,13 @@
   void advance() {
     if (phase == Phase.FINISHING && jobsInFlight.getAsInt() == 0) {
       linger();
-      at(clock.now() + LINGER - ShutdownBudget.READING_REJECTIONS, this::rejectUnfinished);
-      at(clock.now() + LINGER, this::end);
+      scheduleAt(
+          clock.now() + MAX_LINGER_MILLIS - ShutdownBudget.READ_REJECTION_MILLIS,
+          this::rejectPartialRequests);
+      scheduleAt(clock.now() + MAX_LINGER_MILLIS, this::end);
     }
     if (phase == Phase.LINGERING) {
-      acceptTheRest();
+      acceptWaiting();
       if (connections.isEmpty()) {
         end();
       }
@@ -137,39 +139,39 @@
   private void linger() {
     phase = Phase.LINGERING;
     connections.open().forEach(ClientConnection::closeAfterReading);
-    acceptTheRest();
+    acceptWaiting();
   }
 
   /**
    * Accepts the waiting connections as capacity allows, so that their requests are rejected and not
    * reset.
    */
-  private void acceptTheRest() {
-    if (listening.listens()) {
-      listening.acceptTheRest();
+  private void acceptWaiting() {
+    if (listener.isListening()) {
+      listener.acceptWaiting();
       connections.open().forEach(ClientConnection::closeAfterReading);
     }
   }
 
   /** Rejects partially received requests, so that every request that was read gets a response. */
-  private void rejectUnfinished() {
+  private void rejectPartialRequests() {
     if (phase == Phase.FINISHING) {
       linger();
     }
-    connections.open().forEach(ClientConnection::rejectUnfinished);
+    connections.open().forEach(ClientConnection::rejectIfPartial);
   }
 
   private void end() {
     if (phase != Phase.ENDED) {
       phase = Phase.ENDED;
-      listening.close();
+      listener.close();
       // If the process was held up, answers may be due in this turn as well; they are written
       // first.
       loop.execute(whenDone);
     }
   }
 
-  private void at(double instant, Runnable task) {
-    timers.after(instant - clock.now(), task);
+  private void scheduleAt(double time, Runnable task) {
+    timers.after(time - clock.now(), task);
   }
 }
--- a/node/src/main/java/ferngrade/http/Headers.java
+++ b/node/src/main/java/ferngrade/http/Headers.java
@@ -8,7 +8,7 @@
   static final String DEADLINE = "Req-Deadline";
   static final String COST = "Req-Cost";
   static final String EXTRA = "Req-Extra";
-  static final String REPEAT_KEY = "Idempotency-Key";
+  static final String IDEMPOTENCY_KEY = "Idempotency-Key";
   static final String DECLINED = "Srv-Declined";
   static final String LOAD = "Srv-Load";
 
--- a/node/src/main/java/ferngrade/http/HealthCheckExchange.java
+++ b/node/src/main/java/ferngrade/http/HealthCheckExchange.java
@@ -16,7 +16,7 @@
  */
 final class HealthCheckExchange extends HttpExchange {
   /** The maximum duration of a health check, in ms. */
-  private static final double TIMEOUT = 300;
+  private static final double TIMEOUT_MILLIS = 300;
 
   private final InetSocketAddress worker;
   private final BiConsumer<AttemptOutcome, LoadReport> listener;
@@ -29,12 +29,12 @@
       InetSocketAddress worker, Timers timers, BiConsumer<AttemptOutcome, LoadReport> listener) {
     this.worker = worker;
     this.listener = listener;
-    this.timeout = timers.after(TIMEOUT, this::timedOut);
+    this.timeout = timers.after(TIMEOUT_MILLIS, this::timedOut);
   }
 
   @Override
   double dialTimeout() {
-    return TIMEOUT;
+    return TIMEOUT_MILLIS;
   }
 
   @Override
@@ -62,7 +62,7 @@
   }
 
   @Override
-  void broken(FaultOrigin origin) {
+  void connectionLost(FaultOrigin origin) {
     connection = null;
     finish(
         origin == FaultOrigin.LOCAL ? AttemptOutcome.NEVER_SENT : AttemptOutcome.RESET,
--- a/node/src/main/java/ferngrade/http/HttpExchange.java
+++ b/node/src/main/java/ferngrade/http/HttpExchange.java
@@ -44,7 +44,7 @@
    * Called when the connection ends before the response; {@code origin} is LOCAL if this machine
    * lacked a resource.
    */
-  abstract void broken(FaultOrigin origin);
+  abstract void connectionLost(FaultOrigin origin);
 
   /** Called when no connection could be opened. */
   abstract void notConnected(AttemptOutcome outcome);
--- a/node/src/main/java/ferngrade/http/HttpFrontend.java
+++ b/node/src/main/java/ferngrade/http/HttpFrontend.java
@@ -30,30 +30,30 @@
  */
 public final class HttpFrontend {
   /** The maximum size of a request or response body, in bytes. */
-  static final int MAX_BODY = 64 << 10;
+  static final int MAX_BODY_BYTES = 64 << 10;
 
-  private static final int BACKLOG = 1024;
+  private static final int LISTEN_BACKLOG = 1024;
 
   /**
    * The sizes of the buffer for one read, in bytes. A connection may hold one such buffer
    * undecoded.
    */
-  private static final int MIN_READ = 64;
+  private static final int MIN_READ_BUFFER_BYTES = 64;
 
-  private static final int FIRST_READ = 2048;
-  private static final int MAX_READ = 16 << 10;
+  private static final int INITIAL_READ_BUFFER_BYTES = 2048;
+  private static final int MAX_READ_BUFFER_BYTES = 16 << 10;
 
   /**
    * The maximum time to wait for a peer's input, in ms. Together with the time for the response, a
    * connection ends well within 3 s.
    */
-  private static final double INPUT_TIMEOUT = 1500;
+  private static final double INPUT_TIMEOUT_MILLIS = 1500;
 
   /**
    * The maximum time that a connection is assumed to have waited in the backlog, in ms. An answer
    * that is late by no more than this time is not counted as lost.
    */
-  static final double MAX_BACKLOG_WAIT = 500;
+  static final double MAX_BACKLOG_WAIT_MILLIS = 500;
 
   private ConnectionLimits limits;
   private final UpgradePeers upgradePeers;
@@ -64,7 +64,7 @@
   private final AcceptSwitch acceptSwitch;
   private final ConnectionTable<ClientConnection> connections;
   private final FrontendShutdown shutdown;
-  private final ForcedCloses closes;
+  private final ForcedCloses forcedCloses;
   private Channel listener;
   private boolean inherited;
   private boolean drainedByOperators;
@@ -81,30 +81,32 @@
       Executor loop,
       UpgradePeers upgradePeers,
       ChannelProvider channels,
-      ForcedCloses closes) {
-    this.closes = closes;
+      ForcedCloses forcedCloses) {
+    this.forcedCloses = forcedCloses;
     this.limits = limits;
     this.upgradePeers = upgradePeers;
     this.channels = channels;
     this.clock = clock;
     this.pacer = new RequestPacer(arrivals, timers);
-    this.acceptTimes = new AcceptTimeEstimator(arrivals, this::acceptsAtOnce, MAX_BACKLOG_WAIT);
+    this.acceptTimes =
+        new AcceptTimeEstimator(arrivals, this::acceptsAtOnce, MAX_BACKLOG_WAIT_MILLIS);
     this.acceptSwitch = new AcceptSwitch(timers, acceptTimes);
     this.connections =
         new ConnectionTable<>(
-            limitsOf(limits),
-            INPUT_TIMEOUT,
+            tableLimits(limits),
+            INPUT_TIMEOUT_MILLIS,
             acceptSwitch,
-            new ConnectionTable.Surroundings(clock, timers, loop, closes));
+            new ConnectionTable.Dependencies(clock, timers, loop, forcedCloses));
     this.shutdown =
-        new FrontendShutdown(connections, () -> jobsInFlight, listening(), clock, timers, loop);
+        new FrontendShutdown(
+            connections, () -> jobsInFlight, listenerControl(), clock, timers, loop);
   }
 
   private int acceptsAtOnce() {
     return acceptSwitch.acceptsAtOnce();
   }
 
-  private static ConnectionTable.Limits limitsOf(ConnectionLimits limits) {
+  private static ConnectionTable.Limits tableLimits(ConnectionLimits limits) {
     return new ConnectionTable.Limits(limits.clients(), limits.awaited());
   }
 
@@ -126,7 +128,9 @@
             .group(group)
             .channelFactory(() -> channels.listener(Purpose.CLIENTS, inheritedSocket));
     if (!inherited) {
-      bootstrap.option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true);
+      bootstrap
+          .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
+          .option(ChannelOption.SO_REUSEADDR, true);
     }
     bootstrap.handler(
         new ChannelInitializer<Channel>() {
@@ -139,7 +143,8 @@
         .childOption(ChannelOption.TCP_NODELAY, true)
         .childOption(
             ChannelOption.RECVBUF_ALLOCATOR,
-            new AdaptiveRecvByteBufAllocator(MIN_READ, FIRST_READ, MAX_READ))
+            new AdaptiveRecvByteBufAllocator(
+                MIN_READ_BUFFER_BYTES, INITIAL_READ_BUFFER_BYTES, MAX_READ_BUFFER_BYTES))
         .childHandler(
             new ChannelInitializer<Channel>() {
               @Override
@@ -157,22 +162,22 @@
   }
 
   /** Returns the operations on the listener that a shutdown needs. */
-  private FrontendShutdown.Listening listening() {
-    return new FrontendShutdown.Listening() {
+  private FrontendShutdown.ListenerControl listenerControl() {
+    return new FrontendShutdown.ListenerControl() {
       @Override
-      public void acceptTheRest() {
+      public void acceptWaiting() {
         // On an inherited socket, the process that shares it accepts the waiting connections.
         if (!inherited) {
           PendingReads.acceptWaiting(
-              (AbstractNioChannel) listener, connections::accepted, connections::hasPlace);
+              (AbstractNioChannel) listener, connections::accepted, connections::hasCapacity);
         }
-        if (inherited || connections.hasPlace()) {
+        if (inherited || connections.hasCapacity()) {
           listener.close();
         }
       }
 
       @Override
-      public boolean listens() {
+      public boolean isListening() {
         return listener.isActive();
       }
 
@@ -191,15 +196,15 @@
   /** Changes the connection limits. Jobs in flight are not affected. */
   public void limitTo(ConnectionLimits changed) {
     limits = changed;
-    connections.limitTo(limitsOf(changed));
+    connections.limitTo(tableLimits(changed));
   }
 
   /**
    * Stops accepting connections while an earlier process serves on the same socket, or resumes
    * accepting.
    */
-  public void holdAccepting(boolean hold) {
-    acceptSwitch.pause(Reason.NOT_READY, hold);
+  public void holdAccepting(boolean pause) {
+    acceptSwitch.pause(Reason.NOT_READY, pause);
   }
 
   /**
@@ -274,7 +279,7 @@
   /** Returns the number of open client connections by state. */
   public Map<ConnectionState, Integer> openConnections() {
     Map<ConnectionState, Integer> counts = new EnumMap<>(ConnectionState.class);
-    connections.open().forEach(each -> counts.merge(each.state(), 1, Integer::sum));
+    connections.open().forEach(connection -> counts.merge(connection.state(), 1, Integer::sum));
     return counts;
   }
 
@@ -282,8 +287,8 @@
    * Returns the statistics of the connections that the frontend closed without a request by the
    * peer.
    */
-  ForcedCloses closes() {
-    return closes;
+  ForcedCloses forcedCloses() {
+    return forcedCloses;
   }
 
   /** Returns the open connections of this frontend. */
@@ -324,11 +329,11 @@
    * Closes a connection that has no request in progress if the node is draining or shutting down;
    * otherwise keeps it open for the next request.
    */
-  void rest(ClientConnection connection) {
+  void betweenRequests(ClientConnection connection) {
     if (finishing() || drainedByOperators) {
       connection.closeGracefully();
     } else {
-      connections.rest(connection);
+      connections.betweenRequests(connection);
     }
   }
 
--- a/node/src/main/java/ferngrade/http/LoadReportParser.java
+++ b/node/src/main/java/ferngrade/http/LoadReportParser.java
@@ -16,18 +16,18 @@
     double slots = Double.NaN;
     double memory = Double.NaN;
     double queued = Double.NaN;
-    double held = Double.NaN;
+    double inFlight = Double.NaN;
     for (String pair : text.split(",", 0)) {
       int equals = pair.indexOf('=');
       switch (pair.substring(0, Math.max(0, equals)).strip()) {
         case "x0" -> slots = value(pair, equals);
         case "x1" -> memory = value(pair, equals);
         case "queue" -> queued = value(pair, equals);
-        case "inflight" -> held = value(pair, equals);
+        case "inflight" -> inFlight = value(pair, equals);
         default -> {}
       }
     }
-    return new LoadReport(slots, memory, queued, held);
+    return new LoadReport(slots, memory, queued, inFlight);
   }
 
   private static double value(String pair, int equals) {
--- a/node/src/main/java/ferngrade/http/ManagedConnection.java
+++ b/node/src/main/java/ferngrade/http/ManagedConnection.java
@@ -8,8 +8,9 @@
   ConnectionState state();
 
   /**
-   * Returns true if the connection is to be kept in preference to untrusted ones. A connection is
-   * untrusted until it has carried a job or a call of this system.
+   * Returns true if the connection is to be kept in preference to untrusted ones. A client
+   * connection is trusted once a job or a callback has arrived on it, a connection to the
+   * operators' endpoint while another process of the node uses it.
    */
   boolean trusted();
 
@@ -24,7 +25,7 @@
    * Returns the details to log when the node closes the connection at {@code now}, in ms on the
    * node's clock.
    */
-  ForcedCloses.Closed asClosed(double now);
+  ForcedCloses.ConnectionSnapshot snapshot(double now);
 
   /**
    * Closes the connection because a complete request, or the peer's close, has not arrived in time.
--- a/node/src/main/java/ferngrade/http/MetricsPage.java
+++ b/node/src/main/java/ferngrade/http/MetricsPage.java
@@ -14,8 +14,8 @@
 
 /** Formats the node's metrics as plain text for operators. Confined to the event loop. */
 final class MetricsPage {
-  private final RequestCoordinator node;
-  private final HttpFrontend front;
+  private final RequestCoordinator coordinator;
+  private final HttpFrontend frontend;
   private final ForcedCloses operatorCloses;
   private final UpgradePeers upgradePeers;
   private final List<String> classes;
@@ -24,8 +24,8 @@
   private final IntSupplier reloadsFailed;
 
   MetricsPage(OperatorCalls.Parts parts) {
-    this.node = parts.node();
-    this.front = parts.front();
+    this.coordinator = parts.coordinator();
+    this.frontend = parts.frontend();
     this.operatorCloses = parts.operatorCloses();
     this.upgradePeers = parts.upgradePeers();
     this.classes = parts.classes();
@@ -36,27 +36,27 @@
 
   /** Returns the current metrics, one {@code name=value} per line. */
   String text() {
-    NodeMetrics.Snapshot now = node.metrics();
+    NodeMetrics.Snapshot snapshot = coordinator.metrics();
     StringBuilder text = new StringBuilder(256);
     for (int i = 0; i < classes.size(); i++) {
-      line(text, "served." + classes.get(i), count(now.served(), i));
-      line(text, "refused." + classes.get(i), count(now.refused(), i));
-      line(text, "failed." + classes.get(i), count(now.failed(), i));
+      line(text, "served." + classes.get(i), count(snapshot.served(), i));
+      line(text, "refused." + classes.get(i), count(snapshot.refused(), i));
+      line(text, "failed." + classes.get(i), count(snapshot.failed(), i));
     }
-    line(text, "attempts", now.attempts());
-    line(text, "in_flight", now.inFlight());
-    line(text, "menu_workers_known", now.known());
-    line(text, "menu_workers_excluded", now.excluded());
+    line(text, "attempts", snapshot.attempts());
+    line(text, "in_flight", snapshot.inFlight());
+    line(text, "menu_workers_known", snapshot.known());
+    line(text, "menu_workers_excluded", snapshot.excluded());
     line(text, "reloads_ok", reloadsOk.getAsInt());
     line(text, "reloads_failed", reloadsFailed.getAsInt());
-    line(text, "retries", now.retries());
-    line(text, "abandoned", now.abandoned());
-    lines(text, "withheld.", WithheldReason.values(), now.withheld());
-    lines(text, "rejected.", RejectionReason.values(), now.rejected());
-    lines(text, "rejected_for.", RejectionCause.values(), now.rejectedFor());
+    line(text, "retries", snapshot.retries());
+    line(text, "abandoned", snapshot.abandoned());
+    lines(text, "withheld.", WithheldReason.values(), snapshot.withheld());
+    lines(text, "rejected.", RejectionReason.values(), snapshot.rejected());
+    lines(text, "rejected_for.", RejectionCause.values(), snapshot.rejectedFor());
     durations(text, "loop_turn", loopMonitor.turns());
     durations(text, "timer_delay", loopMonitor.timerDelays());
-    lines(text, "closed_clients.", ForcedCloses.Reason.values(), front.closes().counts());
+    lines(text, "closed_clients.", ForcedCloses.Reason.values(), frontend.forcedCloses().counts());
     lines(text, "closed_operators.", ForcedCloses.Reason.values(), operatorCloses.counts());
     if (upgradePeers != null) {
       lines(text, "relayed.", UpgradePeers.RelayOutcome.values(), upgradePeers.relayed());
--- a/node/src/main/java/ferngrade/http/OperatorCalls.java
+++ b/node/src/main/java/ferngrade/http/OperatorCalls.java
@@ -31,8 +31,8 @@
    */
   private static final double MIN_STORE_TIMEOUT = 50;
 
-  private final RequestCoordinator node;
-  private final HttpFrontend front;
+  private final RequestCoordinator coordinator;
+  private final HttpFrontend frontend;
   private final UpgradePeers upgradePeers;
   private final OperatorState state;
   private final ArrivalClock arrivals;
@@ -40,15 +40,15 @@
   private final Timers timers;
   private final RateLimitedLog log;
   private final MetricsPage metrics;
-  private final ForcedCloses closes;
+  private final ForcedCloses forcedCloses;
 
   /**
    * The parts of the node that the calls act on. {@code state} is null if no state outlives the
    * process, {@code upgradePeers} is null if the node has no other processes.
    */
   public record Parts(
-      RequestCoordinator node,
-      HttpFrontend front,
+      RequestCoordinator coordinator,
+      HttpFrontend frontend,
       UpgradePeers upgradePeers,
       List<String> classes,
       OperatorState state,
@@ -62,16 +62,16 @@
    * Returns the statistics of the operators' connections that the node closed without a request by
    * the peer.
    */
-  ForcedCloses closes() {
-    return closes;
+  ForcedCloses forcedCloses() {
+    return forcedCloses;
   }
 
   public OperatorCalls(Parts parts, Clock clock, Timers timers, RateLimitedLog log) {
-    this.node = parts.node();
-    this.front = parts.front();
+    this.coordinator = parts.coordinator();
+    this.frontend = parts.frontend();
     this.upgradePeers = parts.upgradePeers();
     this.state = parts.state();
-    this.closes = parts.operatorCloses();
+    this.forcedCloses = parts.operatorCloses();
     this.metrics = new MetricsPage(parts);
     this.arrivals = parts.arrivals();
     this.clock = clock;
@@ -79,14 +79,14 @@
     this.log = log;
   }
 
-  /** Returns the clock that tells the earliest arrival time of the calls read now. */
+  /** Returns the clock that provides the earliest arrival time of the calls read now. */
   ArrivalClock arrivals() {
     return arrivals;
   }
 
   boolean ready() {
     refresh();
-    return node.ready() && !front.draining() && (state == null || state.complete());
+    return coordinator.ready() && !frontend.draining() && (state == null || state.complete());
   }
 
   /** Reads the changes made through other processes of the node before this call. */
@@ -100,12 +100,12 @@
    * Handles a callback that another process of this node received and relayed. Returns true if this
    * process has or had the job and therefore accepted the callback.
    */
-  boolean callback(String body) throws BadRequestException {
-    WorkerCallback callback = WorkerCallbackParser.read(body);
-    if (!node.knowsOf(callback.id())) {
+  boolean relayedCallback(String body) throws BadRequestException {
+    WorkerCallback callback = WorkerCallbackParser.parse(body);
+    if (!coordinator.knowsOf(callback.id())) {
       return false;
     }
-    node.callback(callback);
+    coordinator.callback(callback);
     return true;
   }
 
@@ -113,7 +113,7 @@
    * Handles the announcement of the address at which another process of this node receives calls.
    * Returns false if this process does not share a socket.
    */
-  boolean announced(String address) {
+  boolean peerAnnounced(String address) {
     if (upgradePeers == null) {
       return false;
     }
@@ -135,23 +135,23 @@
 
   void drain() {
     log.line("drained by operators");
-    decided(true);
+    setDrained(true);
   }
 
-  private void decided(boolean drained) {
+  private void setDrained(boolean drained) {
     if (state != null) {
       state.refresh();
       state.drain(drained);
     } else if (drained) {
-      front.drainForOperators();
+      frontend.drainForOperators();
     } else {
-      front.resume();
+      frontend.resume();
     }
   }
 
   void resume() {
     log.line("taking clients again");
-    decided(false);
+    setDrained(false);
   }
 
   /** The result of a call that disables or enables a worker. */
@@ -169,47 +169,53 @@
 
   /**
    * Returns true if another process's decision on this worker may be later than a call that may
-   * have arrived as early as {@code arrived}, in ms on the node's clock.
+   * have arrived as early as {@code arrivedAt}, in ms on the node's clock.
    */
-  boolean mayBeSuperseded(String worker, double arrived) {
+  boolean mayBeSuperseded(String worker, double arrivedAt) {
     refresh();
-    return state != null && state.decidedElsewhereSince(worker, arrived);
+    return state != null && state.decidedElsewhereSince(worker, arrivedAt);
   }
 
   /**
    * Ignores a call to enable a worker, because its caller has disconnected and another process has
    * decided since.
    */
-  void passOver(String worker) {
+  void ignoreEnable(String worker) {
     log.line(
         "menu worker "
             + worker
-            + " is not taken back: the caller has gone, and another process has decided since");
+            + " is not enabled: its caller has disconnected, and another process has decided"
+            + " since");
   }
 
   /**
    * Disables or enables a worker. {@code answer} receives the outcome, at the latest {@link
-   * #STORE_TIMEOUT} after {@code arrived}, even if the change is not stored by then. It is called
+   * #STORE_TIMEOUT} after {@code arrivedAt}, even if the change is not stored by then. It is called
    * again if the change is stored later; only the first outcome counts.
    *
-   * @param arrived the earliest time at which the call may have arrived, in ms on the node's clock
+   * @param arrivedAt the earliest time at which the call may have arrived, in ms on the node's
+   *     clock
    */
-  void maintain(String worker, boolean out, double arrived, Consumer<MaintenanceOutcome> answer) {
+  void setMaintenance(
+      String worker, boolean disable, double arrivedAt, Consumer<MaintenanceOutcome> answer) {
     refresh();
-    boolean known = out ? node.startMaintenance(worker) : node.endMaintenance(worker);
+    boolean known =
+        disable ? coordinator.startMaintenance(worker) : coordinator.endMaintenance(worker);
     if (!known) {
       answer.accept(MaintenanceOutcome.UNKNOWN_WORKER);
       return;
     }
     log.line(
-        "menu worker " + worker + (out ? " taken out by operators" : " taken back by operators"));
+        "menu worker "
+            + worker
+            + (disable ? " taken out by operators" : " taken back by operators"));
     if (state == null) {
       answer.accept(MaintenanceOutcome.STORED);
       return;
     }
-    double left = Math.max(MIN_STORE_TIMEOUT, arrived + STORE_TIMEOUT - clock.now());
+    double remaining = Math.max(MIN_STORE_TIMEOUT, arrivedAt + STORE_TIMEOUT - clock.now());
     Timers.Timer timeout =
-        timers.after(left, () -> answer.accept(MaintenanceOutcome.NOT_STORED_YET));
+        timers.after(remaining, () -> answer.accept(MaintenanceOutcome.NOT_STORED_YET));
     state.storeMaintenance(
         worker,
         () -> {
--- a/node/src/main/java/ferngrade/http/PeerCall.java
+++ b/node/src/main/java/ferngrade/http/PeerCall.java
@@ -24,7 +24,7 @@
   private final byte[] body;
   private final double timeout;
   private final IntConsumer listener;
-  private boolean repeated;
+  private boolean retried;
   private boolean ended;
 
   /** The timer that ends the call when its timeout expires. */
@@ -46,7 +46,7 @@
   }
 
   /** Returns the size of the body in bytes. */
-  int size() {
+  int bodySize() {
     return body.length;
   }
 
@@ -63,11 +63,11 @@
     return request;
   }
 
-  void timedBy(Timers.Timer running) {
+  void setTimer(Timers.Timer running) {
     timer = running;
   }
 
-  void carriedAloneBy(PeerConnection connection) {
+  void setOwnConnection(PeerConnection connection) {
     ownConnection = connection;
   }
 
@@ -76,9 +76,9 @@
   }
 
   /** Uses the only retry of the call. Returns false if it has been used or the call has ended. */
-  boolean repeat() {
-    boolean allowed = !ended && !repeated;
-    repeated = true;
+  boolean tryRetry() {
+    boolean allowed = !ended && !retried;
+    retried = true;
     return allowed;
   }
 
--- a/node/src/main/java/ferngrade/http/PeerConnection.java
+++ b/node/src/main/java/ferngrade/http/PeerConnection.java
@@ -27,7 +27,7 @@
 
   /**
    * Is notified of the answers on a connection. The last notification of a connection is {@link
-   * #answeredLast} or {@link #broken}.
+   * #answeredAndClosed} or {@link #connectionLost}.
    */
   interface Owner {
     /** Called when a call is answered and the connection stays open. */
@@ -37,13 +37,13 @@
      * Called when a call is answered and the connection closes; {@code unanswered} holds the calls
      * without an answer, in order.
      */
-    void answeredLast(PeerCall call, int status, List<PeerCall> unanswered);
+    void answeredAndClosed(PeerCall call, int status, List<PeerCall> unanswered);
 
     /**
      * Called when the connection has ended; {@code unanswered} holds the calls without an answer,
      * in order.
      */
-    void broken(List<PeerCall> unanswered);
+    void connectionLost(List<PeerCall> unanswered);
   }
 
   /** Adds the connection and its codec to the end of a pipeline. */
@@ -76,7 +76,7 @@
         .addListener(
             written -> {
               if (!written.isSuccess()) {
-                breakOff();
+                fail();
               }
             });
   }
@@ -89,14 +89,14 @@
   List<PeerCall> close() {
     ended = true;
     context.close();
-    List<PeerCall> left = List.copyOf(unanswered);
+    List<PeerCall> pending = List.copyOf(unanswered);
     unanswered.clear();
-    return left;
+    return pending;
   }
 
-  private void breakOff() {
+  private void fail() {
     if (!ended) {
-      owner.broken(close());
+      owner.connectionLost(close());
     }
   }
 
@@ -106,7 +106,7 @@
       return;
     }
     if (unanswered.isEmpty() || answer.decoderResult().isFailure()) {
-      breakOff();
+      fail();
       return;
     }
     PeerCall call = unanswered.remove();
@@ -114,17 +114,17 @@
     if (HttpUtil.isKeepAlive(answer)) {
       owner.answered(call, status);
     } else {
-      owner.answeredLast(call, status, close());
+      owner.answeredAndClosed(call, status, close());
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    breakOff();
+    fail();
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    breakOff();
+    fail();
   }
 }
--- a/node/src/main/java/ferngrade/http/PipelinedRequests.java
+++ b/node/src/main/java/ferngrade/http/PipelinedRequests.java
@@ -12,14 +12,14 @@
  */
 final class PipelinedRequests {
   /** The maximum number of requests kept for one connection. */
-  private static final int MAX_WAITING = 64;
+  private static final int MAX_QUEUED = 64;
 
-  private final HttpFrontend front;
-  private final Deque<Entry> waiting = new ArrayDeque<>();
+  private final HttpFrontend frontend;
+  private final Deque<Entry> queued = new ArrayDeque<>();
   private int rejected;
 
   /** The action to take when it is a request's turn. */
-  enum Kind {
+  enum Action {
     HANDLE,
     TOO_LARGE,
     REJECT
@@ -30,38 +30,38 @@
    * may have arrived on this machine, in ms on the node's clock. The request's deadline counts from
    * that time.
    */
-  record Entry(Kind kind, FullHttpRequest request, double arrived) {
+  record Entry(Action action, FullHttpRequest request, double arrivedAt) {
     private int bytes() {
       return request == null ? 0 : request.content().readableBytes();
     }
   }
 
-  /** Creates an empty queue, whose bytes count against the limit of {@code front}. */
-  PipelinedRequests(HttpFrontend front) {
-    this.front = front;
+  /** Creates an empty queue, whose bytes count against the limit of {@code frontend}. */
+  PipelinedRequests(HttpFrontend frontend) {
+    this.frontend = frontend;
   }
 
   boolean isEmpty() {
-    return waiting.isEmpty() && rejected == 0;
+    return queued.isEmpty() && rejected == 0;
   }
 
   /**
    * Queues a request and takes over its reference. Returns false, and does neither, if there is no
    * capacity.
    */
-  boolean add(FullHttpRequest request, double arrived) {
+  boolean add(FullHttpRequest request, double arrivedAt) {
     boolean accepted =
-        waiting.size() < MAX_WAITING
-            && front.reserveWaitingBytes(request.content().readableBytes());
+        queued.size() < MAX_QUEUED
+            && frontend.reserveWaitingBytes(request.content().readableBytes());
     if (accepted) {
-      waiting.add(new Entry(Kind.HANDLE, request, arrived));
+      queued.add(new Entry(Action.HANDLE, request, arrivedAt));
     }
     return accepted;
   }
 
   /** Queues a request whose body is too large. */
-  void addTooLarge(double arrived) {
-    waiting.add(new Entry(Kind.TOO_LARGE, null, arrived));
+  void addTooLarge(double arrivedAt) {
+    queued.add(new Entry(Action.TOO_LARGE, null, arrivedAt));
   }
 
   /** Queues a request that is rejected after all kept requests. */
@@ -74,24 +74,24 @@
    * none.
    */
   Entry poll() {
-    Entry first = waiting.poll();
+    Entry first = queued.poll();
     if (first != null) {
-      front.releaseWaitingBytes(first.bytes());
+      frontend.releaseWaitingBytes(first.bytes());
     } else if (rejected > 0) {
       rejected--;
-      return new Entry(Kind.REJECT, null, 0);
+      return new Entry(Action.REJECT, null, 0);
     }
     return first;
   }
 
   /** Releases all requests after the client has disconnected. */
   void release() {
-    waiting.forEach(
-        each -> {
-          front.releaseWaitingBytes(each.bytes());
-          ReferenceCountUtil.release(each.request());
+    queued.forEach(
+        entry -> {
+          frontend.releaseWaitingBytes(entry.bytes());
+          ReferenceCountUtil.release(entry.request());
         });
-    waiting.clear();
+    queued.clear();
     rejected = 0;
   }
 }
--- a/node/src/main/java/ferngrade/http/RequestBytesReader.java
+++ b/node/src/main/java/ferngrade/http/RequestBytesReader.java
@@ -17,7 +17,7 @@
    * close after it. The remaining bytes are left unread. Up to this limit everything is read,
    * because only reading shows that a client has closed its connection.
    */
-  private static final int MAX_READ_WHILE_CLOSING = 256 << 10;
+  private static final int MAX_READ_WHILE_CLOSING_BYTES = 256 << 10;
 
   private final ClientConnection connection;
   private final RequestPacer pacer;
@@ -46,7 +46,7 @@
    * The earliest time at which the bytes read last may have arrived on this machine, in ms on the
    * node's clock.
    */
-  private double arrived;
+  private double arrivedAt;
 
   /**
    * The earliest time at which bytes may have entered the socket while reading was paused, in ms;
@@ -70,7 +70,7 @@
     this.share = pacer.newShare();
     this.acceptedSince = acceptedSince;
     this.acceptTurn = arrivals.turn();
-    this.arrived = acceptedSince;
+    this.arrivedAt = acceptedSince;
   }
 
   /** Returns the decoder that follows this handler in the pipeline. */
@@ -79,7 +79,7 @@
   }
 
   /** Returns the total number of bytes read. */
-  long count() {
+  long bytesRead() {
     return bytesRead;
   }
 
@@ -102,8 +102,8 @@
    * Returns the earliest time at which the bytes read last may have arrived on this machine, in ms
    * on the node's clock.
    */
-  double arrived() {
-    return arrived;
+  double arrivedAt() {
+    return arrivedAt;
   }
 
   /** Stops decoding, also of the bytes that have already been read. */
@@ -126,9 +126,9 @@
     if (!mayDecode() || undecoded.overflowed()) {
       ReferenceCountUtil.release(bytes);
     } else if (decoder.paused()) {
-      keepUndecoded(bytes);
+      bufferUndecoded(bytes);
     } else {
-      arrived = arrivedSince();
+      arrivedAt = arrivedSince();
       decode(bytes);
     }
   }
@@ -136,7 +136,7 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (connection.state() == ConnectionState.UNREAD) {
-      connection.read(false);
+      connection.readCompleted(false);
     }
     if (!decoder.paused()) {
       unreadSince = Double.NaN;
@@ -147,7 +147,7 @@
   private void count(int bytes) {
     bytesRead += bytes;
     readWhileClosing += connection.closeRequested() ? bytes : 0;
-    if (connection.handlesRequest() && readWhileClosing > MAX_READ_WHILE_CLOSING) {
+    if (connection.handlesRequest() && readWhileClosing > MAX_READ_WHILE_CLOSING_BYTES) {
       connection.endReading();
     }
   }
@@ -156,7 +156,7 @@
    * Buffers bytes read while decoding is paused; such reads only serve to detect that the client
    * has closed its connection.
    */
-  private void keepUndecoded(ByteBuf bytes) {
+  private void bufferUndecoded(ByteBuf bytes) {
     if (!undecoded.add(bytes)) {
       connection.requestClose();
     }
@@ -191,10 +191,10 @@
     context.fireChannelRead(bytes);
     decoding = false;
     partialRequest = decoder.holdsPartialRequest() || !undecoded.isEmpty();
-    connection.read(partialRequest);
+    connection.readCompleted(partialRequest);
     connection.respondDeferred();
     if (decoder.paused()) {
-      unreadSince = arrived;
+      unreadSince = arrivedAt;
       connection.pauseReading();
       resumeLater();
     }
@@ -223,7 +223,7 @@
     resumeScheduled = false;
     if (beginDeferred && mayDecode()) {
       beginDeferred = false;
-      connection.next();
+      connection.beginNext();
     }
     if (decoder.paused() && mayDecode()) {
       resumeDecoding();
--- a/node/src/main/java/ferngrade/http/RequestDecoder.java
+++ b/node/src/main/java/ferngrade/http/RequestDecoder.java
@@ -14,7 +14,7 @@
  */
 final class RequestDecoder extends HttpRequestDecoder {
   /** Skips the line ends that may precede a request. */
-  private static final ByteProcessor BLANK = each -> each == '\r' || each == '\n';
+  private static final ByteProcessor SKIP_LINE_ENDS = value -> value == '\r' || value == '\n';
 
   /**
    * True if a part of a request has been decoded, but not its end; line ends before a request do
@@ -45,10 +45,10 @@
     int before = decoded.size();
     int start = bytes.readerIndex();
     super.decode(ctx, bytes, decoded);
-    boolean text = bytes.forEachByte(start, bytes.readerIndex() - start, BLANK) >= 0;
+    boolean text = bytes.forEachByte(start, bytes.readerIndex() - start, SKIP_LINE_ENDS) >= 0;
     withinRequest = withinRequest || text;
-    for (Object each : decoded.subList(before, decoded.size())) {
-      withinRequest = !(each instanceof LastHttpContent);
+    for (Object message : decoded.subList(before, decoded.size())) {
+      withinRequest = !(message instanceof LastHttpContent);
       admitted = withinRequest;
     }
   }
--- a/node/src/main/java/ferngrade/http/RequestPacer.java
+++ b/node/src/main/java/ferngrade/http/RequestPacer.java
@@ -25,7 +25,7 @@
     this.timers = timers;
   }
 
-  /** Returns the clock that counts the turns and tells the arrival times of their input. */
+  /** Returns the clock that counts the turns and provides the arrival times of their input. */
   ArrivalClock arrivals() {
     return arrivals;
   }
--- a/node/src/main/java/ferngrade/http/RequestReader.java
+++ b/node/src/main/java/ferngrade/http/RequestReader.java
@@ -46,7 +46,7 @@
   private static final double MAX_SLOTS = 1024;
 
   /** The cookie that names the object of a request. */
-  private static final String OBJECT = "obj";
+  private static final String OBJECT_COOKIE = "obj";
 
   private final DispatcherSettings settings;
   private final Map<String, Integer> classes;
@@ -54,16 +54,16 @@
 
   public RequestReader(DispatcherSettings settings) {
     this.settings = settings;
-    this.classes = positions(settings.classes().stream().map(JobClass::name).toList());
-    this.tenants = positions(settings.tenants().stream().map(Tenant::name).toList());
+    this.classes = indexes(settings.classes().stream().map(JobClass::name).toList());
+    this.tenants = indexes(settings.tenants().stream().map(Tenant::name).toList());
   }
 
-  private static Map<String, Integer> positions(List<String> names) {
-    Map<String, Integer> positions = new HashMap<>();
+  private static Map<String, Integer> indexes(List<String> names) {
+    Map<String, Integer> indexes = new HashMap<>();
     for (String name : names) {
-      positions.put(name, positions.size());
+      indexes.put(name, indexes.size());
     }
-    return positions;
+    return indexes;
   }
 
   Job job(HttpRequest request, double now) throws BadRequestException {
@@ -71,26 +71,28 @@
     if (!PATH.matcher(request.uri()).matches()) {
       throw new BadRequestException("the path is not plain");
     }
-    String id = one(headers, Headers.ID);
+    String id = singleValue(headers, Headers.ID);
     if (id == null || id.length() > MAX_ID_LENGTH || !PLAIN_ID.matcher(id).matches()) {
       throw new BadRequestException(Headers.ID + " is missing or not a plain word");
     }
-    int jobClass = position(classes, headers, Headers.KIND);
-    String key = one(headers, Headers.REPEAT_KEY);
+    int jobClass = index(classes, headers, Headers.KIND);
+    String key = singleValue(headers, Headers.IDEMPOTENCY_KEY);
     boolean keyed = settings.classes().get(jobClass).effect() == Idempotency.KEYED;
     // Without a key, workers could not detect a repeated job, and the dispatcher relies on that.
     if (key == null ? keyed : !KEY.matcher(key).matches()) {
-      throw new BadRequestException(Headers.REPEAT_KEY + " is missing or not plain");
+      throw new BadRequestException(Headers.IDEMPOTENCY_KEY + " is missing or not plain");
     }
-    int tenant = tenants.isEmpty() ? 0 : position(tenants, headers, Headers.OWNER);
-    String wait = one(headers, Headers.DEADLINE);
+    int tenant = tenants.isEmpty() ? 0 : index(tenants, headers, Headers.OWNER);
+    String deadlineText = singleValue(headers, Headers.DEADLINE);
     // No client waits longer than the deadline of its job class; an extreme value must not occupy a
     // table entry for days.
-    double longest = settings.classes().get(jobClass).deadline();
-    double deadline = wait == null ? longest : Math.min(longest, deadline(wait));
-    String cost = one(headers, Headers.COST);
-    double work = cost == null ? 0 : Math.min(longest, amount(Headers.COST, cost) / 1000);
-    Map<String, Double> extras = extras(one(headers, Headers.EXTRA));
+    double maxDeadline = settings.classes().get(jobClass).deadline();
+    double deadline =
+        deadlineText == null ? maxDeadline : Math.min(maxDeadline, deadline(deadlineText));
+    String costText = singleValue(headers, Headers.COST);
+    double work =
+        costText == null ? 0 : Math.min(maxDeadline, amount(Headers.COST, costText) / 1000);
+    Map<String, Double> extras = extras(singleValue(headers, Headers.EXTRA));
     return new Job(
         id,
         jobClass,
@@ -99,15 +101,15 @@
         work,
         extras.getOrDefault("slots", 1.0),
         extras.getOrDefault("memory", 0.0),
-        object(headers.get(HttpHeaderNames.COOKIE)));
+        objectHash(headers.get(HttpHeaderNames.COOKIE)));
   }
 
-  static JobRequest call(FullHttpRequest request, String id) {
+  static JobRequest jobRequest(FullHttpRequest request, String id) {
     return new JobRequest(
         id,
         request.method().name(),
         request.uri(),
-        request.headers().get(Headers.REPEAT_KEY),
+        request.headers().get(Headers.IDEMPOTENCY_KEY),
         ByteBufUtil.getBytes(request.content()));
   }
 
@@ -115,7 +117,7 @@
    * Returns the value of a header, or null if it is absent. A repeated header is rejected, because
    * it is unknown which value a worker would use.
    */
-  private static String one(HttpHeaders headers, String header) throws BadRequestException {
+  private static String singleValue(HttpHeaders headers, String header) throws BadRequestException {
     List<String> values = headers.getAll(header);
     if (values.size() > 1) {
       throw new BadRequestException(header + " comes more than once");
@@ -123,23 +125,23 @@
     return values.isEmpty() ? null : values.get(0);
   }
 
-  private static int position(Map<String, Integer> names, HttpHeaders headers, String header)
+  private static int index(Map<String, Integer> names, HttpHeaders headers, String header)
       throws BadRequestException {
-    Integer position = names.get(String.valueOf(one(headers, header)));
-    if (position == null) {
+    Integer index = names.get(String.valueOf(singleValue(headers, header)));
+    if (index == null) {
       throw new BadRequestException(header + " is missing or unknown");
     }
-    return position;
+    return index;
   }
 
   /**
    * Returns the hash of the object that a cookie names, or 0 if there is no such cookie or the
    * cookies cannot be parsed.
    */
-  private static long object(String cookies) {
+  private static long objectHash(String cookies) {
     if (cookies != null) {
       for (Cookie cookie : ServerCookieDecoder.LAX.decode(cookies)) {
-        if (cookie.name().equals(OBJECT)) {
+        if (cookie.name().equals(OBJECT_COOKIE)) {
           return cookie.value().hashCode();
         }
       }
--- a/node/src/main/java/ferngrade/http/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -13,49 +13,49 @@
  * @param acceptUntil until then jobs are accepted normally, on new and existing connections; later
  *     jobs are rejected
  * @param answersBy when every accepted job has its final answer
- * @param unfinishedUntil until then the rest of a partially received request may arrive; the
+ * @param partialRequestsUntil until then the rest of a partially received request may arrive; the
  *     request is rejected in any case
  * @param end when the process ends, even if clients are still connected
  */
 public record ShutdownBudget(
-    double acceptUntil, double answersBy, double unfinishedUntil, double end) {
+    double acceptUntil, double answersBy, double partialRequestsUntil, double end) {
   /**
    * The minimum time between the signal and the kill by the platform, beyond the longest deadline,
    * in ms.
    */
-  private static final double KILL_AFTER_DEADLINE = 700;
+  private static final double MIN_KILL_DELAY_MILLIS = 700;
 
   /**
    * The maximum part of the longest deadline of a deployment that the platform waits for, in ms.
    */
-  private static final double LONGEST_DEADLINE = 3000;
+  private static final double MAX_DEADLINE_MILLIS = 3000;
 
   /**
    * The time after the signal during which new connections may arrive, in ms; after it, load
    * balancers have noticed the shutdown.
    */
-  private static final double NEW_CONNECTIONS = 400;
+  private static final double NEW_CONNECTIONS_MILLIS = 400;
 
   /**
    * The maximum time for which the machine may hold up a node between reading its clock and
    * writing, in ms.
    */
-  private static final double MAX_PAUSE = 150;
+  private static final double MAX_PAUSE_MILLIS = 150;
 
   /** The time to write the last answers, close the connections and end the process, in ms. */
-  private static final double WRITING = 50;
+  private static final double WRITE_MILLIS = 50;
 
   /** The minimum time for clients to read the last answers and close their connections, in ms. */
-  private static final double READING = 100;
+  private static final double READ_MILLIS = 100;
 
   /**
    * The last part of the time for reading, left to clients whose partially received request was
    * rejected, in ms.
    */
-  static final double READING_REJECTIONS = 50;
+  static final double READ_REJECTION_MILLIS = 50;
 
   /** The minimum remaining time to start a job whose deadline lies beyond the budget, in ms. */
-  private static final double MIN_REMAINING = 50;
+  private static final double MIN_REMAINING_MILLIS = 50;
 
   /**
    * Computes the budget of a shutdown requested by a signal, in a deployment with these settings.
@@ -63,28 +63,30 @@
    * kill before some time after it. A process that was held up knows the time of the signal only
    * within bounds.
    *
-   * @param earliest the earliest time at which the signal may have arrived, in ms
-   * @param noticed the time at which this process noticed the signal, in ms
+   * @param earliestSignal the earliest time at which the signal may have arrived, in ms
+   * @param noticedAt the time at which this process noticed the signal, in ms
    */
-  public static ShutdownBudget of(double earliest, double noticed, DispatcherSettings settings) {
+  public static ShutdownBudget of(
+      double earliestSignal, double noticedAt, DispatcherSettings settings) {
     double deadline = settings.classes().stream().mapToDouble(JobClass::deadline).max().orElse(0);
-    double kill = earliest + Math.min(LONGEST_DEADLINE, deadline) + KILL_AFTER_DEADLINE;
-    double end = kill - MAX_PAUSE - WRITING;
-    double answersBy = end - READING;
-    double acceptUntil = Math.min(noticed + NEW_CONNECTIONS + MAX_PAUSE, answersBy);
-    return new ShutdownBudget(acceptUntil, answersBy, end - READING_REJECTIONS, end);
+    double earliestKill =
+        earliestSignal + Math.min(MAX_DEADLINE_MILLIS, deadline) + MIN_KILL_DELAY_MILLIS;
+    double end = earliestKill - MAX_PAUSE_MILLIS - WRITE_MILLIS;
+    double answersBy = end - READ_MILLIS;
+    double acceptUntil = Math.min(noticedAt + NEW_CONNECTIONS_MILLIS + MAX_PAUSE_MILLIS, answersBy);
+    return new ShutdownBudget(acceptUntil, answersBy, end - READ_REJECTION_MILLIS, end);
   }
 
   /**
    * Returns true if a job due at {@code due} cannot be answered within the budget, or would have
    * too little time.
    */
-  boolean tooLittleFor(double due, double now) {
-    return due > answersBy && answersBy - now < MIN_REMAINING;
+  boolean tooShortFor(double due, double now) {
+    return due > answersBy && answersBy - now < MIN_REMAINING_MILLIS;
   }
 
   /** Returns the job with its deadline limited to the budget. */
-  Job capped(Job job) {
+  Job capDeadline(Job job) {
     return new Job(
         job.id(),
         job.jobClass(),
--- a/node/src/main/java/ferngrade/http/SingleCallDial.java
+++ b/node/src/main/java/ferngrade/http/SingleCallDial.java
@@ -33,7 +33,7 @@
       connection.close();
       return;
     }
-    call.carriedAloneBy(connection);
+    call.setOwnConnection(connection);
     connection.write(call, HttpHeaderValues.CLOSE);
   }
 
@@ -51,12 +51,12 @@
   }
 
   @Override
-  public void answeredLast(PeerCall answered, int status, List<PeerCall> unanswered) {
+  public void answeredAndClosed(PeerCall answered, int status, List<PeerCall> unanswered) {
     call.end(status);
   }
 
   @Override
-  public void broken(List<PeerCall> unanswered) {
+  public void connectionLost(List<PeerCall> unanswered) {
     call.end(PeerCall.NO_ANSWER);
   }
 }
--- a/node/src/main/java/ferngrade/http/UndecodedBytes.java
+++ b/node/src/main/java/ferngrade/http/UndecodedBytes.java
@@ -13,12 +13,12 @@
   /** The maximum number of bytes buffered for one connection. */
   private static final int MAX_BYTES = 16 << 10;
 
-  private final Deque<ByteBuf> waiting = new ArrayDeque<>();
-  private int bytes;
+  private final Deque<ByteBuf> buffers = new ArrayDeque<>();
+  private int byteCount;
   private boolean overflowed;
 
   boolean isEmpty() {
-    return waiting.isEmpty();
+    return buffers.isEmpty();
   }
 
   /** Returns true once bytes have been dropped. */
@@ -28,27 +28,27 @@
 
   /** Takes over a buffer. Returns false if it was dropped because the limit is exceeded. */
   boolean add(ByteBuf buffer) {
-    overflowed = overflowed || bytes + buffer.readableBytes() > MAX_BYTES;
+    overflowed = overflowed || byteCount + buffer.readableBytes() > MAX_BYTES;
     if (overflowed) {
       buffer.release();
     } else {
-      bytes += buffer.readableBytes();
-      waiting.add(buffer);
+      byteCount += buffer.readableBytes();
+      buffers.add(buffer);
     }
     return !overflowed;
   }
 
   /** Removes and returns the oldest buffer, which the caller takes over; null if there is none. */
   ByteBuf poll() {
-    ByteBuf first = waiting.poll();
-    bytes -= first == null ? 0 : first.readableBytes();
+    ByteBuf first = buffers.poll();
+    byteCount -= first == null ? 0 : first.readableBytes();
     return first;
   }
 
   /** Releases all buffers after the connection has ended. */
   void release() {
-    waiting.forEach(ByteBuf::release);
-    waiting.clear();
-    bytes = 0;
+    buffers.forEach(ByteBuf::release);
+    buffers.clear();
+    byteCount = 0;
   }
 }
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -33,7 +33,7 @@
   private final Dialer dialer;
   private final Timers timers;
   private final Consumer<UpgradePeer> whenRefused;
-  private final Queue<PeerCall> waiting = new ArrayDeque<>();
+  private final Queue<PeerCall> queued = new ArrayDeque<>();
   private State state = State.DISCONNECTED;
   private int heldCalls;
   private int heldBytes;
@@ -72,39 +72,41 @@
   }
 
   /** Makes a call. If the limits are exceeded, the call ends at once without an answer. */
-  void call(PeerCall call) {
-    if (state == State.FORGOTTEN || heldCalls >= MAX_CALLS || heldBytes + call.size() > MAX_BYTES) {
+  void send(PeerCall call) {
+    if (state == State.FORGOTTEN
+        || heldCalls >= MAX_CALLS
+        || heldBytes + call.bodySize() > MAX_BYTES) {
       call.end(PeerCall.NO_ANSWER);
       return;
     }
     heldCalls++;
-    heldBytes += call.size();
-    call.timedBy(timers.after(call.timeout(), () -> timedOut(call)));
-    waiting.add(call);
-    proceed();
+    heldBytes += call.bodySize();
+    call.setTimer(timers.after(call.timeout(), () -> timedOut(call)));
+    queued.add(call);
+    sendQueued();
   }
 
   /**
    * Closes the connection and ends all calls without an answer. Further calls of this method have
    * no effect.
    */
-  void forget() {
+  void close() {
     if (state == State.FORGOTTEN) {
       return;
     }
     state = State.FORGOTTEN;
-    List<PeerCall> left = new ArrayList<>();
+    List<PeerCall> pending = new ArrayList<>();
     if (connection != null) {
-      left.addAll(connection.close());
+      pending.addAll(connection.close());
       connection = null;
     }
-    left.addAll(waiting);
-    waiting.clear();
-    left.forEach(call -> call.end(PeerCall.NO_ANSWER));
+    pending.addAll(queued);
+    queued.clear();
+    pending.forEach(call -> call.end(PeerCall.NO_ANSWER));
   }
 
   private void timedOut(PeerCall call) {
-    if (waiting.remove(call)) {
+    if (queued.remove(call)) {
       release(call);
     }
     call.end(PeerCall.NO_ANSWER);
@@ -113,21 +115,21 @@
   /** Removes a call from the calls held. */
   private void release(PeerCall call) {
     heldCalls--;
-    heldBytes -= call.size();
+    heldBytes -= call.bodySize();
   }
 
   /** Sends the queued calls as far as the state allows. */
-  private void proceed() {
-    if (state == State.DISCONNECTED && !waiting.isEmpty()) {
+  private void sendQueued() {
+    if (state == State.DISCONNECTED && !queued.isEmpty()) {
       state = State.DIALLING;
-      PeerCall first = waiting.element();
+      PeerCall first = queued.element();
       dialer.dial(address, first.timeout(), new Dial(first));
     }
-    while (state == State.KEPT && !waiting.isEmpty()) {
-      connection.write(waiting.remove(), HttpHeaderValues.KEEP_ALIVE);
+    while (state == State.KEPT && !queued.isEmpty()) {
+      connection.write(queued.remove(), HttpHeaderValues.KEEP_ALIVE);
     }
-    while (state == State.CONNECTION_PER_CALL && !waiting.isEmpty()) {
-      PeerCall call = waiting.remove();
+    while (state == State.CONNECTION_PER_CALL && !queued.isEmpty()) {
+      PeerCall call = queued.remove();
       release(call);
       new SingleCallDial(call, () -> whenRefused.accept(this)).dial(dialer, address);
     }
@@ -140,27 +142,27 @@
     state = State.KEPT;
     release(call);
     call.end(status);
-    proceed();
+    sendQueued();
   }
 
   @Override
-  public void answeredLast(PeerCall call, int status, List<PeerCall> unanswered) {
+  public void answeredAndClosed(PeerCall call, int status, List<PeerCall> unanswered) {
     boolean closesAlways = state == State.ASKING && status != HttpResponseStatus.BAD_REQUEST.code();
     state = closesAlways ? State.CONNECTION_PER_CALL : State.DISCONNECTED;
     connection = null;
     release(call);
-    List<PeerCall> failed = repeat(unanswered);
+    List<PeerCall> failed = requeue(unanswered);
     call.end(status);
     endUnanswered(failed);
   }
 
   @Override
-  public void broken(List<PeerCall> unanswered) {
+  public void connectionLost(List<PeerCall> unanswered) {
     boolean kept = state == State.KEPT;
     state = State.DISCONNECTED;
     connection = null;
     if (kept) {
-      endUnanswered(repeat(unanswered));
+      endUnanswered(requeue(unanswered));
     } else {
       unanswered.forEach(this::release);
       endUnanswered(unanswered);
@@ -173,25 +175,25 @@
    *
    * @return the calls that must not be retried
    */
-  private List<PeerCall> repeat(List<PeerCall> unanswered) {
-    List<PeerCall> later = List.copyOf(waiting);
-    waiting.clear();
+  private List<PeerCall> requeue(List<PeerCall> unanswered) {
+    List<PeerCall> alreadyQueued = List.copyOf(queued);
+    queued.clear();
     List<PeerCall> failed = new ArrayList<>();
     for (PeerCall call : unanswered) {
-      if (call.repeat()) {
-        waiting.add(call);
+      if (call.tryRetry()) {
+        queued.add(call);
       } else {
         release(call);
         failed.add(call);
       }
     }
-    waiting.addAll(later);
+    queued.addAll(alreadyQueued);
     return failed;
   }
 
   private void endUnanswered(List<PeerCall> calls) {
     calls.forEach(call -> call.end(PeerCall.NO_ANSWER));
-    proceed();
+    sendQueued();
   }
 
   /** The dial of the persistent connection; its failure ends the first call. */
@@ -204,7 +206,7 @@
 
     @Override
     public boolean wanted() {
-      return state == State.DIALLING && !waiting.isEmpty();
+      return state == State.DIALLING && !queued.isEmpty();
     }
 
     @Override
@@ -213,7 +215,7 @@
       if (wanted()) {
         state = State.ASKING;
         connection = opened;
-        connection.write(waiting.remove(), HttpHeaderValues.KEEP_ALIVE);
+        connection.write(queued.remove(), HttpHeaderValues.KEEP_ALIVE);
         return;
       }
       opened.close();
@@ -233,7 +235,7 @@
       }
       state = State.DISCONNECTED;
       timedOut(first);
-      proceed();
+      sendQueued();
     }
   }
 }
--- a/node/src/main/java/ferngrade/http/UpgradePeers.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeers.java
@@ -30,12 +30,12 @@
  */
 public final class UpgradePeers {
   /** The maximum duration of a relay, in ms; the worker waits for its response meanwhile. */
-  private static final double RELAY_TIMEOUT = 500;
+  private static final double RELAY_TIMEOUT_MILLIS = 500;
 
   /** The maximum duration of an announcement including retries, in ms. */
-  private static final double ANNOUNCE_TIMEOUT = 5000;
+  private static final double ANNOUNCE_TIMEOUT_MILLIS = 5000;
 
-  private static final int CONNECT_TIMEOUT = 500;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
   /**
    * The maximum number of peers; only the newest are kept, since earlier processes have ended by
@@ -43,7 +43,7 @@
    */
   static final int MAX_PEERS = 8;
 
-  private static final int TAKEN_STATUS = HttpResponseStatus.NO_CONTENT.code();
+  private static final int ACCEPTED_STATUS = HttpResponseStatus.NO_CONTENT.code();
   private static final int UNKNOWN_STATUS = HttpResponseStatus.NOT_FOUND.code();
 
   private final Timers timers;
@@ -58,8 +58,8 @@
    */
   private final Set<InetSocketAddress> unrecorded = new LinkedHashSet<>();
 
-  private RunningProcesses processes = UNKNOWN_PROCESSES;
-  private InetSocketAddress own;
+  private RunningProcesses runningProcesses = UNKNOWN_PROCESSES;
+  private InetSocketAddress ownAddress;
 
   /** The outcome of a callback that was relayed to the other processes. */
   public enum RelayOutcome {
@@ -107,7 +107,7 @@
             timers,
             channels,
             Purpose.HANDOVER,
-            CONNECT_TIMEOUT,
+            CONNECT_TIMEOUT_MILLIS,
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
@@ -121,7 +121,7 @@
    * relay it to has the outcome ENDED.
    */
   public void knownBy(RunningProcesses running) {
-    processes = running;
+    runningProcesses = running;
   }
 
   /**
@@ -129,9 +129,9 @@
    * ended.
    */
   public void own(InetSocketAddress address) {
-    own = address;
+    ownAddress = address;
     unrecorded.remove(address);
-    forget(address);
+    remove(address);
   }
 
   /** Adds the address, taken from the shared log, at which another process receives calls. */
@@ -145,7 +145,7 @@
    * release.
    */
   public void at(InetSocketAddress other) {
-    if (!other.equals(own) && !peers.containsKey(other)) {
+    if (!other.equals(ownAddress) && !peers.containsKey(other)) {
       unrecorded.add(other);
       if (unrecorded.size() > MAX_PEERS) {
         unrecorded.remove(unrecorded.iterator().next());
@@ -155,27 +155,27 @@
   }
 
   private void add(InetSocketAddress other) {
-    if (other.equals(own) || peers.containsKey(other)) {
+    if (other.equals(ownAddress) || peers.containsKey(other)) {
       return;
     }
-    peers.put(other, new UpgradePeer(other, dialer, timers, this::refused));
+    peers.put(other, new UpgradePeer(other, dialer, timers, this::removeRefused));
     log.line("another process of this node is at " + other);
     if (peers.size() > MAX_PEERS) {
-      forget(peers.keySet().iterator().next());
+      remove(peers.keySet().iterator().next());
     }
   }
 
-  private void forget(InetSocketAddress address) {
+  private void remove(InetSocketAddress address) {
     UpgradePeer peer = peers.remove(address);
     if (peer != null) {
-      peer.forget();
+      peer.close();
     }
   }
 
   /** Announces the address of this process to the other processes. */
   public void announce() {
-    String text = own.getHostString() + ":" + own.getPort();
-    callAll("/-/sibling", text, ANNOUNCE_TIMEOUT, status -> {});
+    String text = ownAddress.getHostString() + ":" + ownAddress.getPort();
+    sendToAll("/-/sibling", text, ANNOUNCE_TIMEOUT_MILLIS, status -> {});
   }
 
   /**
@@ -183,14 +183,14 @@
    * not required.
    */
   public void push(String record) {
-    callAll("/-/state", record, ANNOUNCE_TIMEOUT, status -> {});
+    sendToAll("/-/state", record, ANNOUNCE_TIMEOUT_MILLIS, status -> {});
   }
 
   /** Relays a callback; {@code outcome} is called exactly once. */
   void relay(String callback, Consumer<RelayOutcome> outcome) {
-    processes.refresh();
+    runningProcesses.refresh();
     RelayRound round = new RelayRound(peers.size(), outcome);
-    callAll("/-/news", callback, RELAY_TIMEOUT, round::answered);
+    sendToAll("/-/news", callback, RELAY_TIMEOUT_MILLIS, round::answered);
   }
 
   /**
@@ -212,15 +212,15 @@
       this.awaited = awaited;
       this.outcome = outcome;
       if (awaited == 0) {
-        boolean alone = unrecorded.isEmpty() && !processes.othersMayRun();
+        boolean alone = unrecorded.isEmpty() && !runningProcesses.othersMayRun();
         end(alone ? RelayOutcome.ENDED : RelayOutcome.UNANSWERED);
       }
     }
 
     void answered(int status) {
       awaited--;
-      unanswered |= status != TAKEN_STATUS && status != UNKNOWN_STATUS;
-      if (status == TAKEN_STATUS) {
+      unanswered |= status != ACCEPTED_STATUS && status != UNKNOWN_STATUS;
+      if (status == ACCEPTED_STATUS) {
         end(RelayOutcome.TAKEN);
       } else if (awaited == 0) {
         end(unanswered ? RelayOutcome.UNANSWERED : RelayOutcome.UNKNOWN);
@@ -236,18 +236,18 @@
     }
   }
 
-  private void callAll(String path, String body, double timeout, IntConsumer status) {
+  private void sendToAll(String path, String body, double timeout, IntConsumer status) {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     for (UpgradePeer peer : List.copyOf(peers.values())) {
-      peer.call(new PeerCall(path, bytes, timeout, status));
+      peer.send(new PeerCall(path, bytes, timeout, status));
     }
   }
 
   /** Removes a peer that refused a connection, because its process has ended. */
-  private void refused(UpgradePeer peer) {
+  private void removeRefused(UpgradePeer peer) {
     if (peers.remove(peer.address(), peer)) {
       log.line("the process of this node at " + peer.address() + " has ended");
     }
-    peer.forget();
+    peer.close();
   }
 }
--- a/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
+++ b/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
@@ -12,7 +12,7 @@
 final class WorkerCallbackParser {
   private WorkerCallbackParser() {}
 
-  static WorkerCallback read(String body) throws BadRequestException {
+  static WorkerCallback parse(String body) throws BadRequestException {
     try {
       JsonObject json = Json.parse(body).asObject();
       WorkerCallback.State state =
@@ -21,14 +21,14 @@
       if (state == WorkerCallback.State.DONE && result == null) {
         throw new BadRequestException("a job that is done has a result");
       }
-      String given =
+      String resultText =
           result == null ? "" : result.isString() ? result.asString() : result.toString();
       return new WorkerCallback(
           text(json, "id"),
           text(json, "from"),
           state,
           json.getDouble("share", 0),
-          given,
+          resultText,
           load(json.get("load")));
     } catch (ParseException | UnsupportedOperationException | IllegalArgumentException malformed) {
       throw new BadRequestException("not a call-back");
--- a/node/src/main/java/ferngrade/http/WorkerClient.java
+++ b/node/src/main/java/ferngrade/http/WorkerClient.java
@@ -77,8 +77,8 @@
   }
 
   /** Sets the identification, name and process id, that attempts carry in a header. */
-  public void identifyAs(String sender) {
-    process = sender;
+  public void identifyAs(String identification) {
+    process = identification;
   }
 
   /** Returns the identification of this process that attempts carry, or null if they carry none. */
@@ -88,8 +88,8 @@
 
   @Override
   public AttemptHandle send(
-      JobRequest call, InetSocketAddress worker, double timeout, Listener listener) {
-    AttemptExchange attempt = new AttemptExchange(this, call, worker, timeout, listener);
+      JobRequest job, InetSocketAddress worker, double timeout, Listener listener) {
+    AttemptExchange attempt = new AttemptExchange(this, job, worker, timeout, listener);
     start(worker, attempt);
     return attempt;
   }
@@ -160,9 +160,9 @@
 
     @Override
     public void connected(Channel channel) {
-      WorkerConnection fresh = channel.pipeline().get(WorkerConnection.class);
-      fresh.opened(worker);
-      fresh.begin(exchange);
+      WorkerConnection opened = channel.pipeline().get(WorkerConnection.class);
+      opened.opened(worker);
+      opened.begin(exchange);
     }
 
     @Override
--- a/node/src/main/java/ferngrade/http/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/http/WorkerConnection.java
@@ -42,7 +42,7 @@
    */
   double reusedAfter = -1;
 
-  private boolean endedHere;
+  private boolean closedLocally;
 
   /** The cause of the connection's failure; null if the system reported none. */
   private Throwable fault;
@@ -64,7 +64,7 @@
         idleGuard(),
         new HttpRequestEncoder(),
         decoder,
-        new HttpObjectAggregator(HttpFrontend.MAX_BODY),
+        new HttpObjectAggregator(HttpFrontend.MAX_BODY_BYTES),
         this);
   }
 
@@ -101,20 +101,20 @@
     return context.channel().isActive();
   }
 
-  void begin(HttpExchange next) {
-    FullHttpRequest request = next.request();
+  void begin(HttpExchange newExchange) {
+    FullHttpRequest request = newExchange.request();
     if (request == null) {
       pool.release(this);
       return;
     }
-    exchange = next;
-    next.carriedBy(this);
+    exchange = newExchange;
+    newExchange.carriedBy(this);
     context
         .writeAndFlush(request)
         .addListener(
             written -> {
-              if (written.isSuccess() && exchange == next) {
-                next.written();
+              if (written.isSuccess() && exchange == newExchange) {
+                newExchange.written();
               } else if (!written.isSuccess()) {
                 fault = written.cause();
                 close();
@@ -131,11 +131,11 @@
     if (HttpStatusClass.valueOf(response.status().code()) == HttpStatusClass.INFORMATIONAL) {
       return;
     }
-    HttpExchange answered = exchange;
+    HttpExchange completed = exchange;
     exchange = null;
-    boolean keep = HttpUtil.isKeepAlive(response) && !decoder.hasMore();
-    answered.answered(response);
-    if (keep) {
+    boolean keepAlive = HttpUtil.isKeepAlive(response) && !decoder.hasMore();
+    completed.answered(response);
+    if (keepAlive) {
       pool.release(this);
     } else {
       close();
@@ -164,23 +164,23 @@
 
   /** Closes the connection from this side. */
   void close() {
-    endedHere = true;
+    closedLocally = true;
     context.close();
   }
 
-  boolean endedHere() {
-    return endedHere;
+  boolean closedLocally() {
+    return closedLocally;
   }
 
   /** Handles the end of the connection, closed by either side; no other method does so. */
   private void ended() {
     pool.ended(this);
-    HttpExchange broken = exchange;
+    HttpExchange interrupted = exchange;
     exchange = null;
-    if (broken != null) {
+    if (interrupted != null) {
       // Netty closes the channel before it fails the write that broke the connection, but the cause
       // of that failure is needed here.
-      context.executor().execute(() -> broken.broken(FaultOrigin.of(fault)));
+      context.executor().execute(() -> interrupted.connectionLost(FaultOrigin.of(fault)));
     }
   }
 }
--- a/node/src/main/java/ferngrade/http/WorkerDeadline.java
+++ b/node/src/main/java/ferngrade/http/WorkerDeadline.java
@@ -11,18 +11,18 @@
    * The assumed time that a request spent on its way from the client, in ms, and the maximum share
    * of a short remaining time that is subtracted for it.
    */
-  private static final double CLIENT_TRANSIT = 10;
+  private static final double CLIENT_TRANSIT_MILLIS = 10;
 
   private static final double MAX_SHARE = 0.25;
 
   private WorkerDeadline() {}
 
   /**
-   * Returns the header value for an attempt for which the node waits {@code left} ms more, where
-   * {@code left} is above zero.
+   * Returns the header value for an attempt for which the node waits {@code remaining} ms more,
+   * where {@code remaining} is above zero.
    */
-  static String header(double left) {
-    double sent = left - Math.min(CLIENT_TRANSIT, MAX_SHARE * left);
+  static String header(double remaining) {
+    double sent = remaining - Math.min(CLIENT_TRANSIT_MILLIS, MAX_SHARE * remaining);
     return Math.max(1, (long) Math.floor(sent)) + "m";
   }
 }
--- a/node/src/test/java/ferngrade/http/AcceptSwitchTest.java
+++ b/node/src/test/java/ferngrade/http/AcceptSwitchTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Whether a listener accepts, on a clock that the test sets. */
+/** Tests when a listener accepts connections, with a simulated clock. */
 public class AcceptSwitchTest {
   private double now;
   private Timers timers;
@@ -27,11 +27,11 @@
     listener = new EmbeddedChannel(acceptSwitch);
   }
 
-  private void acceptFails() {
+  private void failAccept() {
     listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
   }
 
-  private void pass(double millis) {
+  private void advance(double millis) {
     now += millis;
     timers.run();
   }
@@ -41,28 +41,28 @@
   }
 
   @Test
-  public void failedAcceptPausesForItsBackoffAndNoLonger() {
-    acceptFails();
+  public void pausesForOneBackoffAfterAFailedAccept() {
+    failAccept();
     assertFalse(accepts());
-    pass(AcceptSwitch.BACKOFF - 1);
+    advance(AcceptSwitch.BACKOFF_MILLIS - 1);
     assertFalse(accepts());
-    pass(1);
+    advance(1);
     assertTrue(accepts());
     listener.checkException();
   }
 
   @Test
-  public void acceptsThatFailForTwoSecondsAreFewAndTheLastPauseIsOneBackoff() {
+  public void retriesAcceptOncePerBackoffWhileAcceptsFail() {
     int failed = 0;
     while (now < 2000) {
       if (accepts()) {
         failed++;
-        acceptFails();
+        failAccept();
       }
-      pass(1);
+      advance(1);
     }
-    assertEquals(failed, (int) (2000 / AcceptSwitch.BACKOFF));
-    pass(AcceptSwitch.BACKOFF);
+    assertEquals(failed, (int) (2000 / AcceptSwitch.BACKOFF_MILLIS));
+    advance(AcceptSwitch.BACKOFF_MILLIS);
     assertTrue(accepts());
   }
 
@@ -72,29 +72,29 @@
   }
 
   @Test(dataProvider = "lastingReasons")
-  public void endOfTheBackoffDoesNotUndoAnotherReason(Reason reason) {
-    acceptFails();
+  public void staysPausedForAnotherReasonAfterTheBackoff(Reason reason) {
+    failAccept();
     acceptSwitch.pause(reason, true);
-    pass(5000);
+    advance(5000);
     assertFalse(accepts());
     acceptSwitch.pause(reason, false);
     assertTrue(accepts());
   }
 
   @Test
-  public void endOfAnotherReasonDoesNotCutTheBackoffShort() {
+  public void completesTheBackoffWhenAnotherReasonEnds() {
     acceptSwitch.pause(Reason.FULL, true);
-    acceptFails();
+    failAccept();
     acceptSwitch.pause(Reason.FULL, false);
     assertFalse(accepts());
-    pass(AcceptSwitch.BACKOFF);
+    advance(AcceptSwitch.BACKOFF_MILLIS);
     assertTrue(accepts());
   }
 
   @Test
-  public void reasonGivenBeforeTheListenerIsThereHolds() {
-    AcceptSwitch early = new AcceptSwitch(timers, AcceptSwitch.PauseListener.NONE);
-    early.pause(Reason.FULL, true);
-    assertFalse(new EmbeddedChannel(early).config().isAutoRead());
+  public void appliesAReasonThatWasSetBeforeTheListenerExists() {
+    AcceptSwitch withoutListener = new AcceptSwitch(timers, AcceptSwitch.PauseListener.NONE);
+    withoutListener.pause(Reason.FULL, true);
+    assertFalse(new EmbeddedChannel(withoutListener).config().isAutoRead());
   }
 }
--- a/node/src/test/java/ferngrade/http/AcceptTimeEstimatorTest.java
+++ b/node/src/test/java/ferngrade/http/AcceptTimeEstimatorTest.java
@@ -8,9 +8,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Guards against connections that are taken to have come much later, or earlier, than they did. */
+/**
+ * Guards against estimating the arrival of a connection much later, or much earlier, than it was.
+ */
 public class AcceptTimeEstimatorTest {
-  private static final double TURN = 10;
+  private static final double TURN_MILLIS = 10;
 
   private double now;
   private Timers timers;
@@ -26,13 +28,13 @@
     arrivals = new ArrivalClock(() -> now);
     estimator =
         new AcceptTimeEstimator(
-            arrivals, () -> acceptSwitch.acceptsAtOnce(), HttpFrontend.MAX_BACKLOG_WAIT);
+            arrivals, () -> acceptSwitch.acceptsAtOnce(), HttpFrontend.MAX_BACKLOG_WAIT_MILLIS);
     acceptSwitch = new AcceptSwitch(timers, estimator);
     listener = new EmbeddedChannel(estimator, acceptSwitch);
   }
 
-  private void turn() throws Exception {
-    now += TURN;
+  private void runTurn() throws Exception {
+    now += TURN_MILLIS;
     arrivals.calculateStrategy(() -> 1, true);
     timers.run();
   }
@@ -45,44 +47,49 @@
     listener.pipeline().fireChannelRead("connection");
   }
 
-  private void readEnds() {
+  private void completeRead() {
     listener.pipeline().fireChannelReadComplete();
   }
 
   /**
-   * Fails where each failed accept makes what still waits in the backlog seem to have just come.
+   * Guards against a failed accept resetting the estimate, so that connections still in the backlog
+   * seem to have just arrived.
    */
   @Test
-  public void connectionThatWaitedThroughSeveralFailedAcceptsIsKnownToHaveWaited()
-      throws Exception {
-    turn();
-    double came = now;
-    while (now < came + HttpFrontend.MAX_BACKLOG_WAIT / 2) {
-      turn();
+  public void keepsTheEstimateAcrossSeveralFailedAccepts() throws Exception {
+    runTurn();
+    double arrivedAt = now;
+    while (now < arrivedAt + HttpFrontend.MAX_BACKLOG_WAIT_MILLIS / 2) {
+      runTurn();
       if (accepts()) {
-        readEnds();
+        completeRead();
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
       }
     }
     while (!accepts()) {
-      turn();
+      runTurn();
     }
     acceptOne();
-    assertTrue(estimator.waitingSince() <= came, "came " + came + ": " + estimator.waitingSince());
+    assertTrue(
+        estimator.waitingSince() <= arrivedAt,
+        "arrived at " + arrivedAt + ", estimate " + estimator.waitingSince());
   }
 
-  /** Fails where a process that is full for long takes all that it accepts for ever older. */
+  /**
+   * Guards against increasingly early estimates for the connections accepted by a process that is
+   * at its limit for a long time.
+   */
   @Test
-  public void connectionAcceptedByAFullProcessIsDatedBackByNoMoreThanTheBound() throws Exception {
-    double oldest = 0;
+  public void limitsTheEstimatedWaitOfConnectionsAcceptedAtTheLimit() throws Exception {
+    double maxAge = 0;
     for (int i = 0; i < 500; i++) {
-      turn();
+      runTurn();
       acceptOne();
-      oldest = Math.max(oldest, now - estimator.waitingSince());
-      acceptSwitch.places(0);
-      readEnds();
-      acceptSwitch.places(1);
+      maxAge = Math.max(maxAge, now - estimator.waitingSince());
+      acceptSwitch.setCapacity(0);
+      completeRead();
+      acceptSwitch.setCapacity(1);
     }
-    assertTrue(oldest <= HttpFrontend.MAX_BACKLOG_WAIT + 2 * TURN, oldest + " ms");
+    assertTrue(maxAge <= HttpFrontend.MAX_BACKLOG_WAIT_MILLIS + 2 * TURN_MILLIS, maxAge + " ms");
   }
 }
--- a/node/src/test/java/ferngrade/http/ConnectionTableTest.java
+++ b/node/src/test/java/ferngrade/http/ConnectionTableTest.java
@@ -14,20 +14,20 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Guards against connections that give way, or time out, with a whole request unread. */
+/** Guards against evicting or timing out connections that hold a complete unread request. */
 public class ConnectionTableTest {
-  private static final double TIMEOUT = 1500;
-  private static final int PLACES = 12;
-  private static final int AWAITED = 3;
+  private static final double TIMEOUT_MILLIS = 1500;
+  private static final int MAX_OPEN = 12;
+  private static final int MAX_AWAITED = 3;
 
   private double now;
   private Timers timers;
   private List<Runnable> endOfTurn;
   private EmbeddedChannel listener;
-  private ForcedCloses closes;
+  private ForcedCloses forcedCloses;
   private ConnectionTable<Connection> table;
 
-  /** A connection on which a request may lie unread. */
+  /** A simulated connection on which a request may be unread. */
   private final class Connection implements ManagedConnection {
     private ConnectionState state = ConnectionState.UNREAD;
     private boolean trusted;
@@ -48,7 +48,7 @@
     @Override
     public boolean readPending() {
       if (peerClosed) {
-        // As with Netty, the table is told at the end of the turn.
+        // Like Netty, reports the close to the table only at the end of the turn.
         state = ConnectionState.RESTING;
         endOfTurn.add(() -> table.closed(this));
         return false;
@@ -64,8 +64,8 @@
     }
 
     @Override
-    public ForcedCloses.Closed asClosed(double at) {
-      return new ForcedCloses.Closed(state, trusted, 0, 0);
+    public ForcedCloses.ConnectionSnapshot snapshot(double time) {
+      return new ForcedCloses.ConnectionSnapshot(state, trusted, 0, 0);
     }
 
     @Override
@@ -88,14 +88,14 @@
     AcceptSwitch acceptSwitch = new AcceptSwitch(timers, AcceptSwitch.PauseListener.NONE);
     listener = new EmbeddedChannel(acceptSwitch);
     RateLimitedLog log = new RateLimitedLog(() -> now, line -> {});
-    closes = new ForcedCloses("test", new LoopMonitor(() -> now, log), log);
+    forcedCloses = new ForcedCloses("test", new LoopMonitor(() -> now, log), log);
     table =
         new ConnectionTable<>(
-            new ConnectionTable.Limits(PLACES, AWAITED),
-            TIMEOUT,
+            new ConnectionTable.Limits(MAX_OPEN, MAX_AWAITED),
+            TIMEOUT_MILLIS,
             acceptSwitch,
-            new ConnectionTable.Surroundings(
-                () -> now, timers, task -> endOfTurn.add(task), closes));
+            new ConnectionTable.Dependencies(
+                () -> now, timers, task -> endOfTurn.add(task), forcedCloses));
     table.startSweeping();
   }
 
@@ -114,7 +114,7 @@
     Connection connection = open(1, false).get(0);
     connection.trusted = true;
     connection.state = ConnectionState.RESTING;
-    table.rest(connection);
+    table.betweenRequests(connection);
     return connection;
   }
 
@@ -124,150 +124,171 @@
     tasks.forEach(Runnable::run);
   }
 
-  private void pass(double millis) {
+  private void advance(double millis) {
     now += millis;
     timers.run();
   }
 
   private static long closed(List<Connection> connections) {
-    return connections.stream().filter(each -> each.closed).count();
+    return connections.stream().filter(connection -> connection.closed).count();
   }
 
-  /** Fails where connections are closed for their number before anybody has read them. */
+  /** Guards against closing connections that exceed the limit before they have been read. */
   @Test
-  public void whatIsUnreadIsReadBeforeAnyGivesWay() {
-    List<Connection> strangers = open(2, false);
-    List<Connection> clients = open(PLACES - 2, true);
+  public void readsUnreadConnectionsBeforeEvictingAny() {
+    List<Connection> untrusted = open(2, false);
+    List<Connection> clients = open(MAX_OPEN - 2, true);
     endTurn();
     assertEquals(closed(clients), 0);
-    assertEquals(closed(strangers), 1, "one place is kept free");
-    assertTrue(strangers.get(0).closed, "the oldest goes first");
+    assertEquals(closed(untrusted), 1, "capacity for one connection is kept free");
+    assertTrue(untrusted.get(0).closed, "the oldest connection is evicted first");
   }
 
-  /** Fails where a caller that is slow to write gives way while there are places. */
+  /**
+   * Guards against evicting a client that is slow to send its request while there is free capacity.
+   */
   @Test
-  public void silentConnectionsBeyondTheirShareHaveTheirGraceWhileThereArePlaces() {
-    List<Connection> silent = open(AWAITED + 2, false);
+  public void keepsIdleUntrustedConnectionsForTheGracePeriodWhileThereIsCapacity() {
+    List<Connection> idleUntrusted = open(MAX_AWAITED + 2, false);
     endTurn();
-    assertEquals(closed(silent), 0);
-    pass(AwaitedConnections.SENDING_GRACE);
-    assertEquals(closed(silent), 2);
-    assertTrue(silent.get(0).closed && silent.get(1).closed, "the oldest go");
+    assertEquals(closed(idleUntrusted), 0);
+    advance(AwaitedConnections.GRACE_PERIOD_MILLIS);
+    assertEquals(closed(idleUntrusted), 2);
+    assertTrue(
+        idleUntrusted.get(0).closed && idleUntrusted.get(1).closed,
+        "the oldest connections are evicted");
   }
 
-  /** Fails where silent connections that then all send a part hold their bodies at will. */
+  /**
+   * Guards against unbounded memory for request bodies when many idle connections each send a part
+   * of a request.
+   */
   @Test
-  public void silentConnectionsThatThenSendAPartAreBoundedInTheSameTurn() {
-    List<Connection> silent = open(AWAITED + 3, false);
+  public void limitsConnectionsThatReceiveAPartialRequestInTheSameTurn() {
+    List<Connection> idleUntrusted = open(MAX_AWAITED + 3, false);
     endTurn();
-    for (Connection each : silent) {
-      each.state = ConnectionState.RECEIVING;
-      table.receiving(each);
+    for (Connection connection : idleUntrusted) {
+      connection.state = ConnectionState.RECEIVING;
+      table.receiving(connection);
     }
     endTurn();
-    assertEquals(silent.size() - closed(silent), AWAITED);
+    assertEquals(idleUntrusted.size() - closed(idleUntrusted), MAX_AWAITED);
   }
 
-  /** Fails where silent connections take places that others need. */
+  /** Guards against idle untrusted connections taking the capacity that other connections need. */
   @Test
-  public void silentConnectionsGiveWayAtOnceWherePlacesAreScarce() {
+  public void evictsIdleUntrustedConnectionsAtOnceWhenCapacityIsScarce() {
     Connection idle = openIdle();
-    List<Connection> silent = open(PLACES - 1, false);
+    List<Connection> idleUntrusted = open(MAX_OPEN - 1, false);
     endTurn();
-    assertEquals(silent.size() - closed(silent), AWAITED);
-    assertFalse(idle.closed, "strangers cost a known client nothing");
+    assertEquals(idleUntrusted.size() - closed(idleUntrusted), MAX_AWAITED);
+    assertFalse(idle.closed, "untrusted connections do not evict a trusted client");
   }
 
-  /** Fails where a further process of the node has idle connections closed unread. */
+  /**
+   * Guards against closing idle connections with unread requests when another process of the node
+   * starts and the limit drops.
+   */
   @Test
-  public void lowerLimitClosesOnlyIdleConnectionsWithNothingUnread() {
+  public void closesOnlyIdleConnectionsWithoutUnreadBytesWhenTheLimitDrops() {
     List<Connection> idle = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       idle.add(openIdle());
     }
     idle.get(0).requestUnread = true;
-    table.limitTo(new ConnectionTable.Limits(4, AWAITED));
+    table.limitTo(new ConnectionTable.Limits(4, MAX_AWAITED));
     endTurn();
     assertFalse(idle.get(0).closed);
     assertEquals(closed(idle), 1);
   }
 
-  /** Fails where a connection times out in the turn in which its request is there to be read. */
+  /**
+   * Guards against a timeout in the same turn of the event loop in which the request can be read.
+   */
   @Test
-  public void requestThatIsThereWhenItsTimeRunsOutIsRead() {
+  public void readsARequestThatHasArrivedWhenItsTimeoutExpires() {
     Connection late = open(1, false).get(0);
     late.requestUnread = true;
-    Connection silent = open(1, false).get(0);
-    pass(2 * TIMEOUT);
+    Connection idleUntrusted = open(1, false).get(0);
+    advance(2 * TIMEOUT_MILLIS);
     assertFalse(late.closed);
     assertEquals(late.state, ConnectionState.BUSY);
-    pass(TIMEOUT);
-    assertTrue(silent.closed);
+    advance(TIMEOUT_MILLIS);
+    assertTrue(idleUntrusted.closed);
   }
 
-  /** Fails where peers that read no responses hold all places for good. */
+  /** Guards against peers that never read their responses holding all connections indefinitely. */
   @Test
-  public void connectionsWhoseResponsesAreNotReadGiveWayAfterTheirGrace() {
+  public void evictsConnectionsWithUnreadResponsesAfterTheGracePeriod() {
     Connection idle = openIdle();
-    List<Connection> unread = open(PLACES - 1, true);
+    List<Connection> responding = open(MAX_OPEN - 1, true);
     endTurn();
-    for (Connection each : unread) {
-      each.state = ConnectionState.RESPONDING;
-      table.await(each);
+    for (Connection connection : responding) {
+      connection.state = ConnectionState.RESPONDING;
+      table.awaitPeer(connection);
     }
     endTurn();
-    assertEquals(closed(unread), 0);
-    assertTrue(idle.closed, "a place is kept free");
-    Connection next = openIdle();
-    pass(AwaitedConnections.SENDING_GRACE);
-    assertTrue(unread.get(0).closed);
-    assertFalse(next.closed);
-    assertEquals(accepts(), 1);
-    pass(TIMEOUT);
-    assertEquals(closed(unread), 1, "a response has no timeout while there are places");
+    assertEquals(closed(responding), 0);
+    assertTrue(idle.closed, "capacity for one connection is kept free");
+    Connection added = openIdle();
+    advance(AwaitedConnections.GRACE_PERIOD_MILLIS);
+    assertTrue(responding.get(0).closed);
+    assertFalse(added.closed);
+    assertEquals(maxAccepts(), 1);
+    advance(TIMEOUT_MILLIS);
+    assertEquals(closed(responding), 1, "a response has no timeout while there is capacity");
   }
 
-  /** Fails where connections that are gone hold their places until the end of the turn. */
+  /**
+   * Guards against evicting connections while others, already closed by their peers, count until
+   * the end of the turn.
+   */
   @Test
-  public void connectionsWhosePeersAreGoneFreeTheirPlacesBeforeOthersGiveWay() {
+  public void removesConnectionsClosedByTheirPeersBeforeEvictingOthers() {
     Connection idle = openIdle();
     Connection closing = open(1, false).get(0);
     closing.state = ConnectionState.CLOSING;
-    List<Connection> gone = open(PLACES - 2, false);
-    gone.forEach(each -> each.peerClosed = true);
+    List<Connection> closedByPeer = open(MAX_OPEN - 2, false);
+    closedByPeer.forEach(connection -> connection.peerClosed = true);
     endTurn();
     assertFalse(idle.closed);
     assertFalse(closing.closed);
   }
 
-  /** Fails where more are accepted than there are places: the rest must wait in the backlog. */
+  /**
+   * Guards against accepting more connections than the limit allows; further ones must wait in the
+   * backlog.
+   */
   @Test
-  public void noMoreAreAcceptedThanThereArePlaces() {
-    List<Connection> clients = open(PLACES - 5, true);
-    assertEquals(accepts(), 5);
+  public void acceptsNoMoreConnectionsThanTheLimitAllows() {
+    List<Connection> clients = open(MAX_OPEN - 5, true);
+    assertEquals(maxAccepts(), 5);
     clients.addAll(open(5, true));
     endTurn();
-    assertEquals(accepts(), 0);
+    assertEquals(maxAccepts(), 0);
     clients.get(0).evict();
-    assertEquals(accepts(), 1);
+    assertEquals(maxAccepts(), 1);
   }
 
-  /** Fails where a connection that ended before its answer is kept, and counted when one is due. */
+  /**
+   * Guards against keeping a connection, and counting it, when it ended before its response was
+   * written.
+   */
   @Test
-  public void connectionThatHasEndedIsNotKeptAsIdleByItsAnswer() {
+  public void doesNotKeepAnEndedConnectionAsIdleAfterItsResponse() {
     Connection ended = open(1, false).get(0);
     ended.trusted = true;
     table.busy(ended);
     table.closed(ended);
-    table.rest(ended);
-    for (int i = 0; i < PLACES; i++) {
+    table.betweenRequests(ended);
+    for (int i = 0; i < MAX_OPEN; i++) {
       openIdle();
     }
     endTurn();
-    assertTrue(accepts() > 0, "an idle one gives way");
+    assertTrue(maxAccepts() > 0, "an idle connection is evicted");
   }
 
-  private int accepts() {
+  private int maxAccepts() {
     MaxMessagesRecvByteBufAllocator allocator = listener.config().getRecvByteBufAllocator();
     return listener.config().isAutoRead() ? allocator.maxMessagesPerRead() : 0;
   }
--- a/node/src/test/java/ferngrade/http/RawBytes.java
+++ b/node/src/test/java/ferngrade/http/RawBytes.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * HTTP messages as they come, byte by byte, with the ports that differ from run to run replaced by
- * a word.
+ * Reads and writes HTTP messages byte by byte, and replaces the ports, which differ between runs,
+ * with a fixed text.
  */
 public final class RawBytes {
   private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)\r\n");
@@ -19,7 +19,7 @@
 
   private RawBytes() {}
 
-  /** The next message of a connection, of which nothing has been read ahead. */
+  /** Returns the next message of a connection, without reading ahead. */
   public static String read(Socket socket) throws IOException {
     socket.setSoTimeout(TIMEOUT_MS);
     InputStream in = socket.getInputStream();
@@ -41,7 +41,7 @@
     return bytes.toString(StandardCharsets.ISO_8859_1);
   }
 
-  /** Writes a text as it is. */
+  /** Writes the text unchanged. */
   public static void write(Socket socket, String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
--- a/node/src/test/java/ferngrade/http/RawHttp.java
+++ b/node/src/test/java/ferngrade/http/RawHttp.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 
 /**
- * One end of a connection that speaks byte by byte what a story tells it to; reads give up after 10
- * s.
+ * One end of a connection on which a test writes raw bytes and reads HTTP messages. Reads time out
+ * after 10 s.
  */
 public final class RawHttp implements AutoCloseable {
   private final Socket socket;
   private final InputStream in;
 
-  /** A message as it came: its first line, its headers and its body. */
+  /** A received message: its first line, its headers and its body. */
   public record Message(String start, Map<String, String> headers, String body) {
     public int status() {
       return Integer.parseInt(start.split(" ", 3)[1]);
@@ -39,7 +39,7 @@
     return this;
   }
 
-  /** The next message; null at the end of the connection. */
+  /** Returns the next message, or null at the end of the connection. */
   public Message read() throws IOException {
     String start = line();
     if (start == null) {
@@ -65,12 +65,12 @@
     return line.toString().strip();
   }
 
-  /** A message with a body and its length. */
+  /** Returns a message with this head and body, and its content length. */
   public static String message(String head, String body) {
     return head + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  /** Ends this side. */
+  /** Closes this end of the connection. */
   public void end() throws IOException {
     socket.close();
   }
--- a/node/src/test/java/ferngrade/http/RequestReaderTest.java
+++ b/node/src/test/java/ferngrade/http/RequestReaderTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the headers of a job mean. */
+/** Tests the conversion of request headers to a job. */
 public class RequestReaderTest {
   @DataProvider
   public Object[][] deadlines() {
@@ -24,7 +24,7 @@
   }
 
   @Test(dataProvider = "deadlines")
-  public void deadlineIsReadInItsUnitAndBoundedByTheClass(String text, double millis)
+  public void parsesTheDeadlineWithItsUnitAndLimitsItToTheClass(String text, double millis)
       throws BadRequestException {
     assertEquals(read("Req-Deadline", text), new Job("a", 1, 1, 100 + millis, 1.5, 2, 0.5, 0));
   }
@@ -52,14 +52,14 @@
   }
 
   @Test
-  public void cookieNamesTheObjectAmongOthersAndOneThatCannotBeReadNamesNone()
-      throws BadRequestException {
+  public void readsTheObjectFromItsCookieAndIgnoresInvalidCookies() throws BadRequestException {
     long object = read("Cookie", "obj=7f3a9c21e0b4d655").object();
     assertNotEquals(object, 0L);
     assertEquals(read("Cookie", "a=b; obj=7f3a9c21e0b4d655; c=d").object(), object);
     assertNotEquals(read("Cookie", "obj=7f3a9c21e0b4d656").object(), object);
-    for (String none : new String[] {null, "", ";;=;", "obj", "objx=1", "obj=", "\"obj", "=obj"}) {
-      assertEquals(read("Cookie", none).object(), 0L, "" + none);
+    for (String cookies :
+        new String[] {null, "", ";;=;", "obj", "objx=1", "obj=", "\"obj", "=obj"}) {
+      assertEquals(read("Cookie", cookies).object(), 0L, "" + cookies);
     }
   }
 }
--- a/node/src/test/java/ferngrade/http/ShutdownBudgetTest.java
+++ b/node/src/test/java/ferngrade/http/ShutdownBudgetTest.java
@@ -10,12 +10,12 @@
 import org.testng.annotations.Test;
 
 /**
- * The phases of a shutdown lie in order, and end before the earliest kill by more than a machine
- * may be held up.
+ * Tests that the phases of a shutdown are in order, and that they end before the earliest kill by
+ * more than the time for which a machine may hold up the process.
  */
 public class ShutdownBudgetTest {
-  private static final double SIGNALLED = 1_000_000;
-  private static final double HELD_UP = 150;
+  private static final double SIGNAL_TIME = 1_000_000;
+  private static final double MAX_PAUSE_MILLIS = 150;
 
   @DataProvider
   public Object[][] deadlines() {
@@ -32,36 +32,44 @@
   }
 
   @Test(dataProvider = "deadlines")
-  public void allPhasesFitBetweenTheSignalAndTheEarliestKill(double deadline, double kill)
+  public void fitsAllPhasesBetweenTheSignalAndTheEarliestKill(double deadline, double earliestKill)
       throws Exception {
-    ShutdownBudget budget = ShutdownBudget.of(SIGNALLED, SIGNALLED, settings(deadline));
+    ShutdownBudget budget = ShutdownBudget.of(SIGNAL_TIME, SIGNAL_TIME, settings(deadline));
     assertTrue(
-        budget.acceptUntil() >= SIGNALLED + 400,
-        "new connections are accepted as long as they may come");
+        budget.acceptUntil() >= SIGNAL_TIME + 400,
+        "new connections are accepted as long as they may arrive");
     assertTrue(budget.answersBy() >= budget.acceptUntil());
-    assertTrue(budget.unfinishedUntil() > budget.answersBy());
-    assertTrue(budget.end() > budget.unfinishedUntil());
-    assertEquals(budget.end(), SIGNALLED + kill - HELD_UP - 50, "held up, and time to write");
+    assertTrue(budget.partialRequestsUntil() > budget.answersBy());
+    assertTrue(budget.end() > budget.partialRequestsUntil());
+    assertEquals(
+        budget.end(),
+        SIGNAL_TIME + earliestKill - MAX_PAUSE_MILLIS - 50,
+        "leaves time for a pause and for writing the answers");
   }
 
   @Test
-  public void processThatWasHeldUpCountsTheKillFromTheEarliestSignal() throws Exception {
-    double noticed = SIGNALLED + 500;
-    ShutdownBudget budget = ShutdownBudget.of(SIGNALLED, noticed, settings(3000));
-    assertEquals(budget.end(), SIGNALLED + 3700 - HELD_UP - 50);
-    assertTrue(budget.acceptUntil() >= noticed + 400, "the signal may have come late, too");
-    ShutdownBudget tight = ShutdownBudget.of(SIGNALLED, noticed, settings(1));
-    assertTrue(tight.acceptUntil() <= tight.answersBy(), "the kill comes first");
+  public void countsTheKillFromTheEarliestSignalInAProcessThatWasHeldUp() throws Exception {
+    double noticedAt = SIGNAL_TIME + 500;
+    ShutdownBudget budget = ShutdownBudget.of(SIGNAL_TIME, noticedAt, settings(3000));
+    assertEquals(budget.end(), SIGNAL_TIME + 3700 - MAX_PAUSE_MILLIS - 50);
+    assertTrue(budget.acceptUntil() >= noticedAt + 400, "the signal may also have arrived late");
+    ShutdownBudget shortBudget = ShutdownBudget.of(SIGNAL_TIME, noticedAt, settings(1));
+    assertTrue(
+        shortBudget.acceptUntil() <= shortBudget.answersBy(),
+        "the earliest kill limits the time for accepting");
   }
 
   @Test
-  public void jobIsBegunOnlyIfItsAnswerFitsIntoTheBudget() throws Exception {
-    ShutdownBudget budget = ShutdownBudget.of(SIGNALLED, SIGNALLED, settings(1000));
-    double late = budget.answersBy() - 10;
-    assertTrue(budget.tooLittleFor(late + 1000, late));
-    assertFalse(budget.tooLittleFor(late + 5, late), "its own deadline comes first");
+  public void rejectsAJobWhoseAnswerDoesNotFitIntoTheBudget() throws Exception {
+    ShutdownBudget budget = ShutdownBudget.of(SIGNAL_TIME, SIGNAL_TIME, settings(1000));
+    double shortBeforeTheEnd = budget.answersBy() - 10;
+    assertTrue(budget.tooShortFor(shortBeforeTheEnd + 1000, shortBeforeTheEnd));
+    assertFalse(
+        budget.tooShortFor(shortBeforeTheEnd + 5, shortBeforeTheEnd),
+        "the deadline of the job ends before the budget");
     assertFalse(
-        budget.tooLittleFor(SIGNALLED + 5000, SIGNALLED), "it is cut short, with enough left");
+        budget.tooShortFor(SIGNAL_TIME + 5000, SIGNAL_TIME),
+        "the deadline is shortened, but enough time remains");
   }
 
   private static ferngrade.dispatch.DispatcherSettings settings(double deadline) throws Exception {
--- a/node/src/test/java/ferngrade/http/UpgradePeersTest.java
+++ b/node/src/test/java/ferngrade/http/UpgradePeersTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Calls to another process of the node, played by the test, on a clock that the test sets. */
+/** Tests calls to another process of the node, which the test simulates, with a simulated clock. */
 @Test
 public class UpgradePeersTest {
   private static final String TAKEN = "HTTP/1.1 204 No Content\r\n\r\n";
@@ -63,82 +63,84 @@
   }
 
   @Test
-  public void callsInSequenceShareOneConnection() throws Exception {
+  public void sendsSequentialCallsOnOneConnection() throws Exception {
     RawHttp connection = keptConnection();
-    for (String each : List.of("b", "c")) {
-      relay(each);
-      assertEquals(bodyOfKept(connection), each);
+    for (String body : List.of("b", "c")) {
+      relay(body);
+      assertEquals(readKeepAliveCall(connection), body);
       connection.write(UNKNOWN);
-      assertEquals(nextOutcome(), each + " UNKNOWN");
+      assertEquals(nextOutcome(), body + " UNKNOWN");
     }
   }
 
   /** Answers are matched to the calls by their order, before and after the first answer. */
   @Test
-  public void callsThatWaitedForTheFirstAnswerArePipelined() throws Exception {
+  public void pipelinesQueuedCallsAfterTheFirstAnswer() throws Exception {
     relay("a", "b", "c");
     RawHttp connection = accept();
-    assertEquals(bodyOfKept(connection), "a");
+    assertEquals(readKeepAliveCall(connection), "a");
     connection.write(UNKNOWN);
     assertEquals(nextOutcome(), "a UNKNOWN");
-    assertEquals(bodyOfKept(connection), "b");
-    assertEquals(bodyOfKept(connection), "c");
+    assertEquals(readKeepAliveCall(connection), "b");
+    assertEquals(readKeepAliveCall(connection), "c");
     connection.write(TAKEN + UNKNOWN);
     assertEquals(nextOutcome(), "b TAKEN");
     assertEquals(nextOutcome(), "c UNKNOWN");
   }
 
   @Test
-  public void peerThatClosesBehindItsAnswerGetsOneConnectionPerCallInParallel() throws Exception {
+  public void opensParallelConnectionsToAPeerThatClosesAfterEachAnswer() throws Exception {
     relay("a", "b", "c");
     RawHttp first = accept();
-    assertEquals(bodyOfKept(first), "a");
+    assertEquals(readKeepAliveCall(first), "a");
     first.write(TAKEN_AND_CLOSED);
     assertEquals(nextOutcome(), "a TAKEN");
     assertNull(first.read());
-    for (RawHttp each : List.of(accept(), accept())) {
-      Message call = each.read();
+    for (RawHttp connection : List.of(accept(), accept())) {
+      Message call = connection.read();
       assertEquals(call.headers().get("Connection"), "close");
-      each.write(TAKEN_AND_CLOSED);
+      connection.write(TAKEN_AND_CLOSED);
       assertEquals(nextOutcome(), call.body() + " TAKEN");
-      assertNull(each.read());
+      assertNull(connection.read());
     }
   }
 
   @Test
-  public void callsUnansweredAtTheEndOfAKeptConnectionAreMadeOnceMore() throws Exception {
+  public void retriesUnansweredCallsOnceWhenAKeptConnectionEnds() throws Exception {
     RawHttp first = keptConnection();
     relay("b", "c");
-    assertEquals(bodyOfKept(first), "b");
-    assertEquals(bodyOfKept(first), "c");
+    assertEquals(readKeepAliveCall(first), "b");
+    assertEquals(readKeepAliveCall(first), "c");
     first.close();
     RawHttp second = accept();
-    assertEquals(bodyOfKept(second), "b");
+    assertEquals(readKeepAliveCall(second), "b");
     second.write(TAKEN);
     assertEquals(nextOutcome(), "b TAKEN");
-    assertEquals(bodyOfKept(second), "c");
+    assertEquals(readKeepAliveCall(second), "c");
     relay("d");
-    assertEquals(bodyOfKept(second), "d");
+    assertEquals(readKeepAliveCall(second), "d");
     second.close();
-    assertEquals(nextOutcome(), "c UNANSWERED", "its second break");
-    assertEquals(bodyOfKept(accept()), "d");
+    assertEquals(nextOutcome(), "c UNANSWERED", "its second connection failure");
+    assertEquals(readKeepAliveCall(accept()), "d");
   }
 
-  /** The end of the peer's process: its answer closes the connection under the calls behind it. */
+  /**
+   * Guards against losing calls when the peer's process ends and the answer to an earlier call
+   * closes the connection.
+   */
   @Test
-  public void callsBehindAnAnswerThatClosesAKeptConnectionAreMadeOnceMore() throws Exception {
+  public void retriesCallsOnceAfterAnAnswerThatClosesAKeptConnection() throws Exception {
     RawHttp first = keptConnection();
     relay("b", "c");
     first.read();
     first.read();
     first.write(TAKEN_AND_CLOSED);
     assertEquals(nextOutcome(), "b TAKEN");
-    assertEquals(bodyOfKept(accept()), "c");
+    assertEquals(readKeepAliveCall(accept()), "c");
   }
 
   @Test
-  public void callUnansweredWhereThePeerHasEndedIsUnansweredAndItsAddressForgotten()
-      throws Exception {
+  public void removesAPeerThatHasEndedAndLeavesItsCallsUnanswered() throws Exception {
     RawHttp first = keptConnection();
     relay("b");
     first.read();
@@ -146,60 +148,60 @@
     first.close();
     assertEquals(nextOutcome(), "b UNANSWERED");
     relay("c");
-    assertEquals(nextOutcome(), "c UNANSWERED", "at once: nobody is known");
+    assertEquals(nextOutcome(), "c UNANSWERED", "ends at once, since no peer is known");
   }
 
-  /** The answer that comes late must not be taken for that of the next call. */
+  /** A late answer must not be taken for the answer to the next call. */
   @Test
-  public void callThatTimedOutKeepsItsPlaceInTheOrderOfAnswers() throws Exception {
+  public void keepsTheOrderOfAnswersAfterACallTimedOut() throws Exception {
     RawHttp connection = keptConnection();
     relay("b");
-    assertEquals(bodyOfKept(connection), "b");
-    passTime(500);
+    assertEquals(readKeepAliveCall(connection), "b");
+    advanceTo(500);
     assertEquals(nextOutcome(), "b UNANSWERED");
     relay("c");
-    assertEquals(bodyOfKept(connection), "c");
+    assertEquals(readKeepAliveCall(connection), "c");
     connection.write(TAKEN + UNKNOWN);
     assertEquals(nextOutcome(), "c UNKNOWN");
   }
 
   @Test
-  public void callThatTimesOutBehindTheFirstIsNotWritten() throws Exception {
+  public void doesNotWriteAQueuedCallThatTimedOut() throws Exception {
     relay("a");
-    passTime(400);
+    advanceTo(400);
     relay("b");
     RawHttp connection = accept();
-    assertEquals(bodyOfKept(connection), "a");
-    passTime(499);
+    assertEquals(readKeepAliveCall(connection), "a");
+    advanceTo(499);
     relay("c");
-    passTime(900);
+    advanceTo(900);
     assertEquals(nextOutcome(), "a UNANSWERED");
     assertEquals(nextOutcome(), "b UNANSWERED");
     connection.write(TAKEN);
-    assertEquals(bodyOfKept(connection), "c");
+    assertEquals(readKeepAliveCall(connection), "c");
   }
 
-  /** A stopped peer must not make this process hold ever more calls. */
+  /** Guards against holding an unlimited number of calls for a peer that has stopped answering. */
   @Test
-  public void callsBeyondTheBoundEndWithoutAnAnswerAtOnce() throws Exception {
+  public void endsCallsBeyondTheLimitsAtOnceWithoutAnAnswer() throws Exception {
     String large = "x".repeat(UpgradePeer.MAX_BYTES - 1);
     relay(large, "b", "c");
     assertEquals(nextOutcome(), "c UNANSWERED");
     RawHttp connection = accept();
-    assertEquals(bodyOfKept(connection), large);
+    assertEquals(readKeepAliveCall(connection), large);
     connection.write(TAKEN);
     assertEquals(nextOutcome(), large + " TAKEN");
-    assertEquals(bodyOfKept(connection), "b");
+    assertEquals(readKeepAliveCall(connection), "b");
     relay(new String[UpgradePeer.MAX_CALLS]);
     assertEquals(nextOutcome(), "null UNANSWERED");
-    assertEquals(outcomes.size(), 0, "one call more than the bound");
+    assertEquals(outcomes.size(), 0, "only one call exceeds the limit");
   }
 
   @Test
-  public void connectionClosesWhenItsAddressIsForgotten() throws Exception {
+  public void closesTheConnectionWhenItsAddressIsRemoved() throws Exception {
     RawHttp connection = keptConnection();
     relay("b");
-    assertEquals(bodyOfKept(connection), "b");
+    assertEquals(readKeepAliveCall(connection), "b");
     InetSocketAddress address = new InetSocketAddress(peer.getInetAddress(), peer.getLocalPort());
     loop.submit(() -> peers.own(address)).get();
     assertEquals(nextOutcome(), "b UNANSWERED");
@@ -207,24 +209,24 @@
     assertEquals(loop.submit(peers::relayed).get().get(RelayOutcome.UNANSWERED).longValue(), 1L);
   }
 
-  /** Fails where a callback for a job of a process that has just started is dropped. */
+  /** Guards against dropping a callback for a job of a process that has just started. */
   @Test(timeOut = 30_000)
-  public void callbackThatTheKnownProcessNeverHadIsRelayedToOneThatTheLogNamesSince()
-      throws Exception {
+  public void relaysACallbackToAProcessNewlyRecordedInTheLog() throws Exception {
     try (ServerSocket started = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       started.setSoTimeout(10_000);
       InetSocketAddress address =
           new InetSocketAddress(started.getInetAddress(), started.getLocalPort());
-      loop.submit(() -> peers.knownBy(logThatNames(address))).get();
+      loop.submit(() -> peers.knownBy(logNaming(address))).get();
       relay("a");
       accept().write(UNKNOWN);
-      assertEquals(outcomes.poll(1, TimeUnit.SECONDS), null, "the other has not been asked");
+      assertEquals(
+          outcomes.poll(1, TimeUnit.SECONDS), null, "the new process has not answered yet");
       new RawHttp(started.accept()).write(TAKEN);
       assertEquals(nextOutcome(), "a TAKEN");
     }
   }
 
-  private UpgradePeers.RunningProcesses logThatNames(InetSocketAddress address) {
+  private UpgradePeers.RunningProcesses logNaming(InetSocketAddress address) {
     return new UpgradePeers.RunningProcesses() {
       @Override
       public void refresh() {
@@ -238,11 +240,11 @@
     };
   }
 
-  /** A connection that the peer keeps after one answered call. */
+  /** Returns a connection that the peer keeps open after one answered call. */
   private RawHttp keptConnection() throws Exception {
     relay("a");
     RawHttp connection = accept();
-    assertEquals(bodyOfKept(connection), "a");
+    assertEquals(readKeepAliveCall(connection), "a");
     connection.write(TAKEN);
     assertEquals(nextOutcome(), "a TAKEN");
     return connection;
@@ -252,31 +254,32 @@
     return new RawHttp(peer.accept());
   }
 
-  private static String bodyOfKept(RawHttp connection) throws Exception {
+  private static String readKeepAliveCall(RawHttp connection) throws Exception {
     Message call = connection.read();
     assertEquals(call.start(), "POST /-/news HTTP/1.1");
     assertEquals(call.headers().get("Connection"), "keep-alive");
     return call.body();
   }
 
-  /** The next outcome of a relay; null if none comes in 10 s. */
+  /** Returns the next outcome of a relay, or null if there is none within 10 s. */
   private String nextOutcome() throws InterruptedException {
     return outcomes.poll(10, TimeUnit.SECONDS);
   }
 
-  /** Relays these callbacks in one turn of the loop. */
+  /** Relays these callbacks in one turn of the event loop. */
   private void relay(String... callbacks) throws Exception {
     loop.submit(
             () -> {
-              for (String each : callbacks) {
-                peers.relay(String.valueOf(each), outcome -> outcomes.add(each + " " + outcome));
+              for (String callback : callbacks) {
+                peers.relay(
+                    String.valueOf(callback), outcome -> outcomes.add(callback + " " + outcome));
               }
             })
         .get();
   }
 
-  private void passTime(double until) throws Exception {
-    now = until;
+  private void advanceTo(double millis) throws Exception {
+    now = millis;
     loop.submit(timers::run).get();
   }
 }
