--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -35,14 +35,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Attempts on their way to a scripted worker, on a clock that the story sets. */
+/** Tests the requests of the worker client with a scripted worker and a simulated clock. */
 @Test(timeOut = 30_000)
 public class WorkerClientTest {
   private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-  private static final int SMALL_BUFFER = 2048;
+  private static final int SMALL_BUFFER_BYTES = 2048;
 
-  private BlockingQueue<String> told;
+  private BlockingQueue<String> events;
   private MultiThreadIoEventLoopGroup group;
   private EventLoop loop;
   private volatile double now;
@@ -55,7 +55,7 @@
 
   @BeforeMethod
   public void start() throws Exception {
-    told = new LinkedBlockingQueue<>();
+    events = new LinkedBlockingQueue<>();
     faults = new FaultInjectingChannels();
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
@@ -80,7 +80,7 @@
         .get();
   }
 
-  /** Lets time pass on the clock; the test and the loop may both do so. */
+  /** Advances the clock; both the test and the event loop may call this method. */
   private synchronized void advance(double millis) {
     now += millis;
   }
@@ -88,24 +88,24 @@
   @AfterMethod(alwaysRun = true)
   public void end() throws Exception {
     worker.close();
-    // Not before the loop has ended may the next story start: its queue must hear of its own sends
-    // only.
+    // Waits for the end of the event loop, so that no event of this test reaches the queue of the
+    // next one.
     group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
   }
 
   @Test
-  public void jobGivenUpAfterItWasTakenIsDeletedAndOneBeforeEndsItsConnection() throws Exception {
-    WorkerTransport.AttemptHandle taken = send("a");
+  public void deletesAnAcceptedJobAndClosesTheConnectionOfOneNotAccepted() throws Exception {
+    WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     first.write(TAKEN);
-    pooled();
+    awaitIdleConnection();
     advance(100);
-    loop.submit(() -> taken.giveUp(() -> {})).get();
+    loop.submit(() -> attempt.giveUp(() -> {})).get();
     Message delete = first.read();
     assertEquals(delete.start(), "DELETE /jobs/a HTTP/1.1");
     first.write("HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n");
-    pooled();
+    awaitIdleConnection();
     advance(100);
     WorkerTransport.AttemptHandle waiting = send("b");
     assertEquals(first.read().headers().get("Req-Id"), "b");
@@ -114,24 +114,24 @@
   }
 
   @Test
-  public void idleConnectionIsEndedWellBeforeTheWorkersLimit() throws Exception {
+  public void closesAnIdleConnectionWellBeforeTheWorkersLimit() throws Exception {
     send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     first.write(TAKEN);
-    pooled();
+    awaitIdleConnection();
     now = 30_000;
     loop.submit(timers::run).get();
     assertNull(first.read());
   }
 
   @Test
-  public void workerThatEndsIdleConnectionsEarlyIsSentNothingOverOldOnes() throws Exception {
+  public void learnsTheShorterIdleLimitOfAWorkerThatClosesEarly() throws Exception {
     send("a");
     try (RawHttp first = new RawHttp(worker.accept())) {
       first.read();
       first.write(TAKEN);
-      pooled();
+      awaitIdleConnection();
       now = 400;
     }
     while (loop.submit(pool::idle).get() > 0) {
@@ -141,53 +141,55 @@
     RawHttp second = new RawHttp(worker.accept());
     second.read();
     second.write(TAKEN);
-    pooled();
-    // The first had lasted for 400 ms: this one is not trusted after 200.
+    awaitIdleConnection();
+    // The first connection lasted 400 ms, so this one is not reused after 200 ms.
     now = 650;
     send("c");
     RawHttp third = new RawHttp(worker.accept());
     assertEquals(third.read().headers().get("Req-Id"), "c");
     assertNull(second.read());
     third.write(TAKEN);
-    pooled();
+    awaitIdleConnection();
     now = 700;
     send("d");
     assertEquals(third.read().headers().get("Req-Id"), "d");
   }
 
   @Test
-  public void connectionThatEndsBeforeThe202IsAReset() throws Exception {
+  public void reportsResetWhenTheConnectionEndsBeforeThe202() throws Exception {
     send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     first.close();
-    assertEquals(told.take(), "written");
-    assertEquals(told.take(), "RESET");
+    assertEquals(events.take(), "written");
+    assertEquals(events.take(), "RESET");
   }
 
-  /** Fails where an attempt cannot see the 202 that the loop has not come to read. */
+  /** Guards against missing a 202 that has arrived but that the event loop has not read yet. */
   @Test
-  public void pendingReadTakesThe202ThatLiesInTheSocket() throws Exception {
-    WorkerTransport.AttemptHandle sending = send("a");
+  public void readsAPending202FromTheSocket() throws Exception {
+    WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     int idle =
         loop.submit(
                 () -> {
                   first.write(TAKEN);
-                  sending.readPending();
+                  attempt.readPending();
                   return pool.idle();
                 })
             .get();
     assertEquals(idle, 1);
   }
 
-  /** Fails where a check runs out beside an answer that the loop has not come to read. */
+  /**
+   * Guards against a timeout of a health check whose answer has arrived but has not been read yet.
+   */
   @Test
-  public void checkWhoseAnswerLiesInTheSocketDoesNotRunOut() throws Exception {
+  public void readsAPendingAnswerBeforeAHealthCheckTimesOut() throws Exception {
     InetSocketAddress address =
         new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
-    loop.submit(() -> client.check(address, (outcome, report) -> told.add(outcome.name()))).get();
+    loop.submit(() -> client.check(address, (outcome, report) -> events.add(outcome.name()))).get();
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     loop.submit(
@@ -198,104 +200,108 @@
               return null;
             })
         .get();
-    assertEquals(told.take(), "OK");
+    assertEquals(events.take(), "OK");
   }
 
   @Test
-  public void connectThatIsNotAnsweredRunsOutAndNothingWasWritten() throws Exception {
-    // A machine that has vanished: the queue of the listener is full, so that connects hang
-    // unanswered.
-    List<Socket> queue = new ArrayList<>();
+  public void reportsConnectFailedWhenTheConnectTimesOut() throws Exception {
+    // Simulates a lost machine: the accept queue of the listener is full, so that connects are not
+    // answered.
+    List<Socket> fillers = new ArrayList<>();
     for (int i = 0; i < 2; i++) {
-      queue.add(new Socket(worker.getInetAddress(), worker.getLocalPort()));
+      fillers.add(new Socket(worker.getInetAddress(), worker.getLocalPort()));
     }
     send("a");
-    assertEquals(told.take(), "CONNECT_FAILED");
-    for (Socket each : queue) {
-      each.close();
+    assertEquals(events.take(), "CONNECT_FAILED");
+    for (Socket connection : fillers) {
+      connection.close();
     }
   }
 
   @Test
-  public void sendThatIsNoLongerWantedWritesNothingOnceItsConnectionIsUp() throws Exception {
+  public void writesNothingWhenTheAttemptIsNoLongerWanted() throws Exception {
     wanted = false;
     send("a");
     RawHttp first = new RawHttp(worker.accept());
-    assertEquals(told.take(), "NEVER_SENT");
+    assertEquals(events.take(), "NEVER_SENT");
     wanted = true;
-    pooled();
+    awaitIdleConnection();
     advance(100);
     send("b");
     assertEquals(first.read().headers().get("Req-Id"), "b");
   }
 
   /**
-   * The worker's machine resets the connection while the request's bytes are on their way: it
-   * cannot have begun.
+   * The worker's machine resets the connection while the request is being written; the worker
+   * cannot have started the job.
    */
   @Test
-  public void resetInsideARequestsBytesIsAFailedConnect() throws Exception {
-    faults.sendBuffer = SMALL_BUFFER;
-    try (ServerSocket narrow = new ServerSocket()) {
-      narrow.setReceiveBufferSize(SMALL_BUFFER);
-      narrow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      JobRequest large = new JobRequest("a", "POST", "/api", null, new byte[HttpFrontend.MAX_BODY]);
-      InetSocketAddress address = (InetSocketAddress) narrow.getLocalSocketAddress();
-      loop.submit(() -> client.send(large, address, 1000, new Teller())).get();
-      Socket connection = narrow.accept();
-      assertEquals(connection.getInputStream().read(), 'P', "it has begun to come in");
+  public void reportsConnectFailedForAResetWhileTheRequestIsWritten() throws Exception {
+    faults.sendBuffer = SMALL_BUFFER_BYTES;
+    try (ServerSocket smallBufferWorker = new ServerSocket()) {
+      smallBufferWorker.setReceiveBufferSize(SMALL_BUFFER_BYTES);
+      smallBufferWorker.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+      JobRequest large =
+          new JobRequest("a", "POST", "/api", null, new byte[HttpFrontend.MAX_BODY_BYTES]);
+      InetSocketAddress address = (InetSocketAddress) smallBufferWorker.getLocalSocketAddress();
+      loop.submit(() -> client.send(large, address, 1000, new RecordingListener())).get();
+      Socket connection = smallBufferWorker.accept();
+      assertEquals(connection.getInputStream().read(), 'P', "the first byte of the request");
       connection.setSoLinger(true, 0);
       connection.close();
-      assertEquals(told.take(), "CONNECT_FAILED");
+      assertEquals(events.take(), "CONNECT_FAILED");
     }
   }
 
   /**
-   * The idle connection that carries a cancellation is closed by the worker at that moment: it is
-   * said once more.
+   * The worker closes the idle connection on which a cancellation is being sent; the cancellation
+   * is retried once.
    */
   @Test
-  public void deleteUnderWhichAnIdleConnectionClosesIsSaidAgainOnANewOne() throws Exception {
-    WorkerTransport.AttemptHandle taken = send("a");
+  public void retriesADeleteOnANewConnectionWhenTheIdleOneCloses() throws Exception {
+    WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     first.write(TAKEN);
-    pooled();
+    awaitIdleConnection();
     advance(100);
     loop.submit(
             () -> {
               first.end();
-              taken.giveUp(() -> told.add("deleted"));
+              attempt.giveUp(() -> events.add("deleted"));
               return null;
             })
         .get();
     assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
-    assertEquals(told.take(), "written");
-    assertEquals(told.take(), "deleted");
-    assertTrue(told.isEmpty(), "once");
+    assertEquals(events.take(), "written");
+    assertEquals(events.take(), "deleted");
+    assertTrue(events.isEmpty(), "once");
   }
 
-  /** The worker reads a cancellation on a reused connection, and closes that without an answer. */
+  /**
+   * The worker reads a cancellation on a reused connection and closes the connection without an
+   * answer.
+   */
   @Test
-  public void deleteThatWasReadAndNotAnsweredIsSaidAgainOnANewConnection() throws Exception {
-    WorkerTransport.AttemptHandle taken = send("a");
+  public void retriesADeleteThatWasReadButNotAnswered() throws Exception {
+    WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
     first.write(TAKEN);
-    pooled();
+    awaitIdleConnection();
     advance(100);
-    loop.submit(() -> taken.giveUp(() -> told.add("deleted"))).get();
+    loop.submit(() -> attempt.giveUp(() -> events.add("deleted"))).get();
     assertEquals(first.read().start(), "DELETE /jobs/a HTTP/1.1");
     first.end();
     assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
-    assertEquals(told.take(), "written");
-    assertEquals(told.take(), "deleted");
-    assertTrue(told.isEmpty(), "once");
+    assertEquals(events.take(), "written");
+    assertEquals(events.take(), "deleted");
+    assertTrue(events.isEmpty(), "once");
   }
 
-  /** What a worker does to an idle connection. */
-  private interface IdleFate {
-    void meet(Socket connection) throws IOException;
+  /** A fault of the worker on an idle connection. */
+  private interface IdleConnectionFault {
+    void apply(Socket connection) throws IOException;
   }
 
   private static void reset(Socket connection) throws IOException {
@@ -304,63 +310,76 @@
   }
 
   @DataProvider
-  public Object[][] idleFates() {
+  public Object[][] idleConnectionFaults() {
     return new Object[][] {
-      {"closed", (IdleFate) Socket::close},
-      {"reset", (IdleFate) WorkerClientTest::reset},
-      {"half closed", (IdleFate) Socket::shutdownOutput},
-      {"answered again", (IdleFate) each -> each.getOutputStream().write(TAKEN.getBytes(US_ASCII))}
+      {"closed", (IdleConnectionFault) Socket::close},
+      {"reset", (IdleConnectionFault) WorkerClientTest::reset},
+      {"half closed", (IdleConnectionFault) Socket::shutdownOutput},
+      {
+        "answered again",
+        (IdleConnectionFault)
+            connection -> connection.getOutputStream().write(TAKEN.getBytes(US_ASCII))
+      }
     };
   }
 
-  /** Fails where a job is written to a connection whose end the loop has not come to read. */
-  @Test(dataProvider = "idleFates", timeOut = 30_000)
-  public void jobIsNotWrittenToAnIdleConnectionThat(String how, IdleFate fate) throws Exception {
+  /**
+   * Guards against writing a job to a connection that has ended while the event loop has not read
+   * its end yet.
+   */
+  @Test(dataProvider = "idleConnectionFaults", timeOut = 30_000)
+  public void writesNoJobToAnIdleConnectionWithAFault(String description, IdleConnectionFault fault)
+      throws Exception {
     send("a");
     Socket first = worker.accept();
     RawHttp idle = new RawHttp(first);
     idle.read();
     idle.write(TAKEN);
-    pooled();
-    assertEquals(told.take(), "written");
+    awaitIdleConnection();
+    assertEquals(events.take(), "written");
     advance(100);
     loop.submit(
             () -> {
-              fate.meet(first);
+              fault.apply(first);
               begin("b");
               return null;
             })
         .get();
     RawHttp second = new RawHttp(worker.accept());
-    assertEquals(second.read().headers().get("Req-Id"), "b", how);
+    assertEquals(second.read().headers().get("Req-Id"), "b", description);
     second.write(TAKEN);
-    pooled();
-    assertEquals(told.take(), "written");
-    assertTrue(told.isEmpty(), how + ": " + told);
+    awaitIdleConnection();
+    assertEquals(events.take(), "written");
+    assertTrue(events.isEmpty(), description + ": " + events);
     first.close();
   }
 
-  /** What is left of an attempt's time once its connection is up, and what the worker is told. */
+  /**
+   * The remaining time of an attempt when its connection is up, in ms, and the deadline header sent
+   * to the worker.
+   */
   @DataProvider
-  public Object[][] rests() {
+  public Object[][] remainingTimes() {
     return new Object[][] {{1, "1m"}, {20, "15m"}, {150, "140m"}, {1000, "990m"}};
   }
 
-  @Test(dataProvider = "rests")
-  public void workerIsToldLessThanWhatIsLeftWhenTheConnectionIsUp(int left, String header)
-      throws Exception {
-    sendAndPass(1000 - left);
+  @Test(dataProvider = "remainingTimes")
+  public void sendsADeadlineBelowTheRemainingTime(int remaining, String header) throws Exception {
+    sendAndAdvance(1000 - remaining);
     assertEquals(new RawHttp(worker.accept()).read().headers().get("Req-Deadline"), header);
   }
 
   @Test
-  public void attemptWhoseTimeIsUpBeforeItsConnectionIsBegunNoMore() throws Exception {
-    sendAndPass(1000);
-    assertEquals(told.take(), "NEVER_SENT");
+  public void doesNotStartAnAttemptWhoseTimeoutExpiredDuringTheDial() throws Exception {
+    sendAndAdvance(1000);
+    assertEquals(events.take(), "NEVER_SENT");
   }
 
-  /** Sends, and lets time pass before the loop can hear that the connection is up. */
-  private void sendAndPass(double millis) throws Exception {
+  /**
+   * Sends an attempt and advances the clock before the event loop can notice that the connection is
+   * up.
+   */
+  private void sendAndAdvance(double millis) throws Exception {
     loop.submit(
             () -> {
               begin("a");
@@ -370,12 +389,12 @@
   }
 
   @Test
-  public void connectionsBeyondTheBoundAreNotOpened() throws Exception {
-    // All in one go: none of them is up yet when the third is turned down.
+  public void opensNoConnectionsBeyondTheLimit() throws Exception {
+    // Starts all attempts in one turn: no connection is up yet when the third attempt is rejected.
     loop.submit(() -> List.of("a", "b", "c").forEach(this::begin)).get();
-    assertEquals(told.take(), "NEVER_SENT");
-    assertEquals(told.take(), "written");
-    assertEquals(told.take(), "written");
+    assertEquals(events.take(), "NEVER_SENT");
+    assertEquals(events.take(), "written");
+    assertEquals(events.take(), "written");
   }
 
   @DataProvider
@@ -384,7 +403,7 @@
       {SystemCall.READ, Errno.ETIMEDOUT, List.of("written", "RESET")},
       {SystemCall.READ, Errno.EHOSTUNREACH, List.of("written", "RESET")},
       {SystemCall.READ, Errno.ECONNRESET, List.of("written", "RESET")},
-      // It may have run, but the worker is not to blame.
+      // The job may have run, but the worker is not responsible for the fault.
       {SystemCall.READ, Errno.ENOMEM, List.of("written", "CANCELLED")},
       {SystemCall.READ, Errno.ENOBUFS, List.of("written", "CANCELLED")},
       {SystemCall.WRITE, Errno.ETIMEDOUT, List.of("CONNECT_FAILED")},
@@ -393,8 +412,8 @@
   }
 
   @Test(dataProvider = "transferFaults")
-  public void connectionThatASystemCallBreaksEndsItsAttempt(
-      SystemCall call, Errno errno, List<String> heard) throws Exception {
+  public void endsTheAttemptWhenASystemCallFails(
+      SystemCall call, Errno errno, List<String> expectedEvents) throws Exception {
     faults.fail(Purpose.WORKERS, call, errno, FaultInjectingChannels.once());
     send("a");
     RawHttp first = new RawHttp(worker.accept());
@@ -402,8 +421,8 @@
       first.read();
       first.write(TAKEN);
     }
-    for (String each : heard) {
-      assertEquals(told.take(), each);
+    for (String event : expectedEvents) {
+      assertEquals(events.take(), event);
     }
   }
 
@@ -413,39 +432,41 @@
   }
 
   @Test(dataProvider = "dialCalls")
-  public void checkThatThisMachineFailsSaysNothingOfTheWorker(SystemCall call) throws Exception {
+  public void reportsNeverSentWhenAHealthCheckFailsLocally(SystemCall call) throws Exception {
     faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
     InetSocketAddress address =
         new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
-    loop.submit(() -> client.check(address, (outcome, report) -> told.add(outcome.name()))).get();
-    passUntilTold();
-    assertEquals(told.take(), "NEVER_SENT");
+    loop.submit(() -> client.check(address, (outcome, report) -> events.add(outcome.name()))).get();
+    advanceUntilEvent();
+    assertEquals(events.take(), "NEVER_SENT");
   }
 
   @Test(dataProvider = "dialCalls")
-  public void attemptThatThisMachineFailsToItsEndIsNeverSent(SystemCall call) throws Exception {
+  public void reportsNeverSentWhenAnAttemptFailsLocallyUntilItsTimeout(SystemCall call)
+      throws Exception {
     faults.fail(Purpose.WORKERS, call, Errno.EMFILE, () -> true);
-    WorkerTransport.AttemptHandle sending = send("a");
-    passUntilTold();
-    assertEquals(told.take(), "NEVER_SENT");
-    assertTrue(sending.delayedLocally());
+    WorkerTransport.AttemptHandle attempt = send("a");
+    advanceUntilEvent();
+    assertEquals(events.take(), "NEVER_SENT");
+    assertTrue(attempt.delayedLocally());
     assertTrue(
-        faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF, "tries in its 1000 ms: " + faults.raised);
+        faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF,
+        "attempts within 1000 ms: " + faults.raised);
   }
 
   @Test
-  public void attemptNotWantedAnyMoreIsNotDialledAgain() throws Exception {
+  public void doesNotRetryTheDialOfAnAttemptNoLongerWanted() throws Exception {
     faults.fail(Purpose.WORKERS, SystemCall.CONNECT, Errno.ENOBUFS, FaultInjectingChannels.once());
     wanted = false;
     send("a");
-    passUntilTold();
-    assertEquals(told.take(), "NEVER_SENT");
+    advanceUntilEvent();
+    assertEquals(events.take(), "NEVER_SENT");
     assertEquals(faults.raised.get(), 1);
   }
 
-  /** Lets the time of the node pass, a backoff at a time, until an end is told. */
-  private void passUntilTold() throws Exception {
-    while (told.isEmpty()) {
+  /** Advances the clock by one backoff at a time until the attempt or check reports an event. */
+  private void advanceUntilEvent() throws Exception {
+    while (events.isEmpty()) {
       loop.submit(
               () -> {
                 advance(Dialer.BACKOFF);
@@ -460,20 +481,20 @@
   }
 
   private WorkerTransport.AttemptHandle begin(String id) {
-    JobRequest call = new JobRequest(id, "POST", "/api", null, new byte[0]);
+    JobRequest job = new JobRequest(id, "POST", "/api", null, new byte[0]);
     InetSocketAddress address =
         new InetSocketAddress(worker.getInetAddress(), worker.getLocalPort());
-    return client.send(call, address, 1000, new Teller());
+    return client.send(job, address, 1000, new RecordingListener());
   }
 
-  /** Waits until the worker's last answer has been read and the connection stands idle. */
-  private void pooled() throws Exception {
+  /** Waits until the worker's last answer has been read and the connection is idle. */
+  private void awaitIdleConnection() throws Exception {
     while (loop.submit(pool::idle).get() == 0) {
       Thread.onSpinWait();
     }
   }
 
-  private final class Teller implements WorkerTransport.Listener {
+  private final class RecordingListener implements WorkerTransport.Listener {
     @Override
     public boolean mayStart() {
       return wanted;
@@ -481,7 +502,7 @@
 
     @Override
     public void written() {
-      told.add("written");
+      events.add("written");
     }
 
     @Override
@@ -489,7 +510,7 @@
 
     @Override
     public void ended(AttemptOutcome outcome, LoadReport report) {
-      told.add(outcome.name());
+      events.add(outcome.name());
     }
   }
 }
