--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -92,7 +92,8 @@
     if (acceptedThisTurn >= acceptLimit) {
       extendWaitToNextTurn();
     } else if (acceptedThisTurn > 0) {
-      // No more connections wait. After a failed accept, those that waited still do.
+      // No more connections wait. If an accept failed and none succeeded, the estimate stays,
+      // because the waiting connections still wait.
       waitedUntilTurn = -1;
     }
     acceptedThisTurn = 0;
--- a/node/src/main/java/ferngrade/http/UpgradePeers.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeers.java
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Sets the source of the running processes, which decides whether a callback without any peer to
-   * relay it to has the outcome ENDED.
+   * Sets the source that shows whether other processes run. If none runs and there is no peer, a
+   * relayed callback has the outcome ENDED.
    */
   public void knownBy(RunningProcesses running) {
     runningProcesses = running;
