--- a/node/src/main/java/ferngrade/http/BadRequestException.java
+++ b/node/src/main/java/ferngrade/http/BadRequestException.java
@@ -1,6 +1,6 @@
 package ferngrade.http;
 
-/** A request that cannot be used; the message says why, for its sender. */
+/** Thrown for an invalid request; the message states the reason and is sent to the client. */
 final class BadRequestException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -14,47 +14,50 @@
 import java.util.function.Consumer;
 
 /**
- * Another process of this node, and the one connection to it that is kept between calls. The first
- * call asks the process to keep the connection, and the others wait for its answer. If it keeps the
- * connection, they are pipelined on it; a process of an earlier release closes it, and then each
- * call has a connection of its own. Belongs to the event loop.
+ * Another process of this node, with one connection to it that is kept open between calls. The
+ * first call requests a persistent connection, and later calls wait for its answer. If the other
+ * process keeps the connection open, the calls are pipelined on it. A process of an earlier release
+ * closes the connection, and then each call opens its own connection. Confined to the event loop.
  */
 final class UpgradePeer implements PeerConnection.Owner {
-  /** The calls that are held for one process, waiting or unanswered on its kept connection. */
+  /**
+   * The maximum number of calls held for one process, queued or unanswered on the persistent
+   * connection.
+   */
   static final int MAX_CALLS = 1024;
 
-  /** The bytes of their bodies. */
+  /** The maximum total size of the bodies of these calls, in bytes. */
   static final int MAX_BYTES = 1 << 20;
 
   private final InetSocketAddress address;
   private final Dialer dialer;
   private final Timers timers;
   private final Consumer<UpgradePeer> whenRefused;
-  private final Queue<PeerCall> waiting = new ArrayDeque<>();
+  private final Queue<PeerCall> queued = new ArrayDeque<>();
   private State state = State.DISCONNECTED;
   private int heldCalls;
   private int heldBytes;
 
-  /** The connection that is asked for or kept; null in the other states. */
+  /** The connection that is being negotiated or kept open; null in the other states. */
   private PeerConnection connection;
 
   private enum State {
-    /** No connection; the next call opens one. */
+    /** There is no connection; the next call opens one. */
     DISCONNECTED,
-    /** A connection is being opened; calls wait. */
+    /** A connection is being opened; calls are queued. */
     DIALLING,
-    /** The first call on the connection is unanswered; the others wait. */
+    /** The first call on the connection is unanswered; the other calls are queued. */
     ASKING,
-    /** The process keeps the connection: calls are pipelined. */
+    /** The process keeps the connection open; calls are pipelined. */
     KEPT,
-    /** The process closes connections behind an answer: each call has one of its own. */
+    /** The process closes each connection after one answer; each call opens its own connection. */
     CONNECTION_PER_CALL,
-    /** The process has ended, or its place is taken; no more calls. */
+    /** The process has ended or was removed from the list of peers; calls fail at once. */
     FORGOTTEN
   }
 
   /**
-   * The process at this address; {@code dialer} puts a {@link PeerConnection} into each pipeline.
+   * Creates a peer at this address; {@code dialer} adds a {@link PeerConnection} to each pipeline.
    */
   UpgradePeer(
       InetSocketAddress address, Dialer dialer, Timers timers, Consumer<UpgradePeer> whenRefused) {
@@ -68,93 +71,98 @@
     return address;
   }
 
-  /** Makes a call; one that cannot be held ends at once without an answer. */
-  void call(PeerCall call) {
-    if (state == State.FORGOTTEN || heldCalls >= MAX_CALLS || heldBytes + call.size() > MAX_BYTES) {
+  /** Makes a call. If the limits are exceeded, the call ends at once without an answer. */
+  void send(PeerCall call) {
+    if (state == State.FORGOTTEN
+        || heldCalls >= MAX_CALLS
+        || heldBytes + call.bodySize() > MAX_BYTES) {
       call.end(PeerCall.NO_ANSWER);
       return;
     }
     heldCalls++;
-    heldBytes += call.size();
-    call.timedBy(timers.after(call.timeout(), () -> timedOut(call)));
-    waiting.add(call);
-    proceed();
+    heldBytes += call.bodySize();
+    call.setTimer(timers.after(call.timeout(), () -> timedOut(call)));
+    queued.add(call);
+    sendQueued();
   }
 
-  /** Closes the connection and ends all calls without an answer; again to no effect. */
-  void forget() {
+  /**
+   * Closes the connection and ends all calls without an answer. Further calls of this method have
+   * no effect.
+   */
+  void close() {
     if (state == State.FORGOTTEN) {
       return;
     }
     state = State.FORGOTTEN;
-    List<PeerCall> left = new ArrayList<>();
+    List<PeerCall> pending = new ArrayList<>();
     if (connection != null) {
-      left.addAll(connection.close());
+      pending.addAll(connection.close());
       connection = null;
     }
-    left.addAll(waiting);
-    waiting.clear();
-    left.forEach(call -> call.end(PeerCall.NO_ANSWER));
+    pending.addAll(queued);
+    queued.clear();
+    pending.forEach(call -> call.end(PeerCall.NO_ANSWER));
   }
 
   private void timedOut(PeerCall call) {
-    if (waiting.remove(call)) {
+    if (queued.remove(call)) {
       release(call);
     }
     call.end(PeerCall.NO_ANSWER);
   }
 
-  /** The call is held no more. */
+  /** Removes a call from the calls held. */
   private void release(PeerCall call) {
     heldCalls--;
-    heldBytes -= call.size();
+    heldBytes -= call.bodySize();
   }
 
-  /** Does for the waiting calls what the state allows. */
-  private void proceed() {
-    if (state == State.DISCONNECTED && !waiting.isEmpty()) {
+  /** Sends the queued calls as far as the state allows. */
+  private void sendQueued() {
+    if (state == State.DISCONNECTED && !queued.isEmpty()) {
       state = State.DIALLING;
-      PeerCall first = waiting.element();
+      PeerCall first = queued.element();
       dialer.dial(address, first.timeout(), new Dial(first));
     }
-    while (state == State.KEPT && !waiting.isEmpty()) {
-      connection.write(waiting.remove(), HttpHeaderValues.KEEP_ALIVE);
+    while (state == State.KEPT && !queued.isEmpty()) {
+      connection.write(queued.remove(), HttpHeaderValues.KEEP_ALIVE);
     }
-    while (state == State.CONNECTION_PER_CALL && !waiting.isEmpty()) {
-      PeerCall call = waiting.remove();
+    while (state == State.CONNECTION_PER_CALL && !queued.isEmpty()) {
+      PeerCall call = queued.remove();
       release(call);
       new SingleCallDial(call, () -> whenRefused.accept(this)).dial(dialer, address);
     }
   }
 
-  // ---- The kept connection ----
+  // ---- The persistent connection ----
 
   @Override
   public void answered(PeerCall call, int status) {
     state = State.KEPT;
     release(call);
     call.end(status);
-    proceed();
+    sendQueued();
   }
 
   @Override
-  public void answeredLast(PeerCall call, int status, List<PeerCall> unanswered) {
+  public void answeredAndClosed(PeerCall call, int status, List<PeerCall> unanswered) {
     boolean closesAlways = state == State.ASKING && status != HttpResponseStatus.BAD_REQUEST.code();
     state = closesAlways ? State.CONNECTION_PER_CALL : State.DISCONNECTED;
     connection = null;
     release(call);
-    List<PeerCall> failed = repeat(unanswered);
+    List<PeerCall> failed = requeue(unanswered);
     call.end(status);
     endUnanswered(failed);
   }
 
   @Override
-  public void broken(List<PeerCall> unanswered) {
+  public void connectionLost(List<PeerCall> unanswered) {
     boolean kept = state == State.KEPT;
     state = State.DISCONNECTED;
     connection = null;
     if (kept) {
-      endUnanswered(repeat(unanswered));
+      endUnanswered(requeue(unanswered));
     } else {
       unanswered.forEach(this::release);
       endUnanswered(unanswered);
@@ -162,32 +170,33 @@
   }
 
   /**
-   * Puts the calls of a kept connection that has ended before those that wait.
+   * Queues the unanswered calls of a persistent connection that has ended in front of the calls
+   * already queued.
    *
-   * @return those that may not be made again
+   * @return the calls that must not be retried
    */
-  private List<PeerCall> repeat(List<PeerCall> unanswered) {
-    List<PeerCall> later = List.copyOf(waiting);
-    waiting.clear();
+  private List<PeerCall> requeue(List<PeerCall> unanswered) {
+    List<PeerCall> alreadyQueued = List.copyOf(queued);
+    queued.clear();
     List<PeerCall> failed = new ArrayList<>();
     for (PeerCall call : unanswered) {
-      if (call.repeat()) {
-        waiting.add(call);
+      if (call.tryRetry()) {
+        queued.add(call);
       } else {
         release(call);
         failed.add(call);
       }
     }
-    waiting.addAll(later);
+    queued.addAll(alreadyQueued);
     return failed;
   }
 
   private void endUnanswered(List<PeerCall> calls) {
     calls.forEach(call -> call.end(PeerCall.NO_ANSWER));
-    proceed();
+    sendQueued();
   }
 
-  /** The dial of the connection that is to be kept; its failure ends the first call. */
+  /** The dial of the persistent connection; its failure ends the first call. */
   private final class Dial implements Dialer.Listener {
     private final PeerCall first;
 
@@ -197,7 +206,7 @@
 
     @Override
     public boolean wanted() {
-      return state == State.DIALLING && !waiting.isEmpty();
+      return state == State.DIALLING && !queued.isEmpty();
     }
 
     @Override
@@ -206,7 +215,7 @@
       if (wanted()) {
         state = State.ASKING;
         connection = opened;
-        connection.write(waiting.remove(), HttpHeaderValues.KEEP_ALIVE);
+        connection.write(queued.remove(), HttpHeaderValues.KEEP_ALIVE);
         return;
       }
       opened.close();
@@ -226,7 +235,7 @@
       }
       state = State.DISCONNECTED;
       timedOut(first);
-      proceed();
+      sendQueued();
     }
   }
 }
--- a/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
+++ b/node/src/main/java/ferngrade/http/WorkerCallbackParser.java
@@ -8,11 +8,11 @@
 import ferngrade.node.WorkerCallback;
 import java.util.Locale;
 
-/** Parses workers' callbacks. */
+/** Parses the callbacks of workers. */
 final class WorkerCallbackParser {
   private WorkerCallbackParser() {}
 
-  static WorkerCallback read(String body) throws BadRequestException {
+  static WorkerCallback parse(String body) throws BadRequestException {
     try {
       JsonObject json = Json.parse(body).asObject();
       WorkerCallback.State state =
@@ -21,14 +21,14 @@
       if (state == WorkerCallback.State.DONE && result == null) {
         throw new BadRequestException("a job that is done has a result");
       }
-      String given =
+      String resultText =
           result == null ? "" : result.isString() ? result.asString() : result.toString();
       return new WorkerCallback(
           text(json, "id"),
           text(json, "from"),
           state,
           json.getDouble("share", 0),
-          given,
+          resultText,
           load(json.get("load")));
     } catch (ParseException | UnsupportedOperationException | IllegalArgumentException malformed) {
       throw new BadRequestException("not a call-back");
@@ -44,8 +44,8 @@
   }
 
   /**
-   * A report that cannot be read costs only itself: what the callback reports of the job still
-   * counts.
+   * Parses the load report. A report that cannot be parsed is ignored, so that the rest of the
+   * callback still counts.
    */
   private static LoadReport load(JsonValue load) {
     return load == null || !load.isObject()
