--- a/node/src/main/java/ferngrade/Main.java
+++ b/node/src/main/java/ferngrade/Main.java
@@ -2,20 +2,20 @@
 
 import ferngrade.cli.Cli;
 
-/** The program's entry; everything else is {@link Cli}'s. */
+/** The entry point of the program; {@link Cli} runs the commands. */
 public final class Main {
   /**
-   * Netty's events for the flight recorder: the runtime would make their classes on the event loop,
-   * at the first buffer.
+   * The property that enables Netty's flight recorder events. They are disabled because the runtime
+   * would otherwise load their classes on the event loop when the first buffer is allocated.
    */
-  private static final String NETTY_EVENTS = "io.netty.jfr.enabled";
+  private static final String NETTY_EVENTS_PROPERTY = "io.netty.jfr.enabled";
 
   private Main() {}
 
-  /** Runs one sub-command and ends with its exit code. */
+  /** Runs one sub-command and exits with its exit code. */
   public static void main(String[] arguments) {
-    if (System.getProperty(NETTY_EVENTS) == null) {
-      System.setProperty(NETTY_EVENTS, "false");
+    if (System.getProperty(NETTY_EVENTS_PROPERTY) == null) {
+      System.setProperty(NETTY_EVENTS_PROPERTY, "false");
     }
     System.exit(Cli.run(arguments));
   }
--- a/node/src/main/java/ferngrade/server/CountDown.java
+++ b/node/src/main/java/ferngrade/server/CountDown.java
@@ -1,19 +1,19 @@
 package ferngrade.server;
 
-/** Runs a task with the last of so many calls, and never again. Belongs to one thread. */
+/** Runs a task once, on the last of a given number of calls. Not thread-safe. */
 final class CountDown implements Runnable {
   private final Runnable task;
-  private int left;
+  private int remainingCalls;
 
-  /** Runs {@code task} with call number {@code calls}. */
+  /** Creates a countdown that runs {@code task} on call number {@code calls}. */
   CountDown(int calls, Runnable task) {
-    this.left = calls;
+    this.remainingCalls = calls;
     this.task = task;
   }
 
   @Override
   public void run() {
-    if (--left == 0) {
+    if (--remainingCalls == 0) {
       task.run();
     }
   }
--- a/node/src/main/java/ferngrade/server/GracefulShutdown.java
+++ b/node/src/main/java/ferngrade/server/GracefulShutdown.java
@@ -9,46 +9,48 @@
 import java.util.Locale;
 
 /**
- * Stops a node in order, on its event loop: drains its connections, answers all jobs within the
- * {@link ShutdownBudget}, and then lets the frontend finish.
+ * Shuts a node down gracefully on its event loop: drains its connections, answers all jobs within
+ * the {@link ShutdownBudget}, and then closes the frontend.
  */
 final class GracefulShutdown {
-  private final HttpFrontend front;
+  private final HttpFrontend frontend;
   private final RequestCoordinator coordinator;
   private final Clock clock;
   private final Timers timers;
   private final RateLimitedLog log;
   private final Runnable handOver;
-  private final Runnable finishing;
+  private final Runnable stopAccepting;
 
   /**
-   * {@code handOver} leaves what only one process of the node can have to the others, {@code
-   * finishing} tells them that this one accepts no more jobs.
+   * Creates the shutdown of one node.
+   *
+   * @param handOver releases resources that only one process of the node can hold to the others
+   * @param stopAccepting notifies the other processes that this one has stopped accepting jobs
    */
   GracefulShutdown(
-      HttpFrontend front,
+      HttpFrontend frontend,
       RequestCoordinator coordinator,
       Clock clock,
       Timers timers,
       RateLimitedLog log,
       Runnable handOver,
-      Runnable finishing) {
-    this.front = front;
+      Runnable stopAccepting) {
+    this.frontend = frontend;
     this.coordinator = coordinator;
     this.clock = clock;
     this.timers = timers;
     this.log = log;
     this.handOver = handOver;
-    this.finishing = finishing;
+    this.stopAccepting = stopAccepting;
   }
 
   /**
-   * Begins a shutdown.
+   * Begins the shutdown.
    *
-   * @param requested the times of its phases
-   * @param acceptUntil when the node stops accepting jobs at the latest, ms on the clock
-   * @param uncertainty by how much earlier the signal may have come than it was noticed, ms
-   * @param whenDone runs once everything accepted has been answered
+   * @param requested the end times of its phases
+   * @param acceptUntil the latest time at which the node stops accepting jobs, in ms on the clock
+   * @param uncertainty the maximum time between the signal and its detection, in ms
+   * @param whenDone runs once all accepted jobs are answered
    */
   void begin(ShutdownBudget requested, double acceptUntil, double uncertainty, Runnable whenDone) {
     log.line(
@@ -57,15 +59,15 @@
                 ? String.format(
                     Locale.ROOT, "; the signal may have come %.0f ms before", uncertainty)
                 : ""));
-    ShutdownBudget budget = front.drain(requested);
+    ShutdownBudget budget = frontend.drain(requested);
     handOver.run();
     coordinator.answerAllBy(budget.answersBy());
     timers.after(
         Math.min(acceptUntil, budget.acceptUntil()) - clock.now(),
         () -> {
           log.line("no more jobs are accepted");
-          finishing.run();
-          front.finish(
+          stopAccepting.run();
+          frontend.finish(
               () -> {
                 logEnd(budget);
                 whenDone.run();
@@ -73,7 +75,7 @@
         });
   }
 
-  /** What was still open when the shutdown ended, by state and age. */
+  /** Logs the requests and connections that are still open at the end, by state and age. */
   private void logEnd(ShutdownBudget budget) {
     StringBuilder open = new StringBuilder();
     coordinator
@@ -87,7 +89,7 @@
                         requests.count(),
                         state,
                         requests.oldest())));
-    front
+    frontend
         .openConnections()
         .forEach(
             (state, count) ->
--- a/node/src/main/java/ferngrade/server/LiveProcesses.java
+++ b/node/src/main/java/ferngrade/server/LiveProcesses.java
@@ -9,103 +9,111 @@
 import java.util.function.LongPredicate;
 
 /**
- * The processes of the node that run now, in the order in which they started. One counts from the
- * moment it is known until the system has no process of its id any more; that is checked in the
- * background. Belongs to the event loop.
+ * Tracks the running processes of the node in the order in which they started. A process counts
+ * from the moment it becomes known until no process with its id exists, which is checked in the
+ * background. Used on the event loop only.
  */
 final class LiveProcesses {
-  /** How often it is checked which processes have ended, ms. */
-  static final long CHECK_INTERVAL = 200;
+  /** The interval at which ended processes are detected, in ms. */
+  static final long CHECK_INTERVAL_MILLIS = 200;
 
-  private final long own;
+  private final long ownPid;
   private final TaskScheduler scheduler;
   private final Executor loop;
-  private final LongPredicate alive;
+  private final LongPredicate isAlive;
   private final Listener listener;
-  private final List<Long> others = new ArrayList<>();
+  private final List<Long> otherPids = new ArrayList<>();
 
-  /** Those of the others that have started before this one. */
-  private final Set<Long> earlier = new HashSet<>();
+  /** The other processes that started before this one. */
+  private final Set<Long> earlierPids = new HashSet<>();
 
-  /** Those of the others that accept no more jobs. */
-  private final Set<Long> finishing = new HashSet<>();
+  /** The other processes that have stopped accepting jobs. */
+  private final Set<Long> finishingPids = new HashSet<>();
 
   private boolean ownStarted;
   private boolean checkScheduled;
 
-  /** Is notified when the processes, or what they do, have changed. */
+  /** Receives the share of this process whenever the set of processes or their states change. */
   @FunctionalInterface
   interface Listener {
-    /** This is what runs now. */
+    /** Called on the event loop with the current share of this process. */
     void changed(ProcessShare share);
   }
 
-  /** The processes beside that with the id {@code own}; {@code alive} is called on any thread. */
+  /**
+   * Creates a tracker for the process with the id {@code ownPid}. {@code isAlive} returns whether a
+   * process with the given id exists; it is called on the event loop and on the scheduler's thread.
+   */
   LiveProcesses(
-      long own, TaskScheduler scheduler, Executor loop, LongPredicate alive, Listener listener) {
-    this.own = own;
+      long ownPid,
+      TaskScheduler scheduler,
+      Executor loop,
+      LongPredicate isAlive,
+      Listener listener) {
+    this.ownPid = ownPid;
     this.scheduler = scheduler;
     this.loop = loop;
-    this.alive = alive;
+    this.isAlive = isAlive;
     this.listener = listener;
   }
 
-  /** A process has started; known ones, and those that have ended, are ignored. */
+  /** Records that a process has started; known and ended processes are ignored. */
   void started(long pid) {
-    if (pid == own) {
+    if (pid == ownPid) {
       ownStarted = true;
-    } else if (!others.contains(pid) && alive.test(pid)) {
-      others.add(pid);
+    } else if (!otherPids.contains(pid) && isAlive.test(pid)) {
+      otherPids.add(pid);
       if (!ownStarted) {
-        earlier.add(pid);
+        earlierPids.add(pid);
       }
-      changed();
-      checkLater();
+      notifyListener();
+      scheduleCheck();
     }
   }
 
-  /** A process accepts no more jobs; an unknown one is ignored. */
+  /** Records that a process has stopped accepting jobs; unknown processes are ignored. */
   void finishing(long pid) {
-    if (others.contains(pid) && finishing.add(pid)) {
-      changed();
+    if (otherPids.contains(pid) && finishingPids.add(pid)) {
+      notifyListener();
     }
   }
 
-  /** True if a process beside this one runs, as far as is known. */
+  /** Returns true if at least one other process of the node is known to run. */
   boolean othersRun() {
-    return !others.isEmpty();
+    return !otherPids.isEmpty();
   }
 
-  private void changed() {
-    int accepting = (int) others.stream().filter(pid -> !finishing.contains(pid)).count() + 1;
-    int index = (int) earlier.stream().filter(pid -> !finishing.contains(pid)).count();
-    listener.changed(new ProcessShare(others.size() + 1, accepting, index));
+  private void notifyListener() {
+    int accepting =
+        (int) otherPids.stream().filter(pid -> !finishingPids.contains(pid)).count() + 1;
+    int index = (int) earlierPids.stream().filter(pid -> !finishingPids.contains(pid)).count();
+    listener.changed(new ProcessShare(otherPids.size() + 1, accepting, index));
   }
 
-  private void checkLater() {
+  private void scheduleCheck() {
     if (!checkScheduled) {
       checkScheduled = true;
-      List<Long> known = List.copyOf(others);
-      scheduler.schedule(() -> check(known), CHECK_INTERVAL);
+      List<Long> known = List.copyOf(otherPids);
+      scheduler.schedule(() -> check(known), CHECK_INTERVAL_MILLIS);
     }
   }
 
-  /** On the scheduler. */
+  /** Finds ended processes; runs on the scheduler's thread. */
   private void check(List<Long> known) {
-    List<Long> ended = known.stream().filter(pid -> !alive.test(pid)).toList();
-    loop.execute(() -> checked(ended));
+    List<Long> ended = known.stream().filter(pid -> !isAlive.test(pid)).toList();
+    loop.execute(() -> removeEnded(ended));
   }
 
-  private void checked(List<Long> ended) {
+  private void removeEnded(List<Long> ended) {
     checkScheduled = false;
-    others.removeAll(ended);
-    earlier.removeAll(ended);
-    finishing.removeAll(ended);
+    otherPids.removeAll(ended);
+    earlierPids.removeAll(ended);
+    finishingPids.removeAll(ended);
     if (!ended.isEmpty()) {
-      changed();
+      notifyListener();
     }
-    if (!others.isEmpty()) {
-      checkLater();
+    if (!otherPids.isEmpty()) {
+      scheduleCheck();
     }
   }
 }
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -46,91 +46,95 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A node on sockets: the composition root, which puts the parts together on one event loop and
- * stops them in order. Its public methods may be called from any thread, except where they say
- * otherwise.
+ * Runs a node on sockets. This is the composition root: it wires the components together on one
+ * event loop and shuts them down in order. Public methods may be called from any thread unless
+ * documented otherwise.
  */
 public final class NodeServer {
-  /** How often a start is retried that fails for a lack of this machine. */
-  private static final int START_RETRIES = 100;
+  /** The maximum number of start retries after failures caused by a lack of local resources. */
+  private static final int MAX_START_RETRIES = 100;
 
-  /** The pause between two starts, ms. */
-  private static final long START_BACKOFF = 20;
+  /** The delay between two start attempts, in ms. */
+  private static final long START_BACKOFF_MILLIS = 20;
 
-  /** The Retry-After of a rejection for lack of capacity, ms. */
-  private static final double OVERLOAD_RETRY_AFTER = 1000;
+  /** The Retry-After value of a rejection for lack of capacity, in ms. */
+  private static final double OVERLOAD_RETRY_AFTER_MILLIS = 1000;
 
   /**
-   * Requests held for each MB of the memory limit: with their attempts and timers they take some KB
-   * each, a sixteenth of it.
+   * The maximum number of open requests per MB of the memory limit. A request with its attempts and
+   * timers takes a few KB, so all of them take up to one sixteenth of the limit.
    */
   private static final int REQUESTS_PER_MB = 16;
 
   /**
-   * How long a process at the most leaves new connections to an earlier one until it can serve, ms.
+   * The maximum time for which a starting process leaves new connections to its predecessor until
+   * it is ready, in ms.
    */
-  private static final double MAX_HOLD = 500;
+  private static final double MAX_ACCEPT_HOLD_MILLIS = 500;
 
-  /** How often a process looks for what other processes of the node were told, ms. */
-  private static final double REFRESH_INTERVAL = 100;
+  /**
+   * The interval at which a process reads the state shared by the other processes of the node, in
+   * ms.
+   */
+  private static final double REFRESH_INTERVAL_MILLIS = 100;
 
   private final NodeConfig config;
   private final Platform platform;
   private final ChannelProvider channels;
   private final Clock clock;
   private final RateLimitedLog log;
-  private final Decisions decisions;
-  private final ArrivalClock arrivals;
+  private final DispatcherFactory dispatcherFactory;
+  private final ArrivalClock arrivalClock;
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final Timers timers;
   private final LoopMonitor loopMonitor;
-  private final PauseDetector pauses;
+  private final PauseDetector pauseDetector;
   private final ProcessLimits processLimits;
-  private final HttpFrontend front;
+  private final HttpFrontend frontend;
   private final UpgradePeers upgradePeers;
   private RequestCoordinator coordinator;
   private ConnectionPool pool;
   private UdpPeers peers;
 
-  /** What is shared with other processes of the node; null where operators cannot call. */
+  /** State shared with the other processes of the node; null without an operators' listener. */
   private SharedState sharedState;
 
   private Discovery discovery;
   private final CountDownLatch finished = new CountDownLatch(1);
 
-  /** Where operators call; null where they cannot. */
-  private OperatorsEndpoint operators;
+  /** The operators' listener; null if none is configured. */
+  private OperatorsEndpoint operatorsEndpoint;
 
   private int reloadsOk;
   private int reloadsFailed;
 
   /**
-   * What the platform passes to a process beside its configuration.
+   * Holds the inputs that the platform passes to a process in addition to its configuration.
    *
-   * @param accepted the clients' listening socket, or null where the node binds its own
-   * @param state a folder that a later process of the node shares, or null for none
-   * @param files how files in that folder are read and written
-   * @param process what attempts say of the process that sends them, or null for nothing
+   * @param accepted the clients' listening socket, or null if the node binds its own
+   * @param stateFolder the folder shared by all processes of the node, or null if no state is kept
+   * @param files the operations used to read and write files in that folder
+   * @param process the process name that attempts carry, or null if they carry none
    */
   public record Platform(
-      ServerSocketChannel accepted, Path state, FileOperations files, String process) {
-    /** Nothing passed on: the node binds its own socket and keeps no state. */
+      ServerSocketChannel accepted, Path stateFolder, FileOperations files, String process) {
+    /** No platform inputs: the node binds its own socket and keeps no state. */
     public static final Platform NONE = new Platform(null, null);
 
-    /** On the machine's own file system. */
-    public Platform(ServerSocketChannel accepted, Path state) {
-      this(accepted, state, FileOperations.SYSTEM);
+    /** Creates inputs that use the machine's file system. */
+    public Platform(ServerSocketChannel accepted, Path stateFolder) {
+      this(accepted, stateFolder, FileOperations.SYSTEM);
     }
 
-    /** On other file operations than the machine's. */
-    public Platform(ServerSocketChannel accepted, Path state, FileOperations files) {
-      this(accepted, state, files, null);
+    /** Creates inputs that use the given file operations. */
+    public Platform(ServerSocketChannel accepted, Path stateFolder, FileOperations files) {
+      this(accepted, stateFolder, files, null);
     }
 
-    /** The same for a process that attempts name. */
-    public Platform identifiedAs(String sender) {
-      return new Platform(accepted, state, files, sender);
+    /** Returns a copy whose attempts carry the given process name. */
+    public Platform identifiedAs(String processName) {
+      return new Platform(accepted, stateFolder, files, processName);
     }
   }
 
@@ -139,43 +143,43 @@
       Platform platform,
       Clock clock,
       RateLimitedLog log,
-      Decisions decisions,
+      DispatcherFactory dispatcherFactory,
       ChannelProvider channels) {
     this.channels = channels;
-    this.decisions = decisions;
+    this.dispatcherFactory = dispatcherFactory;
     this.platform = platform;
     this.config = config;
     this.clock = clock;
     this.log = log;
-    this.arrivals = new ArrivalClock(clock);
+    this.arrivalClock = new ArrivalClock(clock);
     this.group =
         new MultiThreadIoEventLoopGroup(
-            1, NioIoHandler.newFactory(SelectorProvider.provider(), arrivals));
+            1, NioIoHandler.newFactory(SelectorProvider.provider(), arrivalClock));
     this.loop = group.next();
     this.timers =
         new Timers(
             clock,
-            (millis, run) ->
+            (delayMillis, task) ->
                 loop.schedule(
                     () -> {
-                      arrivals.working();
-                      run.run();
+                      arrivalClock.working();
+                      task.run();
                     },
-                    (long) Math.ceil(millis * 1000),
+                    (long) Math.ceil(delayMillis * 1000),
                     TimeUnit.MICROSECONDS));
     this.loopMonitor = new LoopMonitor(clock, log);
-    this.pauses = new PauseDetector(clock, timers);
-    arrivals.onTurn(loopMonitor::turnEnded);
+    this.pauseDetector = new PauseDetector(clock, timers);
+    arrivalClock.onTurn(loopMonitor::turnEnded);
     timers.onDelay(loopMonitor::timerDelayed);
-    // Only a process on an inherited socket can have others beside it.
+    // Only a process on an inherited socket can run in parallel with other processes of the node.
     this.upgradePeers =
         platform.accepted() == null ? null : new UpgradePeers(group, timers, log, channels);
     this.processLimits = new ProcessLimits(config, log);
-    this.front =
+    this.frontend =
         new HttpFrontend(
             processLimits.limits(1),
             clock,
-            arrivals,
+            arrivalClock,
             timers,
             loop,
             upgradePeers,
@@ -183,30 +187,33 @@
             new ForcedCloses("clients", loopMonitor, log));
   }
 
-  /** Makes the dispatcher of a node, which acts through the given actions. */
+  /** Creates the dispatcher of a node. */
   @FunctionalInterface
-  public interface Decisions {
-    /** The dispatcher, from {@code now}, ms on the node's clock. */
-    Dispatcher start(NodeConfig config, double now, Actions actions);
+  public interface DispatcherFactory {
+    /**
+     * Creates a dispatcher that acts through {@code actions}; {@code now} is in ms on the node's
+     * clock.
+     */
+    Dispatcher create(NodeConfig config, double now, Actions actions);
   }
 
   /**
-   * Starts a node, which listens when this returns.
+   * Starts a node. It is listening when this method returns.
    *
-   * @throws Exception if it cannot, for example because the address is in use
+   * @throws Exception if the start fails, for example because the address is in use
    */
   public static NodeServer start(NodeConfig config, Clock clock, RateLimitedLog log)
       throws Exception {
     return start(config, Platform.NONE, clock, log);
   }
 
-  /** Starts a node with what the platform passes on. */
+  /** Starts a node with the given platform inputs. */
   public static NodeServer start(
       NodeConfig config, Platform platform, Clock clock, RateLimitedLog log) throws Exception {
     return start(config, platform, clock, log, ChannelProvider.SOCKETS);
   }
 
-  /** Starts a node on other channels than ordinary sockets. */
+  /** Starts a node that creates its channels through {@code channels}. */
   public static NodeServer start(
       NodeConfig config,
       Platform platform,
@@ -219,38 +226,40 @@
         platform,
         clock,
         log,
-        (started, now, actions) ->
-            new ThrottlingDispatcher(started.settings(), started.seed(), now, actions),
+        (nodeConfig, now, actions) ->
+            new ThrottlingDispatcher(nodeConfig.settings(), nodeConfig.seed(), now, actions),
         channels);
   }
 
-  /** Starts a node with another dispatcher than the usual one, to compare the two. */
+  /** Starts a node with a different dispatcher, for comparison with the default one. */
   public static NodeServer start(
-      NodeConfig config, Clock clock, RateLimitedLog log, Decisions decisions) throws Exception {
-    return start(config, Platform.NONE, clock, log, decisions, ChannelProvider.SOCKETS);
+      NodeConfig config, Clock clock, RateLimitedLog log, DispatcherFactory dispatcherFactory)
+      throws Exception {
+    return start(config, Platform.NONE, clock, log, dispatcherFactory, ChannelProvider.SOCKETS);
   }
 
   /**
-   * Starts a node, with retries for a while where the machine lacks what it needs; without any on
-   * an inherited socket, which a start that fails closes.
+   * Starts a node. The start is retried while it fails because this machine lacks a resource,
+   * except on an inherited socket: a failed start closes that socket.
    */
   public static NodeServer start(
       NodeConfig config,
       Platform platform,
       Clock clock,
       RateLimitedLog log,
-      Decisions decisions,
+      DispatcherFactory dispatcherFactory,
       ChannelProvider channels)
       throws Exception {
-    for (int retries = platform.accepted() == null ? START_RETRIES : 0; ; retries--) {
+    for (int retries = platform.accepted() == null ? MAX_START_RETRIES : 0; ; retries--) {
       try {
-        return startOnce(config, platform, clock, log, decisions, channels);
+        return startOnce(config, platform, clock, log, dispatcherFactory, channels);
       } catch (Exception failed) {
         if (retries == 0 || !FaultOrigin.isPassingLack(failed)) {
           throw failed;
         }
-        log.line("start failed for a lack of local resources, retrying: " + failed.getMessage());
-        Thread.sleep(START_BACKOFF);
+        log.line(
+            "start failed because this machine lacks resources, retrying: " + failed.getMessage());
+        Thread.sleep(START_BACKOFF_MILLIS);
       }
     }
   }
@@ -260,13 +269,13 @@
       Platform platform,
       Clock clock,
       RateLimitedLog log,
-      Decisions decisions,
+      DispatcherFactory dispatcherFactory,
       ChannelProvider channels)
       throws Exception {
-    NodeServer server = new NodeServer(config, platform, clock, log, decisions, channels);
+    NodeServer server = new NodeServer(config, platform, clock, log, dispatcherFactory, channels);
     try {
-      for (ChannelFuture bound : server.loop.submit(server::assemble).get()) {
-        bound.get();
+      for (ChannelFuture pendingBind : server.loop.submit(server::assemble).get()) {
+        pendingBind.get();
       }
       log.line(
           "listening at "
@@ -278,7 +287,7 @@
       server
           .group
           .shutdownGracefully(0, 0, TimeUnit.MILLISECONDS)
-          .await(START_RETRIES * START_BACKOFF);
+          .await(MAX_START_RETRIES * START_BACKOFF_MILLIS);
       throw failed;
     }
   }
@@ -288,10 +297,10 @@
     return new RequestCoordinator.RequestLimits(
         Math.min(config.mostOpen(), REQUESTS_PER_MB * config.memoryMb()),
         bytes,
-        Math.min(OVERLOAD_RETRY_AFTER, config.settings().limits().retryAfterMax()));
+        Math.min(OVERLOAD_RETRY_AFTER_MILLIS, config.settings().limits().retryAfterMax()));
   }
 
-  /** Puts the parts together, on the event loop; returns the sockets that are being bound. */
+  /** Wires the components together on the event loop and returns the pending binds. */
   private List<ChannelFuture> assemble() {
     pool =
         new ConnectionPool(
@@ -299,35 +308,36 @@
     WorkerClient workers =
         new WorkerClient(group, clock, timers, pool, config.connectTimeout(), log, channels);
     peers = new UdpPeers(config.peers(), config.peersAll(), log, channels);
-    discovery = new Discovery(this::newWatch);
+    discovery = new Discovery(this::createWatch);
     coordinator =
         new RequestCoordinator(
             new RequestCoordinator.Surroundings(clock, timers, loop, workers, peers, log),
             requestLimits(),
-            actions -> decisions.start(config, clock.now(), actions));
+            actions -> dispatcherFactory.create(config, clock.now(), actions));
     StateFolder folder =
-        platform.state() == null
+        platform.stateFolder() == null
             ? null
-            : new StateFolder(platform.state(), platform.files(), log, this::report);
-    sharedState = folder == null || config.admin() == null ? null : shareState(folder);
+            : new StateFolder(platform.stateFolder(), platform.files(), log, this::report);
+    sharedState = folder == null || config.admin() == null ? null : openSharedState(folder);
     if (folder != null) {
       folder.restoreMaintenance(coordinator);
     }
     if (config.known() != null) {
       useStoredList(config.known().members());
     }
-    List<ChannelFuture> bound = new ArrayList<>();
+    List<ChannelFuture> pendingBinds = new ArrayList<>();
     if (config.peerListen() != null) {
-      bound.add(peers.listen(group, config.peerListen(), coordinator::heard));
+      pendingBinds.add(peers.listen(group, config.peerListen(), coordinator::heard));
     }
     RequestReader reader = new RequestReader(config.settings());
     if (sharedState != null && sharedState.othersRun()) {
       holdAcceptingUntilReady();
     }
-    bound.add(front.listen(group, config.listen(), platform.accepted(), coordinator, reader, log));
+    pendingBinds.add(
+        frontend.listen(group, config.listen(), platform.accepted(), coordinator, reader, log));
     if (config.admin() != null) {
-      operators = operatorsEndpoint(folder);
-      bound.add(operators.listen(group, config.admin(), channels));
+      operatorsEndpoint = createOperatorsEndpoint(folder);
+      pendingBinds.add(operatorsEndpoint.listen(group, config.admin(), channels));
     }
     discovery.watch(config.discovery());
     if (sharedState != null) {
@@ -340,32 +350,32 @@
             sharedState.refresh();
           }
         });
-    workers.readCallbacksBy(new OncePerTurn(arrivals, this::readCallbacks));
+    workers.readCallbacksBy(new OncePerTurn(arrivalClock, this::readCallbacks));
     workers.identifyAs(platform.process());
-    pauses.start();
+    pauseDetector.start();
     new BudgetReporter(coordinator, timers, log).start();
-    return bound;
+    return pendingBinds;
   }
 
-  /** Reads the callbacks of workers, and those that other processes of the node relay. */
+  /** Reads pending callbacks from workers and callbacks relayed by other processes of the node. */
   private void readCallbacks() {
-    front.readPending();
-    if (operators != null) {
-      operators.readPending();
+    frontend.readPending();
+    if (operatorsEndpoint != null) {
+      operatorsEndpoint.readPending();
     }
   }
 
-  /** Follows what the processes of the node tell each other, from before this one serves. */
-  private SharedState shareState(StateFolder folder) {
+  /** Opens the state shared by the processes of the node, before this process serves clients. */
+  private SharedState openSharedState(StateFolder folder) {
     SharedState state =
         new SharedState(
             folder,
             new SharedState.Parts(
                 coordinator,
-                front,
+                frontend,
                 upgradePeers,
                 this::discoveryMoved,
-                share -> processLimits.apply(share, coordinator, front, pool),
+                processShare -> processLimits.apply(processShare, coordinator, frontend, pool),
                 loop,
                 clock,
                 timers,
@@ -377,38 +387,41 @@
     return state;
   }
 
-  /** While an earlier process serves, this one accepts clients once it can serve them. */
+  /** Delays accepting clients until this process is ready, while a predecessor still serves. */
   private void holdAcceptingUntilReady() {
-    front.holdAccepting(true);
-    coordinator.whenReady(() -> front.holdAccepting(false));
-    timers.after(MAX_HOLD, () -> front.holdAccepting(false));
+    frontend.holdAccepting(true);
+    coordinator.whenReady(() -> frontend.holdAccepting(false));
+    timers.after(MAX_ACCEPT_HOLD_MILLIS, () -> frontend.holdAccepting(false));
   }
 
-  /** Another process of the node was told that discovery has moved. */
-  private void discoveryMoved(DiscoveryRecord moved) {
-    if (moved.former().equals(discovery.address())) {
-      log.line("another process has moved discovery to " + moved.current());
-      discovery.watch(moved.current());
+  /** Follows a move of discovery that another process of the node has recorded. */
+  private void discoveryMoved(DiscoveryRecord move) {
+    if (move.former().equals(discovery.address())) {
+      log.line("another process has moved discovery to " + move.current());
+      discovery.watch(move.current());
     }
   }
 
-  /** Also a process that sends nothing reports the metrics and the readiness of the node. */
+  /**
+   * Reads the shared state at a fixed interval, since a process that sends no attempts still
+   * reports the metrics and the readiness of the node.
+   */
   private void refreshPeriodically(SharedState state) {
     state.refresh();
-    timers.after(REFRESH_INTERVAL, () -> refreshPeriodically(state));
+    timers.after(REFRESH_INTERVAL_MILLIS, () -> refreshPeriodically(state));
   }
 
-  /** Where operators call; {@code folder} is null if no state is kept. */
-  private OperatorsEndpoint operatorsEndpoint(StateFolder folder) {
+  /** Creates the operators' listener; {@code folder} is null if no state is kept. */
+  private OperatorsEndpoint createOperatorsEndpoint(StateFolder folder) {
     List<String> classes = config.settings().classes().stream().map(JobClass::name).toList();
     OperatorCalls.Parts parts =
         new OperatorCalls.Parts(
             coordinator,
-            front,
+            frontend,
             upgradePeers,
             classes,
             sharedState,
-            arrivals,
+            arrivalClock,
             loopMonitor,
             new ForcedCloses("operators", loopMonitor, log),
             () -> reloadsOk,
@@ -416,7 +429,7 @@
     return new OperatorsEndpoint(parts, sharedState, folder, clock, timers, loop, log);
   }
 
-  private DiscoveryWatch newWatch(InetSocketAddress address, Runnable whenListed) {
+  private DiscoveryWatch createWatch(InetSocketAddress address, Runnable whenListed) {
     DiscoveryWatch.Mode mode =
         config.settings().asks() ? DiscoveryWatch.Mode.ASKED : DiscoveryWatch.Mode.PUSHED;
     return new DiscoveryWatch(
@@ -432,9 +445,10 @@
   }
 
   /**
-   * Uses the endpoint list of an earlier process. Where lists are pushed, the agent on this machine
-   * answers at once, and what it holds counts from the first moment: the stored list waits for
-   * that. Where discovery is polled, nothing counts before its answer, which may take long.
+   * Uses the endpoint list stored by a predecessor process. If discovery pushes lists, its local
+   * agent answers immediately and the pushed list takes precedence, so the stored list is held back
+   * and used only if the agent does not answer. If discovery is polled, the answer may take long,
+   * so the stored list is used at once.
    */
   private void useStoredList(List<Endpoint> stored) {
     if (config.settings().asks()) {
@@ -445,70 +459,72 @@
   }
 
   /**
-   * Applies the address of discovery from a configuration that was read while the node runs; the
-   * rest applies from the next start on. Jobs in flight, the last endpoint list and all learned
-   * estimates stay.
+   * Applies the discovery address of a reloaded configuration; all other settings take effect at
+   * the next start. Jobs in flight, the current endpoint list and all learned estimates are kept.
    */
   public void reload(NodeConfig changed) {
     boolean settingsChanged = !changed.settingsWrittenAs(config);
-    later(
+    runOnLoop(
         () -> {
           reloadsOk++;
           log.line("configuration read anew, discovery is at " + changed.discovery());
           if (settingsChanged) {
-            log.line("the settings have changed too; they count from the next start on");
+            log.line("the settings have changed too; they take effect at the next start");
           }
           InetSocketAddress former = discovery.address();
           discovery.watch(changed.discovery());
           if (sharedState != null && !former.equals(changed.discovery())) {
-            sharedState.moved(new DiscoveryRecord(former, changed.discovery()));
+            sharedState.recordDiscoveryMove(new DiscoveryRecord(former, changed.discovery()));
           }
         });
   }
 
   /** Writes a line to the node's log. */
   public void report(String line) {
-    later(() -> log.line(line));
+    runOnLoop(() -> log.line(line));
   }
 
-  /** Runs this on the loop, unless that has ended: a signal may come while the process ends. */
-  private void later(Runnable task) {
+  /**
+   * Runs a task on the event loop. The task is dropped after the loop has terminated, since a
+   * signal may arrive while the process exits.
+   */
+  private void runOnLoop(Runnable task) {
     try {
       loop.execute(task);
     } catch (RejectedExecutionException ended) {
-      // There is no node left to apply it to.
+      // The node has stopped, so there is nothing to apply the task to.
     }
   }
 
-  /** Counts a configuration that could not be used, and logs why. */
+  /** Counts a failed reload and logs the given reason. */
   public void reloadFailed(String line) {
-    later(
+    runOnLoop(
         () -> {
           reloadsFailed++;
           log.line(line);
         });
   }
 
-  /** Where the node takes operators' calls; null if it does not. */
+  /** Returns the address of the operators' listener; null if there is none. */
   public InetSocketAddress adminAddress() {
-    return operators == null ? null : operators.address();
+    return operatorsEndpoint == null ? null : operatorsEndpoint.address();
   }
 
-  /** Where the node listens. */
+  /** Returns the address on which the node listens for clients. */
   public InetSocketAddress address() {
-    return front.address();
+    return frontend.address();
   }
 
   /**
-   * Stops in order: for a moment still accepts, closes each connection behind its next response,
-   * and finishes every job that was accepted. Returns when all is done, at the latest at the end of
-   * the {@link ShutdownBudget}.
+   * Shuts down gracefully: keeps accepting for a short grace period, closes each connection after
+   * its next response, and finishes every accepted job. Returns when this is done, at the latest at
+   * the end of the {@link ShutdownBudget}.
    */
   public void stop() throws InterruptedException {
     stop(Double.POSITIVE_INFINITY);
   }
 
-  /** Stops, and accepts jobs for at most this long, ms. */
+  /** Shuts down gracefully; accepts jobs for at most {@code grace} ms. */
   void stop(double grace) throws InterruptedException {
     if (!loop.isShuttingDown()) {
       finish(grace, () -> {});
@@ -517,28 +533,30 @@
   }
 
   /**
-   * Stops and runs {@code exit}, which ends the process, on the event loop. When any other thread
-   * ends the process, the runtime waits up to 0.3 s for threads in a system call, as the loop is.
+   * Shuts down gracefully and then runs {@code exit}, which ends the process, on the event loop. If
+   * another thread ended the process, the runtime would wait up to 0.3 s for threads blocked in a
+   * system call, as the event loop is.
    */
   public void stopAndExit(Runnable exit) throws InterruptedException {
     finish(Double.POSITIVE_INFINITY, exit);
   }
 
   private void finish(double grace, Runnable whenDone) throws InterruptedException {
-    // Counted from the call: the loop may come to it late.
+    // The budget starts at this call, since the event loop may run the task late.
     double requested = clock.now();
     loop.execute(() -> beginShutdown(requested, grace, whenDone));
     finished.await();
   }
 
   private void beginShutdown(double requested, double grace, Runnable whenDone) {
-    double earliest = pauses.earliestSignal(requested);
+    double earliest = pauseDetector.earliestSignal(requested);
     Runnable end =
         () -> {
           whenDone.run();
           finished.countDown();
         };
-    new GracefulShutdown(front, coordinator, clock, timers, log, this::handOver, this::acceptNoMore)
+    new GracefulShutdown(
+            frontend, coordinator, clock, timers, log, this::handOver, this::stopAccepting)
         .begin(
             ShutdownBudget.of(earliest, requested, config.settings()),
             requested + grace,
@@ -546,15 +564,15 @@
             () -> finishOperatorsCalls(end));
   }
 
-  /** Leaves what was granted to this process to the others that accept jobs. */
-  private void acceptNoMore() {
+  /** Stops accepting jobs and releases this process's share to the other accepting processes. */
+  private void stopAccepting() {
     coordinator.acceptNoMore();
     if (sharedState != null) {
-      sharedState.finishing();
+      sharedState.recordFinishing();
     }
   }
 
-  /** Leaves to the other processes of the node what only one of them can have. */
+  /** Releases resources that only one process of the node can hold to the other processes. */
   private void handOver() {
     if (platform.accepted() != null) {
       peers.handOver();
@@ -562,10 +580,10 @@
   }
 
   private void finishOperatorsCalls(Runnable done) {
-    if (operators == null) {
+    if (operatorsEndpoint == null) {
       done.run();
     } else {
-      operators.finish(front.budget().end(), done);
+      operatorsEndpoint.finish(frontend.budget().end(), done);
     }
   }
 }
--- a/node/src/main/java/ferngrade/server/OperatorsEndpoint.java
+++ b/node/src/main/java/ferngrade/server/OperatorsEndpoint.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.Executor;
 
 /**
- * Where operators call, from its first call to the last: it tells the other processes of the node
- * where it listens, and at the end answers and stores all that has reached it. Belongs to the event
- * loop.
+ * Serves operators' calls. It announces its address to the other processes of the node, and on
+ * shutdown answers the calls that have arrived and stores their changes. Used on the event loop
+ * only.
  */
 final class OperatorsEndpoint {
   /**
-   * How long a process that ends waits for its calls and appends, ms: it must not outlast its
-   * budget for that.
+   * The maximum time past the end of the shutdown budget for the last calls and appends, in ms. It
+   * is short because the process must not outlast its budget.
    */
-  private static final double MAX_LAST_STORE = 45;
+  private static final double MAX_LAST_STORE_MILLIS = 45;
 
   private final OperatorCalls.Parts parts;
 
-  /** Null where nothing is shared with other processes. */
+  /** Null if no state is shared with other processes. */
   private final SharedState sharedState;
 
   /** Null if no state is kept. */
@@ -53,44 +53,45 @@
     this.admin = new Admin(new OperatorCalls(parts, clock, timers, log), clock, timers, loop);
   }
 
-  /** Begins to listen at {@code at}. */
-  ChannelFuture listen(EventLoopGroup group, InetSocketAddress at, ChannelProvider channels) {
-    ChannelFuture listening = admin.listen(group, at, channels);
-    channel = listening.channel();
+  /** Binds to {@code address} and announces the address once the bind has succeeded. */
+  ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, ChannelProvider channels) {
+    ChannelFuture pendingBind = admin.listen(group, address, channels);
+    channel = pendingBind.channel();
     if (sharedState != null && parts.upgradePeers() != null) {
       folder.findEarlierProcess(parts.upgradePeers());
-      listening.addListener(
-          done -> {
-            if (done.isSuccess()) {
+      pendingBind.addListener(
+          bind -> {
+            if (bind.isSuccess()) {
               announce();
             }
           });
     }
-    return listening;
+    return pendingBind;
   }
 
   private void announce() {
-    sharedState.listening(address());
+    sharedState.recordAdminAddress(address());
     folder.saveAdminAddress(address());
     parts.upgradePeers().announce();
   }
 
-  /** Where it listens. */
+  /** Returns the address on which this endpoint listens. */
   InetSocketAddress address() {
     return (InetSocketAddress) channel.localAddress();
   }
 
   /**
-   * Answers the operators' calls that have come and stores what they ask for, then runs {@code
-   * done}: at {@code end} on the clock, and a moment for the disk, at the latest.
+   * Answers the operators' calls that have arrived, stores their changes, and then runs {@code
+   * done}. {@code done} runs at the latest {@link #MAX_LAST_STORE_MILLIS} after {@code end}, a time
+   * in ms on the clock.
    */
   void finish(double end, Runnable done) {
-    Runnable once = new CountDown(1, done);
-    admin.finish(this::whenAppended, once);
-    timers.after(Math.max(0, end - clock.now()) + MAX_LAST_STORE, once);
+    Runnable doneOnce = new CountDown(1, done);
+    admin.finish(this::whenAppended, doneOnce);
+    timers.after(Math.max(0, end - clock.now()) + MAX_LAST_STORE_MILLIS, doneOnce);
   }
 
-  /** Accepts and reads what has come and the event loop has not come to read. */
+  /** Accepts pending connections and reads pending data before the event loop reaches them. */
   void readPending() {
     admin.readPending();
   }
--- a/node/src/main/java/ferngrade/server/PauseDetector.java
+++ b/node/src/main/java/ferngrade/server/PauseDetector.java
@@ -4,32 +4,33 @@
 import ferngrade.node.Timers;
 
 /**
- * Knows when the process was last held up, by the machine or by a long turn of its own: a timer
- * that runs at short intervals leaves a gap then. A signal that is noticed behind a gap may have
- * come at its beginning, since a process that does not run notices nothing. Belongs to the event
- * loop.
+ * Detects pauses of the process, caused by the machine or by a long turn of the event loop, as gaps
+ * between the runs of a short periodic timer. A signal that is detected after a gap may have
+ * arrived at the beginning of the gap, since a paused process detects nothing. Used on the event
+ * loop only.
  */
 final class PauseDetector {
-  /** The interval of the timer, ms: what a signal's time may be wrong by. */
-  static final double INTERVAL = 100;
+  /** The interval of the timer, in ms, which bounds the error of a signal's estimated time. */
+  static final double INTERVAL_MILLIS = 100;
 
-  /** How late the timer may be without the process having been held up, ms. */
-  private static final double TOLERANCE = 20;
+  /** The timer delay that does not count as a pause yet, in ms. */
+  private static final double TOLERANCE_MILLIS = 20;
 
   /**
-   * How long behind the end of a gap a signal may be noticed that came within it, ms: the runtime
-   * starts threads for that, which wait for a processor like the loop.
+   * The maximum time between the end of a gap and the detection of a signal that arrived within the
+   * gap, in ms. The runtime starts threads to handle a signal, and they wait for a processor like
+   * the event loop.
    */
-  private static final double SIGNAL_DELAY = 250;
+  private static final double MAX_SIGNAL_DELAY_MILLIS = 250;
 
-  /** The most by which a signal may be taken to have come before it was noticed, ms. */
-  private static final double MAX_UNCERTAINTY = 1000;
+  /** The maximum time by which a signal is assumed to precede its detection, in ms. */
+  private static final double MAX_UNCERTAINTY_MILLIS = 1000;
 
   private final Clock clock;
   private final Timers timers;
   private double lastRun;
-  private double pauseBegan = Double.NaN;
-  private double pauseEnded = Double.NEGATIVE_INFINITY;
+  private double pauseStart = Double.NaN;
+  private double pauseEnd = Double.NEGATIVE_INFINITY;
 
   PauseDetector(Clock clock, Timers timers) {
     this.clock = clock;
@@ -37,26 +38,29 @@
     this.lastRun = clock.now();
   }
 
-  /** Begins to look for gaps; it goes on from there by itself. */
+  /** Checks for a gap and schedules the next check. */
   void start() {
-    look();
-    timers.after(INTERVAL, this::start);
+    checkForGap();
+    timers.after(INTERVAL_MILLIS, this::start);
   }
 
-  /** The earliest time at which a signal that was noticed at {@code noticed} may have come, ms. */
-  double earliestSignal(double noticed) {
-    look();
-    boolean behindPause = noticed - pauseEnded <= SIGNAL_DELAY && pauseBegan < noticed;
-    return behindPause ? Math.max(pauseBegan, noticed - MAX_UNCERTAINTY) : noticed;
+  /**
+   * Returns the earliest time at which a signal that was detected at {@code detected} may have
+   * arrived, both in ms on the clock.
+   */
+  double earliestSignal(double detected) {
+    checkForGap();
+    boolean followsPause = detected - pauseEnd <= MAX_SIGNAL_DELAY_MILLIS && pauseStart < detected;
+    return followsPause ? Math.max(pauseStart, detected - MAX_UNCERTAINTY_MILLIS) : detected;
   }
 
-  private void look() {
+  private void checkForGap() {
     double now = clock.now();
-    if (now - lastRun > INTERVAL + TOLERANCE) {
-      // Of two gaps with hardly any time to run between them, a signal may wait for the second's
-      // end.
-      pauseBegan = lastRun - pauseEnded <= TOLERANCE ? pauseBegan : lastRun;
-      pauseEnded = now;
+    if (now - lastRun > INTERVAL_MILLIS + TOLERANCE_MILLIS) {
+      // A signal that arrived in the first of two gaps may be detected only after the second one
+      // if the process ran for hardly any time in between, so the gaps count as one.
+      pauseStart = lastRun - pauseEnd <= TOLERANCE_MILLIS ? pauseStart : lastRun;
+      pauseEnd = now;
     }
     lastRun = now;
   }
--- a/node/src/main/java/ferngrade/server/ProcessLimits.java
+++ b/node/src/main/java/ferngrade/server/ProcessLimits.java
@@ -8,13 +8,14 @@
 import ferngrade.node.RequestCoordinator;
 
 /**
- * Divides what the configuration grants to a node between its processes: descriptors and memory
- * between all that run, as each holds its part until it ends, grants for workers that warm up
- * between those that accept jobs. Belongs to the event loop.
+ * Divides the limits of a node between its processes. Descriptors and memory are divided between
+ * all running processes, since a process holds its part until it exits; the quota for warming-up
+ * workers is divided between the processes that accept jobs. Used on the event loop only.
  */
 final class ProcessLimits {
   /**
-   * The fewest descriptors with which a process can serve; the least that a configuration names.
+   * The minimum number of descriptors with which a process can serve, which is also the minimum
+   * that a configuration may set.
    */
   private static final int MIN_DESCRIPTORS = 64;
 
@@ -26,24 +27,27 @@
     this.log = log;
   }
 
-  /** The limits of one of so many processes of the node: they hold for all of them together. */
+  /** Returns the limits of each process when the node's limits are shared by {@code processes}. */
   ConnectionLimits limits(int processes) {
     return ConnectionLimits.within(
         Math.max(MIN_DESCRIPTORS, config.sockets() / processes), config.memoryMb() / processes);
   }
 
-  /** Has the parts of this process keep to its share. */
+  /** Applies the share of this process to its components. */
   void apply(
-      ProcessShare share, RequestCoordinator coordinator, HttpFrontend front, ConnectionPool pool) {
+      ProcessShare share,
+      RequestCoordinator coordinator,
+      HttpFrontend frontend,
+      ConnectionPool pool) {
     log.line(
         share.running()
-            + " processes of this node run, "
+            + " processes of this node are running, "
             + share.accepting()
-            + " accept jobs, this is number "
+            + " accept jobs, this one has index "
             + share.index());
     coordinator.sharedBy(share.accepting(), share.index());
     ConnectionLimits limits = limits(share.running());
-    front.limitTo(limits);
+    frontend.limitTo(limits);
     pool.limitTo(limits.workers());
   }
 }
--- a/node/src/main/java/ferngrade/server/SharedState.java
+++ b/node/src/main/java/ferngrade/server/SharedState.java
@@ -26,73 +26,82 @@
 import java.util.function.Consumer;
 
 /**
- * What holds for the node, whichever of its processes was told: operators' maintenance and drain,
- * and where its processes are. Every process appends what it is told to the {@link SharedLog} and
- * takes over what the others append; entries merge by their versions. A record is also pushed to
- * the other processes, so that it reaches them while the log cannot be written. Belongs to the
- * event loop.
+ * Replicates state between the processes of a node: operators' maintenance and drain decisions, and
+ * the addresses of the processes. Each process appends its records to the {@link SharedLog} and
+ * applies the records of the others; records are merged by version. Records are also pushed to the
+ * other processes, so that they arrive even while the log cannot be written. Used on the event loop
+ * only.
  */
 final class SharedState implements OperatorState, UpgradePeers.RunningProcesses {
   /**
-   * How long a process whose log cannot be opened is not ready for that, ms; it serves then without
-   * what only the log could tell, since a node that never starts is worse.
+   * The maximum time for which an unreadable log keeps a process from becoming ready, in ms. After
+   * that the process serves without the records in the log, since a node that never becomes ready
+   * is worse.
    */
-  private static final double MAX_WAIT = 2000;
+  private static final double MAX_LOG_WAIT_MILLIS = 2000;
 
   /**
-   * How long after its start a process keeps a drain from before that, ms: the platform gives it 6
-   * s to be ready, of which its start takes some hundred ms, and seconds on a busy machine.
+   * How long after its start a process keeps a drain that was decided before the start, in ms. The
+   * platform allows 6 s to become ready, of which the start itself takes a few hundred ms, or
+   * seconds on a busy machine.
    */
-  private static final double MAX_EARLIER_DRAIN = 2500;
+  private static final double MAX_EARLIER_DRAIN_MILLIS = 2500;
 
   private static final long OWN_PID = ProcessHandle.current().pid();
 
-  private final SharedLog shared;
+  private final SharedLog sharedLog;
 
-  /** Maintenance as a process of an earlier release reads it. */
+  /** The maintenance state in the format that processes of an earlier release read. */
   private final AtomicFile maintenanceFile;
 
   private final RequestCoordinator coordinator;
-  private final HttpFrontend front;
+  private final HttpFrontend frontend;
 
-  /** The other processes; null where this one has its own socket. */
+  /** The other processes of the node; null if this process has its own socket. */
   private final UpgradePeers peers;
 
   private final Executor loop;
   private final Clock clock;
   private final Timers timers;
   private final RateLimitedLog log;
-  private double opened;
+  private double openedAt;
   private final LiveProcesses processes;
 
-  /** Moves discovery to an address if this process watches the other one. */
+  /** Moves discovery to the new address of a record if this process watches the former one. */
   private final Consumer<DiscoveryRecord> discoveryMoved;
 
   /**
-   * What was decided before this process started for as long as the node runs; null once it has
-   * been applied.
+   * Decisions on the node as a whole that were recorded before this process started; null once they
+   * are applied. Such decisions are valid as long as a process of the node runs.
    */
   private List<SharedRecord> earlierDecisions = new ArrayList<>();
 
   private DrainRecord drain = DrainRecord.NONE;
   private InetSocketAddress ownAddress;
 
-  /** When another process's decision on a worker was last taken over, ms on the clock. */
-  private final Map<String, Double> decidedElsewhere = new HashMap<>();
+  /**
+   * The time at which a decision of another process on a worker was last applied, in ms on the
+   * clock, by worker name.
+   */
+  private final Map<String, Double> remoteDecisionTimes = new HashMap<>();
 
   /**
-   * Since when the log holds the record of this process, ms on the clock; infinite while it does
-   * not. The others could append theirs as well by then.
+   * The time at which the record of this process was first read back from the log, in ms on the
+   * clock; infinite while the log does not contain it. From then on the other processes could
+   * append their records as well.
    */
-  private double ownRecorded = Double.POSITIVE_INFINITY;
+  private double ownRecordedAt = Double.POSITIVE_INFINITY;
 
-  /** When the log was last read, ms on the clock: what it did not hold then was decided later. */
-  private double lastRefresh = Double.NEGATIVE_INFINITY;
+  /**
+   * The time at which the log was last read, in ms on the clock. A record that was not in the log
+   * by then was decided later.
+   */
+  private double lastRefreshAt = Double.NEGATIVE_INFINITY;
 
-  /** What the state acts on; {@code peers} is null where the process has its own socket. */
+  /** The components that the shared state uses; {@code peers} is null without a shared socket. */
   record Parts(
       RequestCoordinator coordinator,
-      HttpFrontend front,
+      HttpFrontend frontend,
       UpgradePeers peers,
       Consumer<DiscoveryRecord> discoveryMoved,
       LiveProcesses.Listener processesChanged,
@@ -101,10 +110,10 @@
       Timers timers,
       RateLimitedLog log) {}
 
-  /** State kept in {@code folder}. */
+  /** Creates the state kept in {@code folder}. */
   SharedState(StateFolder folder, Parts parts) {
     this.coordinator = parts.coordinator();
-    this.front = parts.front();
+    this.frontend = parts.frontend();
     this.peers = parts.peers();
     this.discoveryMoved = parts.discoveryMoved();
     this.loop = parts.loop();
@@ -112,7 +121,7 @@
     this.timers = parts.timers();
     this.log = parts.log();
     this.maintenanceFile = folder.maintenance();
-    this.shared = folder.sharedLog(loop, this::apply, this::appendAll);
+    this.sharedLog = folder.sharedLog(loop, this::apply, this::appendAll);
     this.processes =
         new LiveProcesses(
             OWN_PID, folder.scheduler(), loop, SharedState::isAlive, parts.processesChanged());
@@ -125,44 +134,48 @@
     return ProcessHandle.of(pid).isPresent();
   }
 
-  /** Follows the log from its beginning on; waits for the disk. */
+  /** Reads the log from its beginning and follows it from then on; blocks on disk reads. */
   void open() {
-    opened = clock.now();
-    shared.open(peers != null);
-    lastRefresh = clock.now();
+    openedAt = clock.now();
+    sharedLog.open(peers != null);
+    lastRefreshAt = clock.now();
     long out = coordinator.maintenanceDecisions().stream().filter(MaintenanceEntry::out).count();
     if (out > 0) {
-      log.line("operators' decisions taken over: " + out + " workers are out");
+      log.line("operators' decisions restored: " + out + " workers are out");
     }
   }
 
-  /** Applies what was decided on the node as a whole before this process started. */
+  /** Applies the decisions on the node as a whole that were recorded before the start. */
   void applyEarlierDecisions() {
     if (!processes.othersRun()) {
-      forgetEarlierDecisions();
+      discardEarlierDecisions();
     }
     List<SharedRecord> decisions = earlierDecisions;
     earlierDecisions = null;
     decisions.forEach(this::apply);
     if (drain.drained()) {
       DrainRecord earlier = drain;
-      timers.after(MAX_EARLIER_DRAIN, () -> endEarlierDrain(earlier));
+      timers.after(MAX_EARLIER_DRAIN_MILLIS, () -> endEarlierDrain(earlier));
     }
   }
 
   /**
-   * The platform gives a new process some seconds to be ready, and ends the drained one behind
-   * that: the drain of before the start ends here then, unless operators have decided anew.
+   * Ends a drain that was decided before this process started, unless operators have made another
+   * decision since. The platform allows a new process a few seconds to become ready and then ends
+   * the drained process, so a new process that stays drained would leave the node without service.
    */
   private void endEarlierDrain(DrainRecord earlier) {
     if (drain.equals(earlier)) {
-      log.line("the drain of before this process started ends here: it takes over");
-      front.resume();
+      log.line("resuming: the drain was decided before this process started, which now takes over");
+      frontend.resume();
     }
   }
 
-  /** Decisions on the node as a whole end with its last process: one that starts anew serves. */
-  private void forgetEarlierDecisions() {
+  /**
+   * Discards decisions on the node as a whole. They end with the last process of the node, so that
+   * a node that starts again serves clients.
+   */
+  private void discardEarlierDecisions() {
     for (SharedRecord record : earlierDecisions) {
       if (record instanceof DrainRecord decision && decision.supersedes(drain)) {
         drain = new DrainRecord(decision.version(), false);
@@ -171,19 +184,19 @@
     earlierDecisions.clear();
   }
 
-  /** True if another process of the node runs beside this one. */
+  /** Returns true if another process of the node is running. */
   boolean othersRun() {
     return processes.othersRun();
   }
 
   @Override
   public boolean othersMayRun() {
-    boolean othersRecorded = clock.now() - ownRecorded >= SharedLog.MAX_APPEND_DELAY;
-    return othersRun() || !othersRecorded || !shared.current();
+    boolean othersRecorded = clock.now() - ownRecordedAt >= SharedLog.MAX_APPEND_DELAY;
+    return othersRun() || !othersRecorded || !sharedLog.current();
   }
 
-  /** This process takes calls at this address from now on; the others get to know. */
-  void listening(InetSocketAddress address) {
+  /** Records that this process now serves operators' calls at {@code address}. */
+  void recordAdminAddress(InetSocketAddress address) {
     ownAddress = address;
     if (peers != null) {
       peers.own(address);
@@ -192,15 +205,17 @@
   }
 
   /**
-   * Not pushed as well: an announcement tells the others the same, also those of a release before.
+   * Appends the record of this process. The record is not pushed, since the other processes,
+   * including those of an earlier release, receive the same information as an announcement.
    */
   private void appendProcess() {
     boolean first = !processes.othersRun();
-    shared.append(SharedRecordCodec.write(new ProcessRecord(OWN_PID, ownAddress, first)), () -> {});
+    sharedLog.append(
+        SharedRecordCodec.write(new ProcessRecord(OWN_PID, ownAddress, first)), () -> {});
   }
 
-  /** This process accepts no more jobs; the others get to know. */
-  void finishing() {
+  /** Records that this process has stopped accepting jobs, and notifies the others. */
+  void recordFinishing() {
     if (peers != null) {
       append(new FinishingRecord(OWN_PID), () -> {});
     }
@@ -208,8 +223,8 @@
 
   @Override
   public void refresh() {
-    shared.poll();
-    lastRefresh = clock.now();
+    sharedLog.poll();
+    lastRefreshAt = clock.now();
   }
 
   @Override
@@ -219,7 +234,7 @@
 
   @Override
   public boolean complete() {
-    return shared.complete() || clock.now() - opened > MAX_WAIT;
+    return sharedLog.complete() || clock.now() - openedAt > MAX_LOG_WAIT_MILLIS;
   }
 
   private void apply(String text) {
@@ -227,19 +242,19 @@
     try {
       record = SharedRecordCodec.read(text);
     } catch (IllegalArgumentException malformed) {
-      log.line("shared record", "a record is ignored: " + malformed.getMessage());
+      log.line("shared record", "malformed shared record ignored: " + malformed.getMessage());
       return;
     }
     if (record instanceof MaintenanceEntry decision) {
       apply(decision);
     } else if (record instanceof ProcessRecord process && peers != null) {
       if (process.first() && earlierDecisions != null) {
-        forgetEarlierDecisions();
+        discardEarlierDecisions();
       }
       peers.recorded(process.operators());
       processes.started(process.pid());
       if (process.operators().equals(ownAddress)) {
-        ownRecorded = Math.min(ownRecorded, clock.now());
+        ownRecordedAt = Math.min(ownRecordedAt, clock.now());
       }
     } else if (record instanceof FinishingRecord finishing) {
       processes.finishing(finishing.pid());
@@ -259,11 +274,11 @@
   }
 
   private void apply(MaintenanceEntry decision) {
-    boolean isNew = coordinator.mergeMaintenance(decision, lastRefresh);
+    boolean isNew = coordinator.mergeMaintenance(decision, lastRefreshAt);
     if (isNew) {
-      decidedElsewhere.put(decision.worker(), clock.now());
+      remoteDecisionTimes.put(decision.worker(), clock.now());
     }
-    // Those of before the start are summed up in one line.
+    // open() summarizes the decisions from before the start in one line.
     if (isNew && earlierDecisions == null) {
       log.line(
           "menu worker "
@@ -288,29 +303,29 @@
 
   private void enforce(DrainRecord decision) {
     if (decision.drained()) {
-      front.drainForOperators();
+      frontend.drainForOperators();
     } else {
-      front.resume();
+      frontend.resume();
     }
   }
 
   @Override
   public void storeMaintenance(String worker, Runnable stored) {
     MaintenanceEntry decision = coordinator.maintenanceDecision(worker);
-    Runnable both = new CountDown(2, stored);
+    Runnable countDown = new CountDown(2, stored);
     if (decision == null) {
-      // Taken back without ever having been out: there is nothing to tell.
-      both.run();
+      // The worker was enabled without having been disabled, so there is no decision to share.
+      countDown.run();
     } else {
-      append(decision, both);
+      append(decision, countDown);
     }
     maintenanceFile.write(
-        MaintenanceCodec.write(coordinator.savedMaintenance()), () -> loop.execute(both));
+        MaintenanceCodec.write(coordinator.savedMaintenance()), () -> loop.execute(countDown));
   }
 
   @Override
   public boolean decidedElsewhereSince(String worker, double instant) {
-    return decidedElsewhere.getOrDefault(worker, Double.NEGATIVE_INFINITY) >= instant;
+    return remoteDecisionTimes.getOrDefault(worker, Double.NEGATIVE_INFINITY) >= instant;
   }
 
   @Override
@@ -321,30 +336,30 @@
   }
 
   /**
-   * A reload has moved discovery here. Not pushed as well: moves count in the order of the log
-   * only.
+   * Records that a reload of this process has moved discovery. The record is not pushed, since
+   * moves are applied in the order of the log.
    */
-  void moved(DiscoveryRecord record) {
-    shared.append(SharedRecordCodec.write(record), () -> {});
+  void recordDiscoveryMove(DiscoveryRecord record) {
+    sharedLog.append(SharedRecordCodec.write(record), () -> {});
   }
 
-  /** Runs a task on the event loop once other processes can read all that was appended. */
+  /** Runs a task on the event loop once other processes can read all appended records. */
   void whenAppended(Runnable task) {
-    shared.whenAppended(() -> loop.execute(task));
+    sharedLog.whenAppended(() -> loop.execute(task));
   }
 
   private void append(SharedRecord record, Runnable stored) {
     String text = SharedRecordCodec.write(record);
-    shared.append(text, () -> loop.execute(stored));
+    sharedLog.append(text, () -> loop.execute(stored));
     if (peers != null) {
       peers.push(text);
     }
   }
 
-  /** Another file stands in the log's place: it gets all that is in force. */
+  /** Appends all current state after the log file was replaced by another file. */
   private void appendAll() {
-    ownRecorded = Double.POSITIVE_INFINITY;
-    coordinator.maintenanceDecisions().forEach(each -> append(each, () -> {}));
+    ownRecordedAt = Double.POSITIVE_INFINITY;
+    coordinator.maintenanceDecisions().forEach(decision -> append(decision, () -> {}));
     if (drain.version() > 0) {
       append(drain, () -> {});
     }
--- a/node/src/main/java/ferngrade/server/StateFolder.java
+++ b/node/src/main/java/ferngrade/server/StateFolder.java
@@ -16,10 +16,10 @@
 import java.util.function.Consumer;
 
 /**
- * The files by which the processes of a node share state: a log that all of them append to and
- * follow, and for an earlier release the operators' maintenance and the address at which the newest
- * process takes operators' calls. A file that cannot be read is logged and ignored: the node starts
- * without it. Reads happen on the caller's thread, writes on a thread of their own.
+ * Holds the files through which the processes of a node share state: a log that all processes
+ * append to and follow, and, for processes of an earlier release, the maintenance state and the
+ * operators' address of the newest process. A file that cannot be read is logged and ignored, and
+ * the node starts without it. Reads run on the caller's thread, writes on a dedicated thread.
  */
 final class StateFolder {
   private static final String MAINTENANCE_FILE = "ferngrade-maintenance.json";
@@ -35,7 +35,7 @@
   private final AtomicFile maintenance;
   private final AtomicFile adminAddress;
 
-  /** Files in {@code folder}; {@code report} gets what goes wrong when they are written. */
+  /** Opens {@code folder}; {@code report} receives messages about failed writes. */
   StateFolder(Path folder, FileOperations files, RateLimitedLog log, Consumer<String> report) {
     this.folder = folder;
     this.files = files;
@@ -47,23 +47,23 @@
     this.adminAddress = new AtomicFile(folder.resolve(ADMIN_ADDRESS_FILE), files, writer, report);
   }
 
-  /** The file of what operators have put in maintenance. */
+  /** Returns the file with the maintenance state set by operators. */
   AtomicFile maintenance() {
     return maintenance;
   }
 
-  /** The log that all processes of the node share; see {@link SharedLog} for the parameters. */
+  /** Creates the log shared by all processes of the node; {@link SharedLog} has the parameters. */
   SharedLog sharedLog(Executor loop, Consumer<String> records, Runnable replaced) {
     return new SharedLog(
         folder.resolve(SHARED_LOG_FILE), files, writer, appender, loop, report, records, replaced);
   }
 
-  /** Runs what must not run on the event loop. */
+  /** Returns the scheduler for tasks that must not run on the event loop. */
   TaskScheduler scheduler() {
     return writer;
   }
 
-  /** Takes over the maintenance that an earlier process of this node saved, if there is any. */
+  /** Restores the maintenance state saved by an earlier process of this node, if there is one. */
   void restoreMaintenance(RequestCoordinator coordinator) {
     try {
       String saved = maintenance.read();
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Reads where an earlier process of this node takes operators' calls, as it may still run beside
-   * this one. Called before {@link #saveAdminAddress} replaces that address.
+   * Reads the operators' address of an earlier process of this node, which may still be running.
+   * Must be called before {@link #saveAdminAddress} replaces that address.
    */
   void findEarlierProcess(UpgradePeers upgradePeers) {
     try {
@@ -91,8 +91,8 @@
     }
   }
 
-  /** Saves where this process takes operators' calls, for the next one to read. */
-  void saveAdminAddress(InetSocketAddress own) {
-    adminAddress.write(own.getHostString() + ":" + own.getPort(), () -> {});
+  /** Saves the operators' address of this process for its successor. */
+  void saveAdminAddress(InetSocketAddress address) {
+    adminAddress.write(address.getHostString() + ":" + address.getPort(), () -> {});
   }
 }
--- a/node/src/main/java/ferngrade/server/package-info.java
+++ b/node/src/main/java/ferngrade/server/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The composition root of a node on sockets: {@link ferngrade.server.NodeServer} puts the parts
- * together on one event loop, and stops them within the budget of a shutdown.
+ * Contains the composition root of a node: {@link ferngrade.server.NodeServer} wires the components
+ * together on one event loop and stops them within the shutdown budget.
  */
 package ferngrade.server;
