--- a/node/src/test/java/ferngrade/ArchitectureTest.java
+++ b/node/src/test/java/ferngrade/ArchitectureTest.java
@@ -10,19 +10,21 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What the boundary of a module cannot hold. */
+/**
+ * Checks dependency rules between packages of one module, which module boundaries cannot enforce.
+ */
 class ArchitectureTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("ferngrade");
 
-  /** The packages of one protocol each, which only the composition root puts together. */
+  /** The packages that implement one protocol each; only the composition root may combine them. */
   private static final List<String> PROTOCOLS =
       List.of("ferngrade.http..", "ferngrade.discovery..", "ferngrade.peer..");
 
   @Test
-  void decisionsReadNoClockAndTouchNoSocketFileOrThread() {
+  void dispatchPackageUsesNoClockSocketFileOrThread() {
     noClasses()
         .that()
         .resideInAPackage("ferngrade.dispatch")
@@ -44,7 +46,7 @@
   }
 
   @Test
-  void nodeKnowsNoProtocol() {
+  void nodePackageDependsOnNoProtocol() {
     noClasses()
         .that()
         .resideInAPackage("ferngrade.node")
@@ -65,7 +67,7 @@
   }
 
   @Test
-  void protocolsKnowNeitherEachOtherNorTheirComposition() {
+  void protocolsDependNeitherOnEachOtherNorOnTheCompositionRoot() {
     for (String protocol : PROTOCOLS) {
       noClasses()
           .that()
@@ -74,7 +76,7 @@
           .dependOnClassesThat()
           .resideInAnyPackage(
               Stream.concat(
-                      PROTOCOLS.stream().filter(each -> !each.equals(protocol)),
+                      PROTOCOLS.stream().filter(other -> !other.equals(protocol)),
                       Stream.of("ferngrade.server..", "ferngrade.cli.."))
                   .toArray(String[]::new))
           .check(CLASSES);
@@ -82,7 +84,7 @@
   }
 
   @Test
-  void packagesFormNoCircle() {
+  void packagesHaveNoCyclicDependencies() {
     slices().matching("ferngrade.(*)..").should().beFreeOfCycles().check(CLASSES);
   }
 }
--- a/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
@@ -37,18 +37,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Stories of operators' calls to a whole node on loopback sockets. */
+/** Tests operators' calls to a whole node on loopback sockets. */
 @Test(timeOut = 30_000)
 public class AdminIntegrationTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("admin-http.txt");
-  private static final String UNKNOWN_NEWS =
+  private static final String UNKNOWN_JOB_CALLBACK =
       "{\"id\":\"nobody\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"x\"}";
   private ServerSocket worker;
   private ServerSocket discovery;
   private final List<NodeServer> nodes = new ArrayList<>();
 
   @BeforeMethod
-  public void listen() throws IOException {
+  public void openListeners() throws IOException {
     worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     worker.setSoTimeout(10_000);
@@ -56,7 +56,7 @@
   }
 
   @AfterMethod(alwaysRun = true)
-  public void end() throws Exception {
+  public void tearDown() throws Exception {
     worker.close();
     discovery.close();
     for (NodeServer node : nodes) {
@@ -66,14 +66,14 @@
   }
 
   @Test
-  public void aCallCutAtEveryByteIsAnsweredWhole() throws Exception {
+  public void answersCallThatArrivesByteByByte() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
     byte[] call = "GET /-/metrics HTTP/1.1\r\nHost: n0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     try (Socket caller =
         new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort())) {
       OutputStream out = caller.getOutputStream();
-      for (byte each : call) {
-        out.write(each);
+      for (byte callByte : call) {
+        out.write(callByte);
         out.flush();
       }
       Message answer = new RawHttp(caller).read();
@@ -85,23 +85,23 @@
   }
 
   @Test
-  public void silentCallersAreEndedAndCostNobodyElse() throws Exception {
+  public void closesSilentConnectionsWithoutAffectingOtherCallers() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
     List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       silent.add(new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort()));
     }
     assertEquals(call(node, "GET /-/ready").status(), 200);
-    for (Socket each : silent) {
-      each.setSoTimeout(5_000);
-      // Ended by the node: the oldest as others came, the rest once their second was up.
-      assertEquals(each.getInputStream().read(), -1);
-      each.close();
+    for (Socket connection : silent) {
+      connection.setSoTimeout(5_000);
+      // The node closes the oldest ones when others connect and the rest after their 1 s timeout.
+      assertEquals(connection.getInputStream().read(), -1);
+      connection.close();
     }
   }
 
   @Test
-  public void wrongCallsGetTheirNo() throws Exception {
+  public void rejectsUnknownPathsAndWrongMethods() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
     assertEquals(call(node, "GET /-/nowhere").status(), 404);
     assertEquals(call(node, "GET /-/menu-workers/s-1/explode").status(), 404);
@@ -115,37 +115,37 @@
   }
 
   @Test
-  public void twoCallsOutNeedOneBackAndUnknownWorkersAreOwedANo() throws Exception {
+  public void disableIsIdempotentAndUnknownWorkersAreRejected() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
     assertEquals(call(node, "POST /-/menu-workers/s-9/disable").status(), 404);
     assertEquals(call(node, "POST /-/menu-workers/s-9/enable").status(), 404);
     assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
     assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
     assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
-    // The only worker is out: the job is not sent to it.
+    // The only worker is disabled, so the job is rejected.
     try (RawHttp client = RawHttp.to(node.address())) {
-      assertEquals(client.write(RawHttp.message(job("a"), "")).read().status(), 503);
+      assertEquals(client.write(RawHttp.message(jobHead("a"), "")).read().status(), 503);
     }
     assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
-    String figures = call(node, "GET /-/metrics").body();
-    assertTrue(figures.contains("menu_workers_excluded=0\n"), figures);
-    assertTrue(figures.contains("refused.order=1\n"), figures);
+    String metrics = call(node, "GET /-/metrics").body();
+    assertTrue(metrics.contains("menu_workers_excluded=0\n"), metrics);
+    assertTrue(metrics.contains("refused.order=1\n"), metrics);
   }
 
   @Test
-  public void drainEndsAKeptConnectionAfterItsJobAndResumeIsReadyAgain() throws Exception {
+  public void drainClosesConnectionsAfterTheirJobsAndResumeMakesNodeReady() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
     try (RawHttp client = RawHttp.to(node.address());
         RawHttp idle = RawHttp.to(node.address())) {
       assertEquals(idle.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status(), 200);
-      client.write(RawHttp.message(job("a"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
+      client.write(RawHttp.message(jobHead("a"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
       assertEquals(call(node, "POST /-/drain").status(), 200);
       assertEquals(call(node, "GET /-/ready").status(), 503);
-      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-      assertEquals(callBack(node.address(), "a"), 204);
-      // The one with a job ends behind its answer; the one that stood idle is ended too.
+      workerConnection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+      assertEquals(sendCallback(node.address(), "a"), 204);
+      // The connection with a job is closed after its answer; the idle connection is closed, too.
       Message answer = client.read();
       assertEquals(answer.status(), 200);
       assertEquals(answer.headers().get("Connection"), "close");
@@ -157,17 +157,17 @@
   }
 
   @Test
-  public void resumeBeforeTheDrainHasSettledKeepsConnectionsAgain() throws Exception {
+  public void resumeDuringDrainKeepsConnectionsOpen() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
     try (RawHttp client = RawHttp.to(node.address())) {
       assertEquals(call(node, "POST /-/drain").status(), 200);
       assertEquals(call(node, "POST /-/resume").status(), 200);
       assertEquals(call(node, "GET /-/ready").status(), 200);
-      client.write(RawHttp.message(job("a"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-      assertEquals(callBack(node.address(), "a"), 204);
+      client.write(RawHttp.message(jobHead("a"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+      assertEquals(sendCallback(node.address(), "a"), 204);
       Message answer = client.read();
       assertEquals(answer.status(), 200);
       assertNull(answer.headers().get("Connection"));
@@ -176,77 +176,90 @@
   }
 
   @Test
-  public void maintenancePassesToTheNextProcessOnTheSocketHandedOver() throws Exception {
+  public void successorProcessOnInheritedSocketRestoresMaintenance() throws Exception {
     Path folder = Files.createTempDirectory("handover");
     ServerSocketChannel clients =
         ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    NodeServer old = start(new NodeServer.Platform(clients, folder));
-    assertEquals(call(old, "POST /-/menu-workers/s-1/disable").status(), 200);
-    NodeServer next = start(new NodeServer.Platform(clients, folder));
-    assertTrue(call(next, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
-    // A call-back that the process which gets it never had is handed to the other one, which says
-    // it has none
-    // either: the worker is told that it was taken, and tries no more.
-    assertEquals(callBack(next.address(), "nobody"), 204);
-    // The other process says no to one that it did not have.
-    try (RawHttp caller = RawHttp.to(old.adminAddress())) {
+    NodeServer predecessor = start(new NodeServer.Platform(clients, folder));
+    assertEquals(call(predecessor, "POST /-/menu-workers/s-1/disable").status(), 200);
+    NodeServer successor = start(new NodeServer.Platform(clients, folder));
+    assertTrue(call(successor, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+    // A callback for a job unknown to the receiving process is relayed to the other process. The
+    // job is unknown there as well, so the worker receives 204 and stops retrying.
+    assertEquals(sendCallback(successor.address(), "nobody"), 204);
+    // The other process answers 404 to a relayed callback for an unknown job.
+    try (RawHttp caller = RawHttp.to(predecessor.adminAddress())) {
       assertEquals(
-          caller.write(RawHttp.message("POST /-/news HTTP/1.1", UNKNOWN_NEWS)).read().status(),
+          caller
+              .write(RawHttp.message("POST /-/news HTTP/1.1", UNKNOWN_JOB_CALLBACK))
+              .read()
+              .status(),
           404);
     }
   }
 
   @Test
-  public void aCallBackThatCannotBeHandedOnComesAgain() throws Exception {
+  public void answersUnavailableToCallbackThatCannotBeRelayed() throws Exception {
     Path folder = Files.createTempDirectory("gone");
-    Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + unused().getPort());
+    Files.writeString(
+        folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + unusedAddress().getPort());
     NodeServer node = start(new NodeServer.Platform(clientsSocket(), folder));
     try (RawHttp caller = RawHttp.to(node.address())) {
       Message answer =
-          caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_NEWS)).read();
+          caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_JOB_CALLBACK)).read();
       assertEquals(answer.status(), 503);
       assertEquals(answer.headers().get("Connection"), "close");
     }
   }
 
-  /** Fails where a worker is told in vain to send a callback again: its process has ended. */
+  /**
+   * Guards against endless callback retries: a worker must not receive 503 for a job whose process
+   * has ended.
+   */
   @Test
-  public void callbackIsTakenOnceNoOtherProcessRunsAndNotWhileOneMay() throws Exception {
+  public void acceptsUnknownCallbackOnlyAfterOtherProcessesHaveEnded() throws Exception {
     Path folder = Files.createTempDirectory("ended");
     NodeServer node = start(new NodeServer.Platform(clientsSocket(), folder));
-    awaitTaken(node);
+    awaitCallbackAccepted(node);
     Process other = new ProcessBuilder("cat").start();
-    String record = SharedRecordCodec.write(new ProcessRecord(other.pid(), unused(), false));
+    String record = SharedRecordCodec.write(new ProcessRecord(other.pid(), unusedAddress(), false));
     try (RawHttp caller = RawHttp.to(node.adminAddress())) {
       caller.write(RawHttp.message("POST /-/state HTTP/1.1", record)).read();
     }
-    assertEquals(callBack(node.address(), "nobody"), 503, "it refuses the call");
-    assertEquals(callBack(node.address(), "nobody"), 503, "it still runs");
+    assertEquals(
+        sendCallback(node.address(), "nobody"), 503, "the other process refuses the connection");
+    assertEquals(sendCallback(node.address(), "nobody"), 503, "the other process is still running");
     other.destroy();
-    awaitTaken(node);
+    awaitCallbackAccepted(node);
     assertTrue(call(node, "GET /-/metrics").body().contains("relayed.ended=2\n"));
   }
 
-  private void awaitTaken(NodeServer node) throws Exception {
-    while (callBack(node.address(), "nobody") != 204) {
+  private void awaitCallbackAccepted(NodeServer node) throws Exception {
+    while (sendCallback(node.address(), "nobody") != 204) {
       Thread.onSpinWait();
     }
   }
 
-  /** Fails where a full disk has callbacks dropped: no process can tell the other that it runs. */
+  /**
+   * Guards against dropped callbacks on a full disk: the processes cannot record that they are
+   * running, so a process must not accept callbacks for the jobs of another one.
+   */
   @Test
-  public void callbackOfALiveProcessThatCouldNotBeRecordedIsNotTakenByAnother() throws Exception {
+  public void callbackForUnrecordedLiveProcessIsNotAcceptedByAnother() throws Exception {
     FaultInjectingFileOperations files = new FaultInjectingFileOperations();
     files.fail(Operation.WRITE, FaultInjectingFileOperations.error("No space left on device"));
-    NodeServer old = start(new NodeServer.Platform(clientsSocket(), Path.of("/state"), files));
-    try (RawHttp client = RawHttp.to(old.address())) {
-      client.write(RawHttp.message(job("a"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-      NodeServer next = start(new NodeServer.Platform(clientsSocket(), Path.of("/state"), files));
-      assertEquals(callBack(next.address(), "a"), 503, "the worker has to send it again");
-      assertEquals(callBack(old.address(), "a"), 204);
+    NodeServer predecessor =
+        start(new NodeServer.Platform(clientsSocket(), Path.of("/state"), files));
+    try (RawHttp client = RawHttp.to(predecessor.address())) {
+      client.write(RawHttp.message(jobHead("a"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+      NodeServer successor =
+          start(new NodeServer.Platform(clientsSocket(), Path.of("/state"), files));
+      assertEquals(
+          sendCallback(successor.address(), "a"), 503, "the worker must retry the callback");
+      assertEquals(sendCallback(predecessor.address(), "a"), 204);
       assertEquals(client.read().status(), 200);
     }
   }
@@ -256,14 +269,14 @@
         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   }
 
-  private static InetSocketAddress unused() throws IOException {
+  private static InetSocketAddress unusedAddress() throws IOException {
     try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return EndpointListParser.address("127.0.0.1:" + closed.getLocalPort());
     }
   }
 
   @Test
-  public void aTornFileOfAnEarlierProcessIsLeftAside() throws Exception {
+  public void ignoresTornMaintenanceFile() throws Exception {
     Path folder = Files.createTempDirectory("torn");
     Files.writeString(folder.resolve("ferngrade-maintenance.json"), "{\"out\":[\"s-1\"");
     NodeServer node = start(new NodeServer.Platform(null, folder));
@@ -275,8 +288,7 @@
   }
 
   @Test
-  public void changeThatIsNotStoredIsOwedANoAndHoldsAndIsStoredOnceTheDiskWorksAgain()
-      throws Exception {
+  public void reportsUnstoredChangeAppliesItAndStoresItOnceTheDiskRecovers() throws Exception {
     Path folder = Files.createTempDirectory("fails");
     NodeServer node = start(new NodeServer.Platform(null, folder));
     Files.delete(folder);
@@ -287,19 +299,20 @@
         "taken out: s-1, in this process only: not stored yet, a later process may not know of"
             + " it\n");
     assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
-    // Stored without another call.
+    // The change is stored without another call once the disk works again.
     Files.createDirectory(folder);
     while (!Files.exists(folder.resolve("ferngrade-maintenance.json"))) {
       Thread.onSpinWait();
     }
-    NodeServer next = start(new NodeServer.Platform(null, folder));
-    assertTrue(call(next, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
+    NodeServer successor = start(new NodeServer.Platform(null, folder));
+    assertTrue(call(successor, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
   }
 
   @Test
-  public void yesComesOnlyOnceTheFolderIsSyncedAndWithinTheSecondThatACallerWaitsANo()
-      throws Exception {
-    assertTrue(OperatorCalls.STORE_TIMEOUT + 150 < 1000, "with a node that is held up meanwhile");
+  public void confirmsChangeOnlyAfterFolderSyncAndReportsFailureWithinOneSecond() throws Exception {
+    assertTrue(
+        OperatorCalls.STORE_TIMEOUT + 150 < 1000,
+        "the timeout leaves 150 ms of the caller's second for pauses of the node");
     FaultInjectingFileOperations files = new FaultInjectingFileOperations();
     NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
     files.fail(Operation.SYNC_FOLDER, FaultInjectingFileOperations.error("Input/output error"));
@@ -309,9 +322,9 @@
     assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
   }
 
-  /** Fails where a call that got its yes is lost with its process because the disk hangs. */
+  /** Guards against losing an acknowledged call when the process exits while the disk hangs. */
   @Test
-  public void processThatEndsHasAppendedWhatItWasToldThoughTheDiskHangs() throws Exception {
+  public void appendsAcknowledgedCallsBeforeExitWhileTheDiskHangs() throws Exception {
     FaultInjectingFileOperations files = new FaultInjectingFileOperations();
     NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
     Semaphore disk = new Semaphore(0);
@@ -326,7 +339,7 @@
   }
 
   @Test
-  public void diskThatFailsForAMomentIsNoReasonForANo() throws Exception {
+  public void retriesStoreAfterTransientDiskFailure() throws Exception {
     FaultInjectingFileOperations files = new FaultInjectingFileOperations();
     NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
     files.fail(
@@ -340,7 +353,7 @@
   }
 
   @Test
-  public void adminAddressIsStoredOnceTheDiskWorksAgain() throws Exception {
+  public void storesAdminAddressOnceTheDiskRecovers() throws Exception {
     FaultInjectingFileOperations files = new FaultInjectingFileOperations();
     files.fail(Operation.CREATE, FaultInjectingFileOperations.error("No space left on device"));
     ServerSocketChannel clients =
@@ -359,13 +372,13 @@
   private static String adminFile(FaultInjectingFileOperations files) throws IOException {
     try {
       return new String(files.read(Path.of("/state/ferngrade-admin.txt")), StandardCharsets.UTF_8);
-    } catch (NoSuchFileException none) {
+    } catch (NoSuchFileException missing) {
       return null;
     }
   }
 
   @Test
-  public void filesTornAtAnyByteAreNoReasonNotToStart() throws Exception {
+  public void startsWithFilesTornAtAnyByte() throws Exception {
     Path folder = Files.createTempDirectory("torn");
     String saved = "{\"out\":[\"s-1\"],\"back\":{\"s-2\":900}}";
     String admin = "127.0.0.1:9600";
@@ -389,7 +402,7 @@
     }
   }
 
-  private static int callBack(InetSocketAddress address, String id) throws IOException {
+  private static int sendCallback(InetSocketAddress address, String id) throws IOException {
     try (RawHttp caller = RawHttp.to(address)) {
       String body =
           "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"soup\"}";
@@ -399,8 +412,7 @@
 
   private NodeServer start(NodeServer.Platform platform) throws Exception {
     if (!nodes.isEmpty()) {
-      // Each node has a discovery of its own: a silent watch of an earlier one is opened anew
-      // meanwhile.
+      // Each node has its own discovery socket, since an earlier node reopens its silent watch.
       discovery.close();
       discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
       discovery.setSoTimeout(10_000);
@@ -438,14 +450,14 @@
     return NodeConfig.read(json);
   }
 
-  private static String job(String id) {
+  private static String jobHead(String id) {
     return "POST /api HTTP/1.1\r\nReq-Id: "
         + id
         + "\r\nReq-Kind: order\r\nReq-Owner: t\r\nReq-Deadline: 9000m";
   }
 
   @Test
-  public void answersHaveTheRecordedBytes() throws Exception {
+  public void answersMatchTheGoldenFile() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
     String[] calls = {
       "GET /-/ready",
@@ -473,7 +485,10 @@
     }
   }
 
-  /** Names stay, the counts of measured times become N; the stated length must be the body's. */
+  /**
+   * Replaces the counts of measured times by N and checks that the Content-Length header matches
+   * the body.
+   */
   private static String withoutMeasuredTimes(String response) {
     int body = response.indexOf("\r\n\r\n") + 4;
     int length = response.length() - body;
@@ -486,7 +501,7 @@
   }
 
   @Test
-  public void callsBetweenTwoProcessesOfANodeAndTheirFilesHaveTheRecordedForms() throws Exception {
+  public void callsBetweenProcessesAndTheirFilesMatchTheGoldenFile() throws Exception {
     Path folder = Files.createTempDirectory("recorded");
     try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + other.getLocalPort());
@@ -497,16 +512,16 @@
           ServerSocketChannel.open()
               .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       NodeServer node = start(new NodeServer.Platform(clients, folder));
-      try (Socket told = other.accept()) {
-        GOLDEN.verifyLines("handover-address", RawBytes.read(told));
+      try (Socket announcement = other.accept()) {
+        GOLDEN.verifyLines("handover-address", RawBytes.read(announcement));
       }
       try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), node.address().getPort())) {
-        RawBytes.write(caller, RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_NEWS));
+        RawBytes.write(caller, RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_JOB_CALLBACK));
         try (Socket relayed = other.accept()) {
           GOLDEN.verifyLines("handover-call-back", RawBytes.read(relayed));
         }
       }
-      // Written on a thread of its own, synced and renamed; a story that waits in vain is ended.
+      // The file is written on a separate thread; the test's timeout ends this loop on a failure.
       String own = "127.0.0.1:" + node.adminAddress().getPort();
       while (!Files.readString(folder.resolve("ferngrade-admin.txt")).equals(own)) {
         Thread.onSpinWait();
--- a/node/src/test/java/ferngrade/server/BlockedLoopFixture.java
+++ b/node/src/test/java/ferngrade/server/BlockedLoopFixture.java
@@ -20,19 +20,20 @@
 import org.testng.annotations.AfterMethod;
 
 /**
- * A node that refuses all jobs, unless a story decides otherwise, whose event loop a test can hold
- * at a line of the log, and its callers. The clock stands still but where the test moves it.
+ * Provides a node whose event loop a test can block at a log line, and connections to the node. The
+ * node rejects all jobs unless a test overrides {@link #dispatcher}. The clock only moves when the
+ * test advances it.
  */
-public abstract class HeldLoopFixture extends NodeIntegrationFixture {
+public abstract class BlockedLoopFixture extends NodeIntegrationFixture {
   static final int MEMORY_MB = 256;
-  private static final String HOLD = "hold";
-  static final String TIMER_IS_LATE = "event loop held up: timer";
+  private static final String BLOCK_LINE = "hold";
+  static final String LATE_TIMER_LINE = "event loop held up: timer";
 
   private final List<RawHttp> connections = new ArrayList<>();
   FaultInjectingFileOperations files;
-  private volatile String holdAt = "";
-  CountDownLatch held;
-  CountDownLatch release = new CountDownLatch(0);
+  private volatile String blockAtLine = "";
+  CountDownLatch blockReached;
+  CountDownLatch blockReleased = new CountDownLatch(0);
 
   @Override
   NodeServer startServer(NodeConfig config, Clock clock, RateLimitedLog log) throws Exception {
@@ -42,19 +43,19 @@
         new NodeServer.Platform(null, Files.createTempDirectory("unread"), files),
         clock,
         log,
-        (started, at, actions) -> dispatcher(actions),
+        (nodeConfig, startTime, actions) -> dispatcher(actions),
         channels);
   }
 
-  /** The decisions of the node; overridden where a story brings its own. */
+  /** Returns the dispatcher of the node, which rejects all jobs; tests may override it. */
   Dispatcher dispatcher(Dispatcher.Actions actions) {
     return (Dispatcher)
         Proxy.newProxyInstance(
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
-            (self, method, with) -> {
+            (proxy, method, arguments) -> {
               if (method.getName().equals("arrived")) {
-                actions.refuse(((Job) with[1]).id(), 0);
+                actions.refuse(((Job) arguments[1]).id(), 0);
               }
               return method.getReturnType() == int.class ? 0 : null;
             });
@@ -63,45 +64,45 @@
   void start(int sockets) throws Exception {
     var config = configuration(discovery.getLocalPort(), null, "push");
     config.get("limits").asObject().set("sockets", sockets).set("memory_mb", MEMORY_MB);
-    start(list(1, "active"), NodeConfig.read(config), () -> now, this::logged);
+    start(endpointList(1, "active"), NodeConfig.read(config), () -> now, this::onLogLine);
   }
 
   @AfterMethod(alwaysRun = true, timeOut = 10_000)
   @Override
-  public void end() throws Exception {
-    holdAt = "";
-    release.countDown();
+  public void tearDown() throws Exception {
+    blockAtLine = "";
+    blockReleased.countDown();
     files.heal();
-    for (RawHttp each : connections) {
-      each.close();
+    for (RawHttp connection : connections) {
+      connection.close();
     }
     connections.clear();
-    super.end();
+    super.tearDown();
   }
 
-  /** Runs on the loop, which it holds at the line awaited. */
-  private void logged(String line) {
-    if (!holdAt.isEmpty() && line.startsWith(holdAt)) {
-      holdAt = "";
-      held.countDown();
+  /** Receives the log lines on the event loop, which it blocks at the requested line. */
+  private void onLogLine(String line) {
+    if (!blockAtLine.isEmpty() && line.startsWith(blockAtLine)) {
+      blockAtLine = "";
+      blockReached.countDown();
       try {
-        release.await();
+        blockReleased.await();
       } catch (InterruptedException interrupted) {
         throw new IllegalStateException(interrupted);
       }
     }
   }
 
-  void holdNextAt(String line) {
-    held = new CountDownLatch(1);
-    release = new CountDownLatch(1);
-    holdAt = line;
+  void blockLoopAt(String line) {
+    blockReached = new CountDownLatch(1);
+    blockReleased = new CountDownLatch(1);
+    blockAtLine = line;
   }
 
-  void hold() throws InterruptedException {
-    holdNextAt(HOLD);
-    node.report(HOLD);
-    held.await();
+  void blockLoop() throws InterruptedException {
+    blockLoopAt(BLOCK_LINE);
+    node.report(BLOCK_LINE);
+    blockReached.await();
   }
 
   RawHttp connect(InetSocketAddress address, String bytes) throws IOException {
@@ -111,18 +112,18 @@
   }
 
   List<RawHttp> connect(int count, InetSocketAddress address, String bytes) throws IOException {
-    List<RawHttp> all = new ArrayList<>();
+    List<RawHttp> opened = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      all.add(connect(address, bytes.replace("ID", "%02d".formatted(i))));
+      opened.add(connect(address, bytes.replace("ID", "%02d".formatted(i))));
     }
-    return all;
+    return opened;
   }
 
   static String request(String id) {
-    return RawHttp.message(job("POST /api", id, "order"), "");
+    return RawHttp.message(jobHead("POST /api", id, "order"), "");
   }
 
-  /** The status of the answer, or how the connection ended without one. */
+  /** Returns the status of the next answer, or how the connection ended without one. */
   static String outcome(RawHttp connection) throws IOException {
     try {
       RawHttp.Message answer = connection.read();
@@ -132,14 +133,17 @@
     }
   }
 
-  static void assertAllGet(String status, List<RawHttp> callers) throws IOException {
-    List<String> others = new ArrayList<>();
-    for (RawHttp each : callers) {
-      String outcome = outcome(each);
+  static void assertAllReceive(String status, List<RawHttp> callers) throws IOException {
+    List<String> otherOutcomes = new ArrayList<>();
+    for (RawHttp caller : callers) {
+      String outcome = outcome(caller);
       if (!outcome.equals(status)) {
-        others.add(outcome);
+        otherOutcomes.add(outcome);
       }
     }
-    assertEquals(others, List.of(), others.size() + " of " + callers.size() + " got no " + status);
+    assertEquals(
+        otherOutcomes,
+        List.of(),
+        otherOutcomes.size() + " of " + callers.size() + " did not get " + status);
   }
 }
--- a/node/src/test/java/ferngrade/server/ClockStepsTest.java
+++ b/node/src/test/java/ferngrade/server/ClockStepsTest.java
@@ -11,14 +11,14 @@
 import org.testng.annotations.Test;
 
 /**
- * Steps of the wall clock under a whole node on sockets: what clients and workers are told stays by
- * real time.
+ * Guards against wall clock steps that change deadlines and timeouts of a running node: times sent
+ * to clients and workers must follow elapsed time.
  */
 @Test(timeOut = 30_000)
 public class ClockStepsTest extends NodeIntegrationFixture {
-  private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+  private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
-  private static final double GRACE = 50;
+  private static final double GRACE_MILLIS = 50;
   private final SettableClock clock = new SettableClock(1_700_000_000_000.0);
 
   @DataProvider
@@ -27,65 +27,66 @@
   }
 
   @Test(dataProvider = "steps")
-  public void deadlineToldToAWorkerIsWhatIsLeftInRealTime(double step) throws Exception {
-    start(list(1, "active"), clock);
+  public void deadlineSentToWorkerIsRemainingElapsedTime(double step) throws Exception {
+    start(endpointList(1, "active"), clock);
     try (RawHttp client = RawHttp.to(node.address())) {
       client.write(
-          RawHttp.message(job("POST /api", "a", "order"), "")
-              + RawHttp.message(job("POST /api", "b", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write(TAKEN);
-      settled();
+          RawHttp.message(jobHead("POST /api", "a", "order"), "")
+              + RawHttp.message(jobHead("POST /api", "b", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write(ACCEPTED);
+      awaitSettled();
       clock.step(step);
       clock.pass(3000);
-      callBack("a", DONE);
+      sendCallback("a", DONE);
       assertEquals(client.read().body(), "soup");
-      assertEquals(worked.read().headers().get("Req-Deadline"), "5990m");
+      assertEquals(workerConnection.read().headers().get("Req-Deadline"), "5990m");
     }
   }
 
   @Test(dataProvider = "steps")
-  public void workerThatDrainsFinishesItsJobAndGetsNoOtherBeforeItIsListedAnew(double step)
+  public void drainingWorkerFinishesItsJobAndGetsNoNewJobUntilListedAsActive(double step)
       throws Exception {
-    start(list(1, "active"), clock);
+    start(endpointList(1, "active"), clock);
     try (RawHttp client = RawHttp.to(node.address());
         RawHttp other = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write(TAKEN);
-      watch.write(chunk(list(2, "leaving") + "\n"));
-      settled();
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write(ACCEPTED);
+      watch.write(chunk(endpointList(2, "leaving") + "\n"));
+      awaitSettled();
       clock.step(step);
       clock.pass(100);
       assertEquals(
-          other.write(RawHttp.message(job("POST /api", "b", "order"), "")).read().status(), 503);
-      callBack("a", DONE);
+          other.write(RawHttp.message(jobHead("POST /api", "b", "order"), "")).read().status(),
+          503);
+      sendCallback("a", DONE);
       assertEquals(client.read().body(), "soup");
-      watch.write(chunk(list(3, "active") + "\n"));
-      settled();
+      watch.write(chunk(endpointList(3, "active") + "\n"));
+      awaitSettled();
       clock.pass(100);
-      other.write(RawHttp.message(job("POST /api", "c", "order"), ""));
-      assertEquals(worked.read().headers().get("Req-Id"), "c");
+      other.write(RawHttp.message(jobHead("POST /api", "c", "order"), ""));
+      assertEquals(workerConnection.read().headers().get("Req-Id"), "c");
     }
   }
 
   @Test(dataProvider = "steps")
-  public void stopKeepsItsGraceAndFinishesWhatWasTaken(double step) throws Exception {
-    start(list(1, "active"), clock);
+  public void stopKeepsGracePeriodAndFinishesAcceptedJobs(double step) throws Exception {
+    start(endpointList(1, "active"), clock);
     CompletableFuture<Void> stopped;
     try (RawHttp client = RawHttp.to(node.address());
         RawHttp other = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write(TAKEN);
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write(ACCEPTED);
       stopped = CompletableFuture.runAsync(this::stopWithGrace);
-      awaitReadiness(other, 503);
+      awaitReadyStatus(other, 503);
       clock.step(step);
-      clock.pass(GRACE);
-      assertEquals(callBack("a", DONE), 204);
+      clock.pass(GRACE_MILLIS);
+      assertEquals(sendCallback("a", DONE), 204);
       assertEquals(client.read().body(), "soup");
       assertNull(client.read());
     }
@@ -94,7 +95,7 @@
 
   private void stopWithGrace() {
     try {
-      node.stop(GRACE);
+      node.stop(GRACE_MILLIS);
     } catch (InterruptedException interrupted) {
       throw new IllegalStateException(interrupted);
     }
--- a/node/src/test/java/ferngrade/server/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DepartedClientTest.java
@@ -23,9 +23,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A client leaves, or a worker begins to drain, while the node is held up between an event and the
- * attempt that follows from it: the attempt is not begun, though nobody reads of that before the
- * node goes on. The decisions are the test's.
+ * Guards against attempts for a client that has disconnected, or to a worker that has begun to
+ * drain, while the event loop was blocked between an event and the attempt it triggers. The loop
+ * must read pending input before it starts the attempt. The test scripts the dispatcher.
  */
 @Test(timeOut = 30_000)
 public class DepartedClientTest extends NodeIntegrationFixture {
@@ -33,56 +33,57 @@
       "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
 
-  /** More than waits behind a request in work, and more than is dropped before reading stops. */
-  private static final int FLOOD = 14_000;
+  /** Exceeds the pipelined requests that may wait, and those dropped before reading stops. */
+  private static final int FLOOD_REQUESTS = 14_000;
 
-  /** The event that the attempt follows from, and at which the node is held up. */
+  /** The event that triggers the attempt and during which the event loop is blocked. */
   private enum Cause {
     REQUEST,
     DECLINED_ATTEMPT,
     HEDGE_DELAY
   }
 
-  private enum Leaving {
+  private enum Disconnect {
     CLOSES,
     RESETS,
-    SHUTS_ITS_SENDING_SIDE
+    SHUTS_DOWN_OUTPUT
   }
 
   private final List<Long> workers = new ArrayList<>();
   private Cause cause;
-  private CountDownLatch held;
-  private CountDownLatch release;
+  private CountDownLatch blockReached;
+  private CountDownLatch blockReleased;
 
   @Override
   NodeServer startServer(NodeConfig config, Clock clock, RateLimitedLog log) throws Exception {
-    return NodeServer.start(config, clock, log, (told, at, actions) -> scripted(actions));
+    return NodeServer.start(
+        config, clock, log, (nodeConfig, startTime, actions) -> scriptedDispatcher(actions));
   }
 
-  /** Sends each request to the first worker, and "a" once more, by the cause of this run. */
-  private Dispatcher scripted(Actions actions) {
+  /** Sends each request to the first worker, and "a" a second time if {@link #cause} says so. */
+  private Dispatcher scriptedDispatcher(Actions actions) {
     return (Dispatcher)
         Proxy.newProxyInstance(
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
-            (self, method, with) -> {
+            (proxy, method, arguments) -> {
               switch (method.getName()) {
                 case "members" -> {
                   workers.clear();
-                  ((List<?>) with[2]).forEach(each -> workers.add(((Worker) each).id()));
+                  ((List<?>) arguments[2]).forEach(entry -> workers.add(((Worker) entry).id()));
                 }
-                case "arrived" -> arrived(((Job) with[1]).id(), actions);
+                case "arrived" -> sendRequest(((Job) arguments[1]).id(), actions);
                 case "ended" -> {
-                  if (with[3] == AttemptOutcome.NEVER_SENT) {
-                    actions.refuse((String) with[1], 0);
+                  if (arguments[3] == AttemptOutcome.NEVER_SENT) {
+                    actions.refuse((String) arguments[1], 0);
                   }
-                  if (cause == Cause.DECLINED_ATTEMPT && with[3] == AttemptOutcome.FULL) {
-                    hold();
+                  if (cause == Cause.DECLINED_ATTEMPT && arguments[3] == AttemptOutcome.FULL) {
+                    blockLoop();
                     actions.send("a", workers.get(0), 0);
                   }
                 }
                 case "timer" -> {
-                  hold();
+                  blockLoop();
                   actions.send("a", workers.get(1), 0);
                 }
                 default -> {}
@@ -91,10 +92,10 @@
             });
   }
 
-  private void arrived(String id, Actions actions) throws InterruptedException {
+  private void sendRequest(String id, Actions actions) throws InterruptedException {
     boolean hedged = cause == Cause.HEDGE_DELAY;
     if (id.equals("a") && cause == Cause.REQUEST) {
-      hold();
+      blockLoop();
     }
     actions.send(id, workers.get(hedged && id.equals("b") ? 1 : 0), 0);
     if (id.equals("a") && hedged) {
@@ -102,103 +103,105 @@
     }
   }
 
-  private void hold() throws InterruptedException {
-    held.countDown();
-    release.await();
+  private void blockLoop() throws InterruptedException {
+    blockReached.countDown();
+    blockReleased.await();
   }
 
   @DataProvider
   public Object[][] departures() {
     List<Object[]> departures = new ArrayList<>();
-    for (Cause each : Cause.values()) {
-      for (Leaving how : Leaving.values()) {
-        departures.add(new Object[] {each, how, 0});
+    for (Cause cause : Cause.values()) {
+      for (Disconnect disconnect : Disconnect.values()) {
+        departures.add(new Object[] {cause, disconnect, 0});
       }
     }
-    departures.add(new Object[] {Cause.DECLINED_ATTEMPT, Leaving.CLOSES, 1});
-    departures.add(new Object[] {Cause.DECLINED_ATTEMPT, Leaving.CLOSES, FLOOD});
+    departures.add(new Object[] {Cause.DECLINED_ATTEMPT, Disconnect.CLOSES, 1});
+    departures.add(new Object[] {Cause.DECLINED_ATTEMPT, Disconnect.CLOSES, FLOOD_REQUESTS});
     return departures.toArray(Object[][]::new);
   }
 
   @Test(dataProvider = "departures")
-  public void clientThatLeavesWhileTheNodeIsHeldUpHasNothingBegunForIt(
-      Cause by, Leaving how, int pipelined) throws Exception {
-    cause = by;
-    held = new CountDownLatch(1);
-    release = new CountDownLatch(1);
+  public void startsNoAttemptForClientThatDisconnectsWhileTheLoopIsBlocked(
+      Cause trigger, Disconnect disconnect, int pipelined) throws Exception {
+    cause = trigger;
+    blockReached = new CountDownLatch(1);
+    blockReleased = new CountDownLatch(1);
     try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       other.setSoTimeout(10_000);
       start(
-          list(1, "active")
+          endpointList(1, "active")
               .replace(
                   "{\"id\":\"s-2\",\"host_port\":7,",
                   "{\"id\":\"s-2\",\"host_port\":\"127.0.0.1:"
                       + other.getLocalPort()
                       + "\",\"locality\":\"z\",\"flavor\":\"k\","),
           () -> now);
-      Socket leaving = new Socket(node.address().getAddress(), node.address().getPort());
-      new RawHttp(leaving)
-          .write(RawHttp.message(job("POST /api", "a", "draft"), "") + READY.repeat(pipelined));
-      if (by != Cause.REQUEST) {
-        RawHttp worked = new RawHttp(worker.accept());
-        assertEquals(worked.read().headers().get("Req-Id"), "a");
-        settled();
+      Socket departing = new Socket(node.address().getAddress(), node.address().getPort());
+      new RawHttp(departing)
+          .write(RawHttp.message(jobHead("POST /api", "a", "draft"), "") + READY.repeat(pipelined));
+      if (trigger != Cause.REQUEST) {
+        RawHttp workerConnection = new RawHttp(worker.accept());
+        assertEquals(workerConnection.read().headers().get("Req-Id"), "a");
+        awaitSettled();
         advance(100);
-        worked.write(by == Cause.DECLINED_ATTEMPT ? DECLINED : "");
+        workerConnection.write(trigger == Cause.DECLINED_ATTEMPT ? DECLINED : "");
       }
-      held.await();
-      leave(leaving, how);
-      release.countDown();
-      settled();
+      blockReached.await();
+      disconnect(departing, disconnect);
+      blockReleased.countDown();
+      awaitSettled();
       advance(100);
       try (RawHttp client = RawHttp.to(node.address())) {
-        client.write(RawHttp.message(job("POST /api", "b", "draft"), ""));
-        // The connection that was dialled for the attempt: kept, as nothing was written to it.
-        RawHttp dialled = new RawHttp((by == Cause.HEDGE_DELAY ? other : worker).accept());
-        assertEquals(dialled.read().headers().get("Req-Id"), "b");
+        client.write(RawHttp.message(jobHead("POST /api", "b", "draft"), ""));
+        // The connection opened for the abandoned attempt is reused, since nothing was written to
+        // it.
+        RawHttp reused = new RawHttp((trigger == Cause.HEDGE_DELAY ? other : worker).accept());
+        assertEquals(reused.read().headers().get("Req-Id"), "b");
       }
     }
   }
 
   /**
-   * A drain that is told while the node is held up counts before the attempt that would have gone
-   * there.
+   * Guards against an attempt to a worker whose drain was received while the event loop was
+   * blocked.
    */
   @Test
-  public void workerThatDrainsWhileTheNodeIsHeldUpGetsNothingMore() throws Exception {
+  public void startsNoAttemptAtWorkerThatDrainsWhileTheLoopIsBlocked() throws Exception {
     cause = Cause.REQUEST;
-    held = new CountDownLatch(1);
-    release = new CountDownLatch(1);
-    start(list(1, "active"), () -> now);
+    blockReached = new CountDownLatch(1);
+    blockReleased = new CountDownLatch(1);
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "first", "draft"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-      callBack("first", "\"state\":\"done\",\"result\":\"soup\"");
+      client.write(RawHttp.message(jobHead("POST /api", "first", "draft"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+      sendCallback("first", "\"state\":\"done\",\"result\":\"soup\"");
       assertEquals(client.read().body(), "soup");
-      settled();
+      awaitSettled();
       advance(100);
-      // Its connection is idle now: the next attempt is written in the turn in which it is decided.
-      client.write(RawHttp.message(job("POST /api", "a", "draft"), ""));
-      held.await();
-      watch.write(chunk(list(2, "leaving") + "\n"));
-      release.countDown();
+      // The worker's connection is idle, so the next attempt is written in the turn that decides
+      // it.
+      client.write(RawHttp.message(jobHead("POST /api", "a", "draft"), ""));
+      blockReached.await();
+      watch.write(chunk(endpointList(2, "leaving") + "\n"));
+      blockReleased.countDown();
       assertEquals(client.read().status(), 503);
-      watch.write(chunk(list(3, "active") + "\n"));
-      settled();
+      watch.write(chunk(endpointList(3, "active") + "\n"));
+      awaitSettled();
       advance(100);
-      client.write(RawHttp.message(job("POST /api", "b", "draft"), ""));
-      assertEquals(worked.read().headers().get("Req-Id"), "b");
+      client.write(RawHttp.message(jobHead("POST /api", "b", "draft"), ""));
+      assertEquals(workerConnection.read().headers().get("Req-Id"), "b");
     }
   }
 
-  private static void leave(Socket client, Leaving how) throws IOException {
-    if (how == Leaving.SHUTS_ITS_SENDING_SIDE) {
+  private static void disconnect(Socket client, Disconnect disconnect) throws IOException {
+    if (disconnect == Disconnect.SHUTS_DOWN_OUTPUT) {
       client.shutdownOutput();
       return;
     }
-    if (how == Leaving.RESETS) {
+    if (disconnect == Disconnect.RESETS) {
       client.setSoLinger(true, 0);
     }
     client.close();
--- a/node/src/test/java/ferngrade/server/DiscoveryMovesTest.java
+++ b/node/src/test/java/ferngrade/server/DiscoveryMovesTest.java
@@ -18,18 +18,16 @@
 import org.testng.annotations.Test;
 
 /**
- * New configurations in quick succession, each of which moves discovery: only the last address
- * counts.
+ * Guards against watches of outdated discovery addresses after several reloads in quick succession:
+ * only the last address may be used.
  */
 public class DiscoveryMovesTest extends NodeIntegrationFixture {
-  private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-  private static final String WHOLE = "GET /api/targets?watch=1 HTTP/1.1";
+  private static final String RESPONSE_HEAD =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  private static final String FULL_LIST_REQUEST = "GET /api/targets?watch=1 HTTP/1.1";
 
-  /**
-   * A connection that the node had begun would be there by now: how long its absence is held for
-   * proven, ms.
-   */
-  private static final int ABSENCE = 200;
+  /** The time after which a missing connection counts as never opened, in ms. */
+  private static final int ABSENCE_TIMEOUT_MILLIS = 200;
 
   private final List<ServerSocket> addresses = new ArrayList<>();
 
@@ -60,64 +58,61 @@
   }
 
   @Test(dataProvider = "modes", timeOut = 20_000)
-  public void afterThreeMovesAtOnceOnlyTheLastAddressIsWatchedAndCounts(String mode)
-      throws Exception {
+  public void watchesOnlyTheLastAddressAfterThreeMoves(String mode) throws Exception {
     start(
-        list(41, "active"),
+        endpointList(41, "active"),
         config(discovery.getLocalPort(), null, mode),
         Clock.system(),
         line -> {});
     for (ServerSocket address : addresses) {
       moveTo(address, mode);
     }
-    settled();
-    for (ServerSocket passed : addresses.subList(0, 2)) {
-      assertUnwatched(passed);
+    awaitSettled();
+    for (ServerSocket skipped : addresses.subList(0, 2)) {
+      assertUnwatched(skipped);
     }
     RawHttp last = new RawHttp(addresses.get(2).accept());
-    assertEquals(last.read().start(), WHOLE);
+    assertEquals(last.read().start(), FULL_LIST_REQUEST);
     try (RawHttp client = RawHttp.to(node.address())) {
-      last.write(HEAD + chunk(list(3, "left") + "\n"));
-      awaitReadiness(client, 503);
-      assertNull(watch.read(), "the first address is not watched any more");
-      last.write(chunk(list(4, "active") + "\n"));
-      awaitReadiness(client, 200);
+      last.write(RESPONSE_HEAD + chunk(endpointList(3, "left") + "\n"));
+      awaitReadyStatus(client, 503);
+      assertNull(watch.read(), "the first address is no longer watched");
+      last.write(chunk(endpointList(4, "active") + "\n"));
+      awaitReadyStatus(client, 200);
     }
   }
 
   @Test(dataProvider = "modes", timeOut = 20_000)
-  public void moveBackBeforeTheNewAddressHasToldAnythingKeepsTheOneWatchThere(String mode)
+  public void movingBackBeforeTheNewAddressSendsAListKeepsTheExistingWatch(String mode)
       throws Exception {
     start(
-        list(41, "active"),
+        endpointList(41, "active"),
         config(discovery.getLocalPort(), null, mode),
         Clock.system(),
         line -> {});
     moveTo(addresses.get(0), mode);
     moveTo(discovery, mode);
-    settled();
+    awaitSettled();
     assertUnwatched(addresses.get(0));
-    discovery.setSoTimeout(ABSENCE);
+    discovery.setSoTimeout(ABSENCE_TIMEOUT_MILLIS);
     assertThrows(SocketTimeoutException.class, discovery::accept);
     try (RawHttp client = RawHttp.to(node.address())) {
-      watch.write(chunk(list(42, "left") + "\n"));
-      awaitReadiness(client, 503);
-      watch.write(chunk(list(43, "active") + "\n"));
-      awaitReadiness(client, 200);
+      watch.write(chunk(endpointList(42, "left") + "\n"));
+      awaitReadyStatus(client, 503);
+      watch.write(chunk(endpointList(43, "active") + "\n"));
+      awaitReadyStatus(client, 200);
     }
   }
 
-  /**
-   * Whatever connections were made to this address have been ended by the node, and no other comes.
-   */
+  /** Asserts that the node has closed all its connections to this address and opens no other. */
   private static void assertUnwatched(ServerSocket address) throws IOException {
-    address.setSoTimeout(ABSENCE);
+    address.setSoTimeout(ABSENCE_TIMEOUT_MILLIS);
     while (true) {
       try (RawHttp watch = new RawHttp(address.accept())) {
         while (watch.read() != null) {
-          // The call that was made before the move.
+          // Skips the request that was sent before the move.
         }
-      } catch (SocketTimeoutException nobody) {
+      } catch (SocketTimeoutException noConnection) {
         return;
       }
     }
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -26,37 +26,37 @@
 import org.testng.annotations.Test;
 
 /**
- * A request's time counts from when it came, though a busy loop reads it later. The clock is the
- * story's.
+ * Guards against deadlines and timeouts that start when a busy event loop reads a request instead
+ * of when the request arrived. The test controls the clock.
  */
 @Test(timeOut = 30_000)
 public class LateReadTest {
-  private static final double DEADLINE = 9000;
-  private static final double BUSY = 700;
+  private static final double DEADLINE_MILLIS = 9000;
+  private static final double BUSY_MILLIS = 700;
 
-  /** The connections of operators and other processes that may be open at a time. */
-  private static final int PLACES = 32;
+  /** The maximum number of open connections of operators and other processes. */
+  private static final int MAX_CONNECTIONS = 32;
 
-  private static final double STORE_TIMEOUT = 700;
-  private static final double CALLER_WAITS = 1000;
+  private static final double STORE_TIMEOUT_MILLIS = 700;
+  private static final double CALLER_TIMEOUT_MILLIS = 1000;
 
-  /** What is left to the callers that wait longest when their calls are accepted, ms. */
-  private static final double LAST_BATCH = 100;
+  /** The time left to the callers that wait longest when their calls are accepted, in ms. */
+  private static final double LAST_BATCH_MILLIS = 100;
 
   private final BlockingQueue<Job> jobs = new LinkedBlockingQueue<>();
   private volatile double now;
-  private volatile CountDownLatch held;
-  private volatile CountDownLatch release;
-  private volatile CountDownLatch maintenance;
-  private Path folder;
+  private volatile CountDownLatch blockReached;
+  private volatile CountDownLatch blockReleased;
+  private volatile CountDownLatch maintenanceApplied;
+  private Path stateFolder;
   private NodeServer node;
 
   @BeforeMethod
   public void start() throws Exception {
     now = 1000;
     jobs.clear();
-    maintenance = new CountDownLatch(1);
-    folder = Files.createTempDirectory("late");
+    maintenanceApplied = new CountDownLatch(1);
+    stateFolder = Files.createTempDirectory("late");
     String config =
         "{'name':'n0','listen':'127.0.0.1:0','admin':'127.0.0.1:0','discovery':'127.0.0.1:1',"
             + "'seed':'7','limits':{'sockets':64},"
@@ -67,32 +67,32 @@
     node =
         NodeServer.start(
             NodeConfig.read(Json.parse(config.replace('\'', '"')).asObject()),
-            new NodeServer.Platform(null, folder),
+            new NodeServer.Platform(null, stateFolder),
             () -> now,
-            new RateLimitedLog(() -> now, this::log),
-            (told, at, actions) -> refusing(actions),
+            new RateLimitedLog(() -> now, this::onLogLine),
+            (nodeConfig, startTime, actions) -> rejectingDispatcher(actions),
             ChannelProvider.SOCKETS);
   }
 
-  /** Lets time pass on the clock; the test and the loop may both do so. */
+  /** Advances the clock; called by the test and by the event loop. */
   private synchronized void advance(double millis) {
     now += millis;
   }
 
   @AfterMethod(alwaysRun = true)
-  public void end() throws Exception {
-    Files.createDirectories(folder);
+  public void tearDown() throws Exception {
+    Files.createDirectories(stateFolder);
     node.stop(0);
   }
 
-  private Dispatcher refusing(Dispatcher.Actions actions) {
+  private Dispatcher rejectingDispatcher(Dispatcher.Actions actions) {
     return (Dispatcher)
         Proxy.newProxyInstance(
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
-            (self, method, with) -> {
+            (proxy, method, arguments) -> {
               if (method.getName().equals("arrived")) {
-                Job job = (Job) with[1];
+                Job job = (Job) arguments[1];
                 jobs.add(job);
                 actions.refuse(job.id(), 0);
               }
@@ -100,29 +100,29 @@
             });
   }
 
-  /** Runs on the loop: the line "hold" keeps it busy until the story lets it go. */
-  private void log(String line) {
+  /** Receives log lines on the event loop, which the line "hold" blocks until it is released. */
+  private void onLogLine(String line) {
     if (line.endsWith("taken out by operators")) {
-      maintenance.countDown();
+      maintenanceApplied.countDown();
     }
     if (line.equals("hold")) {
-      held.countDown();
+      blockReached.countDown();
       try {
-        release.await();
+        blockReleased.await();
       } catch (InterruptedException interrupted) {
         throw new IllegalStateException(interrupted);
       }
     }
   }
 
-  private void hold() throws InterruptedException {
-    held = new CountDownLatch(1);
-    release = new CountDownLatch(1);
+  private void blockLoop() throws InterruptedException {
+    blockReached = new CountDownLatch(1);
+    blockReleased = new CountDownLatch(1);
     node.report("hold");
-    held.await();
+    blockReached.await();
   }
 
-  private static String job(String id) {
+  private static String jobRequest(String id) {
     return RawHttp.message(
         "POST /api HTTP/1.1\r\nReq-Id: "
             + id
@@ -134,82 +134,82 @@
   @DataProvider
   public Object[][] connections() {
     return new Object[][] {
-      {"waits to be accepted", false}, {"is kept from an earlier request", true}
+      {"waits to be accepted", false}, {"was kept open after an earlier request", true}
     };
   }
 
   @Test(dataProvider = "connections")
-  public void aRequestIsDueAsItCameOnAConnectionThat(String how, boolean earlier) throws Exception {
+  public void deadlineStartsAtArrivalOnConnectionThat(String state, boolean keptOpen)
+      throws Exception {
     RawHttp client = null;
-    if (earlier) {
+    if (keptOpen) {
       client = RawHttp.to(node.address());
-      client.write(job("a")).read();
+      client.write(jobRequest("a")).read();
       jobs.take();
     }
-    hold();
-    try (RawHttp held = client == null ? RawHttp.to(node.address()) : client) {
-      held.write(job("b"));
-      advance(BUSY);
-      release.countDown();
-      held.read();
-      assertEquals(jobs.take().due(), 1000 + DEADLINE, how);
+    blockLoop();
+    try (RawHttp connection = client == null ? RawHttp.to(node.address()) : client) {
+      connection.write(jobRequest("b"));
+      advance(BUSY_MILLIS);
+      blockReleased.countDown();
+      connection.read();
+      assertEquals(jobs.take().due(), 1000 + DEADLINE_MILLIS, state);
     }
   }
 
-  /** Fails where the wait for the disk begins when a late call is read: its caller has gone. */
+  /** Guards against a store timeout that starts when a late call is read: its caller gives up. */
   @Test
-  public void operatorsCallThatIsReadLateIsAnsweredWithinTheSecondOfItsCaller() throws Exception {
+  public void answersOperatorsCallThatIsReadLateWithinCallerTimeout() throws Exception {
     while (!call("GET /-/metrics").read().body().contains("menu_workers_known=1\n")) {
       Thread.onSpinWait();
     }
-    Files.delete(folder);
-    hold();
+    Files.delete(stateFolder);
+    blockLoop();
     try (RawHttp caller = call("POST /-/menu-workers/s-1/disable")) {
-      advance(BUSY);
-      release.countDown();
-      maintenance.await();
-      // Behind the turn that has handled the call.
-      hold();
+      advance(BUSY_MILLIS);
+      blockReleased.countDown();
+      maintenanceApplied.await();
+      // Blocks the loop after the turn that has handled the call.
+      blockLoop();
       advance(100);
-      release.countDown();
+      blockReleased.countDown();
       assertEquals(caller.read().status(), 503);
     }
   }
 
   /**
-   * Fails where the wait for the disk of a call that waited for its connection to be accepted
-   * begins at the accept: three times as many calls come as have a place, all at once.
+   * Guards against a store timeout that starts when a waiting connection is accepted. More than
+   * twice as many calls as the node accepts at a time arrive at once.
    */
   @Test
-  public void operatorsCallsThatWaitForAPlaceAreAnsweredWithinTheSecondOfTheirCallers()
-      throws Exception {
+  public void answersOperatorsCallsThatWaitToBeAcceptedWithinCallerTimeout() throws Exception {
     while (!call("GET /-/metrics").read().body().contains("menu_workers_known=1\n")) {
       Thread.onSpinWait();
     }
-    Files.delete(folder);
+    Files.delete(stateFolder);
     List<RawHttp> callers = new ArrayList<>();
-    for (int i = 0; i < 2 * PLACES + 1; i++) {
+    for (int i = 0; i < 2 * MAX_CONNECTIONS + 1; i++) {
       callers.add(call("POST /-/menu-workers/s-1/disable"));
     }
-    passTurns("a");
-    advance(STORE_TIMEOUT);
+    awaitLoopTurns("a");
+    advance(STORE_TIMEOUT_MILLIS);
     assertEquals(callers.get(0).read().status(), 503);
-    passTurns("b");
-    advance(CALLER_WAITS - STORE_TIMEOUT - LAST_BATCH);
-    assertEquals(callers.get(PLACES).read().status(), 503);
-    passTurns("c");
-    advance(LAST_BATCH);
-    assertEquals(callers.get(2 * PLACES).read().status(), 503);
-    for (RawHttp each : callers) {
-      each.close();
+    awaitLoopTurns("b");
+    advance(CALLER_TIMEOUT_MILLIS - STORE_TIMEOUT_MILLIS - LAST_BATCH_MILLIS);
+    assertEquals(callers.get(MAX_CONNECTIONS).read().status(), 503);
+    awaitLoopTurns("c");
+    advance(LAST_BATCH_MILLIS);
+    assertEquals(callers.get(2 * MAX_CONNECTIONS).read().status(), 503);
+    for (RawHttp caller : callers) {
+      caller.close();
     }
   }
 
-  /** Returns once the loop has accepted, read and handled what had come before. */
-  private void passTurns(String id) throws IOException {
+  /** Returns once the loop has accepted, read and handled all earlier input. */
+  private void awaitLoopTurns(String id) throws IOException {
     try (RawHttp client = RawHttp.to(node.address())) {
       for (int i = 0; i < 4; i++) {
-        client.write(job(id + i)).read();
+        client.write(jobRequest(id + i)).read();
       }
     }
   }
@@ -219,14 +219,15 @@
   }
 
   @Test
-  public void aLoopThatWaitedTakesNoTimeFromTheRequestThatWakesIt() throws Exception {
+  public void requestThatWakesTheLoopArrivesWhenTheWaitEnds() throws Exception {
     ArrivalClock arrivals = new ArrivalClock(() -> now);
     assertEquals(arrivals.calculateStrategy(() -> 0, false), SelectStrategy.SELECT);
-    advance(BUSY);
-    assertEquals(arrivals.since(), 1000 + BUSY);
-    advance(BUSY);
-    assertEquals(arrivals.since(), 1000 + BUSY, "the turn began when its wait was over");
+    advance(BUSY_MILLIS);
+    assertEquals(arrivals.since(), 1000 + BUSY_MILLIS);
+    advance(BUSY_MILLIS);
+    assertEquals(arrivals.since(), 1000 + BUSY_MILLIS, "the turn begins when the wait ends");
     assertEquals(arrivals.calculateStrategy(() -> 1, false), 1);
-    assertEquals(arrivals.since(), 1000 + BUSY, "what came while the turn before was at work");
+    assertEquals(
+        arrivals.since(), 1000 + BUSY_MILLIS, "input that arrived during the previous turn");
   }
 }
--- a/node/src/test/java/ferngrade/server/LiveProcessesTest.java
+++ b/node/src/test/java/ferngrade/server/LiveProcessesTest.java
@@ -10,58 +10,62 @@
 import org.testng.annotations.Test;
 
 /**
- * What a process knows of those beside it. One that accepted no more jobs counted until it ended,
- * 3.5 s later on upgrade days, and the new one had half of the grants for cold workers meanwhile.
+ * Guards against counting a process that has stopped accepting jobs until it exits. During upgrades
+ * that took 3.5 s, in which the new process had only half of the quota for cold workers.
  */
 public class LiveProcessesTest {
-  private static final long OWN = 1;
-  private static final long EARLIER = 2;
-  private static final long LATER = 3;
+  private static final long OWN_PID = 1;
+  private static final long EARLIER_PID = 2;
+  private static final long LATER_PID = 3;
 
-  private final Set<Long> alive = new HashSet<>();
+  private final Set<Long> livePids = new HashSet<>();
   private final List<ProcessShare> shares = new ArrayList<>();
-  private final List<Runnable> scheduled = new ArrayList<>();
+  private final List<Runnable> scheduledTasks = new ArrayList<>();
   private LiveProcesses processes;
 
   @BeforeMethod
-  public void startBesideAnEarlierOne() {
-    alive.clear();
+  public void startWithEarlierProcess() {
+    livePids.clear();
     shares.clear();
-    scheduled.clear();
-    alive.add(EARLIER);
+    scheduledTasks.clear();
+    livePids.add(EARLIER_PID);
     processes =
         new LiveProcesses(
-            OWN, (task, after) -> scheduled.add(task), Runnable::run, alive::contains, shares::add);
-    processes.started(EARLIER);
-    processes.started(OWN);
+            OWN_PID,
+            (task, delayMillis) -> scheduledTasks.add(task),
+            Runnable::run,
+            livePids::contains,
+            shares::add);
+    processes.started(EARLIER_PID);
+    processes.started(OWN_PID);
   }
 
-  private ProcessShare last() {
+  private ProcessShare lastShare() {
     return shares.get(shares.size() - 1);
   }
 
   @Test
-  public void processThatAcceptsNoMoreRunsButSharesNothing() {
-    assertEquals(last(), new ProcessShare(2, 2, 1));
-    processes.finishing(EARLIER);
-    assertEquals(last(), new ProcessShare(2, 1, 0));
-    alive.add(LATER);
-    processes.started(LATER);
-    assertEquals(last(), new ProcessShare(3, 2, 0));
+  public void finishingProcessCountsAsRunningButNotAsAccepting() {
+    assertEquals(lastShare(), new ProcessShare(2, 2, 1));
+    processes.finishing(EARLIER_PID);
+    assertEquals(lastShare(), new ProcessShare(2, 1, 0));
+    livePids.add(LATER_PID);
+    processes.started(LATER_PID);
+    assertEquals(lastShare(), new ProcessShare(3, 2, 0));
   }
 
   @Test
-  public void endedProcessCountsNoMoreWhetherItWasFinishingOrNot() {
-    processes.finishing(EARLIER);
-    alive.remove(EARLIER);
-    scheduled.remove(0).run();
-    assertEquals(last(), new ProcessShare(1, 1, 0));
+  public void endedFinishingProcessIsRemoved() {
+    processes.finishing(EARLIER_PID);
+    livePids.remove(EARLIER_PID);
+    scheduledTasks.remove(0).run();
+    assertEquals(lastShare(), new ProcessShare(1, 1, 0));
   }
 
   @Test
-  public void unknownProcessThatFinishesChangesNothing() {
-    int before = shares.size();
-    processes.finishing(LATER);
-    assertEquals(shares.size(), before);
+  public void ignoresUnknownFinishingProcess() {
+    int sharesBefore = shares.size();
+    processes.finishing(LATER_PID);
+    assertEquals(shares.size(), sharesBefore);
   }
 }
--- a/node/src/test/java/ferngrade/server/NodeGoldenTest.java
+++ b/node/src/test/java/ferngrade/server/NodeGoldenTest.java
@@ -8,15 +8,15 @@
 import java.net.Socket;
 import org.testng.annotations.Test;
 
-/** What a node sends to workers and clients keeps the bytes that an earlier version sent. */
+/** Checks that the bytes sent to workers and clients match those of an earlier version. */
 @Test(timeOut = 30_000)
 public class NodeGoldenTest extends NodeIntegrationFixture {
   private static final GoldenFile GOLDEN = GoldenFile.open("node-http.txt");
   private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-  /** A node whose clock stands still, so that deadlines are the same in each run. */
-  private void startOnAStandingClock() throws Exception {
-    start(list(1, "active"), () -> now);
+  /** Starts a node whose clock does not advance, so that deadlines are the same in each run. */
+  private void startWithFixedClock() throws Exception {
+    start(endpointList(1, "active"), () -> now);
   }
 
   private Socket client() throws Exception {
@@ -24,13 +24,13 @@
   }
 
   @Test
-  public void aJobFromItsRequestToItsAnswer() throws Exception {
-    startOnAStandingClock();
+  public void jobFromRequestToAnswer() throws Exception {
+    startWithFixedClock();
     try (Socket client = client()) {
-      RawBytes.write(client, RawHttp.message(job("POST /api?x=1", "a-1", "order"), "payload"));
-      try (Socket sent = worker.accept()) {
-        GOLDEN.verifyLines("job-to-worker", RawBytes.read(sent));
-        RawBytes.write(sent, ACCEPTED);
+      RawBytes.write(client, RawHttp.message(jobHead("POST /api?x=1", "a-1", "order"), "payload"));
+      try (Socket workerConnection = worker.accept()) {
+        GOLDEN.verifyLines("job-to-worker", RawBytes.read(workerConnection));
+        RawBytes.write(workerConnection, ACCEPTED);
         try (Socket caller = client()) {
           RawBytes.write(
               caller,
@@ -45,23 +45,24 @@
   }
 
   @Test
-  public void aJobWithAKey() throws Exception {
-    startOnAStandingClock();
+  public void jobWithIdempotencyKey() throws Exception {
+    startWithFixedClock();
     try (Socket client = client()) {
       RawBytes.write(
           client,
-          RawHttp.message(job("POST /api", "a-2", "plan") + "\r\nIdempotency-Key: k-1", "payload"));
-      try (Socket sent = worker.accept()) {
-        GOLDEN.verifyLines("keyed-job-to-worker", RawBytes.read(sent));
+          RawHttp.message(
+              jobHead("POST /api", "a-2", "plan") + "\r\nIdempotency-Key: k-1", "payload"));
+      try (Socket workerConnection = worker.accept()) {
+        GOLDEN.verifyLines("keyed-job-to-worker", RawBytes.read(workerConnection));
       }
     }
   }
 
   @Test
-  public void answersToCallsThatAreNoJobs() throws Exception {
-    startOnAStandingClock();
+  public void answersToRequestsThatAreNoJobs() throws Exception {
+    startWithFixedClock();
     try (Socket client = client()) {
-      RawBytes.write(client, RawHttp.message(job("POST /api", "a-4", "unknown"), "payload"));
+      RawBytes.write(client, RawHttp.message(jobHead("POST /api", "a-4", "unknown"), "payload"));
       GOLDEN.verifyLines("answer-bad-request", RawBytes.read(client));
     }
     try (Socket client = client()) {
@@ -71,14 +72,14 @@
   }
 
   @Test
-  public void aJobThatItsWorkerFails() throws Exception {
-    startOnAStandingClock();
+  public void jobThatFailsAtItsWorker() throws Exception {
+    startWithFixedClock();
     try (Socket client = client()) {
-      RawBytes.write(client, RawHttp.message(job("POST /api", "a-5", "order"), "payload"));
-      try (Socket sent = worker.accept()) {
-        RawBytes.read(sent);
-        RawBytes.write(sent, ACCEPTED);
-        assertEquals(callBack("a-5", "\"state\":\"failed\""), 204);
+      RawBytes.write(client, RawHttp.message(jobHead("POST /api", "a-5", "order"), "payload"));
+      try (Socket workerConnection = worker.accept()) {
+        RawBytes.read(workerConnection);
+        RawBytes.write(workerConnection, ACCEPTED);
+        assertEquals(sendCallback("a-5", "\"state\":\"failed\""), 204);
         GOLDEN.verifyLines("answer-failed", RawBytes.read(client));
       }
     }
--- a/node/src/test/java/ferngrade/server/NodeIntegrationFixture.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationFixture.java
@@ -15,28 +15,29 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** A whole node on loopback sockets, against a worker and a discovery that the story speaks for. */
+/** Runs a whole node on loopback sockets; the test acts as its worker and its discovery. */
 public abstract class NodeIntegrationFixture {
-  /** The worker that the list names; the story accepts and speaks for it. */
+  /** The listening socket of the only reachable worker in the endpoint list. */
   ServerSocket worker;
 
+  /** The listening socket of discovery. */
   ServerSocket discovery;
 
-  /** What the clock of a node says that was started on it, ms. */
+  /** The time of a node that a test starts with the clock {@code () -> now}, in ms. */
   volatile double now;
 
-  /** Discovery's end of the node's watch, where the node was started with a list. */
+  /** Discovery's end of the watch connection; null if the node was started without a list. */
   RawHttp watch;
 
   NodeServer node;
 
   /**
-   * What the node's channels are made by; a story that makes them fail sets it before the start.
+   * The factory of the node's channels. A test that injects faults replaces it before the start.
    */
   ChannelProvider channels = ChannelProvider.SOCKETS;
 
   @BeforeMethod
-  public void listen() throws IOException {
+  public void openListeners() throws IOException {
     now = 1_000_000;
     worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -45,13 +46,13 @@
   }
 
   @AfterMethod(alwaysRun = true, timeOut = 10_000)
-  public void end() throws Exception {
+  public void tearDown() throws Exception {
     worker.close();
     discovery.close();
     node.stop(0);
   }
 
-  /** Lets time pass on the clock of the node, which its loops read. */
+  /** Advances {@link #now}, which the event loop reads through the clock. */
   final synchronized void advance(double millis) {
     now += millis;
   }
@@ -64,13 +65,13 @@
     }
   }
 
-  static void awaitReadiness(RawHttp client, int status) throws IOException {
+  static void awaitReadyStatus(RawHttp client, int status) throws IOException {
     while (client.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status() != status) {
       Thread.onSpinWait();
     }
   }
 
-  /** Starts a node whose discovery has told this list, or is left to the story. */
+  /** Starts a node; discovery sends {@code list}, or nothing if it is null. */
   void start(String list) throws Exception {
     start(list, Clock.system());
   }
@@ -80,8 +81,8 @@
   }
 
   /**
-   * Starts a node with this configuration, whose log goes to {@code log}; see {@link
-   * #start(String)}.
+   * Starts a node with the given configuration and log; see {@link #start(String)} for {@code
+   * list}.
    */
   void start(String list, NodeConfig config, Clock clock, Consumer<String> log) throws Exception {
     node = startServer(config, clock, new RateLimitedLog(clock, log));
@@ -90,12 +91,12 @@
       watch.read();
       watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list + "\n"));
       try (RawHttp client = RawHttp.to(node.address())) {
-        awaitReadiness(client, 200);
+        awaitReadyStatus(client, 200);
       }
     }
   }
 
-  /** Starts the server itself; overridden where a story brings decisions of its own. */
+  /** Starts the server; overridden by tests that use their own dispatcher. */
   NodeServer startServer(NodeConfig config, Clock clock, RateLimitedLog log) throws Exception {
     return NodeServer.start(config, NodeServer.Platform.NONE, clock, log, channels);
   }
@@ -105,14 +106,14 @@
   }
 
   /**
-   * Returns once the node has done what the bytes and closes before this call ask for: its loop
-   * reads those no later than the first of these requests, and carries out what follows before it
-   * reads the second.
+   * Returns once the node has processed all bytes and closes that were sent before this call. The
+   * event loop reads them no later than the first of these requests, and completes the resulting
+   * work before it reads the second one.
    */
-  void settled() throws IOException {
-    try (RawHttp other = RawHttp.to(node.address())) {
+  void awaitSettled() throws IOException {
+    try (RawHttp client = RawHttp.to(node.address())) {
       for (int i = 0; i < 3; i++) {
-        other.write("GET /-/ready HTTP/1.1\r\n\r\n").read();
+        client.write("GET /-/ready HTTP/1.1\r\n\r\n").read();
       }
     }
   }
@@ -125,7 +126,7 @@
     return NodeConfig.read(configuration(discoveryPort, known, mode));
   }
 
-  /** The same with one deadline for all classes, ms. */
+  /** Returns a configuration in which all classes have the same deadline, in ms. */
   public static NodeConfig config(int discoveryPort, String known, String mode, double deadline)
       throws Exception {
     JsonObject json = configuration(discoveryPort, known, mode);
@@ -133,11 +134,11 @@
         .asObject()
         .get("Classes")
         .asArray()
-        .forEach(each -> each.asObject().set("Deadline", deadline));
+        .forEach(jobClass -> jobClass.asObject().set("Deadline", deadline));
     return NodeConfig.read(json);
   }
 
-  /** The same as the platform writes it into a file. */
+  /** Returns the configuration as JSON, as the platform writes it to a file. */
   static JsonObject configuration(int discoveryPort, String known, String mode) {
     String config =
         "{'name':'n0','listen':'127.0.0.1:0','admin':'127.0.0.1:0','discovery':'127.0.0.1:"
@@ -156,7 +157,7 @@
     return json;
   }
 
-  String list(int revision, String phase) {
+  String endpointList(int revision, String phase) {
     return "{\"revision\":"
         + revision
         + ",\"complete\":true,\"members\":[{\"id\":\"s-1\",\"host_port\":\"127.0.0.1:"
@@ -167,12 +168,12 @@
         + "{\"id\":\"s-2\",\"host_port\":7,\"phase\":\"active\"}]}";
   }
 
-  static String job(String target, String id, String kind) {
+  static String jobHead(String target, String id, String jobClass) {
     return target
         + " HTTP/1.1\r\nReq-Id: "
         + id
         + "\r\nReq-Kind: "
-        + kind
+        + jobClass
         + "\r\nReq-Owner: t\r\nReq-Deadline: 9000m";
   }
 
@@ -180,13 +181,13 @@
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  int callBack(String id, String rest) throws IOException {
-    return callBack(node.address(), id, rest);
+  int sendCallback(String id, String fields) throws IOException {
+    return sendCallback(node.address(), id, fields);
   }
 
-  static int callBack(InetSocketAddress address, String id, String rest) throws IOException {
+  static int sendCallback(InetSocketAddress address, String id, String fields) throws IOException {
     try (RawHttp caller = RawHttp.to(address)) {
-      String body = "{\"id\":\"" + id + "\",\"from\":\"s-1\"," + rest + "}";
+      String body = "{\"id\":\"" + id + "\",\"from\":\"s-1\"," + fields + "}";
       return caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", body)).read().status();
     }
   }
--- a/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
@@ -19,49 +19,46 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * Stories of a whole node on loopback sockets, against a worker and a discovery that the story
- * speaks for.
- */
+/** Tests a whole node on loopback sockets; the test acts as its worker and its discovery. */
 @Test(timeOut = 30_000)
 public class NodeIntegrationTest extends NodeIntegrationFixture {
   @Test
-  public void jobGoesThroughUnchangedAndItsResultComesBack() throws Exception {
-    start(list(1, "active"));
+  public void forwardsJobUnchangedAndReturnsItsResult() throws Exception {
+    start(endpointList(1, "active"));
     try (RawHttp client = RawHttp.to(node.address())) {
       client.write(
           RawHttp.message(
-              job("POST /api/x?y=%20z", "a", "order") + "\r\nIdempotency-Key: k1", "body"));
-      RawHttp worked = new RawHttp(worker.accept());
-      Message got = worked.read();
-      assertEquals(got.start(), "POST /api/x?y=%20z HTTP/1.1");
-      assertEquals(got.body(), "body");
-      assertEquals(got.headers().get("Req-Id"), "a");
-      assertEquals(got.headers().get("Idempotency-Key"), "k1");
-      assertTrue(got.headers().get("Req-Deadline").matches("[0-9]+m"));
-      assertEquals(callBack("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
-      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+              jobHead("POST /api/x?y=%20z", "a", "order") + "\r\nIdempotency-Key: k1", "body"));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      Message received = workerConnection.read();
+      assertEquals(received.start(), "POST /api/x?y=%20z HTTP/1.1");
+      assertEquals(received.body(), "body");
+      assertEquals(received.headers().get("Req-Id"), "a");
+      assertEquals(received.headers().get("Idempotency-Key"), "k1");
+      assertTrue(received.headers().get("Req-Deadline").matches("[0-9]+m"));
+      assertEquals(sendCallback("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
+      workerConnection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
       Message answer = client.read();
       assertEquals(answer.status(), 200);
       assertEquals(answer.body(), "soup");
-      assertEquals(callBack("a", "\"state\":\"done\",\"result\":\"again\""), 204);
-      assertEquals(callBack("nobody", "\"state\":\"lost\""), 204);
+      assertEquals(sendCallback("a", "\"state\":\"done\",\"result\":\"again\""), 204);
+      assertEquals(sendCallback("nobody", "\"state\":\"lost\""), 204);
     }
   }
 
   @Test
-  public void connectionThatBreaksUnderAWrittenJobIsNotAnsweredByAResend() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void doesNotResendJobAfterItsConnectionBreaks() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       RawHttp pooled = new RawHttp(worker.accept());
       pooled.read();
       pooled.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-      callBack("a", "\"state\":\"done\",\"result\":\"one\"");
+      sendCallback("a", "\"state\":\"done\",\"result\":\"one\"");
       assertEquals(client.read().status(), 200);
-      settled();
+      awaitSettled();
       advance(100);
-      client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
       assertEquals(pooled.read().headers().get("Req-Id"), "b");
       pooled.close();
       assertEquals(client.read().status(), 502);
@@ -69,45 +66,45 @@
   }
 
   @Test
-  public void refusedConnectIsARefusalWithAdvice() throws Exception {
+  public void rejectsJobWithRetryAfterWhenWorkerRefusesConnections() throws Exception {
     worker.close();
-    start(list(1, "active"));
+    start(endpointList(1, "active"));
     try (RawHttp client = RawHttp.to(node.address())) {
-      Message answer = client.write(RawHttp.message(job("POST /api", "a", "order"), "")).read();
+      Message answer = client.write(RawHttp.message(jobHead("POST /api", "a", "order"), "")).read();
       assertEquals(answer.status(), 503);
       assertTrue(Double.parseDouble(answer.headers().get("Retry-After")) > 0);
     }
   }
 
   @Test
-  public void declinedJobIsRefusedAndAFailedOneFails() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void rejectsDeclinedJobAndFailsFailedJob() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      // No connection is used again at once: a second answer may be under way on it.
-      RawHttp worked = null;
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      // The node does not reuse a connection at once, since a second answer may be in flight on it.
+      RawHttp workerConnection = null;
       for (int attempt = 0; attempt < 5; attempt++) {
-        worked = new RawHttp(worker.accept());
-        worked.read();
-        worked.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
+        workerConnection = new RawHttp(worker.accept());
+        workerConnection.read();
+        workerConnection.write("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
       }
       assertEquals(client.read().status(), 503);
       advance(100);
-      client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
-      worked.read();
-      worked.write("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n");
+      client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
+      workerConnection.read();
+      workerConnection.write("HTTP/1.1 500 Broken\r\nContent-Length: 0\r\n\r\n");
       assertEquals(client.read().status(), 502);
       advance(100);
-      client.write(RawHttp.message(job("POST /api", "c", "order"), ""));
-      worked.read();
-      worked.write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
+      client.write(RawHttp.message(jobHead("POST /api", "c", "order"), ""));
+      workerConnection.read();
+      workerConnection.write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
       assertEquals(client.read().status(), 502);
     }
   }
 
   @DataProvider
   public Object[][] badRequests() {
-    String good = job("POST /api", "a", "order");
+    String good = jobHead("POST /api", "a", "order");
     return new Object[][] {
       {"SOUP\r\n\r\n", 400},
       {RawHttp.message("POST /api HTTP/1.1\r\nReq-Kind: order\r\nReq-Owner: t", ""), 400},
@@ -120,7 +117,7 @@
       {RawHttp.message(good.replace("9000m", "-5m"), ""), 400},
       {RawHttp.message(good + "\r\nReq-Id: b", ""), 400},
       {RawHttp.message(good + "\r\nReq-Extra: slots=999999", ""), 400},
-      {RawHttp.message(job("POST /api", "a", "plan"), ""), 400},
+      {RawHttp.message(jobHead("POST /api", "a", "plan"), ""), 400},
       {RawHttp.message(good.replace("/api", "/caf\u00e9"), ""), 400},
       {good + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 400},
       {good + "\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab", 400},
@@ -140,59 +137,61 @@
   }
 
   @Test(dataProvider = "badRequests")
-  public void badRequestGetsOnePlainAnswerAndHarmsNobodyElse(String request, int status)
+  public void answersBadRequestOnceWithoutAffectingOtherClients(String request, int status)
       throws Exception {
-    start(list(1, "active"));
+    start(endpointList(1, "active"));
     try (RawHttp client = RawHttp.to(node.address());
         RawHttp bad = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "c", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+      client.write(RawHttp.message(jobHead("POST /api", "c", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
       Message answer = bad.write(request).read();
       assertEquals(answer.status(), status);
       assertEquals(answer.headers().get("Connection"), "close");
       assertNull(bad.read());
-      callBack("c", "\"state\":\"done\",\"result\":\"soup\"");
+      sendCallback("c", "\"state\":\"done\",\"result\":\"soup\"");
       assertEquals(client.read().body(), "soup");
-      worked.close();
+      workerConnection.close();
     }
   }
 
   @Test
-  public void crowdOfSilentConnectionsPushesOutNeitherAKnownClientNorACallBack() throws Exception {
-    start(list(1, "active"));
-    List<RawHttp> crowd = new ArrayList<>();
+  public void silentConnectionsDisplaceNeitherKnownClientsNorCallbacks() throws Exception {
+    start(endpointList(1, "active"));
+    List<RawHttp> silentConnections = new ArrayList<>();
     try (RawHttp client =
-            RawHttp.to(node.address()).write(RawHttp.message(job("POST /api", "a", "order"), ""));
-        RawHttp worked = new RawHttp(worker.accept())) {
-      worked.read();
-      worked.write("HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-      assertEquals(callBack("a", "\"state\":\"done\",\"result\":\"one\""), 204);
+            RawHttp.to(node.address())
+                .write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+        RawHttp workerConnection = new RawHttp(worker.accept())) {
+      workerConnection.read();
+      workerConnection.write(
+          "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+      assertEquals(sendCallback("a", "\"state\":\"done\",\"result\":\"one\""), 204);
       assertEquals(client.read().body(), "one");
-      // More than there is room for: the node holds 64 descriptors in all.
+      // Exceeds the capacity of the node, which has 64 descriptors in total.
       for (int i = 0; i < 100; i++) {
-        crowd.add(RawHttp.to(node.address()));
+        silentConnections.add(RawHttp.to(node.address()));
       }
-      client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
       assertEquals(new RawHttp(worker.accept()).read().headers().get("Req-Id"), "b");
-      assertEquals(callBack("b", "\"state\":\"done\",\"result\":\"two\""), 204);
+      assertEquals(sendCallback("b", "\"state\":\"done\",\"result\":\"two\""), 204);
       assertEquals(client.read().body(), "two");
-      for (RawHttp each : crowd) {
-        assertNull(each.read());
+      for (RawHttp connection : silentConnections) {
+        assertNull(connection.read());
       }
     } finally {
-      for (RawHttp each : crowd) {
-        each.close();
+      for (RawHttp connection : silentConnections) {
+        connection.close();
       }
     }
   }
 
   @Test
-  public void clientThatSendsFarTooMuchStillReadsWhy() throws Exception {
-    start(list(1, "active"));
+  public void clientThatSendsOversizedBodyReceivesTheErrorStatus() throws Exception {
+    start(endpointList(1, "active"));
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(job("POST /api", "a", "order") + "\r\nContent-Length: 60000000\r\n\r\n");
+      client.write(jobHead("POST /api", "a", "order") + "\r\nContent-Length: 60000000\r\n\r\n");
       String part = "x".repeat(1 << 20);
       for (int i = 0; i < 8; i++) {
         client.write(part);
@@ -203,15 +202,14 @@
   }
 
   @Test
-  public void requestsOnOneConnectionAreAnsweredInTurnAndTooManyAreRefusedAndEndIt()
-      throws Exception {
-    start(list(1, "active"));
+  public void answersPipelinedRequestsInOrderAndRejectsTooMany() throws Exception {
+    start(endpointList(1, "active"));
     try (RawHttp client = RawHttp.to(node.address())) {
       String ready = "GET /-/ready HTTP/1.1\r\n\r\n";
-      client.write(RawHttp.message(job("POST /api", "a", "order"), "") + ready.repeat(100));
-      try (RawHttp worked = new RawHttp(worker.accept())) {
-        worked.read();
-        assertEquals(callBack("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), "") + ready.repeat(100));
+      try (RawHttp workerConnection = new RawHttp(worker.accept())) {
+        workerConnection.read();
+        assertEquals(sendCallback("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
         assertEquals(client.read().body(), "soup");
       }
       List<Integer> answers = new ArrayList<>();
@@ -225,39 +223,39 @@
   }
 
   @Test
-  public void nodeIsReadyOnceAListIsKnownAndKeepsItWhenDiscoveryBreaks() throws Exception {
+  public void becomesReadyWithFirstListAndKeepsItWhenDiscoveryBreaks() throws Exception {
     start(null);
     try (RawHttp client = RawHttp.to(node.address())) {
       assertEquals(client.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status(), 503);
       RawHttp watch = new RawHttp(discovery.accept());
       assertEquals(watch.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
       watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      // What cannot be read may have said something: it is asked for again.
-      for (String bad : List.of("{soup\n\n", "soup\n", "{\"members\":7}\n")) {
-        watch.write(chunk(bad));
+      // A malformed update may have contained changes, so the node requests the whole list again.
+      for (String malformed : List.of("{soup\n\n", "soup\n", "{\"members\":7}\n")) {
+        watch.write(chunk(malformed));
         assertNull(watch.read());
         watch = new RawHttp(discovery.accept());
         assertEquals(watch.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       }
-      String list = list(41, "active") + "\n";
+      String list = endpointList(41, "active") + "\n";
       watch.write(chunk(list.substring(0, 20)) + chunk(list.substring(20)));
-      awaitReadiness(client, 200);
+      awaitReadyStatus(client, 200);
       watch.close();
-      RawHttp again = new RawHttp(discovery.accept());
-      assertEquals(again.read().start(), "GET /api/targets?watch=1&from=41 HTTP/1.1");
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
+      RawHttp secondWatch = new RawHttp(discovery.accept());
+      assertEquals(secondWatch.read().start(), "GET /api/targets?watch=1&from=41 HTTP/1.1");
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       assertNotNull(new RawHttp(worker.accept()).read());
-      again.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      callBack("a", "\"state\":\"done\",\"result\":\"soup\"");
+      secondWatch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+      sendCallback("a", "\"state\":\"done\",\"result\":\"soup\"");
       assertEquals(client.read().body(), "soup");
-      again.write(chunk(list(42, "left").replace("true", "false") + "\n"));
-      awaitReadiness(client, 503);
+      secondWatch.write(chunk(endpointList(42, "left").replace("true", "false") + "\n"));
+      awaitReadyStatus(client, 503);
     }
   }
 
   @Test
-  public void discoveryMovesWhileTheLastListStaysInForceAndRevisionsStartAnew() throws Exception {
+  public void keepsLastListWhenDiscoveryMovesAndRestartsRevisions() throws Exception {
     start(null);
     try (RawHttp client = RawHttp.to(node.address());
         RawHttp other = RawHttp.to(node.address());
@@ -266,26 +264,25 @@
       assertEquals(before.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
       before.write(
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-              + chunk(list(41, "active") + "\n"));
-      awaitReadiness(other, 200);
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
+              + chunk(endpointList(41, "active") + "\n"));
+      awaitReadyStatus(other, 200);
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
       node.reload(config(moved.getLocalPort(), null));
       RawHttp after = new RawHttp(moved.accept());
       assertEquals(after.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
-      // The old address still counts: its change comes through before the new one has told
-      // anything.
-      before.write(chunk(list(42, "left").replace("true", "false") + "\n"));
-      awaitReadiness(other, 503);
+      // The old address stays in use until the new one has sent a list, so its change is applied.
+      before.write(chunk(endpointList(42, "left").replace("true", "false") + "\n"));
+      awaitReadyStatus(other, 503);
       after.write(
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-              + chunk(list(3, "active") + "\n"));
-      awaitReadiness(other, 200);
+              + chunk(endpointList(3, "active") + "\n"));
+      awaitReadyStatus(other, 200);
       before.read();
       assertNull(before.read());
-      // The job that was out when discovery moved still has its answer.
-      callBack("a", "\"state\":\"done\",\"result\":\"soup\"");
+      // The job that was in flight when discovery moved is still answered.
+      sendCallback("a", "\"state\":\"done\",\"result\":\"soup\"");
       assertEquals(client.read().body(), "soup");
       after.close();
       assertEquals(
@@ -294,37 +291,37 @@
   }
 
   /**
-   * Discovery takes connections and says nothing, from before the start; the node serves by the
-   * list it knew.
+   * Guards against lost jobs while discovery accepts connections but sends nothing from the start
+   * on: the node serves with the list from its configuration.
    */
   @Test
-  public void twoReloadsWhileDiscoveryIsSilentAndThenAPlannedStopLoseNothing() throws Exception {
-    start(config(discovery.getLocalPort(), list(41, "active")), Clock.system());
+  public void losesNothingInTwoReloadsWithSilentDiscoveryAndStop() throws Exception {
+    start(config(discovery.getLocalPort(), endpointList(41, "active")), Clock.system());
     try (RawHttp client = RawHttp.to(node.address());
         RawHttp other = RawHttp.to(node.address());
         ServerSocket second = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         ServerSocket third = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       RawHttp silent = new RawHttp(discovery.accept());
       silent.read();
-      awaitReadiness(other, 200);
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      try (RawHttp worked = new RawHttp(worker.accept())) {
-        worked.read();
+      awaitReadyStatus(other, 200);
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      try (RawHttp workerConnection = new RawHttp(worker.accept())) {
+        workerConnection.read();
         node.reload(config(second.getLocalPort(), null));
-        assertNull(silent.read(), "a watch that never told a list ends at once");
+        assertNull(silent.read(), "a watch that has never sent a list is closed at once");
         RawHttp silentToo = new RawHttp(second.accept());
         silentToo.read();
         node.reload(config(third.getLocalPort(), null));
         assertNull(silentToo.read());
         RawHttp watch = new RawHttp(third.accept());
         assertEquals(watch.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
-        awaitReadiness(other, 200);
+        awaitReadyStatus(other, 200);
         watch.write(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + chunk(list(3, "left") + "\n"));
-        awaitReadiness(other, 503);
+                + chunk(endpointList(3, "left") + "\n"));
+        awaitReadyStatus(other, 503);
         CompletableFuture<Void> stopped = CompletableFuture.runAsync(this::stop);
-        assertEquals(callBack("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
+        assertEquals(sendCallback("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
         assertEquals(client.read().body(), "soup");
         stopped.get();
       }
@@ -332,32 +329,36 @@
   }
 
   @Test
-  public void stopFinishesWhatWasTakenThoughItsCallBackComesLate() throws Exception {
-    start(list(1, "active"));
+  public void stopFinishesAcceptedJobWithLateCallback() throws Exception {
+    start(endpointList(1, "active"));
     try (RawHttp client =
-            RawHttp.to(node.address()).write(RawHttp.message(job("POST /api", "a", "order"), ""));
-        RawHttp worked = new RawHttp(worker.accept())) {
-      // The worker's end is held on to: collected as garbage, it would close, and the job would be
-      // over.
-      worked.read();
+            RawHttp.to(node.address())
+                .write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+        RawHttp workerConnection = new RawHttp(worker.accept())) {
+      // The worker's connection stays referenced: garbage collection would close it and fail the
+      // job.
+      workerConnection.read();
       CompletableFuture<Void> stopped = CompletableFuture.runAsync(this::stop);
-      // Refused on sight means that the grace is over: nobody is sent the job, and nobody fails it.
-      Message late = null;
+      // A request without time left is rejected without Retry-After once the grace period is over;
+      // it is neither sent to a worker nor answered as failed.
+      Message lateAnswer = null;
       for (int i = 0;
-          late == null || late.status() != 503 || late.headers().containsKey("Retry-After");
+          lateAnswer == null
+              || lateAnswer.status() != 503
+              || lateAnswer.headers().containsKey("Retry-After");
           i++) {
         try (RawHttp other = RawHttp.to(node.address())) {
-          String gone = job("POST /api", "n" + i, "order").replace("9000m", "0m");
-          late = other.write(RawHttp.message(gone, "")).read();
-        } catch (ConnectException over) {
-          throw over;
+          String expired = jobHead("POST /api", "n" + i, "order").replace("9000m", "0m");
+          lateAnswer = other.write(RawHttp.message(expired, "")).read();
+        } catch (ConnectException refused) {
+          throw refused;
         } catch (SocketException reset) {
-          // The grace ended between this connect and its request.
-          late = null;
+          // The grace period ended between this connect and its request.
+          lateAnswer = null;
         }
       }
-      assertEquals(late.headers().get("Connection"), "close");
-      assertEquals(callBack("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
+      assertEquals(lateAnswer.headers().get("Connection"), "close");
+      assertEquals(sendCallback("a", "\"state\":\"done\",\"result\":\"soup\""), 204);
       Message answer = client.read();
       assertEquals(answer.body(), "soup");
       assertEquals(answer.headers().get("Connection"), "close");
--- a/node/src/test/java/ferngrade/server/PauseDetectorTest.java
+++ b/node/src/test/java/ferngrade/server/PauseDetectorTest.java
@@ -7,22 +7,22 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** When a signal may have come that was noticed behind a gap in the process's own time. */
+/** Checks the earliest time of a signal that is detected after a pause of the process. */
 public class PauseDetectorTest {
   private double now;
   private Timers timers;
-  private PauseDetector pauses;
+  private PauseDetector detector;
 
   @BeforeMethod
-  public void startAtZero() {
+  public void startDetector() {
     now = 0;
     Clock clock = () -> now;
-    timers = new Timers(clock, (millis, run) -> {});
-    pauses = new PauseDetector(clock, timers);
-    pauses.start();
+    timers = new Timers(clock, (delayMillis, task) -> {});
+    detector = new PauseDetector(clock, timers);
+    detector.start();
   }
 
-  /** The process runs until then, its timers on time. */
+  /** Advances the clock to {@code end} and runs the timers on time. */
   private void runUntil(double end) {
     while (now + 10 <= end) {
       now += 10;
@@ -32,42 +32,42 @@
   }
 
   @Test
-  public void signalToAProcessThatRanCameWhenItWasNoticed() {
+  public void signalWithoutGapArrivedWhenDetected() {
     runUntil(1234);
-    assertEquals(pauses.earliestSignal(1234), 1234.0);
+    assertEquals(detector.earliestSignal(1234), 1234.0);
   }
 
   @Test
-  public void signalBehindAGapMayHaveComeAtItsBeginning() {
+  public void signalAfterGapMayHaveArrivedAtItsBeginning() {
     runUntil(1000);
     now = 1500;
     timers.run();
     now = 1510;
-    assertEquals(pauses.earliestSignal(1510), 1000.0);
+    assertEquals(detector.earliestSignal(1510), 1000.0);
   }
 
   @Test
-  public void gapThatNoTimerHasShownYetCounts() {
+  public void countsGapBeforeTheNextTimerRun() {
     runUntil(1000);
     now = 1490;
-    assertEquals(pauses.earliestSignal(1490), 1000.0);
+    assertEquals(detector.earliestSignal(1490), 1000.0);
   }
 
   @Test
-  public void gapLongBeforeTheSignalDoesNotCount() {
+  public void ignoresGapLongBeforeTheSignal() {
     runUntil(1000);
     now = 1500;
     runUntil(2500);
-    assertEquals(pauses.earliestSignal(2500), 2500.0);
+    assertEquals(detector.earliestSignal(2500), 2500.0);
   }
 
   @Test
-  public void gapsThatFollowEachOtherAreOne() {
+  public void mergesConsecutiveGaps() {
     runUntil(1000);
     now = 1300;
     timers.run();
     now = 1600;
     timers.run();
-    assertEquals(pauses.earliestSignal(1650), 1000.0);
+    assertEquals(detector.earliestSignal(1650), 1000.0);
   }
 }
--- a/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
+++ b/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
@@ -15,19 +15,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Guards against a client whose many requests, sent at once, hold up the event loop. */
+/** Guards against a client that blocks the event loop with many pipelined requests. */
 @Test(timeOut = 30_000)
-public class PipelinedFloodTest extends HeldLoopFixture {
+public class PipelinedFloodTest extends BlockedLoopFixture {
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
-  private static final String UNKNOWN_CLASS = RawHttp.message(job("POST /api", "u", "nothing"), "");
-  private static final int FLOOD = 2000;
+  private static final String UNKNOWN_CLASS =
+      RawHttp.message(jobHead("POST /api", "u", "nothing"), "");
+  private static final int FLOOD_REQUESTS = 2000;
 
-  /** Requests that one turn of the loop may handle for one client. */
-  private static final int MOST_IN_A_TURN = 50;
+  /** The maximum number of requests that the loop may handle for one client in one turn. */
+  private static final int MAX_REQUESTS_PER_TURN = 50;
 
-  private static final double LATER = 60_000;
+  private static final double DELAY_MILLIS = 60_000;
 
-  private final BlockingQueue<Job> arrived = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Job> arrivedJobs = new LinkedBlockingQueue<>();
 
   @DataProvider
   public Object[][] floods() {
@@ -36,61 +37,65 @@
     };
   }
 
-  /** Fails where one turn decodes and answers all that a client has sent. */
+  /** Guards against handling all pipelined requests of a client in one turn of the loop. */
   @Test(dataProvider = "floods")
-  public void requestsSentAtOnceAreAnsweredInManyTurns(String first, String answer, String next)
-      throws Exception {
+  public void answersPipelinedRequestsInManyTurns(
+      String first, String firstStatus, String secondStatus) throws Exception {
     start(64);
     RawHttp client = connect(node.address(), "");
-    settled();
-    long before = turns();
-    hold();
-    client.write(first + READY.repeat(FLOOD));
-    release.countDown();
-    assertEquals(outcome(client), answer);
-    assertEquals(outcome(client), next);
+    awaitSettled();
+    long turnsBefore = turns();
+    blockLoop();
+    client.write(first + READY.repeat(FLOOD_REQUESTS));
+    blockReleased.countDown();
+    assertEquals(outcome(client), firstStatus);
+    assertEquals(outcome(client), secondStatus);
     int answers = 2;
-    for (String last = next; !last.equals("closed") && answers <= FLOOD; answers++) {
+    for (String last = secondStatus;
+        !last.equals("closed") && answers <= FLOOD_REQUESTS;
+        answers++) {
       last = outcome(client);
       assertTrue(List.of("200", "503", "closed").contains(last), last);
     }
-    assertTrue(answers <= (turns() - before) * MOST_IN_A_TURN, answers + " in few turns");
+    assertTrue(
+        answers <= (turns() - turnsBefore) * MAX_REQUESTS_PER_TURN,
+        answers + " answers in too few turns");
   }
 
-  /** Fails where reads that were put off make a later request older than it is. */
+  /** Guards against deferred reads that assign a later request too early an arrival time. */
   @Test
-  public void requestBehindAFloodIsDueAsItCame() throws Exception {
+  public void deadlineOfRequestAfterFloodStartsAtItsArrival() throws Exception {
     start(64);
-    RawHttp client = connect(node.address(), request("first") + READY.repeat(FLOOD));
-    for (int i = 0; i <= FLOOD; i++) {
+    RawHttp client = connect(node.address(), request("first") + READY.repeat(FLOOD_REQUESTS));
+    for (int i = 0; i <= FLOOD_REQUESTS; i++) {
       client.read();
     }
-    arrived.take();
-    advance(LATER);
-    settled();
+    arrivedJobs.take();
+    advance(DELAY_MILLIS);
+    awaitSettled();
     client.write(request("late"));
     assertEquals(outcome(client), "503");
-    assertTrue(arrived.take().due() > now, "due before it came");
+    assertTrue(arrivedJobs.take().due() > now, "the deadline is before the arrival");
   }
 
   @Override
   Dispatcher dispatcher(Dispatcher.Actions actions) {
-    Dispatcher refusing = super.dispatcher(actions);
+    Dispatcher rejecting = super.dispatcher(actions);
     return (Dispatcher)
         Proxy.newProxyInstance(
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
-            (self, method, with) -> {
+            (proxy, method, arguments) -> {
               if (method.getName().equals("arrived")) {
-                arrived.add((Job) with[1]);
+                arrivedJobs.add((Job) arguments[1]);
               }
-              return method.invoke(refusing, with);
+              return method.invoke(rejecting, arguments);
             });
   }
 
   private long turns() throws IOException {
-    RawHttp call = connect(node.adminAddress(), "GET /-/metrics HTTP/1.1\r\n\r\n");
-    return Stream.of(call.read().body().split("\n", -1))
+    RawHttp operator = connect(node.adminAddress(), "GET /-/metrics HTTP/1.1\r\n\r\n");
+    return Stream.of(operator.read().body().split("\n", -1))
         .filter(line -> line.startsWith("loop_turn.le_"))
         .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1)))
         .sum();
--- a/node/src/test/java/ferngrade/server/RaceConditionTest.java
+++ b/node/src/test/java/ferngrade/server/RaceConditionTest.java
@@ -24,23 +24,23 @@
 import org.testng.annotations.Test;
 
 /**
- * Two events that cross, in the bad order every time: the story's peers force it, and time stands
- * still unless the story moves it. docs/design/crossings.md has the table of which test stands for
- * which pair.
+ * Guards against race conditions between two events. Each test forces the unfavorable order through
+ * its peers, and the clock only moves when the test advances it. The table in
+ * docs/design/crossings.md maps the pairs of events to their tests.
  */
 @Test(timeOut = 30_000)
 public class RaceConditionTest extends NodeIntegrationFixture {
-  private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+  private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
   private static final String DECLINED =
       "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
 
   /**
-   * The queue of the worker's listener is full, so that a dial hangs until the story takes what
-   * waits there.
+   * Fills the accept queue of the worker's listener, so that connects hang until the test empties
+   * the queue.
    */
-  private List<Socket> fillWorkersQueue() throws Exception {
+  private List<Socket> fillAcceptQueue() throws Exception {
     worker.close();
     worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     worker.setSoTimeout(10_000);
@@ -49,95 +49,98 @@
         new Socket(worker.getInetAddress(), worker.getLocalPort()));
   }
 
-  private void emptyWorkersQueue(List<Socket> filled) throws Exception {
-    for (Socket each : filled) {
+  private void emptyAcceptQueue(List<Socket> queuedConnections) throws Exception {
+    for (Socket queued : queuedConnections) {
       worker.accept().close();
-      each.close();
+      queued.close();
     }
   }
 
   /**
-   * How a client goes; one that shuts only its sending side cannot be told from one that closed.
+   * How a client disconnects. The node cannot distinguish a client that only shuts down its output
+   * from one that has closed its connection.
    */
-  private enum Leaving {
+  private enum Disconnect {
     CLOSES,
     RESETS,
-    SHUTS_ITS_SENDING_SIDE
+    SHUTS_DOWN_OUTPUT
   }
 
   @DataProvider
-  public Object[][] leavings() {
-    return Stream.of(Leaving.values()).map(each -> new Object[] {each}).toArray(Object[][]::new);
+  public Object[][] disconnects() {
+    return Stream.of(Disconnect.values())
+        .map(disconnect -> new Object[] {disconnect})
+        .toArray(Object[][]::new);
   }
 
-  @Test(dataProvider = "leavings")
-  public void clientThatGoesWhileTheWorkerIsDialledHasNothingBegunForIt(Leaving how)
+  @Test(dataProvider = "disconnects")
+  public void startsNoAttemptForClientThatDisconnectsDuringConnect(Disconnect disconnect)
       throws Exception {
-    List<Socket> filled = fillWorkersQueue();
-    start(list(1, "active"), () -> now);
-    Socket gone = new Socket(node.address().getAddress(), node.address().getPort());
-    new RawHttp(gone).write(RawHttp.message(job("POST /api", "a", "order"), ""));
-    settled();
-    switch (how) {
-      case CLOSES -> gone.close();
+    List<Socket> queuedConnections = fillAcceptQueue();
+    start(endpointList(1, "active"), () -> now);
+    Socket departing = new Socket(node.address().getAddress(), node.address().getPort());
+    new RawHttp(departing).write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+    awaitSettled();
+    switch (disconnect) {
+      case CLOSES -> departing.close();
       case RESETS -> {
-        gone.setSoLinger(true, 0);
-        gone.close();
+        departing.setSoLinger(true, 0);
+        departing.close();
       }
-      default -> gone.shutdownOutput();
+      default -> departing.shutdownOutput();
     }
-    settled();
-    emptyWorkersQueue(filled);
-    try (RawHttp worked = new RawHttp(worker.accept());
+    awaitSettled();
+    emptyAcceptQueue(queuedConnections);
+    try (RawHttp workerConnection = new RawHttp(worker.accept());
         RawHttp client = RawHttp.to(node.address())) {
-      settled();
+      awaitSettled();
       advance(100);
-      client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
-      Message first = worked.read();
+      client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
+      Message first = workerConnection.read();
       assertEquals(first.headers().get("Req-Id"), "b");
     }
   }
 
   @Test
-  public void clientThatGoesBehindPipelinedRequestsHasNoneOfThemBegun() throws Exception {
-    start(list(1, "active"), () -> now);
-    RawHttp worked;
-    try (RawHttp gone = RawHttp.to(node.address())) {
-      gone.write(
-          RawHttp.message(job("POST /api", "a", "order"), "")
-              + RawHttp.message(job("POST /api", "b", "order"), ""));
-      worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write(TAKEN);
+  public void startsNoPipelinedRequestOfDisconnectedClient() throws Exception {
+    start(endpointList(1, "active"), () -> now);
+    RawHttp workerConnection;
+    try (RawHttp departing = RawHttp.to(node.address())) {
+      departing.write(
+          RawHttp.message(jobHead("POST /api", "a", "order"), "")
+              + RawHttp.message(jobHead("POST /api", "b", "order"), ""));
+      workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write(ACCEPTED);
     }
-    settled();
-    assertEquals(callBack("a", DONE), 204);
-    settled();
+    awaitSettled();
+    assertEquals(sendCallback("a", DONE), 204);
+    awaitSettled();
     advance(100);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "c", "order"), ""));
-      assertEquals(worked.read().headers().get("Req-Id"), "c");
+      client.write(RawHttp.message(jobHead("POST /api", "c", "order"), ""));
+      assertEquals(workerConnection.read().headers().get("Req-Id"), "c");
     }
   }
 
   @Test
-  public void pipelinedRequestTellsItsWorkerNoMoreTimeThanItsClientHasLeft() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void deadlineOfPipelinedRequestIsReducedByItsWait() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
       client.write(
-          RawHttp.message(job("POST /api", "a", "order"), "")
-              + RawHttp.message(job("POST /api", "b", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write(TAKEN);
-      settled();
+          RawHttp.message(jobHead("POST /api", "a", "order"), "")
+              + RawHttp.message(jobHead("POST /api", "b", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write(ACCEPTED);
+      awaitSettled();
       advance(3000);
-      callBack("a", DONE);
-      assertEquals(worked.read().headers().get("Req-Deadline"), "5990m");
+      sendCallback("a", DONE);
+      assertEquals(workerConnection.read().headers().get("Req-Deadline"), "5990m");
     }
   }
 
-  /** What a worker leaves behind its answer, in the same write or while the connection rests. */
+  /** Bytes that a worker sends after its answer, in the same write or on the idle connection. */
   @DataProvider
   public Object[][] leftovers() {
     return new Object[][] {
@@ -146,58 +149,58 @@
   }
 
   @Test(dataProvider = "leftovers")
-  public void leftoverOnAWorkersConnectionIsNotTheNextAnswersBeginning(
-      String leftover, boolean together) throws Exception {
-    start(list(1, "active"), () -> now);
+  public void leftoverBytesOnWorkerConnectionAreNotReadAsNextAnswer(
+      String leftover, boolean inSameWrite) throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write(TAKEN + (together ? leftover : ""));
-      callBack("a", DONE);
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write(ACCEPTED + (inSameWrite ? leftover : ""));
+      sendCallback("a", DONE);
       assertEquals(client.read().status(), 200);
-      settled();
-      worked.write(together ? "" : leftover);
-      settled();
+      awaitSettled();
+      workerConnection.write(inSameWrite ? "" : leftover);
+      awaitSettled();
       advance(100);
-      client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
       RawHttp fresh = new RawHttp(worker.accept());
       assertEquals(fresh.read().headers().get("Req-Id"), "b");
-      fresh.write(TAKEN);
-      callBack("b", DONE);
+      fresh.write(ACCEPTED);
+      sendCallback("b", DONE);
       assertEquals(client.read().status(), 200);
     }
   }
 
   @Test
-  public void secondAnswerThatComesLateIsNotTheNextRequests() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void lateSecondAnswerIsNotAssignedToNextRequest() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write(TAKEN);
-      callBack("a", DONE);
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write(ACCEPTED);
+      sendCallback("a", DONE);
       assertEquals(client.read().status(), 200);
-      settled();
+      awaitSettled();
       advance(10);
-      client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
       RawHttp fresh = new RawHttp(worker.accept());
       assertEquals(fresh.read().headers().get("Req-Id"), "b");
-      worked.write(DECLINED);
-      settled();
-      fresh.write(TAKEN);
-      callBack("b", DONE);
+      workerConnection.write(DECLINED);
+      awaitSettled();
+      fresh.write(ACCEPTED);
+      sendCallback("b", DONE);
       assertEquals(client.read().status(), 200);
     }
   }
 
   @Test
-  public void attemptGivenUpBeforeThe202IsDeletedAndTheNextOneWaitsForThat() throws Exception {
+  public void deletesTimedOutAttemptBeforeTheNextOneStarts() throws Exception {
     try (ServerSocket other = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       other.setSoTimeout(10_000);
       start(
-          list(1, "active")
+          endpointList(1, "active")
               .replace(
                   "{\"id\":\"s-2\",\"host_port\":7,",
                   "{\"id\":\"s-2\",\"host_port\":\"127.0.0.1:"
@@ -205,16 +208,16 @@
                       + "\",\"locality\":\"z\",\"flavor\":\"k\","),
           () -> now);
       try (RawHttp client = RawHttp.to(node.address())) {
-        client.write(RawHttp.message(job("POST /api", "a", "draft"), ""));
-        Map.Entry<ServerSocket, RawHttp> came = first(worker, other);
-        ServerSocket first = came.getKey();
+        client.write(RawHttp.message(jobHead("POST /api", "a", "draft"), ""));
+        Map.Entry<ServerSocket, RawHttp> accepted = acceptFirst(worker, other);
+        ServerSocket first = accepted.getKey();
         ServerSocket second = first == worker ? other : worker;
-        RawHttp hung = came.getValue();
+        RawHttp hung = accepted.getValue();
         hung.read();
-        // The timer asks the clock once a second of the machine has passed.
+        // The timer reads the clock after one second of real time.
         advance(1000);
-        RawHttp told = new RawHttp(first.accept());
-        assertEquals(told.read().start(), "DELETE /jobs/a HTTP/1.1");
+        RawHttp deletion = new RawHttp(first.accept());
+        assertEquals(deletion.read().start(), "DELETE /jobs/a HTTP/1.1");
         assertEquals(new RawHttp(second.accept()).read().headers().get("Req-Id"), "a");
         assertNull(hung.read());
       }
@@ -222,126 +225,125 @@
   }
 
   @Test
-  public void answerThatNeverEndsIsGivenUpAndItsJobDeleted() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void timesOutIncompleteAnswerAndDeletesItsJob() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      RawHttp worked = new RawHttp(worker.accept());
-      worked.read();
-      worked.write("HTTP/1.1 202 Accepted\r\nContent-Length: 5\r\n\r\nab");
-      settled();
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      RawHttp workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      workerConnection.write("HTTP/1.1 202 Accepted\r\nContent-Length: 5\r\n\r\nab");
+      awaitSettled();
       advance(1000);
-      assertNull(worked.read());
+      assertNull(workerConnection.read());
       assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
-      assertEquals(client.read().status(), 502, "it may have run, and may not run twice");
+      assertEquals(client.read().status(), 502, "the job may have run and must not run twice");
     }
   }
 
   /**
-   * Discovery comes back while idle clients hold every descriptor that they can get: it, workers
-   * and news get theirs.
+   * Guards against idle clients that use up the descriptors: discovery, which reconnects, workers
+   * and callbacks must still get theirs.
    */
   @Test
-  public void idleClientsThatFillTheDescriptorsKeepOutNeitherDiscoveryNorWorkersNorCallBacks()
-      throws Exception {
-    start(list(1, "active"), () -> now);
+  public void idleClientsLeaveDescriptorsToDiscoveryWorkersAndCallbacks() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     watch.close();
-    List<RawHttp> crowd = new ArrayList<>();
+    List<RawHttp> idleClients = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      crowd.add(RawHttp.to(node.address()));
+      idleClients.add(RawHttp.to(node.address()));
     }
-    settled();
+    awaitSettled();
     advance(100);
-    RawHttp again = new RawHttp(discovery.accept());
-    assertEquals(again.read().start(), "GET /api/targets?watch=1&from=1 HTTP/1.1");
-    again.write(
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(2, "active") + "\n"));
+    RawHttp secondWatch = new RawHttp(discovery.accept());
+    assertEquals(secondWatch.read().start(), "GET /api/targets?watch=1&from=1 HTTP/1.1");
+    secondWatch.write(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + chunk(endpointList(2, "active") + "\n"));
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       new RawHttp(worker.accept()).read();
-      assertEquals(callBack("a", DONE), 204);
+      assertEquals(sendCallback("a", DONE), 204);
       assertEquals(client.read().body(), "soup");
     }
-    for (RawHttp each : crowd) {
-      each.close();
+    for (RawHttp connection : idleClients) {
+      connection.close();
     }
   }
 
   @Test
-  public void requestThatComesByTheByteWhileOthersAreServedIsOneRequest() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void readsRequestThatArrivesByteByByteAmongOthers() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp slow = RawHttp.to(node.address())) {
-      for (byte each :
-          RawHttp.message(job("POST /api", "a", "order"), "body")
+      for (byte requestByte :
+          RawHttp.message(jobHead("POST /api", "a", "order"), "body")
               .getBytes(StandardCharsets.US_ASCII)) {
-        slow.write(String.valueOf((char) each));
-        settled();
+        slow.write(String.valueOf((char) requestByte));
+        awaitSettled();
       }
       assertEquals(new RawHttp(worker.accept()).read().body(), "body");
-      callBack("a", DONE);
+      sendCallback("a", DONE);
       assertEquals(slow.read().body(), "soup");
     }
   }
 
   @Test
-  public void drainToldWhileTheWorkerIsDialledSendsNothingThere() throws Exception {
-    List<Socket> filled = fillWorkersQueue();
-    start(list(1, "active"), () -> now);
+  public void sendsNothingToWorkerThatDrainsDuringConnect() throws Exception {
+    List<Socket> queuedConnections = fillAcceptQueue();
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
-      settled();
-      watch.write(chunk(list(2, "leaving") + "\n"));
-      settled();
-      emptyWorkersQueue(filled);
-      RawHttp worked = new RawHttp(worker.accept());
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
+      awaitSettled();
+      watch.write(chunk(endpointList(2, "leaving") + "\n"));
+      awaitSettled();
+      emptyAcceptQueue(queuedConnections);
+      RawHttp workerConnection = new RawHttp(worker.accept());
       assertEquals(client.read().status(), 503);
-      watch.write(chunk(list(3, "active") + "\n"));
-      settled();
+      watch.write(chunk(endpointList(3, "active") + "\n"));
+      awaitSettled();
       advance(100);
-      client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
-      assertEquals(worked.read().headers().get("Req-Id"), "b");
+      client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
+      assertEquals(workerConnection.read().headers().get("Req-Id"), "b");
     }
   }
 
   @Test
-  public void stopEndsOnlyWhenItsClientsHaveReadAndReadsNoRequestBehindItsShutdown()
-      throws Exception {
-    start(list(1, "active"), () -> now);
-    AtomicBoolean read = new AtomicBoolean();
+  public void stopWaitsForClientsToReadAndIgnoresLaterRequests() throws Exception {
+    start(endpointList(1, "active"), () -> now);
+    AtomicBoolean clientHasRead = new AtomicBoolean();
     CompletableFuture<Boolean> stopped;
-    RawHttp worked;
+    RawHttp workerConnection;
     try (RawHttp client = RawHttp.to(node.address());
-        RawHttp resting = RawHttp.to(node.address())) {
-      resting.write(RawHttp.message(job("POST /api", "r", "order"), ""));
-      worked = new RawHttp(worker.accept());
-      worked.read();
-      callBack("r", DONE);
-      assertEquals(resting.read().status(), 200);
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
+        RawHttp idle = RawHttp.to(node.address())) {
+      idle.write(RawHttp.message(jobHead("POST /api", "r", "order"), ""));
+      workerConnection = new RawHttp(worker.accept());
+      workerConnection.read();
+      sendCallback("r", DONE);
+      assertEquals(idle.read().status(), 200);
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       new RawHttp(worker.accept()).read();
       stopped =
           CompletableFuture.supplyAsync(
               () -> {
                 try {
                   node.stop(0);
-                  return read.get();
+                  return clientHasRead.get();
                 } catch (InterruptedException interrupted) {
                   throw new IllegalStateException(interrupted);
                 }
               });
-      assertNull(resting.read());
-      resting.write(RawHttp.message(job("POST /api", "late", "order"), ""));
-      callBack("a", DONE);
-      assertNull(resting.read(), "no answer");
-      // A reset would have come by now, and make the next write fail.
-      resting.write("and more");
+      assertNull(idle.read());
+      idle.write(RawHttp.message(jobHead("POST /api", "late", "order"), ""));
+      sendCallback("a", DONE);
+      assertNull(idle.read(), "no answer");
+      // A reset would have arrived by now and would make the next write fail.
+      idle.write("and more");
       while (reachable()) {
         Thread.onSpinWait();
       }
       client.write("more that nobody reads");
       assertEquals(client.read().body(), "soup");
-      assertNull(client.read(), "an end and no reset");
-      read.set(true);
+      assertNull(client.read(), "closed without a reset");
+      clientHasRead.set(true);
     }
     assertTrue(stopped.get(20, TimeUnit.SECONDS));
     worker.setSoTimeout(1);
@@ -349,17 +351,17 @@
   }
 
   @Test
-  public void requestHalfReadAtAStopIsRefusedWhenItIsWhole() throws Exception {
-    start(list(1, "active"), () -> now);
-    String request = RawHttp.message(job("POST /api", "a", "order"), "body");
+  public void rejectsRequestThatIsCompletedAfterStop() throws Exception {
+    start(endpointList(1, "active"), () -> now);
+    String request = RawHttp.message(jobHead("POST /api", "a", "order"), "body");
     try (RawHttp client = RawHttp.to(node.address())) {
-      // A known client: strangers that connect meanwhile do not push it out.
-      client.write(RawHttp.message(job("POST /api", "known", "order"), ""));
+      // A known client is not displaced by new clients that connect meanwhile.
+      client.write(RawHttp.message(jobHead("POST /api", "known", "order"), ""));
       new RawHttp(worker.accept()).read();
-      callBack("known", DONE);
+      sendCallback("known", DONE);
       client.read();
       client.write(request.substring(0, request.length() - 2));
-      settled();
+      awaitSettled();
       CompletableFuture<Void> stopped =
           CompletableFuture.runAsync(
               () -> {
@@ -385,14 +387,14 @@
   }
 
   @Test
-  public void signalsThatComeWhileTheNodeStopsChangeNothing() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void signalsDuringStopChangeNothing() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     CompletableFuture<Void> first = CompletableFuture.runAsync(this::stop);
     node.reload(config(discovery.getLocalPort(), null));
     CompletableFuture<Void> second = CompletableFuture.runAsync(this::stop);
-    // Not before the stop has begun does its grace run.
+    // The grace period starts only once the stop has begun.
     try (RawHttp client = RawHttp.to(node.address())) {
-      awaitReadiness(client, 503);
+      awaitReadyStatus(client, 503);
     }
     advance(700);
     first.get(20, TimeUnit.SECONDS);
@@ -403,19 +405,19 @@
   }
 
   @Test
-  public void newProcessActsOnTheFirstListOnly() throws Exception {
-    start(config(discovery.getLocalPort(), list(1, "active")), () -> now);
-    RawHttp told = new RawHttp(discovery.accept());
-    told.read();
+  public void newProcessWaitsForTheFirstPushedList() throws Exception {
+    start(config(discovery.getLocalPort(), endpointList(1, "active")), () -> now);
+    RawHttp firstWatch = new RawHttp(discovery.accept());
+    firstWatch.read();
     try (RawHttp client = RawHttp.to(node.address())) {
       assertEquals(client.write(READY).read().status(), 503);
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       assertEquals(client.read().status(), 503);
-      told.write(
+      firstWatch.write(
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-              + chunk(list(2, "leaving") + "\n"));
-      awaitReadiness(client, 200);
-      client.write(RawHttp.message(job("POST /api", "b", "order"), ""));
+              + chunk(endpointList(2, "leaving") + "\n"));
+      awaitReadyStatus(client, 200);
+      client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
       assertEquals(client.read().status(), 503);
       worker.setSoTimeout(1);
       assertThrows(SocketTimeoutException.class, worker::accept);
@@ -423,59 +425,58 @@
   }
 
   @Test
-  public void newProcessWhoseAgentIsSilentServesByTheStoredListAfterAMoment() throws Exception {
-    start(config(discovery.getLocalPort(), list(1, "active")), () -> now);
+  public void newProcessUsesStoredListWhenDiscoverySendsNothing() throws Exception {
+    start(config(discovery.getLocalPort(), endpointList(1, "active")), () -> now);
     new RawHttp(discovery.accept()).read();
     try (RawHttp client = RawHttp.to(node.address())) {
       assertEquals(client.write(READY).read().status(), 503);
       advance(300);
-      awaitReadiness(client, 200);
+      awaitReadyStatus(client, 200);
     }
   }
 
   @Test
-  public void newProcessServesByTheStoredListWhereDiscoveryIsAskedAndTakesItsTime()
-      throws Exception {
-    start(config(discovery.getLocalPort(), list(1, "active"), "ask"), () -> now);
+  public void newProcessUsesStoredListAtOnceWhenDiscoveryIsPolled() throws Exception {
+    start(config(discovery.getLocalPort(), endpointList(1, "active"), "ask"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
       assertEquals(client.write(READY).read().status(), 200);
     }
   }
 
   @Test
-  public void callBackCountsThoughItsLoadReportCannotBeRead() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void acceptsCallbackWithMalformedLoadReport() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       new RawHttp(worker.accept()).read();
       assertEquals(
-          callBack("a", DONE + ",\"load\":{\"x0\":\"many\",\"queue\":-1e400,\"new\":[]}"), 204);
+          sendCallback("a", DONE + ",\"load\":{\"x0\":\"many\",\"queue\":-1e400,\"new\":[]}"), 204);
       assertEquals(client.read().body(), "soup");
     }
   }
 
   private boolean reachable() {
-    try (Socket one = new Socket(node.address().getAddress(), node.address().getPort())) {
-      return one.isConnected();
+    try (Socket probe = new Socket(node.address().getAddress(), node.address().getPort())) {
+      return probe.isConnected();
     } catch (IOException refused) {
       return false;
     }
   }
 
-  /** The listener of these two at which a connection comes in first, and that connection. */
-  private static Map.Entry<ServerSocket, RawHttp> first(ServerSocket one, ServerSocket two)
-      throws IOException {
+  /** Returns the listener at which a connection arrives first, and that connection. */
+  private static Map.Entry<ServerSocket, RawHttp> acceptFirst(
+      ServerSocket listener1, ServerSocket listener2) throws IOException {
     for (int i = 0; i < 1000; i++) {
-      ServerSocket each = i % 2 == 0 ? one : two;
-      each.setSoTimeout(10);
+      ServerSocket listener = i % 2 == 0 ? listener1 : listener2;
+      listener.setSoTimeout(10);
       try {
-        return Map.entry(each, new RawHttp(each.accept()));
-      } catch (SocketTimeoutException none) {
+        return Map.entry(listener, new RawHttp(listener.accept()));
+      } catch (SocketTimeoutException noConnection) {
         continue;
       } finally {
-        each.setSoTimeout(10_000);
+        listener.setSoTimeout(10_000);
       }
     }
-    throw new SocketTimeoutException("no connection at either");
+    throw new SocketTimeoutException("no connection at either listener");
   }
 }
--- a/node/src/test/java/ferngrade/server/ReadRequestTest.java
+++ b/node/src/test/java/ferngrade/server/ReadRequestTest.java
@@ -12,30 +12,33 @@
 import org.testng.annotations.Test;
 
 /**
- * Each request that has been read gets an answer, whatever ends its connection; half a request gets
- * one in time.
+ * Guards against requests that are read but never answered because their connection is closed, and
+ * against partial requests that never time out.
  */
 @Test(timeOut = 30_000)
 public class ReadRequestTest extends NodeIntegrationFixture {
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
-  private static final String UNKNOWN_CLASS = RawHttp.message(job("POST /api", "u", "nothing"), "");
-  private static final String LAST = "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n";
+  private static final String UNKNOWN_CLASS =
+      RawHttp.message(jobHead("POST /api", "u", "nothing"), "");
+  private static final String LAST_REQUEST = "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n";
   private static final String MALFORMED = "soup\r\n\r\n";
   private static final String TOO_LARGE = "POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n";
   private static final String TOO_LARGE_TO_CONTINUE =
       "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 70000\r\n\r\n";
-  private static final String HALF = "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf";
-  private static final String HALF_HEAD = "POST /api HTT";
+  private static final String PARTIAL_BODY = "POST /api HTTP/1.1\r\nContent-Length: 10\r\n\r\nhalf";
+  private static final String PARTIAL_HEAD = "POST /api HTT";
 
-  /** What comes in one piece, and the answers, after the last of which the connection ends. */
+  /**
+   * Input that arrives at once, and the statuses of the answers before the connection is closed.
+   */
   @DataProvider
-  public Object[][] pieces() {
+  public Object[][] inputs() {
     return new Object[][] {
       {UNKNOWN_CLASS, List.of(400)},
       {UNKNOWN_CLASS + READY, List.of(400, 503)},
       {READY + UNKNOWN_CLASS + READY, List.of(200, 400, 200)},
-      {LAST + READY + READY, List.of(200, 503, 503)},
+      {LAST_REQUEST + READY + READY, List.of(200, 503, 503)},
       {MALFORMED, List.of(400)},
       {READY + MALFORMED, List.of(200, 400)},
       {TOO_LARGE, List.of(413)},
@@ -47,55 +50,58 @@
     };
   }
 
-  @Test(dataProvider = "pieces")
-  public void eachRequestReadInOnePieceIsAnsweredBeforeTheEnd(String piece, List<Integer> answers)
+  @Test(dataProvider = "inputs")
+  public void answersEachRequestBeforeClosing(String input, List<Integer> answers)
       throws Exception {
-    start(list(1, "active"), () -> now);
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(piece);
-      assertEquals(rest(client), answers);
+      client.write(input);
+      assertEquals(readStatuses(client), answers);
     }
   }
 
-  @Test(dataProvider = "pieces")
-  public void eachRequestReadBehindAJobInWorkIsAnsweredBeforeTheEnd(
-      String piece, List<Integer> answers) throws Exception {
-    start(list(1, "active"), () -> now);
+  @Test(dataProvider = "inputs")
+  public void answersEachRequestPipelinedAfterAJobBeforeClosing(String input, List<Integer> answers)
+      throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write(RawHttp.message(job("POST /api", "a", "order"), ""));
+      client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       new RawHttp(worker.accept()).read();
-      client.write(piece);
-      settled();
-      callBack("a", DONE);
+      client.write(input);
+      awaitSettled();
+      sendCallback("a", DONE);
       assertEquals(client.read().body(), "soup");
-      // All of it waits before any answer can end the connection: nothing has to be refused.
-      assertEquals(rest(client), answers.stream().map(each -> each == 503 ? 200 : each).toList());
+      // All requests wait before any answer can close the connection, so none is rejected.
+      assertEquals(
+          readStatuses(client),
+          answers.stream().map(status -> status == 503 ? 200 : status).toList());
     }
   }
 
   /**
-   * A stop comes while requests wait behind a job in work: they are refused, and then the
-   * connection ends.
+   * Guards against dropping requests that wait behind a job when the node stops: they are rejected
+   * before the connection is closed.
    */
   @Test
-  public void requestsThatWaitAtAStopAreRefusedAndNotDropped() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void rejectsWaitingRequestsAtStop() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
       client.write(
-          RawHttp.message(job("POST /api", "a", "order"), "")
-              + RawHttp.message(job("POST /api", "b", "order"), ""));
+          RawHttp.message(jobHead("POST /api", "a", "order"), "")
+              + RawHttp.message(jobHead("POST /api", "b", "order"), ""));
       new RawHttp(worker.accept()).read();
-      settled();
+      awaitSettled();
       CompletableFuture<Void> stopped = CompletableFuture.runAsync(this::stopAtOnce);
-      // The second is accepted and read in turns of the loop after that in which the stop began.
+      // The second client is accepted and read in later turns of the loop than the start of the
+      // stop.
       for (int i = 0; i < 2; i++) {
         try (RawHttp other = RawHttp.to(node.address())) {
-          awaitReadiness(other, 503);
+          awaitReadyStatus(other, 503);
         }
       }
-      callBack("a", DONE);
+      sendCallback("a", DONE);
       assertEquals(client.read().body(), "soup");
-      assertEquals(rest(client), List.of(503));
+      assertEquals(readStatuses(client), List.of(503));
       client.end();
       stopped.get();
     }
@@ -110,44 +116,47 @@
   }
 
   @DataProvider
-  public Object[][] halves() {
-    return new Object[][] {{HALF, false}, {HALF_HEAD, false}, {HALF, true}, {HALF_HEAD, true}};
+  public Object[][] partialRequests() {
+    return new Object[][] {
+      {PARTIAL_BODY, false}, {PARTIAL_HEAD, false}, {PARTIAL_BODY, true}, {PARTIAL_HEAD, true}
+    };
   }
 
-  @Test(dataProvider = "halves")
-  public void halfARequestIsAnsweredWithinThreeSecondsAlsoOnAKnownConnection(
-      String half, boolean behindAJob) throws Exception {
-    start(list(1, "active"), () -> now);
+  @Test(dataProvider = "partialRequests")
+  public void partialRequestTimesOutWithinThreeSeconds(String partial, boolean behindAJob)
+      throws Exception {
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
-      client.write((behindAJob ? RawHttp.message(job("POST /api", "a", "order"), "") : "") + half);
+      client.write(
+          (behindAJob ? RawHttp.message(jobHead("POST /api", "a", "order"), "") : "") + partial);
       if (behindAJob) {
         new RawHttp(worker.accept()).read();
-        callBack("a", DONE);
+        sendCallback("a", DONE);
         assertEquals(client.read().body(), "soup");
       }
-      settled();
+      awaitSettled();
       advance(1750);
-      assertEquals(rest(client), List.of(408));
+      assertEquals(readStatuses(client), List.of(408));
     }
   }
 
   @Test
-  public void halfARequestThatHasToGiveUpItsPlaceIsRefused() throws Exception {
-    start(list(1, "active"), () -> now);
+  public void rejectsPartialRequestThatIsDisplaced() throws Exception {
+    start(endpointList(1, "active"), () -> now);
     List<RawHttp> clients = new ArrayList<>();
-    // A quarter of the 26 descriptors that 64 leave for clients may owe a request.
+    // Of 64 descriptors 26 are for clients, and a quarter of those may have a request outstanding.
     for (int i = 0; i < 7; i++) {
-      clients.add(RawHttp.to(node.address()).write(HALF));
-      settled();
+      clients.add(RawHttp.to(node.address()).write(PARTIAL_BODY));
+      awaitSettled();
     }
-    assertEquals(rest(clients.get(0)), List.of(503));
-    for (RawHttp each : clients) {
-      each.close();
+    assertEquals(readStatuses(clients.get(0)), List.of(503));
+    for (RawHttp client : clients) {
+      client.close();
     }
   }
 
-  /** The statuses of all answers up to the connection's end. */
-  private static List<Integer> rest(RawHttp client) throws Exception {
+  /** Returns the statuses of all answers until the connection is closed. */
+  private static List<Integer> readStatuses(RawHttp client) throws Exception {
     List<Integer> statuses = new ArrayList<>();
     for (Message answer = client.read(); answer != null; answer = client.read()) {
       statuses.add(answer.status());
--- a/node/src/test/java/ferngrade/server/RelayedCallbackProcessTest.java
+++ b/node/src/test/java/ferngrade/server/RelayedCallbackProcessTest.java
@@ -10,83 +10,88 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Workers' callbacks that come to another process than that of their job. */
+/** Tests callbacks that arrive at a different process than the one with their job. */
 public class RelayedCallbackProcessTest extends SharedSocketFixture {
-  /** The jobs in flight, and so the callbacks that are sent, at the same time. */
+  /** The number of jobs in flight, and of callbacks sent, at the same time. */
   private static final int JOBS = 8;
 
-  /** The callbacks that have to come to the second process. */
-  private static final int RELAYED = 20;
+  /** The minimum number of callbacks that the second process must relay. */
+  private static final int MIN_RELAYED_CALLBACKS = 20;
 
-  /** How often a worker sends a callback at most; a slow machine may let a relay time out. */
+  /**
+   * The maximum number of times a worker sends a callback; relays may time out on slow machines.
+   */
   private static final int MAX_CALLBACKS = 10;
 
-  /** How long a worker may be told that another process may still run, ms. */
-  private static final long END_NOTICED_WITHIN = 10_000;
+  /** The maximum time until the end of the other process is detected, in ms. */
+  private static final long MAX_END_DETECTION_MILLIS = 10_000;
 
-  /** Fails where a callback is lost between two processes, or sent in vain after one has ended. */
+  /**
+   * Guards against callbacks that are lost between two processes, or rejected forever after one of
+   * them has ended.
+   */
   @Test(timeOut = 60_000)
-  public void callbacksReachTheOtherProcessAndAreTakenOnceItHasEnded() throws Exception {
+  public void relaysCallbacksToTheOtherProcessAndAcceptsThemAfterItsEnd() throws Exception {
     startPlatform();
     ServingProcess first = startProcess();
-    List<RawHttp> ofFirst = new ArrayList<>();
-    serveAll(ofFirst, 0);
+    List<RawHttp> clientsOfFirst = new ArrayList<>();
+    serveAll(clientsOfFirst, 0);
     ServingProcess second = startProcess();
     int rounds = 1;
-    while (metric(second, "relayed.taken") < RELAYED) {
-      serveAll(ofFirst, rounds++);
+    while (metric(second, "relayed.taken") < MIN_RELAYED_CALLBACKS) {
+      serveAll(clientsOfFirst, rounds++);
     }
     assertEquals(metric(first, "served.order"), (long) rounds * JOBS);
 
     first.handle().destroy();
     first.handle().onExit().get(20, TimeUnit.SECONDS);
-    assertEquals(statusOnceTheEndIsNoticed(), 204, "a callback for a job of the ended process");
+    assertEquals(statusAfterEndIsDetected(), 204, "a callback for a job of the ended process");
     assertTrue(metric(second, "relayed.ended") > 0);
-    for (RawHttp client : ofFirst) {
+    for (RawHttp client : clientsOfFirst) {
       client.close();
     }
   }
 
   /**
-   * Has all clients, which connect in round 0, send a job, and the worker send all callbacks at
-   * once, each to the process that happens to accept it.
+   * Sends one job from each client, which connects in round 0, and then sends the worker's
+   * callbacks at the same time, each to the process that happens to accept it.
    */
-  private void serveAll(List<RawHttp> sending, int round) throws IOException {
+  private void serveAll(List<RawHttp> senders, int round) throws IOException {
     List<RawHttp> callers = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       if (round == 0) {
-        sending.add(RawHttp.to(clients));
+        senders.add(RawHttp.to(clients));
       }
-      sending.get(i).write(RawHttp.message(job("POST /api", name(round, i), "order"), ""));
-      take(name(round, i));
+      senders.get(i).write(RawHttp.message(jobHead("POST /api", jobId(round, i), "order"), ""));
+      acceptJob(jobId(round, i));
     }
     for (int i = 0; i < JOBS; i++) {
-      callers.add(RawHttp.to(clients).write(callback(name(round, i))));
+      callers.add(RawHttp.to(clients).write(callback(jobId(round, i))));
     }
     for (int i = 0; i < JOBS; i++) {
-      assertEquals(statusAfterRepeats(callers.get(i), name(round, i)), 204, name(round, i));
-      assertEquals(sending.get(i).read().body(), "soup", name(round, i));
+      assertEquals(statusAfterRetries(callers.get(i), jobId(round, i)), 204, jobId(round, i));
+      assertEquals(senders.get(i).read().body(), "soup", jobId(round, i));
     }
   }
 
-  private static String name(int round, int job) {
+  private static String jobId(int round, int job) {
     return "round-" + round + "-job-" + job;
   }
 
-  private int statusAfterRepeats(RawHttp caller, String job) throws IOException {
+  private int statusAfterRetries(RawHttp caller, String job) throws IOException {
     int status = caller.read().status();
     caller.close();
     for (int i = 1; i < MAX_CALLBACKS && status == 503; i++) {
-      status = callBack(clients, job, DONE);
+      status = sendCallback(clients, job, DONE);
     }
     return status;
   }
 
-  private int statusOnceTheEndIsNoticed() throws IOException {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(END_NOTICED_WITHIN);
-    int status = callBack(clients, name(0, 0), DONE);
+  private int statusAfterEndIsDetected() throws IOException {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_END_DETECTION_MILLIS);
+    int status = sendCallback(clients, jobId(0, 0), DONE);
     while (status == 503 && System.nanoTime() < end) {
-      status = callBack(clients, name(0, 0), DONE);
+      status = sendCallback(clients, jobId(0, 0), DONE);
     }
     return status;
   }
--- a/node/src/test/java/ferngrade/server/SharedSocketFixture.java
+++ b/node/src/test/java/ferngrade/server/SharedSocketFixture.java
@@ -17,44 +17,44 @@
 import org.testng.annotations.AfterMethod;
 
 /**
- * Processes of a node on one clients' listening socket, against a worker and a discovery that the
- * story speaks for: needs Perl, which hands the socket to them.
+ * Runs several processes of a node on one listening socket; the test acts as their worker and their
+ * discovery. Requires Perl, which passes the socket to the processes.
  */
 public abstract class SharedSocketFixture extends NodeIntegrationFixture {
-  /** The end of a callback for a job that is done. */
+  /** The last fields of a callback for a finished job. */
   static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
 
-  /** Ends the connection too, so that each job comes on one of its own. */
-  private static final String TAKEN =
+  /** Accepts a job and closes the connection, so that each job arrives on a new connection. */
+  private static final String ACCEPTED_AND_CLOSED =
       "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-  /** Where clients connect, and workers call back. */
+  /** The address of the shared socket, to which clients connect and workers send callbacks. */
   InetSocketAddress clients;
 
-  private final List<ProcessHandle> nodes = new ArrayList<>();
+  private final List<ProcessHandle> processes = new ArrayList<>();
   private Process platform;
-  private BufferedReader said;
-  private Path folder;
+  private BufferedReader platformOutput;
+  private Path stateFolder;
 
-  /** A process that serves, and where it takes operators' calls. */
+  /** A serving process and the address of its operators' listener. */
   record ServingProcess(ProcessHandle handle, InetSocketAddress operators) {}
 
   @Override
   @AfterMethod(alwaysRun = true)
-  public void end() throws Exception {
+  public void tearDown() throws Exception {
     worker.close();
     discovery.close();
-    nodes.forEach(ProcessHandle::destroyForcibly);
+    processes.forEach(ProcessHandle::destroyForcibly);
     platform.destroy();
   }
 
-  /** Prepares the listening socket and the folder that the processes share. */
+  /** Creates the listening socket and the folder that the processes share. */
   void startPlatform() throws IOException {
-    folder = Files.createTempDirectory("hand-over");
-    Path configuration = folder.resolve("node.json");
+    stateFolder = Files.createTempDirectory("hand-over");
+    Path configuration = stateFolder.resolve("node.json");
     Files.writeString(
         configuration, configuration(discovery.getLocalPort(), null, "push").toString());
-    Path script = folder.resolve("hand-over.pl");
+    Path script = stateFolder.resolve("hand-over.pl");
     Files.write(
         script, SharedSocketFixture.class.getResourceAsStream("hand-over.pl").readAllBytes());
     ProcessBuilder builder =
@@ -71,45 +71,48 @@
     builder.environment().put("LB_CONFIG", configuration.toString());
     builder.environment().put("LB_ADMIN", "127.0.0.1:0");
     builder.environment().put("LB_ACCEPT_FD", "0");
-    builder.environment().put("TMPDIR", folder.toString());
+    builder.environment().put("TMPDIR", stateFolder.toString());
     platform = builder.start();
-    said = platform.inputReader(StandardCharsets.UTF_8);
+    platformOutput = platform.inputReader(StandardCharsets.UTF_8);
     clients =
-        new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(said.readLine()));
+        new InetSocketAddress(
+            InetAddress.getLoopbackAddress(), Integer.parseInt(platformOutput.readLine()));
   }
 
-  /** Starts a process, tells it the list, and returns once it is ready. */
+  /** Starts a process, sends it the endpoint list, and returns once it is ready. */
   ServingProcess startProcess() throws Exception {
-    String earlier = admin();
+    String earlierAddress = adminAddress();
     platform.outputWriter().append("start\n").flush();
-    ProcessHandle process = ProcessHandle.of(Long.parseLong(said.readLine())).orElseThrow();
-    nodes.add(process);
-    RawHttp told = new RawHttp(discovery.accept());
-    told.read();
-    told.write(
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(1, "active") + "\n"));
-    while (admin().equals(earlier)) {
+    ProcessHandle process =
+        ProcessHandle.of(Long.parseLong(platformOutput.readLine())).orElseThrow();
+    processes.add(process);
+    RawHttp watch = new RawHttp(discovery.accept());
+    watch.read();
+    watch.write(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + chunk(endpointList(1, "active") + "\n"));
+    while (adminAddress().equals(earlierAddress)) {
       Thread.onSpinWait();
     }
-    String[] address = admin().split(":", 2);
+    String[] address = adminAddress().split(":", 2);
     InetSocketAddress operators = new InetSocketAddress(address[0], Integer.parseInt(address[1]));
     try (RawHttp operator = RawHttp.to(operators)) {
-      awaitReadiness(operator, 200);
+      awaitReadyStatus(operator, 200);
     }
     return new ServingProcess(process, operators);
   }
 
-  /** Where the newest process takes operators' calls; empty before the first one does. */
-  private String admin() throws IOException {
-    Path file = folder.resolve("ferngrade-admin.txt");
+  /** Returns the operators' address of the newest process; empty before the first one has any. */
+  private String adminAddress() throws IOException {
+    Path file = stateFolder.resolve("ferngrade-admin.txt");
     return Files.exists(file) ? Files.readString(file).trim() : "";
   }
 
-  /** The worker takes this job, from whichever process it comes. */
-  void take(String id) throws IOException {
-    RawHttp worked = new RawHttp(worker.accept());
-    Message message = worked.read();
+  /** Accepts the job with this id for the worker, from whichever process sends it. */
+  void acceptJob(String id) throws IOException {
+    RawHttp workerConnection = new RawHttp(worker.accept());
+    Message message = workerConnection.read();
     assertEquals(message.headers().get("Req-Id"), id, message.start());
-    worked.write(TAKEN);
+    workerConnection.write(ACCEPTED_AND_CLOSED);
   }
 }
--- a/node/src/test/java/ferngrade/server/ShortDeadlineTest.java
+++ b/node/src/test/java/ferngrade/server/ShortDeadlineTest.java
@@ -10,33 +10,34 @@
 import org.testng.annotations.Test;
 
 /**
- * A request with little time left, at a worker that drops it without a word, gets its final answer
- * in time.
+ * Guards against a late final answer to a request with little time left whose worker silently drops
+ * it.
  */
 @Test(timeOut = 30_000)
-public class LittleTimeTest extends NodeIntegrationFixture {
+public class ShortDeadlineTest extends NodeIntegrationFixture {
   @DataProvider
   public Object[][] requests() {
     List<Object[]> requests = new ArrayList<>();
-    for (int left : new int[] {1, 20, 150}) {
+    for (int remainingMillis : new int[] {1, 20, 150}) {
       for (String jobClass : List.of("order", "plan", "draft")) {
-        requests.add(new Object[] {left, jobClass});
+        requests.add(new Object[] {remainingMillis, jobClass});
       }
     }
     return requests.toArray(Object[][]::new);
   }
 
   @Test(dataProvider = "requests")
-  public void requestThatItsWorkerDropsIsAnsweredAtItsEnd(int left, String jobClass)
+  public void answersRequestDroppedByItsWorkerAtItsDeadline(int remainingMillis, String jobClass)
       throws Exception {
-    start(list(1, "active"), () -> now);
+    start(endpointList(1, "active"), () -> now);
     try (RawHttp client = RawHttp.to(node.address())) {
       String head =
-          job("POST /api", "a", jobClass).replace("9000m", left + "m") + "\r\nIdempotency-Key: k";
+          jobHead("POST /api", "a", jobClass).replace("9000m", remainingMillis + "m")
+              + "\r\nIdempotency-Key: k";
       client.write(RawHttp.message(head, ""));
-      String told = new RawHttp(worker.accept()).read().headers().get("Req-Deadline");
-      assertTrue(Integer.parseInt(told.replace("m", "")) <= left, told);
-      advance(left + 10);
+      String sentDeadline = new RawHttp(worker.accept()).read().headers().get("Req-Deadline");
+      assertTrue(Integer.parseInt(sentDeadline.replace("m", "")) <= remainingMillis, sentDeadline);
+      advance(remainingMillis + 10);
       assertEquals(client.read().status(), 502);
     }
   }
--- a/node/src/test/java/ferngrade/server/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/ShutdownTest.java
@@ -27,38 +27,39 @@
 import org.testng.annotations.Test;
 
 /**
- * A stop on real connections: whatever workers and clients do, it is over before the earliest kill,
- * and nothing that was read is left without an answer. The clock stands still but where the test
- * moves it.
+ * Guards against a shutdown that outlasts the earliest kill or leaves a request that was read
+ * without an answer, whatever workers and clients do. The clock only moves when the test advances
+ * it.
  */
 @Test(timeOut = 30_000)
 public class ShutdownTest extends NodeIntegrationFixture {
-  private static final double HELD_UP = 150;
-  private static final double LATE_IN_THE_GRACE = 500;
-  private static final int REFUSED = 503;
+  private static final double PAUSE_MILLIS = 150;
+  private static final double LATE_IN_GRACE_PERIOD_MILLIS = 500;
+  private static final int REJECTED = 503;
   private static final int FAILED = 502;
-  private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+  private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
-  private static final String STOPPING = "stopping";
-  private static final String ACCEPTED_ALL = "no more jobs are accepted";
-  private static final String SHUTDOWN_ENDS = "shutdown ends";
-  private static final List<String> KINDS = List.of("order", "plan", "draft");
+  private static final String STOPPING_LINE = "stopping";
+  private static final String NO_MORE_JOBS_LINE = "no more jobs are accepted";
+  private static final String SHUTDOWN_ENDS_LINE = "shutdown ends";
+  private static final List<String> CLASSES = List.of("order", "plan", "draft");
 
-  private final Map<String, Hold> holds = new ConcurrentHashMap<>();
+  private final Map<String, LoopBlock> blocksByLine = new ConcurrentHashMap<>();
 
-  private volatile String end;
+  /** The log line at the end of the shutdown; null before. */
+  private volatile String endLine;
 
-  /** All connections of a test's clients and of its worker: they stay open until it is over. */
+  /** All connections of the test's clients and its worker, which stay open until the test ends. */
   private final List<RawHttp> connections = new ArrayList<>();
 
-  /** Keeps the event loop busy at a line of the log, until the test lets it go on. */
-  private record Hold(Runnable atReached, CountDownLatch reached, CountDownLatch released) {}
+  /** Blocks the event loop at a log line until the test releases it. */
+  private record LoopBlock(Runnable onReached, CountDownLatch reached, CountDownLatch released) {}
 
-  /** What the worker does with the jobs, and the answer that their clients are owed for it. */
+  /** The behavior of the worker and the resulting status of the answer to its clients. */
   private enum Worker {
-    TAKES_JOBS_AND_HANGS(FAILED),
+    ACCEPTS_JOBS_AND_HANGS(FAILED),
     READS_JOBS_AND_HANGS(FAILED),
-    NEVER_LETS_CONNECT(REFUSED);
+    ACCEPTS_NO_CONNECTION(REJECTED);
 
     private final int status;
 
@@ -67,24 +68,24 @@
     }
   }
 
-  private Hold hold(String line) {
-    return hold(line, () -> {});
+  private LoopBlock blockLoopAt(String line) {
+    return blockLoopAt(line, () -> {});
   }
 
-  private Hold hold(String line, Runnable atReached) {
-    Hold hold = new Hold(atReached, new CountDownLatch(1), new CountDownLatch(1));
-    holds.put(line, hold);
-    return hold;
+  private LoopBlock blockLoopAt(String line, Runnable onReached) {
+    LoopBlock block = new LoopBlock(onReached, new CountDownLatch(1), new CountDownLatch(1));
+    blocksByLine.put(line, block);
+    return block;
   }
 
-  private void logged(String line) {
-    end = line.startsWith(SHUTDOWN_ENDS) ? line : end;
-    Hold hold = holds.remove(line);
-    if (hold != null) {
-      hold.atReached.run();
-      hold.reached.countDown();
+  private void onLogLine(String line) {
+    endLine = line.startsWith(SHUTDOWN_ENDS_LINE) ? line : endLine;
+    LoopBlock block = blocksByLine.remove(line);
+    if (block != null) {
+      block.onReached.run();
+      block.reached.countDown();
       try {
-        hold.released.await();
+        block.released.await();
       } catch (InterruptedException interrupted) {
         throw new IllegalStateException(interrupted);
       }
@@ -93,13 +94,13 @@
 
   @AfterMethod(alwaysRun = true, timeOut = 10_000)
   @Override
-  public void end() throws Exception {
-    for (RawHttp each : connections) {
-      each.close();
+  public void tearDown() throws Exception {
+    for (RawHttp connection : connections) {
+      connection.close();
     }
     connections.clear();
-    holds.clear();
-    super.end();
+    blocksByLine.clear();
+    super.tearDown();
   }
 
   private RawHttp connect() throws IOException {
@@ -110,15 +111,15 @@
 
   private void start(double deadline) throws Exception {
     start(
-        list(1, "active"),
+        endpointList(1, "active"),
         config(discovery.getLocalPort(), null, "push", deadline),
         () -> now,
-        this::logged);
+        this::onLogLine);
   }
 
-  private static String request(String id, String kind, double deadline) {
+  private static String request(String id, String jobClass, double deadline) {
     return RawHttp.message(
-        job("POST /api", id, kind).replace("9000m", (int) deadline + "m")
+        jobHead("POST /api", id, jobClass).replace("9000m", (int) deadline + "m")
             + "\r\nIdempotency-Key: k-"
             + id,
         "body");
@@ -131,22 +132,22 @@
     workerEnd.write(reply);
   }
 
-  /** A client that has had one answer: its connection is known, and rests. */
+  /** Opens a client connection that has received one answer and is idle. */
   private RawHttp knownClient(String id) throws IOException {
     RawHttp client = connect().write(request(id, "order", 9000));
-    readJob(TAKEN);
-    callBack(id, DONE);
+    readJob(ACCEPTED);
+    sendCallback(id, DONE);
     assertEquals(client.read().status(), 200);
     return client;
   }
 
-  /** Something that may be interrupted. */
+  /** A task that may be interrupted. */
   @FunctionalInterface
-  private interface Waiting {
+  private interface InterruptibleTask {
     void run() throws InterruptedException;
   }
 
-  private static CompletableFuture<Void> inBackground(Waiting task) {
+  private static CompletableFuture<Void> inBackground(InterruptibleTask task) {
     return CompletableFuture.runAsync(
         () -> {
           try {
@@ -157,23 +158,23 @@
         });
   }
 
-  /** Stops the node, and returns once it has heard of it; meanwhile it may be held up. */
-  private CompletableFuture<Void> stopInBackground(double grace, double heldUp)
+  /** Stops the node, pauses its event loop for {@code pauseMillis}, and returns. */
+  private CompletableFuture<Void> stopInBackground(double grace, double pauseMillis)
       throws InterruptedException {
-    Hold stopping = hold(STOPPING);
+    LoopBlock stopping = blockLoopAt(STOPPING_LINE);
     CompletableFuture<Void> stopped = inBackground(() -> node.stop(grace));
     stopping.reached.await();
-    advance(heldUp);
+    advance(pauseMillis);
     stopping.released.countDown();
     return stopped;
   }
 
-  private static void over(CompletableFuture<Void> stopped) throws Exception {
+  private static void awaitStopped(CompletableFuture<Void> stopped) throws Exception {
     stopped.get(5, TimeUnit.SECONDS);
   }
 
-  /** The queue of the worker's listener is full: a dial hangs. */
-  private List<Socket> fillWorkersQueue() throws IOException {
+  /** Fills the accept queue of the worker's listener, so that connects hang. */
+  private List<Socket> fillAcceptQueue() throws IOException {
     worker.close();
     worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     return List.of(
@@ -185,155 +186,156 @@
   public Object[][] workersThatHang() {
     return Stream.of(Worker.values())
         .flatMap(
-            each ->
+            workerBehavior ->
                 Stream.of(
-                    new Object[] {each, 150, 850, false}, new Object[] {each, 1000, 1700, true},
-                    new Object[] {each, 4000, 3700, false},
-                        new Object[] {each, 10_000, 3700, true}))
+                    new Object[] {workerBehavior, 150, 850, false},
+                    new Object[] {workerBehavior, 1000, 1700, true},
+                    new Object[] {workerBehavior, 4000, 3700, false},
+                    new Object[] {workerBehavior, 10_000, 3700, true}))
         .toArray(Object[][]::new);
   }
 
   @Test(dataProvider = "workersThatHang")
-  public void stopIsOverAndAllIsAnsweredBeforeTheEarliestKill(
-      Worker worker, int deadline, int kill, boolean heldUp) throws Exception {
-    List<Socket> filled = worker == Worker.NEVER_LETS_CONNECT ? fillWorkersQueue() : List.of();
+  public void answersAllRequestsAndStopsBeforeTheEarliestKill(
+      Worker worker, int deadline, int killMillis, boolean paused) throws Exception {
+    List<Socket> queuedConnections =
+        worker == Worker.ACCEPTS_NO_CONNECTION ? fillAcceptQueue() : List.of();
     start(deadline);
-    double signalled = now;
+    double signalTime = now;
     List<RawHttp> clients = new ArrayList<>();
-    for (String kind : KINDS) {
-      clients.add(connect().write(request(kind, kind, deadline)));
-      if (worker != Worker.NEVER_LETS_CONNECT) {
-        readJob(worker == Worker.TAKES_JOBS_AND_HANGS ? TAKEN : "");
+    for (String jobClass : CLASSES) {
+      clients.add(connect().write(request(jobClass, jobClass, deadline)));
+      if (worker != Worker.ACCEPTS_NO_CONNECTION) {
+        readJob(worker == Worker.ACCEPTS_JOBS_AND_HANGS ? ACCEPTED : "");
       }
     }
-    RawHttp resting = connect();
+    RawHttp idle = connect();
     RawHttp late = connect();
-    settled();
+    awaitSettled();
     CompletableFuture<Void> stopped =
-        stopInBackground(Double.POSITIVE_INFINITY, heldUp ? HELD_UP : 0);
-    now = signalled + LATE_IN_THE_GRACE;
+        stopInBackground(Double.POSITIVE_INFINITY, paused ? PAUSE_MILLIS : 0);
+    now = signalTime + LATE_IN_GRACE_PERIOD_MILLIS;
     late.write(request("late", "order", deadline));
-    settled();
+    awaitSettled();
 
-    now = signalled + kill - HELD_UP;
+    now = signalTime + killMillis - PAUSE_MILLIS;
     for (RawHttp client : clients) {
       assertEquals(client.read().status(), worker.status);
-      assertNull(client.read(), "an end");
+      assertNull(client.read(), "closed");
     }
-    int answer = late.read().status();
-    assertTrue(answer == worker.status || answer == REFUSED, "late in the grace: " + answer);
-    assertNull(late.read(), "an end");
-    // The clients hold on to their connections, and one still sends: nothing of this keeps the
-    // process.
-    assertNull(resting.write(request("crossing", "order", deadline)).read(), "an end");
-    over(stopped);
-    for (Socket each : filled) {
-      each.close();
+    int lateStatus = late.read().status();
+    assertTrue(
+        lateStatus == worker.status || lateStatus == REJECTED, "late in the grace: " + lateStatus);
+    assertNull(late.read(), "closed");
+    // Clients that keep their connections open, or still send, do not delay the shutdown.
+    assertNull(idle.write(request("crossing", "order", deadline)).read(), "closed");
+    awaitStopped(stopped);
+    for (Socket queued : queuedConnections) {
+      queued.close();
     }
   }
 
   @Test
-  public void requestThatCrossesTheShutdownIsNotReadAndSeesAnEndThoughTheProcessEnds()
-      throws Exception {
+  public void closesWithoutResetWhenRequestCrossesTheShutdown() throws Exception {
     start(9000);
-    RawHttp resting = knownClient("known");
-    RawHttp sendingOn = knownClient("sending");
-    Hold accepted = hold(ACCEPTED_ALL);
+    RawHttp idle = knownClient("known");
+    RawHttp sender = knownClient("sending");
+    LoopBlock noMoreJobs = blockLoopAt(NO_MORE_JOBS_LINE);
     CompletableFuture<Void> stopped = stopInBackground(0, 0);
-    accepted.reached.await();
-    resting.write(request("crossing", "order", 9000));
-    accepted.released.countDown();
-    assertNull(resting.read(), "an end");
-    resting.write(request("behind", "order", 9000));
-    settleOn(resting);
+    noMoreJobs.reached.await();
+    idle.write(request("crossing", "order", 9000));
+    noMoreJobs.released.countDown();
+    assertNull(idle.read(), "closed");
+    idle.write(request("behind", "order", 9000));
+    assertNotReset(idle);
     for (int i = 0; i < 100; i++) {
-      sendingOn.write(request("more" + i, "order", 9000));
+      sender.write(request("more" + i, "order", 9000));
     }
     advance(4000);
-    over(stopped);
+    awaitStopped(stopped);
     assertNull(
-        sendingOn.read(), "an end and no reset, though nothing was read before the process ended");
+        sender.read(), "closed without a reset, though no input was read before the process ended");
     worker.setSoTimeout(1);
     assertThrows(SocketTimeoutException.class, worker::accept);
   }
 
   /**
-   * Returns once this connection, shut by the node, has seen what a reset would do to it: its
-   * writes would fail.
+   * Asserts that a connection which the node has shut down is not reset: a reset would make these
+   * writes fail.
    */
-  private static void settleOn(RawHttp client) throws IOException {
+  private static void assertNotReset(RawHttp client) throws IOException {
     for (int i = 0; i < 10; i++) {
-      assertNull(client.write("more").read(), "no reset");
+      assertNull(client.write("more").read(), "not reset");
     }
   }
 
   @Test
-  public void requestsThatWaitBehindAnotherOneAreAllAnsweredThoughTheNodeStops() throws Exception {
+  public void answersPipelinedRequestsWhenTheNodeStops() throws Exception {
     start(9000);
     RawHttp client = connect();
     client.write(
         request("a", "order", 9000) + request("b", "draft", 9000) + request("c", "order", 9000));
-    readJob(TAKEN);
-    settled();
-    Hold accepted = hold(ACCEPTED_ALL);
+    readJob(ACCEPTED);
+    awaitSettled();
+    LoopBlock noMoreJobs = blockLoopAt(NO_MORE_JOBS_LINE);
     CompletableFuture<Void> stopped = stopInBackground(0, 0);
-    accepted.reached.await();
-    accepted.released.countDown();
-    callBack("a", DONE);
+    noMoreJobs.reached.await();
+    noMoreJobs.released.countDown();
+    sendCallback("a", DONE);
     assertEquals(client.read().body(), "soup");
-    assertEquals(client.read().status(), REFUSED);
+    assertEquals(client.read().status(), REJECTED);
     RawHttp.Message last = client.read();
-    assertEquals(last.status(), REFUSED);
+    assertEquals(last.status(), REJECTED);
     assertEquals(last.headers().get("Connection"), "close");
     assertNull(client.read());
     advance(4000);
-    over(stopped);
+    awaitStopped(stopped);
   }
 
   @Test
-  public void requestThatHasComeInPartIsRefusedBeforeTheProcessEnds() throws Exception {
+  public void rejectsPartialRequestBeforeTheProcessEnds() throws Exception {
     start(150);
-    double signalled = now;
+    double signalTime = now;
     String request = request("half", "order", 150);
     RawHttp half = connect().write(request.substring(0, request.length() - 2));
-    settled();
+    awaitSettled();
     CompletableFuture<Void> stopped = stopInBackground(0, 0);
-    now = signalled + 850 - HELD_UP;
-    assertEquals(half.read().status(), REFUSED);
-    assertNull(half.read(), "an end");
-    over(stopped);
+    now = signalTime + 850 - PAUSE_MILLIS;
+    assertEquals(half.read().status(), REJECTED);
+    assertNull(half.read(), "closed");
+    awaitStopped(stopped);
   }
 
-  /** Fails where a process that was held up ends before it writes the answers that it owes. */
+  /** Guards against a paused process that exits before it has written outstanding answers. */
   @Test
-  public void answersThatAreDueInTheTurnOfTheEndAreWrittenFirst() throws Exception {
+  public void writesAnswersThatAreDueInTheLastTurn() throws Exception {
     start(9000);
     RawHttp client = connect().write(request("a", "order", 9000));
-    readJob(TAKEN);
-    double signalled = now;
-    Hold accepted = hold(ACCEPTED_ALL);
+    readJob(ACCEPTED);
+    double signalTime = now;
+    LoopBlock noMoreJobs = blockLoopAt(NO_MORE_JOBS_LINE);
     CompletableFuture<Void> stopped = stopInBackground(0, 0);
-    accepted.reached.await();
-    accepted.released.countDown();
-    settled();
-    now = signalled + 3700 - HELD_UP;
-    over(stopped);
-    assertFalse(end.contains("requests"), end);
+    noMoreJobs.reached.await();
+    noMoreJobs.released.countDown();
+    awaitSettled();
+    now = signalTime + 3700 - PAUSE_MILLIS;
+    awaitStopped(stopped);
+    assertFalse(endLine.contains("requests"), endLine);
     assertEquals(client.read().status(), FAILED);
   }
 
   @Test
-  public void processIsEndedByTheEventLoopItself() throws Exception {
+  public void eventLoopThreadEndsTheProcess() throws Exception {
     start(9000);
     AtomicReference<Thread> loop = new AtomicReference<>();
-    Hold stopping = hold(STOPPING, () -> loop.set(Thread.currentThread()));
+    LoopBlock stopping = blockLoopAt(STOPPING_LINE, () -> loop.set(Thread.currentThread()));
     stopping.released.countDown();
     AtomicReference<Thread> exiting = new AtomicReference<>();
     CompletableFuture<Void> stopped =
         inBackground(() -> node.stopAndExit(() -> exiting.set(Thread.currentThread())));
     stopping.reached.await();
     advance(4000);
-    over(stopped);
-    assertSame(exiting.get(), loop.get(), "no thread but this one is in a system call");
+    awaitStopped(stopped);
+    assertSame(exiting.get(), loop.get(), "the event loop thread ends the process");
   }
 }
--- a/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
@@ -27,29 +27,32 @@
 import org.testng.annotations.Test;
 
 /**
- * A whole node whose system calls fail for a while: nothing that it owes is lost, and no worker
- * pays for it.
+ * Guards against lost jobs, callbacks or announcements, and against ejected workers, while system
+ * calls of this machine fail for a limited time.
  */
 @Test(timeOut = 30_000)
 public class SystemCallFaultsTest extends NodeIntegrationFixture {
-  private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+  private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
   private static final String DONE = "\"state\":\"done\",\"result\":\"soup\"";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
 
   /**
-   * How long a fault lasts that lasts, ms on the node's clock, and how soon after it service has to
-   * be back.
+   * The duration of {@link Pattern#FOR_A_WHILE} faults of system calls that send or connect, in ms
+   * on the node's clock.
    */
-  private static final double OUTAGE = 2000;
+  private static final double OUTAGE_MILLIS = 2000;
 
-  private static final double SERVICE_BACK = 100;
+  /** The time after a fault within which service must have recovered, in ms on the node's clock. */
+  private static final double MAX_RECOVERY_MILLIS = 100;
 
   /**
-   * Accepts that fail in a row where the fault lasts: Netty would pause for a second after each.
+   * The number of consecutive accepts that fail in a lasting fault. Netty would pause accepting for
+   * one second after each failure.
    */
   private static final int FAILED_ACCEPTS = 5;
 
-  private static final List<Errno> LOCAL =
+  /** Errors caused by this machine, not by the peer. */
+  private static final List<Errno> LOCAL_ERRORS =
       List.of(
           Errno.EADDRNOTAVAIL,
           Errno.ENOBUFS,
@@ -86,9 +89,9 @@
   }
 
   @Test(dataProvider = "acceptFaults")
-  public void failedAcceptDelaysItsCallerByMillisecondsOnly(
+  public void failedAcceptDelaysClientOnlyByMilliseconds(
       Purpose listener, Errno errno, Pattern pattern) throws Exception {
-    start(list(1, "active"), Clock.system());
+    start(endpointList(1, "active"), Clock.system());
     InetSocketAddress address = listener == Purpose.ADMIN ? node.adminAddress() : node.address();
     faults.fail(
         listener,
@@ -99,15 +102,15 @@
           case FOR_A_WHILE -> () -> faults.raised.get() < FAILED_ACCEPTS;
           case EVERY_SECOND_CALL -> FaultInjectingChannels.everySecondCall();
         });
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     for (int i = 0; i < 3; i++) {
       try (RawHttp client = RawHttp.to(address)) {
         assertEquals(client.write(READY).read().status(), 200);
       }
     }
-    long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
-    assertTrue(faults.raised.get() > 0, "an accept has failed");
-    assertTrue(millis < 900, "no pause of a second: " + millis + " ms");
+    long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+    assertTrue(faults.raised.get() > 0, "no accept has failed");
+    assertTrue(millis < 900, "accepts were paused: " + millis + " ms");
   }
 
   @DataProvider
@@ -121,10 +124,9 @@
   }
 
   @Test(dataProvider = "listenerFaults")
-  public void nodeWhoseListenersCannotBeOpenedForAMomentStarts(Purpose listener, Errno errno)
-      throws Exception {
+  public void startsAfterTransientListenerFailure(Purpose listener, Errno errno) throws Exception {
     faults.fail(listener, SystemCall.SOCKET, errno, FaultInjectingChannels.once());
-    start(config(discovery.getLocalPort(), list(1, "active")), Clock.system());
+    start(config(discovery.getLocalPort(), endpointList(1, "active")), Clock.system());
     try (RawHttp client = RawHttp.to(node.address())) {
       assertNotNull(client.write(READY).read());
     }
@@ -137,14 +139,14 @@
   }
 
   @DataProvider
-  public Object[][] dialFaults() {
+  public Object[][] connectFaults() {
     return localFaults(SystemCall.SOCKET, SystemCall.CONNECT);
   }
 
   private static Object[][] localFaults(SystemCall... calls) {
     List<Object[]> all = new ArrayList<>();
     for (SystemCall call : calls) {
-      for (Errno errno : LOCAL) {
+      for (Errno errno : LOCAL_ERRORS) {
         for (Pattern pattern : Pattern.values()) {
           all.add(new Object[] {call, errno, pattern});
         }
@@ -153,117 +155,117 @@
     return all.toArray(Object[][]::new);
   }
 
-  /** Has the call fail in this pattern, and says when that is over. */
+  /** Injects failures of a call; returns the end of the fault, in ms on the node's clock. */
   private double fail(Purpose purpose, SystemCall call, Errno errno, Pattern pattern) {
-    double end = pattern == Pattern.FOR_A_WHILE ? now + OUTAGE : now;
+    double faultEnds = pattern == Pattern.FOR_A_WHILE ? now + OUTAGE_MILLIS : now;
     faults.fail(
         purpose,
         call,
         errno,
         switch (pattern) {
           case ONCE -> FaultInjectingChannels.once();
-          case FOR_A_WHILE -> () -> now < end;
+          case FOR_A_WHILE -> () -> now < faultEnds;
           case EVERY_SECOND_CALL -> FaultInjectingChannels.everySecondCall();
         });
-    return end;
+    return faultEnds;
   }
 
-  /**
-   * Returns once the outage is over and the node has had the time in which service has to be back.
-   */
+  /** Advances the clock past the fault and the time within which service must have recovered. */
   private void passOutage(double faultEnds) throws Exception {
-    settled();
+    awaitSettled();
     while (now < faultEnds) {
-      advance(SERVICE_BACK);
-      settled();
+      advance(MAX_RECOVERY_MILLIS);
+      awaitSettled();
     }
-    advance(SERVICE_BACK);
+    advance(MAX_RECOVERY_MILLIS);
   }
 
   @Test(dataProvider = "sendFaults")
-  public void sendThatThisMachineFailsIsMadeAgainAndNoWorkerIsEjected(
+  public void retriesLocallyFailedSendWithoutEjectingWorkers(
       SystemCall call, Errno errno, Pattern pattern) throws Exception {
-    start(list(1, "active"), () -> now);
-    double end = fail(Purpose.WORKERS, call, errno, pattern);
+    start(endpointList(1, "active"), () -> now);
+    double faultEnds = fail(Purpose.WORKERS, call, errno, pattern);
     for (String id : List.of("a", "b", "c")) {
-      // A job has a connection of its own: in the first pattern the first job's call is struck, in
-      // the last one each job's.
-      boolean struck = id.equals("a") || pattern == Pattern.EVERY_SECOND_CALL;
-      serve(id, end, struck);
+      // Each job uses a new connection, so ONCE affects the first job and EVERY_SECOND_CALL each
+      // job.
+      boolean affected = id.equals("a") || pattern == Pattern.EVERY_SECOND_CALL;
+      serve(id, faultEnds, affected);
       assertNoWorkerEjected();
     }
-    assertTrue(faults.raised.get() > 0, "the call has failed");
+    assertTrue(faults.raised.get() > 0, "the call has not failed");
   }
 
-  @Test(dataProvider = "dialFaults")
-  public void dialOfDiscoveryThatThisMachineFailsDoesNotMakeAnOldListCount(
+  @Test(dataProvider = "connectFaults")
+  public void locallyFailedDiscoveryConnectDoesNotActivateTheStoredList(
       SystemCall call, Errno errno, Pattern pattern) throws Exception {
-    double end = fail(Purpose.DISCOVERY, call, errno, pattern);
-    start(config(discovery.getLocalPort(), list(1, "active")), () -> now);
-    settled();
+    double faultEnds = fail(Purpose.DISCOVERY, call, errno, pattern);
+    start(config(discovery.getLocalPort(), endpointList(1, "active")), () -> now);
+    awaitSettled();
     try (RawHttp client = RawHttp.to(node.address())) {
-      assertEquals(client.write(READY).read().status(), 503, "the old list does not count");
+      assertEquals(client.write(READY).read().status(), 503, "the stored list must not be used");
     }
-    passOutage(end);
+    passOutage(faultEnds);
     watch = new RawHttp(discovery.accept());
     watch.read();
     watch.write(
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list(2, "active") + "\n"));
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            + chunk(endpointList(2, "active") + "\n"));
     try (RawHttp client = RawHttp.to(node.address())) {
-      awaitReadiness(client, 200);
+      awaitReadyStatus(client, 200);
     }
-    assertTrue(faults.raised.get() > 0, "the call has failed");
+    assertTrue(faults.raised.get() > 0, "the call has not failed");
   }
 
-  @Test(dataProvider = "dialFaults")
-  public void processOnASocketHandedOverTellsTheOtherOneWhereItIs(
-      SystemCall call, Errno errno, Pattern pattern) throws Exception {
-    double end = fail(Purpose.HANDOVER, call, errno, pattern);
+  @Test(dataProvider = "connectFaults")
+  public void announcesItsAddressToThePredecessor(SystemCall call, Errno errno, Pattern pattern)
+      throws Exception {
+    double faultEnds = fail(Purpose.HANDOVER, call, errno, pattern);
     try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        RawHttp client = startBeside(other)) {
+        RawHttp client = startAfterPredecessor(other)) {
       other.setSoTimeout(5_000);
       client.write(READY).read();
-      passOutage(end);
-      try (RawHttp told = new RawHttp(other.accept())) {
-        Message message = told.read();
+      passOutage(faultEnds);
+      try (RawHttp announcement = new RawHttp(other.accept())) {
+        Message message = announcement.read();
         assertEquals(message.start(), "POST /-/sibling HTTP/1.1");
         assertTrue(message.body().endsWith(":" + node.adminAddress().getPort()), message.body());
       }
     }
   }
 
-  @Test(dataProvider = "dialFaults")
-  public void callBackForTheOtherProcessIsHandedOn(SystemCall call, Errno errno, Pattern pattern)
+  @Test(dataProvider = "connectFaults")
+  public void relaysCallbackToTheOtherProcess(SystemCall call, Errno errno, Pattern pattern)
       throws Exception {
     try (ServerSocket other = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        RawHttp caller = startBeside(other)) {
+        RawHttp caller = startAfterPredecessor(other)) {
       other.setSoTimeout(5_000);
       other.accept().close();
-      double end =
+      double faultEnds =
           fail(
               Purpose.HANDOVER,
               call,
               errno,
               pattern == Pattern.FOR_A_WHILE ? Pattern.ONCE : pattern);
-      String news = "{\"id\":\"a\",\"from\":\"s-1\"," + DONE + "}";
-      caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", news));
-      passOutage(end);
+      String callback = "{\"id\":\"a\",\"from\":\"s-1\"," + DONE + "}";
+      caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", callback));
+      passOutage(faultEnds);
       try (RawHttp relayed = new RawHttp(other.accept())) {
-        assertEquals(relayed.read().body(), news);
+        assertEquals(relayed.read().body(), callback);
         relayed.write("HTTP/1.1 204 No Content\r\n\r\n");
       }
       assertEquals(caller.read().status(), 204);
-      assertTrue(faults.raised.get() > 0, "the call has failed");
+      assertTrue(faults.raised.get() > 0, "the call has not failed");
     }
   }
 
   /**
-   * Starts the node on a socket handed over, beside an earlier process at this address; opens a
-   * connection to it.
+   * Starts the node on an inherited socket and connects to it. {@code predecessor} acts as the
+   * operators' listener of a process that started earlier.
    */
-  private RawHttp startBeside(ServerSocket other) throws Exception {
+  private RawHttp startAfterPredecessor(ServerSocket predecessor) throws Exception {
     Path folder = Files.createTempDirectory("handover");
-    Files.writeString(folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + other.getLocalPort());
+    Files.writeString(
+        folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + predecessor.getLocalPort());
     ServerSocketChannel clients =
         ServerSocketChannel.open().bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     node =
@@ -276,24 +278,26 @@
     return RawHttp.to(node.address());
   }
 
-  /** Brings one job, which the worker gets once, within 100 ms of the end of the fault. */
-  private void serve(String id, double faultEnds, boolean struck) throws Exception {
+  /**
+   * Sends one job, which the worker must receive once, within 100 ms after the end of the fault.
+   * {@code affected} is true if a system call of this job fails.
+   */
+  private void serve(String id, double faultEnds, boolean affected) throws Exception {
     try (RawHttp client = RawHttp.to(node.address())) {
       int raised = faults.raised.get();
-      client.write(RawHttp.message(job("POST /api", id, "order"), ""));
-      settled();
-      // A dial goes on behind what the story has settled: how soon it fails is the machine's
-      // affair.
-      while (struck && faults.raised.get() == raised) {
+      client.write(RawHttp.message(jobHead("POST /api", id, "order"), ""));
+      awaitSettled();
+      // A connect continues after awaitSettled() and fails at a time that depends on the machine.
+      while (affected && faults.raised.get() == raised) {
         Thread.onSpinWait();
       }
       if (faults.raised.get() > raised) {
         passOutage(faultEnds);
       }
-      try (RawHttp worked = connectionWith(id)) {
-        worked.write(TAKEN);
-        settled();
-        assertEquals(callBack(id, DONE), 204);
+      try (RawHttp workerConnection = acceptConnectionWithJob(id)) {
+        workerConnection.write(ACCEPTED);
+        awaitSettled();
+        assertEquals(sendCallback(id, DONE), 204);
         Message answer = client.read();
         assertNotNull(answer);
         assertEquals(answer.status(), 200);
@@ -301,8 +305,8 @@
     }
   }
 
-  /** The node's connection that brings this job; on those before it, a write has failed. */
-  private RawHttp connectionWith(String id) throws Exception {
+  /** Returns the connection that carries this job; on connections before it a write has failed. */
+  private RawHttp acceptConnectionWithJob(String id) throws Exception {
     while (true) {
       RawHttp accepted = new RawHttp(worker.accept());
       Message job = accepted.read();
@@ -323,9 +327,9 @@
   }
 
   @Test
-  public void readsAndWritesOfOneByteEachCarryWholeRequests() throws Exception {
+  public void transfersWholeRequestsInOneByteReadsAndWrites() throws Exception {
     faults.oneByte = true;
-    start(list(1, "active"), () -> now);
+    start(endpointList(1, "active"), () -> now);
     serve("a", now, false);
     serve("b", now, false);
     assertNoWorkerEjected();
