--- a/node/src/test/java/ferngrade/server/UnreadCallbacksTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadCallbacksTest.java
@@ -13,32 +13,32 @@
 import org.testng.annotations.Test;
 
 /**
- * Guards against requests that fail at their time while what the worker says of them lies there,
- * and a loop that was held up has not read it yet. Each timer is late, and held as it runs.
+ * Guards against requests that time out although their callback has arrived and a delayed event
+ * loop has not read it yet. Each test delays a timer and blocks the loop while the timer runs.
  */
 @Test(timeOut = 30_000)
-public class UnreadCallbacksTest extends HeldLoopFixture {
-  private static final double DEADLINE = 9000;
+public class UnreadCallbacksTest extends BlockedLoopFixture {
+  private static final double DEADLINE_MILLIS = 9000;
 
-  /** How long behind its deadline the node answers a request itself, and a bit more. */
-  private static final double GUARD = 11;
+  /** The delay after a deadline at which the node answers a request itself, plus 1, in ms. */
+  private static final double ANSWER_GUARD_MILLIS = 11;
 
-  private static final double ACCEPTANCE_TIMEOUT = 1001;
+  private static final double ACCEPTANCE_TIMEOUT_MILLIS = 1001;
   private static final String ACCEPTED = RawHttp.message("HTTP/1.1 202 Accepted", "");
 
   private volatile long workerId;
 
-  /** Sends each job to the one worker. */
+  /** Returns a dispatcher that sends each job to the only worker. */
   @Override
   Dispatcher dispatcher(Dispatcher.Actions actions) {
     return (Dispatcher)
         Proxy.newProxyInstance(
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
-            (self, method, with) -> {
+            (proxy, method, arguments) -> {
               switch (method.getName()) {
-                case "members" -> workerId = ((Worker) ((List<?>) with[2]).get(0)).id();
-                case "arrived" -> actions.send(((Job) with[1]).id(), workerId, 0);
+                case "members" -> workerId = ((Worker) ((List<?>) arguments[2]).get(0)).id();
+                case "arrived" -> actions.send(((Job) arguments[1]).id(), workerId, 0);
                 default -> {}
               }
               return method.getReturnType() == int.class ? 0 : null;
@@ -50,7 +50,7 @@
     return RawHttp.message("POST " + path + " HTTP/1.1", body.formatted(state));
   }
 
-  /** Where a callback comes. */
+  /** The path on which a callback arrives. */
   private enum Via {
     NEW_CONNECTION,
     KEPT_CONNECTION,
@@ -60,42 +60,42 @@
   @DataProvider
   public Object[][] callbacks() {
     return new Object[][] {
-      {Via.NEW_CONNECTION, true, DEADLINE},
-      {Via.KEPT_CONNECTION, true, DEADLINE},
-      {Via.RELAY, true, DEADLINE},
-      {Via.NEW_CONNECTION, true, DEADLINE + GUARD},
-      {Via.KEPT_CONNECTION, true, DEADLINE + GUARD},
-      {Via.RELAY, true, DEADLINE + GUARD},
-      {Via.NEW_CONNECTION, false, ACCEPTANCE_TIMEOUT},
-      {Via.RELAY, false, ACCEPTANCE_TIMEOUT},
+      {Via.NEW_CONNECTION, true, DEADLINE_MILLIS},
+      {Via.KEPT_CONNECTION, true, DEADLINE_MILLIS},
+      {Via.RELAY, true, DEADLINE_MILLIS},
+      {Via.NEW_CONNECTION, true, DEADLINE_MILLIS + ANSWER_GUARD_MILLIS},
+      {Via.KEPT_CONNECTION, true, DEADLINE_MILLIS + ANSWER_GUARD_MILLIS},
+      {Via.RELAY, true, DEADLINE_MILLIS + ANSWER_GUARD_MILLIS},
+      {Via.NEW_CONNECTION, false, ACCEPTANCE_TIMEOUT_MILLIS},
+      {Via.RELAY, false, ACCEPTANCE_TIMEOUT_MILLIS},
     };
   }
 
   @Test(dataProvider = "callbacks", timeOut = 30_000)
-  public void jobWhoseResultCameBeforeItsTimerRunsIsServed(Via via, boolean accepted, double late)
+  public void servesJobWhoseResultArrivedBeforeItsTimerRan(Via via, boolean accepted, double delay)
       throws Exception {
     start(64);
     RawHttp client = connect(node.address(), request("a"));
     try (RawHttp job = new RawHttp(worker.accept())) {
       job.read();
-      RawHttp kept = null;
+      RawHttp keptConnection = null;
       if (accepted) {
         job.write(ACCEPTED);
-        kept = connect(node.address(), callback("/_jobs/news", "started"));
-        kept.read();
+        keptConnection = connect(node.address(), callback("/_jobs/news", "started"));
+        keptConnection.read();
       }
-      settled();
-      holdNextAt(TIMER_IS_LATE);
-      advance(late);
-      held.await();
-      InetSocketAddress relays = node.adminAddress();
+      awaitSettled();
+      blockLoopAt(LATE_TIMER_LINE);
+      advance(delay);
+      blockReached.await();
+      InetSocketAddress relayAddress = node.adminAddress();
       switch (via) {
-        case KEPT_CONNECTION -> kept.write(callback("/_jobs/news", "done"));
+        case KEPT_CONNECTION -> keptConnection.write(callback("/_jobs/news", "done"));
         case NEW_CONNECTION -> connect(node.address(), callback("/_jobs/news", "done"));
-        default -> connect(relays, callback("/-/news", "done"));
+        default -> connect(relayAddress, callback("/-/news", "done"));
       }
-      release.countDown();
-      advance(GUARD);
+      blockReleased.countDown();
+      advance(ANSWER_GUARD_MILLIS);
       assertEquals(outcome(client), "200");
     }
   }
--- a/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
@@ -18,27 +18,28 @@
 import org.testng.annotations.Test;
 
 /**
- * Guards against connections that the node closes, for their number or their age, while a whole
- * request lies there that a loop that was held up has not read yet.
+ * Guards against closing connections because of a connection limit or a timeout while a delayed
+ * event loop has not read a whole request that has arrived on them.
  */
 @Test(timeOut = 30_000)
-public class UnreadConnectionsTest extends HeldLoopFixture {
-  private static final String TAKEN_OUT = "menu worker s-1 taken out by operators";
-  private static final double CLIENT_TIMEOUT = 1500;
-  private static final double CALL_TIMEOUT = 1000;
-  private static final double SENDING_GRACE = 500;
-  private static final String NO_MORE_JOBS = "no more jobs are accepted";
-  private static final double STORE_TIMEOUT = 700;
+public class UnreadConnectionsTest extends BlockedLoopFixture {
+  private static final String TAKEN_OUT_LINE = "menu worker s-1 taken out by operators";
+  private static final double CLIENT_TIMEOUT_MILLIS = 1500;
+  private static final double CALL_TIMEOUT_MILLIS = 1000;
+  private static final double SENDING_GRACE_MILLIS = 500;
+  private static final String NO_MORE_JOBS_LINE = "no more jobs are accepted";
+  private static final double STORE_TIMEOUT_MILLIS = 700;
 
-  /** The answer to each job: the dispatcher refuses all. */
-  private static final String REFUSED = "503";
+  /** The status of the answer to each job, since the dispatcher rejects all jobs. */
+  private static final String REJECTED = "503";
 
-  /** Bytes of the first line of a request, with its end, and a few more. */
-  private static final int FIRST_LINE = "POST /api HTTP/1.1\r\n".length();
+  /** The length of the first line of a request with its line end, in bytes. */
+  private static final int FIRST_LINE_LENGTH = "POST /api HTTP/1.1\r\n".length();
 
-  private static final int PART_OF_A_LINE = FIRST_LINE + 3;
+  /** The length of the first line and a part of the second one, in bytes. */
+  private static final int PARTIAL_HEAD_LENGTH = FIRST_LINE_LENGTH + 3;
 
-  private static final String YES = "200";
+  private static final String OK = "200";
   private static final String CALLBACK =
       "{\"id\":\"ID\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"soup\"}";
   private static final String UNKNOWN_JOB = "404";
@@ -48,27 +49,27 @@
   private static final String ENABLE =
       RawHttp.message("POST /-/menu-workers/s-1/enable HTTP/1.1", "");
 
-  private static int awaited(int sockets) {
+  private static int awaitedLimit(int sockets) {
     return ConnectionLimits.within(sockets, MEMORY_MB).awaited();
   }
 
   @DataProvider
   public Object[][] clients() {
     return new Object[][] {
-      {64, awaited(64) - 1}, {85, awaited(85) - 1}, {128, awaited(128) - 1},
+      {64, awaitedLimit(64) - 1}, {85, awaitedLimit(85) - 1}, {128, awaitedLimit(128) - 1},
       {64, 20}, {85, 24}, {128, 29}
     };
   }
 
   @Test(dataProvider = "clients")
-  public void requestsOfAllClientsThatCameWhileTheLoopWasHeldAreAnswered(int sockets, int clients)
+  public void answersRequestsThatArriveWhileTheLoopIsBlocked(int sockets, int clients)
       throws Exception {
     start(sockets);
-    settled();
-    hold();
+    awaitSettled();
+    blockLoop();
     List<RawHttp> callers = connect(clients, node.address(), request("ID"));
-    release.countDown();
-    assertAllGet(REFUSED, callers);
+    blockReleased.countDown();
+    assertAllReceive(REJECTED, callers);
   }
 
   @DataProvider
@@ -77,22 +78,22 @@
   }
 
   @Test(dataProvider = "sockets")
-  public void silentConnectionsGiveWayToRequestsThatAreNotReadYet(int sockets, int clients)
+  public void closesSilentConnectionsInsteadOfThoseWithUnreadRequests(int sockets, int clients)
       throws Exception {
     start(sockets);
-    List<RawHttp> silent = connect(awaited(sockets) - 1, node.address(), "");
-    settled();
-    hold();
+    List<RawHttp> silent = connect(awaitedLimit(sockets) - 1, node.address(), "");
+    awaitSettled();
+    blockLoop();
     List<RawHttp> callers = connect(clients, node.address(), request("ID"));
     connect(3, node.address(), "");
-    release.countDown();
-    assertAllGet(REFUSED, callers);
-    advance(SENDING_GRACE);
+    blockReleased.countDown();
+    assertAllReceive(REJECTED, callers);
+    advance(SENDING_GRACE_MILLIS);
     assertEquals(outcome(silent.get(0)), "closed");
   }
 
   @DataProvider
-  public Object[][] callersBehind() {
+  public Object[][] laterCallers() {
     String state = RawHttp.message("POST /-/state HTTP/1.1", "x");
     String callback = RawHttp.message("POST /-/news HTTP/1.1", "x");
     return new Object[][] {
@@ -100,15 +101,15 @@
     };
   }
 
-  @Test(dataProvider = "callersBehind")
-  public void operatorsCallIsAnsweredHoweverManyCallersComeBehindIt(int callers, String bytes)
+  @Test(dataProvider = "laterCallers")
+  public void answersOperatorsCallWhateverNumberOfCallersFollows(int callers, String bytes)
       throws Exception {
     start(64);
-    hold();
+    blockLoop();
     RawHttp call = connect(node.adminAddress(), DISABLE);
     connect(callers, node.adminAddress(), bytes);
-    release.countDown();
-    assertEquals(outcome(call), YES);
+    blockReleased.countDown();
+    assertEquals(outcome(call), OK);
   }
 
   @DataProvider
@@ -116,186 +117,190 @@
     return new Object[][] {{8}, {12}, {30}};
   }
 
-  /** What the other processes of the node relay comes on a connection each. */
+  /** Each callback relayed by another process of the node arrives on a new connection. */
   @Test(dataProvider = "relays")
-  public void callbacksRelayedWhileTheLoopWasHeldAreAllAnswered(int relays) throws Exception {
+  public void answersCallbacksRelayedWhileTheLoopIsBlocked(int relays) throws Exception {
     start(64);
-    hold();
+    blockLoop();
     List<RawHttp> callers =
         connect(relays, node.adminAddress(), RawHttp.message("POST /-/news HTTP/1.1", CALLBACK));
-    release.countDown();
-    assertAllGet(UNKNOWN_JOB, callers);
+    blockReleased.countDown();
+    assertAllReceive(UNKNOWN_JOB, callers);
   }
 
   @DataProvider
   public Object[][] timeouts() {
     return new Object[][] {
-      {false, 0}, {false, FIRST_LINE}, {false, PART_OF_A_LINE},
-      {true, 0}, {true, FIRST_LINE}, {true, PART_OF_A_LINE}
+      {false, 0}, {false, FIRST_LINE_LENGTH}, {false, PARTIAL_HEAD_LENGTH},
+      {true, 0}, {true, FIRST_LINE_LENGTH}, {true, PARTIAL_HEAD_LENGTH}
     };
   }
 
-  /** The bytes behind {@code before} come while the timer of the connection is about to run. */
+  /** The bytes after {@code prefixLength} arrive while the connection's timer is about to run. */
   @Test(dataProvider = "timeouts")
-  public void requestThatCameBeforeTheTimerOfItsConnectionRunsIsRead(boolean operators, int before)
-      throws Exception {
+  public void readsRequestThatArrivedBeforeItsConnectionTimerRuns(
+      boolean operators, int prefixLength) throws Exception {
     start(64);
     String bytes = operators ? DISABLE : request("a");
     RawHttp caller =
-        connect(operators ? node.adminAddress() : node.address(), bytes.substring(0, before));
-    settled();
-    holdNextAt(TIMER_IS_LATE);
-    advance((operators ? CALL_TIMEOUT : CLIENT_TIMEOUT) + 1);
-    held.await();
-    caller.write(bytes.substring(before));
-    release.countDown();
-    assertEquals(outcome(caller), operators ? YES : REFUSED);
+        connect(operators ? node.adminAddress() : node.address(), bytes.substring(0, prefixLength));
+    awaitSettled();
+    blockLoopAt(LATE_TIMER_LINE);
+    advance((operators ? CALL_TIMEOUT_MILLIS : CLIENT_TIMEOUT_MILLIS) + 1);
+    blockReached.await();
+    caller.write(bytes.substring(prefixLength));
+    blockReleased.countDown();
+    assertEquals(outcome(caller), operators ? OK : REJECTED);
   }
 
   @Test
-  public void operatorsCallThatWasReadInTimeIsNotCutOffWhileItIsStored() throws Exception {
+  public void keepsOperatorsCallOpenWhileItsChangeIsStored() throws Exception {
     start(64);
     files.fail(Operation.WRITE, FaultInjectingFileOperations.error("no space"));
     RawHttp call = connect(node.adminAddress(), "");
-    settled();
-    advance(CALL_TIMEOUT - 1);
-    holdNextAt(TAKEN_OUT);
+    awaitSettled();
+    advance(CALL_TIMEOUT_MILLIS - 1);
+    blockLoopAt(TAKEN_OUT_LINE);
     call.write(DISABLE);
-    held.await();
-    release.countDown();
-    settled();
-    advance(STORE_TIMEOUT);
+    blockReached.await();
+    blockReleased.countDown();
+    awaitSettled();
+    advance(STORE_TIMEOUT_MILLIS);
     assertEquals(outcome(call), NOT_STORED_YET);
   }
 
   @DataProvider
-  public Object[][] callersBack() {
-    return new Object[][] {{"has gone", 1}, {"waits", 0}};
+  public Object[][] enableCallers() {
+    return new Object[][] {{"has disconnected", 1}, {"is waiting", 0}};
   }
 
-  /** Fails where a call that nobody waits for any more undoes a later one at another process. */
-  @Test(dataProvider = "callersBack")
-  public void callBackThatWasReadBehindALaterDecisionCountsOnlyIfItsCaller(String how, int out)
-      throws Exception {
+  /**
+   * Guards against an abandoned operators' call that reverts a later decision of another process.
+   */
+  @Test(dataProvider = "enableCallers")
+  public void enableReadAfterLaterDecisionIsAppliedOnlyIfItsCaller(
+      String callerState, int excludedWorkers) throws Exception {
     start(64);
-    assertEquals(outcome(connect(node.adminAddress(), DISABLE)), YES);
+    assertEquals(outcome(connect(node.adminAddress(), DISABLE)), OK);
     RawHttp other = connect(node.adminAddress(), "");
     RawHttp call = connect(node.adminAddress(), "");
-    settled();
-    hold();
+    awaitSettled();
+    blockLoop();
     String record = SharedRecordCodec.write(new MaintenanceEntry("s-1", 5, true, 0));
     other.write(RawHttp.message("POST /-/state HTTP/1.1", record));
     call.write(ENABLE);
-    if (how.equals("has gone")) {
+    if (callerState.equals("has disconnected")) {
       call.close();
     }
-    release.countDown();
-    settled();
+    blockReleased.countDown();
+    awaitSettled();
     RawHttp metrics = connect(node.adminAddress(), "GET /-/metrics HTTP/1.1\r\n\r\n");
-    assertTrue(metrics.read().body().contains("menu_workers_excluded=" + out + "\n"), how);
+    assertTrue(
+        metrics.read().body().contains("menu_workers_excluded=" + excludedWorkers + "\n"),
+        callerState);
   }
 
   @DataProvider
   public Object[][] parts() {
-    return new Object[][] {{FIRST_LINE}, {PART_OF_A_LINE}};
+    return new Object[][] {{FIRST_LINE_LENGTH}, {PARTIAL_HEAD_LENGTH}};
   }
 
   @Test(dataProvider = "parts")
-  public void requestOfWhichAPartWasReadIsAnsweredWhenItsTimeIsOver(int before) throws Exception {
+  public void answersPartialRequestWhenItTimesOut(int prefixLength) throws Exception {
     start(64);
-    RawHttp caller = connect(node.address(), request("a").substring(0, before));
-    settled();
-    advance(CLIENT_TIMEOUT + 1);
+    RawHttp caller = connect(node.address(), request("a").substring(0, prefixLength));
+    awaitSettled();
+    advance(CLIENT_TIMEOUT_MILLIS + 1);
     assertEquals(outcome(caller), "408");
   }
 
-  /** A client that has had an answer keeps its connection, and many others connect. */
+  /** Guards against closing a known client's connection when many other clients connect. */
   @Test
-  public void requestOnAnIdleConnectionIsAnsweredThoughTheProcessFillsUp() throws Exception {
+  public void answersRequestOnIdleConnectionWhenTheConnectionLimitIsReached() throws Exception {
     start(64);
     RawHttp idle = connect(node.address(), request("idle"));
-    assertEquals(outcome(idle), REFUSED);
-    hold();
+    assertEquals(outcome(idle), REJECTED);
+    blockLoop();
     idle.write(request("next"));
     connect(ConnectionLimits.within(64, MEMORY_MB).clients(), node.address(), request("ID"));
-    release.countDown();
-    assertEquals(outcome(idle), REFUSED);
+    blockReleased.countDown();
+    assertEquals(outcome(idle), REJECTED);
   }
 
   @Test
-  public void requestsOnNewConnectionsAreAnsweredThoughIdleOnesFillTheProcess() throws Exception {
+  public void answersRequestsOnNewConnectionsWhenIdleOnesReachTheLimit() throws Exception {
     start(64);
-    int idle = ConnectionLimits.within(64, MEMORY_MB).clients() - awaited(64);
+    int idle = ConnectionLimits.within(64, MEMORY_MB).clients() - awaitedLimit(64);
     for (int i = 0; i < idle; i++) {
-      assertEquals(outcome(connect(node.address(), request("idle" + i))), REFUSED);
+      assertEquals(outcome(connect(node.address(), request("idle" + i))), REJECTED);
     }
-    hold();
-    List<RawHttp> callers = connect(awaited(64), node.address(), request("ID"));
-    release.countDown();
-    assertAllGet(REFUSED, callers);
+    blockLoop();
+    List<RawHttp> callers = connect(awaitedLimit(64), node.address(), request("ID"));
+    blockReleased.countDown();
+    assertAllReceive(REJECTED, callers);
   }
 
-  /** Fails where bodies in part are bounded by the next sweep only. */
+  /** Guards against partial requests that are limited only by the next periodic sweep. */
   @Test
-  public void partsThatManySilentConnectionsSendAtOnceAreBoundedAtOnce() throws Exception {
+  public void limitsPartialRequestsThatArriveAtOnce() throws Exception {
     start(64);
-    List<RawHttp> silent = connect(2 * awaited(64), node.address(), "");
-    settled();
-    for (RawHttp each : silent) {
-      each.write(request("a").substring(0, PART_OF_A_LINE));
+    List<RawHttp> silent = connect(2 * awaitedLimit(64), node.address(), "");
+    awaitSettled();
+    for (RawHttp connection : silent) {
+      connection.write(request("a").substring(0, PARTIAL_HEAD_LENGTH));
     }
     assertEquals(outcome(silent.get(0)), "503");
   }
 
-  /** Fails where operators' calls that wait for the disk keep all others from being accepted. */
+  /** Guards against operators' calls that wait for the disk and block all other calls. */
   @Test
-  public void operatorsCallIsAnsweredThoughManyOthersWaitForTheDisk() throws Exception {
+  public void answersOperatorsCallWhileOthersWaitForTheDisk() throws Exception {
     start(64);
     files.fail(Operation.WRITE, FaultInjectingFileOperations.error("no space"));
     connect(16, node.adminAddress(), DISABLE);
-    settled();
+    awaitSettled();
     RawHttp ready = connect(node.adminAddress(), RawHttp.message("GET /-/ready HTTP/1.1", ""));
-    assertEquals(outcome(ready), YES);
+    assertEquals(outcome(ready), OK);
   }
 
-  /** Fails where the place of a connection that its peer has closed is taken from a live one. */
+  /** Guards against closing a live connection to free capacity for one that its peer closed. */
   @Test
-  public void connectionsThatTheirPeersHaveClosedGiveWayBeforeAnIdleOne() throws Exception {
+  public void closesConnectionsClosedByTheirPeersBeforeIdleOnes() throws Exception {
     start(64);
-    settled();
+    awaitSettled();
     RawHttp idle = connect(node.address(), request("idle"));
-    assertEquals(outcome(idle), REFUSED);
+    assertEquals(outcome(idle), REJECTED);
     int others = ConnectionLimits.within(64, MEMORY_MB).clients() - PendingReads.MAX_ACCEPTS;
     for (int i = 0; i < others; i++) {
-      assertEquals(outcome(connect(node.address(), request("other" + i))), REFUSED);
+      assertEquals(outcome(connect(node.address(), request("other" + i))), REJECTED);
     }
-    hold();
+    blockLoop();
     for (int i = 0; i < PendingReads.MAX_ACCEPTS; i++) {
       RawHttp.to(node.address()).close();
     }
-    release.countDown();
-    settled();
+    blockReleased.countDown();
+    awaitSettled();
     idle.write(request("next"));
-    assertEquals(outcome(idle), REFUSED);
+    assertEquals(outcome(idle), REJECTED);
   }
 
-  /** Fails where a process that ends resets the connections for which it has no place at once. */
+  /** Guards against a stopping process that resets connections beyond its connection limit. */
   @Test
-  public void requestsBeyondThePlacesThatWaitAtTheEndAreRejected() throws Exception {
+  public void rejectsWaitingRequestsBeyondTheLimitAtShutdown() throws Exception {
     start(64);
-    settled();
-    holdNextAt(NO_MORE_JOBS);
+    awaitSettled();
+    blockLoopAt(NO_MORE_JOBS_LINE);
     CompletableFuture<Void> stopped = CompletableFuture.runAsync(this::stopAtOnce);
-    held.await();
+    blockReached.await();
     int clients = ConnectionLimits.within(64, MEMORY_MB).clients() + 10;
     List<RawHttp> callers = connect(clients, node.address(), request("ID"));
-    release.countDown();
+    blockReleased.countDown();
     List<String> outcomes = new ArrayList<>();
-    for (RawHttp each : callers) {
-      outcomes.add(outcome(each));
-      each.close();
+    for (RawHttp caller : callers) {
+      outcomes.add(outcome(caller));
+      caller.close();
     }
-    assertEquals(outcomes, Collections.nCopies(clients, REFUSED));
+    assertEquals(outcomes, Collections.nCopies(clients, REJECTED));
     stopped.get();
   }
 
--- a/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
@@ -23,29 +23,29 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Guards against requests and operators' calls that a process that ends resets or drops. */
+/** Guards against requests and operators' calls that a stopping process resets or drops. */
 @Test(timeOut = 30_000)
 public class WaitingAtShutdownTest {
-  private static final String NO_MORE_JOBS = "no more jobs are accepted";
-  private static final String SHUTDOWN_ENDS = "shutdown ends";
+  private static final String NO_MORE_JOBS_LINE = "no more jobs are accepted";
+  private static final String SHUTDOWN_ENDS_LINE = "shutdown ends";
 
   private static final int REJECTED = 503;
-  private static final int YES = 200;
+  private static final int OK = 200;
 
-  private CountDownLatch held;
-  private CountDownLatch release;
-  private volatile String holdAt;
-  private volatile boolean holding;
+  private CountDownLatch blockReached;
+  private CountDownLatch blockReleased;
+  private volatile String blockAtLine;
+  private volatile boolean loopBlocked;
   private volatile Callable<?> beforeClose;
   private NodeServer node;
   private CompletableFuture<Void> stopped;
 
   @BeforeMethod
   public void start() throws Exception {
-    held = new CountDownLatch(1);
-    release = new CountDownLatch(1);
-    holdAt = null;
-    holding = false;
+    blockReached = new CountDownLatch(1);
+    blockReleased = new CountDownLatch(1);
+    blockAtLine = null;
+    loopBlocked = false;
     beforeClose = null;
     Path folder = Files.createTempDirectory("waiting");
     String config =
@@ -61,11 +61,11 @@
             NodeConfig.read(Json.parse(config.replace('\'', '"')).asObject()),
             new NodeServer.Platform(null, folder),
             clock,
-            new RateLimitedLog(clock, this::log),
+            new RateLimitedLog(clock, this::onLogLine),
             channels());
   }
 
-  /** Ordinary sockets, but for the operators' listener, which runs {@link #beforeClose} first. */
+  /** Returns ordinary sockets, except for an operators' listener that runs {@link #beforeClose}. */
   private ChannelProvider channels() {
     return new ChannelProvider() {
       @Override
@@ -77,7 +77,7 @@
     };
   }
 
-  /** A listener that lets something happen after the last look at it and before its close. */
+  /** A listener that runs {@link #beforeClose} after its last accept and before its close. */
   private final class ClosingListener extends NioServerSocketChannel {
     @Override
     protected void doClose() throws Exception {
@@ -89,26 +89,26 @@
   }
 
   @AfterMethod(alwaysRun = true)
-  public void end() throws Exception {
-    release.countDown();
+  public void tearDown() throws Exception {
+    blockReleased.countDown();
     stopped.get();
   }
 
-  /** Runs on the loop and keeps it busy at one line, until the test lets it go on. */
-  private void log(String line) {
-    if (holdAt != null && line.startsWith(holdAt) && !holding) {
-      holding = true;
-      held.countDown();
+  /** Receives log lines on the event loop and blocks it at one line until the test releases it. */
+  private void onLogLine(String line) {
+    if (blockAtLine != null && line.startsWith(blockAtLine) && !loopBlocked) {
+      loopBlocked = true;
+      blockReached.countDown();
       try {
-        release.await();
+        blockReleased.await();
       } catch (InterruptedException interrupted) {
         throw new IllegalStateException(interrupted);
       }
     }
   }
 
-  private void stopAndHoldAt(String line) throws InterruptedException {
-    holdAt = line;
+  private void stopAndBlockLoopAt(String line) throws InterruptedException {
+    blockAtLine = line;
     stopped =
         CompletableFuture.runAsync(
             () -> {
@@ -118,10 +118,10 @@
                 throw new IllegalStateException(interrupted);
               }
             });
-    held.await();
+    blockReached.await();
   }
 
-  private static String job(String id) {
+  private static String jobRequest(String id) {
     return RawHttp.message(
         "POST /api HTTP/1.1\r\nReq-Id: "
             + id
@@ -130,14 +130,14 @@
   }
 
   @Test
-  public void requestsThatReachedTheMachineAreRejectedAndNotDropped() throws Exception {
+  public void rejectsRequestsThatWaitInSocketBuffers() throws Exception {
     try (RawHttp idle = RawHttp.to(node.address())) {
       idle.write(RawHttp.message("GET /-/ready HTTP/1.1", "")).read();
-      stopAndHoldAt(NO_MORE_JOBS);
-      idle.write(job("a"));
+      stopAndBlockLoopAt(NO_MORE_JOBS_LINE);
+      idle.write(jobRequest("a"));
       try (RawHttp waiting = RawHttp.to(node.address())) {
-        waiting.write(job("b"));
-        release.countDown();
+        waiting.write(jobRequest("b"));
+        blockReleased.countDown();
         assertRejected(idle);
         assertRejected(waiting);
       }
@@ -151,29 +151,29 @@
   }
 
   @Test
-  public void operatorsCallThatReachedTheMachineIsAnswered() throws Exception {
-    stopAndHoldAt(SHUTDOWN_ENDS);
+  public void answersOperatorsCallThatWaitsToBeAccepted() throws Exception {
+    stopAndBlockLoopAt(SHUTDOWN_ENDS_LINE);
     try (RawHttp waiting = RawHttp.to(node.adminAddress())) {
       waiting.write(RawHttp.message("POST /-/menu-workers/s-1/disable HTTP/1.1", ""));
-      release.countDown();
-      assertEquals(waiting.read().status(), YES);
+      blockReleased.countDown();
+      assertEquals(waiting.read().status(), OK);
     }
   }
 
   @Test
-  public void operatorsCallThatComesOnAnOpenConnectionIsAnswered() throws Exception {
+  public void answersOperatorsCallOnOpenConnection() throws Exception {
     try (RawHttp open = RawHttp.to(node.adminAddress())) {
       open.write("POST /-/menu-workers/s-1/disable HTTP/1.1\r\n");
-      stopAndHoldAt(SHUTDOWN_ENDS);
-      release.countDown();
+      stopAndBlockLoopAt(SHUTDOWN_ENDS_LINE);
+      blockReleased.countDown();
       open.write("Content-Length: 0\r\n\r\n");
-      assertEquals(open.read().status(), YES);
+      assertEquals(open.read().status(), OK);
     }
   }
 
-  /** Fails where a call that this process can't answer any more seems answered, or hangs. */
+  /** Guards against a call after the last accept that is answered as done, or that hangs. */
   @Test
-  public void operatorsCallBehindTheLastLookIsResetAndGetsNoYes() throws Exception {
+  public void resetsOperatorsCallAfterTheLastAccept() throws Exception {
     CompletableFuture<RawHttp> late = new CompletableFuture<>();
     beforeClose =
         () -> {
@@ -181,8 +181,8 @@
           caller.write(RawHttp.message("POST /-/menu-workers/s-1/disable HTTP/1.1", ""));
           return late.complete(caller);
         };
-    stopAndHoldAt(SHUTDOWN_ENDS);
-    release.countDown();
+    stopAndBlockLoopAt(SHUTDOWN_ENDS_LINE);
+    blockReleased.countDown();
     try (RawHttp caller = late.get()) {
       assertThrows(SocketException.class, caller::read);
     }
--- a/node/src/test/resources/ferngrade/server/hand-over.pl
+++ b/node/src/test/resources/ferngrade/server/hand-over.pl
@@ -1,5 +1,5 @@
-# Listens on a loopback port and says which. For each line on its standard input it starts the command of its arguments
-# with that listening socket as descriptor 0, as the platform does at an upgrade, and says the process's id.
+# Listens on a loopback port and prints the port number. For each line on standard input it starts the command given as
+# arguments with the listening socket as descriptor 0, as the platform does during an upgrade, and prints the process id.
 use strict;
 use warnings;
 use Socket;
