--- a/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
+++ b/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
@@ -39,7 +39,7 @@
 
   /** Guards against handling all pipelined requests of a client in one turn of the loop. */
   @Test(dataProvider = "floods")
-  public void answersPipelinedRequestsInManyTurns(
+  public void requestsSentAtOnceAreAnsweredInManyTurns(
       String first, String firstStatus, String secondStatus) throws Exception {
     start(64);
     RawHttp client = connect(node.address(), "");
@@ -64,7 +64,7 @@
 
   /** Guards against deferred reads that assign a later request too early an arrival time. */
   @Test
-  public void deadlineOfRequestAfterFloodStartsAtItsArrival() throws Exception {
+  public void requestAfterFloodHasDeadlineFromItsArrival() throws Exception {
     start(64);
     RawHttp client = connect(node.address(), request("first") + READY.repeat(FLOOD_REQUESTS));
     for (int i = 0; i <= FLOOD_REQUESTS; i++) {
--- a/node/src/test/java/ferngrade/server/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/ShutdownTest.java
@@ -336,6 +336,6 @@
     stopping.reached.await();
     advance(4000);
     awaitStopped(stopped);
-    assertSame(exiting.get(), loop.get(), "the event loop thread ends the process");
+    assertSame(exiting.get(), loop.get(), "the process was not ended by the event loop thread");
   }
 }
