--- a/node/src/main/java/ferngrade/cli/CheckConfig.java
+++ b/node/src/main/java/ferngrade/cli/CheckConfig.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Reads the configuration as {@code serve} would, and says what it holds or what is wrong. */
+/** Validates the configuration as {@code serve} would, and prints a summary or the error. */
 @Command(
     name = "check-config",
-    description = "Reads the configuration that LB_CONFIG names, without serving.")
+    description = "Validates the configuration file named by LB_CONFIG without starting a node.")
 final class CheckConfig implements Callable<Integer> {
   @Override
   public Integer call() {
@@ -22,8 +22,8 @@
           config.settings().tenants().size(),
           config.peers().size());
       return 0;
-    } catch (ConfigException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (ConfigException invalid) {
+      System.err.println("ferngrade: " + invalid.getMessage());
       return Cli.BAD_CONFIG;
     }
   }
--- a/node/src/main/java/ferngrade/cli/Cli.java
+++ b/node/src/main/java/ferngrade/cli/Cli.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.IVersionProvider;
 
 /**
- * The command line and its sub-commands: those of the lean jar, and what {@link SubCommand} finds
- * beside them.
+ * The command line and its sub-commands: those of the lean jar, and the implementations of {@link
+ * SubCommand} on the class path.
  */
 @Command(
     name = "ferngrade",
@@ -26,16 +26,15 @@
       CommandLine.HelpCommand.class
     })
 public final class Cli implements Runnable {
-  /** The exit code for a configuration that cannot be used. */
+  /** The exit code for an invalid configuration. */
   public static final int BAD_CONFIG = 2;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   /** Runs one sub-command; returns the exit code. */
   public static int run(String... arguments) {
-    // The platform restarts a node by this word alone. The command line's own classes, which no
-    // class archive
-    // takes, would be over a third of the time until it serves.
+    // The platform restarts a node with this argument alone. Loading the classes of picocli, which
+    // no class archive contains, would take over a third of the start time.
     if (arguments.length == 1 && arguments[0].equals(Serve.NAME)) {
       try {
         return new Serve().call();
@@ -53,7 +52,7 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
   }
 
-  /** Knows the version that the build wrote down. */
+  /** Reads the version from the properties file written by the build. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
--- a/node/src/main/java/ferngrade/cli/Rehearsal.java
+++ b/node/src/main/java/ferngrade/cli/Rehearsal.java
@@ -11,99 +11,105 @@
 import java.util.Map;
 
 /**
- * Plays what a node meets in service, once, over loopback connections: jobs that end in every way,
- * requests that cannot be read, operators' calls, a moved discovery. A class that is loaded here is
- * in the class archive; one that is loaded in service for the first time holds up the event loop.
- * Blocks its caller, which is not the event loop.
+ * Exercises the code paths of normal operation once, over loopback connections: jobs with every
+ * outcome, malformed requests, operators' calls, a change of the discovery address. The classes
+ * loaded here go into the class archive; a class loaded for the first time in production blocks the
+ * event loop. Blocks the calling thread, which must not be the event loop.
  */
 final class Rehearsal implements AutoCloseable {
-  /** Short enough that a silent job runs out of time while the rehearsal waits for its answer. */
-  private static final int SHORT_DEADLINE_MS = 300;
+  /**
+   * The deadline of the first job, ms. A job without an outcome reaches it within the read timeout
+   * of the connection.
+   */
+  private static final int SHORT_DEADLINE_MILLIS = 300;
 
-  private static final int LONG_DEADLINE_MS = 1500;
+  private static final int LONG_DEADLINE_MILLIS = 1500;
 
-  /** Where connections are refused. */
-  private static final String NOBODY = "127.0.0.1:1";
+  /** An address that refuses connections. */
+  private static final String UNREACHABLE_ADDRESS = "127.0.0.1:1";
 
-  /** More requests at once than the event loop handles in one turn. */
-  private static final int PIPELINED = 100;
+  /** The number of pipelined requests; the event loop needs several iterations for them. */
+  private static final int PIPELINED_REQUESTS = 100;
 
-  private static final int READY_POLLS = 50;
-  private static final int READY_POLL_MS = 20;
+  private static final int MAX_READY_POLLS = 50;
+  private static final int READY_POLL_MILLIS = 20;
 
   private final Map<String, String> environment;
   private final RehearsalPlatform platform = new RehearsalPlatform();
-  private final RehearsalPlatform movedTo = new RehearsalPlatform();
+  private final RehearsalPlatform newPlatform = new RehearsalPlatform();
   private String jobClass;
   private String tenant;
-  private long jobs;
+  private long jobCount;
 
-  /** Prepares a rehearsal of a node that is started with these variables. */
+  /** Prepares a rehearsal of a node that is started with these environment variables. */
   Rehearsal(Map<String, String> environment) throws IOException {
     this.environment = new HashMap<>(environment);
     this.environment.put("LB_DISCOVERY", platform.address());
     this.environment.put("LB_ADMIN", "127.0.0.1:0");
   }
 
-  /** The variables of the node: its discovery is the rehearsal's, and operators can call. */
+  /**
+   * Returns the environment variables of the node, with the rehearsal's discovery address and a
+   * listening address for operators.
+   */
   Map<String, String> environment() {
     return environment;
   }
 
   /**
-   * Plays everything, with the first class and tenant of these settings; what fails is left out,
-   * and the classes it needs with it.
+   * Runs all steps with the first class and tenant of these settings. A failed step ends the
+   * rehearsal, and the classes of the remaining steps are missing from the archive.
    */
-  void play(NodeServer server, DispatcherSettings settings) throws InterruptedException {
+  void run(NodeServer server, DispatcherSettings settings) throws InterruptedException {
     jobClass = settings.classes().get(0).name();
     tenant = settings.tenants().get(0).name();
-    platform.node(server.address());
-    movedTo.node(server.address());
+    platform.setNodeAddress(server.address());
+    newPlatform.setNodeAddress(server.address());
     try {
       awaitReady(server.adminAddress());
-      jobsOfAllKinds(server.address());
-      unreadableRequests(server.address());
-      pipelinedRequests(server.address());
-      departedClient(server.address());
-      operatorsCalls(server.adminAddress());
+      sendJobsOfAllKinds(server.address());
+      sendMalformedRequests(server.address());
+      sendPipelinedRequests(server.address());
+      disconnectDuringJob(server.address());
+      callAdminEndpoints(server.adminAddress());
       reload(server);
-      jobsOfAllKinds(server.address());
+      sendJobsOfAllKinds(server.address());
     } catch (IOException | ConfigException failed) {
       server.report("rehearsal is incomplete: " + failed);
     }
   }
 
   private static void awaitReady(InetSocketAddress admin) throws IOException, InterruptedException {
-    for (int i = 0; i < READY_POLLS; i++) {
+    for (int i = 0; i < MAX_READY_POLLS; i++) {
       if (call(admin, "GET /-/ready").contains(" 200 ")) {
         return;
       }
-      Thread.sleep(READY_POLL_MS);
+      Thread.sleep(READY_POLL_MILLIS);
     }
-    throw new IOException("the node does not get ready");
+    throw new IOException("node did not become ready");
   }
 
-  private void jobsOfAllKinds(InetSocketAddress node) throws IOException {
+  private void sendJobsOfAllKinds(InetSocketAddress node) throws IOException {
     for (RehearsalPlatform.JobKind kind : RehearsalPlatform.JobKind.values()) {
       try (RehearsalConnection client = RehearsalConnection.to(node)) {
-        client.write(job(SHORT_DEADLINE_MS), kind.name()).read();
-        String next = job(LONG_DEADLINE_MS);
+        client.write(jobRequest(SHORT_DEADLINE_MILLIS), kind.name()).read();
+        String next = jobRequest(LONG_DEADLINE_MILLIS);
         String body = RehearsalPlatform.JobKind.DONE.name();
-        client.write(next, body).write(job(LONG_DEADLINE_MS), body);
+        client.write(next, body).write(jobRequest(LONG_DEADLINE_MILLIS), body);
         client.read();
         client.read();
       }
     }
   }
 
-  private String job(int deadlineMs) {
+  private String jobRequest(int deadlineMillis) {
     return String.format(
         "POST /api HTTP/1.1\r\nHost: node\r\nReq-Id: %1$016x\r\nIdempotency-Key: %1$016x\r\n"
             + "Req-Kind: %2$s\r\nReq-Owner: %3$s\r\nReq-Deadline: %4$dm",
-        ++jobs, jobClass, tenant, deadlineMs);
+        ++jobCount, jobClass, tenant, deadlineMillis);
   }
 
-  private static void unreadableRequests(InetSocketAddress node) throws IOException {
+  private static void sendMalformedRequests(InetSocketAddress node) throws IOException {
     for (String request :
         List.of(
             "POST /api HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n",
@@ -121,22 +127,22 @@
     }
   }
 
-  private static void pipelinedRequests(InetSocketAddress node) throws IOException {
+  private static void sendPipelinedRequests(InetSocketAddress node) throws IOException {
     try (RehearsalConnection client = RehearsalConnection.to(node)) {
-      client.write("GET /-/ready HTTP/1.1\r\nHost: node\r\n\r\n".repeat(PIPELINED));
-      for (int i = 0; i < PIPELINED; i++) {
+      client.write("GET /-/ready HTTP/1.1\r\nHost: node\r\n\r\n".repeat(PIPELINED_REQUESTS));
+      for (int i = 0; i < PIPELINED_REQUESTS; i++) {
         client.read();
       }
     }
   }
 
-  private void departedClient(InetSocketAddress node) throws IOException {
+  private void disconnectDuringJob(InetSocketAddress node) throws IOException {
     try (RehearsalConnection client = RehearsalConnection.to(node)) {
-      client.write(job(LONG_DEADLINE_MS), RehearsalPlatform.JobKind.SILENT.name());
+      client.write(jobRequest(LONG_DEADLINE_MILLIS), RehearsalPlatform.JobKind.SILENT.name());
     }
   }
 
-  private static void operatorsCalls(InetSocketAddress admin) throws IOException {
+  private static void callAdminEndpoints(InetSocketAddress admin) throws IOException {
     String worker = "POST /-/menu-workers/" + RehearsalPlatform.WORKER;
     for (String call :
         List.of(
@@ -152,7 +158,7 @@
     }
   }
 
-  /** The first line of the answer. */
+  /** Sends a request to the operators' address and returns the first line of the response. */
   private static String call(InetSocketAddress admin, String call) throws IOException {
     try (RehearsalConnection caller = RehearsalConnection.to(admin)) {
       RehearsalConnection.Message answer =
@@ -162,22 +168,22 @@
   }
 
   private void reload(NodeServer server) throws ConfigException, IOException, InterruptedException {
-    moveDiscovery(server, NOBODY);
+    moveDiscovery(server, UNREACHABLE_ADDRESS);
     server.reloadFailed("configuration stays as it is: rehearsal");
-    Thread.sleep(READY_POLL_MS);
-    moveDiscovery(server, movedTo.address());
+    Thread.sleep(READY_POLL_MILLIS);
+    moveDiscovery(server, newPlatform.address());
     awaitReady(server.adminAddress());
   }
 
   private void moveDiscovery(NodeServer server, String address) throws ConfigException {
-    Map<String, String> moved = new HashMap<>(environment);
-    moved.put("LB_DISCOVERY", address);
-    server.reload(NodeConfig.fromEnvironment(moved));
+    Map<String, String> changedEnvironment = new HashMap<>(environment);
+    changedEnvironment.put("LB_DISCOVERY", address);
+    server.reload(NodeConfig.fromEnvironment(changedEnvironment));
   }
 
   @Override
   public void close() throws IOException {
     platform.close();
-    movedTo.close();
+    newPlatform.close();
   }
 }
--- a/node/src/main/java/ferngrade/cli/RehearsalConnection.java
+++ b/node/src/main/java/ferngrade/cli/RehearsalConnection.java
@@ -8,21 +8,21 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One blocking HTTP connection of a {@link Rehearsal}; a read gives up after two seconds. */
+/** A blocking HTTP connection of a {@link Rehearsal}; a read times out after two seconds. */
 final class RehearsalConnection implements AutoCloseable {
-  private static final int READ_TIMEOUT_MS = 2000;
-  private static final String LENGTH = "content-length:";
-  private static final String ID = "req-id:";
+  private static final int READ_TIMEOUT_MILLIS = 2000;
+  private static final String CONTENT_LENGTH_HEADER = "content-length:";
+  private static final String REQUEST_ID_HEADER = "req-id:";
 
-  /** A message: its first line, the id of the job that it is about (empty for none), its body. */
-  record Message(String start, String id, String body) {}
+  /** A request or response: its first line, its {@code Req-Id} header (empty if absent), its body. */
+  record Message(String startLine, String id, String body) {}
 
   private final Socket socket;
   private final InputStream in;
 
   RehearsalConnection(Socket socket) throws IOException {
     this.socket = socket;
-    socket.setSoTimeout(READ_TIMEOUT_MS);
+    socket.setSoTimeout(READ_TIMEOUT_MILLIS);
     this.in = new BufferedInputStream(socket.getInputStream());
   }
 
@@ -30,37 +30,37 @@
     return new RehearsalConnection(new Socket(address.getAddress(), address.getPort()));
   }
 
-  /** Writes these bytes as they are. */
+  /** Writes the text as UTF-8. */
   RehearsalConnection write(String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     return this;
   }
 
-  /** Writes a message with a body and its length. */
-  RehearsalConnection write(String head, String body) throws IOException {
-    return write(head + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
+  /** Writes a message with a {@code Content-Length} header and a body. */
+  RehearsalConnection write(String header, String body) throws IOException {
+    return write(header + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
   }
 
-  /** The next message; null at the end of the connection. */
+  /** Reads the next message; returns null if the peer has closed the connection. */
   Message read() throws IOException {
-    String start = line();
-    if (start == null) {
+    String startLine = readLine();
+    if (startLine == null) {
       return null;
     }
     int length = 0;
     String id = "";
-    for (String line = line(); line != null && !line.isEmpty(); line = line()) {
+    for (String line = readLine(); line != null && !line.isEmpty(); line = readLine()) {
       String lower = line.toLowerCase(Locale.ROOT);
-      if (lower.startsWith(LENGTH)) {
-        length = Integer.parseInt(line.substring(LENGTH.length()).strip());
-      } else if (lower.startsWith(ID)) {
-        id = line.substring(ID.length()).strip();
+      if (lower.startsWith(CONTENT_LENGTH_HEADER)) {
+        length = Integer.parseInt(line.substring(CONTENT_LENGTH_HEADER.length()).strip());
+      } else if (lower.startsWith(REQUEST_ID_HEADER)) {
+        id = line.substring(REQUEST_ID_HEADER.length()).strip();
       }
     }
-    return new Message(start, id, new String(in.readNBytes(length), StandardCharsets.UTF_8));
+    return new Message(startLine, id, new String(in.readNBytes(length), StandardCharsets.UTF_8));
   }
 
-  private String line() throws IOException {
+  private String readLine() throws IOException {
     StringBuilder line = new StringBuilder();
     for (int next = in.read(); next != '\n'; next = in.read()) {
       if (next < 0) {
--- a/node/src/main/java/ferngrade/cli/RehearsalPlatform.java
+++ b/node/src/main/java/ferngrade/cli/RehearsalPlatform.java
@@ -8,55 +8,55 @@
 import java.util.Locale;
 
 /**
- * Discovery and one worker for a {@link Rehearsal}, on one loopback socket, a thread a connection.
- * What the worker does with a job is said by the job's body.
+ * Simulates discovery and one worker for a {@link Rehearsal}, on one loopback socket with one thread
+ * per connection. The body of a job selects how the worker handles the job.
  */
 final class RehearsalPlatform implements AutoCloseable {
-  /** Bodies of jobs. */
+  /** How the worker handles a job; the name of the constant is the body of the job. */
   enum JobKind {
-    /** Is accepted and done. */
+    /** The worker accepts the job and completes it. */
     DONE,
-    /** Is accepted and fails. */
+    /** The worker accepts the job and reports a failure. */
     FAILED,
-    /** Finds the worker full. */
+    /** The worker rejects the job because it has no capacity. */
     FULL,
-    /** Is accepted and never ends. */
+    /** The worker accepts the job and never reports an outcome. */
     SILENT
   }
 
   static final String WORKER = "s-rehearsal";
-  private static final String CALLBACK = "POST /_jobs/news HTTP/1.1\r\nHost: node";
+  private static final String CALLBACK_REQUEST = "POST /_jobs/news HTTP/1.1\r\nHost: node";
 
   private final ServerSocket socket = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
-  private volatile InetSocketAddress node;
+  private volatile InetSocketAddress nodeAddress;
 
   RehearsalPlatform() throws IOException {
-    start(this::accept);
+    startThread(this::acceptConnections);
   }
 
-  /** Where the worker calls back. */
-  void node(InetSocketAddress address) {
-    node = address;
+  /** Sets the address that the worker sends its callbacks to. */
+  void setNodeAddress(InetSocketAddress address) {
+    nodeAddress = address;
   }
 
   String address() {
     return socket.getInetAddress().getHostAddress() + ":" + socket.getLocalPort();
   }
 
-  private static void start(Runnable task) {
+  private static void startThread(Runnable task) {
     Thread thread = new Thread(task, "rehearsal");
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void accept() {
+  private void acceptConnections() {
     try {
       while (true) {
         Socket accepted = socket.accept();
-        start(() -> serve(accepted));
+        startThread(() -> serve(accepted));
       }
     } catch (IOException closed) {
-      // The rehearsal is over.
+      // close() has closed the socket at the end of the rehearsal.
     }
   }
 
@@ -64,27 +64,27 @@
     try (RehearsalConnection connection = new RehearsalConnection(accepted)) {
       RehearsalConnection.Message message = connection.read();
       while (message != null) {
-        answer(connection, message);
+        respond(connection, message);
         message = connection.read();
       }
     } catch (IOException closed) {
-      // The node has closed the connection, or sends no more on it.
+      // The node has closed the connection, or the read has timed out.
     }
   }
 
-  private void answer(RehearsalConnection connection, RehearsalConnection.Message message)
+  private void respond(RehearsalConnection connection, RehearsalConnection.Message message)
       throws IOException {
-    if (message.start().startsWith("GET /api/targets")) {
+    if (message.startLine().startsWith("GET /api/targets")) {
       connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       connection.write(chunk(list(1, true))).write(chunk("\n")).write(chunk(list(2, false)));
-    } else if (!message.start().startsWith("POST") || message.id().isEmpty()) {
+    } else if (!message.startLine().startsWith("POST") || message.id().isEmpty()) {
       connection.write("HTTP/1.1 200 OK", "");
     } else {
-      run(connection, message);
+      runJob(connection, message);
     }
   }
 
-  private void run(RehearsalConnection connection, RehearsalConnection.Message message)
+  private void runJob(RehearsalConnection connection, RehearsalConnection.Message message)
       throws IOException {
     JobKind kind = JobKind.valueOf(message.body());
     if (kind == JobKind.FULL) {
@@ -93,15 +93,15 @@
     }
     connection.write("HTTP/1.1 202 Accepted", "");
     if (kind != JobKind.SILENT) {
-      callBack(message.id(), "\"started\"");
-      callBack(message.id(), "\"" + kind.name().toLowerCase(Locale.ROOT) + "\",\"result\":\"r\"");
+      sendCallback(message.id(), "\"started\"");
+      sendCallback(message.id(), "\"" + kind.name().toLowerCase(Locale.ROOT) + "\",\"result\":\"r\"");
     }
   }
 
-  private void callBack(String id, String state) throws IOException {
-    try (RehearsalConnection connection = RehearsalConnection.to(node)) {
+  private void sendCallback(String id, String state) throws IOException {
+    try (RehearsalConnection connection = RehearsalConnection.to(nodeAddress)) {
       String body = "{\"id\":\"" + id + "\",\"from\":\"" + WORKER + "\",\"state\":" + state + "}";
-      connection.write(CALLBACK, body).read();
+      connection.write(CALLBACK_REQUEST, body).read();
     }
   }
 
--- a/node/src/main/java/ferngrade/cli/ReloadSignal.java
+++ b/node/src/main/java/ferngrade/cli/ReloadSignal.java
@@ -6,41 +6,40 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * SIGHUP, which asks for the configuration to be read anew. Left alone, the runtime ends on it as
- * on SIGTERM. Signals that come while an earlier one is being answered count as one.
+ * Handles SIGHUP, which requests a reload of the configuration. Without a handler, the JVM exits on
+ * SIGHUP as on SIGTERM. Signals that arrive during a reload cause a single further reload.
  */
 final class ReloadSignal {
   private final Semaphore pending = new Semaphore(0);
 
   /**
-   * Catches the signal from here on. The runtime's only way to do so is {@code sun.misc.Signal},
-   * whose use by name is a warning that no compiler option takes back; hence the detour.
+   * Installs the signal handler. The JDK's only API for that is {@code sun.misc.Signal}, called by
+   * reflection because a direct reference causes a compiler warning that cannot be suppressed.
    */
-  static ReloadSignal caught() {
-    ReloadSignal hangup = new ReloadSignal();
+  static ReloadSignal install() {
+    ReloadSignal reloadSignal = new ReloadSignal();
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object releasing =
+      Object handlerProxy =
           Proxy.newProxyInstance(
               ReloadSignal.class.getClassLoader(),
               new Class<?>[] {handler},
-              (proxy, method, arguments) -> hangup.called(proxy, method, arguments));
+              (proxy, method, arguments) -> reloadSignal.handleInvocation(proxy, method, arguments));
       signal
           .getMethod("handle", signal, handler)
-          .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), releasing);
-    } catch (InvocationTargetException refused) {
-      // A system without the signal, or a runtime configured to leave signals alone: there is
-      // nothing to
-      // catch.
-      return hangup;
+          .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
+    } catch (InvocationTargetException unsupported) {
+      // The operating system does not have the signal, or the JVM runs without signal handling, so
+      // no signal can arrive.
+      return reloadSignal;
     } catch (ReflectiveOperationException missing) {
-      throw new IllegalStateException("this runtime cannot catch signals", missing);
+      throw new IllegalStateException("this JVM does not support sun.misc.Signal", missing);
     }
-    return hangup;
+    return reloadSignal;
   }
 
-  private Object called(Object proxy, Method method, Object[] arguments) {
+  private Object handleInvocation(Object proxy, Method method, Object[] arguments) {
     switch (method.getName()) {
       case "handle" -> pending.release();
       case "equals" -> {
@@ -56,7 +55,7 @@
     return null;
   }
 
-  /** Returns once the signal has come, however often, since the last return. */
+  /** Blocks until at least one signal has arrived since the last return. */
   void await() throws InterruptedException {
     pending.acquire();
     pending.drainPermits();
--- a/node/src/main/java/ferngrade/cli/Serve.java
+++ b/node/src/main/java/ferngrade/cli/Serve.java
@@ -12,19 +12,19 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a node until a signal stops it; on SIGHUP it reloads its configuration. */
-@Command(name = Serve.NAME, description = "Runs a node, as the LB_* variables say.")
+/** Runs a node until SIGTERM stops it; SIGHUP reloads its configuration. */
+@Command(name = Serve.NAME, description = "Runs a node configured by the LB_* variables.")
 final class Serve implements Callable<Integer> {
   static final String NAME = "serve";
 
   @Option(
       names = "--rehearse",
-      description = "Start, play what a node meets in service, stop in order and end.")
+      description = "Start, exercise the code paths of normal operation, shut down and exit.")
   private boolean rehearse;
 
   @Override
   public Integer call() throws InterruptedException {
-    logNettyThroughTheRuntime();
+    useJdkLoggingInNetty();
     if (!rehearse) {
       return serve(null);
     }
@@ -37,30 +37,34 @@
   }
 
   /**
-   * Netty looks for other logging libraries first. One that is on the class path would be loaded
-   * and configured before the node listens, for messages that a node hardly ever gets.
+   * Makes Netty log through {@code java.util.logging}. By default Netty prefers any other logging
+   * library on the class path, which would be loaded and configured before the node listens, for
+   * messages that are rarely logged.
    */
-  private static void logNettyThroughTheRuntime() {
+  private static void useJdkLoggingInNetty() {
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
   }
 
-  /** Serves until a signal ends the process, or the rehearsal is over if there is one. */
+  /**
+   * Runs the node until a signal ends the process. If {@code rehearsal} is not null, runs the
+   * rehearsal and returns.
+   */
   private static int serve(Rehearsal rehearsal) throws InterruptedException {
-    // First of all: a SIGHUP that came while the node still starts would end it.
-    ReloadSignal hangup = ReloadSignal.caught();
+    // Must come first: a SIGHUP without a handler would end the process during its start.
+    ReloadSignal reloadSignal = ReloadSignal.install();
     NodeConfig config;
     try {
       config =
           NodeConfig.fromEnvironment(rehearsal == null ? System.getenv() : rehearsal.environment());
-    } catch (ConfigException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (ConfigException invalid) {
+      System.err.println("ferngrade: " + invalid.getMessage());
       return Cli.BAD_CONFIG;
     }
     NodeServer.Platform platform;
     try {
       platform = SocketHandover.fromEnvironment(System.getenv());
-    } catch (ConfigException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (ConfigException invalid) {
+      System.err.println("ferngrade: " + invalid.getMessage());
       return Cli.BAD_CONFIG;
     }
     Clock clock = Clock.system();
@@ -68,7 +72,7 @@
     RateLimitedLog log =
         new RateLimitedLog(
             clock,
-            // Written at once: several processes of a node may write to one log.
+            // One write per line, because several processes of a node may share one log.
             line ->
                 System.err.println(
                     String.format("%.3f %s[%d] %s", clock.now() / 1000, config.name(), pid, line)));
@@ -82,32 +86,32 @@
       return 1;
     }
     if (rehearsal != null) {
-      rehearsal.play(server, config.settings());
+      rehearsal.run(server, config.settings());
       server.stop();
       return 0;
     }
     Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(server), "stop"));
     while (true) {
-      hangup.await();
+      reloadSignal.await();
       reload(server);
     }
   }
 
   /**
-   * Runs on the main thread: the file is read and checked here, the event loop only takes over the
-   * outcome.
+   * Reloads the configuration. Runs on the main thread, which reads and validates the file; the
+   * event loop only applies the result.
    */
   private static void reload(NodeServer server) {
     try {
       server.reload(NodeConfig.reread(System.getenv()));
-    } catch (ConfigException bad) {
-      server.reloadFailed("configuration stays as it is: " + bad.getMessage());
+    } catch (ConfigException invalid) {
+      server.reloadFailed("configuration stays as it is: " + invalid.getMessage());
     }
   }
 
   /**
-   * Runs as the answer to SIGTERM. The halt gives the exit code 0: left alone, the runtime ends
-   * with 143.
+   * Stops the server. Runs in the shutdown hook, on SIGTERM. Halts with exit code 0; without the
+   * halt, the JVM exits with 143.
    */
   private static void stop(NodeServer server) {
     try {
--- a/node/src/main/java/ferngrade/cli/SocketHandover.java
+++ b/node/src/main/java/ferngrade/cli/SocketHandover.java
@@ -11,23 +11,27 @@
 import java.util.Map;
 
 /**
- * What the platform hands a process: the clients' listening socket as descriptor 0 where {@code
- * LB_ACCEPT_FD} names it, so that an upgrade never refuses a client, and {@code TMPDIR}, which the
- * next process shares.
+ * Reads the resources that the platform passes to a process: the listening socket for clients, if
+ * {@code LB_ACCEPT_FD} names descriptor 0, and the directory {@code TMPDIR}. The inherited socket
+ * stays open during an upgrade, so that no client is refused. The successor process uses the same
+ * directory.
  */
 public final class SocketHandover {
   private SocketHandover() {}
 
   /**
-   * Reads the variables; a socket named but not handed over is a configuration that cannot be used.
+   * Reads the environment variables.
+   *
+   * @throws ConfigException if {@code LB_ACCEPT_FD} names a descriptor other than 0, or descriptor 0
+   *     is not a listening TCP socket
    */
   public static NodeServer.Platform fromEnvironment(Map<String, String> environment)
       throws ConfigException {
     return new NodeServer.Platform(
-        accepted(environment.get("LB_ACCEPT_FD")), folder(environment.get("TMPDIR")));
+        inheritedSocket(environment.get("LB_ACCEPT_FD")), directory(environment.get("TMPDIR")));
   }
 
-  private static ServerSocketChannel accepted(String descriptor) throws ConfigException {
+  private static ServerSocketChannel inheritedSocket(String descriptor) throws ConfigException {
     if (descriptor == null || descriptor.isEmpty()) {
       return null;
     }
@@ -49,13 +53,13 @@
     return listening;
   }
 
-  private static Path folder(String tmpdir) {
+  private static Path directory(String tmpdir) {
     if (tmpdir == null || tmpdir.isEmpty()) {
       return null;
     }
     try {
-      Path folder = Path.of(tmpdir);
-      return Files.isDirectory(folder) ? folder : null;
+      Path directory = Path.of(tmpdir);
+      return Files.isDirectory(directory) ? directory : null;
     } catch (InvalidPathException invalid) {
       return null;
     }
--- a/node/src/main/java/ferngrade/cli/SubCommand.java
+++ b/node/src/main/java/ferngrade/cli/SubCommand.java
@@ -1,7 +1,7 @@
 package ferngrade.cli;
 
 /**
- * A sub-command that another module brings, found through {@link java.util.ServiceLoader}: a class
- * with picocli's annotations. The lean jar has none of them.
+ * Marks a class with picocli's annotations as a sub-command provided by another module and found
+ * through {@link java.util.ServiceLoader}. The lean jar contains no implementation.
  */
 public interface SubCommand {}
--- a/node/src/main/java/ferngrade/cli/WireHostCommand.java
+++ b/node/src/main/java/ferngrade/cli/WireHostCommand.java
@@ -9,18 +9,18 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Hosts the decisions behind the simulator's wire. */
+/** Runs the dispatcher under the simulator's protocol. */
 @Command(
     name = "wirehost",
-    description = "Serves the simulator's wire on standard input and output.")
+    description = "Serves the simulator's protocol on standard input and output.")
 final class WireHostCommand implements Callable<Integer> {
   @Override
   public Integer call() {
     try (OutputStream out = new FileOutputStream(FileDescriptor.out)) {
       SimulatorHost.run(System.in, out);
       return 0;
-    } catch (WireException | IOException broken) {
-      System.err.println("ferngrade: " + broken.getMessage());
+    } catch (WireException | IOException failure) {
+      System.err.println("ferngrade: " + failure.getMessage());
       return 1;
     }
   }
--- a/node/src/main/java/ferngrade/config/ConfigException.java
+++ b/node/src/main/java/ferngrade/config/ConfigException.java
@@ -1,10 +1,10 @@
 package ferngrade.config;
 
-/** A configuration that cannot be used; the message is one plain line that names the field. */
+/** Thrown for an invalid configuration; the message is a single line that names the field. */
 public final class ConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Names the field and what is wrong with it. */
+  /** Creates the message from the name of the field and a description of the problem. */
   public ConfigException(String field, String problem) {
     super(field + " " + problem);
   }
--- a/node/src/main/java/ferngrade/config/EndpointListParser.java
+++ b/node/src/main/java/ferngrade/config/EndpointListParser.java
@@ -9,39 +9,43 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads worker lists in discovery's form. */
+/** Parses worker lists in the JSON format of discovery. */
 public final class EndpointListParser {
-  /** No machine is larger, in standard cores. */
-  private static final double MOST_SIZE = 10_000;
+  /** The maximum size of a worker, in standard cores; no machine is larger. */
+  private static final double MAX_WORKER_CORES = 10_000;
 
   private final List<String> zones;
   private final List<String> kinds;
 
   /**
-   * One version of the list, or of changes to it; {@code faults} tells of entries that were left
-   * out.
+   * One revision of the list, whole if {@code complete}, otherwise only the changes since the last
+   * revision. {@code faults} describes the invalid entries, which {@code members} omits.
    */
   public record MemberList(
       long revision, boolean complete, List<Endpoint> members, List<String> faults) {}
 
-  /** A reader that knows the settings' names of zones and kinds. */
+  /** Creates a parser that accepts these names of zones and worker types, any name if empty. */
   public EndpointListParser(List<String> zones, List<String> kinds) {
     this.zones = zones;
     this.kinds = kinds;
   }
 
-  /** Reads a list; an {@link IllegalArgumentException} says what is wrong with it. */
+  /**
+   * Parses a list. Invalid entries are omitted.
+   *
+   * @throws IllegalArgumentException if the list as a whole is invalid; the message names the fault
+   */
   public MemberList read(JsonValue json) {
     try {
       JsonObject list = object(json);
       List<Endpoint> members = new ArrayList<>();
       List<String> faults = new ArrayList<>();
-      for (JsonValue entry : present(list, "members").asArray()) {
+      for (JsonValue entry : required(list, "members").asArray()) {
         try {
           members.add(member(object(entry)));
-        } catch (IllegalArgumentException | UnsupportedOperationException bad) {
-          // One entry that cannot be used says nothing of the others.
-          faults.add(entry + ": " + bad.getMessage());
+        } catch (IllegalArgumentException | UnsupportedOperationException invalid) {
+          // An invalid entry does not invalidate the others.
+          faults.add(entry + ": " + invalid.getMessage());
         }
       }
       return new MemberList(
@@ -58,7 +62,7 @@
     return json.asObject();
   }
 
-  private static JsonValue present(JsonObject object, String field) {
+  private static JsonValue required(JsonObject object, String field) {
     JsonValue value = object.get(field);
     if (value == null) {
       throw new IllegalArgumentException(field + " is missing");
@@ -67,30 +71,30 @@
   }
 
   private Endpoint member(JsonObject entry) {
-    String name = present(entry, "id").asString();
+    String name = required(entry, "id").asString();
     double size = entry.getDouble("size", 1);
-    // The largest size of a kind stands for its idle workers: one wild figure would make all others
-    // look full.
-    if (!(size >= 0 && size <= MOST_SIZE)) {
+    // The largest size of a worker type is taken as the size of its idle workers: a single absurd
+    // value would make all other workers of the type appear full.
+    if (!(size >= 0 && size <= MAX_WORKER_CORES)) {
       throw new IllegalArgumentException("size is out of range: " + size);
     }
     Worker worker =
         new Worker(
-            id(name),
-            state(present(entry, "phase").asString()),
+            hash(name),
+            state(required(entry, "phase").asString()),
             position(zones, entry.getString("locality", ""), "locality"),
             position(kinds, entry.getString("flavor", ""), "flavor"),
             entry.getInt("cell", 0),
             entry.getDouble("up_since_ms", 0),
             size);
-    return new Endpoint(name, address(present(entry, "host_port").asString()), worker);
+    return new Endpoint(name, address(required(entry, "host_port").asString()), worker);
   }
 
   /**
-   * A number that every node makes of the same name: FNV-1a, which spreads the names of a fleet
-   * well.
+   * Returns the non-negative hash of a worker's name, equal on all nodes. FNV-1a distributes the
+   * names of a fleet well.
    */
-  static long id(String name) {
+  static long hash(String name) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < name.length(); i++) {
       hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
@@ -115,7 +119,10 @@
     return Math.max(0, position);
   }
 
-  /** An address of the form {@code 10.0.0.4:8081}, which must not need a look-up. */
+  /**
+   * Parses an address of the form {@code 10.0.0.4:8081}. Host names are rejected, because they would
+   * need a DNS lookup.
+   */
   public static InetSocketAddress address(String hostPort) {
     int colon = hostPort.lastIndexOf(':');
     try {
--- a/node/src/main/java/ferngrade/config/MaintenanceCodec.java
+++ b/node/src/main/java/ferngrade/config/MaintenanceCodec.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 
 /**
- * The file in which a process leaves its maintenance to the next one: {@code
- * {"out":[names],"back":{name: ms since 1970}}}.
+ * Encodes the maintenance file, in which a process passes its maintenance overrides to its
+ * successor: {@code {"out":[names],"back":{name: ms since 1970}}}.
  */
 public final class MaintenanceCodec {
   private MaintenanceCodec() {}
 
-  /** The file's text. */
+  /** Returns the text of the file, with the names in {@code out} sorted. */
   public static String write(MaintenanceOverrides.Saved saved) {
     JsonArray out = new JsonArray();
     saved.out().stream().sorted().forEach(out::add);
@@ -27,8 +27,9 @@
   }
 
   /**
-   * Reads a file's text; throws {@link IllegalArgumentException} for text that is no such state,
-   * torn or not.
+   * Parses the text of a file.
+   *
+   * @throws IllegalArgumentException if the text is truncated or in another format
    */
   public static MaintenanceOverrides.Saved read(String text) {
     try {
@@ -38,13 +39,13 @@
         out.add(name.asString());
       }
       Map<String, Double> back = new HashMap<>();
-      for (JsonObject.Member each : json.get("back").asObject()) {
-        back.put(each.getName(), each.getValue().asDouble());
+      for (JsonObject.Member entry : json.get("back").asObject()) {
+        back.put(entry.getName(), entry.getValue().asDouble());
       }
       return new MaintenanceOverrides.Saved(out, back);
     } catch (RuntimeException malformed) {
       throw new IllegalArgumentException(
-          "not a saved maintenance: " + malformed.getMessage(), malformed);
+          "not a maintenance file: " + malformed.getMessage(), malformed);
     }
   }
 }
--- a/node/src/main/java/ferngrade/config/NodeConfig.java
+++ b/node/src/main/java/ferngrade/config/NodeConfig.java
@@ -18,10 +18,11 @@
 import java.util.Map;
 
 /**
- * The configuration of one node at its start. {@code peerListen} and {@code peersAll} are null
- * where nodes exchange no messages; {@code known} is the endpoint list that this node had last,
- * null if it never had one; {@code writtenSettings} has the settings by path, as the file has them.
- * Times are milliseconds.
+ * The configuration of one node. {@code peerListen} and {@code peersAll} are null if nodes exchange
+ * no messages; {@code known} is the last endpoint list of this node, null if there is none; {@code
+ * writtenSettings} maps the path of each setting to its text in the file; {@code mostOpen} is the
+ * maximum number of open requests; {@code admin} is the listening address for operators, null if
+ * there is none. Times are in milliseconds, {@code memoryMb} is in megabytes.
  */
 public record NodeConfig(
     String name,
@@ -42,15 +43,14 @@
     int mostOpen,
     InetSocketAddress admin) {
   /**
-   * How long a node may be held up between reading its clock and writing, ms: idempotency windows
-   * allow for it.
+   * The allowance for a pause of the node between reading its clock and writing a request, ms.
+   * Idempotency windows are shortened by it.
    */
-  private static final double HOLD_UP = 150;
+  private static final double MAX_PAUSE_MILLIS = 150;
 
   /**
-   * Reads the file that {@code LB_CONFIG} names; the other {@code LB_*} variables take precedence.
-   * {@code admin}, where operators call, is null where neither the file nor {@code LB_ADMIN} names
-   * one.
+   * Reads the file named by {@code LB_CONFIG}. The variables {@code LB_NAME}, {@code LB_LISTEN},
+   * {@code LB_DISCOVERY} and {@code LB_ADMIN} take precedence over the file.
    */
   public static NodeConfig fromEnvironment(Map<String, String> environment) throws ConfigException {
     return read(
@@ -59,17 +59,18 @@
   }
 
   /**
-   * Reads the file again while the node runs. The variables are those of its start, so where the
-   * file names a discovery, that is newer than the one that {@code LB_DISCOVERY} names, and wins.
+   * Reads the file again while the node runs. The variables still have their values from the start
+   * of the process, so a discovery address in the file is newer than {@code LB_DISCOVERY} and takes
+   * precedence over it.
    */
   public static NodeConfig reread(Map<String, String> environment) throws ConfigException {
     JsonObject json = parse(environment);
-    boolean moved = json.get("discovery") != null;
+    boolean discoveryInFile = json.get("discovery") != null;
     return read(
         overridden(
             json,
             environment,
-            moved
+            discoveryInFile
                 ? List.of("name", "listen", "admin")
                 : List.of("name", "listen", "discovery", "admin")));
   }
@@ -99,7 +100,11 @@
     }
   }
 
-  /** Reads a configuration; what is wrong with it is said in one line that names the field. */
+  /**
+   * Parses a configuration.
+   *
+   * @throws ConfigException if it is invalid; the message is a single line that names the field
+   */
   public static NodeConfig read(JsonObject json) throws ConfigException {
     SettingsMapping mapping = new SettingsMapping();
     JsonValue nested = json.get("settings");
@@ -110,11 +115,11 @@
     DispatcherSettings settings;
     double connectTimeout = number(mapping, "Ceilings.ConnectTimeout", 1000);
     try {
-      settings = mapping.build(connectTimeout + HOLD_UP);
+      settings = mapping.build(connectTimeout + MAX_PAUSE_MILLIS);
     } catch (IllegalArgumentException invalid) {
       throw new ConfigException("settings:", invalid.getMessage());
     }
-    EndpointListParser reader =
+    EndpointListParser parser =
         new EndpointListParser(mapping.list("Zones"), mapping.list("Kinds"));
     List<InetSocketAddress> peers = new ArrayList<>();
     JsonValue addresses = json.get("peers");
@@ -133,10 +138,10 @@
         optional(json, "peer_listen"),
         peers,
         optional(json, "peers_all"),
-        known(json, reader),
+        known(json, parser),
         settings,
         mapping.asWritten(),
-        reader,
+        parser,
         connectTimeout,
         number(mapping, "Ceilings.ConnIdle", 60000),
         (int) number(mapping, "Ceilings.OpenCap", 20000),
@@ -144,17 +149,17 @@
   }
 
   /**
-   * True if the settings of both are written alike. Unlike the comparison of records, for which the
-   * runtime makes code at its first use, this takes hardly any processor time.
+   * Returns true if the texts of all settings are equal. Unlike the {@code equals} method of
+   * records, whose code the runtime generates at its first use, this takes hardly any CPU time.
    */
   public boolean settingsWrittenAs(NodeConfig other) {
     return writtenSettings.equals(other.writtenSettings);
   }
 
-  private static double number(SettingsMapping mapping, String path, double absent)
+  private static double number(SettingsMapping mapping, String path, double defaultValue)
       throws ConfigException {
     try {
-      double value = mapping.number(path, absent);
+      double value = mapping.number(path, defaultValue);
       if (value > 0) {
         return value;
       }
@@ -198,28 +203,28 @@
     }
   }
 
-  private static int limit(JsonObject json, String field, int least, int absent)
+  private static int limit(JsonObject json, String field, int min, int defaultValue)
       throws ConfigException {
     JsonValue limits = json.get("limits");
     JsonValue limit = limits == null || !limits.isObject() ? null : limits.asObject().get(field);
     if (limit == null) {
-      return absent;
+      return defaultValue;
     }
-    if (!limit.isNumber() || limit.asDouble() < least) {
+    if (!limit.isNumber() || limit.asDouble() < min) {
       throw new ConfigException(
-          "limits." + field, "must be a number of " + least + " or more: " + limit);
+          "limits." + field, "must be a number of " + min + " or more: " + limit);
     }
     return (int) limit.asDouble();
   }
 
-  private static MemberList known(JsonObject json, EndpointListParser reader)
+  private static MemberList known(JsonObject json, EndpointListParser parser)
       throws ConfigException {
     JsonValue known = json.get("known");
     if (known == null || known.isNull()) {
       return null;
     }
     try {
-      return reader.read(known);
+      return parser.read(known);
     } catch (IllegalArgumentException invalid) {
       throw new ConfigException("known:", invalid.getMessage());
     }
--- a/node/src/main/java/ferngrade/config/SettingsMapping.java
+++ b/node/src/main/java/ferngrade/config/SettingsMapping.java
@@ -19,14 +19,14 @@
 import java.util.Map;
 
 /**
- * The one mapping from the names of settings to the module's {@link DispatcherSettings}, used for
- * the simulator's wire and for a node's configuration alike. Paths that it does not know are
- * ignored; what is out of range ends in an {@link IllegalArgumentException} that names the path.
+ * Maps the names of settings to the dispatcher's {@link DispatcherSettings}, both for the
+ * simulator's protocol and for the configuration of a node. Unknown paths are ignored; a value that
+ * is out of range causes an {@link IllegalArgumentException} that names the path.
  */
 public final class SettingsMapping {
   private final Map<String, String> values = new HashMap<>();
 
-  /** Takes in one {@code path=value} pair, the form of the wire. */
+  /** Adds one {@code path=value} pair, the format of the simulator's protocol. */
   public void put(String pair) {
     int equals = pair.indexOf('=');
     if (equals <= 0) {
@@ -36,8 +36,9 @@
   }
 
   /**
-   * Takes in nested JSON, flattened to the wire's paths: {@code A.B} for members, {@code A.count}
-   * and {@code A.0} for lists of objects, commas between plain items.
+   * Adds nested JSON, flattened to the paths of the simulator's protocol: {@code A.B} for members,
+   * {@code A.count} and {@code A.0} for lists of objects. A list of plain values becomes one text
+   * with commas.
    */
   public void put(JsonObject nested) {
     put("", nested);
@@ -55,7 +56,7 @@
     } else if (value.isArray()) {
       putList(path, value.asArray());
     } else if (!value.isNull()) {
-      values.put(path, plain(value));
+      values.put(path, asText(value));
     }
   }
 
@@ -67,42 +68,42 @@
         put(path + "." + i, list.get(i));
       }
     } else {
-      values.put(path, list.values().stream().map(SettingsMapping::plain).collect(joining(",")));
+      values.put(path, list.values().stream().map(SettingsMapping::asText).collect(joining(",")));
     }
   }
 
-  private static String plain(JsonValue value) {
+  private static String asText(JsonValue value) {
     return value.isString() ? value.asString() : value.toString();
   }
 
-  /** What was taken in, by path and as it was written. */
+  /** Returns the text of each setting by its path, as added. */
   Map<String, String> asWritten() {
     return Map.copyOf(values);
   }
 
-  /** The items of a list of plain values, empty if the path is absent. */
+  /** Returns the items of a list of plain values, empty if the path is absent. */
   public List<String> list(String path) {
     String items = values.getOrDefault(path, "");
     return items.isEmpty() ? List.of() : List.of(items.split(","));
   }
 
-  /** A number, or {@code absent} where the path is left out. */
-  public double number(String path, double absent) {
+  /** Returns a number, or {@code defaultValue} if the path is absent, empty or {@code -}. */
+  public double number(String path, double defaultValue) {
     String value = values.get(path);
-    return value == null || "-".equals(value) || value.isEmpty() ? absent : parse(path, value);
+    return value == null || "-".equals(value) || value.isEmpty() ? defaultValue : parse(path, value);
   }
 
-  /** The settings as far as they were taken in. */
+  /** Returns the settings, with defaults for the paths that were not added. */
   public DispatcherSettings build() {
     return build(0);
   }
 
   /**
-   * The same where an attempt may be under way for {@code transit} ms before its last byte is
-   * written: the idempotency windows count from then on, and so are shorter by that for whoever
-   * decides on a repeat.
+   * Returns the settings for a node whose attempts may take {@code sendDelay} ms until their last
+   * byte is written. An idempotency window counts from that last byte, so it is shortened by {@code
+   * sendDelay} for the decision whether to retry.
    */
-  public DispatcherSettings build(double transit) {
+  public DispatcherSettings build(double sendDelay) {
     boolean peers = flag("Ceilings.PeerMessages");
     double retryAfter = flag("Ceilings.RetryAfter") ? number("Ceilings.MaxRetryAfter", 0) : 0;
     DeploymentLimits limits =
@@ -113,7 +114,7 @@
             flag("Ceilings.Probes"),
             peers,
             retryAfter);
-    SlowStartPolicy cold =
+    SlowStartPolicy slowStart =
         new SlowStartPolicy(
             number("Rules.StartCapacity", 1),
             number("Rules.Cold", 0),
@@ -124,10 +125,10 @@
         (int) number("Balancers", 1),
         (int) number("Locality", 0),
         number("Round", 0),
-        classes(transit),
+        classes(sendDelay),
         tenants(),
         limits,
-        cold,
+        slowStart,
         "ask".equals(values.get("Discovery")),
         flag("Extra.TellsStart"),
         "live".equals(values.get("WeightKind")),
@@ -135,25 +136,25 @@
         new ServiceObjective(number("ResultMix.Whole", 0), number("ResultMix.WorstClass", 0)));
   }
 
-  private List<JobClass> classes(double transit) {
+  private List<JobClass> classes(double sendDelay) {
     String[] kinds = values.getOrDefault("Extra.ClassKind", "").split(",");
     String[] priorities = values.getOrDefault("Extra.ClassPriority", "").split(",");
     String[] stretches = values.getOrDefault("Extra.ClassStretch", "").split(",");
     List<JobClass> classes = new ArrayList<>();
     int count = (int) number("Classes.count", 0);
     for (int i = 0; i < count; i++) {
-      String at = "Classes." + i + ".";
+      String prefix = "Classes." + i + ".";
       classes.add(
           new JobClass(
-              values.getOrDefault(at + "Name", ""),
-              effect(at + "Effect"),
-              scope(at + "KeyScope"),
-              Math.max(0, number(at + "Window", 0) - transit),
-              number(at + "GoalTime", 1000),
-              item("Extra.ClassStretch", stretches, i, number(at + "AimStretch", 0)),
-              number(at + "Deadline", 1000),
-              number(at + "Worth", 1),
-              number(at + "LateWorth", 0),
+              values.getOrDefault(prefix + "Name", ""),
+              effect(prefix + "Effect"),
+              scope(prefix + "KeyScope"),
+              Math.max(0, number(prefix + "Window", 0) - sendDelay),
+              number(prefix + "GoalTime", 1000),
+              item("Extra.ClassStretch", stretches, i, number(prefix + "AimStretch", 0)),
+              number(prefix + "Deadline", 1000),
+              number(prefix + "Worth", 1),
+              number(prefix + "LateWorth", 0),
               (int) item("Extra.ClassKind", kinds, i, -1),
               (int) item("Extra.ClassPriority", priorities, i, 0)));
     }
@@ -164,39 +165,39 @@
     List<Tenant> tenants = new ArrayList<>();
     int count = (int) number("Tenants.count", 0);
     for (int i = 0; i < count; i++) {
-      String at = "Tenants." + i + ".";
+      String prefix = "Tenants." + i + ".";
       tenants.add(
           new Tenant(
-              values.getOrDefault(at + "Name", ""),
-              number(at + "Share", 0),
-              number(at + "AllowancePerS", 0)));
+              values.getOrDefault(prefix + "Name", ""),
+              number(prefix + "Share", 0),
+              number(prefix + "AllowancePerS", 0)));
     }
     return tenants;
   }
 
   private Idempotency effect(String path) {
-    String word = values.getOrDefault(path, "at_most_once");
-    return switch (word) {
+    String text = values.getOrDefault(path, "at_most_once");
+    return switch (text) {
       case "idempotent" -> Idempotency.SAFE;
       case "deduplicated" -> Idempotency.KEYED;
       case "at_most_once" -> Idempotency.UNSAFE;
-      default -> throw new IllegalArgumentException(path + " is unknown: " + word);
+      default -> throw new IllegalArgumentException(path + " is unknown: " + text);
     };
   }
 
   private IdempotencyScope scope(String path) {
-    String word = values.getOrDefault(path, "cell");
-    return switch (word) {
+    String text = values.getOrDefault(path, "cell");
+    return switch (text) {
       case "all" -> IdempotencyScope.ALL;
       case "zone" -> IdempotencyScope.ZONE;
       case "cell" -> IdempotencyScope.CELL;
-      default -> throw new IllegalArgumentException(path + " is unknown: " + word);
+      default -> throw new IllegalArgumentException(path + " is unknown: " + text);
     };
   }
 
-  private double item(String path, String[] items, int i, double absent) {
+  private double item(String path, String[] items, int i, double defaultValue) {
     boolean missing = i >= items.length || items[i].isEmpty() || "-".equals(items[i]);
-    return missing ? absent : parse(path, items[i]);
+    return missing ? defaultValue : parse(path, items[i]);
   }
 
   private static double parse(String path, String value) {
@@ -206,7 +207,7 @@
         return number;
       }
     } catch (NumberFormatException notANumber) {
-      // Said below, as for a figure without end.
+      // Reported below, like an infinite number.
     }
     throw new IllegalArgumentException("setting " + path + " is not a number: " + value);
   }
--- a/node/src/main/java/ferngrade/config/SharedRecordCodec.java
+++ b/node/src/main/java/ferngrade/config/SharedRecordCodec.java
@@ -12,8 +12,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * The text of the records that the processes of one node exchange: a JSON object in one line, by
- * its kind {@code {"worker":name,"version":n,"out":true}}, {@code
+ * Encodes the records that the processes of one node exchange. Each record is a JSON object on one
+ * line, depending on its type {@code {"worker":name,"version":n,"out":true}}, {@code
  * {"worker":name,"version":n,"returned":ms since 1970}}, {@code {"drained":true,"version":n}},
  * {@code {"discovery":address,"former":address}}, {@code {"finishing":pid}} or {@code
  * {"pid":n,"operators":address,"first":true}}.
@@ -21,7 +21,7 @@
 public final class SharedRecordCodec {
   private SharedRecordCodec() {}
 
-  /** The record's text, without line feeds. */
+  /** Returns the text of the record, without line feeds. */
   public static String write(SharedRecord record) {
     if (record instanceof MaintenanceEntry entry) {
       JsonObject json = new JsonObject().add("worker", entry.worker());
@@ -35,10 +35,10 @@
           .add("version", drain.version())
           .toString();
     }
-    if (record instanceof DiscoveryRecord moved) {
+    if (record instanceof DiscoveryRecord discovery) {
       return new JsonObject()
-          .add("discovery", text(moved.current()))
-          .add("former", text(moved.former()))
+          .add("discovery", text(discovery.current()))
+          .add("former", text(discovery.former()))
           .toString();
     }
     if (record instanceof FinishingRecord finishing) {
@@ -61,10 +61,9 @@
   }
 
   /**
-   * Reads a record's text; null for a kind that this release does not know, as a later one may
-   * write.
+   * Parses the text of a record; returns null for a record type of a later release.
    *
-   * @throws IllegalArgumentException if the text is no record
+   * @throws IllegalArgumentException if the text is not a valid record
    */
   public static SharedRecord read(String text) {
     try {
@@ -94,7 +93,7 @@
       return null;
     } catch (RuntimeException malformed) {
       throw new IllegalArgumentException(
-          "not a record of a node's process: " + malformed.getMessage(), malformed);
+          "not a shared record: " + malformed.getMessage(), malformed);
     }
   }
 }
--- a/node/src/main/java/ferngrade/config/package-info.java
+++ b/node/src/main/java/ferngrade/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Reads what a node is configured with: its configuration file and environment, the endpoint list,
- * and the saved maintenance. Errors are reported in one line that names the field. No class here
- * keeps state.
+ * Parses the configuration file and environment of a node, the endpoint list, and the stored
+ * maintenance overrides. Errors are reported in one line that names the field. The classes keep no
+ * state between calls.
  */
 package ferngrade.config;
--- a/node/src/main/java/ferngrade/discovery/Discovery.java
+++ b/node/src/main/java/ferngrade/discovery/Discovery.java
@@ -4,62 +4,64 @@
 import java.util.function.BiFunction;
 
 /**
- * Where the worker list comes from, which may move while the node runs. The last list stays in
- * force until the new address has told one, and so does the watch that it came from: changes may
- * still come there. From then on only the new address counts, whatever its revisions are: they may
- * start elsewhere.
+ * Watches the worker list at an address that may change while the node runs. After a change, the
+ * last list and the watch that it came from stay in use until the new address has sent a whole
+ * list, because the old address may still send changes. From then on only the new address counts,
+ * whatever its revisions are: they may start from a different number.
  */
 public final class Discovery {
   private final BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener;
 
-  /** The address that the node is to watch. */
+  /** The watch of the configured address; null before the first call of {@link #watch}. */
   private DiscoveryWatch current;
 
   /**
-   * The watch that the list in force came from while the present address has told none, otherwise
-   * null.
+   * The watch that the current list came from, until the current address has sent a whole list;
+   * otherwise null.
    */
   private DiscoveryWatch previous;
 
   /**
-   * Makes watches by {@code opener}, from an address and what to run when it has told its first
-   * list.
+   * Creates each watch with {@code opener}, which gets the address and a callback for the first
+   * whole list.
    */
   public Discovery(BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener) {
     this.opener = opener;
   }
 
-  /** Watches this address from here on. */
+  /** Switches to this address; does nothing if it is already watched. */
   public void watch(InetSocketAddress address) {
     if (current != null && current.address().equals(address)) {
       return;
     }
-    leaveCurrent();
+    retireCurrent();
     if (previous != null && previous.address().equals(address)) {
-      // Back before the address between has told anything: the watch there never ended.
+      // The address changes back before the one in between has sent a whole list: the watch of the
+      // old address is still open.
       current = previous;
       previous = null;
       return;
     }
-    current = opener.apply(address, this::listed);
+    current = opener.apply(address, this::firstListReceived);
     current.start();
   }
 
-  private void leaveCurrent() {
-    if (current != null && current.listed()) {
+  private void retireCurrent() {
+    if (current != null && current.wholeListReceived()) {
       previous = current;
     } else if (current != null) {
       current.stop();
     }
   }
 
-  /** The address that is watched; null before the first. */
+  /** Returns the watched address; null before the first call of {@link #watch}. */
   public InetSocketAddress address() {
     return current == null ? null : current.address();
   }
 
   /**
-   * Reads at once what the sources of the list have told and the event loop has not come to read.
+   * Reads data that has arrived from the sources of the list and that the event loop has not read
+   * yet.
    */
   public void readPending() {
     if (previous != null) {
@@ -71,9 +73,10 @@
   }
 
   /**
-   * The present address has told its first list, which the previous one must not change any more.
+   * Stops the previous watch, because the current address has sent its first whole list and the
+   * previous address must not change that list.
    */
-  private void listed() {
+  private void firstListReceived() {
     if (previous != null) {
       previous.stop();
       previous = null;
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -35,130 +35,138 @@
 import java.net.InetSocketAddress;
 
 /**
- * Watches the worker list at one address: one long answer, an object for each change. A watch that
- * breaks, falls silent or tells what cannot be read is opened anew from the last version seen;
- * until then the last list stays.
+ * Watches the worker list at one address: a single streaming HTTP response that carries one JSON
+ * object per change. A watch whose connection fails, times out or carries invalid data is reopened
+ * from the last revision received; the last list stays in use until then. All methods run on the
+ * event loop.
  *
- * <p>What discovery has counts as told 6 s after it had it and could be reached. Within that fit,
- * in the worst order, a silence to be noticed, a dial that hangs and an answer that does not begin,
- * with the pauses between: 2.5 + 0.1 + 1 + 0.2 + 1 + 0.4 s where discovery is asked, less where it
- * pushes.
+ * <p>A change must be in effect 6 s after discovery has it and is reachable. In the worst case that
+ * time has to cover a keep-alive timeout, a hanging connect and a missing response, with the
+ * backoff after each of them: 2.5 + 0.1 + 1 + 0.2 + 1 + 0.4 s in mode {@link Mode#ASKED}, less in
+ * mode {@link Mode#PUSHED}.
  */
 public final class DiscoveryWatch {
   /**
-   * An empty line comes every 2 s; a missing one means that the connection is dead. What discovery
-   * had to tell meanwhile counts as told a few seconds later all the same: waiting for more would
-   * send jobs to workers that drain.
+   * The longest time without data on an open watch, ms. Discovery sends an empty line every 2 s, so
+   * one missing line means that the connection is dead. A change made in the meantime counts as
+   * delivered after a few seconds in any case, so a longer timeout would send jobs to draining
+   * workers.
    */
-  private static final double SILENCE = 2500;
+  private static final double KEEP_ALIVE_TIMEOUT_MILLIS = 2500;
 
   /**
-   * How long the first call may go unanswered; each that did in a row adds as much, up to the
-   * mode's limit.
+   * The response timeout of the first request, ms. Each consecutive request without a response
+   * adds the same amount, up to the mode's maximum.
    */
-  private static final double FIRST_PATIENCE = 1000;
+  private static final double INITIAL_RESPONSE_TIMEOUT_MILLIS = 1000;
 
   /**
-   * An agent that can be reached answers well within this; one that is silent for longer is cut off
-   * from its source, and a process that has just started serves by the list of an earlier one until
-   * it is back.
+   * The response time after which discovery counts as unreachable, ms. An agent with a connection
+   * to its source responds well within this time. After it, a process that has just started uses
+   * the list stored by an earlier process until discovery responds.
    */
-  private static final double AT_ONCE = 300;
+  private static final double PROMPT_RESPONSE_MILLIS = 300;
 
-  private static final double RETRY_FIRST = 100;
-  private static final int CONNECT_TIMEOUT = 1000;
+  private static final double INITIAL_BACKOFF_MILLIS = 100;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   /**
-   * How long a lack of this machine says nothing of discovery, ms; each {@link Dialer#BACKOFF}
-   * another try is made meanwhile. Only then does the list count as one that cannot be had.
+   * How long connects that fail for lack of local resources are retried, ms, one retry every
+   * {@link Dialer#BACKOFF}. Such a failure is no sign that discovery is unreachable, so the list
+   * counts as unavailable only after this time.
    */
-  private static final double LOCAL_PATIENCE = 2500;
+  private static final double LOCAL_FAILURE_RETRY_MILLIS = 2500;
 
   /**
-   * The longest list, in bytes. An indented entry has about 250, and some hundred more where ids
-   * are long: this holds 3,200 entries of 1,300 bytes, and is still a fraction of the heap of a
-   * small node.
+   * The maximum size of one list, in bytes. An indented entry has about 250 bytes, a few hundred
+   * more if ids are long. The limit admits 3,200 entries of 1,300 bytes and is a fraction of the
+   * heap of a small node.
    */
   private static final int MAX_LIST_BYTES = 4 << 20;
 
-  /** How the address answers, which says how often to call and how long to wait. */
+  /** How discovery serves requests, which determines the backoff and the response timeout. */
   public enum Mode {
     /**
-     * An agent on the node's own machine, which answers at once: a watch that does not begin to is
-     * dead. Asking it costs nothing, and what it gets when discovery is back counts as told in that
-     * moment. A pause near the 250 ms of the drain rule would send jobs to workers that drain.
+     * An agent on the node's own machine, which responds immediately: a watch without a response
+     * is dead. Requests to the agent are free, and an update counts as delivered at the moment the
+     * agent receives it after an outage. A backoff close to the 250 ms of the drain rule would send
+     * jobs to draining workers.
      */
-    PUSHED(100, FIRST_PATIENCE),
+    PUSHED(100, INITIAL_RESPONSE_TIMEOUT_MILLIS),
     /**
-     * One service for all nodes, which works through calls in turn; each has its price, and counts
-     * once it is answered. A call that is given up starts again at the end of the queue, so the
-     * next one waits longer. What is told counts 6 s after discovery could be reached: a call of 3
-     * s that was made just before, its pause, a dial that hangs and another pause are 5 s.
+     * One service for all nodes, which processes requests from a queue. Each request has a cost,
+     * and its list counts from the moment of the response. An abandoned request goes back to the
+     * end of the queue, so the next one gets a longer timeout. A change must be in effect 6 s after
+     * discovery becomes reachable: a request of 3 s sent just before that moment, its backoff, a
+     * hanging connect and another backoff take 5 s.
      */
     ASKED(500, 3000);
 
     private final double maxBackoff;
-    private final double maxPatience;
+    private final double maxResponseTimeout;
 
-    /** The longest pause between calls, and the longest wait for the beginning of an answer, ms. */
-    Mode(double maxBackoff, double maxPatience) {
+    /** Sets the maximum backoff between requests and the maximum response timeout, both in ms. */
+    Mode(double maxBackoff, double maxResponseTimeout) {
       this.maxBackoff = maxBackoff;
-      this.maxPatience = maxPatience;
+      this.maxResponseTimeout = maxResponseTimeout;
     }
   }
 
   private final InetSocketAddress discovery;
-  private final EndpointListParser reader;
-  private final RequestCoordinator node;
+  private final EndpointListParser parser;
+  private final RequestCoordinator coordinator;
   private final Timers timers;
   private final RateLimitedLog log;
   private final Mode mode;
-  private final Runnable whenListed;
+  private final Runnable onFirstList;
   private final Dialer dialer;
 
-  /** The connection whose word counts, null while there is none. */
+  /** The open connection, null if there is none. Data of any other connection is ignored. */
   private Channel channel;
 
   private JsonObjectFramer framer;
   private long revision;
-  private boolean listed;
+  private boolean wholeListReceived;
 
-  /** Ask for the whole list: an answer from the last version on was older than that. */
-  private boolean anew;
+  /**
+   * True if the next request must ask for the whole list, because discovery sent a revision older
+   * than the last one.
+   */
+  private boolean wholeListNeeded;
 
   private boolean stopped;
-  private double retry = RETRY_FIRST;
-  private double patience = FIRST_PATIENCE;
-  private Timers.Timer silence;
+  private double backoff = INITIAL_BACKOFF_MILLIS;
+  private double responseTimeout = INITIAL_RESPONSE_TIMEOUT_MILLIS;
+  private Timers.Timer silenceTimer;
 
   /**
-   * A watch of an address that answers by {@code mode}, which calls {@code whenListed} once it has
-   * told a whole list for the first time.
+   * Creates a watch of {@code discovery}, which serves requests as {@code mode} describes. Runs
+   * {@code onFirstList} once, when the first whole list arrives.
    */
   public DiscoveryWatch(
       EventLoopGroup group,
       InetSocketAddress discovery,
-      EndpointListParser reader,
-      RequestCoordinator node,
+      EndpointListParser parser,
+      RequestCoordinator coordinator,
       Timers timers,
       RateLimitedLog log,
       Mode mode,
-      Runnable whenListed,
+      Runnable onFirstList,
       ChannelProvider channels) {
     this.mode = mode;
     this.discovery = discovery;
-    this.reader = reader;
-    this.node = node;
+    this.parser = parser;
+    this.coordinator = coordinator;
     this.timers = timers;
     this.log = log;
-    this.whenListed = whenListed;
+    this.onFirstList = onFirstList;
     this.dialer =
         new Dialer(
             group,
             timers,
             channels,
             Purpose.DISCOVERY,
-            CONNECT_TIMEOUT,
+            CONNECT_TIMEOUT_MILLIS,
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
@@ -171,25 +179,25 @@
     return discovery;
   }
 
-  boolean listed() {
-    return listed;
+  boolean wholeListReceived() {
+    return wholeListReceived;
   }
 
-  /** Ends the watch for good: nothing that it still hears counts. */
+  /** Ends the watch permanently; data that arrives afterwards is ignored. */
   void stop() {
     stopped = true;
-    giveUp();
+    closeConnection();
   }
 
-  /** Opens the watch; it keeps itself open from here on. */
+  /** Opens the watch, which reconnects automatically until it is stopped. */
   void start() {
     if (!stopped) {
-      dialer.dial(discovery, LOCAL_PATIENCE, new WatchDial());
+      dialer.dial(discovery, LOCAL_FAILURE_RETRY_MILLIS, new DialListener());
     }
   }
 
-  /** Dials for the watch. */
-  private final class WatchDial implements Dialer.Listener {
+  /** Starts the watch on the new connection, or schedules a retry. */
+  private final class DialListener implements Dialer.Listener {
     @Override
     public boolean wanted() {
       return !stopped;
@@ -200,141 +208,144 @@
       if (stopped) {
         opened.close();
       } else {
-        watch(opened);
+        sendRequest(opened);
       }
     }
 
     @Override
     public void failed(FaultOrigin origin, Throwable cause) {
-      again("cannot be reached: " + cause.getMessage());
+      scheduleRetry("cannot be reached: " + cause.getMessage());
     }
   }
 
-  /** Reads at once what has been told and the event loop has not come to read. */
+  /** Reads data that has arrived on the socket and that the event loop has not read yet. */
   void readPending() {
     if (channel != null) {
       PendingReads.read((AbstractNioChannel) channel);
     }
   }
 
-  private void watch(Channel opened) {
+  private void sendRequest(Channel opened) {
     channel = opened;
     framer = new JsonObjectFramer(MAX_LIST_BYTES);
-    // Only a list from discovery has a version to go on from: the stored one may be of another
-    // life.
-    boolean on = listed && !anew;
+    // Only a list received from discovery has a revision to continue from: the revision of the
+    // stored list may come from an earlier run of discovery.
+    boolean incremental = wholeListReceived && !wholeListNeeded;
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
             HttpMethod.GET,
-            "/api/targets?watch=1" + (on ? "&from=" + revision : ""));
+            "/api/targets?watch=1" + (incremental ? "&from=" + revision : ""));
     request
         .headers()
         .set(HttpHeaderNames.HOST, discovery.getHostString() + ":" + discovery.getPort());
-    opened.closeFuture().addListener(ended -> ended());
-    listen(patience, this::unanswered);
-    timers.after(AT_ONCE, this::notAtOnce);
+    opened.closeFuture().addListener(closed -> connectionClosed());
+    restartTimer(responseTimeout, this::responseTimedOut);
+    timers.after(PROMPT_RESPONSE_MILLIS, this::responseIsSlow);
     opened.writeAndFlush(request);
   }
 
-  private void listen(double span, Runnable whenSilent) {
-    if (silence != null) {
-      silence.cancel();
+  private void restartTimer(double timeoutMillis, Runnable onTimeout) {
+    if (silenceTimer != null) {
+      silenceTimer.cancel();
     }
-    silence = timers.after(span, () -> silent(whenSilent));
+    silenceTimer = timers.after(timeoutMillis, () -> timerExpired(onTimeout));
   }
 
-  /** The time is over; what has come since the last read, in a loop that was held up, counts. */
-  private void silent(Runnable whenSilent) {
-    Timers.Timer expired = silence;
+  /**
+   * Handles an expired timer. An event loop that was blocked may have data left to read, which
+   * restarts the timer.
+   */
+  private void timerExpired(Runnable onTimeout) {
+    Timers.Timer expired = silenceTimer;
     readPending();
-    if (channel != null && silence == expired) {
-      whenSilent.run();
+    if (channel != null && silenceTimer == expired) {
+      onTimeout.run();
     }
   }
 
-  private void unanswered() {
-    patience = Math.min(mode.maxPatience, patience + FIRST_PATIENCE);
-    giveUp();
+  private void responseTimedOut() {
+    responseTimeout = Math.min(mode.maxResponseTimeout, responseTimeout + INITIAL_RESPONSE_TIMEOUT_MILLIS);
+    closeConnection();
   }
 
-  private void notAtOnce() {
+  private void responseIsSlow() {
     if (!stopped) {
-      node.discoverySilent();
+      coordinator.discoverySilent();
     }
   }
 
-  /** Ends the present connection: nothing that was on its way over it counts any more. */
-  private void giveUp() {
+  /** Closes the current connection; data still in flight on it is ignored. */
+  private void closeConnection() {
     if (channel != null) {
       channel.close();
     }
   }
 
-  /** The one place where a watch ends, from whichever side. */
-  private void ended() {
+  /** Handles the end of the connection, whichever side has closed it. */
+  private void connectionClosed() {
     channel = null;
-    silence.cancel();
-    again("watch ended");
+    silenceTimer.cancel();
+    scheduleRetry("watch ended");
   }
 
-  private void again(String why) {
+  private void scheduleRetry(String reason) {
     if (stopped) {
       return;
     }
-    log.line("discovery at " + discovery + ": " + why);
-    node.listFailed();
-    timers.after(retry, this::start);
-    retry = Math.min(mode.maxBackoff, 2 * retry);
+    log.line("discovery at " + discovery + ": " + reason);
+    coordinator.listFailed();
+    timers.after(backoff, this::start);
+    backoff = Math.min(mode.maxBackoff, 2 * backoff);
   }
 
-  private void body(ByteBuf bytes) {
+  private void readBody(ByteBuf bytes) {
     try {
       Event event = framer.next(bytes);
       while (event != null) {
-        heard(event);
-        // What comes behind the one that ended the watch counts no more.
+        handleEvent(event);
+        // An event that closes the connection invalidates the rest of the data.
         event = channel != null && channel.isOpen() ? framer.next(bytes) : null;
       }
     } catch (ParseException | IllegalArgumentException malformed) {
-      // Whatever it was to say is asked for again.
-      log.line("list", "discovery sent what is no list: " + malformed.getMessage());
-      giveUp();
+      // The next request asks for the lost update again.
+      log.line("list", "discovery sent an invalid list: " + malformed.getMessage());
+      closeConnection();
     }
   }
 
-  private void heard(Event event) {
-    retry = RETRY_FIRST;
-    patience = FIRST_PATIENCE;
+  private void handleEvent(Event event) {
+    backoff = INITIAL_BACKOFF_MILLIS;
+    responseTimeout = INITIAL_RESPONSE_TIMEOUT_MILLIS;
     if (event instanceof CompleteObject object) {
-      told(reader.read(Json.parse(object.json())));
+      applyList(parser.read(Json.parse(object.json())));
     } else {
-      node.listUnchanged();
+      coordinator.listUnchanged();
     }
   }
 
-  private void told(MemberList list) {
+  private void applyList(MemberList list) {
     list.faults()
-        .forEach(fault -> log.line("list entry", "discovery listed what cannot be used: " + fault));
-    if (listed && !anew && list.revision() < revision) {
-      // A copy that lags, or a source that began anew: the whole list, asked for without a version,
-      // tells.
-      anew = true;
-      log.line("list", "discovery told version " + list.revision() + " after " + revision);
-      giveUp();
+        .forEach(fault -> log.line("list entry", "discovery listed an unusable worker: " + fault));
+    if (wholeListReceived && !wholeListNeeded && list.revision() < revision) {
+      // Either a replica lags or discovery has restarted its numbering. The whole list, requested
+      // without a revision, settles which.
+      wholeListNeeded = true;
+      log.line("list", "discovery sent revision " + list.revision() + " after " + revision);
+      closeConnection();
       return;
     }
-    anew &= !list.complete();
+    wholeListNeeded &= !list.complete();
     revision = list.revision();
-    if (!listed && list.complete()) {
-      listed = true;
-      whenListed.run();
+    if (!wholeListReceived && list.complete()) {
+      wholeListReceived = true;
+      onFirstList.run();
     }
-    node.members(
+    coordinator.members(
         list.complete() ? EndpointListUpdate.WHOLE : EndpointListUpdate.CHANGES, list.members());
   }
 
-  /** Takes the answer as it comes. */
+  /** Processes the response as it arrives. */
   private final class AnswerHandler extends SimpleChannelInboundHandler<HttpObject> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
@@ -342,12 +353,12 @@
         return;
       }
       if (message instanceof HttpResponse response && response.status().code() != 200) {
-        giveUp();
+        closeConnection();
         return;
       }
-      listen(SILENCE, DiscoveryWatch.this::giveUp);
+      restartTimer(KEEP_ALIVE_TIMEOUT_MILLIS, DiscoveryWatch.this::closeConnection);
       if (message instanceof HttpContent content) {
-        body(content.content());
+        readBody(content.content());
       }
       if (message instanceof LastHttpContent) {
         ctx.close();
@@ -356,7 +367,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      log.line("list", "discovery's answer cannot be read: " + cause.getMessage());
+      log.line("list", "response of discovery cannot be read: " + cause.getMessage());
       ctx.close();
     }
   }
--- a/node/src/main/java/ferngrade/discovery/JsonObjectFramer.java
+++ b/node/src/main/java/ferngrade/discovery/JsonObjectFramer.java
@@ -5,54 +5,55 @@
 import java.util.Arrays;
 
 /**
- * Cuts the body of an answer into JSON objects: one a line, or indented over several. A blank line
- * between objects is a sign of life; within one it means that the rest of that will not come. Each
- * ends with its line.
+ * Splits the body of a response into JSON objects, each on a line of its own or indented over
+ * several lines. An object ends at the end of a line. A blank line between objects is a keep-alive;
+ * a blank line within an object means that the rest of the object is missing.
  *
- * <p>The bytes are read once, as they come, and what is kept of an object lies on the heap: only
- * that grows with the list, and the few direct buffers of the connection stay as small as for any
- * other answer.
+ * <p>Each byte is scanned once, on arrival, and incomplete objects are buffered on the heap. Only
+ * this buffer grows with the list; the few direct buffers of the connection stay as small as for
+ * any other response.
  */
 final class JsonObjectFramer {
   private static final int INITIAL_CAPACITY = 1024;
 
   private final int maxLength;
-  private byte[] object = new byte[INITIAL_CAPACITY];
+  private byte[] buffer = new byte[INITIAL_CAPACITY];
   private int length;
   private int depth;
   private boolean inString;
   private boolean escaped;
 
-  /** Nothing but white space has come in this line. */
+  /** True while the current line holds nothing but white space. */
   private boolean blankLine = true;
 
-  /** An earlier line has begun an object that is not complete yet. */
-  private boolean begun;
+  /** True if an earlier line has begun an object that is not complete yet. */
+  private boolean objectOpen;
 
-  /** What the end of a line may bring. */
+  /** The result of a line that completes an object or is blank. */
   sealed interface Event {}
 
-  /** An object is complete. */
+  /** A complete object, with its line ends. */
   record CompleteObject(String json) implements Event {}
 
-  /** A blank line, between objects. */
+  /** A blank line between objects. */
   record KeepAlive() implements Event {}
 
-  /** Objects of at most so many bytes, line ends among them. */
+  /** Creates a framer for objects of at most {@code maxLength} bytes, line ends included. */
   JsonObjectFramer(int maxLength) {
     this.maxLength = maxLength;
   }
 
   /**
-   * Reads on to the next event; null if it takes more bytes than these. An {@link
-   * IllegalArgumentException} says that an object is too long or ends before it is complete;
-   * nothing of it is kept.
+   * Reads up to the next event; returns null if the event needs more bytes.
+   *
+   * @throws IllegalArgumentException if an object is too long or is cut off by a blank line; the
+   *     framer discards that object
    */
   Event next(ByteBuf bytes) {
     while (bytes.isReadable()) {
-      int toLineEnd = bytes.bytesBefore((byte) '\n') + 1;
-      append(bytes, toLineEnd > 0 ? toLineEnd : bytes.readableBytes());
-      Event event = toLineEnd > 0 ? lineEnd() : null;
+      int lineLength = bytes.bytesBefore((byte) '\n') + 1;
+      append(bytes, lineLength > 0 ? lineLength : bytes.readableBytes());
+      Event event = lineLength > 0 ? endLine() : null;
       if (event != null) {
         return event;
       }
@@ -63,15 +64,15 @@
   private void append(ByteBuf bytes, int count) {
     if (length + count > maxLength) {
       clear();
-      throw new IllegalArgumentException("an object is too long");
+      throw new IllegalArgumentException("object is too long");
     }
-    if (length + count > object.length) {
-      object =
-          Arrays.copyOf(object, Math.min(maxLength, Math.max(2 * object.length, length + count)));
+    if (length + count > buffer.length) {
+      buffer =
+          Arrays.copyOf(buffer, Math.min(maxLength, Math.max(2 * buffer.length, length + count)));
     }
-    bytes.readBytes(object, length, count);
+    bytes.readBytes(buffer, length, count);
     for (int i = length; i < length + count; i++) {
-      scan(object[i]);
+      scan(buffer[i]);
     }
     length += count;
   }
@@ -90,35 +91,35 @@
     }
   }
 
-  private Event lineEnd() {
+  private Event endLine() {
     boolean blank = blankLine;
     blankLine = true;
-    if (blank && begun) {
+    if (blank && objectOpen) {
       clear();
-      throw new IllegalArgumentException("an object breaks off");
+      throw new IllegalArgumentException("object is cut off by a blank line");
     }
     if (blank) {
       clear();
       return new KeepAlive();
     }
-    begun = depth > 0;
-    if (begun) {
+    objectOpen = depth > 0;
+    if (objectOpen) {
       return null;
     }
-    String json = new String(object, 0, length, StandardCharsets.UTF_8);
+    String json = new String(buffer, 0, length, StandardCharsets.UTF_8);
     clear();
     return new CompleteObject(json);
   }
 
   private void clear() {
-    if (object.length > INITIAL_CAPACITY) {
-      object = new byte[INITIAL_CAPACITY];
+    if (buffer.length > INITIAL_CAPACITY) {
+      buffer = new byte[INITIAL_CAPACITY];
     }
     length = 0;
     depth = 0;
     inString = false;
     escaped = false;
     blankLine = true;
-    begun = false;
+    objectOpen = false;
   }
 }
--- a/node/src/main/java/ferngrade/simulator/SimulatorHost.java
+++ b/node/src/main/java/ferngrade/simulator/SimulatorHost.java
@@ -18,23 +18,26 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts decision modules behind the simulator's wire; it translates and decides nothing. */
+/**
+ * Runs dispatchers under the simulator's protocol. Translates messages to calls of the dispatcher
+ * and makes no decisions. Runs on the thread that calls it.
+ */
 public final class SimulatorHost {
-  private static final int LISTS = 16;
+  private static final int MAX_LISTS = 16;
 
   private final WireReader in;
   private final WireWriter out;
-  private final Map<String, Seat> seats = new HashMap<>();
+  private final Map<String, HostedInstance> instances = new HashMap<>();
   private final List<List<Worker>> lists = new ArrayList<>();
-  private Seat seat;
+  private HostedInstance instance;
   private double now;
 
-  /** One instance's place: its module, if it runs, and the way out for its actions. */
-  private static final class Seat {
-    private final WireWriter.Instance actions;
-    private Dispatcher module;
+  /** One simulated node: its dispatcher, null if it does not run, and the writer of its actions. */
+  private static final class HostedInstance {
+    private final WireWriter.InstanceActions actions;
+    private Dispatcher dispatcher;
 
-    Seat(WireWriter.Instance actions) {
+    HostedInstance(WireWriter.InstanceActions actions) {
       this.actions = actions;
     }
   }
@@ -42,12 +45,12 @@
   SimulatorHost(InputStream in, OutputStream out) {
     this.in = new WireReader(in);
     this.out = new WireWriter(out);
-    for (int i = 0; i < LISTS; i++) {
+    for (int i = 0; i < MAX_LISTS; i++) {
       lists.add(null);
     }
   }
 
-  /** Serves the wire on these streams until the input ends. */
+  /** Serves the protocol on these streams until the input ends. */
   public static void run(InputStream in, OutputStream out) throws IOException {
     new SimulatorHost(in, out).run();
   }
@@ -58,139 +61,139 @@
       String message = in.message();
       if (message.equals("BEGIN_BATCH")) {
         if (inBatch) {
-          throw in.wrong("BEGIN_BATCH inside a batch");
+          throw in.malformed("BEGIN_BATCH inside a batch");
         }
         now = in.number("Clock");
         inBatch = true;
-        seat = null;
+        instance = null;
       } else if (message.isEmpty()) {
         continue;
       } else if (!inBatch) {
-        throw in.wrong(message + " outside a batch");
+        throw in.malformed(message + " outside a batch");
       } else if (message.equals("FLUSH")) {
         inBatch = false;
         out.flush();
       } else {
-        event(message);
+        handleMessage(message);
       }
     }
     if (inBatch) {
-      throw in.wrong("the input ends inside a batch");
+      throw in.malformed("the input ends inside a batch");
     }
   }
 
-  private void event(String message) throws IOException {
+  private void handleMessage(String message) throws IOException {
     if (message.equals("ON")) {
-      seat = seats.computeIfAbsent(in.text("Who"), name -> new Seat(out.new Instance(name)));
+      instance = instances.computeIfAbsent(in.text("Who"), name -> new HostedInstance(out.new InstanceActions(name)));
     } else if (message.equals("CENSUS")) {
       census();
     } else {
-      if (seat == null) {
-        throw in.wrong(message + " before any ON");
+      if (instance == null) {
+        throw in.malformed(message + " before any ON");
       }
       try {
-        addressed(message);
+        deliver(message);
       } catch (WireException malformed) {
         throw malformed;
       } catch (RuntimeException crash) {
         StackTraceElement[] trace = crash.getStackTrace();
-        seat.actions.bailOut(message + ": " + crash + (trace.length > 0 ? " at " + trace[0] : ""));
+        instance.actions.bailOut(message + ": " + crash + (trace.length > 0 ? " at " + trace[0] : ""));
       }
     }
   }
 
-  private void addressed(String message) {
+  private void deliver(String message) {
     switch (message) {
       case "CONFIGURE" -> configure();
-      case "HALT" -> seat.module = null;
+      case "HALT" -> instance.dispatcher = null;
       case "INGRESS" -> ingress();
       case "UPDATE_OF" -> update();
       case "RESOLVED" -> resolved();
       case "BEGUN" -> {
         String id = in.text("Id");
-        module().streaming(now, id, in.index("N"));
+        dispatcher().streaming(now, id, in.nonNegativeInt("N"));
       }
-      case "GONE" -> module().abandoned(now, in.text("Id"));
-      case "REMINDER" -> module().timer(now, in.whole("Token"));
+      case "GONE" -> dispatcher().abandoned(now, in.text("Id"));
+      case "REMINDER" -> dispatcher().timer(now, in.integer("Token"));
       case "MEMBERS" -> members();
-      case "HEARD" -> heard();
+      case "HEARD" -> peerMessage();
       case "SAMPLED" -> sampled();
       default -> {}
     }
   }
 
-  private Dispatcher module() {
-    if (seat.module == null) {
-      throw in.wrong(in.message() + " for an instance that does not run");
+  private Dispatcher dispatcher() {
+    if (instance.dispatcher == null) {
+      throw in.malformed(in.message() + " for an instance that does not run");
     }
-    return seat.module;
+    return instance.dispatcher;
   }
 
   private void configure() {
-    long seed = in.whole("Entropy");
+    long seed = in.integer("Entropy");
     SettingsMapping settings = new SettingsMapping();
     try {
       for (String pair = in.text(); pair != null; pair = in.text()) {
         settings.put(pair);
       }
-      seat.module = new ThrottlingDispatcher(settings.build(), seed, now, seat.actions);
+      instance.dispatcher = new ThrottlingDispatcher(settings.build(), seed, now, instance.actions);
     } catch (IllegalArgumentException invalid) {
-      throw in.wrong("Env", invalid.getMessage());
+      throw in.malformed("Env", invalid.getMessage());
     }
   }
 
   private void ingress() {
     String id = in.text("Id");
-    int jobClass = in.index("Class");
-    int tenant = (int) in.whole("Customer", 0);
-    long object = in.whole("TargetKey", 0);
+    int jobClass = in.nonNegativeInt("Class");
+    int tenant = (int) in.integer("Customer", 0);
+    long object = in.integer("TargetKey", 0);
     double due = in.number("Due");
     double work = in.number("Predicted", 0);
     double slots = in.number("CoresNeeded", 1);
     double memory = in.number("Memory", 0);
-    long marks = in.whole("Attrs", 0);
+    long flags = in.integer("Attrs", 0);
     try {
       Job job =
-          new Job(id, jobClass, tenant, due, (marks & 1) == 0 ? 0 : work, slots, memory, object);
-      module().arrived(now, job);
+          new Job(id, jobClass, tenant, due, (flags & 1) == 0 ? 0 : work, slots, memory, object);
+      dispatcher().arrived(now, job);
     } catch (IllegalArgumentException invalid) {
-      throw in.wrong("fields", invalid.getMessage());
+      throw in.malformed("fields", invalid.getMessage());
     }
   }
 
   private void update() {
     String id = in.text("Id");
-    int attempt = in.index("N");
-    in.whole("Runner");
-    long sort = in.whole("Sort", 0);
+    int attempt = in.nonNegativeInt("N");
+    in.integer("Runner");
+    long sort = in.integer("Sort", 0);
     double level = in.number("Level", 0);
     if (sort == 1) {
-      module().started(now, id, attempt);
+      dispatcher().started(now, id, attempt);
     } else if (sort == 2) {
-      module().progressed(now, id, attempt, level);
+      dispatcher().progressed(now, id, attempt, level);
     }
   }
 
   private void resolved() {
     String id = in.text("Id");
-    in.whole("Runner");
-    in.whole("Note", 0);
-    int attempt = in.index("N");
+    in.integer("Runner");
+    in.integer("Note", 0);
+    int attempt = in.nonNegativeInt("N");
     AttemptOutcome outcome = outcome();
-    double took = in.number("TimeTaken", 0);
-    boolean over = in.flag("Over");
-    module().ended(now, id, attempt, outcome, took, over, report());
+    double durationMillis = in.number("TimeTaken", 0);
+    boolean finalOutcome = in.flag("Over");
+    dispatcher().ended(now, id, attempt, outcome, durationMillis, finalOutcome, report());
   }
 
   private void sampled() {
-    long worker = in.whole("Runner");
+    long worker = in.integer("Runner");
     AttemptOutcome outcome = outcome();
-    module().checked(now, worker, outcome, in.number("TimeTaken", 0), report());
+    dispatcher().checked(now, worker, outcome, in.number("TimeTaken", 0), report());
   }
 
   private AttemptOutcome outcome() {
-    String word = in.text("Reason");
-    return switch (word) {
+    String text = in.text("Reason");
+    return switch (text) {
       case "ok" -> AttemptOutcome.OK;
       case "error" -> AttemptOutcome.ERROR;
       case "full" -> AttemptOutcome.FULL;
@@ -199,7 +202,7 @@
       case "reset" -> AttemptOutcome.RESET;
       case "cancelled" -> AttemptOutcome.CANCELLED;
       case "moot" -> AttemptOutcome.NEVER_SENT;
-      default -> throw in.wrong("Reason", "is unknown: " + word);
+      default -> throw in.malformed("Reason", "is unknown: " + text);
     };
   }
 
@@ -230,74 +233,74 @@
     try {
       return Double.parseDouble(pair.substring(colon + 1));
     } catch (NumberFormatException notANumber) {
-      throw in.wrong("Gauge", "is not a number: " + pair);
+      throw in.malformed("Gauge", "is not a number: " + pair);
     }
   }
 
   private void census() throws IOException {
-    int ref = listNumber();
-    int count = in.index("Hosts");
+    int listNumber = listNumber();
+    int count = in.nonNegativeInt("Hosts");
     List<Worker> workers = new ArrayList<>(Math.min(count, 4096));
     for (int i = 0; i < count; i++) {
       if (!in.nextLine() || !in.message().equals("ROW")) {
-        throw in.wrong("CENSUS of " + count + " entries has only " + i);
+        throw in.malformed("CENSUS of " + count + " entries has only " + i);
       }
       double startedAt = in.number("ReadyAt", 0);
       WorkerState state = state(in.text("Status"));
-      int cell = (int) in.whole("Cohort", 0);
-      int kind = (int) in.whole("Kind", 0);
-      long id = in.whole("Runner");
-      int zone = (int) in.whole("Area", 0);
+      int cell = (int) in.integer("Cohort", 0);
+      int kind = (int) in.integer("Kind", 0);
+      long id = in.integer("Runner");
+      int zone = (int) in.integer("Area", 0);
       workers.add(new Worker(id, state, zone, kind, cell, startedAt, in.number("Weight", 1)));
     }
-    lists.set(ref, workers);
+    lists.set(listNumber, workers);
   }
 
-  private WorkerState state(String word) {
-    return switch (word) {
+  private WorkerState state(String text) {
+    return switch (text) {
       case "Ready" -> WorkerState.READY;
       case "Terminating" -> WorkerState.DRAINING;
       case "Gone" -> WorkerState.GONE;
-      default -> throw in.wrong("Status", "is unknown: " + word);
+      default -> throw in.malformed("Status", "is unknown: " + text);
     };
   }
 
   private int listNumber() {
-    int ref = in.index("Ref");
-    if (ref >= LISTS) {
-      throw in.wrong("Ref", "is out of range: " + ref);
+    int listNumber = in.nonNegativeInt("Ref");
+    if (listNumber >= MAX_LISTS) {
+      throw in.malformed("Ref", "is out of range: " + listNumber);
     }
-    return ref;
+    return listNumber;
   }
 
   private void members() {
     String mode = in.text("Mode");
-    in.whole("Version", 0);
+    in.integer("Version", 0);
     if (mode.equals("Error")) {
-      module().listFailed(now);
+      dispatcher().listFailed(now);
       return;
     }
-    EndpointListUpdate news =
+    EndpointListUpdate updateType =
         switch (mode) {
           case "Partial" -> EndpointListUpdate.CHANGES;
           case "Complete" -> EndpointListUpdate.WHOLE;
           case "Persisted" -> EndpointListUpdate.STORED;
-          default -> throw in.wrong("Mode", "is unknown: " + mode);
+          default -> throw in.malformed("Mode", "is unknown: " + mode);
         };
     List<Worker> workers = lists.get(listNumber());
     if (workers == null) {
-      throw in.wrong("Ref", "names a list that never came");
+      throw in.malformed("Ref", "names a list that was never sent");
     }
-    module().members(now, news, workers);
+    dispatcher().members(now, updateType, workers);
   }
 
-  private void heard() {
-    int from = in.index("Author");
+  private void peerMessage() {
+    int from = in.nonNegativeInt("Author");
     String body = in.text();
     try {
-      module().heard(now, from, body == null ? new byte[0] : Base64.getDecoder().decode(body));
+      dispatcher().heard(now, from, body == null ? new byte[0] : Base64.getDecoder().decode(body));
     } catch (IllegalArgumentException notBase64) {
-      throw in.wrong("Body", "is not base64");
+      throw in.malformed("Body", "is not base64");
     }
   }
 }
--- a/node/src/main/java/ferngrade/simulator/WireException.java
+++ b/node/src/main/java/ferngrade/simulator/WireException.java
@@ -1,6 +1,6 @@
 package ferngrade.simulator;
 
-/** Input that is not on the wire's terms; the message names the line and the field. */
+/** Thrown for input that violates the protocol; the message names the line and the field. */
 public final class WireException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/node/src/main/java/ferngrade/simulator/WireReader.java
+++ b/node/src/main/java/ferngrade/simulator/WireReader.java
@@ -5,18 +5,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the wire's lines and their space-separated fields, byte by byte and without a string for
- * each.
+ * Parses the protocol's lines and their space-separated fields. Numbers are parsed from the bytes
+ * without creating a string for each field.
  */
 final class WireReader {
-  private static final double[] POWERS = {1, 1e1, 1e2, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9};
+  private static final double[] POWERS_OF_TEN = {1, 1e1, 1e2, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9};
 
   private final InputStream in;
   private byte[] buffer = new byte[1 << 16];
-  private int from;
-  private int filled;
-  private int pos;
-  private int end;
+  private int nextLineStart;
+  private int limit;
+  private int position;
+  private int lineEnd;
   private int fieldStart;
   private int fieldEnd;
   private long line;
@@ -26,147 +26,147 @@
     this.in = in;
   }
 
-  /** Moves to the next line and its first field; false at the end of the input. */
+  /** Advances to the next line and reads its first field; returns false at the end of the input. */
   boolean nextLine() throws IOException {
-    int scan = from;
+    int scan = nextLineStart;
     while (true) {
-      while (scan < filled && buffer[scan] != '\n') {
+      while (scan < limit && buffer[scan] != '\n') {
         scan++;
       }
-      if (scan < filled || !fill()) {
+      if (scan < limit || !fill()) {
         break;
       }
-      scan -= shifted;
+      scan -= shift;
     }
-    if (scan == from && scan == filled) {
+    if (scan == nextLineStart && scan == limit) {
       return false;
     }
-    pos = from;
-    end = scan > from && buffer[scan - 1] == '\r' ? scan - 1 : scan;
-    from = Math.min(scan + 1, filled);
+    position = nextLineStart;
+    lineEnd = scan > nextLineStart && buffer[scan - 1] == '\r' ? scan - 1 : scan;
+    nextLineStart = Math.min(scan + 1, limit);
     line++;
     message = "";
-    if (skip("message")) {
-      message = field();
+    if (nextField("message")) {
+      message = fieldText();
     }
     return true;
   }
 
-  private int shifted;
+  private int shift;
 
   private boolean fill() throws IOException {
-    shifted = 0;
-    if (filled == buffer.length) {
-      if (from > 0) {
-        System.arraycopy(buffer, from, buffer, 0, filled - from);
-        shifted = from;
-        filled -= from;
-        from = 0;
+    shift = 0;
+    if (limit == buffer.length) {
+      if (nextLineStart > 0) {
+        System.arraycopy(buffer, nextLineStart, buffer, 0, limit - nextLineStart);
+        shift = nextLineStart;
+        limit -= nextLineStart;
+        nextLineStart = 0;
       } else {
         buffer = java.util.Arrays.copyOf(buffer, buffer.length * 2);
       }
     }
-    int got = in.read(buffer, filled, buffer.length - filled);
-    if (got <= 0) {
+    int count = in.read(buffer, limit, buffer.length - limit);
+    if (count <= 0) {
       return false;
     }
-    filled += got;
+    limit += count;
     return true;
   }
 
-  /** The first field of the line: which message it is; empty for an empty line. */
+  /** Returns the first field of the line, the name of the message; empty for an empty line. */
   String message() {
     return message;
   }
 
-  /** The next field as text; null if it is absent. */
+  /** Returns the next field as text; null if it is absent or {@code -}. */
   String text() {
-    return skip("") ? field() : null;
+    return nextField("") ? fieldText() : null;
   }
 
   String text(String field) {
     String value = text();
     if (value == null) {
-      throw wrong(field, "is missing");
+      throw malformed(field, "is missing");
     }
     return value;
   }
 
-  /** The next field as a number, {@code absent} if it is left out. */
-  double number(String field, double absent) {
-    return skip(field) ? parse(field) : absent;
+  /** Returns the next field as a number; {@code defaultValue} if it is absent or {@code -}. */
+  double number(String field, double defaultValue) {
+    return nextField(field) ? parse(field) : defaultValue;
   }
 
   double number(String field) {
-    if (!skip(field)) {
-      throw wrong(field, "is missing");
+    if (!nextField(field)) {
+      throw malformed(field, "is missing");
     }
     return parse(field);
   }
 
-  /** The next field as a whole number, {@code absent} if it is left out. */
-  long whole(String field, long absent) {
-    return skip(field) ? parseWhole(field) : absent;
+  /** Returns the next field as an integer; {@code defaultValue} if it is absent or {@code -}. */
+  long integer(String field, long defaultValue) {
+    return nextField(field) ? parseInteger(field) : defaultValue;
   }
 
-  long whole(String field) {
-    if (!skip(field)) {
-      throw wrong(field, "is missing");
+  long integer(String field) {
+    if (!nextField(field)) {
+      throw malformed(field, "is missing");
     }
-    return parseWhole(field);
+    return parseInteger(field);
   }
 
-  int index(String field) {
-    long value = whole(field);
+  int nonNegativeInt(String field) {
+    long value = integer(field);
     if (value < 0 || value > Integer.MAX_VALUE) {
-      throw wrong(field, "is out of range: " + value);
+      throw malformed(field, "is out of range: " + value);
     }
     return (int) value;
   }
 
   boolean flag(String field) {
-    long value = whole(field, 0);
+    long value = integer(field, 0);
     if (value != 0 && value != 1) {
-      throw wrong(field, "is neither 0 nor 1: " + value);
+      throw malformed(field, "is neither 0 nor 1: " + value);
     }
     return value == 1;
   }
 
-  WireException wrong(String field, String what) {
-    return new WireException("line " + line + ": " + message + "." + field + " " + what);
+  WireException malformed(String field, String problem) {
+    return new WireException("line " + line + ": " + message + "." + field + " " + problem);
   }
 
-  WireException wrong(String what) {
-    return new WireException("line " + line + ": " + what);
+  WireException malformed(String problem) {
+    return new WireException("line " + line + ": " + problem);
   }
 
-  private boolean skip(String field) {
-    if (pos >= end) {
+  private boolean nextField(String field) {
+    if (position >= lineEnd) {
       return false;
     }
-    fieldStart = pos;
-    while (pos < end && buffer[pos] != ' ') {
-      pos++;
+    fieldStart = position;
+    while (position < lineEnd && buffer[position] != ' ') {
+      position++;
     }
-    fieldEnd = pos;
-    pos++;
+    fieldEnd = position;
+    position++;
     if (fieldEnd == fieldStart) {
-      throw wrong(field, "is empty: two spaces in a row");
+      throw malformed(field, "is empty: two spaces in a row");
     }
     return !(fieldEnd - fieldStart == 1 && buffer[fieldStart] == '-');
   }
 
-  private long parseWhole(String field) {
+  private long parseInteger(String field) {
     long value = 0;
     boolean negative = buffer[fieldStart] == '-';
     int i = negative ? fieldStart + 1 : fieldStart;
     if (i == fieldEnd || fieldEnd - i > 19) {
-      throw wrong(field, "is not a whole number: " + field());
+      throw malformed(field, "is not a whole number: " + fieldText());
     }
     for (; i < fieldEnd; i++) {
       int digit = buffer[i] - '0';
       if (digit < 0 || digit > 9) {
-        throw wrong(field, "is not a whole number: " + field());
+        throw malformed(field, "is not a whole number: " + fieldText());
       }
       value = value * 10 + digit;
     }
@@ -176,7 +176,7 @@
   private double parse(String field) {
     long digits = 0;
     int i = fieldStart;
-    int point = -1;
+    int decimalPoint = -1;
     boolean negative = buffer[i] == '-';
     if (negative) {
       i++;
@@ -186,33 +186,33 @@
       byte b = buffer[i];
       if (b >= '0' && b <= '9') {
         digits = digits * 10 + b - '0';
-      } else if (b == '.' && point < 0) {
-        point = i;
+      } else if (b == '.' && decimalPoint < 0) {
+        decimalPoint = i;
       } else {
         plain = false;
       }
     }
-    int decimals = point < 0 ? 0 : fieldEnd - point - 1;
-    if (plain && decimals < POWERS.length && digits < 1L << 53) {
-      double value = digits / POWERS[decimals];
+    int decimals = decimalPoint < 0 ? 0 : fieldEnd - decimalPoint - 1;
+    if (plain && decimals < POWERS_OF_TEN.length && digits < 1L << 53) {
+      double value = digits / POWERS_OF_TEN[decimals];
       return negative ? -value : value;
     }
-    return slowly(field);
+    return parseWithLibrary(field);
   }
 
-  private double slowly(String field) {
+  private double parseWithLibrary(String field) {
     try {
-      double value = Double.parseDouble(field());
+      double value = Double.parseDouble(fieldText());
       if (Double.isNaN(value) || Double.isInfinite(value)) {
-        throw wrong(field, "is not a finite number: " + field());
+        throw malformed(field, "is not a finite number: " + fieldText());
       }
       return value;
     } catch (NumberFormatException notANumber) {
-      throw wrong(field, "is not a number: " + field());
+      throw malformed(field, "is not a number: " + fieldText());
     }
   }
 
-  private String field() {
+  private String fieldText() {
     return new String(buffer, fieldStart, fieldEnd - fieldStart, StandardCharsets.UTF_8);
   }
 }
--- a/node/src/main/java/ferngrade/simulator/WireWriter.java
+++ b/node/src/main/java/ferngrade/simulator/WireWriter.java
@@ -7,12 +7,12 @@
 import java.util.Arrays;
 import java.util.Base64;
 
-/** Gathers the actions of all instances of one batch; {@link #flush} sends them as one reply. */
+/** Buffers the actions of all instances in one batch; {@link #flush} writes them as one reply. */
 final class WireWriter {
   private final OutputStream out;
   private byte[] buffer = new byte[1 << 16];
   private int length;
-  private Instance current;
+  private InstanceActions current;
 
   WireWriter(OutputStream out) {
     this.out = out;
@@ -26,11 +26,11 @@
     current = null;
   }
 
-  /** The actions of one instance, as lines below its CONTEXT line. */
-  final class Instance implements Actions {
+  /** Writes the actions of one instance as lines after a CONTEXT line with its name. */
+  final class InstanceActions implements Actions {
     private final String name;
 
-    Instance(String name) {
+    InstanceActions(String name) {
       this.name = name;
     }
 
@@ -88,31 +88,31 @@
       begin("BAIL_OUT ").put(text.replace('\n', ' ').replace('\r', ' ')).line();
     }
 
-    private WireWriter begin(String word) {
+    private WireWriter begin(String action) {
       if (current != this) {
         current = this;
         put("CONTEXT ").put(name).line();
       }
-      return put(word);
+      return put(action);
     }
   }
 
   private WireWriter put(String text) {
     int size = text.length();
-    room(size * 3);
+    ensureCapacity(size * 3);
     for (int i = 0; i < size; i++) {
       char c = text.charAt(i);
       if (c >= 0x80) {
-        return rest(text.substring(i));
+        return putUtf8(text.substring(i));
       }
       buffer[length++] = (byte) c;
     }
     return this;
   }
 
-  private WireWriter rest(String text) {
+  private WireWriter putUtf8(String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    room(bytes.length);
+    ensureCapacity(bytes.length);
     System.arraycopy(bytes, 0, buffer, length, bytes.length);
     length += bytes.length;
     return this;
@@ -122,7 +122,7 @@
     if (value < 0) {
       return put(Long.toString(value));
     }
-    room(20);
+    ensureCapacity(20);
     int digits = 1;
     for (long rest = value; rest >= 10; rest /= 10) {
       digits++;
@@ -136,7 +136,7 @@
     return this;
   }
 
-  /** A time in ms with three decimals, the simulator's microsecond. */
+  /** Appends a time in ms with three decimals, as the simulator's resolution is 1 microsecond. */
   private WireWriter millis(double value) {
     long micros = Math.round(value * 1000);
     if (micros < 0) {
@@ -144,7 +144,7 @@
     }
     put(micros / 1000);
     long rest = micros % 1000;
-    room(4);
+    ensureCapacity(4);
     buffer[length++] = '.';
     buffer[length++] = (byte) ('0' + rest / 100);
     buffer[length++] = (byte) ('0' + rest / 10 % 10);
@@ -160,9 +160,9 @@
     put("\n");
   }
 
-  private void room(int more) {
-    if (buffer.length - length < more) {
-      buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + more));
+  private void ensureCapacity(int additional) {
+    if (buffer.length - length < additional) {
+      buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, length + additional));
     }
   }
 }
--- a/node/src/main/java/ferngrade/simulator/package-info.java
+++ b/node/src/main/java/ferngrade/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs the dispatcher under the simulator, over a protocol of lines on standard input and output.
- * Names of that protocol do not go beyond this package.
+ * Runs the dispatcher under the simulator, over a line-based protocol on standard input and output.
+ * The protocol's names are used in this package only.
  */
 package ferngrade.simulator;
--- a/node/src/test/java/ferngrade/cli/ReloadSignalTest.java
+++ b/node/src/test/java/ferngrade/cli/ReloadSignalTest.java
@@ -2,15 +2,15 @@
 
 import org.testng.annotations.Test;
 
-/** The signal that asks for the configuration to be read anew. */
+/** Guards against a SIGHUP that is lost or ends the process instead of being reported. */
 public class ReloadSignalTest {
   @Test(timeOut = 30_000)
-  public void signalIsToldEachTimeAndDoesNotEndTheProgram() throws Exception {
-    ReloadSignal hangup = ReloadSignal.caught();
-    for (int time = 0; time < 2; time++) {
-      String self = Long.toString(ProcessHandle.current().pid());
-      new ProcessBuilder("kill", "-HUP", self).start().waitFor();
-      hangup.await();
+  public void reportsEachSignalAndKeepsProcessRunning() throws Exception {
+    ReloadSignal reloadSignal = ReloadSignal.install();
+    for (int i = 0; i < 2; i++) {
+      String pid = Long.toString(ProcessHandle.current().pid());
+      new ProcessBuilder("kill", "-HUP", pid).start().waitFor();
+      reloadSignal.await();
     }
   }
 }
--- a/node/src/test/java/ferngrade/cli/SocketHandoverTest.java
+++ b/node/src/test/java/ferngrade/cli/SocketHandoverTest.java
@@ -10,22 +10,22 @@
 
 class SocketHandoverTest {
   @Test
-  void withoutTheVariableTheNodeBindsItsOwnSocket() throws ConfigException {
+  void returnsNoSocketWhenVariableIsNotSet() throws ConfigException {
     assertNull(SocketHandover.fromEnvironment(Map.of()).accepted());
   }
 
   @Test
-  void aDescriptorThatIsNoListeningSocketEndsTheStartWithItsReason() {
-    // Under the test runner descriptor 0 is a pipe, not a socket.
-    ConfigException zero =
+  void rejectsDescriptorThatIsNotListeningSocket() {
+    // Under the test runner, descriptor 0 is a pipe, not a socket.
+    ConfigException notSocket =
         assertThrows(
             ConfigException.class,
             () -> SocketHandover.fromEnvironment(Map.of("LB_ACCEPT_FD", "0")));
-    assertTrue(zero.getMessage().contains("not a listening TCP socket"), zero.getMessage());
-    ConfigException other =
+    assertTrue(notSocket.getMessage().contains("not a listening TCP socket"), notSocket.getMessage());
+    ConfigException unsupportedDescriptor =
         assertThrows(
             ConfigException.class,
             () -> SocketHandover.fromEnvironment(Map.of("LB_ACCEPT_FD", "3")));
-    assertTrue(other.getMessage().contains("only 0"), other.getMessage());
+    assertTrue(unsupportedDescriptor.getMessage().contains("only 0"), unsupportedDescriptor.getMessage());
   }
 }
--- a/node/src/test/java/ferngrade/cli/StartTest.java
+++ b/node/src/test/java/ferngrade/cli/StartTest.java
@@ -12,15 +12,15 @@
 import org.testng.annotations.Test;
 
 /**
- * What a node loads before it serves: on half a core each class that no archive takes is time
- * without a node.
+ * Guards against loading picocli when the platform restarts a node: on half a core, every class
+ * outside the class archive delays the start noticeably.
  */
 public class StartTest {
   /**
-   * Runs the program without a configuration, which ends it before it listens, and returns what it
-   * loaded.
+   * Runs the program without a configuration, so that it exits before it listens, and returns its
+   * output with the loaded classes.
    */
-  private static String loaded(String... arguments) throws Exception {
+  private static String outputWithLoadedClasses(String... arguments) throws Exception {
     List<String> command =
         new ArrayList<>(
             List.of(
@@ -36,17 +36,17 @@
     String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(process.waitFor(), Cli.BAD_CONFIG, output);
     assertTrue(output.contains("ferngrade: LB_CONFIG is not set"), output);
-    assertTrue(output.contains("ferngrade.cli.Serve "), "the log tells what was loaded");
+    assertTrue(output.contains("ferngrade.cli.Serve "), "the output lists the loaded classes");
     return output;
   }
 
   @Test(timeOut = 60_000)
-  public void theWordOfTheDeployFileStartsWithoutTheCommandLine() throws Exception {
-    assertFalse(loaded("serve").contains("picocli.CommandLine "));
+  public void startsWithoutPicocliWhenServeIsOnlyArgument() throws Exception {
+    assertFalse(outputWithLoadedClasses("serve").contains("picocli.CommandLine "));
   }
 
   @Test(timeOut = 60_000)
-  public void anythingBesideItIsReadByTheCommandLine() throws Exception {
-    assertTrue(loaded("serve", "--rehearse").contains("picocli.CommandLine "));
+  public void loadsPicocliWhenServeHasFurtherArguments() throws Exception {
+    assertTrue(outputWithLoadedClasses("serve", "--rehearse").contains("picocli.CommandLine "));
   }
 }
--- a/node/src/test/java/ferngrade/config/MaintenanceCodecTest.java
+++ b/node/src/test/java/ferngrade/config/MaintenanceCodecTest.java
@@ -10,14 +10,14 @@
 
 class MaintenanceCodecTest {
   @Test
-  void whatIsWrittenReadsBackTheSame() {
+  void readsBackWhatItWrote() {
     MaintenanceOverrides.Saved saved =
         new MaintenanceOverrides.Saved(Set.of("s-1", "s-2"), Map.of("s-3", 1.5e12));
     assertEquals(saved, MaintenanceCodec.read(MaintenanceCodec.write(saved)));
   }
 
   @Test
-  void theTextIsAsAnEarlierVersionWroteIt() {
+  void writesFormatOfEarlierVersions() {
     MaintenanceOverrides.Saved saved =
         new MaintenanceOverrides.Saved(
             Set.of("s-2", "s-1", "a \"quoted\" one"), Map.of("s-3", 1_790_000_000_123.25));
@@ -32,12 +32,12 @@
   }
 
   @Test
-  void aTornOrForeignFileIsRefusedAtEveryCut() {
-    String whole =
+  void rejectsFileTruncatedAtAnyLengthOrInOtherFormat() {
+    String complete =
         MaintenanceCodec.write(new MaintenanceOverrides.Saved(Set.of("s-1"), Map.of("s-3", 7.0)));
-    for (int cut = 0; cut < whole.length(); cut++) {
-      String torn = whole.substring(0, cut);
-      assertThrows(IllegalArgumentException.class, () -> MaintenanceCodec.read(torn), torn);
+    for (int length = 0; length < complete.length(); length++) {
+      String truncated = complete.substring(0, length);
+      assertThrows(IllegalArgumentException.class, () -> MaintenanceCodec.read(truncated), truncated);
     }
     assertThrows(IllegalArgumentException.class, () -> MaintenanceCodec.read("[1,2]"));
     assertThrows(
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -16,9 +16,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Configurations, good and bad. */
+/** Tests parsing of valid and invalid configurations. */
 public class NodeConfigTest {
-  private static final String GOOD =
+  private static final String VALID_CONFIG =
       """
 {"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"sockets":512},"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:7946","127.0.0.2:7946"],
@@ -31,8 +31,8 @@
               {"Name":"order","Effect":"at_most_once"}]}}""";
 
   @Test
-  public void nestedSettingsBecomeTheModules() throws ConfigException {
-    NodeConfig config = NodeConfig.read(Json.parse(GOOD).asObject());
+  public void mapsNestedSettingsToDispatcherSettings() throws ConfigException {
+    NodeConfig config = NodeConfig.read(Json.parse(VALID_CONFIG).asObject());
     assertEquals(config.settings().classes().size(), 2);
     assertEquals(config.settings().classes().get(0).effect(), Idempotency.KEYED);
     assertEquals(config.settings().classes().get(1).stretch(), 1.75);
@@ -47,21 +47,21 @@
     assertEquals(member.worker().startedAt(), 7.0);
   }
 
-  /** Guards against an unchanged file being reported as changed, and the other way round. */
+  /** Guards against reporting an unchanged file as changed, or a changed file as unchanged. */
   @Test
-  public void settingsAreComparedByPathWhateverTheirOrder() throws ConfigException {
-    NodeConfig config = NodeConfig.read(Json.parse(GOOD).asObject());
+  public void comparesSettingsByPathInAnyOrder() throws ConfigException {
+    NodeConfig config = NodeConfig.read(Json.parse(VALID_CONFIG).asObject());
     String reordered =
-        GOOD.replace("\"Me\":1,", "")
+        VALID_CONFIG.replace("\"Me\":1,", "")
             .replace("\"Locality\":1,", "\"Locality\":1,\"Me\":1,")
             .replace("8500", "8501");
-    String changed = GOOD.replace("\"GoalTime\":750.0", "\"GoalTime\":751.0");
+    String changed = VALID_CONFIG.replace("\"GoalTime\":750.0", "\"GoalTime\":751.0");
     assertTrue(NodeConfig.read(Json.parse(reordered).asObject()).settingsWrittenAs(config));
     assertFalse(NodeConfig.read(Json.parse(changed).asObject()).settingsWrittenAs(config));
   }
 
   @Test
-  public void listEntriesThatCannotBeUsedAreLeftOutAndTold() {
+  public void omitsAndReportsInvalidListEntries() {
     EndpointListParser.MemberList list =
         new EndpointListParser(List.of("a"), List.of("fast"))
             .read(
@@ -77,7 +77,7 @@
   }
 
   @DataProvider
-  public Object[][] faults() {
+  public Object[][] invalidFields() {
     return new Object[][] {
       {"name", "7", "name is missing or not a text"},
       {"listen", "\"nowhere\"", "listen is not address:port: nowhere"},
@@ -102,26 +102,26 @@
     };
   }
 
-  @Test(dataProvider = "faults")
-  public void whatIsWrongIsNamedInOneLine(String field, String value, String message) {
-    JsonObject json = Json.parse(GOOD).asObject().set(field, Json.parse(value));
+  @Test(dataProvider = "invalidFields")
+  public void reportsInvalidFieldInOneLine(String field, String value, String message) {
+    JsonObject json = Json.parse(VALID_CONFIG).asObject().set(field, Json.parse(value));
     assertEquals(
         expectThrows(ConfigException.class, () -> NodeConfig.read(json)).getMessage(), message);
   }
 
   @Test
-  public void variableNamesDiscoveryAtTheStartAndTheFileFromThenOn() throws Exception {
+  public void prefersVariableForDiscoveryAtStartAndFileOnReload() throws Exception {
     Path file = Files.createTempFile("ferngrade", ".json");
     try {
       Map<String, String> environment =
           Map.of("LB_CONFIG", file.toString(), "LB_DISCOVERY", "127.0.0.7:1", "LB_NAME", "n7");
-      Files.writeString(file, GOOD);
+      Files.writeString(file, VALID_CONFIG);
       assertEquals(NodeConfig.fromEnvironment(environment).discovery().getPort(), 1);
       assertEquals(NodeConfig.reread(environment).discovery().getPort(), 8500);
       assertEquals(NodeConfig.reread(environment).name(), "n7");
-      Files.writeString(file, GOOD.replace("\"discovery\"", "\"nothing\""));
+      Files.writeString(file, VALID_CONFIG.replace("\"discovery\"", "\"nothing\""));
       assertEquals(NodeConfig.reread(environment).discovery().getPort(), 1);
-      Files.writeString(file, GOOD.substring(1));
+      Files.writeString(file, VALID_CONFIG.substring(1));
       expectThrows(ConfigException.class, () -> NodeConfig.reread(environment));
     } finally {
       Files.delete(file);
@@ -129,13 +129,13 @@
   }
 
   /**
-   * A further attempt may be dialled for as long as that: decided at the window's end, it would
-   * come too late.
+   * Guards against duplicate execution: a retry decided at the end of the idempotency window reaches
+   * the worker after the window, because the connect and a pause of the node take time.
    */
   @Test
-  public void idempotencyWindowsLeaveRoomForTheDialOfARepeatAndAHoldUp() throws Exception {
+  public void shortensIdempotencyWindowsByConnectTimeoutAndPause() throws Exception {
     JsonObject json =
-        Json.parse(GOOD)
+        Json.parse(VALID_CONFIG)
             .asObject()
             .set(
                 "settings",
@@ -148,7 +148,7 @@
   }
 
   @Test
-  public void missingEnvironmentIsNamed() {
+  public void reportsMissingEnvironmentVariable() {
     ConfigException unset =
         expectThrows(ConfigException.class, () -> NodeConfig.fromEnvironment(Map.of()));
     assertEquals(unset.getMessage(), "LB_CONFIG is not set");
--- a/node/src/test/java/ferngrade/discovery/DiscoveryAskedTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryAskedTest.java
@@ -9,14 +9,14 @@
 import org.testng.annotations.Test;
 
 /**
- * A discovery that is one service for all nodes, works through calls in turn, and may be crowded or
- * down.
+ * Tests the watch of a discovery service that serves all nodes, processes requests from a queue, and
+ * may be overloaded or down.
  */
-public class DiscoveryAskedTest extends DiscoveryStory {
-  private static final double FIRST_PATIENCE = 1_000;
-  private static final double LONGEST_PATIENCE = 3_000;
-  private static final double LONGEST_PAUSE = 500;
-  private static final String REFUSED =
+public class DiscoveryAskedTest extends DiscoveryTestBase {
+  private static final double INITIAL_RESPONSE_TIMEOUT = 1_000;
+  private static final double MAX_RESPONSE_TIMEOUT = 3_000;
+  private static final double MAX_BACKOFF = 500;
+  private static final String SERVICE_UNAVAILABLE =
       "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
   @Override
@@ -25,104 +25,104 @@
   }
 
   /**
-   * Calls that go unanswered first, and how long the next one takes to be answered, ms: the pause
-   * before it may have gone on for half a second after it was made.
+   * The number of requests without a response, and the response time of the next request, ms. The
+   * clock may be up to half a second past that next request when the test accepts it.
    */
   @DataProvider
-  public Object[][] crowds() {
+  public Object[][] slowResponses() {
     return new Object[][] {{0, 400}, {1, 1_400}, {2, 2_400}, {6, 2_400}};
   }
 
-  @Test(dataProvider = "crowds", timeOut = 5_000)
-  public void listComesThroughThoughEachCallTakesLongerThanASecond(int unanswered, double answer)
+  @Test(dataProvider = "slowResponses", timeOut = 5_000)
+  public void acceptsListFromSlowResponseAfterTimeouts(int timeouts, double responseMillis)
       throws Exception {
-    leaveUnanswered(unanswered);
-    try (RawHttp call = accept(WHOLE)) {
-      pass(answer);
-      call.write(HEAD + list(41, true, "s-1", "active"));
+    timeOutRequests(timeouts);
+    try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
+      advanceAndRunTimers(responseMillis);
+      request.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
     }
   }
 
   /**
-   * What discovery has counts as told 6 s after it could be reached: a call made just before has to
-   * end well before.
+   * Guards against a late update: a change must be in effect 6 s after discovery becomes reachable,
+   * so a request sent just before that moment has to time out well within the 6 s.
    */
-  @Test(dataProvider = "crowds", timeOut = 5_000)
-  public void nextCallIsMadeWithinFourSecondsOfTheLastHoweverManyWentUnanswered(
-      int unanswered, double answer) throws Exception {
-    leaveUnanswered(unanswered);
-    try (RawHttp call = accept(WHOLE)) {
-      double began = now;
-      pass(LONGEST_PATIENCE);
-      assertNull(call.read());
-      passAfterEnd(LONGEST_PAUSE);
-      accept(WHOLE).close();
-      assertTrue(now - began <= 4_000, "after " + (now - began));
+  @Test(dataProvider = "slowResponses", timeOut = 5_000)
+  public void sendsNextRequestWithinFourSecondsAfterAnyNumberOfTimeouts(
+      int timeouts, double responseMillis) throws Exception {
+    timeOutRequests(timeouts);
+    try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
+      double start = now;
+      advanceAndRunTimers(MAX_RESPONSE_TIMEOUT);
+      assertNull(request.read());
+      advanceAfterWatchEnds(MAX_BACKOFF);
+      accept(WHOLE_LIST_REQUEST).close();
+      assertTrue(now - start <= 4_000, "milliseconds until the next request: " + (now - start));
     }
   }
 
   @Test(timeOut = 5_000)
-  public void oneAnswerBringsTheFirstPatienceBack() throws Exception {
-    leaveUnanswered(2);
-    try (RawHttp call = accept(WHOLE)) {
-      call.write(HEAD + list(41, true, "s-1", "active"));
+  public void resetsResponseTimeoutAfterResponse() throws Exception {
+    timeOutRequests(2);
+    try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
+      request.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
     }
-    passAfterEnd(LONGEST_PAUSE);
-    try (RawHttp call = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
-      pass(FIRST_PATIENCE);
-      assertNull(call.read());
+    advanceAfterWatchEnds(MAX_BACKOFF);
+    try (RawHttp request = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
+      advanceAndRunTimers(INITIAL_RESPONSE_TIMEOUT);
+      assertNull(request.read());
     }
-    assertTrue(loop.submit(node::ready).get(), "the last list stays");
+    assertTrue(loop.submit(node::ready).get(), "the last list stays in use");
   }
 
   @DataProvider
-  public Object[][] refusals() {
+  public Object[][] failedResponses() {
     return new Object[][] {
-      {REFUSED}, {""}, {"HTTP/1.1 503"}, {HEAD + "0\r\n\r\n"}, {HEAD + "4\r\n{\"re"}
+      {SERVICE_UNAVAILABLE}, {""}, {"HTTP/1.1 503"}, {RESPONSE_HEADER + "0\r\n\r\n"}, {RESPONSE_HEADER + "4\r\n{\"re"}
     };
   }
 
-  @Test(dataProvider = "refusals", timeOut = 5_000)
-  public void discoveryThatRefusesForAWhileIsAskedOnAndItsFirstListCounts(String refusal)
+  @Test(dataProvider = "failedResponses", timeOut = 5_000)
+  public void retriesAfterFailedResponsesAndAcceptsFirstList(String response)
       throws Exception {
     for (int i = 0; i < 8; i++) {
-      try (RawHttp call = accept(WHOLE)) {
-        call.write(refusal);
+      try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
+        request.write(response);
       }
-      passAfterEnd(LONGEST_PAUSE);
+      advanceAfterWatchEnds(MAX_BACKOFF);
     }
     assertFalse(loop.submit(node::ready).get());
-    try (RawHttp call = accept(WHOLE)) {
-      call.write(HEAD + list(41, true, "s-1", "active"));
+    try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
+      request.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
     }
   }
 
   @Test(timeOut = 5_000)
-  public void listThatBeginsLateAndComesByTheByteIsTaken() throws Exception {
-    try (RawHttp call = accept(WHOLE)) {
-      pass(FIRST_PATIENCE - 150);
-      call.write(HEAD);
+  public void acceptsLateListSentByteByByte() throws Exception {
+    try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
+      advanceAndRunTimers(INITIAL_RESPONSE_TIMEOUT - 150);
+      request.write(RESPONSE_HEADER);
       String text =
           "{\"revision\":41,\n"
               + "\"members\":[{\"id\":\"s\",\"host_port\":\"127.0.0.1:9\",\"phase\":\"active\"}]}\n";
       for (int i = 0; i < text.length(); i++) {
-        call.write(chunk(text.substring(i, i + 1)));
-        pass(1);
+        request.write(chunk(text.substring(i, i + 1)));
+        advanceAndRunTimers(1);
       }
       awaitReady(true);
     }
   }
 
-  private void leaveUnanswered(int calls) throws Exception {
-    for (int i = 0; i < calls; i++) {
-      try (RawHttp call = accept(WHOLE)) {
-        pass(LONGEST_PATIENCE);
-        assertNull(call.read());
+  private void timeOutRequests(int count) throws Exception {
+    for (int i = 0; i < count; i++) {
+      try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
+        advanceAndRunTimers(MAX_RESPONSE_TIMEOUT);
+        assertNull(request.read());
       }
-      passAfterEnd(LONGEST_PAUSE);
+      advanceAfterWatchEnds(MAX_BACKOFF);
     }
   }
 }
--- a/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
@@ -14,14 +14,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Lists of as many workers as a fleet may have, in each form they may come in. */
-public class DiscoveryLargeListTest extends DiscoveryStory {
+/** Tests lists with the maximum number of workers of a fleet, in each JSON layout and chunk size. */
+public class DiscoveryLargeListTest extends DiscoveryTestBase {
   private static final int WORKERS = 3_200;
   private static final String SHORT_ID = "s-5be2a07c";
   private static final String LONG_ID = "s-" + "5be2a07c".repeat(20);
 
   @DataProvider
-  public Object[][] forms() {
+  public Object[][] layouts() {
     return new Object[][] {
       {SHORT_ID, WriterConfig.MINIMAL, 1},
       {SHORT_ID, WriterConfig.PRETTY_PRINT, 1},
@@ -31,31 +31,35 @@
     };
   }
 
-  /** {@code piece}: bytes in a chunk of the answer. */
-  @Test(dataProvider = "forms", timeOut = 30_000)
-  public void listOfAWholeFleetAndItsChangesAreTaken(String id, WriterConfig form, int piece)
+  /**
+   * Guards against a limit on the list size below the size of a full fleet.
+   *
+   * @param chunkSize the number of bytes in each chunk of the response
+   */
+  @Test(dataProvider = "layouts", timeOut = 30_000)
+  public void acceptsListOfLargestFleetAndItsChanges(String id, WriterConfig layout, int chunkSize)
       throws Exception {
-    try (RawHttp watch = accept(WHOLE)) {
+    try (RawHttp watch = accept(WHOLE_LIST_REQUEST)) {
       CompletableFuture<Void> written =
           CompletableFuture.runAsync(
               () ->
                   write(
                       watch,
-                      HEAD
+                      RESPONSE_HEADER
                           + chunks(
-                              list(41, true, id, WORKERS, "active").toString(form) + "\n", piece)));
+                              list(41, true, id, WORKERS, "active").toString(layout) + "\n", chunkSize)));
       awaitMembers(WORKERS);
       written.get();
-      watch.write(chunks(list(42, false, id, WORKERS - 1, "left").toString(form) + "\n", piece));
+      watch.write(chunks(list(42, false, id, WORKERS - 1, "left").toString(layout) + "\n", chunkSize));
       awaitMembers(1);
-      watch.write(chunks(list(43, false, id, 2, "active").toString(form) + "\n", piece));
+      watch.write(chunks(list(43, false, id, 2, "active").toString(layout) + "\n", chunkSize));
       awaitMembers(3);
     }
   }
 
   /**
-   * The first entries of the fleet's list in this phase, from the second on if some are to stay as
-   * they are.
+   * Returns {@code count} entries in this phase. A whole list starts at the first worker of the
+   * fleet, a list of changes at the second, so that the first worker keeps its phase.
    */
   private static JsonObject list(long revision, boolean whole, String id, int count, String phase) {
     JsonArray members = Json.array().asArray();
@@ -66,22 +70,22 @@
     return Json.object().add("revision", revision).add("complete", whole).add("members", members);
   }
 
-  private static JsonValue entry(String id, int number, String phase) {
+  private static JsonValue entry(String id, int index, String phase) {
     return Json.object()
         .add("id", id)
-        .add("host_port", "10.1." + number / 250 + "." + (1 + number % 250) + ":8081")
+        .add("host_port", "10.1." + index / 250 + "." + (1 + index % 250) + ":8081")
         .add("locality", "a")
         .add("flavor", "m2")
-        .add("cell", number % 7)
+        .add("cell", index % 7)
         .add("phase", phase)
         .add("size", 1.0)
         .add("up_since_ms", 1_700_000_000_000L);
   }
 
-  private static String chunks(String text, int piece) {
+  private static String chunks(String text, int chunkSize) {
     StringBuilder chunks = new StringBuilder();
-    for (int at = 0; at < text.length(); at += piece) {
-      chunks.append(chunk(text.substring(at, Math.min(text.length(), at + piece))));
+    for (int start = 0; start < text.length(); start += chunkSize) {
+      chunks.append(chunk(text.substring(start, Math.min(text.length(), start + chunkSize))));
     }
     return chunks.toString();
   }
@@ -89,8 +93,8 @@
   private static void write(RawHttp watch, String text) {
     try {
       watch.write(text);
-    } catch (IOException broken) {
-      throw new UncheckedIOException(broken);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
   }
 
--- a/node/src/test/java/ferngrade/discovery/DiscoveryStory.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryTestBase.java
@@ -24,16 +24,16 @@
 import org.testng.annotations.BeforeMethod;
 
 /**
- * A watch of the worker list over a real connection, on a clock that the test sets; the test speaks
- * for discovery.
+ * Base class of tests that run a {@link DiscoveryWatch} over a real connection. The test sets the
+ * clock and acts as the discovery server.
  */
-abstract class DiscoveryStory {
-  static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+abstract class DiscoveryTestBase {
+  static final String RESPONSE_HEADER = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** The call for the whole list. */
-  static final String WHOLE = "GET /api/targets?watch=1 HTTP/1.1";
+  /** The first line of the request for the whole list. */
+  static final String WHOLE_LIST_REQUEST = "GET /api/targets?watch=1 HTTP/1.1";
 
-  private static final int ACCEPT_TIMEOUT = 10_000;
+  private static final int ACCEPT_TIMEOUT_MILLIS = 10_000;
 
   volatile double now;
   MultiThreadIoEventLoopGroup group;
@@ -41,9 +41,9 @@
   Timers timers;
   ServerSocket discovery;
   RequestCoordinator node;
-  final AtomicBoolean ended = new AtomicBoolean();
+  final AtomicBoolean watchEnded = new AtomicBoolean();
 
-  /** Lets time pass on the clock; the test and the loop may both do so. */
+  /** Advances the clock; called by the test thread and by the event loop. */
   final synchronized void advance(double millis) {
     now += millis;
   }
@@ -51,12 +51,12 @@
   @BeforeMethod
   public void listen() throws Exception {
     now = 0;
-    ended.set(false);
+    watchEnded.set(false);
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
     timers = new Timers(() -> now, (millis, run) -> {});
     discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-    discovery.setSoTimeout(ACCEPT_TIMEOUT);
+    discovery.setSoTimeout(ACCEPT_TIMEOUT_MILLIS);
     node = loop.submit(this::start).get();
   }
 
@@ -66,7 +66,7 @@
     group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
   }
 
-  /** How discovery is watched. */
+  /** Returns the mode of the watch. */
   DiscoveryWatch.Mode mode() {
     return DiscoveryWatch.Mode.PUSHED;
   }
@@ -76,7 +76,7 @@
     settings.put(Json.parse("{\"Classes\":[{\"Name\":\"order\"}]}").asObject());
     RateLimitedLog log =
         new RateLimitedLog(
-            () -> now, line -> ended.compareAndSet(false, line.contains("watch ended")));
+            () -> now, line -> watchEnded.compareAndSet(false, line.contains("watch ended")));
     RequestCoordinator started =
         new RequestCoordinator(
             new RequestCoordinator.Surroundings(
@@ -99,10 +99,10 @@
     return started;
   }
 
-  /** Waits for a moment, and ends with the time of the test. */
-  private static void spin() throws InterruptedException {
+  /** Spins once; throws if the test's timeout has interrupted the thread. */
+  private static void spinOnce() throws InterruptedException {
     if (Thread.interrupted()) {
-      throw new InterruptedException("the test has run out of time");
+      throw new InterruptedException("the test has timed out");
     }
     Thread.onSpinWait();
   }
@@ -126,19 +126,20 @@
 
   void awaitReady(boolean ready) throws Exception {
     while (loop.submit(node::ready).get() != ready) {
-      spin();
+      spinOnce();
     }
   }
 
   /**
-   * Lets this many ms pass once the node has seen the end of its watch, which is when the next try
-   * is set: time that had passed before would bring that no nearer.
+   * Waits until the node has noticed the end of its watch, then advances the clock by {@code millis}
+   * in steps of 100 ms and runs the timers. The retry timer starts at the end of the watch, so
+   * advancing the clock earlier would not bring the retry closer.
    */
-  void passAfterEnd(double millis) throws Exception {
-    while (!ended.compareAndSet(true, false)) {
-      spin();
+  void advanceAfterWatchEnds(double millis) throws Exception {
+    while (!watchEnded.compareAndSet(true, false)) {
+      spinOnce();
     }
-    double until = now + millis;
+    double end = now + millis;
     while (loop.submit(
                 () -> {
                   advance(100);
@@ -146,13 +147,13 @@
                   return now;
                 })
             .get()
-        < until) {
-      spin();
+        < end) {
+      spinOnce();
     }
   }
 
-  /** Time goes on by this much at once. */
-  void pass(double millis) throws Exception {
+  /** Advances the clock by {@code millis} in one step and runs the timers. */
+  void advanceAndRunTimers(double millis) throws Exception {
     loop.submit(
             () -> {
               advance(millis);
--- a/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
@@ -9,33 +9,36 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A watch of the worker list, on a clock that the story sets. */
-public class DiscoveryWatchTest extends DiscoveryStory {
+/** Tests the watch of an agent that pushes the worker list, with a clock that the test sets. */
+public class DiscoveryWatchTest extends DiscoveryTestBase {
   @Test(timeOut = 30_000)
-  public void watchThatMissesOneSignOfLifeIsOpenedAnewAndTellsWhoDiedAndWhoStartedMeanwhile()
+  public void reopensWatchAfterMissingKeepAliveAndReceivesMissedChanges()
       throws Exception {
-    try (RawHttp first = accept(WHOLE)) {
-      first.write(HEAD + list(41, true, "s-1", "active"));
+    try (RawHttp first = accept(WHOLE_LIST_REQUEST)) {
+      first.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
       now = 2_600;
       loop.submit(timers::run).get();
       assertNull(first.read());
     }
-    passAfterEnd(900);
-    try (RawHttp again = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
-      assertTrue(loop.submit(node::ready).get(), "the last list stays");
-      again.write(HEAD + list(43, false, "s-1", "left"));
+    advanceAfterWatchEnds(900);
+    try (RawHttp reopened = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
+      assertTrue(loop.submit(node::ready).get(), "the last list stays in use");
+      reopened.write(RESPONSE_HEADER + list(43, false, "s-1", "left"));
       awaitReady(false);
-      again.write(list(44, false, "s-2", "active"));
+      reopened.write(list(44, false, "s-2", "active"));
       awaitReady(true);
     }
   }
 
-  /** Fails where a loop that was held up ends a watch without reading what it has been told. */
+  /**
+   * Guards against a blocked event loop that closes a watch on an expired timer without reading the
+   * data that has arrived on the socket.
+   */
   @Test(timeOut = 30_000)
-  public void watchWhoseSignOfLifeLiesUnreadWhenItsTimeIsOverIsKept() throws Exception {
-    try (RawHttp watch = accept(WHOLE)) {
-      watch.write(HEAD + list(41, true, "s-1", "active"));
+  public void keepsWatchWhenKeepAliveIsUnreadAtTimeout() throws Exception {
+    try (RawHttp watch = accept(WHOLE_LIST_REQUEST)) {
+      watch.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
       loop.submit(
               () -> {
@@ -45,49 +48,49 @@
                 return null;
               })
           .get();
-      assertFalse(ended.get(), "the watch has been ended");
+      assertFalse(watchEnded.get(), "the watch has been closed");
       awaitReady(false);
     }
   }
 
   @Test(timeOut = 30_000)
-  public void watchThatEndsIn503IsAskedForAgainAndTheLastListStays() throws Exception {
-    try (RawHttp refused = accept(WHOLE)) {
-      refused.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-      assertNull(refused.read());
-    }
-    passAfterEnd(900);
-    try (RawHttp watch = accept(WHOLE)) {
-      watch.write(HEAD + list(41, true, "s-1", "active"));
+  public void retriesAfter503AndKeepsLastList() throws Exception {
+    try (RawHttp failed = accept(WHOLE_LIST_REQUEST)) {
+      failed.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+      assertNull(failed.read());
+    }
+    advanceAfterWatchEnds(900);
+    try (RawHttp watch = accept(WHOLE_LIST_REQUEST)) {
+      watch.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
     }
-    passAfterEnd(900);
-    try (RawHttp refused = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
-      refused.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-      assertNull(refused.read());
+    advanceAfterWatchEnds(900);
+    try (RawHttp failed = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
+      failed.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+      assertNull(failed.read());
     }
-    assertTrue(loop.submit(node::ready).get(), "the last list stays");
+    assertTrue(loop.submit(node::ready).get(), "the last list stays in use");
   }
 
   @Test(timeOut = 30_000)
-  public void discoverySilentFromBeforeTheStartIsAskedAgainAfterASecond() throws Exception {
-    try (RawHttp silent = accept(WHOLE)) {
+  public void retriesAfterOneSecondWithoutFirstResponse() throws Exception {
+    try (RawHttp unresponsive = accept(WHOLE_LIST_REQUEST)) {
       loop.submit(() -> node.members(EndpointListUpdate.STORED, List.of())).get();
       now = 1_100;
       loop.submit(timers::run).get();
-      assertNull(silent.read());
+      assertNull(unresponsive.read());
     }
-    passAfterEnd(900);
-    try (RawHttp watch = accept(WHOLE)) {
-      watch.write(HEAD + list(7, true, "s-1", "active"));
+    advanceAfterWatchEnds(900);
+    try (RawHttp watch = accept(WHOLE_LIST_REQUEST)) {
+      watch.write(RESPONSE_HEADER + list(7, true, "s-1", "active"));
       awaitReady(true);
     }
   }
 
   @Test(timeOut = 30_000)
-  public void listIndentedOverLinesAndSentByTheByteIsTheSameList() throws Exception {
-    try (RawHttp watch = accept(WHOLE)) {
-      watch.write(HEAD);
+  public void acceptsIndentedListSentByteByByte() throws Exception {
+    try (RawHttp watch = accept(WHOLE_LIST_REQUEST)) {
+      watch.write(RESPONSE_HEADER);
       String list =
           "{\n"
               + "  \"revision\": 41,\n"
@@ -107,10 +110,10 @@
   }
 
   @Test(timeOut = 30_000)
-  public void olderListAfterANewerOneDoesNotBringBackWhoHasLeftUntilTheWholeListSaysSo()
+  public void ignoresOlderRevisionUntilWholeListArrives()
       throws Exception {
-    try (RawHttp watch = accept(WHOLE)) {
-      watch.write(HEAD + list(41, true, "s-1", "active"));
+    try (RawHttp watch = accept(WHOLE_LIST_REQUEST)) {
+      watch.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
       watch.write(list(43, false, "s-1", "left"));
       awaitReady(false);
@@ -118,36 +121,36 @@
       assertNull(watch.read());
     }
     assertFalse(loop.submit(node::ready).get());
-    passAfterEnd(900);
-    try (RawHttp again = accept(WHOLE)) {
-      again.write(HEAD + list(7, true, "s-2", "active"));
+    advanceAfterWatchEnds(900);
+    try (RawHttp reopened = accept(WHOLE_LIST_REQUEST)) {
+      reopened.write(RESPONSE_HEADER + list(7, true, "s-2", "active"));
       awaitReady(true);
     }
-    passAfterEnd(900);
+    advanceAfterWatchEnds(900);
     accept("GET /api/targets?watch=1&from=7 HTTP/1.1").close();
   }
 
   @Test(timeOut = 30_000)
-  public void bodyOfARefusalAndWhatComesBehindTheEndOfAnAnswerAreNoLists() throws Exception {
-    try (RawHttp refused = accept(WHOLE)) {
-      refused.write(
+  public void ignoresListInErrorResponseAndAfterEndOfResponse() throws Exception {
+    try (RawHttp failed = accept(WHOLE_LIST_REQUEST)) {
+      failed.write(
           "HTTP/1.1 503 Service Unavailable\r\nTransfer-Encoding: chunked\r\n\r\n"
               + list(41, true, "s-1", "active"));
-      assertNull(refused.read());
+      assertNull(failed.read());
     }
     assertFalse(loop.submit(node::ready).get());
-    passAfterEnd(900);
-    try (RawHttp ended = accept(WHOLE)) {
-      ended.write(HEAD + "0\r\n\r\n" + HEAD + list(41, true, "s-1", "active"));
-      assertNull(ended.read());
+    advanceAfterWatchEnds(900);
+    try (RawHttp completed = accept(WHOLE_LIST_REQUEST)) {
+      completed.write(RESPONSE_HEADER + "0\r\n\r\n" + RESPONSE_HEADER + list(41, true, "s-1", "active"));
+      assertNull(completed.read());
     }
     assertFalse(loop.submit(node::ready).get());
   }
 
   @Test(timeOut = 30_000)
-  public void wholeListThatLeavesAMemberOutHasItGoneAtOnce() throws Exception {
-    try (RawHttp watch = accept(WHOLE)) {
-      watch.write(HEAD + list(41, true, "s-1", "active"));
+  public void removesWorkerMissingFromWholeList() throws Exception {
+    try (RawHttp watch = accept(WHOLE_LIST_REQUEST)) {
+      watch.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
       watch.write(chunk("{\"revision\":42,\"complete\":true,\"members\":[]}\n"));
       awaitReady(false);
@@ -155,57 +158,58 @@
   }
 
   /**
-   * What an agent gets when discovery is back counts as told then: the pauses stay well under the
-   * drain rule's 250 ms.
+   * Guards against jobs for draining workers: an update counts as delivered when the agent receives
+   * it after an outage, so the backoff must stay well below the 250 ms of the drain rule.
    */
   @Test(timeOut = 30_000)
-  public void agentThatStaysSilentIsAskedAgainAfterNoLongerThanATenthOfASecond() throws Exception {
+  public void retriesUnresponsiveAgentWithinHundredMillis() throws Exception {
     for (int i = 0; i < 5; i++) {
-      try (RawHttp silent = accept(WHOLE)) {
+      try (RawHttp unresponsive = accept(WHOLE_LIST_REQUEST)) {
         advance(1_000);
         loop.submit(timers::run).get();
-        assertNull(silent.read());
+        assertNull(unresponsive.read());
       }
-      passAfterEnd(100);
+      advanceAfterWatchEnds(100);
     }
   }
 
   /**
-   * From the last sign of life on, with a dial that hangs and an answer that does not begin in
-   * between.
+   * Guards against a late update when a keep-alive timeout, a hanging connect and a missing response
+   * follow each other. The time counts from the last keep-alive.
    */
   @Test(timeOut = 30_000)
-  public void changeThatASilentWatchMissesIsHeardWithinSixSecondsOfTheSilence() throws Exception {
-    try (RawHttp first = accept(WHOLE)) {
-      first.write(HEAD + list(41, true, "s-1", "active"));
+  public void receivesMissedChangeWithinSixSecondsOfLastKeepAlive() throws Exception {
+    try (RawHttp first = accept(WHOLE_LIST_REQUEST)) {
+      first.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
       now = 2_500;
       loop.submit(timers::run).get();
       assertNull(first.read());
     }
-    double began = now;
-    passAfterEnd(100);
-    // The dial's own limit runs on the machine's clock, a second; the rest on the story's.
-    try (RawHttp mute = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
-      double until = now + 1_000;
+    double start = now;
+    advanceAfterWatchEnds(100);
+    // The connect timeout of one second runs on the system clock, all other timers run on the clock
+    // of the test.
+    try (RawHttp unresponsive = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
+      double end = now + 1_000;
       while (loop.submit(
                   () -> {
-                    now = Math.min(until, now + 50);
+                    now = Math.min(end, now + 50);
                     timers.run();
                     return now;
                   })
               .get()
-          < until) {
+          < end) {
         Thread.onSpinWait();
       }
-      assertNull(mute.read());
+      assertNull(unresponsive.read());
     }
-    passAfterEnd(100);
-    try (RawHttp again = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
+    advanceAfterWatchEnds(100);
+    try (RawHttp reopened = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
       assertTrue(
-          now - began + 2_500 + 1_000 + 400 <= 6_000,
-          "with a dial of a second and its pause: " + now);
-      again.write(HEAD + list(43, false, "s-1", "left"));
+          now - start + 2_500 + 1_000 + 400 <= 6_000,
+          "time including a connect of one second and its backoff: " + now);
+      reopened.write(RESPONSE_HEADER + list(43, false, "s-1", "left"));
       awaitReady(false);
     }
   }
--- a/node/src/test/java/ferngrade/discovery/JsonObjectFramerTest.java
+++ b/node/src/test/java/ferngrade/discovery/JsonObjectFramerTest.java
@@ -13,55 +13,55 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The framer alone: what it makes of bytes, however they are cut. */
+/** Guards against events that depend on how the bytes are split into reads. */
 public class JsonObjectFramerTest {
   private static final int MAX_LENGTH = 2_000;
-  private static final String TRICKY = "{\"a\":\"}]\\\"{\\\\\",\n \"\u00fc\":[{}]}\n";
+  private static final String OBJECT_WITH_ESCAPES = "{\"a\":\"}]\\\"{\\\\\",\n \"\u00fc\":[{}]}\n";
 
   @DataProvider
-  public Object[][] pieces() {
+  public Object[][] readSizes() {
     return new Object[][] {{1}, {2}, {3}, {7}, {1000}};
   }
 
-  @Test(dataProvider = "pieces")
-  public void objectsAndBlankLinesComeOutAsTheyWentInHoweverTheBytesAreCut(int piece) {
-    String one = "{\"b\":1}\r\n";
+  @Test(dataProvider = "readSizes")
+  public void framesObjectsAndBlankLinesForAnyReadSize(int readSize) {
+    String object = "{\"b\":1}\r\n";
     List<Event> expected =
         List.of(
             new KeepAlive(),
-            new CompleteObject(TRICKY),
+            new CompleteObject(OBJECT_WITH_ESCAPES),
             new KeepAlive(),
-            new CompleteObject(one),
-            new CompleteObject(one));
+            new CompleteObject(object),
+            new CompleteObject(object));
     assertEquals(
-        frame(new JsonObjectFramer(MAX_LENGTH), "\n" + TRICKY + " \r\n" + one + one + "{", piece),
+        frame(new JsonObjectFramer(MAX_LENGTH), "\n" + OBJECT_WITH_ESCAPES + " \r\n" + object + object + "{", readSize),
         expected);
   }
 
-  @Test(dataProvider = "pieces")
-  public void objectThatBreaksOffOrIsTooLongIsAnErrorOnceAndNothingOfItIsKept(int piece) {
+  @Test(dataProvider = "readSizes")
+  public void rejectsAndDiscardsIncompleteOrTooLongObject(int readSize) {
     String tooLong = "{\"a\":\"" + "x".repeat(MAX_LENGTH);
-    for (String broken : new String[] {"{\"a\":\n\n", tooLong}) {
+    for (String malformed : new String[] {"{\"a\":\n\n", tooLong}) {
       JsonObjectFramer framer = new JsonObjectFramer(MAX_LENGTH);
-      assertThrows(IllegalArgumentException.class, () -> frame(framer, broken, piece));
-      assertEquals(frame(framer, "{}\n", piece), List.of(new CompleteObject("{}\n")));
+      assertThrows(IllegalArgumentException.class, () -> frame(framer, malformed, readSize));
+      assertEquals(frame(framer, "{}\n", readSize), List.of(new CompleteObject("{}\n")));
     }
   }
 
   @Test
-  public void objectOfTheGreatestLengthIsTaken() {
+  public void acceptsObjectOfMaxLength() {
     String text = "{\"a\":\"" + "x".repeat(MAX_LENGTH - 9) + "\"}\n";
     assertEquals(text.length(), MAX_LENGTH);
     assertEquals(
         frame(new JsonObjectFramer(MAX_LENGTH), text, 100), List.of(new CompleteObject(text)));
   }
 
-  private static List<Event> frame(JsonObjectFramer framer, String text, int piece) {
+  private static List<Event> frame(JsonObjectFramer framer, String text, int readSize) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     List<Event> events = new ArrayList<>();
-    for (int at = 0; at < bytes.length; at += piece) {
-      var read = Unpooled.wrappedBuffer(bytes, at, Math.min(piece, bytes.length - at));
-      for (Event event = framer.next(read); event != null; event = framer.next(read)) {
+    for (int start = 0; start < bytes.length; start += readSize) {
+      var readBuffer = Unpooled.wrappedBuffer(bytes, start, Math.min(readSize, bytes.length - start));
+      for (Event event = framer.next(readBuffer); event != null; event = framer.next(readBuffer)) {
         events.add(event);
       }
     }
--- a/node/src/test/java/ferngrade/simulator/SimulatorHostTest.java
+++ b/node/src/test/java/ferngrade/simulator/SimulatorHostTest.java
@@ -13,27 +13,27 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The adapter on hand-written lines. */
+/** Tests the replies to hand-written protocol input. */
 class SimulatorHostTest {
-  private static final String ENV =
+  private static final String SETTINGS =
       "Balancers=4 Ceilings.MostTries=3 Ceilings.PeerMessages=true Classes.count=1"
           + " Classes.0.Effect=idempotent Classes.0.GoalTime=100.0 Classes.0.Deadline=5000.0"
           + " Extra.TellsStart=true Rules.TipAfter=3000.0 Rules.FallMultiple=3.0"
           + " Rules.StartCapacity=0.2 Rules.Cold=20000.0 Unknown.New=1";
-  private static final String LIST =
+  private static final String WORKER_LIST =
       "CENSUS 0 2\nROW - Ready 0 0 51530247 0 1\nROW 6100.0 Ready 0 0 747639282 1 1.5\n";
 
-  private static String start(int me) {
+  private static String start(int nodeIndex) {
     return "ON dispatcher_"
-        + me
+        + nodeIndex
         + "\nCONFIGURE "
-        + (100 + me)
+        + (100 + nodeIndex)
         + " Me="
-        + me
+        + nodeIndex
         + " "
-        + ENV
+        + SETTINGS
         + "\n"
-        + LIST
+        + WORKER_LIST
         + "MEMBERS Persisted 41 0\n";
   }
 
@@ -44,13 +44,13 @@
   }
 
   @Test
-  void emptyBatchIsAnswered() throws IOException {
+  void repliesToEmptyBatch() throws IOException {
     assertEquals("NEXT\n", run("BEGIN_BATCH 8412.25\nFLUSH\n"));
     assertEquals("", run(""));
   }
 
   @Test
-  void requestIsIssuedToAReadyRunnerAndItsOutcomeRead() throws IOException {
+  void issuesRequestToReadyWorkerAndReadsOutcome() throws IOException {
     String reply =
         run(
             "BEGIN_BATCH 10\n"
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void listNumberIsResolvedInTheOrderOfEvents() throws IOException {
+  void resolvesListNumberInOrderOfMessages() throws IOException {
     String reply =
         run(
             "BEGIN_BATCH 10\n"
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void haltAndConfigureInOneBatchStartAfresh() throws IOException {
+  void discardsStateWhenHaltAndConfigureAreInOneBatch() throws IOException {
     String reply =
         run(
             "BEGIN_BATCH 10\n"
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void malformedLinesAreNamedPlainly() {
+  void reportsLineAndFieldOfMalformedInput() {
     List<String[]> cases =
         List.of(
             new String[] {"INGRESS c:b x 0 - 5012.5", "INGRESS.Class is not a whole number: x"},
@@ -99,34 +99,34 @@
             new String[] {"INGRESS", "INGRESS.Id is missing"},
             new String[] {"RESOLVED c:b 1 - 0 lost 1 0 -", "RESOLVED.Reason is unknown: lost"},
             new String[] {"RESOLVED c:b 1 - 0 ok 1 7 -", "RESOLVED.Over is neither 0 nor 1: 7"},
-            new String[] {"MEMBERS Complete 1 3", "MEMBERS.Ref names a list that never came"},
+            new String[] {"MEMBERS Complete 1 3", "MEMBERS.Ref names a list that was never sent"},
             new String[] {"CENSUS 99 0", "CENSUS.Ref is out of range: 99"},
             new String[] {"HEARD 1 ???", "HEARD.Body is not base64"},
             new String[] {"GONE  c:b", "GONE. is empty: two spaces in a row"},
             new String[] {"BEGIN_BATCH 11", "BEGIN_BATCH inside a batch"});
-    for (String[] each : cases) {
-      String input = "BEGIN_BATCH 10\n" + start(0) + each[0] + "\nFLUSH\n";
-      WireException thrown = assertThrows(WireException.class, () -> run(input), each[0]);
-      assertEquals("line 8: " + each[1], thrown.getMessage());
+    for (String[] testCase : cases) {
+      String input = "BEGIN_BATCH 10\n" + start(0) + testCase[0] + "\nFLUSH\n";
+      WireException thrown = assertThrows(WireException.class, () -> run(input), testCase[0]);
+      assertEquals("line 8: " + testCase[1], thrown.getMessage());
     }
     assertThrows(WireException.class, () -> run("BEGIN_BATCH 10\n"));
     assertThrows(WireException.class, () -> run("FLUSH\n"));
   }
 
   @Test
-  void actionsDoNotDependOnHowInstancesAreSpread() throws IOException {
+  void producesSameActionsInSharedAndSeparateHosts() throws IOException {
     Random random = new Random(5);
     int batches = 300;
-    List<List<String>> events = new ArrayList<>();
-    for (int me = 0; me < 3; me++) {
-      List<String> own = new ArrayList<>();
+    List<List<String>> messagesByNode = new ArrayList<>();
+    for (int nodeIndex = 0; nodeIndex < 3; nodeIndex++) {
+      List<String> messages = new ArrayList<>();
       for (int i = 0; i < batches; i++) {
-        String id = "c:" + me + "x" + i;
-        own.add(
+        String id = "c:" + nodeIndex + "x" + i;
+        messages.add(
             "ON dispatcher_"
-                + me
+                + nodeIndex
                 + "\n"
-                + (i == 0 ? start(me).substring(start(me).indexOf('\n') + 1) : "")
+                + (i == 0 ? start(nodeIndex).substring(start(nodeIndex).indexOf('\n') + 1) : "")
                 + "INGRESS "
                 + id
                 + " 0 0 "
@@ -141,36 +141,36 @@
                 + "\n"
                 + (i % 50 == 0 ? "REMINDER 1\n" : ""));
       }
-      events.add(own);
+      messagesByNode.add(messages);
     }
-    StringBuilder together = new StringBuilder();
-    StringBuilder[] apart = {new StringBuilder(), new StringBuilder(), new StringBuilder()};
+    StringBuilder shared = new StringBuilder();
+    StringBuilder[] separate = {new StringBuilder(), new StringBuilder(), new StringBuilder()};
     for (int i = 0; i < batches; i++) {
-      together.append("BEGIN_BATCH ").append(i * 2).append('\n');
-      for (int me = 0; me < 3; me++) {
-        together.append(events.get(me).get(i));
-        apart[me]
+      shared.append("BEGIN_BATCH ").append(i * 2).append('\n');
+      for (int nodeIndex = 0; nodeIndex < 3; nodeIndex++) {
+        shared.append(messagesByNode.get(nodeIndex).get(i));
+        separate[nodeIndex]
             .append("BEGIN_BATCH ")
             .append(i * 2)
             .append('\n')
-            .append(events.get(me).get(i))
+            .append(messagesByNode.get(nodeIndex).get(i))
             .append("FLUSH\n");
       }
-      together.append("FLUSH\n");
+      shared.append("FLUSH\n");
     }
-    String reply = run(together.toString());
-    for (int me = 0; me < 3; me++) {
-      assertEquals(of(me, run(apart[me].toString())), of(me, reply));
+    String reply = run(shared.toString());
+    for (int nodeIndex = 0; nodeIndex < 3; nodeIndex++) {
+      assertEquals(actionsOf(nodeIndex, run(separate[nodeIndex].toString())), actionsOf(nodeIndex, reply));
     }
   }
 
-  private static List<String> of(int me, String reply) {
+  private static List<String> actionsOf(int nodeIndex, String reply) {
     List<String> lines = new ArrayList<>();
-    boolean mine = false;
+    boolean selected = false;
     for (String line : reply.split("\n", 0)) {
       if (line.startsWith("CONTEXT ")) {
-        mine = line.equals("CONTEXT dispatcher_" + me);
-      } else if (mine && !line.equals("NEXT")) {
+        selected = line.equals("CONTEXT dispatcher_" + nodeIndex);
+      } else if (selected && !line.equals("NEXT")) {
         lines.add(line);
       }
     }
