--- a/node/src/main/java/ferngrade/cli/Rehearsal.java
+++ b/node/src/main/java/ferngrade/cli/Rehearsal.java
@@ -163,7 +163,7 @@
     try (RehearsalConnection caller = RehearsalConnection.to(admin)) {
       RehearsalConnection.Message answer =
           caller.write(call + " HTTP/1.1\r\nHost: node", "").read();
-      return answer == null ? "" : answer.start();
+      return answer == null ? "" : answer.startLine();
     }
   }
 
--- a/node/src/main/java/ferngrade/cli/RehearsalConnection.java
+++ b/node/src/main/java/ferngrade/cli/RehearsalConnection.java
@@ -14,7 +14,9 @@
   private static final String CONTENT_LENGTH_HEADER = "content-length:";
   private static final String REQUEST_ID_HEADER = "req-id:";
 
-  /** A request or response: its first line, its {@code Req-Id} header (empty if absent), its body. */
+  /**
+   * A request or response: its first line, its {@code Req-Id} header (empty if absent), its body.
+   */
   record Message(String startLine, String id, String body) {}
 
   private final Socket socket;
--- a/node/src/main/java/ferngrade/cli/RehearsalPlatform.java
+++ b/node/src/main/java/ferngrade/cli/RehearsalPlatform.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 
 /**
- * Simulates discovery and one worker for a {@link Rehearsal}, on one loopback socket with one thread
- * per connection. The body of a job selects how the worker handles the job.
+ * Simulates discovery and one worker for a {@link Rehearsal}, on one loopback socket with one
+ * thread per connection. The body of a job selects how the worker handles the job.
  */
 final class RehearsalPlatform implements AutoCloseable {
   /** How the worker handles a job; the name of the constant is the body of the job. */
@@ -94,7 +94,8 @@
     connection.write("HTTP/1.1 202 Accepted", "");
     if (kind != JobKind.SILENT) {
       sendCallback(message.id(), "\"started\"");
-      sendCallback(message.id(), "\"" + kind.name().toLowerCase(Locale.ROOT) + "\",\"result\":\"r\"");
+      sendCallback(
+          message.id(), "\"" + kind.name().toLowerCase(Locale.ROOT) + "\",\"result\":\"r\"");
     }
   }
 
--- a/node/src/main/java/ferngrade/cli/ReloadSignal.java
+++ b/node/src/main/java/ferngrade/cli/ReloadSignal.java
@@ -25,7 +25,8 @@
           Proxy.newProxyInstance(
               ReloadSignal.class.getClassLoader(),
               new Class<?>[] {handler},
-              (proxy, method, arguments) -> reloadSignal.handleInvocation(proxy, method, arguments));
+              (proxy, method, arguments) ->
+                  reloadSignal.handleInvocation(proxy, method, arguments));
       signal
           .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handlerProxy);
--- a/node/src/main/java/ferngrade/cli/SocketHandover.java
+++ b/node/src/main/java/ferngrade/cli/SocketHandover.java
@@ -22,8 +22,8 @@
   /**
    * Reads the environment variables.
    *
-   * @throws ConfigException if {@code LB_ACCEPT_FD} names a descriptor other than 0, or descriptor 0
-   *     is not a listening TCP socket
+   * @throws ConfigException if {@code LB_ACCEPT_FD} names a descriptor other than 0, or descriptor
+   *     0 is not a listening TCP socket
    */
   public static NodeServer.Platform fromEnvironment(Map<String, String> environment)
       throws ConfigException {
--- a/node/src/main/java/ferngrade/config/EndpointListParser.java
+++ b/node/src/main/java/ferngrade/config/EndpointListParser.java
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Parses an address of the form {@code 10.0.0.4:8081}. Host names are rejected, because they would
-   * need a DNS lookup.
+   * Parses an address of the form {@code 10.0.0.4:8081}. Host names are rejected, because they
+   * would need a DNS lookup.
    */
   public static InetSocketAddress address(String hostPort) {
     int colon = hostPort.lastIndexOf(':');
--- a/node/src/main/java/ferngrade/config/SettingsMapping.java
+++ b/node/src/main/java/ferngrade/config/SettingsMapping.java
@@ -90,7 +90,9 @@
   /** Returns a number, or {@code defaultValue} if the path is absent, empty or {@code -}. */
   public double number(String path, double defaultValue) {
     String value = values.get(path);
-    return value == null || "-".equals(value) || value.isEmpty() ? defaultValue : parse(path, value);
+    return value == null || "-".equals(value) || value.isEmpty()
+        ? defaultValue
+        : parse(path, value);
   }
 
   /** Returns the settings, with defaults for the paths that were not added. */
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -55,8 +55,8 @@
   private static final double KEEP_ALIVE_TIMEOUT_MILLIS = 2500;
 
   /**
-   * The response timeout of the first request, ms. Each consecutive request without a response
-   * adds the same amount, up to the mode's maximum.
+   * The response timeout of the first request, ms. Each consecutive request without a response adds
+   * the same amount, up to the mode's maximum.
    */
   private static final double INITIAL_RESPONSE_TIMEOUT_MILLIS = 1000;
 
@@ -71,9 +71,9 @@
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   /**
-   * How long connects that fail for lack of local resources are retried, ms, one retry every
-   * {@link Dialer#BACKOFF}. Such a failure is no sign that discovery is unreachable, so the list
-   * counts as unavailable only after this time.
+   * How long connects that fail for lack of local resources are retried, ms, one retry every {@link
+   * Dialer#BACKOFF}. Such a failure is no sign that discovery is unreachable, so the list counts as
+   * unavailable only after this time.
    */
   private static final double LOCAL_FAILURE_RETRY_MILLIS = 2500;
 
@@ -87,8 +87,8 @@
   /** How discovery serves requests, which determines the backoff and the response timeout. */
   public enum Mode {
     /**
-     * An agent on the node's own machine, which responds immediately: a watch without a response
-     * is dead. Requests to the agent are free, and an update counts as delivered at the moment the
+     * An agent on the node's own machine, which responds immediately: a watch without a response is
+     * dead. Requests to the agent are free, and an update counts as delivered at the moment the
      * agent receives it after an outage. A backoff close to the 250 ms of the drain rule would send
      * jobs to draining workers.
      */
@@ -265,7 +265,8 @@
   }
 
   private void responseTimedOut() {
-    responseTimeout = Math.min(mode.maxResponseTimeout, responseTimeout + INITIAL_RESPONSE_TIMEOUT_MILLIS);
+    responseTimeout =
+        Math.min(mode.maxResponseTimeout, responseTimeout + INITIAL_RESPONSE_TIMEOUT_MILLIS);
     closeConnection();
   }
 
--- a/node/src/main/java/ferngrade/simulator/SimulatorHost.java
+++ b/node/src/main/java/ferngrade/simulator/SimulatorHost.java
@@ -84,7 +84,9 @@
 
   private void handleMessage(String message) throws IOException {
     if (message.equals("ON")) {
-      instance = instances.computeIfAbsent(in.text("Who"), name -> new HostedInstance(out.new InstanceActions(name)));
+      instance =
+          instances.computeIfAbsent(
+              in.text("Who"), name -> new HostedInstance(out.new InstanceActions(name)));
     } else if (message.equals("CENSUS")) {
       census();
     } else {
@@ -97,7 +99,8 @@
         throw malformed;
       } catch (RuntimeException crash) {
         StackTraceElement[] trace = crash.getStackTrace();
-        instance.actions.bailOut(message + ": " + crash + (trace.length > 0 ? " at " + trace[0] : ""));
+        instance.actions.bailOut(
+            message + ": " + crash + (trace.length > 0 ? " at " + trace[0] : ""));
       }
     }
   }
--- a/node/src/test/java/ferngrade/cli/SocketHandoverTest.java
+++ b/node/src/test/java/ferngrade/cli/SocketHandoverTest.java
@@ -21,11 +21,13 @@
         assertThrows(
             ConfigException.class,
             () -> SocketHandover.fromEnvironment(Map.of("LB_ACCEPT_FD", "0")));
-    assertTrue(notSocket.getMessage().contains("not a listening TCP socket"), notSocket.getMessage());
+    assertTrue(
+        notSocket.getMessage().contains("not a listening TCP socket"), notSocket.getMessage());
     ConfigException unsupportedDescriptor =
         assertThrows(
             ConfigException.class,
             () -> SocketHandover.fromEnvironment(Map.of("LB_ACCEPT_FD", "3")));
-    assertTrue(unsupportedDescriptor.getMessage().contains("only 0"), unsupportedDescriptor.getMessage());
+    assertTrue(
+        unsupportedDescriptor.getMessage().contains("only 0"), unsupportedDescriptor.getMessage());
   }
 }
--- a/node/src/test/java/ferngrade/config/MaintenanceCodecTest.java
+++ b/node/src/test/java/ferngrade/config/MaintenanceCodecTest.java
@@ -37,7 +37,8 @@
         MaintenanceCodec.write(new MaintenanceOverrides.Saved(Set.of("s-1"), Map.of("s-3", 7.0)));
     for (int length = 0; length < complete.length(); length++) {
       String truncated = complete.substring(0, length);
-      assertThrows(IllegalArgumentException.class, () -> MaintenanceCodec.read(truncated), truncated);
+      assertThrows(
+          IllegalArgumentException.class, () -> MaintenanceCodec.read(truncated), truncated);
     }
     assertThrows(IllegalArgumentException.class, () -> MaintenanceCodec.read("[1,2]"));
     assertThrows(
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -52,7 +52,8 @@
   public void comparesSettingsByPathInAnyOrder() throws ConfigException {
     NodeConfig config = NodeConfig.read(Json.parse(VALID_CONFIG).asObject());
     String reordered =
-        VALID_CONFIG.replace("\"Me\":1,", "")
+        VALID_CONFIG
+            .replace("\"Me\":1,", "")
             .replace("\"Locality\":1,", "\"Locality\":1,\"Me\":1,")
             .replace("8500", "8501");
     String changed = VALID_CONFIG.replace("\"GoalTime\":750.0", "\"GoalTime\":751.0");
@@ -129,8 +130,8 @@
   }
 
   /**
-   * Guards against duplicate execution: a retry decided at the end of the idempotency window reaches
-   * the worker after the window, because the connect and a pause of the node take time.
+   * Guards against duplicate execution: a retry decided at the end of the idempotency window
+   * reaches the worker after the window, because the connect and a pause of the node take time.
    */
   @Test
   public void shortensIdempotencyWindowsByConnectTimeoutAndPause() throws Exception {
--- a/node/src/test/java/ferngrade/config/SharedRecordCodecTest.java
+++ b/node/src/test/java/ferngrade/config/SharedRecordCodecTest.java
@@ -16,9 +16,13 @@
 
 class SharedRecordCodecTest {
   private static final InetSocketAddress ADDRESS = EndpointListParser.address("127.0.0.1:9600");
-  private static final InetSocketAddress OTHER_ADDRESS = EndpointListParser.address("127.0.0.1:9601");
+  private static final InetSocketAddress OTHER_ADDRESS =
+      EndpointListParser.address("127.0.0.1:9601");
 
-  /** Processes of two releases exchange these records during an upgrade, so the text must not change. */
+  /**
+   * Processes of two releases exchange these records during an upgrade, so the text must not
+   * change.
+   */
   private static final Map<SharedRecord, String> TEXT_BY_RECORD =
       Map.of(
           new MaintenanceEntry("s-1", 4, true, 0),
--- a/node/src/test/java/ferngrade/discovery/DiscoveryAskedTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryAskedTest.java
@@ -9,8 +9,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests the watch of a discovery service that serves all nodes, processes requests from a queue, and
- * may be overloaded or down.
+ * Tests the watch of a discovery service that serves all nodes, processes requests from a queue,
+ * and may be overloaded or down.
  */
 public class DiscoveryAskedTest extends DiscoveryTestBase {
   private static final double INITIAL_RESPONSE_TIMEOUT = 1_000;
@@ -80,13 +80,16 @@
   @DataProvider
   public Object[][] failedResponses() {
     return new Object[][] {
-      {SERVICE_UNAVAILABLE}, {""}, {"HTTP/1.1 503"}, {RESPONSE_HEADER + "0\r\n\r\n"}, {RESPONSE_HEADER + "4\r\n{\"re"}
+      {SERVICE_UNAVAILABLE},
+      {""},
+      {"HTTP/1.1 503"},
+      {RESPONSE_HEADER + "0\r\n\r\n"},
+      {RESPONSE_HEADER + "4\r\n{\"re"}
     };
   }
 
   @Test(dataProvider = "failedResponses", timeOut = 5_000)
-  public void retriesAfterFailedResponsesAndAcceptsFirstList(String response)
-      throws Exception {
+  public void retriesAfterFailedResponsesAndAcceptsFirstList(String response) throws Exception {
     for (int i = 0; i < 8; i++) {
       try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
         request.write(response);
--- a/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
@@ -14,7 +14,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests lists with the maximum number of workers of a fleet, in each JSON layout and chunk size. */
+/**
+ * Tests lists with the maximum number of workers of a fleet, in each JSON layout and chunk size.
+ */
 public class DiscoveryLargeListTest extends DiscoveryTestBase {
   private static final int WORKERS = 3_200;
   private static final String SHORT_ID = "s-5be2a07c";
@@ -47,10 +49,12 @@
                       watch,
                       RESPONSE_HEADER
                           + chunks(
-                              list(41, true, id, WORKERS, "active").toString(layout) + "\n", chunkSize)));
+                              list(41, true, id, WORKERS, "active").toString(layout) + "\n",
+                              chunkSize)));
       awaitMembers(WORKERS);
       written.get();
-      watch.write(chunks(list(42, false, id, WORKERS - 1, "left").toString(layout) + "\n", chunkSize));
+      watch.write(
+          chunks(list(42, false, id, WORKERS - 1, "left").toString(layout) + "\n", chunkSize));
       awaitMembers(1);
       watch.write(chunks(list(43, false, id, 2, "active").toString(layout) + "\n", chunkSize));
       awaitMembers(3);
--- a/node/src/test/java/ferngrade/discovery/DiscoveryTestBase.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryTestBase.java
@@ -131,9 +131,9 @@
   }
 
   /**
-   * Waits until the node has noticed the end of its watch, then advances the clock by {@code millis}
-   * in steps of 100 ms and runs the timers. The retry timer starts at the end of the watch, so
-   * advancing the clock earlier would not bring the retry closer.
+   * Waits until the node has noticed the end of its watch, then advances the clock by {@code
+   * millis} in steps of 100 ms and runs the timers. The retry timer starts at the end of the watch,
+   * so advancing the clock earlier would not bring the retry closer.
    */
   void advanceAfterWatchEnds(double millis) throws Exception {
     while (!watchEnded.compareAndSet(true, false)) {
--- a/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
@@ -12,8 +12,7 @@
 /** Tests the watch of an agent that pushes the worker list, with a clock that the test sets. */
 public class DiscoveryWatchTest extends DiscoveryTestBase {
   @Test(timeOut = 30_000)
-  public void reopensWatchAfterMissingKeepAliveAndReceivesMissedChanges()
-      throws Exception {
+  public void reopensWatchAfterMissingKeepAliveAndReceivesMissedChanges() throws Exception {
     try (RawHttp first = accept(WHOLE_LIST_REQUEST)) {
       first.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
@@ -110,8 +109,7 @@
   }
 
   @Test(timeOut = 30_000)
-  public void ignoresOlderRevisionUntilWholeListArrives()
-      throws Exception {
+  public void ignoresOlderRevisionUntilWholeListArrives() throws Exception {
     try (RawHttp watch = accept(WHOLE_LIST_REQUEST)) {
       watch.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
@@ -141,7 +139,8 @@
     assertFalse(loop.submit(node::ready).get());
     advanceAfterWatchEnds(900);
     try (RawHttp completed = accept(WHOLE_LIST_REQUEST)) {
-      completed.write(RESPONSE_HEADER + "0\r\n\r\n" + RESPONSE_HEADER + list(41, true, "s-1", "active"));
+      completed.write(
+          RESPONSE_HEADER + "0\r\n\r\n" + RESPONSE_HEADER + list(41, true, "s-1", "active"));
       assertNull(completed.read());
     }
     assertFalse(loop.submit(node::ready).get());
@@ -174,8 +173,8 @@
   }
 
   /**
-   * Guards against a late update when a keep-alive timeout, a hanging connect and a missing response
-   * follow each other. The time counts from the last keep-alive.
+   * Guards against a late update when a keep-alive timeout, a hanging connect and a missing
+   * response follow each other. The time counts from the last keep-alive.
    */
   @Test(timeOut = 30_000)
   public void receivesMissedChangeWithinSixSecondsOfLastKeepAlive() throws Exception {
--- a/node/src/test/java/ferngrade/discovery/JsonObjectFramerTest.java
+++ b/node/src/test/java/ferngrade/discovery/JsonObjectFramerTest.java
@@ -34,7 +34,10 @@
             new CompleteObject(object),
             new CompleteObject(object));
     assertEquals(
-        frame(new JsonObjectFramer(MAX_LENGTH), "\n" + OBJECT_WITH_ESCAPES + " \r\n" + object + object + "{", readSize),
+        frame(
+            new JsonObjectFramer(MAX_LENGTH),
+            "\n" + OBJECT_WITH_ESCAPES + " \r\n" + object + object + "{",
+            readSize),
         expected);
   }
 
@@ -60,7 +63,8 @@
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     List<Event> events = new ArrayList<>();
     for (int start = 0; start < bytes.length; start += readSize) {
-      var readBuffer = Unpooled.wrappedBuffer(bytes, start, Math.min(readSize, bytes.length - start));
+      var readBuffer =
+          Unpooled.wrappedBuffer(bytes, start, Math.min(readSize, bytes.length - start));
       for (Event event = framer.next(readBuffer); event != null; event = framer.next(readBuffer)) {
         events.add(event);
       }
--- a/node/src/test/java/ferngrade/simulator/SimulatorHostTest.java
+++ b/node/src/test/java/ferngrade/simulator/SimulatorHostTest.java
@@ -160,7 +160,8 @@
     }
     String reply = run(shared.toString());
     for (int nodeIndex = 0; nodeIndex < 3; nodeIndex++) {
-      assertEquals(actionsOf(nodeIndex, run(separate[nodeIndex].toString())), actionsOf(nodeIndex, reply));
+      assertEquals(
+          actionsOf(nodeIndex, run(separate[nodeIndex].toString())), actionsOf(nodeIndex, reply));
     }
   }
 
