--- a/lease/src/main/java/ferngrade/lease/Command.java
+++ b/lease/src/main/java/ferngrade/lease/Command.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What members propose to the log on the fleet's duties. Times are Unix ms of a member's wall
- * clock.
+ * A command that members propose to the replicated log to manage sessions, shards and due times.
+ * Times are Unix ms of a member's wall clock.
  */
 public sealed interface Command {
-  /** The classes of commands, results and snapshots, in the order of the format. */
+  /** The classes of commands, results and snapshots. Their order defines the stored format. */
   List<Class<?>> CLASSES =
       List.of(
           Shard.class,
@@ -25,58 +25,62 @@
           Verdict.class,
           LeaseTable.Session.class,
           LeaseTable.Slot.class,
-          LeaseTable.Image.class,
-          LeaseTable.Wall.class);
+          LeaseTable.Snapshot.class,
+          LeaseTable.WallClock.class);
 
   /**
-   * A process of this member takes duties from here on; the nonce tells it from others under that
-   * name.
+   * Opens a session, in which a process of this member can own shards. The nonce distinguishes the
+   * process from other processes of the same member.
    */
   record Open(String member, String nonce, long wall, List<Shard> shards) implements Command {}
 
-  /** The session goes on. */
+  /** Renews a session and reports the wall clock of its member. */
   record Renew(long session, long wall) implements Command {}
 
-  /** Ends another's session, if it was not renewed since it had been renewed so often. */
+  /** Ends another member's session if its number of renewals is still {@code renewals}. */
   record Expire(long session, long renewals) implements Command {}
 
-  /** Ends one's own session, which holds nothing any more. */
+  /** Ends the proposer's own session, which owns no shards any more. */
   record Close(long session) implements Command {}
 
-  /** Gives a shard back, which its owner no longer acts for. */
+  /** Releases a shard, for which its owner has stopped acting. */
   record Release(long session, Shard shard, long epoch) implements Command {}
 
-  /** The session takes no new shards and is to give back those it has. */
+  /** Stops the assignment of shards to a session and asks it to release the shards that it owns. */
   record Drain(long session) implements Command {}
 
   /**
-   * Operators want this member to own a shard; an empty name leaves the choice to the table again.
+   * Sets the member that operators choose as the owner of a shard; an empty name lets the table
+   * choose again.
    */
   record Transfer(Shard shard, String member) implements Command {}
 
-  /** The owner is about to act on what is due at this time. */
+  /** Requests permission to act on a due time; proposed by the owner of the shard. */
   record Begin(Shard shard, long epoch, long due) implements Command {}
 
-  /** What became of what was due; a later owner says it of what an earlier one had begun. */
+  /**
+   * Records the result of a due time that was begun. A later owner also records it for a due time
+   * that an earlier owner has begun.
+   */
   record Finish(Shard shard, long epoch, long due, String result) implements Command {}
 
-  /** The session that was opened. */
+  /** The result of {@link Open}: the session that was opened. */
   record Opened(long session) {}
 
-  /** Whether the owner may act. */
+  /** The result of {@link Begin}. */
   record Begun(Verdict verdict) {}
 
-  /** What the log says to an owner that wants to act. */
+  /** Whether an owner may act on a due time. */
   enum Verdict {
-    /** It may, once. */
+    /** The owner may act once. */
     ACCEPTED,
-    /** Its epoch is over: another owns the shard, or nobody. */
+    /** The epoch is outdated: the shard has another owner or none. */
     STALE,
-    /** This or something later was begun before. */
+    /** This due time or a later one was begun before. */
     REPEATED,
-    /** It lies ahead of most members' clocks. */
+    /** The due time is ahead of most members' clocks. */
     EARLY,
-    /** What was begun last is not settled yet. */
+    /** The due time that was begun last has no result yet. */
     OPEN
   }
 }
--- a/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
+++ b/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
@@ -3,175 +3,186 @@
 import java.util.OptionalLong;
 
 /**
- * The worker list asked for once on behalf of all: the owner of a shard watches it and feeds the
- * others each line, numbered under its epoch. Who has missed a line asks for the whole; who has
- * heard nothing of an owner for too long asks the list itself, until an owner is heard again. So no
- * member is without a list for longer than that, whoever owns what.
+ * Distributes the endpoint list of the workers from one member to all others, so that discovery is
+ * watched only once. The owner of a shard watches discovery and sends each line to the other
+ * members, numbered under its epoch. A member that has missed a line requests the whole list. A
+ * member that has received nothing from an owner for the owner timeout watches discovery itself
+ * until it receives lines from an owner again. So no member is without a current list for longer
+ * than that, whoever owns the shard.
  *
- * <p>What is fed under an older epoch than was heard before is dropped: an owner that wakes up late
- * tells nobody its old list.
+ * <p>Lines with an older epoch than the newest one seen are dropped: an owner that resumes after a
+ * long pause cannot spread its outdated list.
  *
- * <p>Reads no clock; belongs to the member's thread. Times are ms of its monotonic clock.
+ * <p>Reads no clock; confined to the member's thread. Times are ms of its monotonic clock.
  */
 public final class EndpointListRelay {
-  /** The shard whose owner asks. */
+  /** The shard whose owner watches discovery. */
   public static final Shard SHARD = new Shard("list", 0);
 
-  /** Ms without a word of an owner after which a member asks for itself. */
-  private static final double SILENT = 1_500;
+  /**
+   * The time in ms without a message from an owner after which a member watches discovery itself.
+   */
+  private static final double OWNER_TIMEOUT_MILLIS = 1_500;
 
-  /** Ms between two signs of life of an owner to those whom it feeds. */
-  private static final double SIGN = 300;
+  /** The interval in ms between two heartbeats of an owner to the other members. */
+  private static final double HEARTBEAT_INTERVAL_MILLIS = 300;
 
   private final Actions actions;
-  private boolean asking;
-  private boolean owns;
+  private boolean watching;
+  private boolean owner;
   private long epoch;
-  private long line;
-  private double fedAt;
-  private double signedAt = Double.NEGATIVE_INFINITY;
-  private double heardAt = Double.NEGATIVE_INFINITY;
+  private long lastNumber;
+  private double lastFedAt;
+  private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
+  private double confirmedAt = Double.NEGATIVE_INFINITY;
 
-  /** What the member does for it. */
+  /** The operations that the member performs for the relay. */
   public interface Actions {
     /**
-     * Opens a watch of the list and keeps it open; each line comes to {@link
+     * Opens a watch of the list and keeps it open; each line is passed to {@link
      * EndpointListRelay#told}.
      */
     void ask();
 
-    /** Ends that watch. */
+    /** Closes the watch. */
     void stopAsking();
 
-    /** A line for this member's own node: a change, or the whole list. */
+    /** Passes a line to this member's own node: a change, or the whole list. */
     void pass(String line);
 
-    /** The whole list as it was passed so far, null if there is none yet. */
+    /** Returns the whole list with all lines passed so far, or null if there is none yet. */
     String whole();
 
-    /** Sends this to all other members. */
-    void feed(Fed fed);
+    /** Sends a line to all other members. */
+    void feed(Fed line);
 
-    /** Asks the owner of this epoch, which is known by what it fed, for the whole list. */
-    void askWhole(Whole asked);
+    /**
+     * Requests the whole list from the owner of this epoch, whose address is known from its
+     * messages.
+     */
+    void askWhole(Whole request);
   }
 
   /**
-   * A line of the list as its owner had it, the so-many-th under this epoch; empty for a sign of
-   * life, null for none.
+   * A line of the list as its owner received it.
+   *
+   * @param epoch the epoch of the owner
+   * @param number the number of the line under this epoch; for a heartbeat, of the last line sent
+   * @param line the line, empty for a heartbeat
+   * @param age the age of the owner's list, ms
    */
   public record Fed(long epoch, long number, String line, double age) {}
 
-  /** A member has missed something under this epoch. */
+  /** A request for the whole list from a member that has missed a line under this epoch. */
   public record Whole(long epoch) {}
 
-  /** The list of one member, which has just started. */
+  /** Creates the relay of a member that has just started. */
   public EndpointListRelay(double now, Actions actions) {
     this.actions = actions;
-    this.fedAt = now;
+    this.lastFedAt = now;
   }
 
   /**
-   * Looks what is to be done; {@code held} is the epoch under which this member owns the shard, if
-   * it does.
+   * Starts or stops watching discovery and sends due heartbeats; {@code heldEpoch} is the epoch
+   * under which this member owns the shard, empty if it does not.
    */
-  public void look(double now, OptionalLong held) {
-    if (held.isPresent() && (!owns || epoch != held.getAsLong())) {
-      owns = true;
-      epoch = held.getAsLong();
-      line = 0;
-      signedAt = Double.NEGATIVE_INFINITY;
-    } else if (held.isEmpty() && owns) {
-      // Nobody has fed it for as long as it owned this: it goes on for itself until another is
-      // heard.
-      owns = false;
+  public void look(double now, OptionalLong heldEpoch) {
+    if (heldEpoch.isPresent() && (!owner || epoch != heldEpoch.getAsLong())) {
+      owner = true;
+      epoch = heldEpoch.getAsLong();
+      lastNumber = 0;
+      lastHeartbeatAt = Double.NEGATIVE_INFINITY;
+    } else if (heldEpoch.isEmpty() && owner) {
+      // This member received nothing from another owner while it owned the shard itself. It keeps
+      // watching discovery until it receives a message from the next owner.
+      owner = false;
     }
-    boolean needed = owns || now - fedAt > SILENT;
-    if (needed != asking && (needed || now - fedAt < SIGN)) {
-      asking = needed;
-      if (needed) {
+    boolean mustWatch = owner || now - lastFedAt > OWNER_TIMEOUT_MILLIS;
+    if (mustWatch != watching && (mustWatch || now - lastFedAt < HEARTBEAT_INTERVAL_MILLIS)) {
+      watching = mustWatch;
+      if (mustWatch) {
         actions.ask();
       } else {
         actions.stopAsking();
       }
     }
-    if (owns && now - signedAt >= SIGN) {
-      signedAt = now;
-      String whole = line == 0 ? actions.whole() : null;
+    if (owner && now - lastHeartbeatAt >= HEARTBEAT_INTERVAL_MILLIS) {
+      lastHeartbeatAt = now;
+      String whole = lastNumber == 0 ? actions.whole() : null;
       if (whole != null) {
-        line = 1;
-        actions.feed(new Fed(epoch, line, whole, age(now)));
+        lastNumber = 1;
+        actions.feed(new Fed(epoch, lastNumber, whole, age(now)));
       } else {
-        actions.feed(new Fed(epoch, line, "", age(now)));
+        actions.feed(new Fed(epoch, lastNumber, "", age(now)));
       }
     }
   }
 
-  /** The list has told a line; an empty one is a sign of its life. */
-  public void told(double now, String text) {
-    if (!asking) {
+  /** Handles a line from discovery; an empty line is a heartbeat of discovery. */
+  public void told(double now, String line) {
+    if (!watching) {
       return;
     }
-    heardAt = now;
-    if (!text.isEmpty()) {
-      actions.pass(text);
-      if (owns) {
-        actions.feed(new Fed(epoch, ++line, text, 0));
+    confirmedAt = now;
+    if (!line.isEmpty()) {
+      actions.pass(line);
+      if (owner) {
+        actions.feed(new Fed(epoch, ++lastNumber, line, 0));
       }
     }
   }
 
-  /** An owner has fed something. */
+  /** Handles a line or a heartbeat from an owner. */
   public void fed(double now, Fed fed) {
-    if (fed.epoch() < epoch || owns) {
+    if (fed.epoch() < epoch || owner) {
       return;
     }
     if (fed.epoch() > epoch) {
       epoch = fed.epoch();
-      line = 0;
+      lastNumber = 0;
     }
-    fedAt = now;
-    heardAt = Math.max(heardAt, now - Math.max(0, fed.age()));
+    lastFedAt = now;
+    confirmedAt = Math.max(confirmedAt, now - Math.max(0, fed.age()));
     if (fed.line().isEmpty()) {
-      if (fed.number() != line) {
+      if (fed.number() != lastNumber) {
         actions.askWhole(new Whole(epoch));
       }
-    } else if (fed.number() == line + 1) {
-      line = fed.number();
+    } else if (fed.number() == lastNumber + 1) {
+      lastNumber = fed.number();
       actions.pass(fed.line());
-    } else if (fed.number() > line) {
+    } else if (fed.number() > lastNumber) {
       actions.askWhole(new Whole(epoch));
     }
   }
 
   /**
-   * A member that is fed has missed something: it is told the whole, which stands for all lines so
-   * far.
+   * Answers the request of a member that has missed a line: returns the whole list, numbered like
+   * the last line that it contains, or null if this member cannot answer under that epoch.
    */
-  public Fed whole(double now, Whole asked) {
-    String all = owns && asked.epoch() == epoch && line > 0 ? actions.whole() : null;
-    return all == null ? null : new Fed(epoch, line, all, age(now));
+  public Fed whole(double now, Whole request) {
+    String list = owner && request.epoch() == epoch && lastNumber > 0 ? actions.whole() : null;
+    return list == null ? null : new Fed(epoch, lastNumber, list, age(now));
   }
 
-  /** The whole list has come, which was asked for. */
+  /** Handles the whole list that this member has requested. */
   public void fedWhole(double now, Fed fed) {
-    if (!owns && fed.epoch() == epoch && fed.number() >= line) {
-      line = fed.number();
-      fedAt = now;
+    if (!owner && fed.epoch() == epoch && fed.number() >= lastNumber) {
+      lastNumber = fed.number();
+      lastFedAt = now;
       actions.pass(fed.line());
     }
   }
 
   /**
-   * Ms since this list was known to be so, by its own asking or the owner's; infinite before the
-   * first word.
+   * Returns the time in ms since this list was confirmed by discovery, either by this member or by
+   * the owner; infinite before the first message.
    */
   public double age(double now) {
-    return now - heardAt;
+    return now - confirmedAt;
   }
 
-  /** Whether this member watches the list itself. */
-  public boolean asking() {
-    return asking;
+  /** Returns whether this member watches discovery itself. */
+  public boolean watching() {
+    return watching;
   }
 }
--- a/lease/src/main/java/ferngrade/lease/FencingGuard.java
+++ b/lease/src/main/java/ferngrade/lease/FencingGuard.java
@@ -4,15 +4,17 @@
 import java.util.Map;
 
 /**
- * The guard where effects land: it lets nothing through whose epoch is older than one that it has
- * seen for the same shard. Whoever takes effects keeps one, for as long as an old owner could still
- * send.
+ * Rejects effects whose epoch is older than the highest epoch seen for the same shard (fencing).
+ * Each receiver of effects keeps a guard for as long as a former owner could still send.
  */
 public final class FencingGuard {
-  private final Map<String, Long> highest = new HashMap<>();
+  private final Map<String, Long> highestEpochs = new HashMap<>();
 
-  /** Whether an effect under this epoch may land; from then on no older one may. */
+  /**
+   * Returns whether an effect under this epoch is admitted; from then on, older epochs of the shard
+   * are rejected.
+   */
   public boolean admits(String shard, long epoch) {
-    return highest.merge(shard, epoch, Math::max) == epoch;
+    return highestEpochs.merge(shard, epoch, Math::max) == epoch;
   }
 }
--- a/lease/src/main/java/ferngrade/lease/LeaseHolder.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseHolder.java
@@ -8,57 +8,69 @@
 import java.util.OptionalLong;
 
 /**
- * What one member believes it owns, and what it proposes to keep that true. It holds its shards for
- * a time counted by its own clock from before it asked, less a bound on what that clock may be
- * wrong by; it proposes the end of another's session only after it has seen that not renewed for
- * the time and the same bound more. So no hold outlasts a session, whatever the delays, if no clock
- * runs wrong by more than the bound.
+ * Maintains the session of one member and tracks the shards that the member holds under a lease.
+ * The lease is counted by the member's own clock from before its renewal was proposed, and is
+ * shortened by the maximum drift of that clock. The member proposes to expire another session only
+ * after it has seen no renewal of that session for the lease time, extended by the same drift. So
+ * no lease outlasts its session, whatever the message delays, as long as no clock drifts by more
+ * than the bound.
  *
- * <p>All times are ms of the member's monotonic clock. It reads no clock and starts nothing by
- * itself.
+ * <p>All times are ms of the member's monotonic clock. This class reads no clock and starts no
+ * thread or timer.
  */
 public final class LeaseHolder {
-  /** Tries to renew within a hold. */
-  private static final double RENEWALS = 4;
+  /** The number of renewal attempts within a lease. */
+  private static final double RENEWALS_PER_LEASE = 4;
 
   private final String member;
   private final String nonce;
   private final List<Shard> shards;
   private final Terms terms;
   private final Proposer proposer;
-  private final Map<Long, Seen> seen = new HashMap<>();
-  private final Map<Shard, Back> released = new HashMap<>();
+  private final Map<Long, ObservedSession> observedSessions = new HashMap<>();
+  private final Map<Shard, ReleasedShard> releasedShards = new HashMap<>();
   private long session;
-  private int opened;
-  private double holdsUntil = Double.NEGATIVE_INFINITY;
-  private double askAt = Double.NEGATIVE_INFINITY;
+  private int reopenCount;
+  private double leaseExpiresAt = Double.NEGATIVE_INFINITY;
+  private double nextRenewalAt = Double.NEGATIVE_INFINITY;
   private boolean draining;
   private boolean closed;
 
   /**
-   * How long a hold lasts without a renewal, ms, and by what share of the time a clock may be wrong
-   * at the most. A member that stands still for less than the hold less a renewal's period and way
-   * loses nothing.
+   * The timing of leases. A member that pauses for less than the lease time, minus the renewal
+   * interval and the round-trip time of a renewal, loses no shard.
+   *
+   * @param leaseMillis how long a lease lasts without a renewal
+   * @param maxClockDrift the maximum relative error of a clock
    */
-  public record Terms(double hold, double drift) {}
+  public record Terms(double leaseMillis, double maxClockDrift) {}
 
-  /** Proposes a command to the log; what comes of it is told by {@link #answered}. */
+  /** Proposes a command to the log; its result is reported by {@link #answered}. */
   @FunctionalInterface
   public interface Proposer {
-    /** Proposes this. */
+    /** Proposes a command. */
     void propose(Command command);
   }
 
-  /** Another's session as it was seen last: how often renewed, and since when here. */
-  private record Seen(long renewals, double since, double asked) {}
+  /**
+   * Another member's session as it was observed last.
+   *
+   * @param renewals its number of renewals
+   * @param unchangedSince when this number was observed first
+   * @param expiryProposedAt when its expiry was proposed last
+   */
+  private record ObservedSession(long renewals, double unchangedSince, double expiryProposedAt) {}
 
   /**
-   * A shard given back under this epoch; what was proposed may be lost and is proposed again at
-   * that time.
+   * A shard that was released under this epoch. The proposal may be lost and is repeated at {@code
+   * retryAt}.
    */
-  private record Back(long epoch, double again) {}
+  private record ReleasedShard(long epoch, double retryAt) {}
 
-  /** A member that can own these shards; the nonce tells this process from others of its name. */
+  /**
+   * Creates a member that can own these shards; the nonce distinguishes this process from other
+   * processes of the same member.
+   */
   public LeaseHolder(
       String member, String nonce, List<Shard> shards, Terms terms, Proposer proposer) {
     this.member = member;
@@ -68,126 +80,143 @@
     this.proposer = proposer;
   }
 
-  /** Ms between two calls of {@link #tick}, several times within a hold. */
+  /**
+   * Returns the interval between two calls of {@link #tick} in ms, several of which fit into a
+   * lease.
+   */
   public double period() {
-    return terms.hold() / RENEWALS / 4;
+    return terms.leaseMillis() / RENEWALS_PER_LEASE / 4;
   }
 
-  /** Looks what has to be proposed now; {@code wall} is the member's wall clock, Unix ms. */
+  /** Proposes the commands that are due now; {@code wall} is the member's wall clock, Unix ms. */
   public void tick(double now, long wall, LeaseTable table) {
     if (closed) {
       return;
     }
     if (session != 0 && table.index() >= session && table.session(session) == null) {
-      // Others have ended it: what it held is somebody else's by now. This process opens another.
+      // Other members have expired this session, and its shards may have new owners. Open a new
+      // session.
       session = 0;
-      opened++;
-      holdsUntil = Double.NEGATIVE_INFINITY;
-      askAt = now;
+      reopenCount++;
+      leaseExpiresAt = Double.NEGATIVE_INFINITY;
+      nextRenewalAt = now;
     }
-    if (now >= askAt) {
-      askAt = now + (draining ? period() : terms.hold() / RENEWALS);
+    if (now >= nextRenewalAt) {
+      nextRenewalAt = now + (draining ? period() : terms.leaseMillis() / RENEWALS_PER_LEASE);
       proposer.propose(
           session == 0
-              ? new Command.Open(member, nonce + "-" + opened, wall, shards)
+              ? new Command.Open(member, nonce + "-" + reopenCount, wall, shards)
               : new Command.Renew(session, wall));
       if (draining && session != 0) {
         proposer.propose(new Command.Drain(session));
       }
     }
-    giveBack(now, table);
-    watch(now, table);
+    releaseShards(now, table);
+    expireSessions(now, table);
   }
 
-  private void giveBack(double now, LeaseTable table) {
-    boolean any = false;
+  private void releaseShards(double now, LeaseTable table) {
+    boolean ownsShard = false;
     for (Slot slot : table.slots()) {
       if (session == 0 || slot.owner() != session) {
         continue;
       }
-      any = true;
-      Back back = released.get(slot.shard());
-      boolean given = back != null && back.epoch() == slot.epoch();
-      if (given ? now >= back.again() : slot.releasing()) {
-        // From here on it is not acted for under this epoch, whatever becomes of the proposal.
-        released.put(slot.shard(), new Back(slot.epoch(), now + terms.hold() / RENEWALS));
+      ownsShard = true;
+      ReleasedShard released = releasedShards.get(slot.shard());
+      boolean alreadyReleased = released != null && released.epoch() == slot.epoch();
+      if (alreadyReleased ? now >= released.retryAt() : slot.releasing()) {
+        // The shard is not used under this epoch any more, whether or not the proposal succeeds.
+        releasedShards.put(
+            slot.shard(),
+            new ReleasedShard(slot.epoch(), now + terms.leaseMillis() / RENEWALS_PER_LEASE));
         proposer.propose(new Command.Release(session, slot.shard(), slot.epoch()));
       }
     }
     Session own = table.session(session);
-    if (draining && own != null && own.draining() && !any) {
+    if (draining && own != null && own.draining() && !ownsShard) {
       closed = true;
       proposer.propose(new Command.Close(session));
     }
   }
 
   /**
-   * Proposes the end of sessions that have not been renewed, seen from here, for longer than any
-   * hold lasts.
+   * Proposes to expire sessions for which this member has seen no renewal for longer than any lease
+   * lasts.
    */
-  private void watch(double now, LeaseTable table) {
-    seen.keySet().removeIf(id -> table.session(id) == null);
-    for (Session each : table.sessions()) {
-      if (each.id() == session) {
+  private void expireSessions(double now, LeaseTable table) {
+    observedSessions.keySet().removeIf(id -> table.session(id) == null);
+    for (Session other : table.sessions()) {
+      if (other.id() == session) {
         continue;
       }
-      Seen last = seen.get(each.id());
-      if (last == null || last.renewals() != each.renewals()) {
-        seen.put(each.id(), new Seen(each.renewals(), now, Double.NEGATIVE_INFINITY));
-      } else if (now - last.since() > terms.hold() * (1 + terms.drift())
-          && now - last.asked() > terms.hold() / RENEWALS) {
-        seen.put(each.id(), new Seen(each.renewals(), last.since(), now));
-        proposer.propose(new Command.Expire(each.id(), each.renewals()));
+      ObservedSession last = observedSessions.get(other.id());
+      if (last == null || last.renewals() != other.renewals()) {
+        observedSessions.put(
+            other.id(), new ObservedSession(other.renewals(), now, Double.NEGATIVE_INFINITY));
+      } else if (now - last.unchangedSince() > terms.leaseMillis() * (1 + terms.maxClockDrift())
+          && now - last.expiryProposedAt() > terms.leaseMillis() / RENEWALS_PER_LEASE) {
+        observedSessions.put(
+            other.id(), new ObservedSession(other.renewals(), last.unchangedSince(), now));
+        proposer.propose(new Command.Expire(other.id(), other.renewals()));
       }
     }
   }
 
   /**
-   * What a proposal made at {@code asked} came to; one whose outcome is unknown is told to nobody.
+   * Handles the result of a command that was proposed at {@code proposedAt}. Not called for a
+   * proposal whose outcome is unknown.
    */
-  public void answered(double asked, Command command, Object result) {
-    if (command instanceof Command.Open && result instanceof Command.Opened given && session == 0) {
-      session = given.session();
-      hold(asked);
+  public void answered(double proposedAt, Command command, Object result) {
+    if (command instanceof Command.Open
+        && result instanceof Command.Opened answer
+        && session == 0) {
+      session = answer.session();
+      extendLease(proposedAt);
     } else if (command instanceof Command.Renew renew
         && renew.session() == session
         && Boolean.TRUE.equals(result)) {
-      hold(asked);
+      extendLease(proposedAt);
     }
   }
 
-  private void hold(double asked) {
-    holdsUntil = Math.max(holdsUntil, asked + terms.hold() * (1 - terms.drift()));
+  private void extendLease(double proposedAt) {
+    leaseExpiresAt =
+        Math.max(leaseExpiresAt, proposedAt + terms.leaseMillis() * (1 - terms.maxClockDrift()));
   }
 
-  /** The epoch with which this member may act for a shard now; none if it does not hold it. */
+  /**
+   * Returns the epoch under which this member may act for a shard now, or empty if it does not hold
+   * the shard.
+   */
   public OptionalLong epoch(Shard shard, double now, LeaseTable table) {
     Slot slot = table.slot(shard);
-    Back back = released.get(shard);
-    boolean mine =
+    ReleasedShard released = releasedShards.get(shard);
+    boolean owned =
         slot != null
             && session != 0
             && slot.owner() == session
             && !slot.releasing()
-            && (back == null || back.epoch() != slot.epoch());
-    return mine && now < holdsUntil ? OptionalLong.of(slot.epoch()) : OptionalLong.empty();
+            && (released == null || released.epoch() != slot.epoch());
+    return owned && now < leaseExpiresAt ? OptionalLong.of(slot.epoch()) : OptionalLong.empty();
   }
 
   /**
-   * True while this member's session counts: less than a hold has gone since it asked for its last
-   * renewal.
+   * Returns whether the lease is valid: less than the lease time has passed since the last
+   * successful renewal was proposed.
    */
   public boolean holds(double now) {
-    return now < holdsUntil;
+    return now < leaseExpiresAt;
   }
 
-  /** Takes nothing new and gives back what is held; {@link #left} says when that is done. */
+  /**
+   * Stops taking new shards and releases those held; {@link #left} returns true when this is done.
+   */
   public void drain() {
     draining = true;
-    askAt = Double.NEGATIVE_INFINITY;
+    nextRenewalAt = Double.NEGATIVE_INFINITY;
   }
 
-  /** True once everything was given back and the session ended. */
+  /** Returns whether all shards were released and the close of the session was proposed. */
   public boolean left() {
     return closed;
   }
--- a/lease/src/main/java/ferngrade/lease/LeaseTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -13,34 +13,44 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Who owns which duty, made of the log alone: the same at every member. A member has a session,
- * which it renews; its shards change hands when it gives them back, or when another proposes the
- * end of the session with the number of renewals that it has seen for longer than any hold lasts.
- * Each grant has an epoch above all before it.
+ * Assigns the shards of the fleet's duties to members. The state depends on the replicated log
+ * alone, so it is the same on every member. A member has a session, which it renews. A shard
+ * changes its owner when the owner releases it, or when another member proposes to expire the
+ * owner's session. That proposal names the number of renewals that the proposer has seen unchanged
+ * for longer than any lease lasts. Each assignment has an epoch higher than all earlier ones.
  *
- * <p>No clock is read here. Members' wall clocks come with their renewals, and stop only what lies
- * ahead of most of them.
+ * <p>The table reads no clock. Members report their wall clocks with their renewals; these clocks
+ * are used only to reject due times that are ahead of most members' clocks.
  */
 public final class LeaseTable implements ReplicatedStateMachine {
   /**
-   * How far ahead of the middle of the members' clocks a due time may lie: they are as old as their
-   * renewals.
+   * The maximum time in ms by which a due time may be ahead of the median of the members' clocks.
+   * The median lags, because members report their clocks only with their renewals.
    */
-  private static final long AHEAD = 5_000;
+  private static final long MAX_AHEAD_MILLIS = 5_000;
 
-  /** One process of a member that takes duties. */
+  /** A session: one process of a member that can own shards. */
   public record Session(
       long id, String member, String nonce, long renewals, boolean draining, long wall) {
-    private Session renewed(long now) {
-      return new Session(id, member, nonce, renewals + 1, draining, now);
+    private Session withRenewal(long memberWall) {
+      return new Session(id, member, nonce, renewals + 1, draining, memberWall);
     }
   }
 
   /**
-   * One shard: its owner's session, 0 for none; the epoch of that; whether the owner is asked to
-   * give it back; the member that operators want, empty for none; what is due and was begun last,
-   * whether that is still open, the epoch that began it, and what became of it; the index at which
-   * the owner got it, and why.
+   * The state of one shard.
+   *
+   * @param shard the shard
+   * @param owner the id of the owner's session, 0 if the shard has no owner
+   * @param epoch the epoch of the last assignment
+   * @param releasing whether the owner is asked to release the shard
+   * @param wanted the member that operators have chosen as the owner, empty for none
+   * @param due the due time that was begun last, Unix ms
+   * @param open whether that due time has no result yet
+   * @param begunBy the epoch under which that due time was begun
+   * @param result the result of that due time, empty while it is open
+   * @param since the log index at which the owner was assigned
+   * @param why the reason for the assignment
    */
   public record Slot(
       Shard shard,
@@ -58,30 +68,37 @@
       return new Slot(shard, 0, 0, false, "", 0, false, 0, "", index, "new");
     }
 
-    private Slot owned(long by, long with, long from, String because) {
-      return new Slot(shard, by, with, false, wanted, due, open, begunBy, result, from, because);
+    private Slot withOwner(long newOwner, long newEpoch, long assignedAt, String reason) {
+      return new Slot(
+          shard, newOwner, newEpoch, false, wanted, due, open, begunBy, result, assignedAt, reason);
     }
 
-    private Slot asked(boolean back) {
-      return new Slot(shard, owner, epoch, back, wanted, due, open, begunBy, result, since, why);
+    private Slot withReleasing(boolean requested) {
+      return new Slot(
+          shard, owner, epoch, requested, wanted, due, open, begunBy, result, since, why);
     }
 
-    private Slot wanting(String member) {
+    private Slot withWantedMember(String member) {
       return new Slot(
           shard, owner, epoch, releasing, member, due, open, begunBy, result, since, why);
     }
 
-    private Slot at(long time, boolean still, long by, String became) {
-      return new Slot(shard, owner, epoch, releasing, wanted, time, still, by, became, since, why);
+    private Slot withDue(long time, boolean pending, long byEpoch, String outcome) {
+      return new Slot(
+          shard, owner, epoch, releasing, wanted, time, pending, byEpoch, outcome, since, why);
     }
   }
 
-  /** All of the table, as a snapshot holds it. */
-  record Image(
-      long index, long lastEpoch, List<Session> sessions, List<Slot> slots, List<Wall> walls) {}
+  /** The whole table as it is stored in a snapshot. */
+  record Snapshot(
+      long index,
+      long lastEpoch,
+      List<Session> sessions,
+      List<Slot> slots,
+      List<WallClock> walls) {}
 
-  /** The wall clock that a member told last. */
-  record Wall(String member, long time) {}
+  /** The wall clock that a member reported last, Unix ms. */
+  record WallClock(String member, long time) {}
 
   private final TreeMap<Long, Session> sessions = new TreeMap<>();
   private final TreeMap<Shard, Slot> slots = new TreeMap<>();
@@ -89,68 +106,70 @@
   private long lastEpoch;
   private long index;
 
-  /** The index of the last command applied. */
+  /** Returns the log index of the last command that was applied. */
   public long index() {
     return index;
   }
 
-  /** The sessions that are open. */
+  /** Returns the open sessions. */
   public Collection<Session> sessions() {
     return sessions.values();
   }
 
-  /** A session, null if it is over or was never opened. */
+  /** Returns a session, or null if it has ended or was never opened. */
   public Session session(long id) {
     return sessions.get(id);
   }
 
-  /** All shards. */
+  /** Returns all shards. */
   public Collection<Slot> slots() {
     return slots.values();
   }
 
-  /** A shard, null if nobody has brought it. */
+  /** Returns a shard, or null if no member has declared it. */
   public Slot slot(Shard shard) {
     return slots.get(shard);
   }
 
-  /** The member that owns a shard, null for none. */
+  /** Returns the name of the member that owns a shard, or null if it has no owner. */
   public String owner(Slot slot) {
     Session session = sessions.get(slot.owner());
     return session == null ? null : session.member();
   }
 
   @Override
-  public Object apply(long at, Object proposed) {
-    index = at;
+  public Object apply(long commandIndex, Object proposed) {
+    index = commandIndex;
     if (!(proposed instanceof Command command)) {
-      throw new IllegalArgumentException("no command on duties: " + proposed);
+      throw new IllegalArgumentException("not a lease command: " + proposed);
     }
     if (command instanceof Command.Open open) {
       return open(open);
     } else if (command instanceof Command.Renew renew) {
       Session renewed =
           sessions.computeIfPresent(
-              renew.session(), (id, session) -> session.renewed(renew.wall()));
+              renew.session(), (id, session) -> session.withRenewal(renew.wall()));
       if (renewed != null) {
         walls.put(renewed.member(), renew.wall());
       }
       return renewed != null;
     } else if (command instanceof Command.Expire expire) {
       Session session = sessions.get(expire.session());
-      return session != null && session.renewals() == expire.renewals() && end(session, "silent");
+      return session != null
+          && session.renewals() == expire.renewals()
+          && endSession(session, "silent");
     } else if (command instanceof Command.Close close) {
       Session session = sessions.get(close.session());
       if (session != null) {
         walls.remove(session.member());
       }
-      return session != null && end(session, "left");
+      return session != null && endSession(session, "left");
     } else if (command instanceof Command.Release release) {
       Slot slot = slots.get(release.shard());
       return slot != null
           && slot.owner() == release.session()
           && slot.epoch() == release.epoch()
-          && give(free(slot), "handed over by " + owner(slot));
+          && assign(withoutOwner(slot), "handed over by " + owner(slot));
     } else if (command instanceof Command.Drain drain) {
       boolean known =
           sessions.computeIfPresent(
@@ -178,8 +197,9 @@
     walls.put(open.member(), open.wall());
     for (Session session : sessions.values()) {
       if (session.member().equals(open.member()) && session.nonce().equals(open.nonce())) {
-        // Asked for again: a hold may be counted from this asking, so it is a renewal too.
-        sessions.put(session.id(), session.renewed(open.wall()));
+        // The request was repeated, and the member counts its lease from the repeated request, so
+        // it also counts as a renewal.
+        sessions.put(session.id(), session.withRenewal(open.wall()));
         return new Opened(session.id());
       }
     }
@@ -191,11 +211,11 @@
     return new Opened(index);
   }
 
-  private boolean end(Session session, String why) {
+  private boolean endSession(Session session, String reason) {
     sessions.remove(session.id());
     for (Slot slot : List.copyOf(slots.values())) {
       if (slot.owner() == session.id()) {
-        give(free(slot), session.member() + " " + why);
+        assign(withoutOwner(slot), session.member() + " " + reason);
       }
     }
     return true;
@@ -203,88 +223,98 @@
 
   private boolean transfer(Command.Transfer transfer) {
     Slot slot = slots.get(transfer.shard());
-    boolean known =
+    boolean memberKnown =
         transfer.member().isEmpty()
-            || sessions.values().stream().anyMatch(each -> each.member().equals(transfer.member()));
-    if (slot == null || !known) {
+            || sessions.values().stream()
+                .anyMatch(session -> session.member().equals(transfer.member()));
+    if (slot == null || !memberKnown) {
       return false;
     }
-    slots.put(slot.shard(), slot.wanting(transfer.member()));
+    slots.put(slot.shard(), slot.withWantedMember(transfer.member()));
     rebalance();
     return true;
   }
 
-  // ---- Who should own what ----
+  // ---- Assignment ----
 
-  private static Slot free(Slot slot) {
-    return slot.owned(0, slot.epoch(), slot.since(), slot.why());
+  private static Slot withoutOwner(Slot slot) {
+    return slot.withOwner(0, slot.epoch(), slot.since(), slot.why());
   }
 
   /**
-   * Gives a shard that nobody owns to the member that should have it; it stays free where there is
-   * none.
+   * Assigns a shard without an owner to its preferred session. The shard stays without an owner if
+   * no session qualifies.
    */
-  private boolean give(Slot slot, String why) {
-    Session best = best(slot);
-    slots.put(slot.shard(), best == null ? slot : slot.owned(best.id(), ++lastEpoch, index, why));
+  private boolean assign(Slot slot, String reason) {
+    Session preferred = preferredSession(slot);
+    slots.put(
+        slot.shard(),
+        preferred == null ? slot : slot.withOwner(preferred.id(), ++lastEpoch, index, reason));
     return true;
   }
 
   /**
-   * The session that should have a shard, null for none: that of the member whom operators want,
-   * else the highest of the members' hashes with the shard (rendezvous), so that a change of one
-   * member moves its own shards alone.
+   * Returns the session that should own a shard, or null if there is none: the session of the
+   * member that operators have chosen, else the one with the highest hash of member and shard
+   * (rendezvous hashing). A change of one member thus moves only the shards of that member.
    */
-  private Session best(Slot slot) {
-    Map<String, Session> newest = newest();
-    newest.values().removeIf(Session::draining);
-    Session wanted = newest.get(slot.wanted());
-    if (wanted != null) {
-      return wanted;
+  private Session preferredSession(Slot slot) {
+    Map<String, Session> sessionByMember = latestSessions();
+    sessionByMember.values().removeIf(Session::draining);
+    Session chosen = sessionByMember.get(slot.wanted());
+    if (chosen != null) {
+      return chosen;
     }
-    Session best = null;
-    int highest = 0;
-    for (Session session : newest.values()) {
+    Session preferred = null;
+    int highestHash = 0;
+    for (Session session : sessionByMember.values()) {
       int hash =
           MurmurHash3.hash32x86(
               (session.member() + " " + slot.shard()).getBytes(StandardCharsets.UTF_8));
-      if (best == null || hash > highest) {
-        best = session;
-        highest = hash;
+      if (preferred == null || hash > highestHash) {
+        preferred = session;
+        highestHash = hash;
       }
     }
-    return best;
+    return preferred;
   }
 
-  /** The last session of each member: a process before it may not have been seen to be over. */
-  private Map<String, Session> newest() {
-    Map<String, Session> newest = new TreeMap<>();
-    sessions.values().forEach(session -> newest.put(session.member(), session));
-    return newest;
+  /**
+   * Returns the latest session of each member. The session of a predecessor process may still be
+   * open.
+   */
+  private Map<String, Session> latestSessions() {
+    Map<String, Session> sessionByMember = new TreeMap<>();
+    sessions.values().forEach(session -> sessionByMember.put(session.member(), session));
+    return sessionByMember;
   }
 
-  /** Asks owners to give back what another should have, and gives away what is free. */
+  /**
+   * Asks owners to release the shards that another member should own, and assigns the shards
+   * without an owner.
+   */
   private void rebalance() {
     for (Slot slot : List.copyOf(slots.values())) {
       if (slot.owner() == 0) {
-        give(slot, slot.why());
+        assign(slot, slot.why());
         continue;
       }
-      Session best = best(slot);
+      Session preferred = preferredSession(slot);
       Session owner = sessions.get(slot.owner());
       boolean releasing =
-          (best != null && best.id() != slot.owner()) || (best == null && owner.draining());
+          (preferred != null && preferred.id() != slot.owner())
+              || (preferred == null && owner.draining());
       if (releasing != slot.releasing()) {
-        slots.put(slot.shard(), slot.asked(releasing));
+        slots.put(slot.shard(), slot.withReleasing(releasing));
       }
     }
   }
 
-  // ---- Effects ----
+  // ---- Due times ----
 
   /**
-   * The guard where an effect lands: an older epoch, a repeat and a clock that is far ahead are
-   * refused.
+   * Decides whether an owner may act on a due time. Rejects an outdated epoch, a due time that was
+   * begun before, and one that is far ahead of the clocks of most members.
    */
   private Verdict begin(Command.Begin begin) {
     Slot slot = slots.get(begin.shard());
@@ -297,29 +327,31 @@
     if (slot.open()) {
       return Verdict.OPEN;
     }
-    if (begin.due() > middle() + AHEAD) {
+    if (begin.due() > medianWallClock() + MAX_AHEAD_MILLIS) {
       return Verdict.EARLY;
     }
-    slots.put(slot.shard(), slot.at(begin.due(), true, begin.epoch(), ""));
+    slots.put(slot.shard(), slot.withDue(begin.due(), true, begin.epoch(), ""));
     return Verdict.ACCEPTED;
   }
 
   /**
-   * The lower middle of the wall clocks of all members that have not left: where two differ, the
-   * one that is behind counts. One that is silent counts with what it told last, so that it cannot
-   * lend its place to one that is wrong.
+   * Returns the lower median of the wall clocks of all members that have not left; with two
+   * members, the clock that is behind counts. A member that no longer renews its session counts
+   * with the clock that it reported last. Otherwise its absence could make a wrong clock the
+   * median.
    */
-  private long middle() {
+  private long medianWallClock() {
     List<Long> sorted = walls.values().stream().sorted().toList();
     return sorted.isEmpty() ? 0 : sorted.get((sorted.size() - 1) / 2);
   }
 
   /**
-   * The time, Unix ms, by which a member goes whose wall clock says this: its own, unless that is
-   * far from the middle of the members' clocks, which is as old as their renewals.
+   * Returns the time, Unix ms, that a member with the wall clock {@code own} uses: its own clock,
+   * or the median of the members' clocks if the two are far apart. The median is as old as the
+   * members' last renewals.
    */
   public long wall(long own) {
-    return Math.abs(own - middle()) > AHEAD ? middle() : own;
+    return Math.abs(own - medianWallClock()) > MAX_AHEAD_MILLIS ? medianWallClock() : own;
   }
 
   private boolean finish(Command.Finish finish) {
@@ -330,33 +362,33 @@
         || !slot.open()) {
       return false;
     }
-    slots.put(slot.shard(), slot.at(slot.due(), false, slot.begunBy(), finish.result()));
+    slots.put(slot.shard(), slot.withDue(slot.due(), false, slot.begunBy(), finish.result()));
     return true;
   }
 
   @Override
   public Object snapshot() {
-    return new Image(
+    return new Snapshot(
         index,
         lastEpoch,
         new ArrayList<>(sessions.values()),
         new ArrayList<>(slots.values()),
         new ArrayList<>(
             walls.entrySet().stream()
-                .map(each -> new Wall(each.getKey(), each.getValue()))
+                .map(entry -> new WallClock(entry.getKey(), entry.getValue()))
                 .toList()));
   }
 
   @Override
-  public void restore(long at, Object snapshot) {
-    Image image = (Image) snapshot;
-    index = Math.max(at, image.index());
-    lastEpoch = image.lastEpoch();
+  public void restore(long snapshotIndex, Object snapshot) {
+    Snapshot restored = (Snapshot) snapshot;
+    index = Math.max(snapshotIndex, restored.index());
+    lastEpoch = restored.lastEpoch();
     sessions.clear();
-    image.sessions().forEach(session -> sessions.put(session.id(), session));
+    restored.sessions().forEach(session -> sessions.put(session.id(), session));
     slots.clear();
-    image.slots().forEach(slot -> slots.put(slot.shard(), slot));
+    restored.slots().forEach(slot -> slots.put(slot.shard(), slot));
     walls.clear();
-    image.walls().forEach(each -> walls.put(each.member(), each.time()));
+    restored.walls().forEach(wall -> walls.put(wall.member(), wall.time()));
   }
 }
--- a/lease/src/main/java/ferngrade/lease/RecurringJobRunner.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringJobRunner.java
@@ -5,127 +5,131 @@
 import java.util.function.Consumer;
 
 /**
- * What the owner of a recurring job does about it: has the log accept each due time, puts the job
- * in, and tells the log what came of it. An answer of the log that never comes is made up for by
- * what the table shows: what this owner began and has not put in yet, it puts in; what it has put
- * in, it tells again.
+ * Submits a recurring job on behalf of the owner of its shard: proposes each due time to the log,
+ * submits the job once the log has accepted it, and records the result in the log. If an answer of
+ * the log is lost, the runner continues from the state of the table: it submits a job that this
+ * owner has begun and not yet submitted, and proposes the result of a submitted job again.
  *
- * <p>Reads no clock; one for each job, owned by the member's thread.
+ * <p>Reads no clock. Each job has its own runner, which is confined to the member's thread.
  */
 public final class RecurringJobRunner {
-  private final RecurringSchedule job;
+  private final RecurringSchedule schedule;
   private final LeaseHolder holder;
   private final LeaseTable table;
   private final Actions actions;
-  private boolean busy;
+  private boolean pending;
   private long epoch;
   private long due;
   private String result;
 
-  /** What the member does for it. */
+  /** The operations that the member performs for the runner. */
   public interface Actions {
-    /** Proposes a command; one of the two is called, once. */
+    /** Proposes a command. Calls exactly one of the two callbacks, once. */
     void propose(Command command, Consumer<Object> done, Runnable unknown);
 
     /**
-     * Puts the job in; what comes of it is told by {@link RecurringJobRunner#came} or {@link
-     * Performer#notPut}.
+     * Submits the job; the outcome is reported by {@link RecurringJobRunner#came} or {@link
+     * RecurringJobRunner#notPut}.
      */
     void put(long due, long epoch);
   }
 
-  /** The performer of one job. */
+  /** Creates the runner of one job. */
   public RecurringJobRunner(
-      RecurringSchedule job, LeaseHolder holder, LeaseTable table, Actions actions) {
-    this.job = job;
+      RecurringSchedule schedule, LeaseHolder holder, LeaseTable table, Actions actions) {
+    this.schedule = schedule;
     this.holder = holder;
     this.table = table;
     this.actions = actions;
   }
 
   /**
-   * Looks what is to be done at this time of the member's monotonic clock, ms, and its wall clock,
-   * Unix ms.
+   * Performs the next step, if one is due at this time of the member's monotonic clock, ms, and its
+   * wall clock, Unix ms.
    */
   public void look(double now, long wall) {
-    OptionalLong held = holder.epoch(job.shard(), now, table);
-    if (busy || held.isEmpty()) {
+    OptionalLong heldEpoch = holder.epoch(schedule.shard(), now, table);
+    if (pending || heldEpoch.isEmpty()) {
       return;
     }
-    Slot slot = table.slot(job.shard());
+    Slot slot = table.slot(schedule.shard());
     if (slot.due() < due) {
-      // The log has answered for more than this member's table has applied yet: what it shows is
-      // over.
+      // The log has already answered for a later due time than this member's table shows: the table
+      // lags behind, and its state is outdated.
       return;
     }
-    RecurringSchedule.Decision decision = job.decide(table.wall(wall), slot, held.getAsLong());
+    RecurringSchedule.Decision decision =
+        schedule.decide(table.wall(wall), slot, heldEpoch.getAsLong());
     switch (decision.step()) {
-      case BEGIN, SKIP -> begin(decision, held.getAsLong());
+      case BEGIN, SKIP -> proposeDueTime(decision, heldEpoch.getAsLong());
       case BEGUN, REPEAT -> {
-        if (result != null && due == slot.due() && epoch == held.getAsLong()) {
-          finish();
+        if (result != null && due == slot.due() && epoch == heldEpoch.getAsLong()) {
+          proposeResult();
         } else {
-          put(slot.due(), held.getAsLong());
+          submit(slot.due(), heldEpoch.getAsLong());
         }
       }
       case DOUBT ->
-          settle(slot.due(), held.getAsLong(), "in doubt: its owner was lost while putting it in");
+          recordOutcome(
+              slot.due(),
+              heldEpoch.getAsLong(),
+              "in doubt: its owner was lost while putting it in");
       default -> {}
     }
   }
 
-  private void begin(RecurringSchedule.Decision decision, long under) {
-    busy = true;
+  private void proposeDueTime(RecurringSchedule.Decision decision, long heldEpoch) {
+    pending = true;
     actions.propose(
-        new Command.Begin(job.shard(), under, decision.due()),
+        new Command.Begin(schedule.shard(), heldEpoch, decision.due()),
         answer -> {
-          busy = false;
+          pending = false;
           if (answer instanceof Command.Begun begun
               && begun.verdict() == Command.Verdict.ACCEPTED) {
             if (decision.step() == RecurringSchedule.Step.SKIP) {
-              settle(decision.due(), under, "skipped");
+              recordOutcome(decision.due(), heldEpoch, "skipped");
             } else {
-              put(decision.due(), under);
+              submit(decision.due(), heldEpoch);
             }
           }
         },
-        () -> busy = false);
+        () -> pending = false);
   }
 
-  private void put(long time, long under) {
-    busy = true;
+  private void submit(long dueTime, long heldEpoch) {
+    pending = true;
     result = null;
-    due = time;
-    epoch = under;
-    actions.put(time, under);
+    due = dueTime;
+    epoch = heldEpoch;
+    actions.put(dueTime, heldEpoch);
   }
 
-  /** What came of the job that was put in. */
-  public void came(String what) {
-    result = what;
-    finish();
+  /** Handles the result of the job that was submitted. */
+  public void came(String outcome) {
+    result = outcome;
+    proposeResult();
   }
 
   /**
-   * The job was certainly not put in: as long as the shard is held under the same epoch, it is
-   * tried again.
+   * Handles a job that was certainly not submitted. It is submitted again as long as the shard is
+   * held under the same epoch.
    */
   public void notPut() {
-    busy = false;
+    pending = false;
   }
 
-  private void settle(long time, long under, String what) {
-    due = time;
-    epoch = under;
-    result = what;
-    finish();
+  private void recordOutcome(long dueTime, long heldEpoch, String outcome) {
+    due = dueTime;
+    epoch = heldEpoch;
+    result = outcome;
+    proposeResult();
   }
 
-  private void finish() {
-    busy = true;
+  private void proposeResult() {
+    pending = true;
     actions.propose(
-        new Command.Finish(job.shard(), epoch, due, result),
-        answer -> busy = false,
-        () -> busy = false);
+        new Command.Finish(schedule.shard(), epoch, due, result),
+        answer -> pending = false,
+        () -> pending = false);
   }
 }
--- a/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
@@ -3,62 +3,69 @@
 import ferngrade.lease.LeaseTable.Slot;
 
 /**
- * A job that is put in again and again: what its owner has to do now. Due times are whole multiples
- * of the period since 1970, so that all members name them alike.
+ * The schedule of a recurring job, which decides the next step of its owner. Due times are whole
+ * multiples of the period since 1970, so that all members compute the same ones.
  *
- * <p>Due times follow the wall clock. A step forward of most members' clocks makes due what it
- * passed over, as an outage does: once for all. After a step back, due times that have been met are
- * not met again, and the next is the first later one. No due time is begun twice, nor are many at
- * once; leases don't rest on this clock.
+ * <p>Due times follow the wall clock. If most members' clocks step forward, the due times that were
+ * skipped are treated like those missed in an outage: at most one run replaces all of them. After a
+ * step back, due times that were already handled are not repeated; the next run is at the first
+ * later one. No due time is begun twice, and never several at once. Leases do not depend on the
+ * wall clock.
  *
- * @param name the name, and the duty's
+ * @param name the name of the job and of its duty
  * @param every the period, ms
- * @param missed whether a due time that fell into an outage is run late, once for all that were
- *     missed
- * @param repeat whether a job that an earlier owner may have put in may be put in again
+ * @param missed whether a due time that was missed in an outage is run late, once for all missed
+ *     ones
+ * @param repeat whether a job that an earlier owner may have submitted may be submitted again
  */
 public record RecurringSchedule(String name, long every, boolean missed, boolean repeat) {
-  /** How late, as a share of the period, a due time may be met that is not run late. */
-  private static final double ON_TIME = 0.5;
+  /**
+   * The maximum delay of a run, as a fraction of the period, for schedules that do not run missed
+   * due times.
+   */
+  private static final double MAX_DELAY_FRACTION = 0.5;
 
-  /** What to do. */
+  /** The next step of the owner. */
   public enum Step {
-    /** Nothing is due. */
+    /** No due time has been reached. */
     WAIT,
-    /** Put it in, after the log has accepted that. */
+    /** The owner submits the job after the log has accepted the due time. */
     BEGIN,
-    /** This owner began it, and the log does not know yet what came of it. */
+    /** This owner began the due time, and the log has no result of it yet. */
     BEGUN,
-    /** An earlier owner began it and did not say what came of it: put it in again. */
+    /** An earlier owner began the due time without recording a result: submit the job again. */
     REPEAT,
-    /** The same, but it must not be put in twice: nobody knows whether it was. */
+    /**
+     * An earlier owner began the due time without recording a result, and the job must not be
+     * submitted twice: whether it was submitted remains unknown.
+     */
     DOUBT,
-    /** It is over without having been put in: too late, or before the first. */
+    /** The due time passes without a run, because it is too late or is the first one of the job. */
     SKIP
   }
 
-  /** What to do about what is due then. */
+  /** A step and the due time that it applies to. */
   public record Decision(Step step, long due) {}
 
-  /** The shard whose owner puts it in. */
+  /** Returns the shard whose owner submits the job. */
   public Shard shard() {
     return new Shard(name, 0);
   }
 
   /**
-   * Decides by the wall clock, Unix ms, what the log holds of the shard, and the epoch of this
-   * owner.
+   * Decides the next step from the wall clock, Unix ms, the state of the shard in the log, and this
+   * owner's epoch.
    */
   public Decision decide(long wall, Slot slot, long epoch) {
     if (slot.open()) {
-      Step open = repeat ? Step.REPEAT : Step.DOUBT;
-      return new Decision(slot.begunBy() == epoch ? Step.BEGUN : open, slot.due());
+      Step interrupted = repeat ? Step.REPEAT : Step.DOUBT;
+      return new Decision(slot.begunBy() == epoch ? Step.BEGUN : interrupted, slot.due());
     }
     long due = Math.floorDiv(wall, every) * every;
     if (due <= slot.due()) {
       return new Decision(Step.WAIT, slot.due());
     }
-    boolean late = wall - due > ON_TIME * every;
+    boolean late = wall - due > MAX_DELAY_FRACTION * every;
     return new Decision(slot.due() == 0 || (late && !missed) ? Step.SKIP : Step.BEGIN, due);
   }
 }
--- a/lease/src/main/java/ferngrade/lease/Shard.java
+++ b/lease/src/main/java/ferngrade/lease/Shard.java
@@ -1,7 +1,8 @@
 package ferngrade.lease;
 
 /**
- * One part of a duty, which has at most one owner; a duty that is not split has the part 0 alone.
+ * A part of a duty, which has at most one owner. A duty that is not partitioned has only the part
+ * 0.
  */
 public record Shard(String duty, int number) implements Comparable<Shard> {
   @Override
--- a/lease/src/test/java/ferngrade/lease/CommandGoldenTest.java
+++ b/lease/src/test/java/ferngrade/lease/CommandGoldenTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The bytes of the log's entries, their results and the snapshots keep the form that an earlier
- * version wrote.
+ * Guards against changes of the stored form: log entries, their results and snapshots must keep the
+ * bytes that an earlier version wrote.
  */
 class CommandGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("commands.txt");
@@ -48,39 +48,40 @@
     LeaseTable.Slot slot =
         new LeaseTable.Slot(
             SHARD, 13, 80, true, "m4", 1_790_000_180_000L, true, 81, "done", 90, "free");
-    LeaseTable.Wall wall = new LeaseTable.Wall("m5", 1_790_000_003_123L);
+    LeaseTable.WallClock wall = new LeaseTable.WallClock("m5", 1_790_000_003_123L);
     values.put("session", session);
     values.put("slot", slot);
     values.put("wall", wall);
     values.put(
-        "snapshot", new LeaseTable.Image(91, 82, List.of(session), List.of(slot), List.of(wall)));
+        "snapshot",
+        new LeaseTable.Snapshot(91, 82, List.of(session), List.of(slot), List.of(wall)));
     values.put("result-true", true);
     values.put("result-null", null);
     return values;
   }
 
   @Test
-  void eachValueIsReadAndWrittenAsRecorded() throws IOException {
-    for (Map.Entry<String, Object> each : values().entrySet()) {
-      byte[] written = codec.write(each.getValue());
-      GOLDEN.verify(each.getKey(), written);
-      byte[] recorded = GOLDEN.bytes(each.getKey());
-      assertEquals(each.getValue(), codec.read(recorded, 0, recorded.length), each.getKey());
+  void readsAndWritesEachValueAsRecorded() throws IOException {
+    for (Map.Entry<String, Object> value : values().entrySet()) {
+      byte[] written = codec.write(value.getValue());
+      GOLDEN.verify(value.getKey(), written);
+      byte[] recorded = GOLDEN.bytes(value.getKey());
+      assertEquals(value.getValue(), codec.read(recorded, 0, recorded.length), value.getKey());
     }
   }
 
   @Test
-  void eachClassOfTheFormatIsRecorded() {
+  void recordsEachClassOfTheFormat() {
     Set<Class<?>> recorded = new HashSet<>();
     values().values().stream()
-        .filter(each -> each != null)
-        .forEach(each -> recorded.add(each.getClass()));
+        .filter(value -> value != null)
+        .forEach(value -> recorded.add(value.getClass()));
     recorded.remove(Boolean.class);
     assertEquals(new HashSet<>(Command.CLASSES), recorded);
   }
 
   @Test
-  void aTableMadeOfCommandsHasTheRecordedSnapshot() throws IOException {
+  void tableBuiltFromCommandsHasRecordedSnapshot() throws IOException {
     LeaseTable table = new LeaseTable();
     long index = 0;
     Object opened =
--- a/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a member believes it holds, on a clock that the test sets. */
+/** Guards against a lease that outlasts its session. The test sets the clock. */
 class LeaseHolderTest {
   private static final Shard SHARD = new Shard("sweep", 0);
   private static final LeaseHolder.Terms TERMS = new LeaseHolder.Terms(1_000, 0.02);
@@ -22,8 +22,8 @@
   }
 
   /**
-   * Lets the member look at its table, and applies and answers what it proposes, {@code delay} ms
-   * later.
+   * Calls {@code tick}, applies each proposed command to the table, and passes its result to the
+   * holder.
    */
   private void tick(LeaseHolder holder, double now) {
     holder.tick(now, 0, table);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void aHoldIsCountedFromBeforeTheAskingAndEndsAheadOfItsTimeByTheDrift() {
+  void countsLeaseFromProposalAndShortensItByDrift() {
     LeaseHolder holder = holder("a");
     tick(holder, 100);
     assertTrue(holder.epoch(SHARD, 100 + 979, table).isPresent());
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void anotherIsEndedOnlyAfterItsHoldAndTheDriftHavePassedHere() {
+  void proposesExpiryOnlyAfterLeaseTimeAndDriftHavePassedLocally() {
     LeaseHolder a = holder("a");
     LeaseHolder b = holder("b");
     tick(a, 0);
@@ -50,13 +50,14 @@
     proposed.clear();
     b.tick(5_000 + 1_019, 0, table);
     assertTrue(
-        proposed.stream().noneMatch(each -> each instanceof Command.Expire), proposed.toString());
+        proposed.stream().noneMatch(command -> command instanceof Command.Expire),
+        proposed.toString());
     b.tick(5_000 + 1_030, 0, table);
     assertTrue(proposed.contains(new Command.Expire(1, 0)), proposed.toString());
   }
 
   @Test
-  void aRenewalThatIsSeenBeginsTheWaitAnew() {
+  void observedRenewalRestartsExpiryTimeout() {
     LeaseHolder a = holder("a");
     LeaseHolder b = holder("b");
     tick(a, 0);
@@ -67,14 +68,16 @@
     proposed.clear();
     b.tick(910 + 1_010, 0, table);
     assertTrue(
-        proposed.stream().noneMatch(each -> each instanceof Command.Expire), proposed.toString());
+        proposed.stream().noneMatch(command -> command instanceof Command.Expire),
+        proposed.toString());
     b.tick(910 + 1_030, 0, table);
     assertTrue(
-        proposed.stream().anyMatch(each -> each instanceof Command.Expire), proposed.toString());
+        proposed.stream().anyMatch(command -> command instanceof Command.Expire),
+        proposed.toString());
   }
 
   @Test
-  void aMemberWhoseSessionWasEndedHoldsNothingAndOpensAnother() {
+  void expiredMemberHoldsNothingAndOpensNewSession() {
     LeaseHolder a = holder("a");
     tick(a, 0);
     long epoch = a.epoch(SHARD, 10, table).orElseThrow();
@@ -82,32 +85,35 @@
     a.tick(20, 0, table);
     assertFalse(a.epoch(SHARD, 20, table).isPresent());
     assertTrue(
-        proposed.stream().anyMatch(each -> each instanceof Command.Open), proposed.toString());
+        proposed.stream().anyMatch(command -> command instanceof Command.Open),
+        proposed.toString());
     tick(a, 400);
     assertTrue(a.epoch(SHARD, 401, table).orElseThrow() > epoch);
   }
 
   @Test
-  void whatIsGivenBackIsNotActedForWhateverBecomesOfTheProposal() {
+  void releasedShardIsNotHeldEvenIfProposalIsLost() {
     LeaseHolder a = holder("a");
     tick(a, 0);
     table.apply(++index, new Command.Open("b", "b", 0, List.of(SHARD)));
     table.apply(++index, new Command.Transfer(SHARD, "b"));
     a.tick(20, 0, table);
     assertTrue(
-        proposed.stream().anyMatch(each -> each instanceof Command.Release), proposed.toString());
+        proposed.stream().anyMatch(command -> command instanceof Command.Release),
+        proposed.toString());
     assertFalse(a.epoch(SHARD, 21, table).isPresent());
-    // The proposal was lost, and operators have changed their minds: it stays given back until that
-    // is settled.
+    // The proposal was lost and operators have reversed their choice: the shard stays released
+    // until the release is applied.
     proposed.clear();
     table.apply(++index, new Command.Transfer(SHARD, "a"));
     assertFalse(a.epoch(SHARD, 30, table).isPresent());
     tick(a, 400);
-    assertTrue(a.epoch(SHARD, 401, table).isPresent(), "given to it anew, under another epoch");
+    assertTrue(
+        a.epoch(SHARD, 401, table).isPresent(), "the shard is assigned again under another epoch");
   }
 
   @Test
-  void aMemberThatLeavesGivesBackAllAndEndsItsSession() {
+  void leavingMemberReleasesAllShardsAndClosesItsSession() {
     LeaseHolder a = holder("a");
     LeaseHolder b = holder("b");
     tick(a, 0);
--- a/lease/src/test/java/ferngrade/lease/LeaseTableTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseTableTest.java
@@ -16,7 +16,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Who owns what, by commands alone. */
+/**
+ * Guards against wrong assignments of shards and against due times that are accepted twice; the
+ * table is driven only by commands.
+ */
 class LeaseTableTest {
   private static final long WALL = 1_700_000_000_000L;
   private static final List<Shard> SHARDS =
@@ -39,7 +42,7 @@
     return owners;
   }
 
-  /** All that were asked back are given back. */
+  /** Releases all shards whose owners are asked to release them. */
   private void release() {
     for (Slot slot : List.copyOf(table.slots())) {
       if (slot.releasing()) {
@@ -53,13 +56,13 @@
   }
 
   @Test
-  void aNewMemberIsHandedItsPartAndNobodyElsesShardsMove() {
+  void newMemberReceivesItsShardsAndOtherShardsStay() {
     open("a");
     open("b");
     release();
     Map<Shard, String> before = owners();
     open("c");
-    assertEquals(before, owners(), "until they are given back");
+    assertEquals(before, owners(), "no shard moves before its release");
     release();
     Map<Shard, String> after = owners();
     int moved = 0;
@@ -73,16 +76,16 @@
   }
 
   @Test
-  void aSessionEndsOnlyIfItWasNotRenewedSinceAndItsShardsGetHigherEpochs() {
+  void expiresOnlyUnrenewedSessionAndRaisesEpochsOfItsShards() {
     long a = open("a");
     open("b");
     release();
     Map<Shard, Long> epochs = new HashMap<>();
     table.slots().forEach(slot -> epochs.put(slot.shard(), slot.epoch()));
     apply(new Command.Renew(a, WALL));
-    assertEquals(false, apply(new Command.Expire(a, 0)), "renewed since");
+    assertEquals(false, apply(new Command.Expire(a, 0)), "the session was renewed in between");
     assertEquals(true, apply(new Command.Expire(a, 1)));
-    assertEquals(false, apply(new Command.Renew(a, WALL)), "over is over");
+    assertEquals(false, apply(new Command.Renew(a, WALL)), "an expired session cannot be renewed");
     for (Slot slot : table.slots()) {
       assertEquals("b", table.owner(slot));
     }
@@ -92,14 +95,14 @@
   }
 
   @Test
-  void openingAgainCountsAsARenewal() {
+  void repeatedOpenCountsAsRenewal() {
     long a = open("a");
     assertEquals(a, open("a"));
     assertEquals(false, apply(new Command.Expire(a, 0)));
   }
 
   @Test
-  void aNewProcessUnderTheSameNameGetsNothingBeforeTheOldOneIsOver() {
+  void successorProcessReceivesNoShardBeforeOldSessionEnds() {
     long old = open("a");
     long next = ((Opened) apply(new Command.Open("a", "a-2", WALL, SHARDS))).session();
     assertNotEquals(old, next);
@@ -109,7 +112,7 @@
   }
 
   @Test
-  void aDrainingMemberGivesBackAndGetsNothingAndTheLastOneLeavesThemFree() {
+  void drainingMemberReceivesNoShardsAndLastOneLeavesThemWithoutOwner() {
     long a = open("a");
     long b = open("b");
     release();
@@ -124,7 +127,7 @@
   }
 
   @Test
-  void operatorsMoveAShardAndLetItGoAgain() {
+  void transfersShardToChosenMemberAndBack() {
     open("a");
     open("b");
     release();
@@ -140,22 +143,29 @@
   }
 
   @Test
-  void anOlderEpochARepeatAndAClockFarAheadAreRefused() {
+  void rejectsOutdatedEpochRepeatedDueTimeAndClockFarAhead() {
     long a = open("a");
     open("b");
     open("c");
     release();
-    Slot slot = table.slots().stream().filter(each -> each.owner() == a).findFirst().orElseThrow();
+    Slot slot =
+        table.slots().stream()
+            .filter(candidate -> candidate.owner() == a)
+            .findFirst()
+            .orElseThrow();
     Shard shard = slot.shard();
     assertEquals(Verdict.ACCEPTED, begin(shard, slot.epoch(), WALL));
     assertEquals(Verdict.REPEATED, begin(shard, slot.epoch(), WALL));
-    assertEquals(Verdict.OPEN, begin(shard, slot.epoch(), WALL + 100), "one after the other");
+    assertEquals(
+        Verdict.OPEN,
+        begin(shard, slot.epoch(), WALL + 100),
+        "the previous due time is still open");
     apply(new Command.Finish(shard, slot.epoch(), WALL, "served"));
     assertEquals(
         Verdict.EARLY,
         begin(shard, slot.epoch(), WALL + 3_600_000),
-        "an hour ahead of the other two");
-    // Its own clock says so too, and is outvoted.
+        "an hour ahead of the clocks of the other two members");
+    // The clock of the owner is an hour ahead too, but the median of the clocks is not.
     apply(new Command.Renew(a, WALL + 3_600_000));
     assertEquals(Verdict.EARLY, begin(shard, slot.epoch(), WALL + 3_600_000));
     assertEquals(Verdict.ACCEPTED, begin(shard, slot.epoch(), WALL + 100));
@@ -163,15 +173,16 @@
     assertEquals(Verdict.STALE, begin(shard, slot.epoch(), WALL + 1_000));
     assertFalse(
         (Boolean) apply(new Command.Finish(shard, slot.epoch(), WALL + 100, "late")),
-        "it no longer speaks for it");
+        "the former owner cannot record a result");
     Slot now = table.slot(shard);
-    assertTrue(now.open() && now.begunBy() == slot.epoch(), "the next owner sees what was begun");
+    assertTrue(
+        now.open() && now.begunBy() == slot.epoch(), "the next owner sees the open due time");
     assertEquals(true, apply(new Command.Finish(shard, now.epoch(), WALL + 100, "in doubt")));
     assertEquals(Verdict.ACCEPTED, begin(shard, now.epoch(), WALL + 1_000));
   }
 
   @Test
-  void aSnapshotIsTheWholeTable() {
+  void snapshotRestoresWholeTable() {
     open("a");
     open("b");
     release();
--- a/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Wall clocks are stepped while members hold their duties: due times follow the wall clock, each at
- * most once and none in crowds, and no lease rests on it.
+ * Guards against effects of wall clock steps while members hold leases: due times follow the wall
+ * clock, each is run at most once and several are never run together, and no lease depends on the
+ * wall clock.
  */
 class LeasesAcrossClockStepsTest {
   private static final long MINUTE = 60_000;
@@ -26,20 +27,23 @@
   private static final long END = 2 * HOUR + 30 * MINUTE;
 
   private final LeaseTable table = new LeaseTable();
-  private final List<Long> put = new ArrayList<>();
+  private final List<Long> runs = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private long index;
   private long now;
 
-  /** A process with both its clocks, its leases and its part in the recurring job. */
+  /**
+   * A process with a monotonic clock and a wall clock, its leases, and its runner of the recurring
+   * job.
+   */
   private final class Member implements RecurringJobRunner.Actions {
     private final LeaseHolder holder;
-    private final RecurringJobRunner performer;
+    private final RecurringJobRunner runner;
     private long wallAhead;
 
     Member(String name) {
       holder = new LeaseHolder(name, name, List.of(JOB.shard()), TERMS, this::propose);
-      performer = new RecurringJobRunner(JOB, holder, table, this);
+      runner = new RecurringJobRunner(JOB, holder, table, this);
     }
 
     private void propose(Command command) {
@@ -53,8 +57,8 @@
 
     @Override
     public void put(long due, long epoch) {
-      put.add(due);
-      performer.came("served");
+      runs.add(due);
+      runner.came("served");
     }
 
     long wall() {
@@ -63,7 +67,7 @@
 
     void tick() {
       holder.tick((double) now, wall(), table);
-      performer.look((double) now, wall());
+      runner.look((double) now, wall());
     }
   }
 
@@ -79,56 +83,56 @@
                     Arguments.of(List.of(0L, step, -step))));
   }
 
-  /** Each member's clock is stepped by its figure in the list. */
+  /** Steps each member's clock by its value in the list. */
   @ParameterizedTest
   @MethodSource("steps")
-  void noLeaseEndsAndNoDueTimeComesTwiceOrInACrowd(List<Long> steps) {
+  void clockStepEndsNoLeaseAndRunsNoDueTimeTwice(List<Long> steps) {
     steps.forEach(step -> members.add(new Member("m-" + members.size())));
-    pass(STEP_AT);
+    advanceTo(STEP_AT);
     long sessions = table.sessions().size();
     long epoch = table.slot(JOB.shard()).epoch();
-    assertEquals(10, put.size(), "one a minute: " + put);
+    assertEquals(10, runs.size(), "expected one run a minute: " + runs);
     for (int i = 0; i < steps.size(); i++) {
       members.get(i).wallAhead = steps.get(i);
     }
-    pass(END);
+    advanceTo(END);
     assertEquals(sessions, table.sessions().size());
-    assertEquals(epoch, table.slot(JOB.shard()).epoch(), "nobody else has come to own it");
-    assertEquals(put.size(), new HashSet<>(put).size(), "twice: " + put);
-    assertEquals(put.stream().sorted().toList(), put);
-    assertTrue(put.size() <= END / MINUTE + 1, "more than one a minute: " + put.size());
+    assertEquals(epoch, table.slot(JOB.shard()).epoch(), "the owner must not change");
+    assertEquals(runs.size(), new HashSet<>(runs).size(), "run twice: " + runs);
+    assertEquals(runs.stream().sorted().toList(), runs);
+    assertTrue(runs.size() <= END / MINUTE + 1, "more than one run a minute: " + runs.size());
   }
 
   /**
-   * All clocks step alike: what is due by the new time is put in, but for what was put in before
-   * the step.
+   * Steps all clocks by the same amount: each due time up to the new time is run, except those run
+   * before the step.
    */
   @ParameterizedTest
   @MethodSource("steps")
-  void everyDueTimeAfterTheStepIsPutInOnceItHasNotBeen(List<Long> steps) {
+  void runsEachDueTimeAfterStepThatWasNotRunBefore(List<Long> steps) {
     long step = steps.get(0);
     for (int i = 0; i < steps.size(); i++) {
       members.add(new Member("m-" + i));
     }
-    pass(STEP_AT);
-    long before = put.get(put.size() - 1);
-    members.forEach(each -> each.wallAhead = step);
-    long first = Math.floorDiv(START + STEP_AT + step, MINUTE) * MINUTE;
-    pass(END);
-    List<Long> promised =
-        Stream.iterate(first, due -> due < START + END + step, due -> due + MINUTE)
-            .filter(due -> due > before)
+    advanceTo(STEP_AT);
+    long lastDueBeforeStep = runs.get(runs.size() - 1);
+    members.forEach(member -> member.wallAhead = step);
+    long firstDue = Math.floorDiv(START + STEP_AT + step, MINUTE) * MINUTE;
+    advanceTo(END);
+    List<Long> expected =
+        Stream.iterate(firstDue, due -> due < START + END + step, due -> due + MINUTE)
+            .filter(due -> due > lastDueBeforeStep)
             .toList();
-    assertEquals(promised, put.stream().filter(due -> due > before).toList());
+    assertEquals(expected, runs.stream().filter(due -> due > lastDueBeforeStep).toList());
   }
 
-  private void pass(long until) {
+  private void advanceTo(long until) {
     for (; now < until; now += 250) {
       members.forEach(Member::tick);
       members.forEach(
-          each ->
+          member ->
               assertTrue(
-                  now < 1_000 || each.holder.holds((double) now), "its lease ended at " + now));
+                  now < 1_000 || member.holder.holds((double) now), "the lease ended at " + now));
     }
   }
 }
--- a/lease/src/test/java/ferngrade/lease/RecurringScheduleTest.java
+++ b/lease/src/test/java/ferngrade/lease/RecurringScheduleTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the owner of a recurring job does, by the clock and the log; and the guard where its effects
- * land.
+ * Guards against recurring jobs that are run twice or left out after outages, owner changes and
+ * clock steps, and against effects of outdated owners.
  */
 class RecurringScheduleTest {
   private static final long HOUR = 3_600_000;
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void theFirstDueTimeBeforeTheFleetBeganIsLeftOutAndEachLaterOneIsPutInOnce() {
+  void skipsFirstDueTimeAndRunsEachLaterOneOnce() {
     open("a", MIDNIGHT);
     assertEquals(Step.SKIP, step(daily, MIDNIGHT + 5));
     begin(MIDNIGHT);
@@ -55,26 +55,27 @@
   }
 
   @Test
-  void whatFellIntoAnOutageIsRunLateOnceOrLeftOut() {
+  void runsMissedDueTimesOnceOrSkipsThem() {
     open("a", MIDNIGHT);
     begin(MIDNIGHT);
     finish(MIDNIGHT);
-    long back = MIDNIGHT + 3 * DAY + 20 * HOUR;
+    long afterOutage = MIDNIGHT + 3 * DAY + 20 * HOUR;
     assertEquals(
         new RecurringSchedule.Decision(Step.BEGIN, MIDNIGHT + 3 * DAY),
-        daily.decide(back, table.slot(daily.shard()), epoch()),
-        "once for the three that were missed");
-    assertEquals(Step.SKIP, step(new RecurringSchedule("sweep", DAY, false, false), back));
+        daily.decide(afterOutage, table.slot(daily.shard()), epoch()),
+        "one run for the three missed due times");
+    assertEquals(Step.SKIP, step(new RecurringSchedule("sweep", DAY, false, false), afterOutage));
     assertEquals(
         Step.BEGIN,
         step(new RecurringSchedule("sweep", DAY, false, false), MIDNIGHT + 3 * DAY + HOUR));
   }
 
   @Test
-  void whatAnEarlierOwnerBeganIsPutInAgainOnlyWhereItMayBe() {
+  void repeatsDueTimeOfEarlierOwnerOnlyIfAllowed() {
     long a = open("a", MIDNIGHT);
     begin(MIDNIGHT);
-    assertEquals(Step.BEGUN, step(daily, MIDNIGHT + 10), "its own, still on its way");
+    assertEquals(
+        Step.BEGUN, step(daily, MIDNIGHT + 10), "begun by this owner, without a result yet");
     table.apply(++index, new Command.Expire(a, 0));
     open("b", MIDNIGHT);
     assertEquals(Step.DOUBT, step(daily, MIDNIGHT + 2_000));
@@ -83,7 +84,7 @@
   }
 
   @Test
-  void aClockThatGoesBackPutsNothingInTwice() {
+  void clockStepBackRepeatsNoDueTime() {
     open("a", MIDNIGHT);
     begin(MIDNIGHT);
     finish(MIDNIGHT);
@@ -91,12 +92,12 @@
   }
 
   @Test
-  void theFenceLetsNoOlderEpochThroughOnceItHasSeenALaterOne() {
-    FencingGuard fence = new FencingGuard();
-    assertTrue(fence.admits("sweep/0", 3));
-    assertTrue(fence.admits("sweep/0", 3));
-    assertTrue(fence.admits("sweep/0", 5));
-    assertFalse(fence.admits("sweep/0", 4));
-    assertTrue(fence.admits("roll/0", 1), "each shard has its own");
+  void fencingGuardRejectsOlderEpochs() {
+    FencingGuard guard = new FencingGuard();
+    assertTrue(guard.admits("sweep/0", 3));
+    assertTrue(guard.admits("sweep/0", 3));
+    assertTrue(guard.admits("sweep/0", 5));
+    assertFalse(guard.admits("sweep/0", 4));
+    assertTrue(guard.admits("roll/0", 1), "each shard has its own epochs");
   }
 }
