--- a/membership/src/main/java/ferngrade/membership/Gossip.java
+++ b/membership/src/main/java/ferngrade/membership/Gossip.java
@@ -7,47 +7,49 @@
 import java.util.Map;
 
 /**
- * News that goes along with other messages, each piece a number of times that grows with the
- * logarithm of the members' number, the least told first. News on a member takes the place of what
- * was to be told of it before.
+ * Holds the updates that are piggybacked on other messages. Each update is sent a number of times
+ * that grows with the logarithm of the number of members; updates that were sent least often go
+ * first. An update about a member replaces the queued update about the same member.
  */
 final class Gossip {
-  private static final double TIMES = 4;
+  private static final double TRANSMISSIONS_FACTOR = 4;
 
-  private final Map<String, Item> items = new HashMap<>();
+  private final Map<String, QueuedUpdate> queuedByMember = new HashMap<>();
   private long order;
 
-  private static final class Item {
-    final MembershipUpdate news;
+  private static final class QueuedUpdate {
+    final MembershipUpdate update;
     final long order;
-    int told;
+    int transmissions;
 
-    Item(MembershipUpdate news, long order) {
-      this.news = news;
+    QueuedUpdate(MembershipUpdate update, long order) {
+      this.update = update;
       this.order = order;
     }
   }
 
-  void add(MembershipUpdate news) {
-    items.put(news.name(), new Item(news, order++));
+  void add(MembershipUpdate update) {
+    queuedByMember.put(update.name(), new QueuedUpdate(update, order++));
   }
 
   /**
-   * Takes what goes with one message, so many bytes at the most; {@code members} is how many there
-   * are.
+   * Returns the updates to send with one message, with a total size of at most {@code bytes}, and
+   * counts them as sent; {@code members} is the number of members.
    */
   List<MembershipUpdate> take(int bytes, int members) {
-    int times = (int) Math.ceil(TIMES * Math.log10(members + 1.0)) + 1;
-    List<Item> least = new ArrayList<>(items.values());
-    least.sort(Comparator.<Item>comparingInt(item -> item.told).thenComparing(item -> -item.order));
+    int maxTransmissions = (int) Math.ceil(TRANSMISSIONS_FACTOR * Math.log10(members + 1.0)) + 1;
+    List<QueuedUpdate> candidates = new ArrayList<>(queuedByMember.values());
+    candidates.sort(
+        Comparator.<QueuedUpdate>comparingInt(queued -> queued.transmissions)
+            .thenComparing(queued -> -queued.order));
     List<MembershipUpdate> taken = new ArrayList<>();
-    int left = bytes;
-    for (Item item : least) {
-      if (item.news.bytes() <= left) {
-        left -= item.news.bytes();
-        taken.add(item.news);
-        if (++item.told >= times) {
-          items.remove(item.news.name());
+    int remainingBytes = bytes;
+    for (QueuedUpdate queued : candidates) {
+      if (queued.update.maxEncodedBytes() <= remainingBytes) {
+        remainingBytes -= queued.update.maxEncodedBytes();
+        taken.add(queued.update);
+        if (++queued.transmissions >= maxTransmissions) {
+          queuedByMember.remove(queued.update.name());
         }
       }
     }
--- a/membership/src/main/java/ferngrade/membership/MemberStatus.java
+++ b/membership/src/main/java/ferngrade/membership/MemberStatus.java
@@ -1,13 +1,16 @@
 package ferngrade.membership;
 
-/** How a member seems to be; at one incarnation the later of these counts. */
+/**
+ * A member's status as seen by another member. Among updates with the same incarnation, the later
+ * constant takes precedence.
+ */
 public enum MemberStatus {
-  /** It answers. */
+  /** The member answers. */
   ALIVE,
-  /** It has not answered somebody, and has not been heard to deny that yet. */
+  /** The member did not answer a probe and has not refuted the suspicion yet. */
   SUSPECT,
-  /** It has been suspected for too long. */
+  /** The suspicion of the member has timed out. */
   FAILED,
-  /** It has said that it leaves. */
+  /** The member has announced that it leaves. */
   LEFT
 }
--- a/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
+++ b/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
@@ -1,45 +1,53 @@
 package ferngrade.membership;
 
 /**
- * What one member says of one, itself or another.
+ * A statement of one member about the status of a member, itself or another.
  *
  * @param name the member's name
- * @param address where it takes datagrams, as {@code host:port}
- * @param run the process: a member that is started again under its name has another
- * @param incarnation counted up by the member alone, whenever it denies what is said of it
- * @param standing how it seems to be
- * @param by who says so
+ * @param address where the member receives datagrams, as {@code host:port}
+ * @param run identifies the member's process: a restarted member has a different value
+ * @param incarnation incremented only by the member itself, whenever it refutes a wrong update
+ * @param standing the member's status
+ * @param by the name of the member that made the statement
  */
 public record MembershipUpdate(
     String name, String address, long run, long incarnation, MemberStatus standing, String by) {
-  private static final int MOST_TEXT = 64;
+  private static final int MAX_TEXT_LENGTH = 64;
   private static final int FIXED_BYTES = 28;
 
   /**
-   * Whether this goes before what is known: a later incarnation, or at the same one what is worse.
+   * Returns whether this update supersedes the known one: it has a higher incarnation, or the same
+   * incarnation and a worse status.
    */
-  boolean over(MembershipUpdate known) {
+  boolean supersedes(MembershipUpdate known) {
     return incarnation != known.incarnation
         ? incarnation > known.incarnation
         : standing.compareTo(known.standing) > 0;
   }
 
-  /** The same with another standing. */
-  MembershipUpdate as(MemberStatus other, String who) {
-    return new MembershipUpdate(name, address, run, incarnation, other, who);
+  /** Returns this update with another status and reporter. */
+  MembershipUpdate withStatus(MemberStatus status, String reporter) {
+    return new MembershipUpdate(name, address, run, incarnation, status, reporter);
   }
 
-  /** Whether all of it is there and within bounds: what strangers send may be anything. */
-  boolean usable() {
-    return bounded(name) && bounded(address) && bounded(by) && standing != null && incarnation >= 0;
+  /**
+   * Returns whether all components are present and within bounds; updates from the network may
+   * contain anything.
+   */
+  boolean isValid() {
+    return hasValidLength(name)
+        && hasValidLength(address)
+        && hasValidLength(by)
+        && standing != null
+        && incarnation >= 0;
   }
 
-  private static boolean bounded(String text) {
-    return text != null && !text.isEmpty() && text.length() <= MOST_TEXT;
+  private static boolean hasValidLength(String text) {
+    return text != null && !text.isEmpty() && text.length() <= MAX_TEXT_LENGTH;
   }
 
-  /** How many bytes it takes at the most. */
-  int bytes() {
+  /** Returns the maximum encoded size, bytes. */
+  int maxEncodedBytes() {
     return FIXED_BYTES + name.length() + address.length() + by.length();
   }
 }
--- a/membership/src/main/java/ferngrade/membership/Message.java
+++ b/membership/src/main/java/ferngrade/membership/Message.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** What members send each other by datagrams. */
+/** A message that members exchange in datagrams. */
 public sealed interface Message {
-  /** The classes of messages, in the order of the format. */
+  /** The classes of messages. Their order defines the wire format. */
   List<Class<?>> CLASSES =
       List.of(
           MembershipUpdate.class,
@@ -17,41 +17,47 @@
           Digest.class,
           Sync.class);
 
-  /** A message, with what its sender says of itself and some of the news that it has heard. */
+  /**
+   * A message with its sender's own status and some of the updates that the sender has received.
+   */
   record Letter(MembershipUpdate self, Message message, List<MembershipUpdate> news) {
-    boolean usable() {
+    boolean isValid() {
       return self != null
           && message != null
           && news != null
-          && self.usable()
-          && news.stream().allMatch(each -> each != null && each.usable())
+          && self.isValid()
+          && news.stream().allMatch(update -> update != null && update.isValid())
           && (!(message instanceof Sync sync)
               || (sync.all() != null
-                  && sync.all().stream().allMatch(each -> each != null && each.usable())))
-          && (!(message instanceof PingFor asked)
-              || (asked.name() != null && asked.address() != null));
+                  && sync.all().stream().allMatch(update -> update != null && update.isValid())))
+          && (!(message instanceof PingFor request)
+              || (request.name() != null && request.address() != null));
     }
   }
 
-  /** Are you there? */
+  /** Requests an acknowledgement. */
   record Ping(long number) implements Message {}
 
-  /** The answer to a ping of this number, or to a request for one. */
+  /** Acknowledges a ping or a ping request of this number. */
   record Ack(long number) implements Message {}
 
-  /** Ping the member of this name, at this address, for me. */
+  /**
+   * Asks the receiver to ping the member of this name, at this address, on behalf of the sender.
+   */
   record PingFor(long number, String name, String address) implements Message {}
 
-  /** I am there, and whom you asked me to ping has not answered yet. */
+  /** Reports that the helper is reachable but the target of a ping request has not answered yet. */
   record Nack(long number) implements Message {}
 
   /**
-   * A digest of all that the sender knows; whoever knows otherwise answers with all that it knows.
+   * A digest of the sender's full state. A receiver whose state differs answers with its full
+   * state.
    */
   record Digest(long hash) implements Message {}
 
   /**
-   * A part of all that the sender knows; on the last part of a first telling it asks for the same.
+   * A part of the sender's full state. With {@code asks} set, which is the last part of a first
+   * transfer, the receiver sends its full state in return.
    */
   record Sync(List<MembershipUpdate> all, boolean asks) implements Message {}
 }
--- a/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
+++ b/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
@@ -11,157 +11,168 @@
 import org.apache.commons.codec.digest.HmacUtils;
 
 /**
- * Proves who sent a message: a tag by a key that all members share (HMAC-SHA-256, 128 bits of it),
- * over the fleet's name, the processes of both ends and a number that counts up. Two keys count at
- * a time, the first one signs. What was sent to another process, or came before, is refused; so a
- * message that somebody kept does nothing later, also not after a restart of the one that it was
- * for.
+ * Authenticates the sender of each message with a tag: HMAC-SHA-256, truncated to 128 bits, under a
+ * key that all members share. The tag covers the fleet's name, the ids of the sending and receiving
+ * processes, and a sequence number. Two keys are accepted at a time, so that keys can be rotated;
+ * the first one signs. Messages that were sent to another process or were received before are
+ * rejected. A recorded message is therefore useless later, even after the receiver has restarted.
  *
- * <p>Who has not heard yet which process is at the other end sends to none in particular; the other
- * end then says which it is, and the message goes out again. Only who has a key is answered at all.
- * Without keys nothing is proved, and only the fleet's name and the ends are looked at.
+ * <p>A sender that does not know the id of the receiving process yet sends to id 0. The receiver
+ * then answers with its own id, and the sender transmits the message again. Only holders of a key
+ * receive an answer. Without keys, messages are not authenticated; only the fleet's name and the
+ * process ids are checked.
  *
- * <p>Belongs to one thread.
+ * <p>Confined to one thread.
  */
 public final class MessageAuthenticator {
-  private static final byte WORD = 1;
-  private static final byte WHO = 2;
-  private static final int HEADER = 1 + 3 * Long.BYTES;
-  private static final int TAG = 16;
-  private static final int MOST_ENDS = 20_000;
-  private static final int MOST_KEPT = 4_096;
+  private static final byte TYPE_CONTENT = 1;
+  private static final byte TYPE_PROCESS_ID = 2;
+  private static final int HEADER_BYTES = 1 + 3 * Long.BYTES;
+  private static final int TAG_BYTES = 16;
+  private static final int MAX_ENDPOINTS = 20_000;
+  private static final int MAX_RETAINED_BYTES = 4_096;
 
-  /** The bytes that a message takes beside what it carries. */
-  public static final int BYTES = HEADER + TAG;
+  /** The number of bytes that a sealed message is longer than its content. */
+  public static final int BYTES = HEADER_BYTES + TAG_BYTES;
 
   private final byte[] fleet;
   private final List<HmacUtils> keys;
-  private final long run;
-  private final Map<String, End> ends = bounded();
-  private final Map<Long, ReplayWindow> windows = bounded();
-  private long number;
-
-  /** The other end as far as it is known: its process, 0 for none, and what was sent to it last. */
-  private static final class End {
-    long run;
-    long number;
-    byte[] last;
+  private final long processId;
+  private final Map<String, Endpoint> endpoints = boundedMap();
+  private final Map<Long, ReplayWindow> windows = boundedMap();
+  private long sequence;
+
+  /**
+   * The state of a remote endpoint: the id of its process, 0 if unknown, and the last message sent
+   * to it, null if it was too long to retain.
+   */
+  private static final class Endpoint {
+    long processId;
+    long sequence;
+    byte[] lastContent;
   }
 
-  /** What became of a message. */
+  /** The result of the check of a message. */
   public enum Verdict {
-    /** It is what it says it is, and comes for the first time. */
+    /** The message is authentic and was not received before. */
     TAKEN,
     /**
-     * The other end has said which process it is, or was told so: there may be a message to send
-     * it.
+     * The remote process has sent its id, or this process answers with its own id; the answer, if
+     * any, must be sent.
      */
     GREETED,
-    /** It has no tag by a key that counts, or none of this fleet. */
+    /** The message has no tag of this fleet under an accepted key. */
     FORGED,
-    /** It came before, or is too old to tell. */
+    /** The message was received before, or is too old to decide this. */
     REPLAYED
   }
 
   /**
-   * A message as it was opened: its content if it was taken, and what to send back, null for
-   * nothing.
+   * The result of {@link #open}: the content if the message was accepted, else null, and the answer
+   * to send, null for none.
    */
   public record Opened(Verdict verdict, byte[] content, byte[] answer) {}
 
-  /** For a process of a fleet's member; {@code run}, not 0, is the process and no other. */
-  public MessageAuthenticator(String fleet, List<byte[]> keys, long run) {
+  /**
+   * Creates the authenticator of one process of a fleet's member; {@code processId} is unique to
+   * the process and not 0.
+   */
+  public MessageAuthenticator(String fleet, List<byte[]> keys, long processId) {
     this.fleet = fleet.getBytes(StandardCharsets.UTF_8);
     this.keys =
         (keys.isEmpty() ? List.of(this.fleet) : keys)
             .stream().map(key -> new HmacUtils(HmacAlgorithms.HMAC_SHA_256, key)).toList();
-    this.run = run;
+    this.processId = processId;
   }
 
-  private static <K, V> Map<K, V> bounded() {
+  private static <K, V> Map<K, V> boundedMap() {
     return new LinkedHashMap<>(64, 0.75f, true) {
       private static final long serialVersionUID = 1L;
 
       @Override
       protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-        return size() > MOST_ENDS;
+        return size() > MAX_ENDPOINTS;
       }
     };
   }
 
-  /** Closes a message to an end, which has any name that stays the same. */
+  /** Seals a message to an endpoint, which is identified by any stable name. */
   public byte[] close(String to, byte[] content) {
-    End end = ends.computeIfAbsent(to, key -> new End());
-    end.number = ++number;
-    // It may have to go out again, if another process is there than was thought.
-    end.last = content.length <= MOST_KEPT ? content : null;
-    return frame(WORD, end.run, end.number, content);
+    Endpoint endpoint = endpoints.computeIfAbsent(to, key -> new Endpoint());
+    endpoint.sequence = ++sequence;
+    // The message is sent again if the process at the endpoint is not the expected one.
+    endpoint.lastContent = content.length <= MAX_RETAINED_BYTES ? content : null;
+    return frame(TYPE_CONTENT, endpoint.processId, endpoint.sequence, content);
   }
 
-  private byte[] frame(byte kind, long to, long counted, byte[] content) {
-    byte[] all =
-        ByteBuffer.allocate(HEADER + content.length + TAG)
-            .put(kind)
-            .putLong(run)
+  private byte[] frame(byte type, long to, long sequence, byte[] content) {
+    byte[] frame =
+        ByteBuffer.allocate(HEADER_BYTES + content.length + TAG_BYTES)
+            .put(type)
+            .putLong(processId)
             .putLong(to)
-            .putLong(counted)
+            .putLong(sequence)
             .put(content)
             .array();
-    System.arraycopy(tag(keys.get(0), all), 0, all, all.length - TAG, TAG);
-    return all;
+    System.arraycopy(tag(keys.get(0), frame), 0, frame, frame.length - TAG_BYTES, TAG_BYTES);
+    return frame;
   }
 
   private byte[] tag(HmacUtils key, byte[] frame) {
-    byte[] signed = new byte[fleet.length + 1 + frame.length - TAG];
+    byte[] signed = new byte[fleet.length + 1 + frame.length - TAG_BYTES];
     System.arraycopy(fleet, 0, signed, 0, fleet.length);
-    System.arraycopy(frame, 0, signed, fleet.length + 1, frame.length - TAG);
-    return Arrays.copyOf(key.hmac(signed), TAG);
+    System.arraycopy(frame, 0, signed, fleet.length + 1, frame.length - TAG_BYTES);
+    return Arrays.copyOf(key.hmac(signed), TAG_BYTES);
   }
 
-  private boolean genuine(byte[] frame) {
-    byte[] tag = Arrays.copyOfRange(frame, frame.length - TAG, frame.length);
+  private boolean hasValidTag(byte[] frame) {
+    byte[] tag = Arrays.copyOfRange(frame, frame.length - TAG_BYTES, frame.length);
     return keys.stream().anyMatch(key -> MessageDigest.isEqual(tag, tag(key, frame)));
   }
 
-  /** Opens a message; {@code from} is the end it came from, null if that is not known. */
+  /**
+   * Checks a message and opens it; {@code from} is the endpoint that it came from, null if unknown.
+   */
   public Opened open(String from, byte[] frame) {
-    if (frame.length < BYTES || !genuine(frame)) {
+    if (frame.length < BYTES || !hasValidTag(frame)) {
       return new Opened(Verdict.FORGED, null, null);
     }
-    ByteBuffer in = ByteBuffer.wrap(frame);
-    byte kind = in.get();
-    long sender = in.getLong();
-    long to = in.getLong();
-    long counted = in.getLong();
-    if (kind == WHO) {
-      return greeted(from, sender, to, counted);
+    ByteBuffer input = ByteBuffer.wrap(frame);
+    byte type = input.get();
+    long sender = input.getLong();
+    long to = input.getLong();
+    long sequence = input.getLong();
+    if (type == TYPE_PROCESS_ID) {
+      return handleProcessId(from, sender, to, sequence);
     }
-    if (to != run) {
-      return new Opened(Verdict.GREETED, null, frame(WHO, sender, counted, new byte[0]));
+    if (to != processId) {
+      return new Opened(
+          Verdict.GREETED, null, frame(TYPE_PROCESS_ID, sender, sequence, new byte[0]));
     }
-    if (!windows.computeIfAbsent(sender, key -> new ReplayWindow()).first(counted)) {
+    if (!windows.computeIfAbsent(sender, key -> new ReplayWindow()).accept(sequence)) {
       return new Opened(Verdict.REPLAYED, null, null);
     }
     if (from != null) {
-      ends.computeIfAbsent(from, key -> new End()).run = sender;
+      endpoints.computeIfAbsent(from, key -> new Endpoint()).processId = sender;
     }
-    return new Opened(Verdict.TAKEN, Arrays.copyOfRange(frame, HEADER, frame.length - TAG), null);
+    return new Opened(
+        Verdict.TAKEN, Arrays.copyOfRange(frame, HEADER_BYTES, frame.length - TAG_BYTES), null);
   }
 
   /**
-   * The other end says which process it is, in answer to the last message alone: an older answer
-   * may be kept by others.
+   * Handles the process id sent by a remote process. Only an answer to the last message counts: an
+   * older answer may be a replay.
    */
-  private Opened greeted(String from, long sender, long to, long answered) {
-    End end = from == null ? null : ends.get(from);
-    if (to != run
-        || end == null
-        || end.last == null
-        || end.number != answered
-        || end.run == sender) {
+  private Opened handleProcessId(String from, long sender, long to, long answeredSequence) {
+    Endpoint endpoint = from == null ? null : endpoints.get(from);
+    if (to != processId
+        || endpoint == null
+        || endpoint.lastContent == null
+        || endpoint.sequence != answeredSequence
+        || endpoint.processId == sender) {
       return new Opened(Verdict.REPLAYED, null, null);
     }
-    end.run = sender;
-    return new Opened(Verdict.GREETED, null, close(from, end.last));
+    endpoint.processId = sender;
+    return new Opened(Verdict.GREETED, null, close(from, endpoint.lastContent));
   }
 }
--- a/membership/src/main/java/ferngrade/membership/Peer.java
+++ b/membership/src/main/java/ferngrade/membership/Peer.java
@@ -1,21 +1,23 @@
 package ferngrade.membership;
 
 /**
- * What one member knows of another: the last news that counts, and since when here, ms of its own
- * clock.
+ * Another member as one member knows it.
+ *
+ * @param news the update that is in effect
+ * @param since when the update took effect here, ms of this member's own clock
  */
 public record Peer(MembershipUpdate news, double since) {
-  /** The name. */
+  /** Returns the member's name. */
   public String name() {
     return news.name();
   }
 
-  /** How it seems to be. */
+  /** Returns the member's status. */
   public MemberStatus standing() {
     return news.standing();
   }
 
-  /** Whether it is probed, and counted among those that live. */
+  /** Returns whether the member is probed and counted: it is alive or suspected. */
   boolean present() {
     return standing() == MemberStatus.ALIVE || standing() == MemberStatus.SUSPECT;
   }
--- a/membership/src/main/java/ferngrade/membership/Suspicion.java
+++ b/membership/src/main/java/ferngrade/membership/Suspicion.java
@@ -4,36 +4,47 @@
 import java.util.Set;
 
 /**
- * How long a suspicion lasts: long at first, and shorter with each further member that says the
- * same by itself (Lifeguard). One whose own messages are slow so has time to hear a denial.
+ * Computes how long a suspicion lasts before the member is marked as failed: the timeout is long at
+ * first, and each further member that suspects the target independently shortens it (Lifeguard).
+ * This gives a member that is itself slow more time to receive a refutation.
  */
 final class Suspicion {
-  /** Members that must confirm it until it lasts shortest. */
-  private static final int ENOUGH = 3;
+  /** The number of confirmations after which the timeout is at its minimum. */
+  private static final int MAX_CONFIRMATIONS = 3;
 
   private final double began;
-  private final double shortest;
-  private final double longest;
-  private final int enough;
-  private final Set<String> by = new HashSet<>();
+  private final double minMillis;
+  private final double maxMillis;
+  private final int confirmationsNeeded;
+  private final Set<String> reporters = new HashSet<>();
 
-  /** A suspicion from this time on, ms, that lasts between these, among so many members. */
-  Suspicion(double began, double shortest, double longest, int members, String first) {
+  /**
+   * Creates a suspicion that begins at {@code began}, ms, and lasts between {@code minMillis} and
+   * {@code maxMillis}, in a fleet of {@code members} members; {@code first} is the member that
+   * reported it first.
+   */
+  Suspicion(double began, double minMillis, double maxMillis, int members, String first) {
     this.began = began;
-    this.shortest = shortest;
-    this.longest = longest;
-    this.enough = Math.max(0, Math.min(ENOUGH, members - 3));
-    by.add(first);
+    this.minMillis = minMillis;
+    this.maxMillis = maxMillis;
+    this.confirmationsNeeded = Math.max(0, Math.min(MAX_CONFIRMATIONS, members - 3));
+    reporters.add(first);
   }
 
-  /** Another says the same; false if that is known, or enough have said so. */
-  boolean confirm(String who) {
-    return by.size() <= enough && by.add(who);
+  /**
+   * Adds a confirmation; returns false if the reporter is already counted or no further
+   * confirmation is needed.
+   */
+  boolean confirm(String reporter) {
+    return reporters.size() <= confirmationsNeeded && reporters.add(reporter);
   }
 
-  /** When it ends, ms. */
-  double until() {
-    double share = enough == 0 ? 1 : Math.min(1, Math.log(by.size()) / Math.log(enough + 1));
-    return began + longest - (longest - shortest) * share;
+  /** Returns when the suspicion ends, ms. */
+  double endsAt() {
+    double shortening =
+        confirmationsNeeded == 0
+            ? 1
+            : Math.min(1, Math.log(reporters.size()) / Math.log(confirmationsNeeded + 1));
+    return began + maxMillis - (maxMillis - minMillis) * shortening;
   }
 }
--- a/membership/src/main/java/ferngrade/membership/SwimProtocol.java
+++ b/membership/src/main/java/ferngrade/membership/SwimProtocol.java
@@ -21,89 +21,108 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Who seems to live, as one member sees it: SWIM with suspicion and Lifeguard's local health. Each
- * period it pings one member, asks others to ping one that does not answer, suspects one that
- * answers nobody, and takes it for failed once it has not denied that in time. News goes along with
- * these messages; digests of all that is known are compared now and then, and with members that
- * seem failed too, so that a healed cut is found from both sides.
+ * Tracks which members of the fleet are reachable: the SWIM protocol with suspicion, and with the
+ * local health score of Lifeguard. In each period the member pings one other member. If the target
+ * does not answer, the member asks others to ping it. A target that answers none of them is
+ * suspected, and is marked as failed unless it refutes the suspicion in time. Updates are
+ * piggybacked on these messages. In addition, members periodically compare digests of their full
+ * state, also with members that seem to have failed, so that a healed partition is detected from
+ * both sides.
  *
- * <p>It says who seems to live, quickly and sometimes wrongly. It decides nothing that must happen
- * once.
+ * <p>The result is fast but sometimes wrong. It must not be used to decide anything that has to
+ * happen exactly once.
  *
- * <p>Reads no clock and sends nothing by itself: {@link #run} does what is due, {@link #next} says
- * when. Times are ms of the member's monotonic clock. Belongs to one thread.
+ * <p>Reads no clock and sends nothing by itself: {@link #run} performs the tasks that are due,
+ * {@link #next} returns the time of the next one. Times are ms of the member's monotonic clock.
+ * Confined to one thread.
  */
 public final class SwimProtocol {
-  private static final int HELPERS = 4;
+  private static final int MAX_HELPERS = 4;
 
-  /** Pings within the time for an answer: a lost datagram or two is no silence. */
-  private static final int TRIES = 3;
+  /**
+   * The number of pings within the timeout of a probe, so that one or two lost datagrams do not
+   * cause a suspicion.
+   */
+  private static final int PINGS_PER_PROBE = 3;
 
-  /** Share of the time for an answer after which a helper says that it has heard nothing. */
-  private static final double NACK = 0.8;
+  /**
+   * The fraction of the probe timeout after which a helper reports that the target has not answered
+   * yet.
+   */
+  private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
-  private static final double SHORTEST_PERIODS = 3;
-  private static final double LONGEST = 5;
-  private static final int MOST_HEALTH = 8;
-  private static final int MOST_PEERS = 10_000;
-  private static final int LETTER_BYTES = 64;
-  private static final int FAREWELLS = 4;
+  private static final double MIN_SUSPICION_PERIODS = 3;
+  private static final double MAX_SUSPICION_FACTOR = 5;
+  private static final int MAX_HEALTH_SCORE = 8;
+  private static final int MAX_PEERS = 10_000;
+  private static final int LETTER_OVERHEAD_BYTES = 64;
+  private static final int LEAVE_FANOUT_FACTOR = 4;
 
   private final Terms terms;
   private final Out out;
-  private final RandomGenerator chance;
+  private final RandomGenerator random;
   private final List<String> seeds;
   private final Gossip gossip = new Gossip();
   private final TreeMap<String, Peer> peers = new TreeMap<>();
   private final Map<String, Suspicion> suspicions = new HashMap<>();
   private final Map<Long, Probe> probes = new HashMap<>();
-  private final Map<Long, Relayed> relayed = new HashMap<>();
-  private final PriorityQueue<Due> agenda = new PriorityQueue<>();
-  private List<String> round = new ArrayList<>();
+  private final Map<Long, RelayedPing> relayedPings = new HashMap<>();
+  private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
+  private List<String> probeOrder = new ArrayList<>();
   private MembershipUpdate self;
   private double now;
-  private long number;
-  private long order;
+  private long lastNumber;
+  private long nextTaskSequence;
   private int health;
   private boolean left;
 
   /**
-   * The pace.
+   * The timing and the message size of the protocol.
    *
-   * @param period ms between two probes
-   * @param patience ms for an answer
-   * @param compare ms between two digests sent to one that seems to live
-   * @param again ms between two tries to reach one that does not
-   * @param bytes the most that a letter takes
+   * @param probePeriod the interval between two probes, ms
+   * @param ackTimeout the timeout for an answer, ms
+   * @param digestPeriod the mean interval between two digests sent to reachable members, ms
+   * @param retryPeriod the mean interval between two attempts to reach a failed member or an
+   *     unknown seed, ms
+   * @param bytes the maximum size of a letter, bytes
    */
-  public record Terms(double period, double patience, double compare, double again, int bytes) {
-    /** For a fleet on a local network, in datagrams that no network splits. */
+  public record Terms(
+      double probePeriod, double ackTimeout, double digestPeriod, double retryPeriod, int bytes) {
+    /**
+     * The timing for a fleet on a local network; datagrams are small enough to avoid fragmentation.
+     */
     public static final Terms LOCAL = new Terms(500, 200, 5_000, 2_000, 1_100);
   }
 
-  /** What the member does for it. */
+  /** The operations that the member performs for the protocol. */
   public interface Out {
-    /** Sends this to the member of a name, null if none is known, at an address: soon or never. */
+    /**
+     * Sends a letter to an address, without a guarantee of delivery; {@code name} is the name of
+     * the member there, null if it is unknown.
+     */
     void send(String name, String address, Letter letter);
 
-    /** Another member seems to be otherwise than before; {@code before} is null for a new one. */
+    /**
+     * Reports that another member's status has changed; {@code before} is null for a new member.
+     */
     void changed(Peer before, Peer after);
 
-    /** Another process says that it is this member. */
+    /** Reports that another process uses this member's name. */
     void clash(MembershipUpdate other);
   }
 
-  private record Due(double at, long order, Runnable task) implements Comparable<Due> {
+  private record ScheduledTask(double at, long sequence, Runnable task)
+      implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Due other) {
+    public int compareTo(ScheduledTask other) {
       int byTime = Double.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
   /**
-   * A member that was pinged, how many others were asked to, and how many of these said that they
-   * are there.
+   * The state of a probe: its target, the number of helpers that were asked to ping the target, and
+   * the number of helpers that have reported no answer.
    */
   private static final class Probe {
     final MembershipUpdate target;
@@ -116,12 +135,12 @@
     }
   }
 
-  /** A ping for somebody else. */
-  private record Relayed(MembershipUpdate by, long number) {}
+  /** A ping that this member sends on behalf of another member. */
+  private record RelayedPing(MembershipUpdate requester, long number) {}
 
   /**
-   * A member of this name and address, whose process is {@code run}; {@code seeds} are addresses of
-   * others.
+   * Creates a member of this name and address; {@code run} identifies its process, and {@code
+   * seeds} are addresses of other members.
    */
   public SwimProtocol(
       String name,
@@ -129,94 +148,97 @@
       long run,
       List<String> seeds,
       Terms terms,
-      RandomGenerator chance,
+      RandomGenerator random,
       Out out) {
     this.self = new MembershipUpdate(name, address, run, 0, MemberStatus.ALIVE, name);
-    this.seeds = seeds.stream().filter(each -> !each.equals(address)).toList();
+    this.seeds = seeds.stream().filter(seed -> !seed.equals(address)).toList();
     this.terms = terms;
-    this.chance = chance;
+    this.random = random;
     this.out = out;
   }
 
-  /** Begins to take part. */
+  /** Joins the fleet: contacts the seeds and schedules the periodic tasks. */
   public void start(double at) {
     now = at;
     gossip.add(self);
-    seeds.forEach(this::greet);
-    after(terms.period() * chance.nextDouble(), this::probe);
-    after(terms.compare() * chance.nextDouble(), this::compare);
-    after(terms.again() * (0.5 + chance.nextDouble()), this::again);
+    seeds.forEach(this::sendDigest);
+    schedule(terms.probePeriod() * random.nextDouble(), this::probe);
+    schedule(terms.digestPeriod() * random.nextDouble(), this::compareDigests);
+    schedule(terms.retryPeriod() * (0.5 + random.nextDouble()), this::retryUnreachable);
   }
 
-  /** Does all that is due at this time. */
+  /** Performs all tasks that are due at this time. */
   public void run(double at) {
     now = Math.max(now, at);
-    while (!agenda.isEmpty() && agenda.peek().at() <= now) {
-      agenda.poll().task().run();
+    while (!tasks.isEmpty() && tasks.peek().at() <= now) {
+      tasks.poll().task().run();
     }
   }
 
-  /** When something is due next. */
+  /** Returns the time of the next task, infinite if there is none. */
   public double next() {
-    return agenda.isEmpty() ? Double.POSITIVE_INFINITY : agenda.peek().at();
+    return tasks.isEmpty() ? Double.POSITIVE_INFINITY : tasks.peek().at();
   }
 
-  /** All others that are known, in the order of their names. */
+  /** Returns all other known members, ordered by name. */
   public Collection<Peer> peers() {
     return Collections.unmodifiableCollection(peers.values());
   }
 
-  /** What this member says of itself. */
+  /** Returns the update that this member sends about itself. */
   public MembershipUpdate self() {
     return self;
   }
 
   /**
-   * Local health: 0 while all is well, more the more signs there are that this member itself is
-   * slow.
+   * Returns the local health score: 0 if healthy, higher the more evidence there is that this
+   * member itself is slow.
    */
   public int health() {
     return health;
   }
 
-  /** Whether a member seems to live; one that is not known does not. */
+  /** Returns whether a member is alive or suspected; false for an unknown member. */
   public boolean alive(String name) {
     Peer peer = peers.get(name);
     return name.equals(self.name()) ? !left : peer != null && peer.present();
   }
 
-  /** Says good-bye and takes no part any more. */
+  /** Announces that this member leaves, and stops the protocol. */
   public void leave(double at) {
     now = Math.max(now, at);
     if (!left) {
       left = true;
-      self = self.as(MemberStatus.LEFT, self.name());
-      List<Peer> some = present(null);
-      Collections.shuffle(some, new Random(chance.nextLong()));
-      int tell = (int) Math.ceil(FAREWELLS * Math.log10(some.size() + 10.0));
-      some.stream().limit(tell).forEach(each -> send(each.news(), new Sync(List.of(self), false)));
-      agenda.clear();
+      self = self.withStatus(MemberStatus.LEFT, self.name());
+      List<Peer> presentPeers = presentPeers(null);
+      Collections.shuffle(presentPeers, new Random(random.nextLong()));
+      int recipients =
+          (int) Math.ceil(LEAVE_FANOUT_FACTOR * Math.log10(presentPeers.size() + 10.0));
+      presentPeers.stream()
+          .limit(recipients)
+          .forEach(peer -> send(peer.news(), new Sync(List.of(self), false)));
+      tasks.clear();
     }
   }
 
-  private void after(double millis, Runnable task) {
-    agenda.add(new Due(now + millis, order++, task));
+  private void schedule(double millis, Runnable task) {
+    tasks.add(new ScheduledTask(now + millis, nextTaskSequence++, task));
   }
 
-  private List<Peer> present(String but) {
-    List<Peer> some = new ArrayList<>();
-    for (Peer each : peers.values()) {
-      if (each.present() && !each.name().equals(but)) {
-        some.add(each);
+  private List<Peer> presentPeers(String excludedName) {
+    List<Peer> presentPeers = new ArrayList<>();
+    for (Peer peer : peers.values()) {
+      if (peer.present() && !peer.name().equals(excludedName)) {
+        presentPeers.add(peer);
       }
     }
-    return some;
+    return presentPeers;
   }
 
-  private int size() {
+  private int presentCount() {
     int count = 1;
-    for (Peer each : peers.values()) {
-      count += each.present() ? 1 : 0;
+    for (Peer peer : peers.values()) {
+      count += peer.present() ? 1 : 0;
     }
     return count;
   }
@@ -224,65 +246,67 @@
   // ---- Sending ----
 
   private void send(MembershipUpdate to, Message message) {
-    post(to.address(), to.name(), message);
+    sendTo(to.address(), to.name(), message);
   }
 
-  private void post(String address, String name, Message message) {
-    List<MembershipUpdate> news = new ArrayList<>();
-    int room = terms.bytes() - LETTER_BYTES - self.bytes();
+  private void sendTo(String address, String name, Message message) {
+    List<MembershipUpdate> updates = new ArrayList<>();
+    int remainingBytes = terms.bytes() - LETTER_OVERHEAD_BYTES - self.maxEncodedBytes();
     if (message instanceof Sync sync) {
-      room -= sync.all().stream().mapToInt(MembershipUpdate::bytes).sum();
+      remainingBytes -= sync.all().stream().mapToInt(MembershipUpdate::maxEncodedBytes).sum();
     }
-    // What is held against the one that reads this goes first, so that it can deny it.
-    Peer held = name == null ? null : peers.get(name);
-    if (held != null && held.standing() != MemberStatus.ALIVE && held.news().bytes() <= room) {
-      news.add(held.news());
-      room -= held.news().bytes();
+    // A suspicion or failure of the receiver is sent first, so that the receiver can refute it.
+    Peer receiver = name == null ? null : peers.get(name);
+    if (receiver != null
+        && receiver.standing() != MemberStatus.ALIVE
+        && receiver.news().maxEncodedBytes() <= remainingBytes) {
+      updates.add(receiver.news());
+      remainingBytes -= receiver.news().maxEncodedBytes();
     }
-    news.addAll(gossip.take(room, size()));
-    out.send(name, address, new Letter(self, message, news));
+    updates.addAll(gossip.take(remainingBytes, presentCount()));
+    out.send(name, address, new Letter(self, message, updates));
   }
 
-  private void greet(String address) {
-    post(address, null, new Digest(digest()));
+  private void sendDigest(String address) {
+    sendTo(address, null, new Digest(digest()));
   }
 
   // ---- Probing ----
 
   private void probe() {
-    double scale = 1 + health;
-    after(terms.period() * scale, this::probe);
-    MembershipUpdate target = nextTarget();
+    double healthFactor = 1 + health;
+    schedule(terms.probePeriod() * healthFactor, this::probe);
+    MembershipUpdate target = nextProbeTarget();
     if (target == null) {
       return;
     }
     Probe probe = new Probe(target);
-    long sent = ++number;
+    long sent = ++lastNumber;
     probes.put(sent, probe);
-    double patience = terms.patience() * scale;
-    for (int i = 0; i < TRIES; i++) {
-      after(
-          patience * i / TRIES,
+    double timeout = terms.ackTimeout() * healthFactor;
+    for (int i = 0; i < PINGS_PER_PROBE; i++) {
+      schedule(
+          timeout * i / PINGS_PER_PROBE,
           () -> {
             if (!probe.answered) {
               send(target, new Ping(sent));
             }
           });
     }
-    after(patience, () -> askHelpers(probe, sent));
-    after(terms.period() * scale - 1e-3, () -> judge(probe, sent));
+    schedule(timeout, () -> askHelpers(probe, sent));
+    schedule(terms.probePeriod() * healthFactor - 1e-3, () -> finishProbe(probe, sent));
   }
 
-  private MembershipUpdate nextTarget() {
+  private MembershipUpdate nextProbeTarget() {
     while (true) {
-      if (round.isEmpty()) {
-        present(null).forEach(each -> round.add(each.name()));
-        Collections.shuffle(round, new Random(chance.nextLong()));
-        if (round.isEmpty()) {
+      if (probeOrder.isEmpty()) {
+        presentPeers(null).forEach(peer -> probeOrder.add(peer.name()));
+        Collections.shuffle(probeOrder, new Random(random.nextLong()));
+        if (probeOrder.isEmpty()) {
           return null;
         }
       }
-      Peer peer = peers.get(round.remove(round.size() - 1));
+      Peer peer = peers.get(probeOrder.remove(probeOrder.size() - 1));
       if (peer != null && peer.present()) {
         return peer.news();
       }
@@ -293,9 +317,9 @@
     if (probe.answered) {
       return;
     }
-    List<Peer> others = present(probe.target.name());
-    for (int i = 0; i < HELPERS && !others.isEmpty(); i++) {
-      Peer helper = others.remove(chance.nextInt(others.size()));
+    List<Peer> candidates = presentPeers(probe.target.name());
+    for (int i = 0; i < MAX_HELPERS && !candidates.isEmpty(); i++) {
+      Peer helper = candidates.remove(random.nextInt(candidates.size()));
       if (helper.standing() == MemberStatus.ALIVE) {
         probe.helpers++;
         send(helper.news(), new PingFor(sent, probe.target.name(), probe.target.address()));
@@ -303,52 +327,53 @@
     }
   }
 
-  private void judge(Probe probe, long sent) {
+  private void finishProbe(Probe probe, long sent) {
     probes.remove(sent);
     if (probe.answered) {
-      healthier(-1);
+      adjustHealth(-1);
       return;
     }
-    // Helpers that do not even say that they are there: it is this member that hears nothing.
-    healthier(probe.helpers == 0 ? 1 : probe.helpers - probe.nacks);
+    // Helpers that send no negative acknowledgement either indicate that this member itself does
+    // not receive messages.
+    adjustHealth(probe.helpers == 0 ? 1 : probe.helpers - probe.nacks);
     Peer peer = peers.get(probe.target.name());
     if (peer != null && peer.present()) {
-      hear(peer.news().as(MemberStatus.SUSPECT, self.name()));
+      applyUpdate(peer.news().withStatus(MemberStatus.SUSPECT, self.name()));
     }
   }
 
-  private void healthier(int change) {
-    health = Math.max(0, Math.min(MOST_HEALTH, health + change));
+  private void adjustHealth(int change) {
+    health = Math.max(0, Math.min(MAX_HEALTH_SCORE, health + change));
   }
 
-  private void relay(MembershipUpdate from, PingFor asked) {
-    long sent = ++number;
-    relayed.put(sent, new Relayed(from, asked.number()));
-    double patience = terms.patience();
-    post(asked.address(), asked.name(), new Ping(sent));
-    after(
-        patience / 2,
+  private void relayPing(MembershipUpdate from, PingFor request) {
+    long sent = ++lastNumber;
+    relayedPings.put(sent, new RelayedPing(from, request.number()));
+    double timeout = terms.ackTimeout();
+    sendTo(request.address(), request.name(), new Ping(sent));
+    schedule(
+        timeout / 2,
         () -> {
-          if (relayed.containsKey(sent)) {
-            post(asked.address(), asked.name(), new Ping(sent));
+          if (relayedPings.containsKey(sent)) {
+            sendTo(request.address(), request.name(), new Ping(sent));
           }
         });
-    after(
-        NACK * patience,
+    schedule(
+        NACK_TIMEOUT_FRACTION * timeout,
         () -> {
-          if (relayed.containsKey(sent)) {
-            send(from, new Nack(asked.number()));
+          if (relayedPings.containsKey(sent)) {
+            send(from, new Nack(request.number()));
           }
         });
-    after(2 * patience, () -> relayed.remove(sent));
+    schedule(2 * timeout, () -> relayedPings.remove(sent));
   }
 
-  // ---- Hearing ----
+  // ---- Receiving ----
 
-  /** A letter has come from this address. */
+  /** Handles a letter that has arrived from this address. */
   public void received(double at, String address, Letter letter) {
     run(at);
-    if (left || !letter.usable()) {
+    if (left || !letter.isValid()) {
       return;
     }
     MembershipUpdate from = letter.self();
@@ -358,15 +383,15 @@
       }
       return;
     }
-    hear(from);
-    letter.news().forEach(this::hear);
+    applyUpdate(from);
+    letter.news().forEach(this::applyUpdate);
     Message message = letter.message();
     if (message instanceof Ping ping) {
-      post(address, from.name(), new Ack(ping.number()));
+      sendTo(address, from.name(), new Ack(ping.number()));
     } else if (message instanceof Ack ack) {
-      acknowledged(ack.number());
-    } else if (message instanceof PingFor asked) {
-      relay(from, asked);
+      handleAck(ack.number());
+    } else if (message instanceof PingFor request) {
+      relayPing(from, request);
     } else if (message instanceof Nack nack) {
       Probe probe = probes.get(nack.number());
       if (probe != null) {
@@ -374,78 +399,82 @@
       }
     } else if (message instanceof Digest digest) {
       if (digest.hash() != digest()) {
-        tellAll(address, from.name(), true);
+        sendFullState(address, from.name(), true);
       }
     } else if (message instanceof Sync sync) {
-      sync.all().forEach(this::hear);
+      sync.all().forEach(this::applyUpdate);
       if (sync.asks()) {
-        tellAll(address, from.name(), false);
+        sendFullState(address, from.name(), false);
       }
     }
   }
 
-  private void acknowledged(long answered) {
+  private void handleAck(long answered) {
     Probe probe = probes.get(answered);
     if (probe != null) {
       probe.answered = true;
     }
-    Relayed asked = relayed.remove(answered);
-    if (asked != null) {
-      send(asked.by(), new Ack(asked.number()));
+    RelayedPing forwarded = relayedPings.remove(answered);
+    if (forwarded != null) {
+      send(forwarded.requester(), new Ack(forwarded.number()));
     }
   }
 
-  private void hear(MembershipUpdate news) {
-    if (news.name().equals(self.name())) {
-      deny(news);
+  private void applyUpdate(MembershipUpdate update) {
+    if (update.name().equals(self.name())) {
+      refute(update);
       return;
     }
-    Peer known = peers.get(news.name());
-    Suspicion suspicion = suspicions.get(news.name());
+    Peer known = peers.get(update.name());
+    Suspicion suspicion = suspicions.get(update.name());
     if (known != null
         && suspicion != null
-        && news.standing() == MemberStatus.SUSPECT
-        && news.incarnation() == known.news().incarnation()) {
-      if (suspicion.confirm(news.by())) {
-        gossip.add(news);
-        watch(news, suspicion);
+        && update.standing() == MemberStatus.SUSPECT
+        && update.incarnation() == known.news().incarnation()) {
+      if (suspicion.confirm(update.by())) {
+        gossip.add(update);
+        scheduleFailure(update, suspicion);
       }
       return;
     }
-    if (known == null ? peers.size() >= MOST_PEERS : !news.over(known.news())) {
+    if (known == null ? peers.size() >= MAX_PEERS : !update.supersedes(known.news())) {
       return;
     }
-    Peer after = new Peer(news, now);
-    peers.put(news.name(), after);
-    suspicions.remove(news.name());
-    if (news.standing() == MemberStatus.SUSPECT) {
-      double shortest = SHORTEST_PERIODS * terms.period() * Math.max(1, Math.log10(size()));
-      Suspicion begun = new Suspicion(now, shortest, LONGEST * shortest, size(), news.by());
-      suspicions.put(news.name(), begun);
-      watch(news, begun);
+    Peer updated = new Peer(update, now);
+    peers.put(update.name(), updated);
+    suspicions.remove(update.name());
+    if (update.standing() == MemberStatus.SUSPECT) {
+      double minSuspicion =
+          MIN_SUSPICION_PERIODS * terms.probePeriod() * Math.max(1, Math.log10(presentCount()));
+      Suspicion suspected =
+          new Suspicion(
+              now, minSuspicion, MAX_SUSPICION_FACTOR * minSuspicion, presentCount(), update.by());
+      suspicions.put(update.name(), suspected);
+      scheduleFailure(update, suspected);
     }
-    gossip.add(news);
-    out.changed(known, after);
+    gossip.add(update);
+    out.changed(known, updated);
   }
 
   /**
-   * Takes the suspected for failed once its time is up, unless it was confirmed, and so ends
-   * sooner, or denied.
+   * Marks the suspected member as failed when the suspicion times out. Confirmations shorten the
+   * timeout; a refutation cancels the suspicion.
    */
-  private void watch(MembershipUpdate news, Suspicion suspicion) {
-    after(
-        suspicion.until() - now,
+  private void scheduleFailure(MembershipUpdate update, Suspicion suspicion) {
+    schedule(
+        suspicion.endsAt() - now,
         () -> {
-          if (suspicions.get(news.name()) == suspicion && suspicion.until() <= now) {
-            hear(peers.get(news.name()).news().as(MemberStatus.FAILED, self.name()));
+          if (suspicions.get(update.name()) == suspicion && suspicion.endsAt() <= now) {
+            applyUpdate(
+                peers.get(update.name()).news().withStatus(MemberStatus.FAILED, self.name()));
           }
         });
   }
 
-  /** What others say of this member and is not so, is denied under an incarnation above it. */
-  private void deny(MembershipUpdate news) {
-    boolean so = news.standing() == MemberStatus.ALIVE && news.run() == self.run();
-    if (so || news.incarnation() < self.incarnation()) {
+  /** Refutes a wrong update about this member with a higher incarnation. */
+  private void refute(MembershipUpdate update) {
+    boolean correct = update.standing() == MemberStatus.ALIVE && update.run() == self.run();
+    if (correct || update.incarnation() < self.incarnation()) {
       return;
     }
     self =
@@ -453,79 +482,83 @@
             self.name(),
             self.address(),
             self.run(),
-            news.incarnation() + 1,
+            update.incarnation() + 1,
             MemberStatus.ALIVE,
             self.name());
     gossip.add(self);
-    if (news.run() == self.run()) {
-      // Suspected though it lives: it may be slow itself.
-      healthier(1);
+    if (update.run() == self.run()) {
+      // This member was suspected although it is running, so it may be slow.
+      adjustHealth(1);
     }
   }
 
-  // ---- Comparing ----
+  // ---- Anti-entropy ----
 
-  /** The same for two members that know the same; a suspicion makes no difference, it is short. */
+  /**
+   * Returns a hash that is equal on two members with the same state. Suspected members hash like
+   * alive ones, since suspicions are short.
+   */
   private long digest() {
     long hash = hash(self);
-    for (Peer each : peers.values()) {
-      hash ^= hash(each.news());
+    for (Peer peer : peers.values()) {
+      hash ^= hash(peer.news());
     }
     return hash;
   }
 
-  private static long hash(MembershipUpdate news) {
-    boolean here = news.standing() == MemberStatus.ALIVE || news.standing() == MemberStatus.SUSPECT;
+  private static long hash(MembershipUpdate update) {
+    boolean present =
+        update.standing() == MemberStatus.ALIVE || update.standing() == MemberStatus.SUSPECT;
     String text =
-        news.name()
+        update.name()
             + " "
-            + news.run()
+            + update.run()
             + " "
-            + news.incarnation()
+            + update.incarnation()
             + " "
-            + (here ? "" : news.standing());
+            + (present ? "" : update.standing());
     return MurmurHash3.hash128x64(text.getBytes(StandardCharsets.UTF_8))[0];
   }
 
-  private void compare() {
-    after(terms.compare() * (0.5 + chance.nextDouble()), this::compare);
-    List<Peer> some = present(null);
-    if (!some.isEmpty()) {
-      send(some.get(chance.nextInt(some.size())).news(), new Digest(digest()));
+  private void compareDigests() {
+    schedule(terms.digestPeriod() * (0.5 + random.nextDouble()), this::compareDigests);
+    List<Peer> presentPeers = presentPeers(null);
+    if (!presentPeers.isEmpty()) {
+      send(presentPeers.get(random.nextInt(presentPeers.size())).news(), new Digest(digest()));
     }
   }
 
   /**
-   * Tries one that does not seem to live, or a seed of which nothing is known: a cut may have
-   * healed.
+   * Contacts a member that is marked as failed, or a seed that is not known as a member: a
+   * partition may have healed.
    */
-  private void again() {
-    after(terms.again() * (0.5 + chance.nextDouble()), this::again);
+  private void retryUnreachable() {
+    schedule(terms.retryPeriod() * (0.5 + random.nextDouble()), this::retryUnreachable);
     List<String> addresses = new ArrayList<>(seeds);
-    for (Peer each : peers.values()) {
-      addresses.remove(each.news().address());
-      if (each.standing() == MemberStatus.FAILED) {
-        addresses.add(each.news().address());
+    for (Peer peer : peers.values()) {
+      addresses.remove(peer.news().address());
+      if (peer.standing() == MemberStatus.FAILED) {
+        addresses.add(peer.news().address());
       }
     }
     if (!addresses.isEmpty()) {
-      greet(addresses.get(chance.nextInt(addresses.size())));
+      sendDigest(addresses.get(random.nextInt(addresses.size())));
     }
   }
 
-  private void tellAll(String address, String name, boolean ask) {
-    List<MembershipUpdate> part = new ArrayList<>();
-    int left = terms.bytes() - LETTER_BYTES - self.bytes();
-    for (Peer each : peers.values()) {
-      MembershipUpdate news = each.news();
-      if (news.bytes() > left) {
-        post(address, name, new Sync(List.copyOf(part), false));
-        part.clear();
-        left = terms.bytes() - LETTER_BYTES - self.bytes();
+  private void sendFullState(String address, String name, boolean requestReply) {
+    List<MembershipUpdate> chunk = new ArrayList<>();
+    int remainingBytes = terms.bytes() - LETTER_OVERHEAD_BYTES - self.maxEncodedBytes();
+    for (Peer peer : peers.values()) {
+      MembershipUpdate update = peer.news();
+      if (update.maxEncodedBytes() > remainingBytes) {
+        sendTo(address, name, new Sync(List.copyOf(chunk), false));
+        chunk.clear();
+        remainingBytes = terms.bytes() - LETTER_OVERHEAD_BYTES - self.maxEncodedBytes();
       }
-      part.add(news);
-      left -= news.bytes();
+      chunk.add(update);
+      remainingBytes -= update.maxEncodedBytes();
     }
-    post(address, name, new Sync(List.copyOf(part), ask));
+    sendTo(address, name, new Sync(List.copyOf(chunk), requestReply));
   }
 }
--- a/membership/src/test/java/ferngrade/membership/DatagramGoldenTest.java
+++ b/membership/src/test/java/ferngrade/membership/DatagramGoldenTest.java
@@ -15,28 +15,32 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Members' datagrams keep the form that an earlier version sent, sealed and unsealed. */
+/**
+ * Guards against changes of the wire format: datagrams, sealed and unsealed, must keep the bytes
+ * that an earlier version sent.
+ */
 class DatagramGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("datagrams.txt");
   private static final List<byte[]> KEYS =
       List.of(
           "first key of the fleet".getBytes(StandardCharsets.UTF_8),
           "second key of the fleet".getBytes(StandardCharsets.UTF_8));
-  private static final long RUN = 0x1122334455667789L;
-  private static final long OTHER_RUN = 0x0102030405060709L;
+  private static final long PROCESS_ID = 0x1122334455667789L;
+  private static final long OTHER_PROCESS_ID = 0x0102030405060709L;
 
   private final Codec codec = new Codec(Message.CLASSES);
 
   private static Map<String, Object> values() {
     MembershipUpdate self =
-        new MembershipUpdate("m1", "127.0.0.1:7946", RUN, 3, MemberStatus.ALIVE, "m1");
+        new MembershipUpdate("m1", "127.0.0.1:7946", PROCESS_ID, 3, MemberStatus.ALIVE, "m1");
     MembershipUpdate other =
-        new MembershipUpdate("m2", "127.0.0.2:7946", -OTHER_RUN, 4, MemberStatus.SUSPECT, "m3");
+        new MembershipUpdate(
+            "m2", "127.0.0.2:7946", -OTHER_PROCESS_ID, 4, MemberStatus.SUSPECT, "m3");
     Map<String, Object> values = new LinkedHashMap<>();
     int number = 0;
-    for (MemberStatus standing : MemberStatus.values()) {
-      values.put("standing-" + number, standing);
-      values.put("news-" + number, self.as(standing, "m4"));
+    for (MemberStatus status : MemberStatus.values()) {
+      values.put("standing-" + number, status);
+      values.put("news-" + number, self.withStatus(status, "m4"));
       number++;
     }
     List<Message> messages =
@@ -56,26 +60,27 @@
   }
 
   @Test
-  void eachMessageIsReadAndWrittenAsRecorded() throws IOException {
-    for (Map.Entry<String, Object> each : values().entrySet()) {
-      GOLDEN.verify(each.getKey(), codec.write(each.getValue()));
-      byte[] recorded = GOLDEN.bytes(each.getKey());
-      assertEquals(each.getValue(), codec.read(recorded, 0, recorded.length), each.getKey());
+  void readsAndWritesEachMessageAsRecorded() throws IOException {
+    for (Map.Entry<String, Object> value : values().entrySet()) {
+      GOLDEN.verify(value.getKey(), codec.write(value.getValue()));
+      byte[] recorded = GOLDEN.bytes(value.getKey());
+      assertEquals(value.getValue(), codec.read(recorded, 0, recorded.length), value.getKey());
     }
   }
 
   @Test
-  void eachClassOfTheFormatIsRecorded() {
+  void recordsEachClassOfTheFormat() {
     Set<Class<?>> recorded = new HashSet<>();
-    values().values().forEach(each -> recorded.add(each.getClass()));
+    values().values().forEach(value -> recorded.add(value.getClass()));
     assertEquals(new HashSet<>(Message.CLASSES), recorded);
   }
 
   @Test
-  void sealedDatagramsAreMadeAndOpenedAsRecorded() {
+  void sealsAndOpensDatagramsAsRecorded() {
     byte[] content = codec.write(new Message.Ping(5));
-    MessageAuthenticator sender = new MessageAuthenticator("kandy members", KEYS, RUN);
-    MessageAuthenticator receiver = new MessageAuthenticator("kandy members", KEYS, OTHER_RUN);
+    MessageAuthenticator sender = new MessageAuthenticator("kandy members", KEYS, PROCESS_ID);
+    MessageAuthenticator receiver =
+        new MessageAuthenticator("kandy members", KEYS, OTHER_PROCESS_ID);
 
     GOLDEN.verify("sealed-to-unknown-process", sender.close("b", content));
     MessageAuthenticator.Opened greeting =
@@ -88,6 +93,6 @@
     assertArrayEquals(content, opened.content());
     GOLDEN.verify(
         "sealed-without-keys",
-        new MessageAuthenticator("kandy members", List.of(), RUN).close("b", content));
+        new MessageAuthenticator("kandy members", List.of(), PROCESS_ID).close("b", content));
   }
 }
