--- a/consensus/src/main/java/ferngrade/consensus/ForwardedProposals.java
+++ b/consensus/src/main/java/ferngrade/consensus/ForwardedProposals.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The proposals that were forwarded to a leader and wait for its answer. */
+/** Tracks the proposals that were forwarded to a leader and are waiting for its answer. */
 final class ForwardedProposals {
   private record Pending(ProposalOutcome outcome, Timers.Timer timeout) {}
 
@@ -17,7 +17,9 @@
     this.timers = timers;
   }
 
-  /** Registers a proposal, whose outcome is unknown after the timeout, and returns its id. */
+  /**
+   * Registers a proposal and returns its id. The outcome is reported as unknown after the timeout.
+   */
   long add(ProposalOutcome outcome, double timeoutMillis) {
     long id = ++lastId;
     Timers.Timer timeout =
@@ -25,13 +27,13 @@
             timeoutMillis,
             () -> {
               pending.remove(id);
-              outcome.unknown("the leader has not answered in time");
+              outcome.unknown("the leader did not answer in time");
             });
     pending.put(id, new Pending(outcome, timeout));
     return id;
   }
 
-  /** Completes the proposal that this answers, unless it has timed out. */
+  /** Completes the proposal that this message answers, unless it has timed out. */
   void complete(MemberMessage.Answered answered) {
     Optional.ofNullable(pending.remove(answered.id()))
         .ifPresent(proposal -> complete(proposal, answered));
--- a/consensus/src/main/java/ferngrade/consensus/GroupMembership.java
+++ b/consensus/src/main/java/ferngrade/consensus/GroupMembership.java
@@ -7,7 +7,10 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Which endpoints the log knows, and how the leader admits one that has lost its disk. */
+/**
+ * Reports which endpoints belong to the group, and admits the new endpoint of a member that has
+ * lost its disk.
+ */
 final class GroupMembership {
   private final RaftNode node;
   private final RaftMember.Group group;
@@ -17,7 +20,10 @@
     this.group = group;
   }
 
-  /** Whether the log knows this endpoint, as a voter if its member is to be one. */
+  /**
+   * Returns whether this endpoint belongs to the group, and is a voter if its member is configured
+   * as one.
+   */
   boolean admitted(RaftMemberId endpoint) {
     RaftGroupMembers members = node.getCommittedMembers();
     Collection<RaftEndpoint> required =
@@ -28,9 +34,10 @@
   }
 
   /**
-   * Admits an endpoint, a step with each request: the endpoint that its member had before is
-   * removed first, for the member has lost its votes; then the new one is added as a learner, and
-   * then promoted. Each step is one change that a majority has to commit. Called on the leader.
+   * Admits an endpoint, one step per request. First the previous endpoint of its member is removed,
+   * because the member has lost the votes that it cast. Then the new endpoint is added as a
+   * learner, and then promoted. Each step is one membership change that a majority has to commit.
+   * Called on the leader.
    */
   void admit(RaftMemberId endpoint) {
     RaftGroupMembers committed = node.getCommittedMembers();
@@ -47,15 +54,15 @@
     } else {
       mode = MembershipChangeMode.ADD_LEARNER;
     }
-    // The result shows in the members, and the endpoint asks again if need be.
+    // The result is visible in the group members; the endpoint repeats its request if necessary.
     node.changeMembership(previous.orElse(endpoint), mode, committed.getLogIndex());
   }
 
   private static Optional<RaftEndpoint> previousEndpoint(
       RaftGroupMembers members, RaftMemberId endpoint) {
     return members.getMembers().stream()
-        .filter(each -> !each.equals(endpoint))
-        .filter(each -> ((RaftMemberId) each).member().equals(endpoint.member()))
+        .filter(member -> !member.equals(endpoint))
+        .filter(member -> ((RaftMemberId) member).member().equals(endpoint.member()))
         .findFirst();
   }
 }
--- a/consensus/src/main/java/ferngrade/consensus/LogFormat.java
+++ b/consensus/src/main/java/ferngrade/consensus/LogFormat.java
@@ -24,11 +24,11 @@
 import java.util.Set;
 
 /**
- * The classes that members send each other and store. Their order defines the format: new ones are
- * appended.
+ * Lists the classes that members send to each other and store. Their order defines the format: new
+ * classes are appended.
  */
 public final class LogFormat {
-  private static final List<Class<?>> OWN =
+  private static final List<Class<?>> LOG_CLASSES =
       List.of(
           RaftMemberId.class,
           NoOpEntry.class,
@@ -60,16 +60,16 @@
 
   private LogFormat() {}
 
-  /** The classes of the log itself. */
+  /** Returns the classes of the log itself, without those of the commands. */
   static Set<Class<?>> classes() {
-    return new LinkedHashSet<>(OWN);
+    return new LinkedHashSet<>(LOG_CLASSES);
   }
 
   /**
-   * Creates a codec for the classes of the log itself and then those of the commands, in this
-   * order.
+   * Creates a codec for the classes of the log itself, followed by the classes of the commands, in
+   * this order.
    */
   public static Codec codec(List<Class<?>> commands) {
-    return new Codec(OWN, commands);
+    return new Codec(LOG_CLASSES, commands);
   }
 }
--- a/consensus/src/main/java/ferngrade/consensus/MicroRaftExecutor.java
+++ b/consensus/src/main/java/ferngrade/consensus/MicroRaftExecutor.java
@@ -3,9 +3,9 @@
 import io.microraft.executor.RaftNodeExecutor;
 import java.util.concurrent.TimeUnit;
 
-/** Runs the tasks of the algorithm on the member's thread and by its clock. */
+/** Runs the tasks of the algorithm on the member's thread and by the member's clock. */
 final class MicroRaftExecutor implements RaftNodeExecutor {
-  /** The algorithm's base election timeout, in its ms. */
+  /** The algorithm's base election timeout, in ms of the algorithm's clock. */
   static final int ELECTION_TIMEOUT_MILLIS = 1000;
 
   private final RaftMember.Environment environment;
@@ -13,7 +13,9 @@
   private final StorageSuspension suspension;
   private final ElectionMonitor elections;
 
-  /** {@code scale} is the member's ms in one of the algorithm's. */
+  /**
+   * Creates an executor; {@code scale} is the number of the member's ms per ms of the algorithm.
+   */
   MicroRaftExecutor(
       RaftMember.Environment environment,
       double scale,
--- a/consensus/src/main/java/ferngrade/consensus/NoOpEntry.java
+++ b/consensus/src/main/java/ferngrade/consensus/NoOpEntry.java
@@ -1,4 +1,4 @@
 package ferngrade.consensus;
 
-/** The first entry of a leader: once it is committed, everything before it is too. */
+/** The first entry of a new leader. Once it is committed, all earlier entries are committed too. */
 record NoOpEntry() {}
--- a/consensus/src/main/java/ferngrade/consensus/ProposalOutcome.java
+++ b/consensus/src/main/java/ferngrade/consensus/ProposalOutcome.java
@@ -2,15 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** Notified once of what became of a proposal, on the member's thread. */
+/** Receives the outcome of a proposal, once, on the member's thread. */
 public interface ProposalOutcome {
   /** The command is committed and was applied with this result. */
   void done(Object result);
 
-  /** The command may be committed or not, now or later. */
+  /** It is unknown whether the command is committed; it may still be committed later. */
   void unknown(String reason);
 
-  /** An outcome that calls one of these. */
+  /** Creates an outcome that calls one of these consumers. */
   static ProposalOutcome of(Consumer<Object> done, Consumer<String> unknown) {
     return new ProposalOutcome() {
       @Override
--- a/consensus/src/main/java/ferngrade/consensus/RaftLogState.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogState.java
@@ -15,20 +15,21 @@
 import java.util.TreeMap;
 
 /**
- * What a member has stored: its endpoint, the initial group, term and vote, the log's entries and
- * snapshots. It is the result of the items that were written, in their order, and knows no I/O.
+ * The stored state of a member: its endpoint, the initial group, the term and the vote, the log's
+ * entries and snapshots. The state results from applying the written items in order; this class
+ * performs no I/O.
  *
- * <p>The codec writes the components of the records here in the order of their names: they must not
- * be renamed.
+ * <p>The codec writes the components of the records in this class in the order of their names, so
+ * they must not be renamed.
  */
 final class RaftLogState {
-  /** The log's entries from this index on are void. */
+  /** Removes the entries of the log from this index on. */
   record TruncateFrom(long index) {}
 
-  /** The log's entries up to this index are in a snapshot. */
+  /** Removes the entries of the log up to this index, which a snapshot covers. */
   record TruncateUntil(long index) {}
 
-  /** The chunks of the snapshot at this index are obsolete. */
+  /** Removes the chunks of the snapshot at this index. */
   record DeleteChunks(long index) {}
 
   private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
@@ -37,7 +38,7 @@
   private Optional<RaftGroupMembersView> initialMembers = Optional.empty();
   private Optional<RaftTermPersistentState> term = Optional.empty();
 
-  /** Applies an item; an {@link IllegalStateException} reports one of an unknown class. */
+  /** Applies an item; throws an {@link IllegalStateException} if its class is unknown. */
   void apply(Object item) {
     if (item instanceof LogEntry entry) {
       entries.put(entry.getIndex(), entry);
@@ -58,17 +59,17 @@
     } else if (item instanceof RaftEndpointPersistentState state) {
       endpoint = Optional.of(state);
     } else {
-      throw new IllegalStateException("not a part of a voter's log: " + item);
+      throw new IllegalStateException("not an item of a member's log: " + item);
     }
   }
 
-  /** The items that produce this state from none. */
+  /** Returns the items that produce this state when they are applied to an empty one. */
   List<Object> items() {
     List<Object> items = new ArrayList<>();
     endpoint.ifPresent(items::add);
     initialMembers.ifPresent(items::add);
     term.ifPresent(items::add);
-    chunks.values().forEach(each -> items.addAll(each.values()));
+    chunks.values().forEach(snapshot -> items.addAll(snapshot.values()));
     items.addAll(entries.values());
     return items;
   }
@@ -77,7 +78,7 @@
     return !chunks.isEmpty();
   }
 
-  /** The state as the algorithm restores it; empty if none was stored. */
+  /** Returns the state in the form that the algorithm restores, or empty if none was stored. */
   Optional<RestoredRaftState> restored() {
     if (endpoint.isEmpty() || initialMembers.isEmpty()) {
       return Optional.empty();
@@ -95,20 +96,21 @@
             new ArrayList<>(entries.tailMap(snapshotIndex, false).values())));
   }
 
-  /** The latest snapshot of which all chunks are stored. */
+  /** Returns the latest snapshot whose chunks are all stored. */
   private Optional<SnapshotEntry> latestSnapshot() {
     return chunks.descendingMap().values().stream()
-        .filter(each -> each.size() == each.firstEntry().getValue().getSnapshotChunkCount())
+        .filter(
+            snapshot -> snapshot.size() == snapshot.firstEntry().getValue().getSnapshotChunkCount())
         .findFirst()
-        .map(each -> snapshotOf(new ArrayList<>(each.values())));
+        .map(snapshot -> snapshotOf(new ArrayList<>(snapshot.values())));
   }
 
-  private static SnapshotEntry snapshotOf(List<SnapshotChunk> complete) {
-    SnapshotChunk first = complete.get(0);
+  private static SnapshotEntry snapshotOf(List<SnapshotChunk> allChunks) {
+    SnapshotChunk first = allChunks.get(0);
     return new DefaultSnapshotEntryOrBuilder()
         .setIndex(first.getIndex())
         .setTerm(first.getTerm())
-        .setSnapshotChunks(complete)
+        .setSnapshotChunks(allChunks)
         .setGroupMembersView(first.getGroupMembersView())
         .build();
   }
--- a/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
@@ -20,19 +20,19 @@
 import java.util.function.Consumer;
 
 /**
- * Stores the {@link RaftLogState} of a member on a {@link Storage}. Each flush is one batch and one
- * sync. A torn tail is cut; synced data that cannot be read is an error with file and offset. A
- * file whose write or sync has failed is neither written nor synced again, since it is unknown what
- * the disk holds of its end: everything is rejected until {@link #continueInNewFile} has written
- * the whole state to the next file.
+ * Stores the {@link RaftLogState} of a member on a {@link Storage}. Each flush writes one batch and
+ * syncs once. Recovery cuts a torn tail; synced data that cannot be read is an error that names the
+ * file and the offset. A file whose write or sync has failed is neither written nor synced again,
+ * because it is unknown what the disk holds at its end. Until {@link #continueInNewFile} has
+ * written the whole state to the next file, all operations are rejected.
  *
- * <p>The file is rewritten, with a number one higher, once it has grown beyond its bound and a
- * snapshot stands for the log's beginning. Belongs to the member's thread.
+ * <p>The store rewrites its state to a file with the next number once the file has grown beyond its
+ * bound and a snapshot covers the beginning of the log. Confined to the member's thread.
  */
 public final class RaftLogStore implements RaftStore, AutoCloseable {
   private static final String PREFIX = "voter-";
 
-  /** The suffix of a file until its content is durable. */
+  /** The suffix of a file whose content is not durable yet. */
   private static final String UNFINISHED_SUFFIX = ".tmp";
 
   private final Storage storage;
@@ -46,7 +46,7 @@
   private long batchNumber;
   private long fileBytes;
 
-  /** The length of the file when it was begun with the whole state. */
+  /** The length of the file after the whole state was written to it, bytes. */
   private long initialFileBytes;
 
   private Optional<IOException> fault = Optional.empty();
@@ -60,11 +60,11 @@
   }
 
   /**
-   * Opens the log of a storage and recovers what it holds.
+   * Opens the log on a storage and recovers its state.
    *
-   * @param maxGrowthBytes by how much the file may grow before it is rewritten
-   * @param onFailure notified of a write that fails, after which the member must take no part until
-   *     {@link #continueInNewFile} has returned
+   * @param maxGrowthBytes the growth of the file after which it is rewritten
+   * @param onFailure called when a write fails; the member must then not participate until {@link
+   *     #continueInNewFile} has returned
    * @throws CorruptLogException if synced data is damaged
    * @throws IOException if the storage cannot be read or written
    */
@@ -85,36 +85,37 @@
     if (fileNumber > 0) {
       replay(name(fileNumber));
     }
-    // An old file is never appended to: the state of its end after a crash need not be known.
+    // Recovery never appends to an existing file, whose state at the end may be unknown after a
+    // crash.
     rewrite();
   }
 
   private void replay(String name) throws IOException {
     byte[] content = storage.read(name);
-    ByteBuffer in = ByteBuffer.wrap(content);
-    int at = 0;
-    while (at < content.length) {
-      int length = LogBatch.lengthAt(in, at);
+    ByteBuffer buffer = ByteBuffer.wrap(content);
+    int offset = 0;
+    while (offset < content.length) {
+      int length = LogBatch.lengthAt(buffer, offset);
       if (length < 0) {
-        if (at == 0 || LogBatch.followed(in, at, batchNumber)) {
-          throw new CorruptLogException(name, at, "a batch cannot be read, and it was synced");
+        if (offset == 0 || LogBatch.followed(buffer, offset, batchNumber)) {
+          throw new CorruptLogException(name, offset, "a synced batch cannot be read");
         }
         return;
       }
-      if (LogBatch.numberAt(in, at) != batchNumber + 1 && at > 0) {
-        throw new CorruptLogException(name, at, "batch " + (batchNumber + 1) + " is missing");
+      if (LogBatch.numberAt(buffer, offset) != batchNumber + 1 && offset > 0) {
+        throw new CorruptLogException(name, offset, "batch " + (batchNumber + 1) + " is missing");
       }
-      batchNumber = LogBatch.numberAt(in, at);
-      int from = at + LogBatch.HEADER_BYTES;
-      if (!(codec.read(content, from, length) instanceof Collection<?> items)) {
-        throw new CorruptLogException(name, at, "a batch is no list");
+      batchNumber = LogBatch.numberAt(buffer, offset);
+      int contentOffset = offset + LogBatch.HEADER_BYTES;
+      if (!(codec.read(content, contentOffset, length) instanceof Collection<?> items)) {
+        throw new CorruptLogException(name, offset, "a batch is not a list");
       }
       items.forEach(state::apply);
-      at = from + length;
+      offset = contentOffset + length;
     }
   }
 
-  /** What was stored; empty for a member that is new or has lost its disk. */
+  /** Returns the recovered state, empty for a member that is new or has lost its disk. */
   public Optional<RestoredRaftState> restored() {
     return state.restored();
   }
@@ -146,8 +147,8 @@
 
   @Override
   public void persistLogEntries(List<LogEntry> entries) throws IOException {
-    for (LogEntry each : entries) {
-      add(each);
+    for (LogEntry entry : entries) {
+      add(entry);
     }
   }
 
@@ -194,13 +195,13 @@
 
   private void requireUsable() throws IOException {
     if (fault.isPresent()) {
-      throw new IOException("the voter's disk has failed before", fault.get());
+      throw new IOException("the member's disk has failed before", fault.get());
     }
   }
 
   /**
-   * After a failure, writes the whole state to the next file, with what the failed flush was to
-   * write; nothing of that was acknowledged.
+   * Writes the whole state to the next file after a failure, including the items of the failed
+   * flush, none of which was acknowledged.
    *
    * @throws IOException if the disk still fails
    */
@@ -224,7 +225,7 @@
   }
 
   /**
-   * Writes the whole state to a file with the next number; the files before it are deleted once the
+   * Writes the whole state to a file with the next number and deletes the earlier files once the
    * new name is durable.
    */
   private void rewrite() throws IOException {
@@ -250,16 +251,18 @@
     deleteObsoleteFiles();
   }
 
-  /** Deletes the files before the present one; what cannot be deleted goes with the next one. */
+  /**
+   * Deletes the files before the current one; a failed deletion is repeated by the next rewrite.
+   */
   private void deleteObsoleteFiles() {
     try {
-      for (String each : storage.list()) {
-        if (each.startsWith(PREFIX) && !each.equals(name(fileNumber))) {
-          storage.delete(each);
+      for (String name : storage.list()) {
+        if (name.startsWith(PREFIX) && !name.equals(name(fileNumber))) {
+          storage.delete(name);
         }
       }
     } catch (IOException retriedByNextRewrite) {
-      // A recovery reads the file with the highest number alone.
+      // Recovery reads only the file with the highest number.
     }
   }
 
@@ -267,7 +270,7 @@
     try {
       file.close();
     } catch (IOException ignored) {
-      // What the file holds is either synced or not relied on.
+      // The content of the file is either synced or not needed.
     }
   }
 
--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -23,29 +23,33 @@
 import java.util.function.Predicate;
 
 /**
- * A member of the group that replicates a log, as a voter or as a learner. What is proposed at any
- * member is forwarded to the leader; once a majority of the voters has stored it, every member
- * applies it to its {@link ReplicatedStateMachine}.
+ * A voter or learner of the group that replicates a log. A command that is proposed at any member
+ * is forwarded to the leader. Once a majority of the voters has stored it, every member applies it
+ * to its {@link ReplicatedStateMachine}.
  *
- * <p>The algorithm is MicroRaft's; its clock, randomness, storage and messages are provided by this
- * package, so that it runs in virtual time. It counts heartbeats in whole seconds: one of its
- * seconds is a heartbeat of {@link Settings}. All methods belong to the thread of the {@link
- * Environment}.
+ * <p>The algorithm is provided by MicroRaft. Its clock, random numbers, storage and transport are
+ * provided by this package, so that it can run in virtual time. MicroRaft counts heartbeats in
+ * whole seconds; one second of its clock is one heartbeat interval of {@link Settings}. All methods
+ * must be called on the thread of the {@link Environment}.
  */
 public final class RaftMember {
-  /** Heartbeats without contact to a leader after which another is elected. */
+  /**
+   * The number of heartbeat intervals without contact to a leader after which an election starts.
+   */
   private static final int MISSED_HEARTBEATS = 5;
 
-  /** Times that period after which an inactive voter without a leader counts as stuck. */
+  /**
+   * The multiple of that period after which an inactive voter without a leader is considered stuck.
+   */
   private static final int STUCK_FACTOR = 2;
 
-  /** Heartbeats between two requests to be admitted. */
+  /** The number of heartbeat intervals between two admission requests. */
   private static final int JOIN_HEARTBEATS = 2;
 
-  /** Entries that a leader has not yet committed, at most. */
+  /** The maximum number of entries that a leader has appended but not yet committed. */
   private static final int MAX_PENDING_ENTRIES = 20_000;
 
-  /** Why the outcome of a proposal is unknown while the disk fails. */
+  /** The reason reported for an unknown outcome while the disk fails. */
   static final String DISK_FAILS = "this member's disk fails";
 
   private final RaftMemberId self;
@@ -60,65 +64,68 @@
   private final GroupMembership membership;
 
   /**
-   * Who this member is and the pace of its group.
+   * The identity of this member and the timing of its group.
    *
    * @param name the member's name
-   * @param group the group that it belongs to
-   * @param heartbeatMillis the leader's heartbeat interval, from which all timeouts derive
+   * @param group the group that the member belongs to
+   * @param heartbeatMillis the leader's heartbeat interval, from which all timeouts are derived
    * @param entriesPerSnapshot the number of committed entries after which a snapshot is taken
    */
   public record Settings(
       String name, Group group, double heartbeatMillis, int entriesPerSnapshot) {}
 
   /**
-   * The group of a fleet.
+   * The members of a fleet's group.
    *
    * @param fleet the fleet's name, which each message carries
    * @param members the names of all members
-   * @param voters the names of those that vote
+   * @param voters the names of the voting members
    */
   public record Group(String fleet, Collection<String> members, Collection<String> voters) {}
 
   /**
    * The member's storage.
    *
-   * @param store where it writes
-   * @param restored what was stored before the start
-   * @param rejoinNonce present if the member has lost its disk: a text that no process before it
-   *     used, which makes it a new endpoint to the log
+   * @param store the store that the member writes to
+   * @param restored the state that was stored before the start
+   * @param rejoinNonce present if the member has lost its disk: a text that no earlier process has
+   *     used, which makes the member a new endpoint of the log
    */
   public record Persistence(
       RaftStore store, Optional<RestoredRaftState> restored, Optional<String> rejoinNonce) {}
 
   /**
-   * The member's clock, thread and randomness.
+   * The member's clock, thread and random seed.
    *
    * @param clock a monotonic clock
    * @param timers run tasks on the member's thread by that clock
    * @param executor runs tasks on the member's thread
-   * @param seed of its random numbers
+   * @param seed the seed of the member's random numbers
    */
   public record Environment(Clock clock, Timers timers, Executor executor, long seed) {}
 
-  /** Carries bytes to another member, with any delay or loss. */
+  /** Sends bytes to other members, with any delay or loss. */
   @FunctionalInterface
   public interface Links {
-    /** Sends a message; one that cannot be sent at once is dropped. */
+    /** Sends a message; drops it if it cannot be sent immediately. */
     void send(String to, byte[] message);
   }
 
   /**
-   * How the member talks to the others.
+   * The member's means of communication.
    *
-   * @param codec a codec of {@link LogFormat#codec} that knows the commands
+   * @param codec a codec of {@link LogFormat#codec} that includes the classes of the commands
    * @param links the connections to the other members
    */
   public record Messaging(Codec codec, Links links) {}
 
-  /** The term, and the leader's name as far as this member knows; null for none. */
+  /**
+   * The current term and the name of the leader, as known to this member; the leader is null if
+   * unknown.
+   */
   public record View(int term, String leader) {}
 
-  /** Creates a member, which takes part from {@link #start} on. */
+  /** Creates a member, which participates after {@link #start}. */
   public RaftMember(
       Settings settings,
       Persistence persistence,
@@ -186,7 +193,7 @@
     return names.stream().sorted().<RaftEndpoint>map(RaftMemberId::new).toList();
   }
 
-  /** Begins to take part. */
+  /** Starts participating in the group. */
   public void start() {
     elections.resetLeaderContact();
     node.start();
@@ -196,15 +203,15 @@
     }
   }
 
-  /** Takes no part any more. */
+  /** Stops participating in the group. */
   public void stop() {
     node.terminate();
   }
 
   /**
-   * Takes no part until the log can be written again, as though the process stood still: it neither
-   * receives nor sends messages, and the outcomes of proposals are unknown. Called when a write of
-   * {@code log} has failed; {@code onResumed} is called when the disk works again.
+   * Suspends participation until the log can be written again, as if the process were paused: the
+   * member neither receives nor sends messages, and the outcomes of proposals are unknown. Called
+   * when a write of {@code log} has failed; {@code onResumed} is called when the disk works again.
    */
   public void suspend(RaftLogStore log, Runnable onResumed) {
     suspension.begin(
@@ -215,23 +222,26 @@
         });
   }
 
-  /** Whether this member takes no part because its disk fails. */
+  /** Returns whether participation is suspended because the disk fails. */
   public boolean suspended() {
     return suspension.active();
   }
 
-  /** Whether the log knows this member's endpoint, as a voter if it is to be one. */
+  /**
+   * Returns whether this member's endpoint belongs to the group, as a voter if it is configured as
+   * one.
+   */
   public boolean admitted() {
     return membership.admitted(self);
   }
 
-  /** Asks all others for admission until the log knows this endpoint as it should. */
+  /** Requests admission from all other members, repeatedly until this endpoint is admitted. */
   private void requestAdmission() {
     if (!admitted()) {
       byte[] join = codec.write(new MemberMessage.Join(self.name()));
       settings.group().members().stream()
-          .filter(each -> !each.equals(settings.name()))
-          .forEach(each -> links.send(each, join));
+          .filter(member -> !member.equals(settings.name()))
+          .forEach(member -> links.send(member, join));
       environment
           .timers()
           .after(JOIN_HEARTBEATS * settings.heartbeatMillis(), this::requestAdmission);
@@ -239,11 +249,12 @@
   }
 
   /**
-   * The algorithm can be left in a pre-vote that never ends: one that was begun when the leader was
-   * late, and then received it once more in the same term, asks nobody again when that leader fails
-   * (found in virtual time). A voter without contact to a leader that has requested no vote for
-   * long receives a vote request of the next term with an empty log: it moves to that term without
-   * a vote, and the algorithm starts over.
+   * Works around a pre-vote that never ends. If the algorithm has started a pre-vote because the
+   * leader was late, and then receives a message from that leader in the same term, it starts no
+   * other pre-vote when the leader fails (found in virtual time). A voter that has had no contact
+   * with a leader and has requested no vote for a long time therefore receives a simulated vote
+   * request of the next term with an empty log. It moves to that term without voting, and the
+   * algorithm starts over.
    */
   private void watchForStuckElection() {
     double timeout = STUCK_FACTOR * MISSED_HEARTBEATS * settings.heartbeatMillis();
@@ -251,25 +262,27 @@
     if (!suspended() && voters.contains(self) && !leads() && elections.idleLongerThan(timeout)) {
       elections.resetLeaderContact();
       RaftEndpoint other =
-          voters.stream().filter(each -> !each.equals(self)).findFirst().orElse(self);
+          voters.stream().filter(voter -> !voter.equals(self)).findFirst().orElse(self);
       moveToTerm(view().term() + 1, other);
     }
     environment.timers().after(timeout / 4, this::watchForStuckElection);
   }
 
   /**
-   * Hands leadership to another voter for which {@code up} holds, if this one leads: a leader that
-   * just stops leaves all waiting for an election.
+   * Transfers leadership to another voter for which {@code up} holds, if this member leads. Without
+   * a transfer, the stop of a leader makes all members wait for an election.
    */
   public void transferLeadership(Predicate<String> up) {
     node.getCommittedMembers().getVotingMembers().stream()
-        .filter(each -> !each.equals(self) && up.test(((RaftMemberId) each).member()))
+        .filter(voter -> !voter.equals(self) && up.test(((RaftMemberId) voter).member()))
         .findFirst()
         .filter(other -> leads())
         .ifPresent(node::transferLeadership);
   }
 
-  /** Simulates a vote request with an empty log, which raises the term and gets no vote. */
+  /**
+   * Simulates a vote request with an empty log, which raises the term and is not granted a vote.
+   */
   private void moveToTerm(int term, RaftEndpoint from) {
     node.handle(
         new DefaultVoteRequestOrBuilder()
@@ -282,7 +295,7 @@
             .build());
   }
 
-  /** What this member knows of the leader. */
+  /** Returns this member's view of the leader. */
   public View view() {
     RaftTerm term = node.getTerm();
     RaftEndpoint leader = suspended() ? null : term.getLeaderEndpoint();
@@ -293,7 +306,7 @@
     return !suspended() && self.equals(node.getTerm().getLeaderEndpoint());
   }
 
-  /** Receives a message; one that is malformed, or of another fleet, is dropped. */
+  /** Handles a message; drops malformed messages and those of another fleet. */
   public void handle(String from, byte[] message) {
     if (suspended()) {
       return;
@@ -323,8 +336,9 @@
     if (raft instanceof AppendEntriesRequest || raft instanceof InstallSnapshotRequest) {
       elections.leaderContact();
     }
-    // Pre-votes do not carry a term over: a voter far ahead with a short log and one behind with a
-    // long log would reject each other for ever (found in virtual time).
+    // A rejected pre-vote does not transfer its term. Without this step, a voter with a much higher
+    // term and a short log and a voter with a lower term and a long log would reject each other
+    // forever (found in virtual time).
     if (raft instanceof PreVoteRequest
         && view().leader() == null
         && raft.getTerm() > view().term() + 1) {
@@ -347,14 +361,15 @@
   }
 
   /**
-   * Proposes a command. The outcome is notified once, within {@code timeoutMillis}. An unknown one
-   * may have been applied: a command that must not be applied twice has to detect that itself.
+   * Proposes a command. The outcome is reported once, within {@code timeoutMillis}. A command with
+   * an unknown outcome may have been applied; a command that must not be applied twice has to
+   * detect duplicates itself.
    */
   public void propose(Object command, double timeoutMillis, ProposalOutcome outcome) {
     Timers timers = environment.timers();
     String leader = view().leader();
     if (leads()) {
-      String reason = "no majority has answered in time";
+      String reason = "no majority answered in time";
       replicate(command, new TimedOutcome(outcome, timers, timeoutMillis, reason));
     } else if (leader == null) {
       timers.after(0, () -> outcome.unknown(suspended() ? DISK_FAILS : "no leader is known"));
--- a/consensus/src/main/java/ferngrade/consensus/ReplicatedStateMachine.java
+++ b/consensus/src/main/java/ferngrade/consensus/ReplicatedStateMachine.java
@@ -1,17 +1,23 @@
 package ferngrade.consensus;
 
 /**
- * The state that the log defines: the same at every member that has applied the same part of it. It
- * is deterministic, so it reads no clock and draws no random numbers. Called on the member's
- * thread.
+ * The state that the log defines. It is the same on all members that have applied the same prefix
+ * of the log. Implementations are deterministic: they read no clock and use no random numbers.
+ * Called on the member's thread.
  */
 public interface ReplicatedStateMachine {
-  /** Applies the command at this index; the result is returned to the member that proposed it. */
+  /**
+   * Applies the command at this index. The result is returned to the member that proposed the
+   * command.
+   */
   Object apply(long index, Object command);
 
-  /** The whole state, as a value that later commands do not change and the codec can write. */
+  /**
+   * Returns the whole state as a value that the codec can write and that later commands do not
+   * change.
+   */
   Object snapshot();
 
-  /** Replaces the whole state by a snapshot, which covers everything up to this index. */
+  /** Replaces the whole state with a snapshot, which covers all commands up to this index. */
   void restore(long index, Object snapshot);
 }
--- a/consensus/src/main/java/ferngrade/consensus/ScaledClock.java
+++ b/consensus/src/main/java/ferngrade/consensus/ScaledClock.java
@@ -5,7 +5,10 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** The member's monotonic clock as the algorithm reads it: a heartbeat counts as a second. */
+/**
+ * Scales the member's monotonic clock for the algorithm, so that one heartbeat interval is one
+ * second.
+ */
 final class ScaledClock extends java.time.Clock {
   private final Clock clock;
   private final double scale;
--- a/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
+++ b/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
@@ -11,21 +11,21 @@
 import java.util.concurrent.Executor;
 
 /**
- * Suspends the tasks of the algorithm after a failed write of the log until a retry, with backoff,
- * has succeeded. A task in which the write failed counts as lost, like a message that never
- * arrived; only the leader's flush is run again, since the algorithm waits for it before it submits
- * another. Belongs to the member's thread.
+ * Suspends the tasks of the algorithm after a failed write of the log, until a retry, with backoff,
+ * has succeeded. A task in which a write failed is dropped, like a message that never arrived. The
+ * only exception is the leader's flush, which is run again because the algorithm waits for it
+ * before submitting another. Confined to the member's thread.
  */
 final class StorageSuspension {
-  /** Delay before a failing disk is tried again, ms: at first, and at most. */
+  /** The delay before a write to a failing disk is retried, ms: initially, and at most. */
   private static final double FIRST_RETRY_MILLIS = 20;
 
   private static final double MAX_RETRY_MILLIS = 1_000;
 
-  /** Makes the log usable again; throws an {@link IOException} if the disk still fails. */
+  /** Makes the log usable again. */
   @FunctionalInterface
   interface Retry {
-    /** Makes one attempt. */
+    /** Makes one attempt; throws an {@link IOException} if the disk still fails. */
     void run() throws IOException;
   }
 
@@ -40,12 +40,12 @@
     this.executor = executor;
   }
 
-  /** Whether the disk fails at present. */
+  /** Returns whether tasks are suspended because the disk fails. */
   boolean active() {
     return active;
   }
 
-  /** Runs a task of the algorithm, now or once the disk works again. */
+  /** Runs a task of the algorithm, immediately or once the disk works again. */
   void run(Runnable task) {
     if (active) {
       suspended.add(task);
@@ -91,6 +91,6 @@
     backoff.reset();
     List<Runnable> tasks = new ArrayList<>(suspended);
     suspended.clear();
-    tasks.forEach(each -> executor.execute(() -> run(each)));
+    tasks.forEach(task -> executor.execute(() -> run(task)));
   }
 }
--- a/consensus/src/main/java/ferngrade/consensus/TimedOutcome.java
+++ b/consensus/src/main/java/ferngrade/consensus/TimedOutcome.java
@@ -3,7 +3,7 @@
 import ferngrade.node.Timers;
 import java.util.function.Consumer;
 
-/** Passes on the first outcome alone; a timeout counts as an unknown one. */
+/** Forwards only the first outcome; reports an unknown outcome after a timeout. */
 final class TimedOutcome implements ProposalOutcome {
   private final ProposalOutcome outcome;
   private final Timers.Timer timer;
@@ -14,21 +14,21 @@
     this.timer = timers.after(timeoutMillis, () -> unknown(timeoutReason));
   }
 
-  private void complete(Consumer<ProposalOutcome> how) {
+  private void complete(Consumer<ProposalOutcome> notification) {
     if (!completed) {
       completed = true;
       timer.cancel();
-      how.accept(outcome);
+      notification.accept(outcome);
     }
   }
 
   @Override
   public void done(Object result) {
-    complete(each -> each.done(result));
+    complete(target -> target.done(result));
   }
 
   @Override
   public void unknown(String reason) {
-    complete(each -> each.unknown(reason));
+    complete(target -> target.unknown(reason));
   }
 }
--- a/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
@@ -39,8 +39,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The bytes of the voters' messages and of their log on disk keep the form that an earlier version
- * wrote.
+ * Guards against changes of the stored and sent forms: members' messages and the log on disk must
+ * keep the bytes that an earlier version wrote.
  */
 class LogFormatGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("log-format.txt");
@@ -65,8 +65,11 @@
           .setOperation("all until 30")
           .build();
 
-  /** Longer than any log in these tests: no file is rewritten for its size. */
-  private static final long FILE_BYTES = 1 << 20;
+  /**
+   * The permitted growth of a file. It exceeds all logs in these tests, so that no file is
+   * rewritten because of its size.
+   */
+  private static final long MAX_GROWTH_BYTES = 1 << 20;
 
   private final Codec codec = LogFormat.codec(List.of());
 
@@ -80,14 +83,14 @@
 
   private static Map<String, Object> values() {
     Map<String, Object> values = new LinkedHashMap<>();
-    putOwn(values);
+    putLogClasses(values);
     putStored(values);
     putElections(values);
     putReplication(values);
     return values;
   }
 
-  private static void putOwn(Map<String, Object> values) {
+  private static void putLogClasses(Map<String, Object> values) {
     values.put("endpoint", SELF);
     values.put("endpoint-anew", OTHER);
     values.put("first-entry-of-term", new NoOpEntry());
@@ -274,34 +277,34 @@
   }
 
   @Test
-  void eachValueIsReadAndWrittenAsRecorded() throws IOException {
-    for (Map.Entry<String, Object> each : values().entrySet()) {
-      GOLDEN.verify(each.getKey(), codec.write(each.getValue()));
-      byte[] recorded = GOLDEN.bytes(each.getKey());
+  void readsAndWritesEachValueAsRecorded() throws IOException {
+    for (Map.Entry<String, Object> value : values().entrySet()) {
+      GOLDEN.verify(value.getKey(), codec.write(value.getValue()));
+      byte[] recorded = GOLDEN.bytes(value.getKey());
       Object read = codec.read(recorded, 0, recorded.length);
-      if (each.getValue().getClass().getName().startsWith("ferngrade.")) {
-        assertEquals(each.getValue(), read, each.getKey());
+      if (value.getValue().getClass().getName().startsWith("ferngrade.")) {
+        assertEquals(value.getValue(), read, value.getKey());
       }
-      // The library's classes have no equals: they are compared by their texts and by what is
-      // written of them.
-      assertEquals(each.getValue().toString(), read.toString(), each.getKey());
-      assertArrayEquals(recorded, codec.write(read), each.getKey());
+      // The library's classes do not define equals; they are compared by their strings and by their
+      // encoded bytes.
+      assertEquals(value.getValue().toString(), read.toString(), value.getKey());
+      assertArrayEquals(recorded, codec.write(read), value.getKey());
     }
   }
 
-  /** A class that is added to the format needs a recorded value too. */
+  /** Fails if a class is added to the format without a recorded value. */
   @Test
-  void eachClassOfTheFormatIsRecorded() {
+  void recordsEachClassOfTheFormat() {
     Set<Class<?>> recorded = new LinkedHashSet<>();
-    values().values().forEach(each -> recorded.add(each.getClass()));
+    values().values().forEach(value -> recorded.add(value.getClass()));
     assertEquals(LogFormat.classes(), recorded);
   }
 
   @Test
-  void theFileOfALogIsWrittenAndReadAsRecorded() throws IOException {
+  void writesAndReadsLogFileAsRecorded() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
     List<IOException> failures = new ArrayList<>();
-    RaftLogStore log = RaftLogStore.open(disk, codec, FILE_BYTES, failures::add);
+    RaftLogStore log = RaftLogStore.open(disk, codec, MAX_GROWTH_BYTES, failures::add);
     fill(log);
     log.close();
     GOLDEN.verify("file-names", disk.list().toString());
@@ -311,8 +314,8 @@
     FaultInjectingStorage copy = new FaultInjectingStorage(2, 0);
     byte[] recorded = GOLDEN.bytes("file");
     copy.create(name).append(recorded, recorded.length);
-    check(RaftLogStore.open(copy, codec, FILE_BYTES, failures::add).restored().orElseThrow());
-    // Reopened, it is one batch with all that still counts, in a file with the next number.
+    check(RaftLogStore.open(copy, codec, MAX_GROWTH_BYTES, failures::add).restored().orElseThrow());
+    // Reopening writes the whole state as one batch to a file with the next number.
     GOLDEN.verify("file-names-reopened", copy.list().toString());
     GOLDEN.verify("file-reopened", copy.read(copy.list().get(0)));
     assertEquals(List.of(), failures);
--- a/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
@@ -27,7 +27,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What a voter must not forget, on a disk that loses power, fills and rots. */
+/**
+ * Guards against the loss of votes and entries on a disk that loses power, is full, or returns
+ * damaged data.
+ */
 class RaftLogStoreTest {
   private static final RaftGroupMembersView MEMBERS =
       new DefaultRaftGroupMembersViewOrBuilder()
@@ -51,8 +54,12 @@
     log.persistAndFlushInitialGroupMembers(MEMBERS);
   }
 
-  private static LogEntry entry(long index, String what) {
-    return new DefaultLogEntryOrBuilder().setIndex(index).setTerm(1).setOperation(what).build();
+  private static LogEntry entry(long index, String operation) {
+    return new DefaultLogEntryOrBuilder()
+        .setIndex(index)
+        .setTerm(1)
+        .setOperation(operation)
+        .build();
   }
 
   private static void vote(RaftLogStore log, int term, String voted) throws IOException {
@@ -64,7 +71,7 @@
   }
 
   @Test
-  void anEmptyDiskIsDistinguishedFromOneThatHoldsSomething() throws IOException {
+  void distinguishesEmptyDiskFromOneWithState() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
     RaftLogStore log = open(disk);
     assertTrue(log.restored().isEmpty());
@@ -81,7 +88,7 @@
   }
 
   @Test
-  void whatWasFlushedSurvivesAnyLossOfPowerAndSoDoTheVoteAndTruncations() throws IOException {
+  void flushedEntriesVoteAndTruncationsSurvivePowerLoss() throws IOException {
     for (long seed = 1; seed <= 300; seed++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
       SplittableRandom random = new SplittableRandom(seed);
@@ -100,41 +107,41 @@
             log.truncateLogEntriesFrom(cut + 1);
             now = new ArrayList<>(now.subList(0, cut));
           }
-          List<LogEntry> some = new ArrayList<>();
+          List<LogEntry> batch = new ArrayList<>();
           for (int i = 0; i <= random.nextInt(3); i++) {
             now.add("e" + step + "-" + i);
-            some.add(entry(now.size(), now.get(now.size() - 1)));
+            batch.add(entry(now.size(), now.get(now.size() - 1)));
           }
           attempted = now;
-          log.persistLogEntries(some);
+          log.persistLogEntries(batch);
           log.flush();
           flushed = now;
           vote(log, term + 1, "b");
           term++;
         }
       } catch (FaultInjectingStorage.PowerLost lost) {
-        assertEquals(1, failures.size(), "notified once");
+        assertEquals(1, failures.size(), "the failure is reported once");
         assertThrows(IOException.class, log::flush, "nothing is written after a failure");
       }
       failures.clear();
       disk.powerUp();
-      RestoredRaftState found = open(disk).restored().orElseThrow();
+      RestoredRaftState restored = open(disk).restored().orElseThrow();
       List<String> entries =
-          found.getLogEntries().stream().map(each -> (String) each.getOperation()).toList();
+          restored.getLogEntries().stream().map(entry -> (String) entry.getOperation()).toList();
       assertTrue(
           entries.equals(flushed) || entries.equals(attempted),
           "seed " + seed + ": " + entries + " is neither " + flushed + " nor " + attempted);
-      int foundTerm = found.getTermPersistentState().getTerm();
+      int foundTerm = restored.getTermPersistentState().getTerm();
       assertTrue(
           foundTerm == term || foundTerm == term + 1, "seed " + seed + ": term " + foundTerm);
       assertEquals(
           foundTerm == 0 ? null : "b",
-          foundTerm == 0 ? null : found.getTermPersistentState().getVotedFor().getId());
+          foundTerm == 0 ? null : restored.getTermPersistentState().getVotedFor().getId());
     }
   }
 
   @Test
-  void aSnapshotReplacesTheLogsBeginningAndTheFileIsRewritten() throws IOException {
+  void rewritesFileAfterSnapshotReplacesBeginningOfLog() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(3, 0);
     RaftLogStore log = open(disk);
     begin(log);
@@ -158,15 +165,15 @@
     }
     disk.powerUp();
     assertTrue(!disk.list().get(0).endsWith("001"), disk.list().toString());
-    RestoredRaftState found = open(disk).restored().orElseThrow();
-    assertEquals(1, disk.list().size(), "what an earlier file left behind is gone");
-    assertEquals(90, found.getSnapshotEntry().getIndex());
-    assertEquals(110, found.getLogEntries().size());
-    assertEquals(91, found.getLogEntries().get(0).getIndex());
+    RestoredRaftState restored = open(disk).restored().orElseThrow();
+    assertEquals(1, disk.list().size(), "earlier files are deleted");
+    assertEquals(90, restored.getSnapshotEntry().getIndex());
+    assertEquals(110, restored.getLogEntries().size());
+    assertEquals(91, restored.getLogEntries().get(0).getIndex());
   }
 
   @Test
-  void aFullDiskIsReportedOnceAndNothingFollows() throws IOException {
+  void reportsFullDiskOnceAndWritesNothingMore() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(4, 0);
     RaftLogStore log = open(disk);
     begin(log);
@@ -179,7 +186,7 @@
     assertEquals(0, open(disk).restored().orElseThrow().getTermPersistentState().getTerm());
   }
 
-  /** Tries until the log is usable again; returns how often that failed. */
+  /** Retries until the log is usable again; returns the number of failed attempts. */
   private static int continueAfterFault(RaftLogStore log) throws IOException {
     for (int failures = 0; ; failures++) {
       try {
@@ -187,13 +194,16 @@
         return failures;
       } catch (DiskFault stillFailing) {
         assertThrows(
-            IOException.class, log::flush, "nothing is written before a new file is begun");
-        assertTrue(failures < 100, "never again");
+            IOException.class, log::flush, "nothing is written before a new file is created");
+        assertTrue(failures < 100, "the log does not become usable again");
       }
     }
   }
 
-  /** Appends entries up to this index with a flush and a vote each, while the disk may fail. */
+  /**
+   * Appends the entries up to this index, with one flush and one vote each, while the disk may
+   * fail.
+   */
   private static void append(RaftLogStore log, int from, int until) throws IOException {
     for (int i = from; i <= until; i++) {
       try {
@@ -210,20 +220,19 @@
     }
   }
 
-  private void assertHolds(FaultInjectingStorage disk, int entries, String when)
+  private void assertHolds(FaultInjectingStorage disk, int entries, String context)
       throws IOException {
-    RestoredRaftState found = open(disk).restored().orElseThrow();
-    assertEquals(entries, found.getTermPersistentState().getTerm(), when);
-    assertEquals(entries, found.getLogEntries().size(), when);
+    RestoredRaftState restored = open(disk).restored().orElseThrow();
+    assertEquals(entries, restored.getTermPersistentState().getTerm(), context);
+    assertEquals(entries, restored.getLogEntries().size(), context);
     for (int i = 0; i < entries; i++) {
-      assertEquals(i + 1, found.getLogEntries().get(i).getIndex(), when);
+      assertEquals(i + 1, restored.getLogEntries().get(i).getIndex(), context);
     }
   }
 
   @ParameterizedTest
   @EnumSource(Operation.class)
-  void everyOperationMayFailForAWhileAndTheLogContinuesInANewFile(Operation operation)
-      throws IOException {
+  void continuesInNewFileAfterTemporaryFaultOfAnyOperation(Operation operation) throws IOException {
     for (Errno errno : Errno.values()) {
       for (int run = 0; run < 200; run++) {
         FaultInjectingStorage disk = new FaultInjectingStorage(run, 0);
@@ -242,22 +251,23 @@
         disk.fail(operation, errno, run / 8, 1 + run % 8);
         append(log, 1, 12);
         disk.heal();
-        String when = operation + " " + errno + " run " + run;
+        String context = operation + " " + errno + " run " + run;
         if (run % 2 == 0) {
           disk.powerUp();
         }
-        assertHolds(disk, 12, when);
+        assertHolds(disk, 12, context);
         disk.powerUp();
-        assertHolds(disk, 12, when + ", later");
+        assertHolds(disk, 12, context + ", later");
       }
     }
-    // Removing old files may fail unseen; the others fail wherever a file is written or begun.
+    // A failed deletion of old files is not reported; the other operations fail whenever a file is
+    // written or created.
     assertTrue(
         operation == Operation.DELETE || failures.size() > 20, operation + ": " + failures.size());
   }
 
   @Test
-  void powerMayBeLostAtAnyStepWhileSyncsFail() throws IOException {
+  void survivesPowerLossAtAnyStepWhileSyncsFail() throws IOException {
     for (int step = 0; step < 120; step++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(step, 0);
       RaftLogStore log = open(disk);
@@ -271,13 +281,13 @@
           flushed++;
         }
       } catch (FaultInjectingStorage.PowerLost lost) {
-        assertTrue(flushed < 10, "all was flushed before");
+        assertTrue(flushed < 10, "all entries were flushed before the power loss");
       }
       disk.heal();
       disk.powerUp();
-      RestoredRaftState found = open(disk).restored().orElseThrow();
-      int entries = found.getLogEntries().size();
-      int term = found.getTermPersistentState().getTerm();
+      RestoredRaftState restored = open(disk).restored().orElseThrow();
+      int entries = restored.getLogEntries().size();
+      int term = restored.getTermPersistentState().getTerm();
       assertTrue(
           entries == flushed || entries == flushed + 1, step + ": " + entries + " of " + flushed);
       assertTrue(
@@ -286,7 +296,7 @@
   }
 
   @Test
-  void aWriteThatIsTornAtAnyByteIsRewrittenOrCut() throws IOException {
+  void rewritesOrCutsWriteTornAtAnyByte() throws IOException {
     for (int torn = 0; torn <= 60; torn++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(torn, 0);
       RaftLogStore log = open(disk);
@@ -307,20 +317,20 @@
         assertEquals(
             term,
             open(disk).restored().orElseThrow().getTermPersistentState().getTerm(),
-            "as it was read before");
+            "the term must be the one that was read before");
       }
     }
   }
 
   @Test
-  void aFlippedBitInSyncedDataIsReportedWithFileAndOffset() throws IOException {
+  void reportsFlippedBitInSyncedDataWithFileAndOffset() throws IOException {
     int detected = 0;
     for (int offset = 0; offset < 200; offset += 5) {
       FaultInjectingStorage disk = new FaultInjectingStorage(offset, 0);
       RaftLogStore log = open(disk);
       begin(log);
       for (int i = 1; i <= 5; i++) {
-        // The last is long: the flipped bit lies before it, and so was synced.
+        // The last entry is long, so that the flipped bit is before it, in a batch that was synced.
         log.persistLogEntries(List.of(entry(i, "entry " + "x".repeat(i == 5 ? 500 : 10))));
         log.flush();
       }
@@ -331,18 +341,20 @@
         detected++;
       }
     }
-    assertTrue(detected > 20, "places tried: " + detected);
+    assertTrue(detected > 20, "detected flips: " + detected);
   }
 
-  /** A voter's file as it was written before a log could go on after a fault. */
-  private static final String WRITTEN =
+  /**
+   * The file of a voter as it was written before a log could continue in a new file after a fault.
+   */
+  private static final String RECORDED_FILE =
       "00000002a3bdd4de00000000000000010b01000000096b3c48c400000000000000020b827d00006682610100000016ee32da"
           + "5200000000000000030b82700000000b836600826182620b836600826182620000000911613da800000000000000040b827e"
           + "0000066682620000000ab06ae33800000000000000050b826f00000203827802000000052dba26d600000000000000060b82"
           + "680002";
 
   @Test
-  void filesAreByteForByteAsBefore() throws IOException {
+  void writesFileByteForByteAsRecorded() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(6, 0);
     RaftLogStore log = open(disk);
     begin(log);
@@ -352,17 +364,17 @@
     log.truncateLogEntriesFrom(1);
     log.flush();
     assertEquals(List.of("voter-0000000000000001"), disk.list());
-    assertEquals(WRITTEN, HexFormat.of().formatHex(disk.read(disk.list().get(0))));
+    assertEquals(RECORDED_FILE, HexFormat.of().formatHex(disk.read(disk.list().get(0))));
   }
 
   @Test
-  void bytesOfStrangersAreNoValues() {
+  void rejectsCorruptedAndRandomBytes() {
     Codec codec = LogFormat.codec(List.of());
     SplittableRandom random = new SplittableRandom(5);
-    byte[] good = codec.write(entry(1, "x"));
+    byte[] valid = codec.write(entry(1, "x"));
     int rejected = 0;
     for (int i = 0; i < 5_000; i++) {
-      byte[] bytes = i % 2 == 0 ? good.clone() : new byte[1 + random.nextInt(40)];
+      byte[] bytes = i % 2 == 0 ? valid.clone() : new byte[1 + random.nextInt(40)];
       if (i % 2 == 1) {
         random.nextBytes(bytes);
       } else {
@@ -370,7 +382,7 @@
       }
       try {
         codec.read(bytes, 0, bytes.length);
-      } catch (IOException none) {
+      } catch (IOException malformed) {
         rejected++;
       }
     }
--- a/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
@@ -20,13 +20,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Voters in virtual time whose disks fail for a while. */
+/**
+ * Guards against lost or repeated proposals when the disks of voters fail temporarily; runs in
+ * virtual time.
+ */
 class RaftMemberStorageFaultTest {
-  private static final double HEARTBEAT = 100;
-  private static final double MESSAGE_DELAY = 2;
+  private static final double HEARTBEAT_MILLIS = 100;
+  private static final double MESSAGE_DELAY_MILLIS = 2;
   private static final double TIMEOUT_MILLIS = 1_000_000;
 
-  private record Event(double at, long number, Runnable run) {}
+  private record Event(double at, long number, Runnable task) {}
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
@@ -35,8 +38,8 @@
   private double now;
   private long number;
 
-  private void after(double millis, Runnable run) {
-    events.add(new Event(now + millis, number++, run));
+  private void after(double millis, Runnable task) {
+    events.add(new Event(now + millis, number++, task));
   }
 
   private void run(double millis) {
@@ -44,12 +47,12 @@
     while (!events.isEmpty() && events.peek().at() <= until) {
       Event next = events.remove();
       now = next.at();
-      next.run().run();
+      next.task().run();
     }
     now = until;
   }
 
-  /** A voter, its disk, and the commands that it has applied. */
+  /** A voter with its disk and the commands that it has applied. */
   private final class Member implements ReplicatedStateMachine {
     final FaultInjectingStorage disk;
     final List<Object> applied = new ArrayList<>();
@@ -65,13 +68,14 @@
       raft =
           new RaftMember(
               new RaftMember.Settings(
-                  name, new RaftMember.Group("test", names, names), HEARTBEAT, 1000),
+                  name, new RaftMember.Group("test", names, names), HEARTBEAT_MILLIS, 1000),
               new RaftMember.Persistence(log, log.restored(), Optional.empty()),
               new RaftMember.Environment(() -> now, timers, task -> after(0, task), seed),
               new RaftMember.Messaging(
                   codec,
                   (to, message) ->
-                      after(MESSAGE_DELAY, () -> members.get(to).raft.handle(name, message))),
+                      after(
+                          MESSAGE_DELAY_MILLIS, () -> members.get(to).raft.handle(name, message))),
               this);
       raft.start();
     }
@@ -86,7 +90,7 @@
           TIMEOUT_MILLIS,
           ProposalOutcome.of(
               result -> outcomes.add(command + " done"),
-              why -> outcomes.add(command + " unknown: " + why)));
+              reason -> outcomes.add(command + " unknown: " + reason)));
     }
 
     @Override
@@ -116,14 +120,16 @@
 
   private Member leader() {
     return members.values().stream()
-        .filter(each -> !each.raft.suspended() && members.get(each.raft.view().leader()) == each)
+        .filter(
+            member ->
+                !member.raft.suspended() && members.get(member.raft.view().leader()) == member)
         .findFirst()
         .orElseThrow();
   }
 
   @ParameterizedTest
   @EnumSource(Errno.class)
-  void pendingProposalsAreDoneOnceAfterTheFaultAndNewOnesAreRejectedMeanwhile(Errno errno)
+  void completesPendingProposalsOnceAfterFaultAndRejectsNewOnesMeanwhile(Errno errno)
       throws IOException {
     begin("a");
     Member only = members.get("a");
@@ -136,7 +142,7 @@
     only.propose("rejected");
     run(100);
     assertEquals(List.of("first done", "rejected unknown: " + RaftMember.DISK_FAILS), outcomes);
-    assertEquals(List.of("first"), only.applied, "nothing is applied that is not on disk");
+    assertEquals(List.of("first"), only.applied, "only durable commands are applied");
     run(1_000);
     assertFalse(only.raft.suspended());
     assertEquals(1, only.recoveries);
@@ -155,13 +161,13 @@
             .orElseThrow()
             .getLogEntries()
             .stream()
-            .map(each -> each.getOperation())
+            .map(entry -> entry.getOperation())
             .filter(String.class::isInstance)
             .toList());
   }
 
   @Test
-  void anotherLeadsWhileTheLeadersDiskFailsAndItFollowsWithoutARestart() throws IOException {
+  void anotherMemberLeadsWhileLeadersDiskFailsAndFormerLeaderFollows() throws IOException {
     for (double failing : new double[] {50, 300, 1_000, 20_000}) {
       members.clear();
       events.clear();
@@ -180,12 +186,12 @@
       run(1_000);
       assertEquals("after done", outcomes.get(outcomes.size() - 1));
       assertEquals(outcomes.size(), outcomes.stream().distinct().count(), outcomes.toString());
-      for (Member each : members.values()) {
-        assertEquals(leader().applied, each.applied, "failing for " + failing);
-        assertEquals("after", each.applied.get(each.applied.size() - 1));
+      for (Member member : members.values()) {
+        assertEquals(leader().applied, member.applied, "failing for " + failing);
+        assertEquals("after", member.applied.get(member.applied.size() - 1));
       }
       if (failing > 10_000) {
-        assertFalse(later == first, "another leads");
+        assertFalse(later == first, "another member must lead");
       }
     }
   }
