--- a/codec/src/main/java/ferngrade/codec/Codec.java
+++ b/codec/src/main/java/ferngrade/codec/Codec.java
@@ -13,83 +13,92 @@
 import java.util.List;
 
 /**
- * Bytes of values of a few classes, which members send each other or keep on disk. Only the classes
- * that are named can be read: bytes of strangers make no others. Belongs to one thread.
+ * Converts values of a fixed set of classes to bytes and back, for messages between members and for
+ * stored files. Bytes from an untrusted sender can create only values of the registered classes.
+ * Confined to one thread.
  *
- * <p>The order of the classes in each list is the format: new ones go to the end of theirs.
+ * <p>The order of the classes in each list defines the format: new classes are appended to their
+ * list.
  */
 public final class Codec {
-  private static final int MOST = 16 << 20;
+  private static final int MAX_VALUE_BYTES = 16 << 20;
 
-  /** How many classes a list may come to have. */
-  private static final int ROOM = 100;
+  /** The number of class ids reserved for each list. */
+  private static final int IDS_PER_LIST = 100;
 
-  private static final List<Class<?>> PLAIN =
+  private static final List<Class<?>> BUILT_IN_CLASSES =
       List.of(String.class, ArrayList.class, LinkedHashSet.class);
 
-  private final Kryo kryo = new ListsAlike();
-  private final Output output = new Output(4096, MOST);
+  private final Kryo kryo = new CollectionNormalizingKryo();
+  private final Output output = new Output(4096, MAX_VALUE_BYTES);
 
   /**
-   * A codec for plain lists and sets, texts, and values of these classes, each list of which can
-   * grow by itself.
+   * Creates a codec for lists, sets, strings, and values of these classes. Each list of classes can
+   * grow without changing the ids of the others.
    */
   @SafeVarargs
   public Codec(List<Class<?>>... lists) {
     kryo.setRegistrationRequired(true);
-    kryo.addDefaultSerializer(Collection.class, new Lists());
-    PLAIN.forEach(kryo::register);
+    kryo.addDefaultSerializer(Collection.class, new CollectionReader());
+    BUILT_IN_CLASSES.forEach(kryo::register);
     for (int i = 0; i < lists.length; i++) {
-      int number = (i + 1) * ROOM;
-      for (Class<?> each : lists[i]) {
-        kryo.register(each, number++);
+      int id = (i + 1) * IDS_PER_LIST;
+      for (Class<?> type : lists[i]) {
+        kryo.register(type, id++);
       }
     }
   }
 
-  /** The bytes of a value; one that holds any other class is a fault of the program. */
+  /**
+   * Encodes a value; throws an {@link IllegalArgumentException} if the value contains an
+   * unregistered class.
+   */
   public byte[] write(Object value) {
     output.reset();
     kryo.writeClassAndObject(output, value);
     return output.toBytes();
   }
 
-  /** The value that these bytes are; bytes that are none end in an exception. */
-  public Object read(byte[] bytes, int from, int length) throws IOException {
+  /** Decodes a value; throws an {@link IOException} if the bytes do not encode one. */
+  public Object read(byte[] bytes, int offset, int length) throws IOException {
     try {
-      return kryo.readClassAndObject(new Bounded(bytes, from, length));
+      return kryo.readClassAndObject(new LengthCheckingInput(bytes, offset, length));
     } catch (KryoException
         | IllegalArgumentException
         | IndexOutOfBoundsException
         | NegativeArraySizeException
         | ClassCastException
         | NullPointerException malformed) {
-      throw new IOException("not a value of these classes: " + malformed.getMessage(), malformed);
+      throw new IOException(
+          "not a value of the registered classes: " + malformed.getMessage(), malformed);
     }
   }
 
   /**
-   * A text cannot be longer than what is left to read: one that says so would be given the room
-   * first.
+   * Rejects a string whose declared length exceeds the remaining bytes, before Kryo allocates
+   * memory for that length.
    */
-  private static final class Bounded extends Input {
-    Bounded(byte[] bytes, int from, int length) {
-      super(bytes, from, length);
+  private static final class LengthCheckingInput extends Input {
+    LengthCheckingInput(byte[] bytes, int offset, int length) {
+      super(bytes, offset, length);
     }
 
     @Override
     public String readString() {
-      int at = position();
+      int start = position();
       if (readVarIntFlag() && readVarIntFlag(true) - 1 > limit() - position()) {
-        throw new KryoException("a text is longer than the message");
+        throw new KryoException("a string is longer than the message");
       }
-      setPosition(at);
+      setPosition(start);
       return super.readString();
     }
   }
 
-  /** A list is given the room that its items need, not what a message says. */
-  private static final class Lists extends CollectionSerializer<Collection<Object>> {
+  /**
+   * Creates collections without the declared size, so that memory is allocated only for items that
+   * are present.
+   */
+  private static final class CollectionReader extends CollectionSerializer<Collection<Object>> {
     @Override
     protected Collection<Object> create(
         Kryo kryo, Input input, Class<? extends Collection<Object>> type, int size) {
@@ -97,8 +106,11 @@
     }
   }
 
-  /** Whatever kind of list or set a value holds comes back as one plain kind. */
-  private static final class ListsAlike extends Kryo {
+  /**
+   * Encodes every list as an {@link ArrayList} and every other collection as a {@link
+   * LinkedHashSet}.
+   */
+  private static final class CollectionNormalizingKryo extends Kryo {
     @Override
     @SuppressWarnings({"rawtypes", "unchecked"})
     public Registration getRegistration(Class type) {
--- a/codec/src/test/java/ferngrade/codec/CodecTest.java
+++ b/codec/src/test/java/ferngrade/codec/CodecTest.java
@@ -10,15 +10,18 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Bytes that are values, and bytes that are none. */
+/**
+ * Guards against values that change when encoded and decoded, and against malformed bytes that
+ * cause an unexpected exception.
+ */
 class CodecTest {
-  /** A value. */
-  private record Named(String name, long number, List<String> more) {}
+  /** A value with each kind of component. */
+  private record Named(String name, long number, List<String> items) {}
 
   private final Codec codec = new Codec(List.of(Named.class));
 
   @Test
-  void aValueComesBackAsItWas() throws IOException {
+  void decodesWhatWasEncoded() throws IOException {
     Named value = new Named("a", -3, List.of("x", ""));
     byte[] bytes = codec.write(value);
     assertEquals(value, codec.read(bytes, 0, bytes.length));
@@ -27,11 +30,11 @@
   }
 
   @Property
-  void bytesOfStrangersEndInAnExceptionOrAValue(@ForAll byte[] bytes) {
+  void arbitraryBytesDecodeToValueOrIoException(@ForAll byte[] bytes) {
     try {
       codec.read(bytes, 0, bytes.length);
-    } catch (IOException refused) {
-      assertEquals(IOException.class, refused.getClass());
+    } catch (IOException malformed) {
+      assertEquals(IOException.class, malformed.getClass());
     }
   }
 }
--- a/toml/src/main/java/ferngrade/toml/FileException.java
+++ b/toml/src/main/java/ferngrade/toml/FileException.java
@@ -1,14 +1,14 @@
 package ferngrade.toml;
 
 /**
- * A file that cannot be used; the message is one line that names the file and, where known, the
- * line.
+ * Reports a file that cannot be used. The message is one line that names the file and, if known,
+ * the line number.
  */
 public final class FileException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Says where and what. */
-  public FileException(String where, String what) {
-    super(where + ": " + what);
+  /** Creates an exception with the location and the description of the error. */
+  public FileException(String location, String description) {
+    super(location + ": " + description);
   }
 }
--- a/toml/src/main/java/ferngrade/toml/Section.java
+++ b/toml/src/main/java/ferngrade/toml/Section.java
@@ -18,11 +18,12 @@
 import java.util.regex.Pattern;
 
 /**
- * One table of a TOML file. Each key that is asked for counts as known; {@link #end} finds those
- * that nobody asked for. What is wrong is said with file, line and key.
+ * Reads one table of a TOML file. Each key that is read counts as known; {@link #end} rejects the
+ * others. Error messages name the file, the line and the key.
  */
 public final class Section {
-  private static final Pattern TIME = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*(us|ms|s|min|h)");
+  private static final Pattern DURATION =
+      Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*(us|ms|s|min|h)");
 
   private static final TomlMapper TOML = new TomlMapper();
 
@@ -32,7 +33,10 @@
   private final JsonNode table;
   private final Set<String> known = new HashSet<>();
 
-  /** A table at this path of a file, whose name and lines are for messages alone. */
+  /**
+   * Creates a section for the table at this path; the name and the lines of the file are used only
+   * in error messages.
+   */
   public Section(String file, TomlLines lines, String path, JsonNode table) {
     this.file = file;
     this.lines = lines;
@@ -40,50 +44,50 @@
     this.table = table;
   }
 
-  /** Says that this key of the table cannot be used, and why. */
-  public FileException bad(String key, String what) {
-    String full = path.isEmpty() ? key : path + "." + key;
-    int line = lines.of(full);
-    return new FileException(file + (line > 0 ? ":" + line : ""), full + " " + what);
+  /** Returns an exception that reports why the value of this key cannot be used. */
+  public FileException bad(String key, String problem) {
+    String fullKey = path.isEmpty() ? key : path + "." + key;
+    int line = lines.lineOf(fullKey);
+    return new FileException(file + (line > 0 ? ":" + line : ""), fullKey + " " + problem);
   }
 
-  /** The value as it stands, null if the key is left out. */
+  /** Returns the raw value, or null if the key is absent. */
   public JsonNode get(String key) {
     known.add(key);
     JsonNode value = table.get(key);
     return value == null || value.isNull() ? null : value;
   }
 
-  /** Whether the key is there. */
+  /** Returns whether the key is present. */
   public boolean has(String key) {
     return get(key) != null;
   }
 
-  /** Whether the key is there and a number. */
+  /** Returns whether the key is present with a number. */
   public boolean numeric(String key) {
     JsonNode value = get(key);
     return value != null && value.isNumber();
   }
 
-  /** The text under a key. */
-  public String text(String key, String absent) throws FileException {
+  /** Returns the string under a key, or the default if the key is absent. */
+  public String text(String key, String defaultValue) throws FileException {
     JsonNode value = get(key);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     if (!value.isTextual()) {
-      throw bad(key, "is not a text: " + value);
+      throw bad(key, "is not a string: " + value);
     }
     return value.asText();
   }
 
-  /** The number, 0 or more, under a key. */
-  public double number(String key, double absent) throws FileException {
+  /** Returns the number, 0 or more, under a key, or the default if the key is absent. */
+  public double number(String key, double defaultValue) throws FileException {
     JsonNode value = get(key);
-    return value == null ? absent : number(key, value);
+    return value == null ? defaultValue : number(key, value);
   }
 
-  /** The number, 0 or more, that a value is. */
+  /** Returns a value as a number, 0 or more. */
   public double number(String key, JsonNode value) throws FileException {
     if (!value.isNumber()) {
       throw bad(key, "is not a number: " + value);
@@ -94,19 +98,19 @@
     return value.asDouble();
   }
 
-  /** The time under a key, ms. */
-  public double time(String key, double absent) throws FileException {
+  /** Returns the duration under a key in ms, or the default if the key is absent. */
+  public double time(String key, double defaultValue) throws FileException {
     JsonNode value = get(key);
-    return value == null ? absent : time(key, value);
+    return value == null ? defaultValue : time(key, value);
   }
 
-  /** The time that a value is, ms. */
+  /** Returns a value as a duration in ms. */
   public double time(String key, JsonNode value) throws FileException {
-    Matcher time = TIME.matcher(value.isTextual() ? value.asText() : "");
+    Matcher time = DURATION.matcher(value.isTextual() ? value.asText() : "");
     if (!time.matches()) {
       throw bad(key, "is not a time such as \"250ms\" or \"10s\": " + value);
     }
-    double unit =
+    double unitMillis =
         switch (time.group(2)) {
           case "us" -> 0.001;
           case "ms" -> 1;
@@ -114,18 +118,22 @@
           case "min" -> 60_000;
           default -> 3_600_000;
         };
-    return Double.parseDouble(time.group(1)) * unit;
+    return Double.parseDouble(time.group(1)) * unitMillis;
   }
 
-  /** The constant under a key, in small letters with dashes. */
-  public <E extends Enum<E>> E word(String key, Class<E> type, E absent) throws FileException {
+  /**
+   * Returns the enum constant under a key, which is written in kebab case, or the default if the
+   * key is absent.
+   */
+  public <E extends Enum<E>> E word(String key, Class<E> type, E defaultValue)
+      throws FileException {
     String word = text(key, null);
     if (word == null) {
-      return absent;
+      return defaultValue;
     }
-    for (E each : type.getEnumConstants()) {
-      if (kebab(each.name()).equals(word)) {
-        return each;
+    for (E constant : type.getEnumConstants()) {
+      if (kebab(constant.name()).equals(word)) {
+        return constant;
       }
     }
     throw bad(
@@ -135,73 +143,78 @@
             + "\"; there are "
             + String.join(
                 ", ",
-                Arrays.stream(type.getEnumConstants()).map(each -> kebab(each.name())).toList()));
+                Arrays.stream(type.getEnumConstants())
+                    .map(constant -> kebab(constant.name()))
+                    .toList()));
   }
 
-  /** A constant's name in small letters with dashes. */
+  /** Converts the name of an enum constant to kebab case. */
   public static String kebab(String constant) {
     return constant.toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** The texts of a list, at least one where the key is there. */
-  public List<String> texts(String key, List<String> absent) throws FileException {
+  /**
+   * Returns the non-empty list of non-empty strings under a key, or the default if the key is
+   * absent.
+   */
+  public List<String> texts(String key, List<String> defaultValue) throws FileException {
     JsonNode value = get(key);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     List<String> texts = new ArrayList<>();
-    for (JsonNode each : list(key, value)) {
-      if (!each.isTextual() || each.asText().isEmpty()) {
-        throw bad(key, "holds what is not a text: " + each);
+    for (JsonNode item : nonEmptyList(key, value)) {
+      if (!item.isTextual() || item.asText().isEmpty()) {
+        throw bad(key, "contains an item that is not a non-empty string: " + item);
       }
-      texts.add(each.asText());
+      texts.add(item.asText());
     }
     return texts;
   }
 
-  /** The values of a list, none where the key is left out. */
+  /** Returns the values of a non-empty list, or an empty list if the key is absent. */
   public List<JsonNode> values(String key) throws FileException {
     JsonNode value = get(key);
-    return value == null ? List.of() : list(key, value);
+    return value == null ? List.of() : nonEmptyList(key, value);
   }
 
-  private List<JsonNode> list(String key, JsonNode value) throws FileException {
+  private List<JsonNode> nonEmptyList(String key, JsonNode value) throws FileException {
     if (!value.isArray() || value.isEmpty()) {
-      throw bad(key, "is not a list with something in it: " + value);
+      throw bad(key, "is not a non-empty list: " + value);
     }
     List<JsonNode> items = new ArrayList<>();
     value.forEach(items::add);
     return items;
   }
 
-  /** The table under this key, an empty one if it is left out. */
+  /** Returns the table under a key, or an empty one if the key is absent. */
   public Section section(String key) throws FileException {
     JsonNode value = get(key);
     if (value != null && !value.isObject()) {
       throw bad(key, "is not a table");
     }
-    String inner = path.isEmpty() ? key : path + "." + key;
+    String innerPath = path.isEmpty() ? key : path + "." + key;
     return new Section(
-        file, lines, inner, value == null ? JsonNodeFactory.instance.objectNode() : value);
+        file, lines, innerPath, value == null ? JsonNodeFactory.instance.objectNode() : value);
   }
 
-  /** The tables of a list of tables, none if it is left out. */
+  /** Returns the tables of a list, or an empty list if the key is absent. */
   public List<Section> sections(String key) throws FileException {
     JsonNode value = get(key);
     List<Section> sections = new ArrayList<>();
     if (value != null) {
-      String inner = path.isEmpty() ? key : path + "." + key;
-      for (JsonNode each : list(key, value)) {
-        if (!each.isObject()) {
-          throw bad(key, "holds what is not a table");
+      String innerPath = path.isEmpty() ? key : path + "." + key;
+      for (JsonNode item : nonEmptyList(key, value)) {
+        if (!item.isObject()) {
+          throw bad(key, "contains an item that is not a table");
         }
-        sections.add(new Section(file, lines, inner + "[" + sections.size() + "]", each));
+        sections.add(new Section(file, lines, innerPath + "[" + sections.size() + "]", item));
       }
     }
     return sections;
   }
 
-  /** All keys, which count as known from here on. */
+  /** Returns all keys of the table and marks them as known. */
   public List<String> keys() {
     List<String> keys = new ArrayList<>();
     for (Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
@@ -212,13 +225,13 @@
     return keys;
   }
 
-  /** The table at the top of a file. */
+  /** Reads the root table of a file. */
   public static Section file(Path path) throws FileException {
     String text = text(path);
     return new Section(path.toString(), new TomlLines(text), "", parse(path.toString(), text));
   }
 
-  /** What a file says. */
+  /** Reads the content of a file. */
   public static String text(Path path) throws FileException {
     try {
       return Files.readString(path);
@@ -227,7 +240,7 @@
     }
   }
 
-  /** The tree of a text; {@code file} is its name in messages. */
+  /** Parses a text; {@code file} is the file name for error messages. */
   public static JsonNode parse(String file, String text) throws FileException {
     try {
       return TOML.readTree(text);
@@ -239,7 +252,7 @@
     }
   }
 
-  /** Ends the reading: what nobody has asked for is unknown. */
+  /** Finishes reading: throws an exception if the table has a key that was not read. */
   public void end() throws FileException {
     for (Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
       String name = names.next();
--- a/toml/src/main/java/ferngrade/toml/TomlLines.java
+++ b/toml/src/main/java/ferngrade/toml/TomlLines.java
@@ -6,9 +6,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Where each key of a TOML file stands, so that a message can name the line. The parser keeps no
- * places; this reads nothing but headers and the beginnings of lines, and what it does not
- * recognise has no line.
+ * Maps the keys of a TOML file to their line numbers, for error messages. The parser does not keep
+ * the positions of keys. This class examines only table headers and the beginnings of lines; keys
+ * in other places have no line number.
  */
 public final class TomlLines {
   private static final Pattern HEADER =
@@ -18,13 +18,13 @@
 
   private final Map<String, Integer> lines = new HashMap<>();
 
-  /** Reads where the keys of this text stand. */
+  /** Collects the line numbers of the keys in a text. */
   public TomlLines(String text) {
     Map<String, Integer> counts = new HashMap<>();
     String table = "";
-    int number = 0;
+    int lineNumber = 0;
     for (String line : text.split("\n", -1)) {
-      number++;
+      lineNumber++;
       Matcher header = HEADER.matcher(line);
       Matcher key = KEY.matcher(line);
       if (header.matches()) {
@@ -33,28 +33,29 @@
           int index = counts.merge(table, 1, Integer::sum) - 1;
           table += "[" + index + "]";
         }
-        lines.putIfAbsent(table, number);
+        lines.putIfAbsent(table, lineNumber);
         table += ".";
       } else if (key.matches()) {
         String name = key.group(1);
         boolean quoted = name.charAt(0) == '"' || name.charAt(0) == '\'';
-        lines.putIfAbsent(table + (quoted ? name.substring(1, name.length() - 1) : name), number);
+        lines.putIfAbsent(
+            table + (quoted ? name.substring(1, name.length() - 1) : name), lineNumber);
       }
     }
   }
 
   /**
-   * The line of a path such as {@code fleet.kind[1].speed}, of the table that holds it, or 0 if
-   * unknown.
+   * Returns the line number of a path such as {@code fleet.kind[1].speed}, or that of the closest
+   * enclosing table, or 0 if both are unknown.
    */
-  public int of(String path) {
-    String at = path;
-    while (!at.isEmpty()) {
-      Integer line = lines.get(at);
+  public int lineOf(String path) {
+    String prefix = path;
+    while (!prefix.isEmpty()) {
+      Integer line = lines.get(prefix);
       if (line != null) {
         return line;
       }
-      at = at.substring(0, Math.max(0, at.lastIndexOf('.')));
+      prefix = prefix.substring(0, Math.max(0, prefix.lastIndexOf('.')));
     }
     return 0;
   }
