--- a/codec/src/test/java/ferngrade/codec/CodecTest.java
+++ b/codec/src/test/java/ferngrade/codec/CodecTest.java
@@ -15,7 +15,7 @@
  * cause an unexpected exception.
  */
 class CodecTest {
-  /** A value with each kind of component. */
+  /** A value with a string, a number and a list. */
   private record Named(String name, long number, List<String> items) {}
 
   private final Codec codec = new Codec(List.of(Named.class));
--- a/consensus/src/main/java/ferngrade/consensus/ElectionMonitor.java
+++ b/consensus/src/main/java/ferngrade/consensus/ElectionMonitor.java
@@ -15,8 +15,8 @@
  */
 final class ElectionMonitor {
   /**
-   * The maximum random extension of a timeout, as a multiple of the timeout: initially, and after
-   * repeated elections.
+   * The maximum random extension of a timeout as a multiple of the timeout: for the first election,
+   * and after repeated elections.
    */
   private static final double FIRST_EXTENSION = 2;
 
--- a/consensus/src/main/java/ferngrade/consensus/GroupMembership.java
+++ b/consensus/src/main/java/ferngrade/consensus/GroupMembership.java
@@ -35,9 +35,9 @@
 
   /**
    * Admits an endpoint, one step per request. First the previous endpoint of its member is removed,
-   * because the member has lost the votes that it cast. Then the new endpoint is added as a
-   * learner, and then promoted. Each step is one membership change that a majority has to commit.
-   * Called on the leader.
+   * because the member has lost the record of the votes that it cast. Then the new endpoint is
+   * added as a learner, and then promoted. Each step is one membership change that a majority has
+   * to commit. Called on the leader.
    */
   void admit(RaftMemberId endpoint) {
     RaftGroupMembers committed = node.getCommittedMembers();
--- a/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
+++ b/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
@@ -3,15 +3,15 @@
 import java.util.OptionalLong;
 
 /**
- * Distributes the endpoint list of the workers from one member to all others, so that discovery is
- * watched only once. The owner of a shard watches discovery and sends each line to the other
+ * Distributes the endpoint list of the workers from one member to all others, so that only one
+ * member watches discovery. The owner of a shard watches discovery and sends each line to the other
  * members, numbered under its epoch. A member that has missed a line requests the whole list. A
- * member that has received nothing from an owner for the owner timeout watches discovery itself
+ * member that receives nothing from an owner within the owner timeout watches discovery itself
  * until it receives lines from an owner again. So no member is without a current list for longer
- * than that, whoever owns the shard.
+ * than that timeout, regardless of who owns the shard.
  *
- * <p>Lines with an older epoch than the newest one seen are dropped: an owner that resumes after a
- * long pause cannot spread its outdated list.
+ * <p>Lines with an older epoch than the newest one received are dropped: an owner that resumes
+ * after a long pause cannot spread its outdated list.
  *
  * <p>Reads no clock; confined to the member's thread. Times are ms of its monotonic clock.
  */
--- a/lease/src/test/java/ferngrade/lease/EndpointListRelayTest.java
+++ b/lease/src/test/java/ferngrade/lease/EndpointListRelayTest.java
@@ -120,6 +120,7 @@
     relay.told(200, "whole anew");
     assertEquals(new Fed(7, 2, "whole anew", 0), sent.get(1));
     relay.look(300, NOT_HELD);
-    assertTrue(relay.watching(), "until another owner sends something");
+    assertTrue(
+        relay.watching(), "the member must watch discovery until another owner sends something");
   }
 }
--- a/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
@@ -13,9 +13,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Guards against effects of wall clock steps while members hold leases: due times follow the wall
- * clock, each is run at most once and several are never run together, and no lease depends on the
- * wall clock.
+ * Guards against effects of wall clock steps while members hold leases: each due time is run at
+ * most once, a step causes no burst of runs, and no lease depends on the wall clock.
  */
 class LeasesAcrossClockStepsTest {
   private static final long MINUTE = 60_000;
--- a/lease/src/test/java/ferngrade/lease/RecurringScheduleTest.java
+++ b/lease/src/test/java/ferngrade/lease/RecurringScheduleTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against recurring jobs that are run twice or left out after outages, owner changes and
- * clock steps, and against effects of outdated owners.
+ * Guards against recurring jobs that are run twice or skipped wrongly after outages, owner changes
+ * and clock steps, and against effects of outdated owners.
  */
 class RecurringScheduleTest {
   private static final long HOUR = 3_600_000;
--- a/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
+++ b/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
@@ -1,7 +1,7 @@
 package ferngrade.membership;
 
 /**
- * A statement of one member about the status of a member, itself or another.
+ * The status of a member, as stated by that member itself or by another member.
  *
  * @param name the member's name
  * @param address where the member receives datagrams, as {@code host:port}
--- a/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
+++ b/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
@@ -32,7 +32,7 @@
   private static final int MAX_ENDPOINTS = 20_000;
   private static final int MAX_RETAINED_BYTES = 4_096;
 
-  /** The number of bytes that a sealed message is longer than its content. */
+  /** The overhead of a sealed message over its content, bytes. */
   public static final int BYTES = HEADER_BYTES + TAG_BYTES;
 
   private final byte[] fleet;
@@ -63,7 +63,7 @@
     GREETED,
     /** The message has no tag of this fleet under an accepted key. */
     FORGED,
-    /** The message was received before, or is too old to decide this. */
+    /** The message was received before, or is so old that this cannot be decided. */
     REPLAYED
   }
 
--- a/membership/src/main/java/ferngrade/membership/SwimProtocol.java
+++ b/membership/src/main/java/ferngrade/membership/SwimProtocol.java
@@ -71,7 +71,7 @@
   private List<String> probeOrder = new ArrayList<>();
   private MembershipUpdate self;
   private double now;
-  private long lastNumber;
+  private long lastPingNumber;
   private long nextTaskSequence;
   private int health;
   private boolean left;
@@ -122,7 +122,7 @@
 
   /**
    * The state of a probe: its target, the number of helpers that were asked to ping the target, and
-   * the number of helpers that have reported no answer.
+   * the number of helpers that have sent a negative acknowledgement.
    */
   private static final class Probe {
     final MembershipUpdate target;
@@ -175,7 +175,7 @@
     }
   }
 
-  /** Returns the time of the next task, infinite if there is none. */
+  /** Returns the time of the next task, or infinity if there is none. */
   public double next() {
     return tasks.isEmpty() ? Double.POSITIVE_INFINITY : tasks.peek().at();
   }
@@ -281,20 +281,20 @@
       return;
     }
     Probe probe = new Probe(target);
-    long sent = ++lastNumber;
-    probes.put(sent, probe);
+    long pingNumber = ++lastPingNumber;
+    probes.put(pingNumber, probe);
     double timeout = terms.ackTimeout() * healthFactor;
     for (int i = 0; i < PINGS_PER_PROBE; i++) {
       schedule(
           timeout * i / PINGS_PER_PROBE,
           () -> {
             if (!probe.answered) {
-              send(target, new Ping(sent));
+              send(target, new Ping(pingNumber));
             }
           });
     }
-    schedule(timeout, () -> askHelpers(probe, sent));
-    schedule(terms.probePeriod() * healthFactor - 1e-3, () -> finishProbe(probe, sent));
+    schedule(timeout, () -> askHelpers(probe, pingNumber));
+    schedule(terms.probePeriod() * healthFactor - 1e-3, () -> finishProbe(probe, pingNumber));
   }
 
   private MembershipUpdate nextProbeTarget() {
@@ -313,7 +313,7 @@
     }
   }
 
-  private void askHelpers(Probe probe, long sent) {
+  private void askHelpers(Probe probe, long pingNumber) {
     if (probe.answered) {
       return;
     }
@@ -322,19 +322,19 @@
       Peer helper = candidates.remove(random.nextInt(candidates.size()));
       if (helper.standing() == MemberStatus.ALIVE) {
         probe.helpers++;
-        send(helper.news(), new PingFor(sent, probe.target.name(), probe.target.address()));
+        send(helper.news(), new PingFor(pingNumber, probe.target.name(), probe.target.address()));
       }
     }
   }
 
-  private void finishProbe(Probe probe, long sent) {
-    probes.remove(sent);
+  private void finishProbe(Probe probe, long pingNumber) {
+    probes.remove(pingNumber);
     if (probe.answered) {
       adjustHealth(-1);
       return;
     }
-    // Helpers that send no negative acknowledgement either indicate that this member itself does
-    // not receive messages.
+    // If the helpers do not send negative acknowledgements either, this member itself does not
+    // receive messages.
     adjustHealth(probe.helpers == 0 ? 1 : probe.helpers - probe.nacks);
     Peer peer = peers.get(probe.target.name());
     if (peer != null && peer.present()) {
@@ -347,25 +347,25 @@
   }
 
   private void relayPing(MembershipUpdate from, PingFor request) {
-    long sent = ++lastNumber;
-    relayedPings.put(sent, new RelayedPing(from, request.number()));
+    long pingNumber = ++lastPingNumber;
+    relayedPings.put(pingNumber, new RelayedPing(from, request.number()));
     double timeout = terms.ackTimeout();
-    sendTo(request.address(), request.name(), new Ping(sent));
+    sendTo(request.address(), request.name(), new Ping(pingNumber));
     schedule(
         timeout / 2,
         () -> {
-          if (relayedPings.containsKey(sent)) {
-            sendTo(request.address(), request.name(), new Ping(sent));
+          if (relayedPings.containsKey(pingNumber)) {
+            sendTo(request.address(), request.name(), new Ping(pingNumber));
           }
         });
     schedule(
         NACK_TIMEOUT_FRACTION * timeout,
         () -> {
-          if (relayedPings.containsKey(sent)) {
+          if (relayedPings.containsKey(pingNumber)) {
             send(from, new Nack(request.number()));
           }
         });
-    schedule(2 * timeout, () -> relayedPings.remove(sent));
+    schedule(2 * timeout, () -> relayedPings.remove(pingNumber));
   }
 
   // ---- Receiving ----
@@ -409,12 +409,12 @@
     }
   }
 
-  private void handleAck(long answered) {
-    Probe probe = probes.get(answered);
+  private void handleAck(long pingNumber) {
+    Probe probe = probes.get(pingNumber);
     if (probe != null) {
       probe.answered = true;
     }
-    RelayedPing forwarded = relayedPings.remove(answered);
+    RelayedPing forwarded = relayedPings.remove(pingNumber);
     if (forwarded != null) {
       send(forwarded.requester(), new Ack(forwarded.number()));
     }
--- a/membership/src/test/java/ferngrade/membership/SwimProtocolTest.java
+++ b/membership/src/test/java/ferngrade/membership/SwimProtocolTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Guards against wrong member states. Each test drives one member's protocol letter by letter. */
+/** Guards against wrong states of members. Each test passes individual letters to one member. */
 class SwimProtocolTest {
   private final List<Letter> sent = new ArrayList<>();
   private final List<String> recipients = new ArrayList<>();
