--- a/jobstore/src/main/java/ferngrade/jobstore/BackgroundCompactor.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/BackgroundCompactor.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * Replaces closed logs by a snapshot on a thread of its own, beside the commits. {@link
+ * Replaces closed logs by a snapshot on a separate thread, concurrently with commits. {@link
  * #compactBelow} and {@link #join} are called by one thread at a time.
  */
 final class BackgroundCompactor {
@@ -18,8 +18,8 @@
   }
 
   /**
-   * Starts a compaction of the logs below this number, which must be closed, unless one is running
-   * or there is none to compact.
+   * Starts a compaction of the logs with numbers below {@code logNumber}, which must be closed.
+   * Does nothing if a compaction is running or there is no log to compact.
    */
   void compactBelow(long logNumber) {
     boolean busy = running.isPresent() && running.get().isAlive();
@@ -37,7 +37,7 @@
     try {
       LogCompactor.compact(storage, logNumber);
     } catch (IOException failed) {
-      // The logs stay and are read at the next start, which reports what is wrong with them.
+      // The logs are kept and read at the next start, which reports any damage.
       failure = Optional.of(failed);
     }
   }
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Why a compaction failed; any thread may ask. */
+  /** Returns the failure of the last failed compaction. Any thread. */
   Optional<IOException> failure() {
     return failure;
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/CorruptLogException.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/CorruptLogException.java
@@ -2,14 +2,14 @@
 
 import java.io.IOException;
 
-/** Thrown if synced data of a store is not what was written. It names the file and the offset. */
+/** Thrown if synced data of a store is damaged. The message names the file and the offset. */
 public final class CorruptLogException extends IOException {
   private static final long serialVersionUID = 1L;
 
   private final String file;
   private final long offset;
 
-  /** Describes the damage at an offset of a file. */
+  /** Creates an exception for damage at an offset of a file. */
   public CorruptLogException(String file, long offset, String description) {
     super(file + ": offset " + offset + ": " + description);
     this.file = file;
@@ -21,7 +21,7 @@
     return file;
   }
 
-  /** The offset in that file, in bytes. */
+  /** The offset of the damage in the file, bytes. */
   public long offset() {
     return offset;
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -8,18 +8,18 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory for tests, which loses power after so many writes, syncs and changes of
- * names. What was not synced may then be there, be gone, be torn, or be there with what was written
- * before it gone; names that were not synced may be as they were. A share of the syncs can be made
- * to return without an effect.
+ * Simulates a directory in memory for tests. It loses power after a set number of steps; each
+ * write, sync and change of names is a step. After a power loss an unsynced write may be complete,
+ * missing or torn, or may be present although an earlier write is missing; unsynced name changes
+ * may be undone. A set fraction of the syncs return without any effect.
  *
- * <p>Operations also fail as scheduled with {@link #fail}. A file whose sync has failed is read as
- * it was written, and no later sync of it makes anything durable, though it returns: so does a
- * kernel that drops the pages it could not write. The same holds for names that were changed before
- * a failed sync of the directory.
+ * <p>Operations also fail as scheduled with {@link #fail}. After a failed sync, a file is still
+ * read as it was written, and later syncs of it succeed but make nothing durable, like a kernel
+ * that drops the pages it could not write. The same holds for names changed before a failed sync of
+ * the directory.
  */
 public final class FaultInjectingStorage implements Storage {
-  /** Thrown by the operation at which power is lost. */
+  /** Thrown by the operation during which power is lost. */
   public static final class PowerLost extends IOException {
     private static final long serialVersionUID = 1L;
   }
@@ -73,8 +73,8 @@
   }
 
   /**
-   * A write that fails as scheduled writes half of its bytes, unless {@link #tearWritesAt} was
-   * called.
+   * The value of {@link #tornWrite} with which a scheduled write failure writes half of the bytes.
+   * It applies unless {@link #tearWritesAt} was called.
    */
   private static final int HALF = -1;
 
@@ -83,7 +83,7 @@
   private final Map<String, InMemoryFile> names = new TreeMap<>();
   private Map<String, InMemoryFile> syncedNames = new TreeMap<>();
 
-  /** Names as they were changed before a sync of them failed. */
+  /** Changed names that no sync can make durable, because a sync of the directory has failed. */
   private final Map<String, InMemoryFile> unsyncableNames = new TreeMap<>();
 
   private final FaultSchedule schedule = new FaultSchedule();
@@ -93,48 +93,52 @@
   private boolean full;
   private int skippedSyncs;
 
-  /** Creates an empty directory, of whose syncs this share does nothing. */
+  /**
+   * Creates an empty directory; {@code skippedSyncRate} is the fraction of syncs without effect.
+   */
   public FaultInjectingStorage(long seed, double skippedSyncRate) {
     this.random = new SplittableRandom(seed);
     this.skippedSyncRate = skippedSyncRate;
     this.stepsUntilPowerLoss = Long.MAX_VALUE;
   }
 
-  /** Loses power in the step after so many more. */
+  /** Loses power in the step after the next {@code steps} steps. */
   public void losePowerAfter(long steps) {
     stepsUntilPowerLoss = steps;
   }
 
-  /** Whether from here on every write fails because the disk is full, half of it written. */
+  /** Sets whether the disk is full: if so, every write fails after half of its bytes. */
   public void fill(boolean nowFull) {
     full = nowFull;
   }
 
-  /** Of this kind, {@code succeeding} more operations succeed, and then {@code failing} fail. */
+  /**
+   * Lets the next {@code succeeding} operations succeed and the {@code failing} after them fail.
+   */
   public synchronized void fail(Operation operation, Errno errno, long succeeding, long failing) {
     schedule.schedule(operation, errno, succeeding, failing);
   }
 
-  /** Ends all faults that were scheduled, and a full disk. */
+  /** Clears all scheduled faults and frees a full disk. */
   public synchronized void heal() {
     schedule.clear();
     full = false;
   }
 
   /**
-   * Of a write that fails as scheduled, this many bytes are written; half of it if this is never
-   * called.
+   * Sets the number of bytes that a write writes before its scheduled failure; half of the bytes by
+   * default.
    */
   public synchronized void tearWritesAt(int bytes) {
     tornWrite = bytes;
   }
 
-  /** The writes, syncs and changes of names so far. */
+  /** The number of writes, syncs and changes of names so far. */
   public long steps() {
     return steps;
   }
 
-  /** The syncs that did nothing. */
+  /** The number of syncs without effect. */
   public int skippedSyncs() {
     return skippedSyncs;
   }
@@ -158,11 +162,11 @@
     }
   }
 
-  /** Power is back: draws what is left of what was not durable. */
+  /** Restores power: a random part of the data that was not durable survives. */
   public synchronized void powerUp() {
     stepsUntilPowerLoss = Long.MAX_VALUE;
     Map<String, InMemoryFile> found = new TreeMap<>(syncedNames);
-    // Each change of names since the last sync of them is durable or not.
+    // Each name change since the last sync of the directory survives or is undone at random.
     for (String name : names.keySet()) {
       if (syncedNames.get(name) != names.get(name) && random.nextBoolean()) {
         found.put(name, names.get(name));
@@ -176,12 +180,12 @@
     names.values().forEach(file -> file.losePower(random));
   }
 
-  /** The process was killed and is started again: the system still has all that was written. */
+  /** Restarts the process after a kill: the operating system still has all written data. */
   public synchronized void restartProcess() {
     stepsUntilPowerLoss = Long.MAX_VALUE;
   }
 
-  /** Flips one random bit of a synced byte; false if there is no such byte. */
+  /** Flips a random bit of the synced byte at an offset; returns false if there is none. */
   public boolean flip(String name, int offset) {
     return names.get(name).flipBit(offset, random);
   }
@@ -201,7 +205,7 @@
     attempt(Operation.CREATE);
     InMemoryFile file = new InMemoryFile();
     if (names.putIfAbsent(name, file) != null) {
-      throw new IOException("exists: " + name);
+      throw new IOException("file already exists: " + name);
     }
     return new Appender() {
       @Override
@@ -230,7 +234,7 @@
       step();
       throw fault.get();
     }
-    // Power may be lost after the write.
+    // The step comes last, since power may also be lost after the write.
     file.append(bytes, length);
     step();
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultSchedule.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultSchedule.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Which operations of each kind fail: after so many that succeed, so many. */
+/** Schedules disk faults: per operation, the number that succeed and then the number that fail. */
 final class FaultSchedule {
   private static final class Faults {
     private final Errno errno;
@@ -31,7 +31,9 @@
 
   private final Map<Operation, Faults> faults = new EnumMap<>(Operation.class);
 
-  /** Of this kind, {@code succeeding} more operations succeed, and then {@code failing} fail. */
+  /**
+   * Lets the next {@code succeeding} operations succeed and the {@code failing} after them fail.
+   */
   void schedule(Operation operation, Errno errno, long succeeding, long failing) {
     faults.put(operation, new Faults(errno, succeeding, failing));
   }
@@ -40,10 +42,10 @@
     faults.clear();
   }
 
-  /** Counts an operation and returns its fault if it fails. */
+  /** Counts an operation and returns its fault, if one is scheduled. */
   Optional<DiskFault> next(Operation operation) {
     return Optional.ofNullable(faults.get(operation))
         .filter(Faults::nextFails)
-        .map(each -> new DiskFault(operation, each.errno));
+        .map(scheduled -> new DiskFault(operation, scheduled.errno));
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/FileSystemStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FileSystemStorage.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** A directory of a file system. Opened for writing, it is locked for this process alone. */
+/** Stores files in a directory, which is locked exclusively while it is open for writing. */
 public final class FileSystemStorage implements Storage, AutoCloseable {
   private static final String LOCK = "lock";
 
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Opens a directory for writing, which is created if it is missing.
+   * Opens a directory for writing and creates it if it does not exist.
    *
-   * @throws IOException if it is open for writing in this or another process
+   * @throws IOException if the directory is already open for writing in this or another process
    */
   public static FileSystemStorage openExclusive(Path folder) throws IOException {
     Files.createDirectories(folder);
@@ -47,10 +47,10 @@
     return new FileSystemStorage(folder, Optional.of(channel));
   }
 
-  /** Opens a directory for reading, also one that another process writes. */
+  /** Opens a directory for reading, even while another process has it open for writing. */
   public static FileSystemStorage openReadOnly(Path folder) throws IOException {
     if (!Files.isDirectory(folder)) {
-      throw new IOException(folder + " is no folder");
+      throw new IOException(folder + " is not a directory");
     }
     return new FileSystemStorage(folder, Optional.empty());
   }
@@ -87,7 +87,7 @@
 
       @Override
       public void sync() throws IOException {
-        // Without the metadata that no read needs: fdatasync.
+        // Like fdatasync: metadata that is not needed to read the file is not synced.
         channel.force(false);
       }
 
@@ -110,8 +110,8 @@
 
   @Override
   public void syncNames() throws IOException {
-    try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-      names.force(true);
+    try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+      directory.force(true);
     }
   }
 
--- a/jobstore/src/main/java/ferngrade/jobstore/GroupCommitWriter.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/GroupCommitWriter.java
@@ -10,20 +10,20 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The thread that writes changes to the log. Whatever waits when a sync returns goes into the next
- * batch, so many changes share a sync under load, and a single one waits for its own alone (group
- * commit). A batch that could not be written is written again after each {@link #retry}.
+ * Writes changes to the log on a dedicated thread with group commit: all changes queued when a sync
+ * returns form the next batch. Under load many changes share a sync, and a single change waits for
+ * one sync only. A batch whose write failed is written again after each {@link #retry}.
  */
 final class GroupCommitWriter {
-  /** Changes in a batch at most, so that its buffer stays bounded. */
+  /** The maximum number of changes in a batch, which bounds the buffer. */
   private static final int MAX_BATCH_CHANGES = 8192;
 
-  /** Notified on the writer's thread. */
+  /** Receives the results of writes on the writer's thread. */
   interface Listener {
-    /** These are durable; the list may be empty. */
+    /** Reports that the changes are durable; the list may be empty. */
     void stored(List<PendingChange> changes);
 
-    /** A write has failed; the next attempt waits for {@link GroupCommitWriter#retry}. */
+    /** Reports a failed write; the next attempt waits for {@link GroupCommitWriter#retry}. */
     void failed(IOException failure);
   }
 
@@ -36,7 +36,7 @@
   private final Thread thread = new Thread(this::run, "store");
   private volatile boolean closing;
 
-  /** Why the last attempt before the end failed. */
+  /** The failure of the last attempt after {@link #close}, if changes were not stored. */
   private volatile Optional<IOException> unstored = Optional.empty();
 
   GroupCommitWriter(WriteAheadLog log, BackgroundCompactor compactor, Listener listener) {
@@ -50,17 +50,17 @@
     thread.start();
   }
 
-  /** Hands over a change to be stored; any thread. */
+  /** Queues a change to be stored. Any thread. */
   void submit(PendingChange change) {
     queue.add(change);
   }
 
-  /** Has a failed batch written again; any thread. */
+  /** Permits another attempt to write a failed batch. Any thread. */
   void retry() {
     retries.release();
   }
 
-  /** The batches made durable so far; any thread. */
+  /** The number of batches made durable so far. Any thread. */
   long syncs() {
     return syncs.get();
   }
@@ -88,11 +88,14 @@
 
   private static List<LogRecord> recordsOf(List<PendingChange> batch) {
     List<LogRecord> records = new ArrayList<>();
-    batch.forEach(each -> records.addAll(each.records()));
+    batch.forEach(change -> records.addAll(change.records()));
     return records;
   }
 
-  /** Tries until these are durable; false if the last attempt after {@link #close} failed too. */
+  /**
+   * Retries until the records are durable. Returns false if the last attempt after {@link #close}
+   * failed too.
+   */
   private boolean persist(List<LogRecord> records) throws InterruptedException {
     boolean lastAttempt = false;
     while (!records.isEmpty()) {
@@ -115,9 +118,10 @@
   }
 
   /**
-   * Stores what was submitted, waits for the threads and closes the log.
+   * Stores all submitted changes, waits for the threads to end and closes the log.
    *
-   * @throws IOException if some changes could not be stored; a recovery may find them or not
+   * @throws IOException if some changes could not be stored; it is unknown whether a recovery finds
+   *     them
    */
   void close() throws IOException {
     closing = true;
@@ -131,7 +135,7 @@
     }
     log.close();
     if (unstored.isPresent()) {
-      throw new IOException("changes on their way were not stored", unstored.get());
+      throw new IOException("pending changes were not stored", unstored.get());
     }
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/InMemoryFile.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/InMemoryFile.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A file of a {@link FaultInjectingStorage}: what was synced, and what was written since. */
+/** A file of a {@link FaultInjectingStorage} with its synced content and its unsynced writes. */
 final class InMemoryFile {
   private boolean syncFailed;
   private byte[] synced = new byte[0];
   private final List<byte[]> unsynced = new ArrayList<>();
 
-  /** The content as the process that wrote it reads it. */
+  /** Returns the content with all unsynced writes, as a read before a power loss returns it. */
   byte[] content() {
-    int length = synced.length + unsynced.stream().mapToInt(each -> each.length).sum();
+    int length = synced.length + unsynced.stream().mapToInt(write -> write.length).sum();
     byte[] content = Arrays.copyOf(synced, length);
-    int at = synced.length;
-    for (byte[] each : unsynced) {
-      System.arraycopy(each, 0, content, at, each.length);
-      at += each.length;
+    int offset = synced.length;
+    for (byte[] write : unsynced) {
+      System.arraycopy(write, 0, content, offset, write.length);
+      offset += write.length;
     }
     return content;
   }
@@ -35,32 +35,32 @@
     }
   }
 
-  /** From here on no sync makes anything durable. */
+  /** Lets all later syncs succeed without making anything durable. */
   void failSync() {
     syncFailed = true;
   }
 
-  /** Draws what is left of the unsynced part after a loss of power. */
+  /** Simulates a power loss: keeps a random part of the unsynced writes. */
   void losePower(SplittableRandom random) {
-    int kind = random.nextInt(4);
+    int outcome = random.nextInt(4);
     byte[] content = content();
     if (content.length > synced.length) {
-      content = afterPowerLoss(kind, content, random);
+      content = afterPowerLoss(outcome, content, random);
     }
     synced = content;
     unsynced.clear();
     syncFailed = false;
   }
 
-  private byte[] afterPowerLoss(int kind, byte[] content, SplittableRandom random) {
+  private byte[] afterPowerLoss(int outcome, byte[] content, SplittableRandom random) {
     int lengthUnsynced = content.length - synced.length;
-    switch (kind) {
+    switch (outcome) {
       case 0:
         return synced;
       case 1:
         return Arrays.copyOf(content, synced.length + random.nextInt(lengthUnsynced + 1));
       case 2:
-        // The length is durable, and a page is not: zeros, followed by what was written later.
+        // The length is durable but a page is not: zeros, followed by later writes.
         int from = synced.length + random.nextInt(lengthUnsynced);
         int until = from + random.nextInt(content.length - from) + 1;
         Arrays.fill(content, from, until, (byte) 0);
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Flips one random bit of a synced byte; false if there is no such byte. */
+  /** Flips a random bit of the synced byte at an offset; returns false if there is none. */
   boolean flipBit(int offset, SplittableRandom random) {
     if (offset >= synced.length) {
       return false;
--- a/jobstore/src/main/java/ferngrade/jobstore/Job.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Job.java
@@ -9,9 +9,9 @@
  */
 public final class Job {
   /**
-   * The first lease that may have led to a run and has not been given back unstarted.
+   * The earliest lease that may have led to a run and was not returned unstarted.
    *
-   * @param sinceMillis when that lease was granted, ms since 1970
+   * @param sinceMillis the time at which the lease was granted, ms since 1970
    * @param token the fencing token of that lease
    */
   record PossibleRun(double sinceMillis, long token) {}
@@ -23,13 +23,14 @@
   int leases;
 
   /**
-   * When the lease or the doubt expires, by the monotonic clock of this process, so never stored.
+   * The time of the monotonic clock at which the lease or the doubt expires. It is not stored, as
+   * the clock is valid in this process only.
    */
   double expiresAtMonotonic = Double.POSITIVE_INFINITY;
 
   double notBeforeMillis = Double.NEGATIVE_INFINITY;
 
-  /** When the last lease was granted; meaningless before the first. */
+  /** The time at which the last lease was granted; undefined before the first lease. */
   double leasedAtMillis;
 
   Optional<PossibleRun> possibleRun = Optional.empty();
@@ -41,12 +42,12 @@
     this.leases = accepted.attempts();
   }
 
-  /** The identifier that its client gave it. */
+  /** The identifier chosen by the client. */
   public String id() {
     return accepted.id();
   }
 
-  /** Whether it may be run again. */
+  /** Whether the job may run again. */
   public Idempotency idempotency() {
     return accepted.idempotency();
   }
@@ -55,52 +56,54 @@
     return accepted;
   }
 
-  /** A copy of the request for the worker. */
+  /** Returns a copy of the request for the worker. */
   public byte[] payload() {
     return accepted.payload().clone();
   }
 
-  /** The present state. */
+  /** The current state. */
   public JobState state() {
     return state;
   }
 
-  /** The worker of its last lease; empty before the first. */
+  /** The worker of the last lease; empty before the first lease. */
   public String worker() {
     return worker;
   }
 
-  /** The fencing token of its last lease; 0 before the first. */
+  /** The fencing token of the last lease; 0 before the first lease. */
   public long token() {
     return token;
   }
 
-  /** How many leases it has had. */
+  /** The number of leases granted so far. */
   public int leases() {
     return leases;
   }
 
-  /** The time before which it is not to be leased, ms since 1970. */
+  /** The time before which the job must not be leased, ms since 1970. */
   public double notBeforeMillis() {
     return notBeforeMillis;
   }
 
-  /** Its result, or the reason why it failed; empty before its end. */
+  /** The result, or the reason of the failure; empty until the job has ended. */
   public String result() {
     return result;
   }
 
-  /** When it ended, ms since 1970; 0 before its end. */
+  /** The time at which the job ended, ms since 1970; 0 until then. */
   public double endedAtMillis() {
     return endedAtMillis;
   }
 
-  /** True while a worker holds a lease that has not expired. */
+  /** Returns true while a worker holds a lease that has not expired. */
   boolean leased() {
     return state == JobState.LEASED || state == JobState.STARTED;
   }
 
-  /** When it may have run for the first time, given that its last lease may have led to a run. */
+  /**
+   * Returns the earliest time of a possible run, assuming that the last lease may have led to one.
+   */
   double possiblyRunSinceMillis() {
     return possibleRun.map(PossibleRun::sinceMillis).orElse(leasedAtMillis);
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/JobChange.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobChange.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** The outcome of a request to change a job. */
+/** The result of a request to change a job. */
 public sealed interface JobChange {
-  /** The log records to store before anybody is notified; empty if nothing changed. */
+  /** The log records to store before the change is reported; empty if nothing has changed. */
   List<LogRecord> records();
 
-  /** True if the change was allowed, also if there was nothing to change. */
+  /** Returns true if the change was allowed, also if it changed nothing. */
   default boolean allowed() {
     return this instanceof Allowed;
   }
@@ -15,7 +15,7 @@
   /** The change was applied to the table. */
   record Allowed(List<LogRecord> records) implements JobChange {}
 
-  /** The change was rejected and the table is as it was. */
+  /** The change was rejected and the table is unchanged. */
   record Rejected(RejectionReason reason) implements JobChange {
     @Override
     public List<LogRecord> records() {
@@ -23,12 +23,12 @@
     }
   }
 
-  /** An allowed change with these records. */
+  /** Creates an allowed change with these records. */
   static JobChange of(LogRecord... records) {
     return new Allowed(List.of(records));
   }
 
-  /** A rejected change. */
+  /** Creates a rejected change. */
   static JobChange rejected(RejectionReason reason) {
     return new Rejected(reason);
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/JobState.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobState.java
@@ -1,27 +1,27 @@
 package ferngrade.jobstore;
 
 /**
- * The state of a durable job. Each state says what is known of its run; {@link #DONE} and {@link
+ * The state of a durable job, which reflects what is known about its run. {@link #DONE} and {@link
  * #FAILED} are final.
  */
 public enum JobState {
-  /** Accepted from its client; no worker holds a lease on it. */
+  /** The job was accepted from its client; no worker holds a lease on it. */
   ACCEPTED,
-  /** A worker holds a lease on it; whether it has started is not known. */
+  /** A worker holds a lease on the job; it is unknown whether the job has started. */
   LEASED,
-  /** The worker that holds its lease has reported its start. */
+  /** The lease holder has reported the start of the job. */
   STARTED,
   /**
-   * Its lease expired, or a node failed with it: it may have run, may still run, and must not start
-   * again.
+   * The lease expired, or a node failed while it held the job. The job may have run, may still be
+   * running, and must not start again.
    */
   IN_DOUBT,
-  /** Completed; its result is retained for a while. */
+  /** The job has completed; its result is retained for a limited time. */
   DONE,
-  /** Ended without a result; its reason tells whether it may have had an effect. */
+  /** The job ended without a result; the reason states whether it may have had an effect. */
   FAILED;
 
-  /** True for the final states. */
+  /** Returns true for the final states. */
   public boolean ended() {
     return this == DONE || this == FAILED;
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/JobStates.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobStates.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * The jobs as the records of the log define them: replaying the same records in the same order
- * gives the same states. Not thread-safe.
+ * Builds the states of all jobs from log records. Replaying the same records in the same order
+ * always gives the same states. Not thread-safe.
  */
 final class JobStates {
   private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -37,7 +37,7 @@
   /**
    * Applies a record.
    *
-   * @throws IllegalStateException if it cannot follow the records before it
+   * @throws IllegalStateException if the record is invalid after the records before it
    */
   void replay(LogRecord logRecord) {
     if (logRecord instanceof LogRecord.Tokens tokens) {
@@ -49,7 +49,7 @@
     } else {
       Job job = jobs.get(logRecord.id());
       if (job == null) {
-        throw new IllegalStateException("about a job that was never accepted: " + logRecord);
+        throw new IllegalStateException("record of a job that was never accepted: " + logRecord);
       }
       replay(job, logRecord);
     }
@@ -95,7 +95,7 @@
     job.state = JobState.ACCEPTED;
     job.notBeforeMillis = returned.notBeforeMillis();
     if (returned.unstarted()) {
-      // A possible run under an earlier lease stays; the holder can only speak for its own.
+      // A possible run under an earlier lease remains: the holder reports on its own lease only.
       job.possibleRun = job.possibleRun.filter(run -> run.token() != job.token);
     }
   }
@@ -108,15 +108,15 @@
 
   private static void require(boolean valid, LogRecord logRecord) {
     if (!valid) {
-      throw new IllegalStateException("cannot follow what came before: " + logRecord);
+      throw new IllegalStateException("invalid after the preceding records: " + logRecord);
     }
   }
 
-  /** The records that produce these states from none. */
+  /** Returns records that reproduce these states when replayed into an empty instance. */
   List<LogRecord> snapshot() {
     List<LogRecord> records = new ArrayList<>();
     jobs.values().forEach(job -> records.add(acceptedBeforeLastLease(job)));
-    // In the order of their tokens, which only grow in a log.
+    // Sorted by token, since tokens must increase in a log.
     jobs.values().stream()
         .filter(job -> job.state != JobState.ACCEPTED || job.token > 0)
         .sorted(Comparator.comparingLong(Job::token))
--- a/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
@@ -6,34 +6,34 @@
 import java.util.concurrent.Executor;
 
 /**
- * A {@link JobTable} whose changes are stored in a {@link WriteAheadLog} by a thread for the disk.
- * The owner's thread makes changes and is notified once they are durable.
+ * Stores the changes of a {@link JobTable} in a {@link WriteAheadLog} on a dedicated disk thread.
+ * The owner's thread makes changes and is called back once they are durable.
  *
- * <p>While the disk fails, nobody is notified, new jobs are rejected, and the changes are written
- * again with backoff, each time to a new file, until they are durable.
+ * <p>While the disk fails, no callback is called, new jobs are rejected, and pending changes are
+ * written again with backoff, each time to a new file, until they are durable.
  *
- * <p>All methods belong to the owner's thread, the one on which the {@link Owner} runs its tasks.
+ * <p>All methods belong to the owner's thread, on which {@link Owner#executor} runs its tasks.
  */
 public final class JobStore implements AutoCloseable {
-  /** Delay before a failing disk is tried again, ms: at first, and at most. */
+  /** The bounds of the backoff before a failed write is retried. */
   private static final double FIRST_RETRY_MILLIS = 20;
 
   private static final double MAX_RETRY_MILLIS = 1_000;
 
   /**
-   * The bounds of a store.
+   * The settings of a store.
    *
    * @param table durations and limits of leases
-   * @param maxLogBytes the size from which a log is closed and the next one begun
-   * @param maxPendingChanges how many changes may wait for the disk before new jobs are rejected
+   * @param maxLogBytes the size at which a log is closed and the next one started
+   * @param maxPendingChanges the number of pending changes at which new jobs are rejected
    */
   public record Settings(JobTableSettings table, long maxLogBytes, int maxPendingChanges) {}
 
   /**
-   * The thread to which the store belongs.
+   * Access to the thread that owns the store.
    *
-   * @param executor runs tasks on that thread; may be called from any
-   * @param timer runs tasks on that thread later
+   * @param executor runs tasks on that thread; called from any thread
+   * @param timer runs tasks on that thread after a delay
    */
   public record Owner(Executor executor, RetryTimer timer) {}
 
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Opens a store and recovers what it holds; {@code monotonic} is the present time in ms of a
-   * clock that never jumps.
+   * Opens a store and recovers its jobs. {@code monotonic} is the current time of a monotonic
+   * clock, ms.
    *
    * @throws CorruptLogException if stored data is damaged
    * @throws IOException if the storage cannot be read or written
@@ -74,44 +74,44 @@
     return store;
   }
 
-  /** The jobs, to read and to change; each change must be passed to {@link #commit}. */
+  /** Returns the table of jobs. Each change made to it must be passed to {@link #commit}. */
   public JobTable table() {
     return table;
   }
 
-  /** What the recovery at the opening found. */
+  /** Returns the report of the recovery in {@link #open}. */
   public RecoveryReport recovery() {
     return recovery;
   }
 
   /**
-   * True if new jobs are rejected, because the disk is behind or fails. Jobs accepted before may
-   * still change.
+   * Returns true if new jobs are rejected because too many changes are pending or the disk fails.
+   * Jobs accepted before may still change.
    */
   public boolean overloaded() {
     return fault.isPresent() || pendingChanges >= maxPendingChanges;
   }
 
-  /** Why the disk fails at present. */
+  /** Returns the last failure of the disk; empty while writes succeed. */
   public Optional<IOException> fault() {
     return fault;
   }
 
-  /** Why the last compaction failed, if one did. */
+  /** Returns the failure of the last failed compaction; empty if none has failed. */
   public Optional<IOException> compactionFailure() {
     return compactor.failure();
   }
 
-  /** The batches synced to disk so far. */
+  /** The number of batches synced to disk so far. */
   public long syncs() {
     return writer.syncs();
   }
 
   /**
-   * Accepts a client's job as {@link JobTable#accept} does and stores it; {@code onStored} is
-   * called once the client may be notified, also if the table rejected the job.
+   * Accepts a client's job as {@link JobTable#accept} does and stores it. {@code onStored} is
+   * called once the client may be answered, also if the table rejects the job.
    *
-   * @throws StoreUnavailableException if the store takes no new jobs at present
+   * @throws StoreUnavailableException if the store rejects all new jobs at present
    */
   public JobChange accept(JobSubmission submission, double atMillis, Runnable onStored)
       throws StoreUnavailableException {
@@ -127,8 +127,9 @@
   }
 
   /**
-   * Stores the records of a change. {@code onStored} is called once, when they are durable, however
-   * long the disk fails before; a change without records counts as durable when all before it are.
+   * Stores the records of a change. {@code onStored} is called once, as soon as they are durable,
+   * even if the disk fails for a long time before. A change without records is durable as soon as
+   * all changes before it are.
    */
   public void commit(JobChange change, Runnable onStored) {
     if (change.records().isEmpty() && pendingChanges == 0) {
@@ -143,7 +144,7 @@
     pendingChanges -= changes.size();
     fault = Optional.empty();
     backoff.reset();
-    changes.forEach(each -> each.onStored().run());
+    changes.forEach(change -> change.onStored().run());
   }
 
   private void failed(IOException failure) {
@@ -154,15 +155,15 @@
   /**
    * Stores the pending changes and ends the threads.
    *
-   * @throws IOException if the disk did not take all of them: their callbacks are not called, and a
-   *     recovery may find them or not
+   * @throws IOException if some changes could not be stored: their callbacks are not called, and it
+   *     is unknown whether a recovery finds them
    */
   @Override
   public void close() throws IOException {
     writer.close();
   }
 
-  /** Passes the writer's notifications to the owner's thread. */
+  /** Forwards the writer's notifications to the owner's thread. */
   private final class OwnerNotifier implements GroupCommitWriter.Listener {
     @Override
     public void stored(List<PendingChange> changes) {
--- a/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
@@ -8,20 +8,21 @@
 import java.util.function.Function;
 
 /**
- * The states of all durable jobs and the rules for their changes, without I/O, clock or threads. An
- * allowed change is applied at once and returned as log records; the caller must store them before
- * it notifies anybody. A rejected change leaves the table as it was.
+ * Holds the states of all durable jobs and enforces the rules for their changes, without I/O, clock
+ * or threads. An allowed change is applied at once and returned as log records, which the caller
+ * must store before it reports the change to a client or worker. A rejected change leaves the table
+ * unchanged.
  *
  * <p>The rules: a job that may have run never runs again unless its {@link Idempotency} allows it
- * (a keyed one within its window, a safe one always). A lease carries a fencing token larger than
- * all before it, also across a crash, and only the holder of a job's newest token is accepted. A
- * restart assumes that a lease that was granted may have led to a run.
+ * (a keyed job within its window, a safe job always). Each lease has a fencing token larger than
+ * all earlier ones, also across a crash, and only the holder of a job's newest token is accepted.
+ * After a restart, every granted lease is assumed to have possibly led to a run.
  *
- * <p>Parameters named {@code atMillis} are ms since 1970 by the wall clock, {@code monotonic} is ms
- * by a clock that never jumps. Not thread-safe.
+ * <p>Parameters named {@code atMillis} are wall-clock times, ms since 1970; {@code monotonic} is a
+ * time of a monotonic clock, ms. Not thread-safe.
  */
 public class JobTable {
-  /** Bounds the exponent of the backoff, so that it stays finite. */
+  /** Bounds the exponent of the backoff to keep the delay finite. */
   private static final int MAX_BACKOFF_EXPONENT = 30;
 
   private final JobTableSettings settings;
@@ -76,7 +77,7 @@
     };
   }
 
-  /** The lease holder reports that it has started. */
+  /** Records that the lease holder has started the job. */
   public JobChange started(String id, long token) {
     return ifHolder(
         id,
@@ -88,8 +89,8 @@
   }
 
   /**
-   * The lease holder is alive. Nothing is stored, because a restart gives every lease its full
-   * duration again.
+   * Extends the lease after a heartbeat of its holder. Nothing is stored, because a restart extends
+   * every lease by its full duration.
    */
   public JobChange heartbeat(String id, long token, double monotonic) {
     return ifHolder(
@@ -103,28 +104,28 @@
         });
   }
 
-  /** The lease holder has completed the job, also one that was in doubt. */
+  /** Records that the lease holder has completed the job; a job in doubt may complete too. */
   public JobChange done(String id, long token, String result, double atMillis) {
     return ifHolder(
         id, token, job -> apply(new LogRecord.Ended(id, job.token, true, result, atMillis)));
   }
 
   /**
-   * The lease holder has failed. It may have had an effect, so the job is retried only if its
-   * idempotency allows it; {@code jitter} is drawn evenly from 0 to 1.
+   * Records that the lease holder has failed. The job may have had an effect, so it is retried only
+   * if its idempotency allows it. {@code jitter} is a uniform random number from 0 to 1.
    */
   public JobChange failed(String id, long token, String reason, double atMillis, double jitter) {
     return ifHolder(id, token, job -> retryOrFail(job, atMillis, jitter, reason));
   }
 
-  /** The lease holder gives the job back and reports that it never started. */
+  /** Returns the job to the queue after its lease holder reported that it never started it. */
   public JobChange returned(String id, long token, double atMillis, double jitter) {
     return ifHolder(
         id,
         token,
         job -> {
           if (job.state == JobState.STARTED) {
-            // The holder has reported its start before: this contradicts it.
+            // The holder has already reported the start of the job.
             return JobChange.rejected(RejectionReason.INVALID_STATE);
           }
           if (job.leases >= settings.maxLeases()) {
@@ -156,12 +157,14 @@
         });
   }
 
-  /** The fencing check: only the holder of the newest lease may change the job. */
+  /** Returns whether the token is that of the newest lease, whose holder may change the job. */
   boolean isCurrentHolder(Job job, long token) {
     return token == job.token && token > 0;
   }
 
-  /** Retries a job that may have run if its idempotency and its number of leases allow it. */
+  /**
+   * Retries a job that may have run if its idempotency and its lease count allow it, or fails it.
+   */
   private JobChange retryOrFail(Job job, double atMillis, double jitter, String reason) {
     double next = atMillis + backoffMillis(job, jitter);
     double since = job.possiblyRunSinceMillis();
@@ -183,7 +186,7 @@
     return new LogRecord.Ended(job.id(), job.token, false, reason, atMillis);
   }
 
-  /** Exponential backoff, half of which is random. */
+  /** Returns the delay of the exponential backoff, half of which is random. */
   private double backoffMillis(Job job, double jitter) {
     int exponent = Math.min(MAX_BACKOFF_EXPONENT, job.leases - 1);
     double full =
@@ -192,10 +195,10 @@
   }
 
   /**
-   * Applies the passing of time: a lease without heartbeat puts its job in doubt, or back in the
-   * queue if its idempotency allows that; a job that nobody has resolved from doubt fails; and
-   * results are discarded after their retention. Leases and doubts go by the monotonic clock alone,
-   * so that a wall clock that jumps cannot make two holders.
+   * Expires leases, doubts and results. A job whose lease expires without a heartbeat is in doubt,
+   * or back in the queue if its idempotency allows it. A job that stays in doubt for too long
+   * fails. Results are discarded after their retention time. Leases and doubts use only the
+   * monotonic clock, so that a jump of the wall clock cannot lead to two lease holders.
    */
   public JobChange expire(double atMillis, double monotonic, double jitter) {
     List<LogRecord> records = new ArrayList<>();
@@ -237,9 +240,9 @@
   }
 
   /**
-   * Completes a recovery after the last record was replayed: every lease that was granted gets its
-   * full duration again, since its worker may be running and does not know of the restart. Nobody
-   * else gets the job meanwhile.
+   * Completes a recovery after the last record was replayed. Every granted lease is extended by its
+   * full duration, since its worker may still run the job, unaware of the restart; until then the
+   * job is leased to no other worker.
    */
   public void recovered(double monotonic) {
     for (Job job : states.all()) {
@@ -251,7 +254,7 @@
     }
   }
 
-  /** Submits a failed job again at an operator's request, unless it must not run again. */
+  /** Puts a failed job back in the queue at an operator's request, if it may run again. */
   public JobChange requeue(String id, double atMillis) {
     return ifKnown(
         id,
@@ -285,8 +288,8 @@
   }
 
   private JobChange apply(LogRecord... records) {
-    for (LogRecord each : records) {
-      states.replay(each);
+    for (LogRecord logRecord : records) {
+      states.replay(logRecord);
     }
     return JobChange.of(records);
   }
@@ -294,24 +297,24 @@
   /**
    * Applies a record of the log.
    *
-   * @throws IllegalStateException if it cannot follow the records before it, which no log written
-   *     by this program contains
+   * @throws IllegalStateException if the record is invalid after the records before it, which never
+   *     happens with a log written by this program
    */
   public void replay(LogRecord logRecord) {
     states.replay(logRecord);
   }
 
-  /** The records that produce this table from an empty one. */
+  /** Returns records that reproduce this table when replayed into an empty one. */
   public List<LogRecord> snapshot() {
     return states.snapshot();
   }
 
-  /** The job of this id, if it is known. */
+  /** Returns the job of this id; empty if it is unknown. */
   public Optional<Job> job(String id) {
     return states.find(id);
   }
 
-  /** All jobs, in the order in which they were accepted; a view. */
+  /** Returns a view of all jobs in the order in which they were accepted. */
   public Collection<Job> jobs() {
     return states.all();
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/JobTableSettings.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobTableSettings.java
@@ -3,10 +3,10 @@
 /**
  * Durations and limits of leases and retries.
  *
- * @param leaseMillis how long a lease lasts without a heartbeat
- * @param inDoubtMillis how long a job stays in doubt before it fails
- * @param retainResultMillis how long the result of a job is retained after its end
- * @param maxLeases how many leases a job gets at most
+ * @param leaseMillis the duration of a lease without a heartbeat
+ * @param inDoubtMillis the time in doubt after which a job fails
+ * @param retainResultMillis the time for which the result of a job is retained after its end
+ * @param maxLeases the maximum number of leases of a job
  * @param backoffMillis the delay before the first retry
  * @param maxBackoffMillis the upper bound of the exponential backoff
  */
@@ -17,10 +17,10 @@
     int maxLeases,
     double backoffMillis,
     double maxBackoffMillis) {
-  /** For tables that only replay a log and never change a job. */
+  /** The settings of tables that only replay a log and never change a job. */
   static final JobTableSettings REPLAY_ONLY = new JobTableSettings(1, 0, 0, 1, 0, 0);
 
-  /** Throws an {@link IllegalArgumentException} if a value is out of its range. */
+  /** Throws an {@link IllegalArgumentException} if a value is out of range. */
   public JobTableSettings {
     boolean durationsValid = leaseMillis > 0 && inDoubtMillis >= 0 && retainResultMillis >= 0;
     boolean retriesValid = maxLeases >= 1 && backoffMillis >= 0;
--- a/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
@@ -4,10 +4,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * The frame of a batch, which a log writes and syncs at once: the length of the content (4 bytes),
- * a CRC-32C over length, number and content (4), the batch's number (8), and the content. A batch
- * is begun only when the one before it is synced, so one that cannot be read is a torn tail unless
- * a readable one follows it.
+ * Reads and writes the frame of a batch, the unit that a log writes and syncs at once. A frame
+ * consists of the length of the content (4 bytes), a CRC-32C over length, number and content (4),
+ * the batch number (8), and the content. A batch is started only after the previous one was synced,
+ * so an unreadable batch is a torn tail unless a readable batch follows it.
  */
 public final class LogBatch {
   /** The length of the frame before the content. */
@@ -15,12 +15,14 @@
 
   private static final int MAX_CONTENT_BYTES = 64 << 20;
 
-  /** A batch whose number is further ahead than this is taken for garbage. */
+  /** Bytes that would decode to a batch number further ahead than this are not a batch. */
   private static final long MAX_NUMBER_GAP = 1_000_000_000L;
 
   private LogBatch() {}
 
-  /** Writes the frame into the first {@link #HEADER_BYTES} bytes, which the content follows. */
+  /**
+   * Writes the header into the first {@link #HEADER_BYTES} bytes of a batch; the content follows.
+   */
   public static byte[] frame(byte[] batch, long number) {
     int length = batch.length - HEADER_BYTES;
     ByteBuffer.wrap(batch).putInt(0, length).putLong(8, number);
@@ -28,7 +30,7 @@
     return batch;
   }
 
-  /** The length of the content of the batch at an offset; -1 if none can be read there. */
+  /** Returns the content length of the batch at an offset; -1 if there is no readable batch. */
   public static int lengthAt(ByteBuffer in, int at) {
     if (in.capacity() - at < HEADER_BYTES) {
       return -1;
@@ -41,14 +43,14 @@
     return in.getInt(at + 4) == checksum(in.array(), from, 8 + length, length) ? length : -1;
   }
 
-  /** The number of the batch at an offset where one can be read. */
+  /** Returns the number of the readable batch at an offset. */
   public static long numberAt(ByteBuffer in, int at) {
     return in.getLong(at + 8);
   }
 
   /**
-   * True if a batch later than {@code number} + 1 can be read behind an offset, so that what is at
-   * the offset was synced.
+   * Returns whether a batch with a number above {@code number} + 1 is readable after an offset,
+   * which shows that the data at the offset was synced.
    */
   public static boolean followed(ByteBuffer in, int from, long number) {
     for (int at = from + 1; at <= in.capacity() - HEADER_BYTES; at++) {
--- a/jobstore/src/main/java/ferngrade/jobstore/LogCompactor.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogCompactor.java
@@ -8,7 +8,7 @@
 
 /** Replaces closed logs and the snapshot before them by one snapshot. */
 public final class LogCompactor {
-  /** The size at which a batch of a snapshot ends, so that its buffer stays bounded. */
+  /** The size at which a batch of a snapshot ends, which bounds the buffer. */
   private static final int BATCH_BYTES = 256 << 10;
 
   /** An estimate of the size of a record without its payload. */
@@ -17,12 +17,12 @@
   private LogCompactor() {}
 
   /**
-   * Puts one snapshot in place of the old ones and all logs below this number, which must be
-   * closed. It reads these files and nothing else, so it may run beside commits, but only once at a
-   * time.
+   * Replaces all logs with numbers below {@code logNumber}, which must be closed, and the old
+   * snapshots by one snapshot. It may run concurrently with commits, since it reads only closed
+   * files; only one compaction may run at a time.
    *
    * @return false if there is no log to replace
-   * @throws IOException if the snapshot could not be completed; the logs are still there
+   * @throws IOException if the snapshot could not be completed; the logs are kept
    */
   public static boolean compact(Storage storage, long logNumber) throws IOException {
     LogFiles files = LogFiles.list(storage);
@@ -42,22 +42,22 @@
     }
     storage.rename(unfinished, name);
     storage.syncNames();
-    for (String each : replaced) {
-      storage.delete(each);
+    for (String obsolete : replaced) {
+      storage.delete(obsolete);
     }
     return true;
   }
 
-  /** Frees what an attempt that failed has left. */
+  /** Deletes the files that failed compactions have left. */
   private static void deleteUnfinishedSnapshots(Storage storage) throws IOException {
-    for (String each : storage.list()) {
-      if (each.startsWith(LogFiles.SNAPSHOT_PREFIX) && each.endsWith(LogFiles.UNFINISHED_SUFFIX)) {
-        storage.delete(each);
+    for (String name : storage.list()) {
+      if (name.startsWith(LogFiles.SNAPSHOT_PREFIX) && name.endsWith(LogFiles.UNFINISHED_SUFFIX)) {
+        storage.delete(name);
       }
     }
   }
 
-  /** Writes batches under one number, of which an empty one marks the end. */
+  /** Writes the records in batches that share one number; an empty batch marks the end. */
   private static void writeSnapshot(
       Storage.Appender file, List<LogRecord> records, long batchNumber) throws IOException {
     Iterator<LogRecord> remaining = records.iterator();
--- a/jobstore/src/main/java/ferngrade/jobstore/LogFiles.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogFiles.java
@@ -7,12 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * The files of a store by kind and number, and the format of their names and headers: a magic word,
- * which holds the format's version, and the file's number.
+ * Lists the files of a store by type and number, and defines their names and headers. A header
+ * consists of a magic number, which includes the version of the format, and the file's number.
  *
  * @param logs the names of the logs by number
- * @param snapshots the names of the snapshots by number: one stands for all logs below its number
- * @param unfinished the names of files that were never completed, and count for nothing
+ * @param snapshots the names of the snapshots by number; a snapshot replaces all logs with lower
+ *     numbers
+ * @param unfinished the names of files that were never completed; their content is ignored
  */
 record LogFiles(
     TreeMap<Long, String> logs, TreeMap<Long, String> snapshots, List<String> unfinished) {
@@ -21,7 +22,7 @@
   static final String LOG_PREFIX = "log-";
   static final String SNAPSHOT_PREFIX = "snap-";
 
-  /** The suffix of a file until its content is durable. */
+  /** The suffix of a file name until the content is durable. */
   static final String UNFINISHED_SUFFIX = ".tmp";
 
   /** Lists the files of a store; a {@link CorruptLogException} reports a malformed name. */
@@ -43,7 +44,7 @@
     try {
       return Long.parseLong(name.substring(prefix.length()));
     } catch (NumberFormatException malformed) {
-      throw new CorruptLogException(name, 0, "is no name of this store");
+      throw new CorruptLogException(name, 0, "is not a valid file name of a store");
     }
   }
 
@@ -55,7 +56,7 @@
     return String.format("%s%016d", SNAPSHOT_PREFIX, number);
   }
 
-  /** Creates a file that begins with the header for this number. */
+  /** Creates a file and writes the header with this number. */
   static Storage.Appender create(Storage storage, String name, long number) throws IOException {
     Storage.Appender file = storage.create(name);
     try {
@@ -68,19 +69,19 @@
     return file;
   }
 
-  /** True if the content begins with the header for this number. */
+  /** Returns whether the content starts with the header for this number. */
   static boolean hasHeader(ByteBuffer content, long number) {
     return content.capacity() >= HEADER_BYTES
         && content.getLong(0) == MAGIC
         && content.getLong(8) == number;
   }
 
-  /** Closes a file whose unsynced content does not matter any more. */
+  /** Closes a file whose unsynced content is not needed and ignores a failure. */
   static void closeQuietly(Storage.Appender file) {
     try {
       file.close();
     } catch (IOException ignored) {
-      // What the file holds is either synced or not relied on.
+      // The content is either synced or not needed.
     }
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/LogRecordCodec.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogRecordCodec.java
@@ -12,8 +12,9 @@
 import java.util.List;
 
 /**
- * Encodes records: a type code, then the fields in their order, in the forms of {@link
- * DataOutputStream}. A record in a batch is preceded by its length (4 bytes).
+ * Encodes and decodes records: a type code, followed by the fields in order of declaration as
+ * {@link DataOutputStream} writes them. In a batch, the length of each record precedes it (4
+ * bytes).
  */
 final class LogRecordCodec {
   private static final int ACCEPTED = 1;
@@ -25,22 +26,22 @@
   private static final int FORGOTTEN = 7;
   private static final int TOKENS = 8;
 
-  // The codes of a job's idempotency, after its id.
+  // The codes of the idempotency, which follows the job's id in a record.
   private static final int SAFE = 0;
   private static final int KEYED = 1;
   private static final int UNSAFE = 2;
 
   private LogRecordCodec() {}
 
-  /** Encodes a batch with its frame, by way of a buffer that is overwritten. */
+  /** Encodes a batch with its frame; the content of the buffer is overwritten. */
   static byte[] encodeBatch(
       List<LogRecord> records, long batchNumber, ByteArrayOutputStream buffer) {
     buffer.reset();
     buffer.write(new byte[LogBatch.HEADER_BYTES], 0, LogBatch.HEADER_BYTES);
     ByteArrayOutputStream encoded = new ByteArrayOutputStream(256);
-    for (LogRecord each : records) {
+    for (LogRecord logRecord : records) {
       encoded.reset();
-      write(each, encoded);
+      write(logRecord, encoded);
       buffer.writeBytes(ByteBuffer.allocate(4).putInt(encoded.size()).array());
       buffer.writeBytes(encoded.toByteArray());
     }
@@ -115,7 +116,7 @@
     out.writeDouble(ended.atMillis());
   }
 
-  /** Decodes a record; throws an {@link IOException} if these bytes hold none. */
+  /** Decodes a record; throws an {@link IOException} if the bytes are not a valid record. */
   static LogRecord read(byte[] bytes, int offset, int length) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, offset, length));
     int type = in.readUnsignedByte();
@@ -144,7 +145,7 @@
               in.readDouble());
       case FORGOTTEN -> new LogRecord.Forgotten(in.readUTF());
       case TOKENS -> new LogRecord.Tokens(in.readLong());
-      default -> throw new IOException("no entry has the type " + type);
+      default -> throw new IOException("unknown record type " + type);
     };
   }
 
@@ -161,7 +162,7 @@
       case SAFE -> Idempotency.SAFE;
       case KEYED -> Idempotency.KEYED;
       case UNSAFE -> Idempotency.UNSAFE;
-      default -> throw new IOException("no class has the effect " + code);
+      default -> throw new IOException("unknown idempotency code " + code);
     };
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/PendingChange.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/PendingChange.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A change that waits to be stored.
+ * A change that is queued to be stored.
  *
- * @param records what to store
+ * @param records the records to store
  * @param onStored called on the owner's thread once the records are durable
  * @param last true for the marker that ends the writer, which carries no change
  */
--- a/jobstore/src/main/java/ferngrade/jobstore/RejectionReason.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/RejectionReason.java
@@ -1,13 +1,13 @@
 package ferngrade.jobstore;
 
-/** Why {@link JobTable} rejected a change. */
+/** The reason for which {@link JobTable} rejected a change. */
 public enum RejectionReason {
-  /** A job of this id was accepted before; its state is the answer to the client. */
+  /** A job with this id was accepted before; the client is answered with its state. */
   DUPLICATE_ID,
-  /** No such job: it was never accepted, or its result has been discarded. */
+  /** The job was never accepted, or its result has been discarded. */
   UNKNOWN_ID,
-  /** The job is not in a state that allows the change. */
+  /** The state of the job does not allow the change. */
   INVALID_STATE,
-  /** The fencing token is not the job's newest. */
+  /** The fencing token is not the newest of the job. */
   STALE_TOKEN
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/RetryTimer.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/RetryTimer.java
@@ -1,8 +1,8 @@
 package ferngrade.jobstore;
 
-/** Schedules retries by a clock that never jumps. */
+/** Schedules retries on a monotonic clock. */
 @FunctionalInterface
 public interface RetryTimer {
-  /** Runs a task once after a delay in milliseconds. */
-  void after(double delayMillis, Runnable run);
+  /** Runs a task once after a delay, ms. */
+  void after(double delayMillis, Runnable task);
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
@@ -13,10 +13,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** The operator's commands on a store that no node has open. */
+/** The {@code store} command: inspects and repairs a store that no node has open. */
 @Command(
     name = "store",
-    description = "Looks into a store of durable jobs, and mends one.",
+    description = "Inspects and repairs a store of durable jobs.",
     mixinStandardHelpOptions = true,
     subcommands = {
       StoreCommand.Check.class,
@@ -26,7 +26,7 @@
       CommandLine.HelpCommand.class
     })
 public final class StoreCommand implements SubCommand, Runnable {
-  /** The exit code for a store that is damaged. */
+  /** The exit code for a damaged store. */
   static final int DAMAGED = 1;
 
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -36,44 +36,45 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
   }
 
-  /** Reads a whole store and prints what it holds. */
-  abstract static class Reading implements Callable<Integer> {
-    @Parameters(paramLabel = "DIR", description = "The store's folder.")
-    private Path folder;
+  /** A command that reads a whole store and prints a report. */
+  abstract static class ReadCommand implements Callable<Integer> {
+    @Parameters(paramLabel = "DIR", description = "The store's directory.")
+    private Path directory;
 
     @Override
     public Integer call() {
       JobTable table = new JobTable(JobTableSettings.REPLAY_ONLY);
-      try (FileSystemStorage storage = FileSystemStorage.openReadOnly(folder)) {
-        RecoveryReport found = WriteAheadLog.inspect(storage, table::replay);
-        show(table, found);
+      try (FileSystemStorage storage = FileSystemStorage.openReadOnly(directory)) {
+        RecoveryReport report = WriteAheadLog.inspect(storage, table::replay);
+        print(table, report);
         return 0;
-      } catch (CorruptLogException damaged) {
-        System.err.println("ferngrade: damaged: " + damaged.getMessage());
+      } catch (CorruptLogException damage) {
+        System.err.println("ferngrade: damaged: " + damage.getMessage());
         return DAMAGED;
-      } catch (IOException unreadable) {
-        System.err.println("ferngrade: " + unreadable.getMessage());
+      } catch (IOException failure) {
+        System.err.println("ferngrade: " + failure.getMessage());
         return Cli.BAD_CONFIG;
       }
     }
 
-    abstract void show(JobTable table, RecoveryReport found);
+    abstract void print(JobTable table, RecoveryReport report);
   }
 
-  /** Reports whether all of it can be read. */
+  /** Reports whether the whole store is readable. */
   @Command(
       name = "check",
-      description = "Says whether all of it can be read; a torn tail is told and is no damage.")
-  static final class Check extends Reading {
+      description =
+          "Reports whether the whole store is readable; a torn tail is reported but is no damage.")
+  static final class Check extends ReadCommand {
     @Override
-    void show(JobTable table, RecoveryReport found) {
+    void print(JobTable table, RecoveryReport report) {
       System.out.printf(
           "sound: %d entries in %d batches, %d jobs%n",
-          found.records(), found.batches(), table.jobs().size());
-      if (found.tornBytes() > 0) {
+          report.records(), report.batches(), table.jobs().size());
+      if (report.tornBytes() > 0) {
         System.out.printf(
             "%s ends in %d bytes of a batch that was never synced%n",
-            found.tornFile().orElse(""), found.tornBytes());
+            report.tornFile().orElse(""), report.tornBytes());
       }
     }
   }
@@ -82,9 +83,9 @@
   @Command(
       name = "dump",
       description = "Prints a line for each job: id, state, class, leases, token, worker, result.")
-  static final class Dump extends Reading {
+  static final class Dump extends ReadCommand {
     @Override
-    void show(JobTable table, RecoveryReport found) {
+    void print(JobTable table, RecoveryReport report) {
       for (Job job : table.jobs()) {
         System.out.printf(
             "%s %s %s leases=%d token=%d worker=%s %s%n",
@@ -99,11 +100,13 @@
     }
   }
 
-  /** Prints counts. */
-  @Command(name = "stats", description = "Counts jobs by state, and bytes.")
-  static final class Stats extends Reading {
+  /** Prints the number of jobs by state and the size of the store. */
+  @Command(
+      name = "stats",
+      description = "Prints the number of jobs by state and the size of the store.")
+  static final class Stats extends ReadCommand {
     @Override
-    void show(JobTable table, RecoveryReport found) {
+    void print(JobTable table, RecoveryReport report) {
       Map<JobState, Integer> counts = new EnumMap<>(JobState.class);
       for (Job job : table.jobs()) {
         counts.merge(job.state(), 1, Integer::sum);
@@ -113,52 +116,52 @@
       }
       System.out.printf(
           "bytes      %d%nentries    %d%nbatches    %d%ntoken      %d%n",
-          found.bytes(), found.records(), found.batches(), table.highestToken());
+          report.bytes(), report.records(), report.batches(), table.highestToken());
     }
   }
 
-  /** Saves what can be read of a damaged store to a new one. */
+  /** Saves the readable part of a damaged store to a new one. */
   @Command(
       name = "repair",
       description =
-          "Writes all that can be read before the damage into a new folder, and says where it"
-              + " stopped. If it did, every job without an answer is in doubt, and is not started"
-              + " again.")
+          "Writes all data before the first damage to a new directory and reports the position of"
+              + " the damage. If there is damage, every job that has not ended is put in doubt and"
+              + " is not started again.")
   static final class Repair implements Callable<Integer> {
-    /** More tokens than a damaged part can have granted. */
-    private static final long TOKENS_UNSEEN = 1L << 40;
+    /** An upper bound of the tokens that the damaged part can have granted. */
+    private static final long MAX_UNSEEN_TOKENS = 1L << 40;
 
     @Parameters(index = "0", paramLabel = "DIR")
-    private Path from;
+    private Path source;
 
     @Parameters(index = "1", paramLabel = "NEW-DIR")
-    private Path to;
+    private Path target;
 
     @Override
     public Integer call() {
-      try (FileSystemStorage storage = FileSystemStorage.openReadOnly(from);
-          FileSystemStorage repaired = FileSystemStorage.openExclusive(to)) {
+      try (FileSystemStorage storage = FileSystemStorage.openReadOnly(source);
+          FileSystemStorage repaired = FileSystemStorage.openExclusive(target)) {
         if (!repaired.list().isEmpty()) {
-          System.err.println("ferngrade: " + to + " is not empty");
+          System.err.println("ferngrade: " + target + " is not empty");
           return Cli.BAD_CONFIG;
         }
         repair(storage, repaired);
         return 0;
-      } catch (IOException unreadable) {
-        System.err.println("ferngrade: " + unreadable.getMessage());
+      } catch (IOException failure) {
+        System.err.println("ferngrade: " + failure.getMessage());
         return Cli.BAD_CONFIG;
       }
     }
 
     private static void repair(Storage storage, Storage repaired) throws IOException {
       JobTable table = new JobTable(JobTableSettings.REPLAY_ONLY);
-      String stopped = "nothing was damaged";
+      String position = "nothing was damaged";
       boolean damaged = false;
       try {
         WriteAheadLog.inspect(storage, table::replay);
-      } catch (CorruptLogException place) {
+      } catch (CorruptLogException damage) {
         damaged = true;
-        stopped = "stopped at " + place.getMessage();
+        position = "stopped at " + damage.getMessage();
       }
       List<LogRecord> saved = new ArrayList<>(table.snapshot());
       if (damaged) {
@@ -167,12 +170,12 @@
       try (WriteAheadLog log = WriteAheadLog.open(repaired, Long.MAX_VALUE, replayed -> {})) {
         log.commit(saved);
       }
-      System.out.printf("%d jobs saved, %s%n", table.jobs().size(), stopped);
+      System.out.printf("%d jobs saved, %s%n", table.jobs().size(), position);
     }
 
     /**
-     * What came after the damage is unknown: a job that waits may have been leased there, and
-     * started.
+     * Returns records that put all jobs that have not ended in doubt. The records after the damage
+     * are unknown: a waiting job may have been leased and started there.
      */
     private static List<LogRecord> doubtsAfterDamage(JobTable table) {
       List<LogRecord> doubts = new ArrayList<>();
@@ -181,7 +184,7 @@
           doubts.add(new LogRecord.Doubted(job.id(), job.token(), job.accepted().atMillis()));
         }
       }
-      doubts.add(new LogRecord.Tokens(table.highestToken() + TOKENS_UNSEEN));
+      doubts.add(new LogRecord.Tokens(table.highestToken() + MAX_UNSEEN_TOKENS));
       return doubts;
     }
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/StoreUnavailableException.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreUnavailableException.java
@@ -1,10 +1,10 @@
 package ferngrade.jobstore;
 
-/** Thrown if a store accepts no new job at present; nothing of the job was stored. */
+/** Thrown if a store rejects all new jobs at present; nothing of the job was stored. */
 public final class StoreUnavailableException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Why a job was not accepted. */
+  /** The reason for which a job was not accepted. */
   public enum Reason {
     /** Too many changes wait for the disk. */
     OVERLOADED,
@@ -15,11 +15,11 @@
   private final Reason reason;
 
   StoreUnavailableException(Reason reason) {
-    super("the store takes no new job: " + reason);
+    super("the store accepts no new jobs: " + reason);
     this.reason = reason;
   }
 
-  /** Why the job was not accepted. */
+  /** Returns the reason for which the job was not accepted. */
   public Reason reason() {
     return reason;
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
@@ -7,19 +7,19 @@
 import java.util.function.Consumer;
 
 /**
- * The log of a store: records are appended in batches, one sync for each, and replayed in their
- * order. {@link LogCompactor} replaces logs that are closed by a snapshot.
+ * Appends records in batches, each with one sync, and replays them in order after a restart. {@link
+ * LogCompactor} replaces closed logs by a snapshot.
  *
- * <p>A file begins with the header that {@link LogFiles} describes. {@link LogBatch} describes a
- * batch; numbers of batches grow by one over all files. A batch is begun only when the one before
- * it is synced, so a batch that cannot be read is a torn tail if nothing readable follows it, and
- * is cut; if something does, synced data has been damaged, and that is an error with file and
+ * <p>A file starts with the header described in {@link LogFiles}, followed by batches as described
+ * in {@link LogBatch}. Batch numbers increase by one across all files. A batch is started only
+ * after the previous one was synced. Therefore an unreadable batch at the end is a torn tail, which
+ * is cut; if a readable batch follows it, synced data is damaged, which is reported with file and
  * offset.
  *
- * <p>One thread at a time commits; a compaction may run on another. A log whose write or sync has
- * failed is neither written nor synced again, since it is unknown what the disk holds of its end:
- * the batch is written again as the first of the next log, under its old number, and a recovery
- * drops what the abandoned log holds of that number, torn or not.
+ * <p>One thread at a time commits; a compaction may run on another thread. After a failed write or
+ * sync it is unknown how much of the end of the log is on disk. Such a log is neither written nor
+ * synced again: the batch is repeated as the first batch of the next log under the same number, and
+ * a recovery ignores the copy in the abandoned log, whether it is torn or not.
  */
 public final class WriteAheadLog implements AutoCloseable {
   private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -29,7 +29,7 @@
   private final RecoveryReport recovery;
   private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
 
-  /** The file that is written; none after a failure: the next commit begins the next log. */
+  /** The log being written; empty after a failure, in which case the next commit starts a log. */
   private Optional<Storage.Appender> log = Optional.empty();
 
   private volatile long logNumber;
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Opens a store: replays all records, cuts a torn tail, and begins a new log. The next log is
-   * begun whenever one has reached {@code maxLogBytes}.
+   * Opens a store: replays all records, cuts a torn tail, and starts a new log. Another log is
+   * started whenever the present one has reached {@code maxLogBytes}.
    *
    * @throws CorruptLogException if synced data is damaged
    * @throws IOException if the storage cannot be read or written
@@ -55,8 +55,8 @@
       throws IOException {
     WriteAheadLogReader reader = new WriteAheadLogReader(storage, replay);
     reader.readAll(Long.MAX_VALUE);
-    // The logs that the snapshot stands for go with the next snapshot: the name of this one may not
-    // be durable if its sync has failed.
+    // The logs that the snapshot replaces are not deleted here but by the next compaction: if the
+    // sync of the directory has failed, the snapshot's name may not be durable.
     for (String name : reader.unfinished()) {
       storage.delete(name);
     }
@@ -72,9 +72,9 @@
   }
 
   /**
-   * Puts a copy in place of the last log, without its torn tail. Its last sync may have failed
-   * before this process was started, and then what was read may be in the page cache alone, where
-   * no later sync writes it to disk.
+   * Replaces the last log by a copy without its torn tail. The last sync of that log may have
+   * failed in the previous process. In that case the content that was read may exist in the page
+   * cache only, and no later sync of the file would write it to disk.
    */
   private static void rewriteLastLog(Storage storage, WriteAheadLogReader reader)
       throws IOException {
@@ -93,7 +93,7 @@
   }
 
   /**
-   * Reads a store without changing it, also one that another process has open.
+   * Reads a store without changing it, even while another process has it open.
    *
    * @throws CorruptLogException if synced data is damaged; the records before it were replayed
    */
@@ -104,22 +104,22 @@
     return reader.report();
   }
 
-  /** What the recovery at the opening found. */
+  /** Returns the report of the recovery in {@link #open}. */
   public RecoveryReport recovery() {
     return recovery;
   }
 
-  /** The number of the log that is written at present; those below it are closed. Any thread. */
+  /** The number of the log being written; logs with lower numbers are closed. Any thread. */
   public long logNumber() {
     return logNumber;
   }
 
   /**
-   * Appends these as one batch and returns once they are durable.
+   * Appends the records as one batch and returns once they are durable.
    *
-   * @throws IOException if it is unknown whether they are: a recovery may find them, unless another
-   *     commit comes before. That one goes into a new file and takes their place, so the caller
-   *     must commit them again first.
+   * @throws IOException if it is unknown whether the records are durable: a recovery may find them.
+   *     The next commit goes to a new file and supersedes this batch, so the caller must first
+   *     commit the same records again.
    */
   public void commit(List<LogRecord> records) throws IOException {
     byte[] batch = LogRecordCodec.encodeBatch(records, batchNumber + 1, buffer);
@@ -140,7 +140,7 @@
       file.append(batch, batch.length);
       file.sync();
     } catch (IOException | RuntimeException failure) {
-      // It is unknown what the disk holds of its end: this file is not written again.
+      // It is unknown how much of the batch is on disk, so this file is never written again.
       LogFiles.closeQuietly(file);
       log = Optional.empty();
       throw failure;
@@ -148,9 +148,9 @@
   }
 
   /**
-   * Begins the next log with this batch. It gets its name once the batch is durable, so a log that
-   * repeats the number of the batch before it tells a recovery that the end of the log before was
-   * abandoned. A file that an earlier attempt left is replaced.
+   * Starts the next log with this batch. The file gets its name only after the batch is durable.
+   * Therefore a log whose first batch repeats the last number of the previous log shows a recovery
+   * that the end of the previous log was abandoned. A file left by an earlier attempt is replaced.
    */
   private void continueInNextLog(byte[] batch) throws IOException {
     long next = logNumber + 1;
@@ -172,7 +172,7 @@
     switchTo(file, next);
   }
 
-  /** Begins the next log after a commit; if that fails, the commit after it does so. */
+  /** Starts the next log after a commit; if that fails, the next commit starts it. */
   private void rotate() {
     try {
       beginNextLog();
@@ -194,7 +194,7 @@
       LogFiles.closeQuietly(file);
       throw failure;
     }
-    // Only now is the one before it closed for good.
+    // Commits go to the new log only from here on; the previous one counts as closed.
     switchTo(file, next);
   }
 
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
@@ -10,21 +10,24 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the snapshot and the logs of a {@link WriteAheadLog} in their order. The last batch of a
- * log, or the torn tail in its place, is held back until the next log is read: if that one begins
- * with the same number, the write or sync of the batch had failed, the log was abandoned, and the
- * batch of the next log counts.
+ * Reads the snapshot and the logs of a {@link WriteAheadLog} in order. The last batch of a log, or
+ * the torn tail in its place, is kept pending until the next log is read. If the next log starts
+ * with the same batch number, the write or sync of the batch failed and the log was abandoned: the
+ * pending batch is dropped and the batch of the next log is replayed.
  */
 final class WriteAheadLogReader {
   private static final String UNREADABLE = "a batch cannot be read, and others follow it";
 
   /**
-   * A batch that was read and not yet replayed: where its records begin in {@code bytes}, how long
-   * they are, and how far into the file {@code bytes} begins.
+   * A batch that was read and not yet replayed.
+   *
+   * @param from the offset in {@code bytes} at which the records start
+   * @param length the length of the records
+   * @param fileOffset the offset in the file at which {@code bytes} starts
    */
   private record ReadBatch(
       String file, byte[] bytes, int from, int length, long fileOffset, long number) {
-    /** The same without the rest of its file in memory. */
+    /** Returns a copy that does not keep the whole file in memory. */
     ReadBatch withoutFile() {
       byte[] content = Arrays.copyOfRange(bytes, from, from + length);
       return new ReadBatch(file, content, 0, length, fileOffset + from, number);
@@ -36,8 +39,8 @@
   private Optional<ReadBatch> pending = Optional.empty();
 
   /**
-   * The torn tail of a log that others follow, which is damage unless the next log begins with its
-   * batch.
+   * The unreadable end of a log that is not the last. It is damage unless the next log starts with
+   * the missing batch.
    */
   private Optional<CorruptLogException> tornTail = Optional.empty();
 
@@ -57,22 +60,24 @@
     this.replay = replay;
   }
 
-  /** What was found. */
+  /** Returns the report of what was read. */
   RecoveryReport report() {
     return new RecoveryReport(records, batches, bytes, tornBytes, tornFile);
   }
 
-  /** Files that were never completed, and count for nothing. */
+  /** The names of files that were never completed; their content is ignored. */
   List<String> unfinished() {
     return unfinished;
   }
 
-  /** The number of the last log with a header; the snapshot's less one if there is none. */
+  /**
+   * The number of the last log with a header; if there is none, the snapshot's number minus one.
+   */
   long lastLog() {
     return lastLog;
   }
 
-  /** The readable part of the last log; empty if it has not even its header. */
+  /** The readable part of the last log; empty if the log has no complete header. */
   byte[] lastContent() {
     return lastContent;
   }
@@ -82,14 +87,14 @@
     return batchNumber;
   }
 
-  /** The last log, if it has not even its header. */
+  /** The name of the last log if it has no complete header. */
   Optional<String> lastWithoutHeader() {
     return tornFile.filter(name -> lastHasNoHeader);
   }
 
   /**
-   * Reads the snapshot and the logs after it whose numbers are below this; the last of all may end
-   * torn.
+   * Reads the snapshot and the logs after it with numbers below {@code belowLog}. Only the last log
+   * of the store may have a torn tail.
    *
    * @throws CorruptLogException if synced data is damaged; the records before it were replayed
    */
@@ -97,7 +102,7 @@
     try {
       readFiles(belowLog);
     } catch (CorruptLogException damage) {
-      // A repair of what precedes the damage gets the last batch as well.
+      // A repair keeps all batches before the damage, including the pending one.
       replayPending();
       throw damage;
     }
@@ -117,12 +122,12 @@
       throw new CorruptLogException(LogFiles.logName(first), 0, "is missing after its snapshot");
     }
     if (following.isPresent()) {
-      // Not read itself, but it may begin with the batch at which the last one was abandoned.
+      // The following log is not replayed, but its first batch may supersede the pending one.
       resolvePending(ByteBuffer.wrap(storage.read(following.get())));
     }
   }
 
-  /** Reads the last snapshot, if there is one, and returns the number of the first log after it. */
+  /** Reads the last snapshot, if any, and returns the number of the first log to read. */
   private long readLastSnapshot(LogFiles files) throws IOException {
     if (!files.snapshots().isEmpty()) {
       long number = files.snapshots().lastKey();
@@ -132,7 +137,7 @@
     }
     if (!files.logs().isEmpty() && files.logs().firstKey() != 1) {
       throw new CorruptLogException(
-          LogFiles.logName(1), 0, "is missing, and no snapshot stands for it");
+          LogFiles.logName(1), 0, "is missing, and no snapshot replaces it");
     }
     return 1;
   }
@@ -142,7 +147,8 @@
     long expected = first;
     for (long number : logs.keySet()) {
       if (number != expected) {
-        throw new CorruptLogException(LogFiles.logName(expected), 0, "is missing between others");
+        throw new CorruptLogException(
+            LogFiles.logName(expected), 0, "is missing between other logs");
       }
       expected++;
       readLog(logs.get(number), number, all && number == logs.lastKey());
@@ -154,7 +160,7 @@
     byte[] content = storage.read(name);
     ByteBuffer in = ByteBuffer.wrap(content);
     if (!LogFiles.hasHeader(in, number)) {
-      throw new CorruptLogException(name, 0, "is no file of this store");
+      throw new CorruptLogException(name, 0, "has no valid header of this store");
     }
     int at = LogFiles.HEADER_BYTES;
     boolean ended = false;
@@ -173,7 +179,7 @@
       at += LogBatch.HEADER_BYTES + length;
     }
     if (!ended) {
-      throw new CorruptLogException(name, content.length, "the snapshot has no end");
+      throw new CorruptLogException(name, content.length, "the snapshot has no end marker");
     }
   }
 
@@ -203,18 +209,18 @@
       throw tornTail.get();
     }
     if (!last || content.length > LogFiles.HEADER_BYTES) {
-      throw new CorruptLogException(name, 0, "is no file of this store");
+      throw new CorruptLogException(name, 0, "has no valid header of this store");
     }
     lastHasNoHeader = true;
     tornFile = Optional.of(name);
   }
 
-  /** Reads the batches of a log and returns the offset at which the readable ones end. */
+  /** Reads the batches of a log and returns the offset of the end of the last readable one. */
   private int readBatches(String name, byte[] content, boolean last) throws IOException {
     ByteBuffer in = ByteBuffer.wrap(content);
     int at = LogFiles.HEADER_BYTES;
     while (at < content.length) {
-      // Another batch was begun after the pending one, so that one was synced.
+      // A batch follows the pending one, so the pending one was synced.
       replayPending();
       int length = LogBatch.lengthAt(in, at);
       if (length < 0) {
@@ -237,7 +243,7 @@
     return at;
   }
 
-  /** Decides about the end of the log before by the first batch of this one. */
+  /** Replays or drops the pending end of the previous log, based on the first batch of the next. */
   private void resolvePending(ByteBuffer next) throws IOException {
     boolean readable = LogBatch.lengthAt(next, LogFiles.HEADER_BYTES) >= 0;
     long first = readable ? LogBatch.numberAt(next, LogFiles.HEADER_BYTES) : 0;
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -22,63 +22,67 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Stops a store after every write, sync and change of names of a drawn history, recovers it, and
- * compares the recovered state with what others were notified of before. Runs in memory; the number
- * of crash points is set by {@code ferngrade.crashes}, and each failure names its seed and step.
+ * Guards against acknowledged changes that are lost or jobs that run twice after a crash. Crashes a
+ * store after each write, sync and name change of a random history and checks the recovered state.
+ * {@code ferngrade.crashes} sets the number of crash points; a failure names its seed and step.
  */
 class CrashPointTest {
   private static final JobTableSettings SETTINGS = new JobTableSettings(100, 400, 1e9, 4, 10, 100);
   private static final int CRASHES = Integer.getInteger("ferngrade.crashes", 20_000);
 
-  /** The world outside the store: what it has acknowledged, and what workers really did. */
-  private static final class World {
+  /** The facts outside the store: the acknowledged changes and the actual runs on workers. */
+  private static final class ExternalState {
     final Set<String> accepted = new HashSet<>();
     final Map<String, Long> leased = new HashMap<>();
     final Set<String> returned = new HashSet<>();
-    final Map<String, String> answers = new HashMap<>();
+    final Map<String, String> results = new HashMap<>();
     final Map<String, Integer> runs = new HashMap<>();
-    long highest;
+    long highestToken;
   }
 
-  /** One life of a store, from a recovery to a crash. */
-  private static final class Life {
+  /** One process of a store, from a recovery to a crash. */
+  private static final class StoreProcess {
     final FaultInjectingStorage disk;
-    final World world;
+    final ExternalState external;
     final SplittableRandom random;
     final JobTable table = new JobTable(SETTINGS);
     final WriteAheadLog log;
 
-    /** Whether the disk fails now and then. */
+    /** Whether the disk fails at random. */
     final boolean faults;
 
     double clock;
-    int numbers;
+    int nextJobNumber;
 
-    Life(
-        FaultInjectingStorage disk, World world, SplittableRandom random, double clock, int numbers)
+    StoreProcess(
+        FaultInjectingStorage disk,
+        ExternalState external,
+        SplittableRandom random,
+        double clock,
+        int nextJobNumber)
         throws IOException {
-      this(disk, world, random, clock, numbers, false);
+      this(disk, external, random, clock, nextJobNumber, false);
     }
 
-    Life(
+    StoreProcess(
         FaultInjectingStorage disk,
-        World world,
+        ExternalState external,
         SplittableRandom random,
         double clock,
-        int numbers,
+        int nextJobNumber,
         boolean faults)
         throws IOException {
       this.faults = faults;
       this.disk = disk;
-      this.world = world;
+      this.external = external;
       this.random = random;
       this.clock = clock;
-      this.numbers = numbers;
+      this.nextJobNumber = nextJobNumber;
       log = WriteAheadLog.open(disk, 500, table::replay);
       table.recovered(0);
     }
 
-    /** Stores a change; from then on others may be notified of it. */
+    /** Stores a change, which may be acknowledged afterwards. */
     void commit(JobChange change) throws IOException {
       if (faults && random.nextInt(4) == 0) {
         disk.tearWritesAt(random.nextInt(80));
@@ -93,44 +97,44 @@
         try {
           log.commit(change.records());
           stored = true;
-        } catch (DiskFault notYet) {
-          assertTrue(faults, "the disk does not fail here");
+        } catch (DiskFault expected) {
+          assertTrue(faults, "the disk failed although no fault was scheduled");
         }
       }
       if (random.nextInt(12) == 0) {
         try {
           LogCompactor.compact(disk, log.logNumber());
-        } catch (DiskFault notYet) {
-          assertTrue(faults, "the disk does not fail here");
+        } catch (DiskFault expected) {
+          assertTrue(faults, "the disk failed although no fault was scheduled");
         }
       }
     }
 
-    void play(int steps) throws IOException {
-      for (int i = 0; i < steps; i++) {
-        // A clock that jumps, now and then by an hour back.
+    void play(int stepCount) throws IOException {
+      for (int i = 0; i < stepCount; i++) {
+        // The clock jumps at random, by up to an hour forward or back.
         clock +=
             random.nextInt(20) == 0 ? random.nextInt(7_200_000) - 3_600_000 : random.nextInt(30);
         if (random.nextInt(3) == 0) {
-          take();
+          acceptJob();
         } else {
-          work();
+          advanceRandomJob();
         }
       }
     }
 
-    private void take() throws IOException {
-      String id = "j" + numbers++;
+    private void acceptJob() throws IOException {
+      String id = "j" + nextJobNumber++;
       Idempotency idempotency = Idempotency.values()[random.nextInt(3)];
       JobChange change =
           table.accept(
               new JobSubmission(id, idempotency, "k" + id, 1000, new byte[random.nextInt(40)]),
               clock);
       commit(change);
-      world.accepted.add(id);
+      external.accepted.add(id);
     }
 
-    private void work() throws IOException {
+    private void advanceRandomJob() throws IOException {
       List<Job> jobs = new ArrayList<>(table.jobs());
       if (jobs.isEmpty()) {
         return;
@@ -143,126 +147,127 @@
           if (change.allowed()) {
             commit(change);
             assertTrue(
-                job.token() > world.highest, "token " + job.token() + " after " + world.highest);
-            world.highest = job.token();
-            world.leased.put(id, job.token());
-            world.returned.remove(id);
+                job.token() > external.highestToken,
+                "token " + job.token() + " after " + external.highestToken);
+            external.highestToken = job.token();
+            external.leased.put(id, job.token());
+            external.returned.remove(id);
             if (random.nextInt(3) > 0) {
-              // The worker begins at once; its report may never come.
-              world.runs.merge(id, 1, Integer::sum);
+              // The worker starts at once; its report may be lost.
+              external.runs.merge(id, 1, Integer::sum);
             }
           }
         }
-        case LEASED, STARTED, IN_DOUBT -> outcome(job);
+        case LEASED, STARTED, IN_DOUBT -> reportOutcome(job);
         default -> {}
       }
     }
 
-    private void outcome(Job job) throws IOException {
+    private void reportOutcome(Job job) throws IOException {
       String id = job.id();
-      Long token = world.leased.get(id);
+      Long token = external.leased.get(id);
       if (token == null || token != job.token()) {
         return;
       }
-      boolean ran = world.runs.getOrDefault(id, 0) > 0;
-      int kind = random.nextInt(5);
-      if (kind == 0 && ran) {
+      boolean ran = external.runs.getOrDefault(id, 0) > 0;
+      int choice = random.nextInt(5);
+      if (choice == 0 && ran) {
         commit(table.started(id, token));
-      } else if (kind == 1 && ran) {
+      } else if (choice == 1 && ran) {
         commit(table.done(id, token, "result of " + id, clock));
-        world.answers.put(id, "result of " + id);
-      } else if (kind == 2 && ran) {
+        external.results.put(id, "result of " + id);
+      } else if (choice == 2 && ran) {
         commit(table.failed(id, token, "broken", clock, random.nextDouble()));
-      } else if (kind == 3 && !ran) {
+      } else if (choice == 3 && !ran) {
         JobChange change = table.returned(id, token, clock, random.nextDouble());
         commit(change);
-        world.returned.add(id);
-      } else if (kind == 4) {
-        // Everybody's leases run out.
+        external.returned.add(id);
+      } else if (choice == 4) {
+        // All leases expire.
         commit(table.expire(clock, 1e12, random.nextDouble()));
       }
       if (job.state() == JobState.FAILED && table.job(id).isPresent()) {
-        world.answers.put(id, job.result());
+        external.results.put(id, job.result());
       }
     }
   }
 
-  private static void check(Life life, World world) {
-    for (String id : world.accepted) {
-      assertTrue(life.table.job(id).isPresent(), id + " was accepted and is lost");
-      Job job = life.table.job(id).orElseThrow();
-      String answer = world.answers.get(id);
-      if (answer != null) {
-        assertEquals(answer, job.result(), "the answer of " + id + " has changed");
+  private static void check(StoreProcess process, ExternalState external) {
+    for (String id : external.accepted) {
+      assertTrue(process.table.job(id).isPresent(), id + " was accepted but is lost");
+      Job job = process.table.job(id).orElseThrow();
+      String result = external.results.get(id);
+      if (result != null) {
+        assertEquals(result, job.result(), "the result of " + id + " has changed");
       }
-      boolean mayHaveRun = world.runs.getOrDefault(id, 0) > 0;
-      if (mayHaveRun
-          && job.idempotency() == Idempotency.UNSAFE
-          && job.state() == JobState.ACCEPTED) {
+      boolean hasRun = external.runs.getOrDefault(id, 0) > 0;
+      if (hasRun && job.idempotency() == Idempotency.UNSAFE && job.state() == JobState.ACCEPTED) {
         assertFalse(
-            life.table.lease(id, "again", 1e15, 0).allowed(),
-            id + " has run and would start again");
+            process.table.lease(id, "again", 1e15, 0).allowed(),
+            id + " has run and may start again");
       }
       assertTrue(
-          world.runs.getOrDefault(id, 0) <= 1 || job.idempotency() != Idempotency.UNSAFE,
+          external.runs.getOrDefault(id, 0) <= 1 || job.idempotency() != Idempotency.UNSAFE,
           id + " has run twice");
     }
-    assertTrue(life.table.highestToken() >= world.highest, "tokens would be given out again");
+    assertTrue(
+        process.table.highestToken() >= external.highestToken, "a token may be granted twice");
   }
 
   @Test
-  void nothingIsLostOrRunTwiceWhereverPowerGoes() throws IOException {
+  void losesNoJobAndRunsNoneTwiceAfterPowerLossAtAnyStep() throws IOException {
     crashEverywhere(false, CRASHES);
   }
 
   @Test
-  void nothingIsLostOrRunTwiceWhereverPowerGoesOrTheProcessIsKilledWhileTheDiskFails()
-      throws IOException {
+  void losesNoJobAndRunsNoneTwiceWhenProcessOrPowerFailsDuringDiskFaults() throws IOException {
     crashEverywhere(true, CRASHES / 2);
   }
 
-  private static void crashEverywhere(boolean faults, int points) throws IOException {
+  private static void crashEverywhere(boolean faults, int crashPoints) throws IOException {
     int crashes = 0;
-    int lives = 0;
-    for (long seed = 1; crashes < points; seed++) {
-      long steps = measure(seed, faults);
-      for (long at = 0; at < steps && crashes < points; at++) {
-        lives += crash(seed, at, faults);
+    int recoveries = 0;
+    for (long seed = 1; crashes < crashPoints; seed++) {
+      long stepCount = countSteps(seed, faults);
+      for (long step = 0; step < stepCount && crashes < crashPoints; step++) {
+        recoveries += crash(seed, step, faults);
         crashes++;
       }
     }
-    assertTrue(lives > crashes, "recoveries were interrupted as well");
+    assertTrue(recoveries > crashes, "some recoveries must be interrupted as well");
     System.out.println(
-        "crash points: " + crashes + ", recoveries: " + lives + ", disk fails: " + faults);
+        "crash points: " + crashes + ", recoveries: " + recoveries + ", disk fails: " + faults);
   }
 
-  private static long measure(long seed, boolean faults) throws IOException {
+  private static long countSteps(long seed, boolean faults) throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
-    Life life = new Life(disk, new World(), new SplittableRandom(seed), 1e12, 0, faults);
-    life.play(60);
+    StoreProcess process =
+        new StoreProcess(disk, new ExternalState(), new SplittableRandom(seed), 1e12, 0, faults);
+    process.play(60);
     return disk.steps();
   }
 
   /**
-   * Plays the history of a seed up to a step, and continues through further crashes, some of them
-   * in recoveries.
+   * Plays the history of a seed up to a step and then through further crashes, some of them during
+   * a recovery. Returns the number of recoveries.
    */
-  private static int crash(long seed, long at, boolean faults) throws IOException {
+  private static int crash(long seed, long step, boolean faults) throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
-    World world = new World();
+    ExternalState external = new ExternalState();
     SplittableRandom random = new SplittableRandom(seed);
-    disk.losePowerAfter(at);
-    int lives = 0;
-    int numbers = 0;
+    disk.losePowerAfter(step);
+    int recoveries = 0;
+    int nextJobNumber = 0;
     for (int i = 0; i < 3; i++) {
       try {
-        Life life = new Life(disk, world, random, 1e12 + i * 1000, numbers, faults);
-        lives++;
-        numbers = 1000 * (i + 1);
-        check(life, world);
-        life.play(60);
+        StoreProcess process =
+            new StoreProcess(disk, external, random, 1e12 + i * 1000, nextJobNumber, faults);
+        recoveries++;
+        nextJobNumber = 1000 * (i + 1);
+        check(process, external);
+        process.play(60);
         break;
-      } catch (PowerLost | DiskFault lost) {
+      } catch (PowerLost | DiskFault crash) {
         disk.heal();
         if (faults && random.nextBoolean()) {
           disk.restartProcess();
@@ -270,37 +275,39 @@
           disk.powerUp();
         }
         disk.losePowerAfter(random.nextInt(40));
-      } catch (AssertionError | RuntimeException wrong) {
+      } catch (AssertionError | RuntimeException failure) {
         throw new AssertionError(
-            "seed " + seed + ", power lost at step " + at + ", life " + i, wrong);
+            "seed " + seed + ", power lost at step " + step + ", process " + i, failure);
       }
     }
     disk.heal();
     disk.powerUp();
-    Life last = new Life(disk, world, random, 2e12, 9000);
-    check(last, world);
-    return lives + 1;
+    StoreProcess last = new StoreProcess(disk, external, random, 2e12, 9000);
+    check(last, external);
+    return recoveries + 1;
   }
 
   @Test
-  void aBitThatTurnedInWhatWasSyncedIsAnErrorWithItsPlaceOrTheLastBatch() throws IOException {
-    int found = 0;
+  void reportsFlippedBitInSyncedDataUnlessInLastBatch() throws IOException {
+    int detected = 0;
     for (long seed = 1; seed <= 200; seed++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
-      Life life = new Life(disk, new World(), new SplittableRandom(seed), 1e12, 0);
-      life.play(40);
+      StoreProcess process =
+          new StoreProcess(disk, new ExternalState(), new SplittableRandom(seed), 1e12, 0);
+      process.play(40);
       long last = lastBatch(disk);
-      SplittableRandom where = new SplittableRandom(seed);
+      SplittableRandom damageRandom = new SplittableRandom(seed);
       List<String> files = disk.list().stream().filter(name -> !name.endsWith(".tmp")).toList();
-      String file = files.get(where.nextInt(files.size()));
-      int offset = where.nextInt(disk.read(file).length);
+      String file = files.get(damageRandom.nextInt(files.size()));
+      int offset = damageRandom.nextInt(disk.read(file).length);
       disk.flip(file, offset);
       try {
         JobTable recovered = new JobTable(SETTINGS);
         WriteAheadLog.inspect(disk, recovered::replay);
-        // Nothing follows the last batch, which cannot be distinguished from a torn one; or an old
-        // file was hit.
-        boolean old =
+        // No error is expected if the last batch was hit, which looks like a torn one, or a file
+        // that
+        // a snapshot has replaced.
+        boolean replaced =
             disk.list().stream()
                 .anyMatch(
                     name ->
@@ -309,24 +316,24 @@
                             && name.substring(5).compareTo(file.substring(file.indexOf('-') + 1))
                                 > 0);
         assertTrue(
-            old
+            replaced
                 || (file.equals(
                         files.stream()
                             .filter(name -> name.startsWith("log-"))
                             .reduce((a, b) -> b)
                             .orElseThrow())
                     && (offset >= last || disk.read(file).length == LogFiles.HEADER_BYTES)),
-            "seed " + seed + ": " + file + " at " + offset + " was passed over in silence");
+            "seed " + seed + ": " + file + " at " + offset + " was not reported");
       } catch (CorruptLogException damaged) {
-        found++;
+        detected++;
         assertEquals(file, damaged.file(), "seed " + seed);
         assertTrue(damaged.offset() <= offset, "seed " + seed);
       }
     }
-    assertTrue(found > 100, "found " + found);
+    assertTrue(detected > 100, "found " + detected);
   }
 
-  /** The offset of the last batch in the last log. */
+  /** Returns the offset of the last batch in the last log. */
   private static long lastBatch(FaultInjectingStorage disk) {
     String log =
         disk.list().stream()
@@ -334,36 +341,36 @@
             .reduce((a, b) -> b)
             .orElseThrow();
     ByteBuffer content = ByteBuffer.wrap(disk.read(log));
-    int at = LogFiles.HEADER_BYTES;
-    int last = at;
-    while (at < content.capacity()) {
-      last = at;
-      at += 16 + content.getInt(at);
+    int offset = LogFiles.HEADER_BYTES;
+    int last = offset;
+    while (offset < content.capacity()) {
+      last = offset;
+      offset += 16 + content.getInt(offset);
     }
     return last;
   }
 
   @Test
-  void aSkippedSyncIsNeverPassedOverInSilenceOnceMoreWasSynced() throws IOException {
+  void reportsSkippedSyncOnceLaterDataIsSynced() throws IOException {
     int damaged = 0;
     for (long seed = 1; seed <= 3000; seed++) {
       FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0.02);
-      World world = new World();
+      ExternalState external = new ExternalState();
       SplittableRandom random = new SplittableRandom(seed);
       try {
-        Life life = new Life(disk, world, random, 1e12, 0);
+        StoreProcess process = new StoreProcess(disk, external, random, 1e12, 0);
         disk.losePowerAfter(20 + random.nextInt(80));
-        life.play(200);
-      } catch (PowerLost lost) {
+        process.play(200);
+      } catch (PowerLost crash) {
         disk.powerUp();
       }
       try {
-        check(new Life(disk, world, random, 2e12, 9000), world);
+        check(new StoreProcess(disk, external, random, 2e12, 9000), external);
       } catch (CorruptLogException detected) {
         damaged++;
       } catch (AssertionError missing) {
-        // A very last sync that was skipped looks like one that never returned; an earlier one must
-        // be seen.
+        // A skipped last sync looks like a sync that never returned; an earlier one must be
+        // detected.
         assertTrue(disk.skippedSyncs() > 0, "seed " + seed + ": " + missing.getMessage());
       }
     }
@@ -371,25 +378,28 @@
   }
 
   @Test
-  void aFullDiskTakesNothingAndGoesOnInANewFileOnceThereIsSpaceAgain() throws IOException {
+  void continuesInNewFileAfterDiskWasFull() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
-    World world = new World();
-    Life life = new Life(disk, world, new SplittableRandom(1), 1e12, 0);
-    life.play(50);
+    ExternalState external = new ExternalState();
+    StoreProcess process = new StoreProcess(disk, external, new SplittableRandom(1), 1e12, 0);
+    process.play(50);
     JobChange change =
-        life.table.accept(new JobSubmission("late", Idempotency.UNSAFE, "", 0, new byte[9]), 1e12);
-    long before = life.log.logNumber();
+        process.table.accept(
+            new JobSubmission("late", Idempotency.UNSAFE, "", 0, new byte[9]), 1e12);
+    long before = process.log.logNumber();
     disk.fill(true);
     for (int i = 0; i < 3; i++) {
-      assertThrows(IOException.class, () -> life.log.commit(change.records()));
+      assertThrows(IOException.class, () -> process.log.commit(change.records()));
     }
     disk.fill(false);
-    life.log.commit(change.records());
-    world.accepted.add("late");
+    process.log.commit(change.records());
+    external.accepted.add("late");
     assertEquals(
-        before + 1, life.log.logNumber(), "the file whose write failed is written no more");
-    life.play(50);
+        before + 1,
+        process.log.logNumber(),
+        "the file of the failed write must not be written again");
+    process.play(50);
     disk.powerUp();
-    check(new Life(disk, world, new SplittableRandom(2), 2e12, 9000), world);
+    check(new StoreProcess(disk, external, new SplittableRandom(2), 2e12, 9000), external);
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
@@ -21,7 +21,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The store's two threads; this test's thread is the owner and runs the tasks of the disk's thread.
+ * Guards against callbacks that are lost, repeated or called before their change is durable. The
+ * test's thread owns the store and runs the tasks that the disk thread passes to it.
  */
 class JobStoreTest {
   private static final JobTableSettings SETTINGS = new JobTableSettings(100, 100, 1e9, 3, 10, 100);
@@ -33,9 +34,9 @@
 
   private JobStore open(long logBytes, int maxPendingChanges) throws IOException {
     RetryTimer timer =
-        (delayMillis, run) -> {
+        (delayMillis, task) -> {
           delays.add(delayMillis);
-          timers.add(run);
+          timers.add(task);
         };
     return JobStore.open(
         disk,
@@ -46,7 +47,7 @@
 
   private void runOwnerTask() throws InterruptedException {
     Runnable task = ownerTasks.poll(20, TimeUnit.SECONDS);
-    assertTrue(task != null, "the disk's thread handed over no task");
+    assertTrue(task != null, "the disk thread has passed no task to the owner");
     task.run();
   }
 
@@ -55,7 +56,7 @@
   }
 
   @Test
-  void changesLastInTheirOrderAndShareSyncs() throws Exception {
+  void storesChangesInOrderWithSharedSyncs() throws Exception {
     List<String> stored = new ArrayList<>();
     try (JobStore store = open(1 << 20, 10_000)) {
       for (int i = 0; i < 2000; i++) {
@@ -70,15 +71,15 @@
     for (int i = 0; i < 2000; i++) {
       assertEquals("j" + i, stored.get(i));
     }
-    try (JobStore again = open(1 << 20, 10)) {
-      assertEquals(2000, again.table().jobs().size());
+    try (JobStore reopened = open(1 << 20, 10)) {
+      assertEquals(2000, reopened.table().jobs().size());
     }
   }
 
-  private void accept(JobStore store, String id, List<String> notified)
+  private void accept(JobStore store, String id, List<String> stored)
       throws StoreUnavailableException {
     store.accept(
-        new JobSubmission(id, Idempotency.UNSAFE, "", 0, new byte[50]), 1, () -> notified.add(id));
+        new JobSubmission(id, Idempotency.UNSAFE, "", 0, new byte[50]), 1, () -> stored.add(id));
   }
 
   private static StoreUnavailableException.Reason rejection(JobStore store, String id) {
@@ -88,20 +89,20 @@
             () ->
                 store.accept(
                     new JobSubmission(id, Idempotency.UNSAFE, "", 0, new byte[50]), 1, () -> {}));
-    assertTrue(store.table().job(id).isEmpty(), "nothing is kept of a job that was rejected");
+    assertTrue(store.table().job(id).isEmpty(), "a rejected job is not in the table");
     return rejected.reason();
   }
 
   @Test
-  void aStoreThatIsBehindRejectsNewJobs() throws Exception {
-    List<String> notified = new ArrayList<>();
+  void rejectsJobsWhileTooManyChangesArePending() throws Exception {
+    List<String> stored = new ArrayList<>();
     try (JobStore store = open(1 << 20, 2)) {
-      accept(store, "a", notified);
+      accept(store, "a", stored);
       assertFalse(store.overloaded());
-      accept(store, "b", notified);
-      assertTrue(store.overloaded(), "two are on their way");
+      accept(store, "b", stored);
+      assertTrue(store.overloaded(), "two changes are pending");
       assertEquals(StoreUnavailableException.Reason.OVERLOADED, rejection(store, "c"));
-      while (notified.size() < 2) {
+      while (stored.size() < 2) {
         runOwnerTask();
       }
       assertFalse(store.overloaded());
@@ -110,14 +111,13 @@
 
   @ParameterizedTest
   @EnumSource(Errno.class)
-  void pendingChangesAreNotifiedOnceAfterADiskFaultAndNewJobsAreRejectedMeanwhile(Errno errno)
-      throws Exception {
-    List<String> notified = new ArrayList<>();
+  void storesPendingChangesOnceAfterDiskFaultAndRejectsJobsMeanwhile(Errno errno) throws Exception {
+    List<String> stored = new ArrayList<>();
     try (JobStore store = open(1 << 20, 100)) {
-      accept(store, "a", notified);
+      accept(store, "a", stored);
       runOwnerTask();
       disk.fail(errno == Errno.ENOSPC ? Operation.WRITE : Operation.SYNC, errno, 0, 4);
-      accept(store, "b", notified);
+      accept(store, "b", stored);
       runOwnerTask();
       for (int failures = 2; failures <= 4; failures++) {
         assertEquals(
@@ -126,55 +126,55 @@
         timers.remove().run();
         runOwnerTask();
       }
-      // What was accepted before may still change meanwhile.
-      store.commit(store.table().lease("a", "w", 1, 0), () -> notified.add("a leased"));
-      assertEquals(List.of("a"), notified, "neither yes nor no while the disk fails");
+      // Jobs accepted before the fault may still change.
+      store.commit(store.table().lease("a", "w", 1, 0), () -> stored.add("a leased"));
+      assertEquals(List.of("a"), stored, "no callback is called while the disk fails");
       timers.remove().run();
-      while (notified.size() < 3) {
+      while (stored.size() < 3) {
         runOwnerTask();
       }
       assertTrue(store.fault().isEmpty());
-      accept(store, "c", notified);
+      accept(store, "c", stored);
       runOwnerTask();
     }
-    assertEquals(List.of("a", "b", "a leased", "c"), notified);
+    assertEquals(List.of("a", "b", "a leased", "c"), stored);
     assertEquals(List.of(20.0, 40.0, 80.0, 160.0), delays);
     disk.powerUp();
-    try (JobStore again = open(1 << 20, 2)) {
-      assertEquals(3, again.table().jobs().size());
-      assertEquals(JobState.LEASED, again.table().job("a").orElseThrow().state());
+    try (JobStore reopened = open(1 << 20, 2)) {
+      assertEquals(3, reopened.table().jobs().size());
+      assertEquals(JobState.LEASED, reopened.table().job("a").orElseThrow().state());
     }
   }
 
   @Test
-  void aStoreThatIsClosedWhileItsDiskFailsThrowsAndNotifiesNobody() throws Exception {
-    List<String> notified = new ArrayList<>();
+  void closeThrowsWithoutCallbackWhileDiskFails() throws Exception {
+    List<String> stored = new ArrayList<>();
     JobStore store = open(1 << 20, 100);
     disk.fail(Operation.SYNC, Errno.EIO, 0, Long.MAX_VALUE);
-    accept(store, "a", notified);
+    accept(store, "a", stored);
     runOwnerTask();
     assertThrows(IOException.class, store::close);
-    assertEquals(List.of(), notified);
+    assertEquals(List.of(), stored);
     disk.heal();
     disk.powerUp();
     open(1 << 20, 2).close();
   }
 
   @Test
-  void aStoreThatIsClosedAtItsDisksFirstFailureTriesOnceMore() throws Exception {
-    List<String> notified = new ArrayList<>();
+  void closeRetriesOnceAfterFirstFailure() throws Exception {
+    List<String> stored = new ArrayList<>();
     JobStore store = open(1 << 20, 100);
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
-    accept(store, "a", notified);
+    accept(store, "a", stored);
     store.close();
     disk.powerUp();
-    try (JobStore again = open(1 << 20, 2)) {
-      assertEquals(1, again.table().jobs().size());
+    try (JobStore reopened = open(1 << 20, 2)) {
+      assertEquals(1, reopened.table().jobs().size());
     }
   }
 
   @Test
-  void closedLogsBecomeASnapshotBesideTheCommits() throws Exception {
+  void compactsClosedLogsConcurrentlyWithCommits() throws Exception {
     int[] stored = {0};
     try (JobStore store = open(2000, 100_000)) {
       for (int i = 0; i < 500; i++) {
@@ -187,8 +187,8 @@
     assertTrue(
         disk.list().stream().anyMatch(name -> name.startsWith("snap-")), disk.list().toString());
     assertTrue(disk.list().size() < 20, disk.list().toString());
-    try (JobStore again = open(2000, 10)) {
-      assertEquals(500, again.table().jobs().size());
+    try (JobStore reopened = open(2000, 10)) {
+      assertEquals(500, reopened.table().jobs().size());
     }
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
@@ -17,19 +17,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every state that two jobs, two workers and two lives of a node can get into, with messages that
- * come late, twice, out of order or never, leases that run out anywhere, and a crash anywhere.
+ * Guards against an unsafe job that runs twice. Explores all reachable states of up to two jobs,
+ * two workers and one restart of the node: messages are delayed, duplicated, reordered or lost,
+ * leases may expire in any state, and the node may crash after any lease is stored.
  */
 class JobTableExplorationTest {
   private static final JobTableSettings SETTINGS = new JobTableSettings(100, 100, 1e18, 3, 0, 0);
-  private static final double AT = 1000;
-  private static final int MOST_STATES = 2_000_000;
+  private static final double START_MILLIS = 1000;
+  private static final int MAX_STATES = 2_000_000;
 
   /**
-   * A message of a worker's: it stays in flight after it was received, since a worker may send it
-   * again.
+   * A lease sent to a worker or a report sent by it. A report stays in flight after it is received,
+   * since the worker may send it again.
    */
-  private record Message(String job, long token, String what) implements Comparable<Message> {
+  private record Message(String job, long token, String type) implements Comparable<Message> {
     @Override
     public int compareTo(Message other) {
       return toString().compareTo(other.toString());
@@ -37,13 +38,13 @@
   }
 
   /**
-   * The state of the system: what is stored, what is in flight to and from workers, and what has
-   * run.
+   * A state of the system: the stored records, the messages in flight to and from workers, and the
+   * number of runs of each job.
    */
   private static final class State {
     List<LogRecord> stored = new ArrayList<>();
 
-    /** Leases on their way to their worker. */
+    /** The leases in flight to their worker. */
     Set<Message> grants = new TreeSet<>();
 
     Set<Message> reports = new TreeSet<>();
@@ -67,35 +68,36 @@
     }
   }
 
-  private record Explored(int states, String broken) {}
+  private record Exploration(int states, String violation) {}
 
-  private static Explored explore(
+  private static Exploration explore(
       Supplier<JobTable> tables, Idempotency idempotency, int jobs, int expiries) {
-    Deque<State> open = new ArrayDeque<>();
+    Deque<State> unexplored = new ArrayDeque<>();
     Set<String> seen = new HashSet<>();
-    State start = new State();
-    JobTable first = tables.get();
+    State initial = new State();
+    JobTable initialTable = tables.get();
     for (int j = 0; j < jobs; j++) {
-      first.accept(new JobSubmission("j" + j, idempotency, "", 0, new byte[0]), AT);
+      initialTable.accept(
+          new JobSubmission("j" + j, idempotency, "", 0, new byte[0]), START_MILLIS);
     }
-    start.stored = first.snapshot();
-    open.add(start);
-    seen.add(start.key());
-    while (!open.isEmpty()) {
-      State state = open.poll();
+    initial.stored = initialTable.snapshot();
+    unexplored.add(initial);
+    seen.add(initial.key());
+    while (!unexplored.isEmpty()) {
+      State state = unexplored.poll();
       for (int j = 0; j < jobs; j++) {
         if (state.runs[j] > 1 && idempotency == Idempotency.UNSAFE) {
-          return new Explored(seen.size(), "j" + j + " ran twice: " + state.key());
+          return new Exploration(seen.size(), "j" + j + " ran twice: " + state.key());
         }
       }
       for (State next : next(state, tables, jobs, expiries)) {
         if (seen.add(next.key())) {
-          open.add(next);
+          unexplored.add(next);
         }
       }
-      assertTrue(seen.size() < MOST_STATES, "more states than expected");
+      assertTrue(seen.size() < MAX_STATES, "more states than expected");
     }
-    return new Explored(seen.size(), null);
+    return new Exploration(seen.size(), null);
   }
 
   private static JobTable load(State state, Supplier<JobTable> tables) {
@@ -106,87 +108,90 @@
   }
 
   private static List<State> next(State state, Supplier<JobTable> tables, int jobs, int expiries) {
-    List<State> all = new ArrayList<>();
+    List<State> nextStates = new ArrayList<>();
     for (int j = 0; j < jobs; j++) {
       String id = "j" + j;
       for (String worker : new String[] {"w0", "w1"}) {
         JobTable table = load(state, tables);
-        if (table.lease(id, worker, AT, 0).allowed()) {
+        if (table.lease(id, worker, START_MILLIS, 0).allowed()) {
           State next = state.copy();
           next.stored = table.snapshot();
           next.grants.add(new Message(id, table.job(id).orElseThrow().token(), worker));
-          all.add(next);
+          nextStates.add(next);
           if (state.crashes < 1) {
-            // The node fails between storing the lease and sending it to the worker.
-            State died = state.copy();
-            died.stored = table.snapshot();
-            died.crashes++;
-            all.add(died);
+            // The node crashes after storing the lease and before sending it to the worker.
+            State crashed = state.copy();
+            crashed.stored = table.snapshot();
+            crashed.crashes++;
+            nextStates.add(crashed);
           }
         }
       }
     }
     for (Message grant : state.grants) {
-      // The worker has it: it begins, or returns it unstarted. Its reports may arrive late or
-      // twice.
-      State begun = state.copy();
-      begun.grants.remove(grant);
-      begun.runs[grant.job().charAt(1) - '0']++;
-      begun.reports.add(new Message(grant.job(), grant.token(), "started"));
-      begun.reports.add(new Message(grant.job(), grant.token(), "done"));
-      all.add(begun);
-      State back = state.copy();
-      back.grants.remove(grant);
-      back.reports.add(new Message(grant.job(), grant.token(), "returned"));
-      all.add(back);
+      // The worker receives the lease and either starts the job or returns it unstarted. Its
+      // reports may arrive late or twice.
+      State started = state.copy();
+      started.grants.remove(grant);
+      started.runs[grant.job().charAt(1) - '0']++;
+      started.reports.add(new Message(grant.job(), grant.token(), "started"));
+      started.reports.add(new Message(grant.job(), grant.token(), "done"));
+      nextStates.add(started);
+      State returned = state.copy();
+      returned.grants.remove(grant);
+      returned.reports.add(new Message(grant.job(), grant.token(), "returned"));
+      nextStates.add(returned);
     }
     for (Message report : state.reports) {
       JobTable table = load(state, tables);
       JobChange change =
-          switch (report.what()) {
+          switch (report.type()) {
             case "started" -> table.started(report.job(), report.token());
-            case "done" -> table.done(report.job(), report.token(), "r", AT);
-            default -> table.returned(report.job(), report.token(), AT, 0);
+            case "done" -> table.done(report.job(), report.token(), "r", START_MILLIS);
+            default -> table.returned(report.job(), report.token(), START_MILLIS, 0);
           };
       if (change.allowed()) {
         State received = state.copy();
         received.stored = table.snapshot();
-        all.add(received);
+        nextStates.add(received);
       }
       State lost = state.copy();
       lost.reports.remove(report);
-      all.add(lost);
+      nextStates.add(lost);
     }
     if (state.expiries < expiries) {
       JobTable table = load(state, tables);
-      if (!table.expire(AT, 1e9, 0).records().isEmpty()) {
+      if (!table.expire(START_MILLIS, 1e9, 0).records().isEmpty()) {
         State expired = state.copy();
         expired.stored = table.snapshot();
         expired.expiries++;
-        all.add(expired);
+        nextStates.add(expired);
       }
     }
-    return all;
+    return nextStates;
   }
 
   @Test
   void noUnsafeJobRunsTwiceInAnyState() {
-    Explored one = explore(() -> new JobTable(SETTINGS), Idempotency.UNSAFE, 1, 2);
-    Explored two =
+    Exploration oneJob = explore(() -> new JobTable(SETTINGS), Idempotency.UNSAFE, 1, 2);
+    Exploration twoJobs =
         explore(
             () -> new JobTable(new JobTableSettings(100, 100, 1e18, 2, 0, 0)),
             Idempotency.UNSAFE,
             2,
             1);
-    System.out.println("states: " + one.states() + " with one job, " + two.states() + " with two");
-    assertNull(one.broken());
-    assertNull(two.broken());
-    assertTrue(one.states() > 100 && two.states() > 10_000, one.states() + " and " + two.states());
+    System.out.println(
+        "states: " + oneJob.states() + " with one job, " + twoJobs.states() + " with two");
+    assertNull(oneJob.violation());
+    assertNull(twoJobs.violation());
+    assertTrue(
+        oneJob.states() > 100 && twoJobs.states() > 10_000,
+        oneJob.states() + " and " + twoJobs.states());
   }
 
   @Test
-  void aMissingFencingCheckIsFound() {
-    Explored mutant =
+  void explorationDetectsMissingFencingCheck() {
+    Exploration mutant =
         explore(
             () ->
                 new JobTable(SETTINGS) {
@@ -198,31 +203,32 @@
             Idempotency.UNSAFE,
             1,
             2);
-    assertNotNull(mutant.broken());
+    assertNotNull(mutant.violation());
   }
 
   @Test
-  void aSnapshotReproducesTheTableThatItWasMadeFrom() {
+  void snapshotReproducesTable() {
     JobTable table = new JobTable(SETTINGS);
-    table.accept(new JobSubmission("a", Idempotency.KEYED, "k", 500, new byte[] {1, 2}), AT);
-    table.accept(new JobSubmission("b", Idempotency.UNSAFE, "", 0, new byte[0]), AT);
-    table.lease("a", "w", AT, 0);
-    table.failed("a", 1, "broken", AT + 1, 0.5);
-    table.lease("b", "w", AT, 0);
-    table.expire(AT, 1e9, 0);
-    JobTable again = new JobTable(SETTINGS);
-    table.snapshot().forEach(again::replay);
-    assertEquals(table.snapshot(), again.snapshot());
-    assertEquals(JobState.ACCEPTED, again.job("a").orElseThrow().state());
-    assertEquals(JobState.IN_DOUBT, again.job("b").orElseThrow().state());
-    assertEquals(2, again.highestToken());
-    // The window counts from the lease that may have run, not from when that was known.
-    assertTrue(again.lease("a", "w", AT + 400, 0).allowed());
+    table.accept(
+        new JobSubmission("a", Idempotency.KEYED, "k", 500, new byte[] {1, 2}), START_MILLIS);
+    table.accept(new JobSubmission("b", Idempotency.UNSAFE, "", 0, new byte[0]), START_MILLIS);
+    table.lease("a", "w", START_MILLIS, 0);
+    table.failed("a", 1, "broken", START_MILLIS + 1, 0.5);
+    table.lease("b", "w", START_MILLIS, 0);
+    table.expire(START_MILLIS, 1e9, 0);
+    JobTable reloaded = new JobTable(SETTINGS);
+    table.snapshot().forEach(reloaded::replay);
+    assertEquals(table.snapshot(), reloaded.snapshot());
+    assertEquals(JobState.ACCEPTED, reloaded.job("a").orElseThrow().state());
+    assertEquals(JobState.IN_DOUBT, reloaded.job("b").orElseThrow().state());
+    assertEquals(2, reloaded.highestToken());
+    // The window starts at the lease that may have led to a run, not at its expiry.
+    assertTrue(reloaded.lease("a", "w", START_MILLIS + 400, 0).allowed());
     JobChange invalidState = JobChange.rejected(RejectionReason.INVALID_STATE);
-    JobTable late = new JobTable(SETTINGS);
-    table.snapshot().forEach(late::replay);
-    assertEquals(invalidState, late.lease("a", "w", AT + 500, 0));
-    // A clock that went back before the first run allows nothing either.
-    assertEquals(invalidState, late.lease("a", "w", AT - 3_600_000, 0));
+    JobTable afterWindow = new JobTable(SETTINGS);
+    table.snapshot().forEach(afterWindow::replay);
+    assertEquals(invalidState, afterWindow.lease("a", "w", START_MILLIS + 500, 0));
+    // The job must not be leased either if the clock has jumped to a time before the first run.
+    assertEquals(invalidState, afterWindow.lease("a", "w", START_MILLIS - 3_600_000, 0));
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/LogFileGoldenTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/LogFileGoldenTest.java
@@ -20,75 +20,75 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The entries and files of a store keep the form that an earlier version wrote, and so does what is
- * printed of them.
+ * Guards against changes of the record and file formats that make stores of earlier versions
+ * unreadable, and against changes of the operators' output.
  */
 class LogFileGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("job-log.txt");
   private static final byte[] PAYLOAD = {0, 1, -1, 'x'};
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
-  private static Map<String, LogRecord> entries() {
-    Map<String, LogRecord> entries = new LinkedHashMap<>();
+  private static Map<String, LogRecord> records() {
+    Map<String, LogRecord> records = new LinkedHashMap<>();
     int number = 0;
     for (Idempotency idempotency : Idempotency.values()) {
-      entries.put(
+      records.put(
           "accepted-" + number,
           new LogRecord.Accepted(
               "job-" + number, idempotency, "key", 7_500.5, 2, 1.79e12, PAYLOAD));
       number++;
     }
-    entries.put("leased", new LogRecord.Leased("job-0", "worker-1", 11, 1.79e12 + 1));
-    entries.put("started", new LogRecord.Started("job-0", 11, 1.79e12 + 2));
-    entries.put("returned", new LogRecord.Returned("job-0", 11, true, 1.79e12 + 3.25));
-    entries.put("doubted", new LogRecord.Doubted("job-1", 12, 1.79e12 + 4));
-    entries.put("ended", new LogRecord.Ended("job-1", 12, true, "result \u00e9", 1.79e12 + 5));
-    entries.put("forgotten", new LogRecord.Forgotten("job-1"));
-    entries.put("tokens", new LogRecord.Tokens(1L << 40));
-    return entries;
+    records.put("leased", new LogRecord.Leased("job-0", "worker-1", 11, 1.79e12 + 1));
+    records.put("started", new LogRecord.Started("job-0", 11, 1.79e12 + 2));
+    records.put("returned", new LogRecord.Returned("job-0", 11, true, 1.79e12 + 3.25));
+    records.put("doubted", new LogRecord.Doubted("job-1", 12, 1.79e12 + 4));
+    records.put("ended", new LogRecord.Ended("job-1", 12, true, "result \u00e9", 1.79e12 + 5));
+    records.put("forgotten", new LogRecord.Forgotten("job-1"));
+    records.put("tokens", new LogRecord.Tokens(1L << 40));
+    return records;
   }
 
   @Test
-  void eachEntryIsReadAndWrittenAsRecorded() throws IOException {
-    for (Map.Entry<String, LogRecord> each : entries().entrySet()) {
+  void recordsMatchRecordedBytes() throws IOException {
+    for (Map.Entry<String, LogRecord> entry : records().entrySet()) {
       ByteArrayOutputStream written = new ByteArrayOutputStream();
-      LogRecordCodec.write(each.getValue(), written);
-      GOLDEN.verify(each.getKey(), written.toByteArray());
-      byte[] recorded = GOLDEN.bytes(each.getKey());
+      LogRecordCodec.write(entry.getValue(), written);
+      GOLDEN.verify(entry.getKey(), written.toByteArray());
+      byte[] recorded = GOLDEN.bytes(entry.getKey());
       assertEquals(
-          each.getValue(), LogRecordCodec.read(recorded, 0, recorded.length), each.getKey());
+          entry.getValue(), LogRecordCodec.read(recorded, 0, recorded.length), entry.getKey());
     }
     assertEquals(
         Arrays.stream(LogRecord.class.getPermittedSubclasses())
             .map(Class::getSimpleName)
             .sorted()
             .toList(),
-        entries().values().stream()
-            .map(each -> each.getClass().getSimpleName())
+        records().values().stream()
+            .map(logRecord -> logRecord.getClass().getSimpleName())
             .distinct()
             .sorted()
             .toList());
   }
 
   @Test
-  void aBatchIsFramedAsRecorded() {
-    byte[] all = new byte[LogBatch.HEADER_BYTES + PAYLOAD.length];
-    System.arraycopy(PAYLOAD, 0, all, LogBatch.HEADER_BYTES, PAYLOAD.length);
-    GOLDEN.verify("batch", LogBatch.frame(all, 5));
+  void batchFrameMatchesRecordedBytes() {
+    byte[] batch = new byte[LogBatch.HEADER_BYTES + PAYLOAD.length];
+    System.arraycopy(PAYLOAD, 0, batch, LogBatch.HEADER_BYTES, PAYLOAD.length);
+    GOLDEN.verify("batch", LogBatch.frame(batch, 5));
   }
 
-  /** Files by name, as commits and a compaction leave them: a snapshot and the log after it. */
+  /** Returns the content of all files by name. */
   private static Map<String, byte[]> files(FaultInjectingStorage disk) {
     Map<String, byte[]> files = new LinkedHashMap<>();
     disk.list().stream().sorted().forEach(name -> files.put(name, disk.read(name)));
     return files;
   }
 
-  private static FaultInjectingStorage filled() throws IOException {
+  private static FaultInjectingStorage diskWithRecords() throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
     try (WriteAheadLog log = WriteAheadLog.open(disk, 1 << 20, replayed -> {})) {
-      log.commit(new ArrayList<>(entries().values()).subList(0, Idempotency.values().length));
+      log.commit(new ArrayList<>(records().values()).subList(0, Idempotency.values().length));
       log.commit(
           List.of(
               new LogRecord.Leased("job-0", "worker-1", 11, 1.79e12 + 1),
@@ -100,8 +100,8 @@
   }
 
   @Test
-  void filesAreWrittenAndReadAsRecorded() throws IOException {
-    FaultInjectingStorage disk = filled();
+  void filesMatchRecordedBytes() throws IOException {
+    FaultInjectingStorage disk = diskWithRecords();
     verifyFiles("", disk);
     JobTable table = new JobTable(JobTableSettings.REPLAY_ONLY);
     WriteAheadLog.open(disk, 1 << 20, table::replay).close();
@@ -118,11 +118,11 @@
     files(disk).forEach((name, content) -> GOLDEN.verify(prefix + name, content));
   }
 
-  /** A disk with the files as they were recorded. */
-  private static FaultInjectingStorage recorded(String prefix, FaultInjectingStorage like)
+  /** Returns a disk with the recorded content of the files that exist on {@code original}. */
+  private static FaultInjectingStorage recorded(String prefix, FaultInjectingStorage original)
       throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(2, 0);
-    for (String name : files(like).keySet()) {
+    for (String name : files(original).keySet()) {
       byte[] content = GOLDEN.bytes(prefix + name);
       disk.create(name).append(content, content.length);
     }
@@ -130,24 +130,24 @@
   }
 
   @Test
-  void operatorsReadTheSameOfARecordedStore() throws IOException {
-    for (String name : files(filled()).keySet()) {
-      Files.write(folder.resolve(name), GOLDEN.bytes(name));
+  void operatorOutputOfRecordedStoreMatchesRecording() throws IOException {
+    for (String name : files(diskWithRecords()).keySet()) {
+      Files.write(directory.resolve(name), GOLDEN.bytes(name));
     }
     for (String command : List.of("check", "dump", "stats")) {
-      GOLDEN.verifyLines("printed-" + command, printed("store", command, folder.toString()));
+      GOLDEN.verifyLines("printed-" + command, output("store", command, directory.toString()));
     }
   }
 
-  private static String printed(String... arguments) {
+  private static String output(String... arguments) {
     PrintStream out = System.out;
-    ByteArrayOutputStream printed = new ByteArrayOutputStream();
-    System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    System.setOut(new PrintStream(output, true, StandardCharsets.UTF_8));
     try {
       assertEquals(0, Cli.run(arguments));
     } finally {
       System.setOut(out);
     }
-    return printed.toString(StandardCharsets.UTF_8);
+    return output.toString(StandardCharsets.UTF_8);
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
@@ -17,20 +17,20 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A log whose disk fails for a while: what was committed is there once, and what was not is
- * committed later.
+ * Guards against committed records that are lost or duplicated when the disk fails temporarily, and
+ * against failed commits that cannot be repeated.
  */
 class StorageFaultTest {
   private static final JobTableSettings SETTINGS = new JobTableSettings(100, 400, 1e9, 4, 10, 100);
 
-  /** A log with two batches, as it was written before logs could be abandoned. */
-  private static final String WRITTEN =
+  /** A log with two batches as written by the version that could not abandon logs. */
+  private static final String EXPECTED_LOG =
       "464e474c4f4700010000000000000001000000272863f90c00000000000000"
           + "0100000023010001610100016b404900000000000000000000401c00000000000000000003010203000000"
           + "1b12ea03a40000000000000002000000170200016100017700000000000000014020000000000000";
 
-  private static final int SMALL_LOG = 150;
-  private static final int LARGE_LOG = 1 << 20;
+  private static final int SMALL_LOG_BYTES = 150;
+  private static final int LARGE_LOG_BYTES = 1 << 20;
 
   private final FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
   private final List<String> acknowledged = new ArrayList<>();
@@ -47,11 +47,11 @@
 
   private static List<String> recovered(FaultInjectingStorage disk) throws IOException {
     JobTable table = new JobTable(SETTINGS);
-    WriteAheadLog.open(disk, LARGE_LOG, table::replay).close();
+    WriteAheadLog.open(disk, LARGE_LOG_BYTES, table::replay).close();
     return table.jobs().stream().map(Job::id).toList();
   }
 
-  /** Commits a job, again and again until that works; returns how often it failed. */
+  /** Repeats the commit of a job until it succeeds and returns the number of failures. */
   private int commit(WriteAheadLog log, String id) throws IOException {
     for (int failures = 0; ; failures++) {
       try {
@@ -59,7 +59,7 @@
         acknowledged.add(id);
         return failures;
       } catch (DiskFault retried) {
-        assertTrue(failures < 100, "never again");
+        assertTrue(failures < 100, "the commit still fails after 100 attempts");
       }
     }
   }
@@ -68,18 +68,19 @@
     try {
       LogCompactor.compact(disk, log.logNumber());
     } catch (DiskFault retried) {
-      // The logs stay.
+      // The logs are kept.
     }
   }
 
   @ParameterizedTest
   @EnumSource(Operation.class)
-  void everyOperationMayFailForAWhileAtAnyTime(Operation operation) throws IOException {
+  void keepsCommittedRecordsWhenAnyOperationFailsTemporarily(Operation operation)
+      throws IOException {
     for (Errno errno : Errno.values()) {
       for (int run = 0; run < 400; run++) {
         FaultInjectingStorage failing = new FaultInjectingStorage(run, 0);
         acknowledged.clear();
-        WriteAheadLog log = open(failing, SMALL_LOG);
+        WriteAheadLog log = open(failing, SMALL_LOG_BYTES);
         failing.fail(operation, errno, run / 8, 1 + run % 8);
         for (int i = 0; i < 8; i++) {
           commit(log, "job " + i);
@@ -95,48 +96,51 @@
         assertEquals(acknowledged, recovered(failing), operation + " " + errno + " run " + run);
         failing.powerUp();
         assertEquals(
-            acknowledged, recovered(failing), operation + " " + errno + " run " + run + ", later");
+            acknowledged,
+            recovered(failing),
+            operation + " " + errno + " run " + run + ", second recovery");
       }
     }
   }
 
   @Test
-  void aWriteThatIsTornAtAnyByteIsCutAfterAKillAndWrittenAnewInTheNextLogElse() throws IOException {
+  void cutsTornWriteAfterRestartOrRepeatsItInNextLog() throws IOException {
     int length = 16 + 4 + 60;
-    for (int torn = 0; torn <= length; torn++) {
-      FaultInjectingStorage killed = new FaultInjectingStorage(torn, 0);
-      WriteAheadLog log = open(killed, LARGE_LOG);
+    for (int tornAt = 0; tornAt <= length; tornAt++) {
+      FaultInjectingStorage killed = new FaultInjectingStorage(tornAt, 0);
+      WriteAheadLog log = open(killed, LARGE_LOG_BYTES);
       log.commit(job("a"));
-      killed.tearWritesAt(torn);
+      killed.tearWritesAt(tornAt);
       killed.fail(Operation.WRITE, Errno.ENOSPC, 0, 1);
       assertThrows(DiskFault.class, () -> log.commit(job("b")));
       killed.restartProcess();
-      List<String> found = recovered(killed);
+      List<String> recoveredJobs = recovered(killed);
       assertTrue(
-          found.equals(List.of("a")) || found.equals(List.of("a", "b")), torn + ": " + found);
+          recoveredJobs.equals(List.of("a")) || recoveredJobs.equals(List.of("a", "b")),
+          tornAt + ": " + recoveredJobs);
       killed.powerUp();
-      assertEquals(found, recovered(killed), "what a recovery has reported stays so");
+      assertEquals(recoveredJobs, recovered(killed), "a second recovery finds the same jobs");
 
-      FaultInjectingStorage going = new FaultInjectingStorage(torn, 0);
+      FaultInjectingStorage continuing = new FaultInjectingStorage(tornAt, 0);
       acknowledged.clear();
-      WriteAheadLog other = open(going, LARGE_LOG);
+      WriteAheadLog other = open(continuing, LARGE_LOG_BYTES);
       commit(other, "a");
-      going.tearWritesAt(torn);
-      going.fail(Operation.WRITE, Errno.ENOSPC, 0, 2);
+      continuing.tearWritesAt(tornAt);
+      continuing.fail(Operation.WRITE, Errno.ENOSPC, 0, 2);
       assertEquals(2, commit(other, "b"));
       commit(other, "c");
-      assertEquals(acknowledged, recovered(going), "torn at " + torn);
-      going.powerUp();
-      assertEquals(acknowledged, recovered(going), "torn at " + torn);
+      assertEquals(acknowledged, recovered(continuing), "torn at " + tornAt);
+      continuing.powerUp();
+      assertEquals(acknowledged, recovered(continuing), "torn at " + tornAt);
     }
   }
 
   @Test
-  void aSnapshotOfAnAbandonedLogHasItsLastBatchAsTheNextLogHasIt() throws IOException {
-    WriteAheadLog log = open(disk, LARGE_LOG);
+  void snapshotTakesLastBatchOfAbandonedLogFromNextLog() throws IOException {
+    WriteAheadLog log = open(disk, LARGE_LOG_BYTES);
     commit(log, "a");
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
-    assertThrows(DiskFault.class, () -> log.commit(job("never asked for again")));
+    assertThrows(DiskFault.class, () -> log.commit(job("never repeated")));
     commit(log, "b");
     assertTrue(LogCompactor.compact(disk, log.logNumber()));
     commit(log, "c");
@@ -144,8 +148,8 @@
   }
 
   @Test
-  void aTornTailThatTheNextLogDoesNotTakeUpIsDamage() throws IOException {
-    WriteAheadLog log = open(disk, SMALL_LOG);
+  void reportsTornTailNotRepeatedInNextLogAsDamage() throws IOException {
+    WriteAheadLog log = open(disk, SMALL_LOG_BYTES);
     while (log.logNumber() == 1) {
       commit(log, "job " + acknowledged.size());
     }
@@ -157,20 +161,20 @@
   }
 
   @Test
-  void whatARecoveryReadsIsRewrittenBeforeItCounts() throws IOException {
-    WriteAheadLog log = open(disk, LARGE_LOG);
+  void recoveryRewritesUnsyncedRecordsItReplays() throws IOException {
+    WriteAheadLog log = open(disk, LARGE_LOG_BYTES);
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
     assertThrows(DiskFault.class, () -> log.commit(job("a")));
     disk.restartProcess();
-    assertEquals(List.of("a"), recovered(disk), "the system still has it in memory");
+    assertEquals(List.of("a"), recovered(disk), "the page cache still has the record");
     disk.powerUp();
-    assertEquals(List.of("a"), recovered(disk), "and now it lasts");
+    assertEquals(List.of("a"), recovered(disk), "the recovery has made the record durable");
   }
 
   @Test
-  void filesAreByteForByteAsBeforeAndAreRead() throws IOException {
+  void readsAndWritesFilesOfEarlierVersion() throws IOException {
     JobTable table = new JobTable(SETTINGS);
-    WriteAheadLog log = open(disk, LARGE_LOG);
+    WriteAheadLog log = open(disk, LARGE_LOG_BYTES);
     log.commit(
         table
             .accept(new JobSubmission("a", Idempotency.KEYED, "k", 50, new byte[] {1, 2, 3}), 7)
@@ -178,10 +182,12 @@
     log.commit(table.lease("a", "w", 8, 0).records());
     String name = LogFiles.logName(1);
     String written = HexFormat.of().formatHex(disk.read(name));
-    assertEquals(WRITTEN, written);
+    assertEquals(EXPECTED_LOG, written);
     assertEquals(List.of("a"), recovered(disk));
     assertEquals(
-        WRITTEN, HexFormat.of().formatHex(disk.read(name)), "a recovery leaves it as it was");
+        EXPECTED_LOG,
+        HexFormat.of().formatHex(disk.read(name)),
+        "a recovery does not change the file");
     assertEquals(
         LogFiles.HEADER_BYTES, disk.read(LogFiles.logName(2)).length, "the next log is empty");
   }
--- a/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A store in a real folder, and what an operator sees of it. */
+/** Guards against operators' commands that change a store, miss damage or revive unsafe jobs. */
 class StoreCommandTest {
   private static final JobTableSettings SETTINGS = new JobTableSettings(100, 100, 1e9, 3, 10, 100);
 
@@ -29,7 +29,7 @@
   private Path store;
 
   @BeforeEach
-  void fill() throws IOException {
+  void createStore() throws IOException {
     store = folder.resolve("store");
     JobTable table = new JobTable(SETTINGS);
     try (FileSystemStorage disk = FileSystemStorage.openExclusive(store);
@@ -48,13 +48,13 @@
     }
   }
 
-  private static String output(int code, String... arguments) {
+  private static String run(int code, String... arguments) {
     PrintStream out = System.out;
     PrintStream err = System.err;
     ByteArrayOutputStream output = new ByteArrayOutputStream();
-    PrintStream into = new PrintStream(output, true, StandardCharsets.UTF_8);
-    System.setOut(into);
-    System.setErr(into);
+    PrintStream capture = new PrintStream(output, true, StandardCharsets.UTF_8);
+    System.setOut(capture);
+    System.setErr(capture);
     try {
       assertEquals(code, Cli.run(arguments));
     } finally {
@@ -69,26 +69,26 @@
   }
 
   @Test
-  void checkDumpAndStatsReadWithoutChanging() throws IOException {
+  void checkDumpAndStatsDoNotChangeStore() throws IOException {
     byte[] before = Files.readAllBytes(log());
     assertEquals(
-        "sound: 5 entries in 5 batches, 2 jobs\n", output(0, "store", "check", store.toString()));
+        "sound: 5 entries in 5 batches, 2 jobs\n", run(0, "store", "check", store.toString()));
     assertTrue(
-        output(0, "store", "dump", store.toString())
+        run(0, "store", "dump", store.toString())
             .contains("a LEASED UNSAFE leases=1 token=1 worker=w1"));
-    assertTrue(output(0, "store", "stats", store.toString()).contains("DONE       1"));
+    assertTrue(run(0, "store", "stats", store.toString()).contains("DONE       1"));
     assertEquals(
         new String(before, StandardCharsets.ISO_8859_1),
         new String(Files.readAllBytes(log()), StandardCharsets.ISO_8859_1));
     assertTrue(
-        output(2, "store", "check", folder.resolve("none").toString()).contains("is no folder"));
+        run(2, "store", "check", folder.resolve("none").toString()).contains("is not a directory"));
   }
 
   @Test
-  void aTornTailIsCutAndADamagedMiddleIsAnErrorThatRepairSavesTheRestOf() throws IOException {
-    byte[] whole = Files.readAllBytes(log());
-    Files.write(log(), Arrays.copyOf(whole, whole.length - 3));
-    assertTrue(output(0, "store", "check", store.toString()).contains("never synced"));
+  void cutsTornTailAndRepairSavesJobsBeforeDamage() throws IOException {
+    byte[] content = Files.readAllBytes(log());
+    Files.write(log(), Arrays.copyOf(content, content.length - 3));
+    assertTrue(run(0, "store", "check", store.toString()).contains("never synced"));
     JobTable table = new JobTable(SETTINGS);
     try (FileSystemStorage disk = FileSystemStorage.openExclusive(store);
         WriteAheadLog log = WriteAheadLog.open(disk, 1 << 20, table::replay)) {
@@ -96,36 +96,36 @@
       assertEquals(JobState.LEASED, table.job("b").orElseThrow().state());
       log.commit(List.of(new LogRecord.Tokens(9)));
     }
-    whole = Files.readAllBytes(log());
-    whole[whole.length / 2] ^= 4;
-    Files.write(log(), whole);
-    String printed = output(StoreCommand.DAMAGED, "store", "check", store.toString());
-    assertTrue(printed.matches("(?s).*log-0000000000000001: offset \\d+: .*"), printed);
-    Path mended = folder.resolve("mended");
+    content = Files.readAllBytes(log());
+    content[content.length / 2] ^= 4;
+    Files.write(log(), content);
+    String report = run(StoreCommand.DAMAGED, "store", "check", store.toString());
+    assertTrue(report.matches("(?s).*log-0000000000000001: offset \\d+: .*"), report);
+    Path repaired = folder.resolve("repaired");
     assertTrue(
-        output(0, "store", "repair", store.toString(), mended.toString())
+        run(0, "store", "repair", store.toString(), repaired.toString())
             .contains("stopped at log-"));
-    assertTrue(output(0, "store", "check", mended.toString()).startsWith("sound"));
-    // The damaged part may have leased what waits before it: nothing of that may start, nor a token
-    // come again.
+    assertTrue(run(0, "store", "check", repaired.toString()).startsWith("sound"));
+    // The damaged part may contain leases of the saved jobs: no saved job may start again, and no
+    // token may be granted twice.
     JobTable saved = new JobTable(SETTINGS);
-    try (FileSystemStorage disk = FileSystemStorage.openReadOnly(mended)) {
+    try (FileSystemStorage disk = FileSystemStorage.openReadOnly(repaired)) {
       WriteAheadLog.inspect(disk, saved::replay);
       assertFalse(saved.jobs().isEmpty());
       for (Job job : saved.jobs()) {
         assertEquals(JobState.IN_DOUBT, job.state());
         assertFalse(saved.lease(job.id(), "w3", 10, 0).allowed());
       }
-      JobTable again = new JobTable(SETTINGS);
-      saved.snapshot().forEach(again::replay);
-      assertEquals(saved.snapshot(), again.snapshot());
-      assertEquals(JobState.IN_DOUBT, again.jobs().iterator().next().state());
-      assertTrue(again.highestToken() > 1000);
+      JobTable reloaded = new JobTable(SETTINGS);
+      saved.snapshot().forEach(reloaded::replay);
+      assertEquals(saved.snapshot(), reloaded.snapshot());
+      assertEquals(JobState.IN_DOUBT, reloaded.jobs().iterator().next().state());
+      assertTrue(reloaded.highestToken() > 1000);
     }
   }
 
   @Test
-  void twoProcessesCannotHaveOneFolder() throws IOException {
+  void rejectsSecondProcessInSameDirectory() throws IOException {
     try (FileSystemStorage locked = FileSystemStorage.openExclusive(store)) {
       assertFalse(locked.list().isEmpty());
       assertThrows(IOException.class, () -> FileSystemStorage.openExclusive(store));
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void jobStatesDependOnNoDiskClockOrThread() {
+  void jobStatesDependOnNoStorageClockOrThread() {
     ArchRuleDefinition.noClasses()
         .that()
         .haveNameMatching(
