--- a/fleet/src/main/java/ferngrade/fleet/CommandGroup.java
+++ b/fleet/src/main/java/ferngrade/fleet/CommandGroup.java
@@ -3,7 +3,7 @@
 import ferngrade.cli.SubCommand;
 import picocli.CommandLine;
 
-/** A command that does nothing but by its sub-commands. */
+/** A command that only groups sub-commands and fails if none is given. */
 abstract class CommandGroup implements SubCommand, Runnable {
   @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
--- a/fleet/src/main/java/ferngrade/fleet/ListCopy.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListCopy.java
@@ -7,26 +7,26 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The worker list made of the lines that a watch has told, as one whole line again. */
-final class ListCopy {
+/** Maintains the current endpoint list from the lines of a watch and writes it as one line. */
+final class EndpointListCopy {
   private final Map<String, JsonObject> members = new LinkedHashMap<>();
   private long revision;
-  private boolean any;
+  private boolean initialized;
 
-  /** Takes a line; one that is none is said by an exception and changes nothing. */
-  void take(String line) {
-    JsonObject said = Json.parse(line).asObject();
-    long at = said.getLong("revision", 0);
+  /** Applies a line of a watch; an invalid line throws an exception and changes nothing. */
+  void apply(String line) {
+    JsonObject update = Json.parse(line).asObject();
+    long updateRevision = update.getLong("revision", 0);
     Map<String, JsonObject> changed = new LinkedHashMap<>();
-    for (JsonValue each : said.get("members").asArray()) {
-      JsonObject member = each.asObject();
+    for (JsonValue value : update.get("members").asArray()) {
+      JsonObject member = value.asObject();
       changed.put(member.get("id").asString(), member);
     }
-    if (said.getBoolean("complete", false)) {
+    if (update.getBoolean("complete", false)) {
       members.clear();
-      any = true;
+      initialized = true;
     }
-    revision = at;
+    revision = updateRevision;
     changed.forEach(
         (id, member) -> {
           if ("left".equals(member.getString("phase", ""))) {
@@ -37,17 +37,17 @@
         });
   }
 
-  /** The whole list, null before the first. */
+  /** Returns the whole list as one line; null until a line with the whole list was applied. */
   String whole() {
-    if (!any) {
+    if (!initialized) {
       return null;
     }
-    JsonArray all = Json.array();
-    members.values().forEach(all::add);
+    JsonArray array = Json.array();
+    members.values().forEach(array::add);
     return Json.object()
         .add("revision", revision)
         .add("complete", true)
-        .add("members", all)
+        .add("members", array)
         .toString();
   }
 }
--- a/fleet/src/main/java/ferngrade/fleet/EndpointListRelayTransport.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListRelayTransport.java
@@ -13,122 +13,130 @@
 import java.util.function.Consumer;
 
 /**
- * The worker list asked for once: what {@link EndpointListRelay} decides, on sockets. Belongs to
- * the member's thread.
+ * Connects {@link EndpointListRelay} to sockets: one member of the fleet watches the endpoint list
+ * and relays it to the other members. All methods belong to the member's thread.
  */
 final class EndpointListRelayTransport implements AutoCloseable {
   private final Codec codec = new Codec(List.of(Fed.class, Whole.class, Answer.class));
-  private final ListCopy copy = new ListCopy();
+  private final EndpointListCopy copy = new EndpointListCopy();
   private final Clock clock;
-  private final List<String> others;
-  private final BiConsumer<String, byte[]> links;
+  private final List<String> otherMembers;
+  private final BiConsumer<String, byte[]> sendToMember;
   private final Consumer<String> log;
-  private final ListService service;
-  private final ListWatch watch;
-  private final EndpointListRelay list;
+  private final EndpointListServer server;
+  private final EndpointListWatch watch;
+  private final EndpointListRelay relay;
   private String feeder;
 
-  /** The whole list, which was asked for. */
+  /** The reply to a {@link Whole} request. */
   record Answer(Fed fed) {}
 
-  /** What it is made from: messages go to other members by {@code links}. */
-  record Surroundings(
-      Clock clock, Executor loop, BiConsumer<String, byte[]> links, Consumer<String> log) {}
-
-  EndpointListRelayTransport(FleetFile file, String name, Surroundings around) throws IOException {
-    this.clock = around.clock();
-    this.links = around.links();
-    this.log = around.log();
-    this.others =
+  /**
+   * The environment of the transport.
+   *
+   * @param clock the member's monotonic clock
+   * @param loop runs tasks on the member's thread
+   * @param sendToMember sends a message to the named member
+   * @param log receives each log line
+   */
+  record Environment(
+      Clock clock, Executor loop, BiConsumer<String, byte[]> sendToMember, Consumer<String> log) {}
+
+  EndpointListRelayTransport(FleetFile file, String name, Environment environment)
+      throws IOException {
+    this.clock = environment.clock();
+    this.sendToMember = environment.sendToMember();
+    this.log = environment.log();
+    this.otherMembers =
         file.members().stream()
             .map(FleetFile.Member::name)
-            .filter(each -> !each.equals(name))
+            .filter(member -> !member.equals(name))
             .toList();
-    this.service =
-        file.member(name).list() == null ? null : new ListService(file.member(name).list());
-    this.watch = new ListWatch(file.discovery(), around.loop(), this::told);
-    this.list = new EndpointListRelay(clock.now(), new Does());
+    this.server =
+        file.member(name).list() == null ? null : new EndpointListServer(file.member(name).list());
+    this.watch = new EndpointListWatch(file.discovery(), environment.loop(), this::lineReceived);
+    this.relay = new EndpointListRelay(clock.now(), new RelayActions());
   }
 
   /**
-   * Looks what is to be done; {@code held} is the epoch under which this member owns the asking, if
-   * it does.
+   * Drives the relay, the watch and the age of the served list. {@code ownedEpoch} is the epoch
+   * under which this member owns the shard of the endpoint list, empty if it does not own it.
    */
-  void look(OptionalLong held) {
+  void poll(OptionalLong ownedEpoch) {
     double now = clock.now();
-    list.look(now, held);
-    watch.look(now);
-    if (service != null) {
-      service.age(list.age(now));
+    relay.look(now, ownedEpoch);
+    watch.poll(now);
+    if (server != null) {
+      server.setAge(relay.age(now));
     }
   }
 
-  /** The address at which the node asks, as text; null for none. */
+  /** The address that serves the list to the node, as HOST:PORT; null if none is configured. */
   String address() {
-    return service == null
+    return server == null
         ? null
-        : service.address().getHostString() + ":" + service.address().getPort();
+        : server.address().getHostString() + ":" + server.address().getPort();
   }
 
-  private void told(String line) {
-    watch.heard(clock.now());
-    list.told(clock.now(), line);
+  private void lineReceived(String line) {
+    watch.lineReceived(clock.now());
+    relay.told(clock.now(), line);
   }
 
-  /** A message of another member. */
-  void received(String from, byte[] message) {
-    Object read;
+  /** Handles a message of another member; a malformed one is ignored. */
+  void handleMessage(String from, byte[] message) {
+    Object decoded;
     try {
-      read = codec.read(message, 0, message.length);
+      decoded = codec.read(message, 0, message.length);
     } catch (IOException malformed) {
       return;
     }
-    if (read instanceof Fed fed && fed.line() != null) {
+    if (decoded instanceof Fed fed && fed.line() != null) {
       feeder = from;
-      list.fed(clock.now(), fed);
-    } else if (read instanceof Answer answer
+      relay.fed(clock.now(), fed);
+    } else if (decoded instanceof Answer answer
         && answer.fed() != null
         && answer.fed().line() != null) {
-      list.fedWhole(clock.now(), answer.fed());
-    } else if (read instanceof Whole asked) {
-      Fed whole = list.whole(clock.now(), asked);
+      relay.fedWhole(clock.now(), answer.fed());
+    } else if (decoded instanceof Whole request) {
+      Fed whole = relay.whole(clock.now(), request);
       if (whole != null) {
-        links.accept(from, codec.write(new Answer(whole)));
+        sendToMember.accept(from, codec.write(new Answer(whole)));
       }
     }
   }
 
   @Override
   public void close() {
-    watch.want(false);
-    if (service != null) {
-      service.close();
+    watch.setEnabled(false);
+    if (server != null) {
+      server.close();
     }
   }
 
-  private final class Does implements EndpointListRelay.Actions {
+  private final class RelayActions implements EndpointListRelay.Actions {
     @Override
     public void ask() {
       log.accept("list asking=yes");
-      watch.want(true);
+      watch.setEnabled(true);
     }
 
     @Override
     public void stopAsking() {
       log.accept("list asking=no fed by=" + feeder);
-      watch.want(false);
+      watch.setEnabled(false);
     }
 
     @Override
     public void pass(String line) {
       try {
-        copy.take(line);
-      } catch (RuntimeException noList) {
-        log.accept("list told what is no list: " + noList.getMessage());
+        copy.apply(line);
+      } catch (RuntimeException invalid) {
+        log.accept("invalid endpoint list line ignored: " + invalid.getMessage());
         return;
       }
-      if (service != null) {
-        service.pass(line, copy.whole());
+      if (server != null) {
+        server.publish(line, copy.whole());
       }
     }
 
@@ -140,13 +148,13 @@
     @Override
     public void feed(Fed fed) {
       byte[] bytes = codec.write(fed);
-      others.forEach(other -> links.accept(other, bytes));
+      otherMembers.forEach(member -> sendToMember.accept(member, bytes));
     }
 
     @Override
-    public void askWhole(Whole asked) {
+    public void askWhole(Whole request) {
       if (feeder != null) {
-        links.accept(feeder, codec.write(asked));
+        sendToMember.accept(feeder, codec.write(request));
       }
     }
   }
--- a/fleet/src/main/java/ferngrade/fleet/ListService.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListServer.java
@@ -15,25 +15,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Stands where a node asks for the worker list: the whole of it, or a watch, which begins with the
- * whole and goes on with each line. {@code List-Age-Ms} says how old the list was when the answer
- * began. Before there is a list, 503.
+ * Serves the endpoint list to a node at {@code /api/targets}: either the whole list, or a watch,
+ * which starts with the whole list and continues with each change. The header {@code List-Age-Ms}
+ * is the age of the list at the start of the response. Answers 503 until a list is known.
  */
-final class ListService implements AutoCloseable {
-  private static final int MOST_WATCHES = 16;
-  private static final int MOST_WAITING = 1_000;
+final class EndpointListServer implements AutoCloseable {
+  private static final int MAX_WATCHES = 16;
+  private static final int MAX_QUEUED_LINES = 1_000;
 
-  /** A watch without changes gets an empty line so often, ms. */
-  private static final long SIGN_MS = 2_000;
+  /** The interval at which a watch without changes is sent an empty line. */
+  private static final long EMPTY_LINE_INTERVAL_MILLIS = 2_000;
 
-  private final ExecutorService threads = Executors.newFixedThreadPool(MOST_WATCHES);
+  private final ExecutorService threads = Executors.newFixedThreadPool(MAX_WATCHES);
   private final Set<BlockingQueue<String>> watches = ConcurrentHashMap.newKeySet();
   private final HttpServer server;
   private volatile String whole;
-  private volatile double age;
+  private volatile double ageMillis;
 
-  ListService(InetSocketAddress address) throws IOException {
-    this.server = HttpServer.create(address, MOST_WATCHES);
+  EndpointListServer(InetSocketAddress address) throws IOException {
+    this.server = HttpServer.create(address, MAX_WATCHES);
     server.setExecutor(threads);
     server.createContext("/api/targets", this::handle);
     server.start();
@@ -43,46 +43,49 @@
     return server.getAddress();
   }
 
-  /** A line has come; {@code all} is the whole list with it. Called by one thread. */
-  void pass(String line, String all) {
+  /**
+   * Sends a line to all watches. {@code wholeList} is the list after this line. Called by one
+   * thread.
+   */
+  void publish(String line, String wholeList) {
     synchronized (watches) {
-      whole = all;
-      // A node that reads too slowly loses its watch, and asks for the whole again.
+      whole = wholeList;
+      // The watch of a node that reads too slowly is closed; the node then requests the whole list.
       watches.removeIf(watch -> !watch.offer(line));
     }
   }
 
-  /** How old the list is now, ms. */
-  void age(double millis) {
-    age = millis;
+  /** Sets the present age of the list, ms. */
+  void setAge(double millis) {
+    ageMillis = millis;
   }
 
   private void handle(HttpExchange exchange) throws IOException {
-    BlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_WAITING);
+    BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
     try (exchange) {
       String query = exchange.getRequestURI().getRawQuery();
-      boolean watched = query != null && query.contains("watch=1");
-      String first;
+      boolean watching = query != null && query.contains("watch=1");
+      String firstLine;
       synchronized (watches) {
-        first = whole;
-        if (first != null && watched) {
+        firstLine = whole;
+        if (firstLine != null && watching) {
           watches.add(lines);
         }
       }
-      if (first == null) {
+      if (firstLine == null) {
         exchange.sendResponseHeaders(503, -1);
         return;
       }
-      exchange.getResponseHeaders().set("List-Age-Ms", Long.toString(Math.round(age)));
+      exchange.getResponseHeaders().set("List-Age-Ms", Long.toString(Math.round(ageMillis)));
       exchange.getResponseHeaders().set("Content-Type", "application/json");
       exchange.sendResponseHeaders(200, 0);
       OutputStream out = exchange.getResponseBody();
-      write(out, first);
-      while (watched && (watches.contains(lines) || !lines.isEmpty())) {
-        String next = lines.poll(SIGN_MS, TimeUnit.MILLISECONDS);
+      write(out, firstLine);
+      while (watching && (watches.contains(lines) || !lines.isEmpty())) {
+        String next = lines.poll(EMPTY_LINE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         write(out, next == null ? "" : next);
       }
-    } catch (InterruptedException ending) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     } finally {
       watches.remove(lines);
--- a/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
@@ -26,10 +26,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The fleet's own work: runs a member, and asks or tells the members. */
+/** The {@code fleet} command: runs a member of a fleet, queries the members and manages them. */
 @Command(
     name = "fleet",
-    description = "Runs a member of the fleet, and asks who owns which duty.",
+    description = "Runs a member of the fleet and manages its duties.",
     mixinStandardHelpOptions = true,
     subcommands = {
       FleetCommand.Check.class,
@@ -43,8 +43,8 @@
       CommandLine.HelpCommand.class
     })
 public final class FleetCommand extends CommandGroup {
-  /** A command on a fleet's file. */
-  abstract static class OnFile implements Callable<Integer> {
+  /** A command that reads the fleet's file. */
+  abstract static class FileCommand implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "FILE", description = "The fleet's file.")
     private Path path;
 
@@ -52,8 +52,8 @@
     public Integer call() throws InterruptedException {
       try {
         return call(FleetFile.read(path));
-      } catch (FileException bad) {
-        System.err.println("ferngrade: " + bad.getMessage());
+      } catch (FileException invalid) {
+        System.err.println("ferngrade: " + invalid.getMessage());
         return Cli.BAD_CONFIG;
       }
     }
@@ -61,9 +61,9 @@
     abstract int call(FleetFile file) throws InterruptedException;
   }
 
-  /** Reads the file. */
-  @Command(name = "check", description = "Says whether the file can be used.")
-  static final class Check extends OnFile {
+  /** Checks the file and prints a summary. */
+  @Command(name = "check", description = "Checks the file and prints a summary of it.")
+  static final class Check extends FileCommand {
     @Override
     int call(FleetFile file) {
       System.out.printf(
@@ -76,35 +76,36 @@
     }
   }
 
-  /** Runs a member until it is told to stop. */
+  /** Runs a member until it leaves the fleet. */
   @Command(
       name = "member",
-      description = "Runs a member; on SIGTERM it gives back what it holds and ends.")
-  static final class Run extends OnFile {
+      description = "Runs a member; on SIGTERM it releases its duties and ends.")
+  static final class Run extends FileCommand {
     @Option(
         names = "--name",
         required = true,
         paramLabel = "NAME",
-        description = "Which member this is.")
+        description = "The name of this member.")
     private String name;
 
     @Option(
         names = "--data",
         required = true,
         paramLabel = "DIR",
-        description = "Its folder, its alone.")
+        description = "The member's data folder, used by this process alone.")
     private Path data;
 
     @Option(
         names = "--found",
-        description = "Begins a new fleet where the folder holds none; never after a loss.")
+        description =
+            "Founds a new fleet if the folder is empty; not for a voter that has lost its data.")
     private boolean found;
 
     @Option(
         names = "--rejoin",
         description =
-            "Takes part anew after the loss of its disk: the others remove what it was"
-                + " before, and take it in as one that has promised nothing.")
+            "Rejoins the fleet after the loss of the member's disk: the others remove its former"
+                + " identity and admit it as a new member without earlier votes.")
     private boolean rejoin;
 
     @Override
@@ -116,13 +117,13 @@
       }
       if (found && rejoin) {
         System.err.println(
-            "ferngrade: --found begins a new fleet, --rejoin comes back to one: not both");
+            "ferngrade: --found and --rejoin exclude each other: a new fleet or an existing one");
         return Cli.BAD_CONFIG;
       }
       Empty empty = found ? Empty.FOUND : rejoin ? Empty.REJOIN : Empty.STOP;
-      long origin = System.nanoTime();
-      Clock clock = () -> (System.nanoTime() - origin) / 1e6;
-      Clock machine = Clock.system();
+      long startNanos = System.nanoTime();
+      Clock clock = () -> (System.nanoTime() - startNanos) / 1e6;
+      Clock systemClock = Clock.system();
       try (MemberProcess member =
               new MemberProcess(
                   file,
@@ -132,16 +133,16 @@
                       empty,
                       UnaryOperator.identity(),
                       clock,
-                      () -> (long) machine.wall(),
+                      () -> (long) systemClock.wall(),
                       line -> System.out.printf("%.3f %s %s%n", clock.now() / 1000, name, line)));
-          FleetHttpApi calls =
+          FleetHttpApi api =
               file.member(name).admin() == null
                   ? null
                   : new FleetHttpApi(file.member(name).admin(), member)) {
         member.runToEnd();
         return 0;
-      } catch (IOException cannot) {
-        System.err.println("ferngrade: " + cannot.getMessage());
+      } catch (IOException failure) {
+        System.err.println("ferngrade: " + failure.getMessage());
         return 1;
       } catch (ExecutionException fault) {
         System.err.println("ferngrade: " + fault.getCause());
@@ -150,87 +151,90 @@
     }
   }
 
-  /** A command that asks the members, in their order, until one answers. */
-  abstract static class Asking extends OnFile {
-    private static final Duration PATIENCE = Duration.ofSeconds(4);
+  /** A command that sends a request to the members, in the order of the file, until one answers. */
+  abstract static class RequestCommand extends FileCommand {
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(4);
     private final HttpClient client =
         HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(1))
             .build();
 
-    /** The answer of the first of these members that gives one, null if none does. */
-    HttpResponse<String> ask(FleetFile file, String only, String method, String call)
+    /**
+     * Returns the first response of a member; null if none answers. If {@code memberName} is not
+     * null, only the member of this name is asked.
+     */
+    HttpResponse<String> request(FleetFile file, String memberName, String method, String path)
         throws InterruptedException {
-      return ask(file, only, method, call, PATIENCE);
+      return request(file, memberName, method, path, RESPONSE_TIMEOUT);
     }
 
-    /** The same, with so much time for each member's answer. */
-    HttpResponse<String> ask(
-        FleetFile file, String only, String method, String call, Duration patience)
+    /** Sends a request with the given timeout for the response of each member. */
+    HttpResponse<String> request(
+        FleetFile file, String memberName, String method, String path, Duration timeout)
         throws InterruptedException {
-      for (FleetFile.Member each : file.members()) {
-        if (each.admin() == null || (only != null && !each.name().equals(only))) {
+      for (FleetFile.Member member : file.members()) {
+        if (member.admin() == null || (memberName != null && !member.name().equals(memberName))) {
           continue;
         }
         URI uri =
             URI.create(
-                "http://" + each.admin().getHostString() + ":" + each.admin().getPort() + call);
+                "http://" + member.admin().getHostString() + ":" + member.admin().getPort() + path);
         try {
           return client.send(
               HttpRequest.newBuilder(uri)
-                  .timeout(patience)
+                  .timeout(timeout)
                   .method(method, HttpRequest.BodyPublishers.noBody())
                   .build(),
               HttpResponse.BodyHandlers.ofString());
-        } catch (IOException silent) {
-          System.err.println("ferngrade: " + each.name() + " does not answer");
+        } catch (IOException unreachable) {
+          System.err.println("ferngrade: " + member.name() + " does not answer");
         }
       }
       return null;
     }
 
     JsonObject status(FleetFile file) throws InterruptedException {
-      HttpResponse<String> answer = ask(file, null, "GET", "/-/fleet");
-      return answer == null || answer.statusCode() != 200
+      HttpResponse<String> response = request(file, null, "GET", "/-/fleet");
+      return response == null || response.statusCode() != 200
           ? null
-          : Json.parse(answer.body()).asObject();
+          : Json.parse(response.body()).asObject();
     }
 
-    /** What the fleet says of its duties, null if nobody answers, which is said. */
+    /** Returns the duties; prints an error and returns null if no member answers. */
     List<JsonObject> duties(FleetFile file) throws InterruptedException {
       JsonObject status = status(file);
       if (status == null) {
-        say(null);
+        printResponse(null);
         return null;
       }
       return status.get("duties").asArray().values().stream().map(JsonValue::asObject).toList();
     }
 
-    static String owner(JsonObject duty, String none) {
-      return duty.get("owner").isNull() ? none : duty.get("owner").asString();
+    static String owner(JsonObject duty, String noOwner) {
+      return duty.get("owner").isNull() ? noOwner : duty.get("owner").asString();
     }
 
-    int say(HttpResponse<String> answer) {
-      if (answer == null) {
+    int printResponse(HttpResponse<String> response) {
+      if (response == null) {
         System.err.println("ferngrade: no member answers at its admin address");
         return 1;
       }
-      System.out.print(answer.body());
-      return answer.statusCode() / 100 == 2 ? 0 : 1;
+      System.out.print(response.body());
+      return response.statusCode() / 100 == 2 ? 0 : 1;
     }
   }
 
-  /** Who is there. */
+  /** Prints the leader and the sessions. */
   @Command(
       name = "status",
-      description = "Says who leads, who has a session, and whether a majority confirms it.")
-  static final class Status extends Asking {
+      description = "Prints the leader, the sessions, and whether a majority confirms the member.")
+  static final class Status extends RequestCommand {
     @Override
     int call(FleetFile file) throws InterruptedException {
       JsonObject status = status(file);
       if (status == null) {
-        return say(null);
+        return printResponse(null);
       }
       System.out.printf(
           "fleet %s, as %s knows it: leader %s, term %d, log at %d%s%n",
@@ -242,8 +246,8 @@
           status.getBoolean("holds", false)
               ? ""
               : "; NO MAJORITY confirms this member, it owns nothing and this may be old");
-      for (JsonValue each : status.get("sessions").asArray()) {
-        JsonObject session = each.asObject();
+      for (JsonValue value : status.get("sessions").asArray()) {
+        JsonObject session = value.asObject();
         System.out.printf(
             "  %-12s session %d, renewed %d times%s%n",
             session.getString("member", ""),
@@ -255,9 +259,9 @@
     }
   }
 
-  /** Who owns what. */
+  /** Prints the owner of each duty. */
   @Command(name = "duties", description = "Lists the duties, their owners and epochs.")
-  static final class Duties extends Asking {
+  static final class Duties extends RequestCommand {
     @Override
     int call(FleetFile file) throws InterruptedException {
       List<JsonObject> duties = duties(file);
@@ -276,11 +280,11 @@
     }
   }
 
-  /** Why somebody owns something. */
+  /** Prints the history of one duty. */
   @Command(
       name = "explain",
-      description = "Says of one duty who owns it, since when and why, and what was done last.")
-  static final class Explain extends Asking {
+      description = "Prints the owner of one duty, since when and why, and its last due time.")
+  static final class Explain extends RequestCommand {
     @Parameters(
         index = "1",
         paramLabel = "SHARD",
@@ -295,7 +299,7 @@
       }
       JsonObject duty =
           duties.stream()
-              .filter(each -> each.getString("shard", "").equals(shard))
+              .filter(candidate -> candidate.getString("shard", "").equals(shard))
               .findFirst()
               .orElse(null);
       if (duty == null) {
@@ -325,11 +329,11 @@
     }
   }
 
-  /** Moves a duty. */
+  /** Moves a duty to another member. */
   @Command(
       name = "transfer",
-      description = "Asks for a duty to go to a member; without one the choice is free again.")
-  static final class Transfer extends Asking {
+      description = "Moves a duty to a member; without a member, removes that preference.")
+  static final class Transfer extends RequestCommand {
     @Parameters(index = "1", paramLabel = "SHARD")
     private String shard;
 
@@ -338,8 +342,8 @@
 
     @Override
     int call(FleetFile file) throws InterruptedException {
-      return say(
-          ask(
+      return printResponse(
+          request(
               file,
               null,
               "POST",
@@ -350,29 +354,29 @@
     }
   }
 
-  /** Sends a member away. */
-  @Command(name = "leave", description = "Has a member give back what it holds and end.")
-  static final class Leave extends Asking {
+  /** Makes a member leave the fleet. */
+  @Command(name = "leave", description = "Makes a member release its duties and end.")
+  static final class Leave extends RequestCommand {
     @Parameters(index = "1", paramLabel = "MEMBER")
     private String member;
 
     @Override
     int call(FleetFile file) throws InterruptedException {
-      return say(ask(file, member, "POST", "/-/fleet/leave"));
+      return printResponse(request(file, member, "POST", "/-/fleet/leave"));
     }
   }
 
-  /** How fast the log is. */
+  /** Measures the throughput of the replicated log. */
   @Command(
       name = "measure",
       description =
-          "Says how many entries a second the log takes, by putting in ones that change"
-              + " nothing. Not beside work that counts.")
-  static final class Measure extends Asking {
+          "Measures the log entries committed per second with entries that change nothing."
+              + " Not for a fleet under production load.")
+  static final class Measure extends RequestCommand {
     @Option(
         names = "--ms",
         paramLabel = "N",
-        description = "For so long; 3000 if left out, 10000 at the most.")
+        description = "The duration, ms; 3000 by default, at most 10000.")
     private double millis = 3_000;
 
     @Override
@@ -382,8 +386,8 @@
         System.err.println("ferngrade: no leader is known");
         return 1;
       }
-      return say(
-          ask(
+      return printResponse(
+          request(
               file,
               status.getString("leader", ""),
               "POST",
--- a/fleet/src/main/java/ferngrade/fleet/FleetFile.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetFile.java
@@ -19,18 +19,19 @@
 import java.util.stream.Stream;
 
 /**
- * The file of a fleet, the same for each of its members but for addresses.
+ * The configuration file of a fleet. It is the same for all members, except that each member may
+ * reach the others at different addresses.
  *
- * @param name the fleet's name: members of another do not hear this one's
- * @param terms how long a hold lasts, and how wrong a member's clock may run
- * @param heartbeat ms between two words of a leader to those who follow it
- * @param keys what members prove themselves by, the first signs and the second counts too; none:
- *     nothing is proved
+ * @param name the fleet's name; messages of fleets with other names are rejected
+ * @param terms the duration of a lease and the maximum drift of a member's clock
+ * @param heartbeat the interval between two heartbeats of the Raft leader, ms
+ * @param keys the keys that authenticate messages between members: the first one signs, the second
+ *     one is accepted too; if empty, messages are not authenticated
  * @param members all members
- * @param targets where recurring jobs are put in: the client addresses of nodes, tried in this
- *     order
- * @param discovery where the worker list is, which the fleet asks for once on behalf of all; null:
- *     it does not
+ * @param targets the client addresses of the nodes to which recurring jobs are submitted, in the
+ *     order in which they are tried
+ * @param discovery the address of the endpoint list, which one member watches for the whole fleet;
+ *     null if the fleet does not relay the list
  * @param jobs the recurring jobs
  */
 public record FleetFile(
@@ -42,14 +43,18 @@
     List<InetSocketAddress> targets,
     InetSocketAddress discovery,
     List<Job> jobs) {
-  private static final int LEAST_KEY = 16;
-  private static final int MOST_KEYS = 2;
-  private static final double LEAST_PERIOD = 100;
+  private static final int MIN_KEY_LENGTH = 16;
+  private static final int MAX_KEYS = 2;
+  private static final double MIN_PERIOD_MILLIS = 100;
 
   /**
-   * One member: where the others reach it, where operators do, where it takes datagrams on who
-   * seems to live (null: it takes no part in that), where its node asks for the worker list (null:
-   * nowhere), and whether it votes.
+   * One member of the fleet.
+   *
+   * @param address the address for the other members' connections
+   * @param admin the address for operators' calls; null for none
+   * @param gossip the address for gossip datagrams; null if the member does not gossip
+   * @param list the address at which it serves the endpoint list to its node; null for none
+   * @param voter whether it votes; a learner owns shards but does not vote
    */
   public record Member(
       String name,
@@ -59,34 +64,38 @@
       InetSocketAddress list,
       boolean voter) {}
 
-  /** Whether a job may be put in twice. */
+  /** Whether a job may be submitted twice. */
   public enum Effect {
-    /** It may. */
+    /** A repeat is harmless. */
     SAFE,
-    /** It carries a key by which workers drop a repeat. */
+    /** The job carries a key by which workers recognize and drop a repeat. */
     KEYED,
-    /** It must not. */
+    /** The job must not run twice. */
     UNSAFE
   }
 
-  /** What becomes of a due time that fell into an outage. */
+  /** The handling of due times that were missed in an outage. */
   public enum Missed {
-    /** It is run late, once for all that were missed. */
+    /** The job runs late, once for all missed due times. */
     ONCE,
-    /** It is left out. */
+    /** Missed due times are skipped. */
     SKIP
   }
 
-  /** A recurring job: when, and what a client would send; {@code deadline} is ms. */
+  /** A recurring job: its schedule and the contents of its request. {@code deadline} is in ms. */
   public record Job(
-      RecurringSchedule when,
+      RecurringSchedule schedule,
       Effect effect,
       String jobClass,
       String tenant,
       String payload,
       double deadline) {}
 
-  /** Reads a file; what cannot be used is said with file, line and key. */
+  /**
+   * Reads a file.
+   *
+   * @throws FileException if a value cannot be used; it names the file, the line and the key
+   */
   public static FleetFile read(Path path) throws FileException {
     Section top = Section.file(path);
     String name = top.text("name", null);
@@ -97,7 +106,7 @@
     double drift = top.number("drift", 0.02);
     double heartbeat = top.time("heartbeat", 100);
     if (drift >= 0.2) {
-      throw top.bad("drift", "is a share of the time, below 0.2");
+      throw top.bad("drift", "must be a fraction of the time, below 0.2");
     }
     if (heartbeat <= 0 || hold < 4 * heartbeat) {
       throw top.bad("hold", "must be at least four heartbeats");
@@ -105,12 +114,12 @@
     List<byte[]> keys =
         top.has("key-file") ? keys(top, path.resolveSibling(top.text("key-file", ""))) : List.of();
     List<Member> members = new ArrayList<>();
-    Set<String> names = new HashSet<>();
-    for (Section each : top.sections("member")) {
-      members.add(member(each, names));
+    Set<String> usedNames = new HashSet<>();
+    for (Section section : top.sections("member")) {
+      members.add(member(section, usedNames));
     }
     if (members.stream().noneMatch(Member::voter)) {
-      throw top.bad("member", "is missing: a fleet has at least one that votes");
+      throw top.bad("member", "is missing: a fleet needs at least one voter");
     }
     List<InetSocketAddress> targets = new ArrayList<>();
     for (String target : top.texts("targets", List.of())) {
@@ -118,16 +127,16 @@
     }
     InetSocketAddress discovery =
         top.has("discovery") ? address(top, "discovery", top.text("discovery", "")) : null;
-    if (discovery == null && members.stream().anyMatch(each -> each.list() != null)) {
-      throw top.bad("discovery", "is missing: members pass the worker list on from there");
+    if (discovery == null && members.stream().anyMatch(member -> member.list() != null)) {
+      throw top.bad("discovery", "is missing: members with a list address need it");
     }
     List<Job> jobs = new ArrayList<>();
-    Set<String> jobNames = new HashSet<>();
-    for (Section each : top.sections("recurring")) {
-      jobs.add(job(each, jobNames));
+    Set<String> usedJobNames = new HashSet<>();
+    for (Section section : top.sections("recurring")) {
+      jobs.add(job(section, usedJobNames));
     }
     if (!jobs.isEmpty() && targets.isEmpty()) {
-      throw top.bad("targets", "is missing: recurring jobs are put in there");
+      throw top.bad("targets", "is missing: recurring jobs need a target");
     }
     top.end();
     return new FleetFile(
@@ -141,7 +150,7 @@
         List.copyOf(jobs));
   }
 
-  /** The keys of a file, a line each; what they are is not said in any message. */
+  /** Reads the keys of a file, one per line. Error messages never contain a key. */
   private static List<byte[]> keys(Section top, Path path) throws FileException {
     List<byte[]> keys = new ArrayList<>();
     try {
@@ -154,17 +163,17 @@
       throw top.bad("key-file", "cannot be read: " + unreadable);
     }
     if (keys.isEmpty()
-        || keys.size() > MOST_KEYS
-        || keys.stream().anyMatch(key -> key.length < LEAST_KEY)) {
+        || keys.size() > MAX_KEYS
+        || keys.stream().anyMatch(key -> key.length < MIN_KEY_LENGTH)) {
       throw top.bad(
           "key-file",
-          "must hold one key or two, a line each, of " + LEAST_KEY + " characters or more");
+          "must hold one key or two, one per line, of " + MIN_KEY_LENGTH + " characters or more");
     }
     return List.copyOf(keys);
   }
 
-  private static Member member(Section section, Set<String> names) throws FileException {
-    String name = name(section, names);
+  private static Member member(Section section, Set<String> usedNames) throws FileException {
+    String name = name(section, usedNames);
     if (!section.has("address")) {
       throw section.bad("address", "is missing");
     }
@@ -183,10 +192,10 @@
     return new Member(name, address, admin, gossip, list, part.equals("voter"));
   }
 
-  private static Job job(Section section, Set<String> names) throws FileException {
-    String name = name(section, names);
+  private static Job job(Section section, Set<String> usedNames) throws FileException {
+    String name = name(section, usedNames);
     double every = section.time("every", 0);
-    if (every < LEAST_PERIOD || every != Math.rint(every)) {
+    if (every < MIN_PERIOD_MILLIS || every != Math.rint(every)) {
       throw section.bad("every", "must be a time of whole ms, 100ms or more");
     }
     Effect effect = section.word("effect", Effect.class, Effect.UNSAFE);
@@ -207,16 +216,16 @@
     return job;
   }
 
-  private static String name(Section section, Set<String> names) throws FileException {
+  private static String name(Section section, Set<String> usedNames) throws FileException {
     String name = section.text("name", "");
     if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
       throw section.bad("name", "must be 1 to 64 letters, digits, dots, dashes or underscores");
     }
     if (name.equals(EndpointListRelay.SHARD.duty()) && section.has("every")) {
-      throw section.bad("name", "is the worker list's own: list");
+      throw section.bad("name", "is reserved for the endpoint list: list");
     }
-    if (!names.add(name)) {
-      throw section.bad("name", "is there twice: " + name);
+    if (!usedNames.add(name)) {
+      throw section.bad("name", "is a duplicate: " + name);
     }
     return name;
   }
@@ -225,20 +234,23 @@
       throws FileException {
     try {
       return EndpointListParser.address(text);
-    } catch (IllegalArgumentException wrong) {
-      throw section.bad(key, "is no address: \"" + text + "\"");
+    } catch (IllegalArgumentException malformed) {
+      throw section.bad(key, "is not an address: \"" + text + "\"");
     }
   }
 
-  /** The member of this name, null for none. */
+  /** Returns the member of this name; null if there is none. */
   public Member member(String member) {
-    return members.stream().filter(each -> each.name().equals(member)).findFirst().orElse(null);
+    return members.stream()
+        .filter(candidate -> candidate.name().equals(member))
+        .findFirst()
+        .orElse(null);
   }
 
-  /** The shards that the fleet's duties have. */
+  /** Returns all shards: one per recurring job, and one for the endpoint list if it is relayed. */
   public List<Shard> shards() {
     return Stream.concat(
-            jobs.stream().map(each -> each.when().shard()),
+            jobs.stream().map(job -> job.schedule().shard()),
             discovery == null ? Stream.empty() : Stream.of(EndpointListRelay.SHARD))
         .toList();
   }
--- a/fleet/src/main/java/ferngrade/fleet/FleetHttpApi.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetHttpApi.java
@@ -15,14 +15,14 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Operators' calls to a member: {@code GET /-/fleet} and {@code /-/members}, {@code POST
- * /-/fleet/transfer} and {@code /-/fleet/leave}.
+ * Serves operators' calls to a member: {@code GET /-/fleet} and {@code /-/members}, {@code POST
+ * /-/fleet/transfer}, {@code /-/fleet/leave} and {@code /-/fleet/measure}.
  */
 final class FleetHttpApi implements AutoCloseable {
-  private static final long PATIENCE_MS = 3_000;
-  private static final double LEAVE_MS = 5_000;
-  private static final double MEASURE_MS = 10_000;
-  private static final int MEASURE_AT_ONCE = 1_000;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
+  private static final double LEAVE_TIMEOUT_MILLIS = 5_000;
+  private static final double MAX_MEASURE_MILLIS = 10_000;
+  private static final int MEASURE_CONCURRENCY = 1_000;
 
   private final ExecutorService threads = Executors.newFixedThreadPool(2);
   private final HttpServer server;
@@ -42,10 +42,10 @@
     Reply reply;
     try {
       reply = reply(exchange);
-    } catch (ExecutionException | TimeoutException | IllegalArgumentException failed) {
+    } catch (ExecutionException | TimeoutException | IllegalArgumentException failure) {
       reply =
-          new Reply(failed instanceof IllegalArgumentException ? 400 : 503, failed.getMessage());
-    } catch (InterruptedException ending) {
+          new Reply(failure instanceof IllegalArgumentException ? 400 : 503, failure.getMessage());
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
       reply = new Reply(503, "ending");
     }
@@ -60,36 +60,47 @@
     String call = exchange.getRequestMethod() + " " + exchange.getRequestURI().getPath();
     return switch (call) {
       case "GET /-/fleet" ->
-          new Reply(200, member.status().get(PATIENCE_MS, TimeUnit.MILLISECONDS).json().toString());
+          new Reply(
+              200,
+              member
+                  .status()
+                  .get(RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                  .json()
+                  .toString());
       case "GET /-/members" ->
           new Reply(
-              200, member.members().get(PATIENCE_MS, TimeUnit.MILLISECONDS).json().toString());
+              200,
+              member
+                  .members()
+                  .get(RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                  .json()
+                  .toString());
       case "POST /-/fleet/leave" -> {
-        member.leave(LEAVE_MS);
+        member.leave(LEAVE_TIMEOUT_MILLIS);
         yield new Reply(202, "leaving");
       }
       case "POST /-/fleet/transfer" -> {
-        Map<String, String> asked = query(exchange.getRequestURI().getRawQuery());
-        String shard = asked.getOrDefault("shard", "");
+        Map<String, String> parameters = query(exchange.getRequestURI().getRawQuery());
+        String shard = parameters.getOrDefault("shard", "");
         int slash = shard.lastIndexOf('/');
         if (slash < 0) {
           throw new IllegalArgumentException("shard is not NAME/NUMBER: " + shard);
         }
-        Object done =
+        Object outcome =
             member
                 .transfer(
                     shard.substring(0, slash),
                     Integer.parseInt(shard.substring(slash + 1)),
-                    asked.getOrDefault("to", ""))
-                .get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        yield done instanceof Boolean known
-            ? known ? new Reply(200, "asked for") : new Reply(404, "no such shard or member")
-            : new Reply(503, "unknown: " + done);
+                    parameters.getOrDefault("to", ""))
+                .get(RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        yield outcome instanceof Boolean accepted
+            ? accepted ? new Reply(200, "asked for") : new Reply(404, "no such shard or member")
+            : new Reply(503, "unknown: " + outcome);
       }
       case "POST /-/fleet/measure" -> {
         double millis =
             Math.min(
-                MEASURE_MS,
+                MAX_MEASURE_MILLIS,
                 Double.parseDouble(
                     query(exchange.getRequestURI().getRawQuery()).getOrDefault("ms", "3000")));
         yield new Reply(
@@ -97,8 +108,8 @@
             String.format(
                 "%.0f",
                 member
-                    .measure(millis, MEASURE_AT_ONCE)
-                    .get((long) millis + PATIENCE_MS, TimeUnit.MILLISECONDS)));
+                    .measure(millis, MEASURE_CONCURRENCY)
+                    .get((long) millis + RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)));
       }
       default -> new Reply(404, "no such call");
     };
--- a/fleet/src/main/java/ferngrade/fleet/FleetStatus.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetStatus.java
@@ -8,8 +8,14 @@
 import java.util.List;
 
 /**
- * What one member knows of the fleet: its leader, its sessions, who owns what, and since when and
- * why.
+ * The fleet as one member knows it at one moment.
+ *
+ * @param leader the name of the Raft leader; null if none is known
+ * @param term the Raft term
+ * @param holds whether a majority confirms the session of this member
+ * @param index the index of the last applied log entry
+ * @param sessions the sessions of all members
+ * @param duties all shards with their owners
  */
 record FleetStatus(
     String fleet,
@@ -20,28 +26,28 @@
     long index,
     List<Session> sessions,
     List<Duty> duties) {
-  /** A shard and its owner, null for none. */
+  /** A shard and the name of its owner, null if it has none. */
   record Duty(Slot slot, String owner) {}
 
-  /** The same as JSON, for the admin address. */
+  /** Returns this status as the JSON that the admin address serves. */
   JsonObject json() {
     JsonArray members = Json.array();
-    for (Session each : sessions) {
+    for (Session session : sessions) {
       members.add(
           Json.object()
-              .add("member", each.member())
-              .add("session", each.id())
-              .add("renewals", each.renewals())
-              .add("draining", each.draining())
-              .add("wall", each.wall()));
+              .add("member", session.member())
+              .add("session", session.id())
+              .add("renewals", session.renewals())
+              .add("draining", session.draining())
+              .add("wall", session.wall()));
     }
     JsonArray shards = Json.array();
-    for (Duty each : duties) {
-      Slot slot = each.slot();
+    for (Duty duty : duties) {
+      Slot slot = duty.slot();
       shards.add(
           Json.object()
               .add("shard", slot.shard().toString())
-              .add("owner", each.owner())
+              .add("owner", duty.owner())
               .add("epoch", slot.epoch())
               .add("since", slot.since())
               .add("why", slot.why())
--- a/fleet/src/main/java/ferngrade/fleet/JobSender.java
+++ b/fleet/src/main/java/ferngrade/fleet/JobSender.java
@@ -22,21 +22,22 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Puts a recurring job in as a client would, with the owner's epoch in headers of its own. It goes
- * to one target after another as long as it certainly was not taken; where it may have been, only
- * what may be put in twice goes on.
+ * Submits a recurring job to a node like any other client, with the epoch of its owner in extra
+ * headers. As long as the job was certainly not accepted, it is sent to the next target. If it may
+ * have been accepted, it is sent again only if its {@link Effect} allows a repeat.
  */
 final class JobSender {
-  private static final int CONNECT_MS = 500;
-  private static final int MOST_ROUNDS = 3;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
+  private static final int MAX_ROUNDS = 3;
 
   /**
-   * Ms to wait before another round where nobody has said for how long, and the longest that is
-   * waited.
+   * The delay that counts for a failure or for a rejection without {@code Retry-After}. The
+   * shortest delay of a round applies before the next round.
    */
-  private static final long PAUSE = 200;
+  private static final long DEFAULT_DELAY_MILLIS = 200;
 
-  private static final long MOST_PAUSE = 3_000;
+  /** The upper bound of the delay, also if all targets ask for a longer one. */
+  private static final long MAX_DELAY_MILLIS = 3_000;
 
   private final String fleet;
   private final List<InetSocketAddress> targets;
@@ -44,50 +45,55 @@
   private final HttpClient client =
       HttpClient.newBuilder()
           .version(HttpClient.Version.HTTP_1_1)
-          .connectTimeout(Duration.ofMillis(CONNECT_MS))
+          .connectTimeout(Duration.ofMillis(CONNECT_TIMEOUT_MILLIS))
           .build();
 
-  /** A sender to these targets; outcomes are told on {@code loop}. */
+  /** Creates a sender to these targets; results are passed to their callbacks on {@code loop}. */
   JobSender(String fleet, List<InetSocketAddress> targets, Executor loop) {
     this.fleet = fleet;
     this.targets = targets;
     this.loop = loop;
   }
 
-  private static String hex(String text) {
-    long[] hash = MurmurHash3.hash128x64(text.getBytes(StandardCharsets.UTF_8));
-    return String.format("%016x%016x", hash[0], hash[1]);
+  private static String hash(String text) {
+    long[] words = MurmurHash3.hash128x64(text.getBytes(StandardCharsets.UTF_8));
+    return String.format("%016x%016x", words[0], words[1]);
   }
 
   /**
-   * Puts the job in; {@code holds} is asked at the last moment before each try, and the result told
-   * once: empty if the shard is no longer held and the job was certainly not put in.
+   * Submits the job that is due at {@code due} (ms since 1970). {@code stillOwned} is evaluated
+   * immediately before each attempt. {@code onResult} is called once; its argument is empty if the
+   * shard is no longer owned and the job was certainly not accepted.
    */
-  void put(
-      Job job, long due, long epoch, BooleanSupplier holds, Consumer<Optional<String>> result) {
-    attempt(job, due, epoch, holds, result, 0, MOST_PAUSE);
+  void send(
+      Job job,
+      long due,
+      long epoch,
+      BooleanSupplier stillOwned,
+      Consumer<Optional<String>> onResult) {
+    attempt(job, due, epoch, stillOwned, onResult, 0, MAX_DELAY_MILLIS);
   }
 
   private void attempt(
       Job job,
       long due,
       long epoch,
-      BooleanSupplier holds,
-      Consumer<Optional<String>> result,
-      int number,
-      long pause) {
-    if (number >= MOST_ROUNDS * targets.size()) {
-      result.accept(Optional.of("refused"));
+      BooleanSupplier stillOwned,
+      Consumer<Optional<String>> onResult,
+      int attemptNumber,
+      long delay) {
+    if (attemptNumber >= MAX_ROUNDS * targets.size()) {
+      onResult.accept(Optional.of("refused"));
       return;
     }
-    if (!holds.getAsBoolean()) {
-      result.accept(Optional.empty());
+    if (!stillOwned.getAsBoolean()) {
+      onResult.accept(Optional.empty());
       return;
     }
-    InetSocketAddress target = targets.get(number % targets.size());
-    String key = hex(fleet + " " + job.when().name() + " " + due);
-    // A job's id is fresh with each sending; its key is what a repeat is known by.
-    String id = hex(key + " " + epoch + " " + number).substring(0, 16);
+    InetSocketAddress target = targets.get(attemptNumber % targets.size());
+    String key = hash(fleet + " " + job.schedule().name() + " " + due);
+    // Each attempt has a new id; workers recognize a repeat by the idempotency key.
+    String id = hash(key + " " + epoch + " " + attemptNumber).substring(0, 16);
     HttpRequest.Builder request =
         HttpRequest.newBuilder(
                 URI.create("http://" + target.getHostString() + ":" + target.getPort() + "/api"))
@@ -97,7 +103,7 @@
             .header("Req-Owner", job.tenant())
             .header("Req-Deadline", (long) job.deadline() + "m")
             .header("Fencing-Token", Long.toString(epoch))
-            .header("Fencing-Shard", job.when().shard().toString())
+            .header("Fencing-Shard", job.schedule().shard().toString())
             .header("Due", Long.toString(due));
     if (job.effect() == Effect.KEYED) {
       request.header("Idempotency-Key", key);
@@ -106,46 +112,52 @@
     client
         .sendAsync(request.build(), HttpResponse.BodyHandlers.discarding())
         .whenCompleteAsync(
-            (answer, failure) -> {
-              boolean untaken =
-                  answer != null
-                      ? answer.statusCode() == 503 || answer.statusCode() == 429
+            (response, failure) -> {
+              boolean notAccepted =
+                  response != null
+                      ? response.statusCode() == 503 || response.statusCode() == 429
                       : neverSent(failure);
-              if (untaken || (answer == null && job.effect() != Effect.UNSAFE)) {
-                long shortest = Math.min(pause, answer == null ? PAUSE : asked(answer));
-                boolean roundOver = (number + 1) % targets.size() == 0;
-                Executor next =
+              if (notAccepted || (response == null && job.effect() != Effect.UNSAFE)) {
+                long shortestDelay =
+                    Math.min(
+                        delay,
+                        response == null ? DEFAULT_DELAY_MILLIS : retryAfterMillis(response));
+                boolean roundOver = (attemptNumber + 1) % targets.size() == 0;
+                Executor executor =
                     roundOver
-                        ? CompletableFuture.delayedExecutor(shortest, TimeUnit.MILLISECONDS, loop)
+                        ? CompletableFuture.delayedExecutor(
+                            shortestDelay, TimeUnit.MILLISECONDS, loop)
                         : loop;
-                next.execute(
+                executor.execute(
                     () ->
                         attempt(
                             job,
                             due,
                             epoch,
-                            holds,
-                            result,
-                            number + 1,
-                            roundOver ? MOST_PAUSE : shortest));
-              } else if (answer == null) {
-                result.accept(Optional.of("in doubt: " + reason(failure)));
+                            stillOwned,
+                            onResult,
+                            attemptNumber + 1,
+                            roundOver ? MAX_DELAY_MILLIS : shortestDelay));
+              } else if (response == null) {
+                onResult.accept(Optional.of("in doubt: " + reason(failure)));
               } else {
-                result.accept(
+                onResult.accept(
                     Optional.of(
-                        answer.statusCode() == 200 ? "served" : "failed: " + answer.statusCode()));
+                        response.statusCode() == 200
+                            ? "served"
+                            : "failed: " + response.statusCode()));
               }
             },
             loop);
   }
 
-  /** For how long, ms, a refusal asks to be left alone. */
-  private static long asked(HttpResponse<?> refusal) {
+  /** Returns the delay that a rejection asks for, ms, or the default if it names none. */
+  private static long retryAfterMillis(HttpResponse<?> response) {
     try {
-      double seconds = Double.parseDouble(refusal.headers().firstValue("Retry-After").orElse(""));
-      return (long) Math.max(0, Math.min(MOST_PAUSE, seconds * 1000));
-    } catch (NumberFormatException noTime) {
-      return PAUSE;
+      double seconds = Double.parseDouble(response.headers().firstValue("Retry-After").orElse(""));
+      return (long) Math.max(0, Math.min(MAX_DELAY_MILLIS, seconds * 1000));
+    } catch (NumberFormatException noNumber) {
+      return DEFAULT_DELAY_MILLIS;
     }
   }
 
--- a/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
@@ -28,51 +28,53 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Connections between members: one from each to each, which carries frames one way. Each frame says
- * who sends it and is sealed: what has no tag of the fleet, came before or was meant for an earlier
- * process is dropped with its connection. What cannot be sent at once is dropped; whoever sends
- * again decides what still counts.
+ * Maintains the TCP connections between members: each member opens one to every other member and
+ * sends frames on it. A frame carries the name of its sender and an authentication tag. A frame
+ * without a valid tag of the fleet or a replayed frame is dropped and its connection closed. A
+ * frame meant for an earlier process of this member is dropped and answered with the identity of
+ * the present one. A message that cannot be sent at once is dropped; the caller decides whether it
+ * is worth sending again.
  */
 final class MemberConnections implements AutoCloseable {
-  private static final int MOST_FRAME = 16 << 20;
-  private static final int MOST_WAITING = 4 << 20;
-  private static final int CONNECT_TIMEOUT = 1_000;
-  private static final long RETRY_FIRST = 50;
-  private static final long RETRY_MOST = 400;
+  private static final int MAX_FRAME_BYTES = 16 << 20;
+  private static final int MAX_PENDING_BYTES = 4 << 20;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final long FIRST_RETRY_MILLIS = 50;
+  private static final long MAX_RETRY_MILLIS = 400;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final byte[] member;
-  private final MessageAuthenticator seal;
+  private final MessageAuthenticator authenticator;
   private final Receiver receiver;
-  private final Map<String, Out> outs = new HashMap<>();
+  private final Map<String, OutboundConnection> outbound = new HashMap<>();
   private Channel listener;
 
-  /** Takes what others send, on the links' thread. */
+  /** Receives the messages of other members on the connections' thread. */
   @FunctionalInterface
   interface Receiver {
-    /** A frame of this member has come. */
+    /** Handles a message of the member {@code from}. */
     void received(String from, byte[] message);
   }
 
   /**
-   * The links of a member; the others' addresses are known from the start. The seal becomes theirs
-   * alone.
+   * Creates the connections of a member to {@code others}, by name. The authenticator must not be
+   * used elsewhere.
    */
   MemberConnections(
-      MessageAuthenticator seal,
+      MessageAuthenticator authenticator,
       String member,
       Map<String, InetSocketAddress> others,
       Receiver receiver) {
-    this.seal = seal;
+    this.authenticator = authenticator;
     this.member = member.getBytes(StandardCharsets.UTF_8);
     this.receiver = receiver;
-    others.forEach((name, address) -> outs.put(name, new Out(name, address)));
+    others.forEach((name, address) -> outbound.put(name, new OutboundConnection(name, address)));
   }
 
   /**
-   * Listens, and connects to the others; returns the address, whose port was chosen if 0 was asked
-   * for.
+   * Binds the address and connects to the other members. Returns the local address, which has a
+   * free port if port 0 was given.
    */
   InetSocketAddress start(InetSocketAddress address) throws InterruptedException {
     listener =
@@ -88,26 +90,28 @@
                         .pipeline()
                         .addLast(
                             new LengthFieldPrepender(4),
-                            new LengthFieldBasedFrameDecoder(MOST_FRAME, 0, 4, 0, 4),
-                            new In());
+                            new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, 4, 0, 4),
+                            new InboundHandler());
                   }
                 })
             .bind(address)
             .sync()
             .channel();
-    outs.values().forEach(Out::connect);
+    outbound.values().forEach(OutboundConnection::connect);
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** Sends a frame to a member, or drops it; from any thread. */
+  /**
+   * Sends a message to a member, or drops it if the connection is down or congested. Any thread.
+   */
   void send(String to, byte[] message) {
-    Out out = outs.get(to);
-    if (out != null && !group.isShuttingDown()) {
-      group.execute(() -> out.send(message));
+    OutboundConnection connection = outbound.get(to);
+    if (connection != null && !group.isShuttingDown()) {
+      group.execute(() -> connection.send(message));
     }
   }
 
-  /** A frame's content: who sends it, and what. */
+  /** Returns the content of a frame: the sender's name with its length, then the message. */
   private byte[] content(byte[] message) {
     return ByteBuffer.allocate(1 + member.length + message.length)
         .put((byte) member.length)
@@ -121,21 +125,21 @@
     group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).awaitUninterruptibly(2_000);
   }
 
-  /** A connection to another member, which comes back by itself. */
-  private final class Out {
+  /** A connection to another member; reconnects with backoff when it closes. */
+  private final class OutboundConnection {
     private final String name;
     private final InetSocketAddress address;
     private Channel channel;
-    private long retry = RETRY_FIRST;
+    private long retryMillis = FIRST_RETRY_MILLIS;
 
-    Out(String name, InetSocketAddress address) {
+    OutboundConnection(String name, InetSocketAddress address) {
       this.name = name;
       this.address = address;
     }
 
     void send(byte[] message) {
       if (channel != null && channel.isWritable()) {
-        write(channel, seal.close(name, content(message)));
+        write(channel, authenticator.close(name, content(message)));
       }
     }
 
@@ -147,10 +151,10 @@
           .group(group)
           .channel(NioSocketChannel.class)
           .option(ChannelOption.TCP_NODELAY, true)
-          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT)
+          .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
           .option(
               ChannelOption.WRITE_BUFFER_WATER_MARK,
-              new WriteBufferWaterMark(MOST_WAITING / 2, MOST_WAITING))
+              new WriteBufferWaterMark(MAX_PENDING_BYTES / 2, MAX_PENDING_BYTES))
           .handler(
               new ChannelInitializer<Channel>() {
                 @Override
@@ -161,7 +165,7 @@
                           new LengthFieldPrepender(4),
                           new LengthFieldBasedFrameDecoder(
                               4 + MessageAuthenticator.BYTES, 0, 4, 0, 4),
-                          new Answers(name));
+                          new ReplyHandler(name));
                 }
               })
           .connect(address)
@@ -169,20 +173,20 @@
               (ChannelFuture connected) -> {
                 if (connected.isSuccess()) {
                   Channel opened = connected.channel();
-                  retry = RETRY_FIRST;
+                  retryMillis = FIRST_RETRY_MILLIS;
                   channel = opened;
-                  opened.closeFuture().addListener(closed -> again());
+                  opened.closeFuture().addListener(closed -> reconnectLater());
                 } else {
-                  again();
+                  reconnectLater();
                 }
               });
     }
 
-    private void again() {
+    private void reconnectLater() {
       channel = null;
       if (!group.isShuttingDown()) {
-        group.schedule(this::connect, retry, TimeUnit.MILLISECONDS);
-        retry = Math.min(RETRY_MOST, 2 * retry);
+        group.schedule(this::connect, retryMillis, TimeUnit.MILLISECONDS);
+        retryMillis = Math.min(MAX_RETRY_MILLIS, 2 * retryMillis);
       }
     }
   }
@@ -198,19 +202,20 @@
   }
 
   /**
-   * What the other end of a connection says: which process it is, if it was taken for another. A
-   * member that ends resets its connections: that is told by their end, which opens them again.
+   * Handles the replies on an outbound connection: the other member announces its process if a
+   * frame was meant for an earlier one. A member that ends resets its connections; the close
+   * listener then reconnects, so the exception itself is not reported.
    */
-  private final class Answers extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class ReplyHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private final String name;
 
-    Answers(String name) {
+    ReplyHandler(String name) {
       this.name = name;
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-      MessageAuthenticator.Opened opened = seal.open(name, bytes(frame));
+      MessageAuthenticator.Opened opened = authenticator.open(name, bytes(frame));
       if (opened.answer() != null) {
         write(ctx.channel(), opened.answer());
       }
@@ -222,25 +227,25 @@
     }
   }
 
-  /** A connection from another member. */
-  private final class In extends SimpleChannelInboundHandler<ByteBuf> {
+  /** Handles the frames on a connection opened by another member. */
+  private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-      MessageAuthenticator.Opened opened = seal.open(null, bytes(frame));
+      MessageAuthenticator.Opened opened = authenticator.open(null, bytes(frame));
       if (opened.answer() != null) {
         write(ctx.channel(), opened.answer());
       } else if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN
           && opened.content().length > 0) {
-        taken(opened.content());
+        deliver(opened.content());
       } else {
         ctx.close();
       }
     }
 
-    private void taken(byte[] content) {
+    private void deliver(byte[] content) {
       int length = Math.min(content[0], content.length - 1);
       String from = new String(content, 1, Math.max(0, length), StandardCharsets.UTF_8);
-      if (outs.containsKey(from)) {
+      if (outbound.containsKey(from)) {
         receiver.received(from, Arrays.copyOfRange(content, 1 + length, content.length));
       }
     }
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -40,59 +40,65 @@
 import java.util.stream.Stream;
 
 /**
- * One process of a member: its voter, the table that it makes of the log, what it holds, and the
- * recurring jobs that it puts in. One thread owns all of that, and waits for its own disk;
- * connections and operators' calls have theirs.
+ * Runs one member of a fleet: its Raft member, the lease table built from the replicated log, its
+ * leases, and the recurring jobs that it submits. A single thread owns this state and blocks on
+ * disk writes; connections and operators' calls run on threads of their own.
  */
 public final class MemberProcess implements AutoCloseable {
-  private static final double PATIENCE = 1_000;
-  private static final double ACT = 25;
+  private static final double PROPOSAL_TIMEOUT_MILLIS = 1_000;
+  private static final double DUTY_CHECK_INTERVAL_MILLIS = 25;
 
-  /** Ms for a member that is told to end to give back what it holds. */
-  private static final double LEAVE = 2_000;
+  /** Time limit for releasing all leases at shutdown. */
+  private static final double LEAVE_TIMEOUT_MILLIS = 2_000;
 
-  private static final int SNAPSHOT_EVERY = 10_000;
-  private static final long FILE_BYTES = 16 << 20;
-  private static final byte VOTER = 0;
-  private static final byte LIST = 1;
+  private static final int ENTRIES_PER_SNAPSHOT = 10_000;
+  private static final long MAX_LOG_FILE_BYTES = 16 << 20;
+  private static final byte RAFT_COMPONENT = 0;
+  private static final byte LIST_RELAY_COMPONENT = 1;
 
   private final FleetFile file;
   private final String name;
   private final Consumer<String> log;
-  private final LongSupplier wall;
+  private final LongSupplier wallClock;
   private final ScheduledExecutorService loop =
       Executors.newSingleThreadScheduledExecutor(task -> new Thread(task, "member"));
   private final Clock clock;
   private final Timers timers;
   private final LeaseTable table = new LeaseTable();
-  private final Map<Shard, Long> held = new HashMap<>();
-  private final Map<Shard, RecurringJobRunner> performers = new HashMap<>();
+  private final Map<Shard, Long> ownedEpochs = new HashMap<>();
+  private final Map<Shard, RecurringJobRunner> jobRunners = new HashMap<>();
   private final FileSystemStorage disk;
-  private final MemberConnections links;
-  private final RaftLogStore voterLog;
-  private final RaftMember voter;
-  private final LeaseHolder holder;
+  private final MemberConnections connections;
+  private final RaftLogStore raftLog;
+  private final RaftMember raftMember;
+  private final LeaseHolder leaseHolder;
   private final Membership membership;
-  private final EndpointListRelayTransport list;
-  private final JobSender jobs;
-  private final CompletableFuture<Integer> ended = new CompletableFuture<>();
-  private boolean holds;
-  private RaftMember.View view;
-  private boolean takenIn = true;
-
-  /** What a voter does whose folder holds nothing. */
+  private final EndpointListRelayTransport listRelay;
+  private final JobSender jobSender;
+  private final CompletableFuture<Integer> exitCode = new CompletableFuture<>();
+  private boolean sessionConfirmed;
+  private RaftMember.View lastView;
+  private boolean admitted = true;
+
+  /** The way a voter starts if its data folder is empty. */
   public enum Empty {
-    /** It must not take part: it may have promised what it no longer knows. */
+    /** Refuses to start: an earlier process may have cast votes that are no longer recorded. */
     STOP,
-    /** It begins a new fleet with the others. */
+    /** Founds a new fleet together with the other voters. */
     FOUND,
-    /** It asks to be taken in anew, as one that has promised nothing. */
+    /** Asks the fleet to admit it again as a new member without earlier votes. */
     REJOIN
   }
 
   /**
-   * What a process is started with: its folder, what it does if that is empty, what its disk is
-   * made into, its clocks, the second of them the wall's, and its log.
+   * The environment in which a process is started.
+   *
+   * @param data the data folder, used by this process alone
+   * @param empty the way a voter starts if the folder is empty
+   * @param disk wraps the storage of the folder; tests inject faults with it
+   * @param clock the monotonic clock
+   * @param wall the wall clock, ms since 1970
+   * @param log receives each log line
    */
   public record Start(
       Path data,
@@ -103,63 +109,66 @@
       Consumer<String> log) {}
 
   /**
-   * Opens the folder and makes the member; an {@link IOException} says why it must not take part.
+   * Opens the data folder and creates the member without starting it.
+   *
+   * @throws IOException if the folder cannot be used, or if it is empty and {@link Empty#STOP} is
+   *     set for a voter
    */
   public MemberProcess(FleetFile file, String name, Start start)
       throws IOException, InterruptedException {
     this.file = file;
     this.name = name;
     this.clock = start.clock();
-    this.wall = start.wall();
+    this.wallClock = start.wall();
     this.log = start.log();
     this.timers =
         new Timers(
             clock,
-            (millis, run) ->
-                loop.schedule(run, (long) Math.ceil(millis * 1000), TimeUnit.MICROSECONDS));
+            (delayMillis, run) ->
+                loop.schedule(run, (long) Math.ceil(delayMillis * 1000), TimeUnit.MICROSECONDS));
     this.disk = FileSystemStorage.openExclusive(start.data());
     Codec codec = LogFormat.codec(Command.CLASSES);
-    this.voterLog =
-        RaftLogStore.open(start.disk().apply(disk), codec, FILE_BYTES, this::diskFailed);
-    Optional<RestoredRaftState> restored = voterLog.restored();
+    this.raftLog =
+        RaftLogStore.open(start.disk().apply(disk), codec, MAX_LOG_FILE_BYTES, this::diskFailed);
+    Optional<RestoredRaftState> restored = raftLog.restored();
     if (restored.isEmpty() && file.member(name).voter() && start.empty() == Empty.STOP) {
       disk.close();
       throw new IOException(
           start.data()
-              + " holds nothing of this fleet: a voter without its disk must not vote. A new fleet"
-              + " is begun with --found on each voter; one that has lost its disk comes back with"
+              + " holds no data of this fleet: a voter without its data must not vote. Start each"
+              + " voter of a new fleet with --found, and a voter that has lost its disk with"
               + " --rejoin");
     }
     Map<String, InetSocketAddress> others = new HashMap<>();
     file.members().stream()
-        .filter(each -> !each.name().equals(name))
-        .forEach(each -> others.put(each.name(), each.address()));
+        .filter(member -> !member.name().equals(name))
+        .forEach(member -> others.put(member.name(), member.address()));
     long seed = new SecureRandom().nextLong();
-    this.links =
+    this.connections =
         new MemberConnections(
             new MessageAuthenticator(file.name() + " links", file.keys(), seed | 1),
             name,
             others,
-            (from, message) -> loop.execute(() -> guarded(() -> received(from, message))));
-    this.voter =
+            (from, message) -> loop.execute(() -> runGuarded(() -> handleMessage(from, message))));
+    this.raftMember =
         new RaftMember(
             new RaftMember.Settings(
                 name,
-                new RaftMember.Group(file.name(), names(false), names(true)),
+                new RaftMember.Group(file.name(), memberNames(false), memberNames(true)),
                 file.heartbeat(),
-                SNAPSHOT_EVERY),
+                ENTRIES_PER_SNAPSHOT),
             new RaftMember.Persistence(
-                voterLog,
+                raftLog,
                 restored,
                 start.empty() == Empty.REJOIN
                     ? Optional.of(Long.toHexString(seed))
                     : Optional.empty()),
             new RaftMember.Environment(
-                clock, timers, task -> loop.execute(() -> guarded(task)), seed),
+                clock, timers, task -> loop.execute(() -> runGuarded(task)), seed),
             new RaftMember.Messaging(
-                codec, (to, message) -> links.send(to, marked(VOTER, message))),
+                codec, (to, message) -> connections.send(to, tagged(RAFT_COMPONENT, message))),
             table);
-    this.holder =
+    this.leaseHolder =
         new LeaseHolder(name, Long.toHexString(seed), file.shards(), file.terms(), this::propose);
     this.membership =
         file.member(name).gossip() == null
@@ -167,57 +176,57 @@
             : new Membership(
                 file,
                 name,
-                new Membership.Surroundings(
-                    clock, timers, task -> loop.execute(() -> guarded(task)), log, seed));
-    this.list =
+                new Membership.Environment(
+                    clock, timers, task -> loop.execute(() -> runGuarded(task)), log, seed));
+    this.listRelay =
         file.discovery() == null
             ? null
             : new EndpointListRelayTransport(
                 file,
                 name,
-                new EndpointListRelayTransport.Surroundings(
+                new EndpointListRelayTransport.Environment(
                     clock,
-                    task -> loop.execute(() -> guarded(task)),
-                    (to, message) -> links.send(to, marked(LIST, message)),
+                    task -> loop.execute(() -> runGuarded(task)),
+                    (to, message) -> connections.send(to, tagged(LIST_RELAY_COMPONENT, message)),
                     log));
-    this.jobs = new JobSender(file.name(), file.targets(), loop);
+    this.jobSender = new JobSender(file.name(), file.targets(), loop);
     file.jobs()
         .forEach(
             job ->
-                performers.put(
-                    job.when().shard(),
-                    new RecurringJobRunner(job.when(), holder, table, actions(job))));
+                jobRunners.put(
+                    job.schedule().shard(),
+                    new RecurringJobRunner(job.schedule(), leaseHolder, table, actions(job))));
   }
 
-  /** A message with a first byte that says whom it is for. */
-  private static byte[] marked(byte whom, byte[] message) {
-    byte[] all = new byte[message.length + 1];
-    all[0] = whom;
-    System.arraycopy(message, 0, all, 1, message.length);
-    return all;
+  /** Returns the message with a first byte that names the receiving component. */
+  private static byte[] tagged(byte component, byte[] message) {
+    byte[] result = new byte[message.length + 1];
+    result[0] = component;
+    System.arraycopy(message, 0, result, 1, message.length);
+    return result;
   }
 
-  private void received(String from, byte[] marked) {
-    if (marked.length > 1) {
-      byte[] message = Arrays.copyOfRange(marked, 1, marked.length);
-      if (marked[0] == VOTER) {
-        voter.handle(from, message);
-      } else if (marked[0] == LIST && list != null) {
-        list.received(from, message);
+  private void handleMessage(String from, byte[] tagged) {
+    if (tagged.length > 1) {
+      byte[] message = Arrays.copyOfRange(tagged, 1, tagged.length);
+      if (tagged[0] == RAFT_COMPONENT) {
+        raftMember.handle(from, message);
+      } else if (tagged[0] == LIST_RELAY_COMPONENT && listRelay != null) {
+        listRelay.handleMessage(from, message);
       }
     }
   }
 
-  private List<String> names(boolean voters) {
+  private List<String> memberNames(boolean votersOnly) {
     return file.members().stream()
-        .filter(each -> each.voter() || !voters)
+        .filter(member -> member.voter() || !votersOnly)
         .map(FleetFile.Member::name)
         .toList();
   }
 
-  /** Takes part from here on. */
+  /** Opens the connections and starts all components. */
   private void start() throws InterruptedException {
-    InetSocketAddress address = links.start(file.member(name).address());
+    InetSocketAddress address = connections.start(file.member(name).address());
     log.accept(
         "listening address="
             + address.getHostString()
@@ -229,25 +238,27 @@
                     + membership.address().getHostString()
                     + ":"
                     + membership.address().getPort())
-            + (list == null || list.address() == null ? "" : " list=" + list.address()));
+            + (listRelay == null || listRelay.address() == null
+                ? ""
+                : " list=" + listRelay.address()));
     if (file.keys().isEmpty()) {
-      log.accept("no key-file: members do not prove who they are");
+      log.accept("no key-file: messages between members are not authenticated");
     }
     loop.execute(
         () -> {
-          voter.start();
+          raftMember.start();
           if (membership != null) {
             membership.start();
           }
-          tick();
-          act();
+          renewSession();
+          checkDuties();
           log.accept("started");
         });
   }
 
   /**
-   * Starts the member and ends the process once it has ended; on SIGTERM it leaves first. Does not
-   * return but by an exception.
+   * Starts the member and halts the JVM with its exit code once the member has ended. On SIGTERM
+   * the member first leaves the fleet. Never returns normally.
    */
   public void runToEnd() throws InterruptedException, ExecutionException {
     start();
@@ -255,96 +266,98 @@
         .addShutdownHook(
             new Thread(
                 () -> {
-                  leave(LEAVE);
-                  Runtime.getRuntime().halt(ended.join());
+                  leave(LEAVE_TIMEOUT_MILLIS);
+                  Runtime.getRuntime().halt(exitCode.join());
                 },
                 "stop"));
-    Runtime.getRuntime().halt(ended.get());
+    Runtime.getRuntime().halt(exitCode.get());
   }
 
   /**
-   * A fault of the program must not leave a member that holds and does not act: it ends, and others
-   * take over.
+   * Runs a task and ends the process if it throws. A member with a programming error must not keep
+   * its leases without doing the work: it ends, and other members take over.
    */
-  private void guarded(Runnable task) {
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException fault) {
       log.accept("fault: " + fault);
-      ended.complete(1);
+      exitCode.complete(1);
     }
   }
 
   private void diskFailed(IOException failure) {
-    log.accept("disk failed, taking no part until it works again: " + failure.getMessage());
-    voter.suspend(voterLog, () -> log.accept("disk works again"));
+    log.accept("disk failed, suspended until it works again: " + failure.getMessage());
+    raftMember.suspend(raftLog, () -> log.accept("disk works again"));
   }
 
-  // ---- Duties ----
+  // ---- Leases and recurring jobs ----
 
   private void propose(Command command) {
-    double asked = clock.now();
-    voter.propose(
+    double proposedAt = clock.now();
+    raftMember.propose(
         command,
-        PATIENCE,
-        ProposalOutcome.of(result -> holder.answered(asked, command, result), why -> {}));
+        PROPOSAL_TIMEOUT_MILLIS,
+        ProposalOutcome.of(
+            result -> leaseHolder.answered(proposedAt, command, result), reason -> {}));
   }
 
-  private void tick() {
-    holder.tick(clock.now(), wall.getAsLong(), table);
-    RaftMember.View seen = voter.view();
-    if (!seen.equals(view)) {
-      view = seen;
-      log.accept("follows leader=" + view.leader() + " term=" + view.term());
+  private void renewSession() {
+    leaseHolder.tick(clock.now(), wallClock.getAsLong(), table);
+    RaftMember.View current = raftMember.view();
+    if (!current.equals(lastView)) {
+      lastView = current;
+      log.accept("follows leader=" + lastView.leader() + " term=" + lastView.term());
     }
-    if (takenIn != voter.admitted()) {
-      takenIn = !takenIn;
-      log.accept(takenIn ? "taken in" : "not taken in yet: it asks the others");
+    if (admitted != raftMember.admitted()) {
+      admitted = !admitted;
+      log.accept(admitted ? "taken in" : "not taken in yet: asking the other members");
     }
-    boolean now = holder.holds(clock.now());
-    if (now != holds) {
-      holds = now;
+    boolean confirmed = leaseHolder.holds(clock.now());
+    if (confirmed != sessionConfirmed) {
+      sessionConfirmed = confirmed;
       log.accept(
-          now
+          confirmed
               ? "session confirmed by a majority"
               : "no majority confirms this member: it owns nothing");
     }
-    timers.after(holder.period(), () -> guarded(this::tick));
+    timers.after(leaseHolder.period(), () -> runGuarded(this::renewSession));
   }
 
-  private void act() {
+  private void checkDuties() {
     for (Job job : file.jobs()) {
-      Shard shard = job.when().shard();
-      tellHeld(shard, holder.epoch(shard, clock.now(), table));
-      performers.get(shard).look(clock.now(), wall.getAsLong());
+      Shard shard = job.schedule().shard();
+      logOwnershipChange(shard, leaseHolder.epoch(shard, clock.now(), table));
+      jobRunners.get(shard).look(clock.now(), wallClock.getAsLong());
     }
-    if (list != null) {
-      OptionalLong epoch = holder.epoch(EndpointListRelay.SHARD, clock.now(), table);
-      tellHeld(EndpointListRelay.SHARD, epoch);
-      list.look(epoch);
+    if (listRelay != null) {
+      OptionalLong epoch = leaseHolder.epoch(EndpointListRelay.SHARD, clock.now(), table);
+      logOwnershipChange(EndpointListRelay.SHARD, epoch);
+      listRelay.poll(epoch);
     }
-    timers.after(ACT, () -> guarded(this::act));
+    timers.after(DUTY_CHECK_INTERVAL_MILLIS, () -> runGuarded(this::checkDuties));
   }
 
-  private void tellHeld(Shard shard, OptionalLong epoch) {
-    Long before = epoch.isPresent() ? held.put(shard, epoch.getAsLong()) : held.remove(shard);
-    if (before != null && (epoch.isEmpty() || epoch.getAsLong() != before)) {
-      log.accept("lost shard=" + shard + " epoch=" + before);
+  private void logOwnershipChange(Shard shard, OptionalLong epoch) {
+    Long previous =
+        epoch.isPresent() ? ownedEpochs.put(shard, epoch.getAsLong()) : ownedEpochs.remove(shard);
+    if (previous != null && (epoch.isEmpty() || epoch.getAsLong() != previous)) {
+      log.accept("lost shard=" + shard + " epoch=" + previous);
     }
-    if (epoch.isPresent() && (before == null || before != epoch.getAsLong())) {
+    if (epoch.isPresent() && (previous == null || previous != epoch.getAsLong())) {
       log.accept("gained shard=" + shard + " epoch=" + epoch.getAsLong());
     }
   }
 
-  /** Does for a job's performer what it decides. */
+  /** Creates the actions through which the runner of a job proposes commands and submits it. */
   private RecurringJobRunner.Actions actions(Job job) {
-    Shard shard = job.when().shard();
+    Shard shard = job.schedule().shard();
     return new RecurringJobRunner.Actions() {
       @Override
       public void propose(Command command, Consumer<Object> done, Runnable unknown) {
-        voter.propose(
+        raftMember.propose(
             command,
-            PATIENCE,
+            PROPOSAL_TIMEOUT_MILLIS,
             ProposalOutcome.of(
                 result -> {
                   if (result instanceof Command.Begun begun
@@ -353,18 +366,18 @@
                   }
                   done.accept(result);
                 },
-                why -> unknown.run()));
+                reason -> unknown.run()));
       }
 
       @Override
       public void put(long due, long epoch) {
-        jobs.put(
+        jobSender.send(
             job,
             due,
             epoch,
-            () -> holder.epoch(shard, clock.now(), table).equals(OptionalLong.of(epoch)),
+            () -> leaseHolder.epoch(shard, clock.now(), table).equals(OptionalLong.of(epoch)),
             result ->
-                guarded(
+                runGuarded(
                     () -> {
                       log.accept(
                           "put in job="
@@ -376,25 +389,25 @@
                               + " result="
                               + result.orElse("not put in"));
                       result.ifPresentOrElse(
-                          performers.get(shard)::came, performers.get(shard)::notPut);
+                          jobRunners.get(shard)::came, jobRunners.get(shard)::notPut);
                     }));
       }
     };
   }
 
-  // ---- Operators ----
+  // ---- Operators' calls ----
 
-  /** What this member knows, at one moment. */
+  /** Returns a consistent view of the fleet as this member knows it. */
   CompletableFuture<FleetStatus> status() {
     return CompletableFuture.supplyAsync(
         () -> {
-          RaftMember.View view = voter.view();
+          RaftMember.View view = raftMember.view();
           return new FleetStatus(
               file.name(),
               name,
               view.leader(),
               view.term(),
-              holder.holds(clock.now()),
+              leaseHolder.holds(clock.now()),
               table.index(),
               List.copyOf(table.sessions()),
               table.slots().stream()
@@ -404,7 +417,7 @@
         loop);
   }
 
-  /** Who seems to live, as this member sees it; empty if it takes no part in that. */
+  /** Returns the gossip status of all members; empty if this member has no gossip address. */
   CompletableFuture<MembersStatus> members() {
     return CompletableFuture.supplyAsync(
         () ->
@@ -416,49 +429,50 @@
                             Stream.of(new Peer(membership.self(), clock.now())),
                             membership.peers().stream())
                         .map(
-                            each -> new MembersStatus.Line(each.news(), clock.now() - each.since()))
+                            peer -> new MembersStatus.Line(peer.news(), clock.now() - peer.since()))
                         .toList(),
                     membership.refused()),
         loop);
   }
 
   /**
-   * Asks for a shard to go to a member; true once the log has it, false if it knows no such shard
-   * or member.
+   * Proposes the transfer of a shard to a member. The result is true once the command is committed,
+   * false if the shard or the member is unknown, and a text with the reason if the outcome is not
+   * known.
    */
   CompletableFuture<Object> transfer(String duty, int number, String to) {
-    CompletableFuture<Object> answer = new CompletableFuture<>();
+    CompletableFuture<Object> result = new CompletableFuture<>();
     loop.execute(
         () ->
-            voter.propose(
+            raftMember.propose(
                 new Command.Transfer(new Shard(duty, number), to),
-                PATIENCE,
-                ProposalOutcome.of(answer::complete, answer::complete)));
-    return answer;
+                PROPOSAL_TIMEOUT_MILLIS,
+                ProposalOutcome.of(result::complete, result::complete)));
+    return result;
   }
 
   /**
-   * How many entries a second the log takes from this member, with so many on their way at a time:
-   * entries that change nothing, for so many ms.
+   * Measures the log entries committed per second. For {@code durationMillis} ms it keeps {@code
+   * concurrency} proposals in flight; the entries change nothing.
    */
-  CompletableFuture<Double> measure(double millis, int atOnce) {
-    CompletableFuture<Double> answer = new CompletableFuture<>();
+  CompletableFuture<Double> measure(double durationMillis, int concurrency) {
+    CompletableFuture<Double> result = new CompletableFuture<>();
     loop.execute(
         () -> {
-          double began = clock.now();
+          double startedAt = clock.now();
           long[] counts = new long[2];
-          Runnable[] one = new Runnable[1];
-          one[0] =
+          Runnable[] proposeNext = new Runnable[1];
+          proposeNext[0] =
               () ->
-                  voter.propose(
-                      new Command.Renew(0, wall.getAsLong()),
-                      PATIENCE,
+                  raftMember.propose(
+                      new Command.Renew(0, wallClock.getAsLong()),
+                      PROPOSAL_TIMEOUT_MILLIS,
                       new ProposalOutcome() {
                         private void next() {
-                          if (clock.now() - began < millis) {
-                            one[0].run();
-                          } else if (++counts[1] == atOnce) {
-                            answer.complete(counts[0] * 1000 / (clock.now() - began));
+                          if (clock.now() - startedAt < durationMillis) {
+                            proposeNext[0].run();
+                          } else if (++counts[1] == concurrency) {
+                            result.complete(counts[0] * 1000 / (clock.now() - startedAt));
                           }
                         }
 
@@ -469,58 +483,61 @@
                         }
 
                         @Override
-                        public void unknown(String why) {
+                        public void unknown(String reason) {
                           next();
                         }
                       });
-          for (int i = 0; i < atOnce; i++) {
-            one[0].run();
+          for (int i = 0; i < concurrency; i++) {
+            proposeNext[0].run();
           }
         });
-    return answer;
+    return result;
   }
 
-  /** Gives back what is held, then ends; the result of {@link #ended} says when. */
-  void leave(double patience) {
+  /**
+   * Releases all leases and then completes {@link #exitCode}, after {@code timeoutMillis} ms at the
+   * latest.
+   */
+  void leave(double timeoutMillis) {
     loop.execute(
         () -> {
           log.accept("leaving");
-          holder.drain();
-          timers.after(patience, () -> ended.complete(0));
-          whenLeft();
+          leaseHolder.drain();
+          timers.after(timeoutMillis, () -> exitCode.complete(0));
+          pollHandover();
         });
   }
 
-  private void whenLeft() {
-    // Looked at often: each step of the hand-over waits for the one before it to be in the log.
-    holder.tick(clock.now(), wall.getAsLong(), table);
-    if (!holder.left()) {
-      timers.after(5, this::whenLeft);
-    } else if (name.equals(voter.view().leader())) {
-      // A leader that ends before another has taken its place leaves all waiting for an election.
-      voter.transferLeadership(
-          other ->
-              table.sessions().stream().anyMatch(each -> each.member().equals(other))
-                  && (membership == null || membership.alive(other)));
-      timers.after(50, this::whenLeft);
+  private void pollHandover() {
+    // Polled every few ms: each step of the handover waits until the step before it is committed.
+    leaseHolder.tick(clock.now(), wallClock.getAsLong(), table);
+    if (!leaseHolder.left()) {
+      timers.after(5, this::pollHandover);
+    } else if (name.equals(raftMember.view().leader())) {
+      // If the leader ended before a successor is in place, the fleet would wait for an election.
+      raftMember.transferLeadership(
+          candidate ->
+              table.sessions().stream().anyMatch(session -> session.member().equals(candidate))
+                  && (membership == null || membership.alive(candidate)));
+      timers.after(50, this::pollHandover);
     } else {
       if (membership != null) {
         membership.leave();
       }
-      log.accept("left: everything was given back");
-      ended.complete(0);
+      log.accept("left: all shards released");
+      exitCode.complete(0);
     }
   }
 
   @Override
   public void close() throws IOException {
     loop.shutdownNow();
-    links.close();
+    connections.close();
     if (membership != null) {
       membership.close();
     }
-    if (list != null) {
-      list.close();
+    if (listRelay != null) {
+      listRelay.close();
     }
     disk.close();
   }
--- a/fleet/src/main/java/ferngrade/fleet/MembersCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/MembersCommand.java
@@ -11,10 +11,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Who of the fleet seems to live. */
+/** The {@code members} command: prints the gossip status of the members. */
 @Command(
     name = "members",
-    description = "Says who of the fleet seems to live, as one member sees it.",
+    description = "Prints which members are alive, as one member sees it.",
     mixinStandardHelpOptions = true,
     subcommands = {
       MembersCommand.Listing.class,
@@ -23,91 +23,90 @@
       CommandLine.HelpCommand.class
     })
 public final class MembersCommand extends CommandGroup {
-  /** A command that asks one member how it sees the others. */
-  abstract static class Asking extends FleetCommand.Asking {
+  /** A command that requests the gossip status from one member. */
+  abstract static class MembersRequestCommand extends FleetCommand.RequestCommand {
     @Parameters(
         index = "1",
         arity = "0..1",
         paramLabel = "MEMBER",
-        description = "Whom to ask; the first that answers.")
+        description = "The member to ask; the first that answers by default.")
     private String member;
 
-    /** The answer, null if there is none, which was said. */
+    /** Returns the status; prints an error and returns null if no member answers. */
     final JsonObject members(FleetFile file) throws InterruptedException {
-      HttpResponse<String> answer = ask(file, member, "GET", "/-/members");
-      if (answer == null || answer.statusCode() != 200) {
-        say(answer);
+      HttpResponse<String> response = request(file, member, "GET", "/-/members");
+      if (response == null || response.statusCode() != 200) {
+        printResponse(response);
         return null;
       }
-      return Json.parse(answer.body()).asObject();
+      return Json.parse(response.body()).asObject();
     }
   }
 
-  /** One table. */
-  @Command(name = "list", description = "Lists the members, how each seems to be and since when.")
-  static final class Listing extends Asking {
+  /** Prints the status of all members once. */
+  @Command(name = "list", description = "Lists the members with their status and its age.")
+  static final class Listing extends MembersRequestCommand {
     @Override
     int call(FleetFile file) throws InterruptedException {
-      JsonObject all = members(file);
-      if (all == null) {
+      JsonObject response = members(file);
+      if (response == null) {
         return 1;
       }
-      if (all.get("members").asArray().isEmpty()) {
+      if (response.get("members").asArray().isEmpty()) {
         System.err.printf(
             "ferngrade: %s has no gossip address and takes no part in this%n",
-            all.getString("member", ""));
+            response.getString("member", ""));
         return 1;
       }
       System.out.printf(
           "as %s sees it; %d datagrams refused%n",
-          all.getString("member", ""), all.getLong("refused", 0));
-      for (JsonValue each : all.get("members").asArray()) {
-        JsonObject one = each.asObject();
+          response.getString("member", ""), response.getLong("refused", 0));
+      for (JsonValue value : response.get("members").asArray()) {
+        JsonObject entry = value.asObject();
         System.out.printf(
             "  %-12s %-8s incarnation %d, for %.1f s, %s%n",
-            one.getString("member", ""),
-            one.getString("standing", ""),
-            one.getLong("incarnation", 0),
-            one.getLong("since_ms", 0) / 1000.0,
-            one.getString("address", ""));
+            entry.getString("member", ""),
+            entry.getString("standing", ""),
+            entry.getLong("incarnation", 0),
+            entry.getLong("since_ms", 0) / 1000.0,
+            entry.getString("address", ""));
       }
       return 0;
     }
   }
 
-  /** What changes, as it does. */
-  @Command(
-      name = "watch",
-      description = "Prints a line whenever a member seems otherwise than before.")
-  static final class Watch extends Asking {
-    private static final long EVERY_MS = 500;
+  /** Prints changes of the status until it is stopped. */
+  @Command(name = "watch", description = "Prints a line whenever the status of a member changes.")
+  static final class Watch extends MembersRequestCommand {
+    private static final long POLL_INTERVAL_MILLIS = 500;
 
     @Option(
         names = "--count",
         paramLabel = "N",
-        description = "Ends after so many looks; 0, never.")
+        description = "Ends after this number of polls; 0 for no end.")
     private int count;
 
     @Override
     int call(FleetFile file) throws InterruptedException {
-      Map<String, String> before = new TreeMap<>();
-      for (int look = 1; ; look++) {
-        JsonObject all = members(file);
-        if (all != null) {
-          for (JsonValue each : all.get("members").asArray()) {
-            JsonObject one = each.asObject();
-            String name = one.getString("member", "");
-            String now = one.getString("standing", "") + " run " + one.getString("run", "");
-            String old = before.put(name, now);
-            if (!now.equals(old)) {
-              System.out.printf("%-12s %s%s%n", name, now, old == null ? "" : ", was " + old);
+      Map<String, String> lastStatus = new TreeMap<>();
+      for (int polls = 1; ; polls++) {
+        JsonObject response = members(file);
+        if (response != null) {
+          for (JsonValue value : response.get("members").asArray()) {
+            JsonObject entry = value.asObject();
+            String name = entry.getString("member", "");
+            String status = entry.getString("standing", "") + " run " + entry.getString("run", "");
+            String previous = lastStatus.put(name, status);
+            if (!status.equals(previous)) {
+              System.out.printf(
+                  "%-12s %s%s%n", name, status, previous == null ? "" : ", was " + previous);
             }
           }
         }
-        if (look == count) {
-          return all == null ? 1 : 0;
+        if (polls == count) {
+          return response == null ? 1 : 0;
         }
-        Thread.sleep(EVERY_MS);
+        Thread.sleep(POLL_INTERVAL_MILLIS);
       }
     }
   }
--- a/fleet/src/main/java/ferngrade/fleet/MembersStatus.java
+++ b/fleet/src/main/java/ferngrade/fleet/MembersStatus.java
@@ -7,25 +7,25 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Who seems to live, as one member sees it, and how many datagrams it has refused. */
+/** The gossip status of all members as one member sees it, and its count of rejected datagrams. */
 record MembersStatus(String member, List<Line> members, long refused) {
-  /** What was heard of a member last, and for how long that has been so, ms. */
-  record Line(MembershipUpdate news, double since) {}
+  /** The latest update about a member and the time for which its status has been unchanged, ms. */
+  record Line(MembershipUpdate update, double sinceMillis) {}
 
-  /** The same as JSON, for the admin address. */
+  /** Returns this status as the JSON that the admin address serves. */
   JsonObject json() {
     JsonArray lines = Json.array();
-    for (Line each : members) {
-      MembershipUpdate news = each.news();
+    for (Line line : members) {
+      MembershipUpdate update = line.update();
       lines.add(
           Json.object()
-              .add("member", news.name())
-              .add("address", news.address())
-              .add("standing", news.standing().name().toLowerCase(Locale.ROOT))
-              .add("incarnation", news.incarnation())
-              .add("run", Long.toHexString(news.run()))
-              .add("by", news.by())
-              .add("since_ms", Math.round(each.since())));
+              .add("member", update.name())
+              .add("address", update.address())
+              .add("standing", update.standing().name().toLowerCase(Locale.ROOT))
+              .add("incarnation", update.incarnation())
+              .add("run", Long.toHexString(update.run()))
+              .add("by", update.by())
+              .add("since_ms", Math.round(line.sinceMillis())));
     }
     return Json.object().add("member", member).add("refused", refused).add("members", lines);
   }
--- a/fleet/src/main/java/ferngrade/fleet/Membership.java
+++ b/fleet/src/main/java/ferngrade/fleet/Membership.java
@@ -32,83 +32,94 @@
 import java.util.function.Consumer;
 
 /**
- * Who of the fleet seems to live: {@link SwimProtocol} on datagrams, each sealed. All but the
- * socket belongs to the member's thread; whoever asks from another is told through that.
+ * Runs the gossip membership of a member: connects {@link SwimProtocol} to a UDP socket and
+ * authenticates each datagram. All methods belong to the member's thread; only the socket has a
+ * thread of its own, which passes datagrams on to the member's thread.
  */
 final class Membership implements AutoCloseable {
-  private final Map<String, InetSocketAddress> others = new HashMap<>();
+  private final Map<String, InetSocketAddress> gossipAddresses = new HashMap<>();
   private final Codec codec = new Codec(Message.CLASSES);
   private final Timers timers;
   private final Clock clock;
   private final Executor loop;
   private final Consumer<String> log;
-  private final MessageAuthenticator seal;
+  private final MessageAuthenticator authenticator;
   private final SwimProtocol swim;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final Channel channel;
-  private long refused;
+  private long rejected;
   private Timers.Timer timer;
 
-  /** What it is made from; the loop runs what it is given one after another, faults included. */
-  record Surroundings(Clock clock, Timers timers, Executor loop, Consumer<String> log, long seed) {}
+  /**
+   * The environment of the membership.
+   *
+   * @param clock the member's monotonic clock
+   * @param timers run tasks later on the member's thread
+   * @param loop runs tasks on the member's thread, one at a time, and handles their exceptions
+   * @param log receives each log line
+   * @param seed seeds the random choices and the number of this process
+   */
+  record Environment(Clock clock, Timers timers, Executor loop, Consumer<String> log, long seed) {}
 
   /**
-   * The membership of this member, whose file says where the others are; it listens from here on.
+   * Binds the gossip address of the member {@code name}; the addresses of the other members are
+   * read from the file. Datagrams are received from now on.
    */
-  Membership(FleetFile file, String name, Surroundings around)
+  Membership(FleetFile file, String name, Environment environment)
       throws IOException, InterruptedException {
-    this.timers = around.timers();
-    this.clock = around.clock();
-    this.loop = around.loop();
-    this.log = around.log();
-    for (FleetFile.Member each : file.members()) {
-      if (each.gossip() != null && !each.name().equals(name)) {
-        others.put(each.name(), each.gossip());
+    this.timers = environment.timers();
+    this.clock = environment.clock();
+    this.loop = environment.loop();
+    this.log = environment.log();
+    for (FleetFile.Member member : file.members()) {
+      if (member.gossip() != null && !member.name().equals(name)) {
+        gossipAddresses.put(member.name(), member.gossip());
       }
     }
-    long run = around.seed() | 1;
-    this.seal = new MessageAuthenticator(file.name() + " members", file.keys(), run);
+    long processNumber = environment.seed() | 1;
+    this.authenticator =
+        new MessageAuthenticator(file.name() + " members", file.keys(), processNumber);
     try {
       this.channel =
           new Bootstrap()
               .group(group)
               .channel(NioDatagramChannel.class)
-              .handler(new In())
+              .handler(new DatagramHandler())
               .bind(file.member(name).gossip())
               .sync()
               .channel();
-    } catch (RuntimeException cannot) {
+    } catch (RuntimeException failure) {
       close();
-      throw cannot;
+      throw failure;
     }
     this.swim =
         new SwimProtocol(
             name,
-            text(address()),
-            run,
-            others.values().stream().map(Membership::text).toList(),
+            hostAndPort(address()),
+            processNumber,
+            gossipAddresses.values().stream().map(Membership::hostAndPort).toList(),
             SwimProtocol.Terms.LOCAL,
-            new SplittableRandom(around.seed()),
-            new Out());
+            new SplittableRandom(environment.seed()),
+            new ProtocolOutput());
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getHostString() + ":" + address.getPort();
   }
 
-  /** Where it listens. */
+  /** The local address of the socket. */
   InetSocketAddress address() {
     return (InetSocketAddress) channel.localAddress();
   }
 
-  /** Takes part from here on; on the member's thread. */
+  /** Starts the protocol. */
   void start() {
     swim.start(clock.now());
-    wake();
+    scheduleNextRun();
   }
 
-  private void wake() {
+  private void scheduleNextRun() {
     if (timer != null) {
       timer.cancel();
     }
@@ -117,34 +128,34 @@
             Math.max(0, swim.next() - clock.now()),
             () -> {
               swim.run(clock.now());
-              wake();
+              scheduleNextRun();
             });
   }
 
   /**
-   * Whether a member seems to live; one of whose membership nothing is known does, as far as this
-   * can tell.
+   * Returns whether a member is considered alive. A member without a gossip address always is,
+   * since its failure cannot be detected.
    */
   boolean alive(String name) {
-    return !others.containsKey(name) || swim.alive(name);
+    return !gossipAddresses.containsKey(name) || swim.alive(name);
   }
 
-  /** All others that were heard of. */
+  /** The other members that this member knows by gossip. */
   Collection<Peer> peers() {
     return swim.peers();
   }
 
-  /** What this member says of itself. */
+  /** The update that this member sends about itself. */
   MembershipUpdate self() {
     return swim.self();
   }
 
-  /** Datagrams that were refused: forged, of another fleet, sent again. */
+  /** The number of datagrams rejected because they were forged, of another fleet or replayed. */
   long refused() {
-    return refused;
+    return rejected;
   }
 
-  /** Says good-bye. */
+  /** Announces to the other members that this member leaves. */
   void leave() {
     swim.leave(clock.now());
   }
@@ -154,32 +165,35 @@
     group.shutdownGracefully(0, 1_000, TimeUnit.MILLISECONDS).awaitUninterruptibly(2_000);
   }
 
-  /** A datagram has come; on the member's thread. */
-  private void come(InetSocketAddress from, byte[] datagram) {
-    String end = text(from);
-    MessageAuthenticator.Opened opened = seal.open(end, datagram);
+  /** Handles a datagram on the member's thread. */
+  private void handleDatagram(InetSocketAddress from, byte[] datagram) {
+    String source = hostAndPort(from);
+    MessageAuthenticator.Opened opened = authenticator.open(source, datagram);
     if (opened.answer() != null) {
       send(from, opened.answer());
     }
     if (opened.verdict() == MessageAuthenticator.Verdict.FORGED
         || opened.verdict() == MessageAuthenticator.Verdict.REPLAYED) {
-      refuse(from + " " + opened.verdict());
+      countRejected(from + " " + opened.verdict());
     } else if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
       try {
         if (codec.read(opened.content(), 0, opened.content().length) instanceof Letter letter) {
-          swim.received(clock.now(), end, letter);
-          wake();
+          swim.received(clock.now(), source, letter);
+          scheduleNextRun();
         }
       } catch (IOException malformed) {
-        refuse(from + " " + malformed.getMessage());
+        countRejected(from + " " + malformed.getMessage());
       }
     }
   }
 
-  /** Said seldom: whoever sends rubbish must not fill the log. */
-  private void refuse(String why) {
-    if ((++refused & refused - 1) == 0) {
-      log.accept("refused datagrams=" + refused + ", the last of " + why);
+  /**
+   * Counts a rejected datagram and logs the count at each power of two, so that invalid datagrams
+   * cannot flood the log.
+   */
+  private void countRejected(String reason) {
+    if ((++rejected & rejected - 1) == 0) {
+      log.accept("refused datagrams=" + rejected + ", the last of " + reason);
     }
   }
 
@@ -188,17 +202,16 @@
         new DatagramPacket(Unpooled.wrappedBuffer(datagram), to), channel.voidPromise());
   }
 
-  private final class Out implements SwimProtocol.Out {
+  private final class ProtocolOutput implements SwimProtocol.Out {
     @Override
     public void send(String name, String address, Letter letter) {
-      // Where the file says how a member is reached from here, that counts, not what others call it
-      // by.
-      InetSocketAddress to = name == null ? null : others.get(name);
+      // The address in this member's file takes precedence over the address that gossip carries.
+      InetSocketAddress to = name == null ? null : gossipAddresses.get(name);
       try {
-        InetSocketAddress end = to != null ? to : EndpointListParser.address(address);
-        Membership.this.send(end, seal.close(text(end), codec.write(letter)));
-      } catch (IllegalArgumentException noAddress) {
-        refuse(name + ", who says that its address is " + address);
+        InetSocketAddress target = to != null ? to : EndpointListParser.address(address);
+        Membership.this.send(target, authenticator.close(hostAndPort(target), codec.write(letter)));
+      } catch (IllegalArgumentException invalid) {
+        countRejected(name + ", which announces the invalid address " + address);
       }
     }
 
@@ -216,22 +229,22 @@
 
     @Override
     public void clash(MembershipUpdate other) {
-      log.accept("clash: another process of this member's name runs at " + other.address());
+      log.accept("clash: another process with this member's name runs at " + other.address());
     }
   }
 
-  private final class In extends SimpleChannelInboundHandler<DatagramPacket> {
+  private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
       byte[] bytes = new byte[packet.content().readableBytes()];
       packet.content().readBytes(bytes);
       InetSocketAddress from = packet.sender();
-      loop.execute(() -> come(from, bytes));
+      loop.execute(() -> handleDatagram(from, bytes));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // A datagram that nobody takes is lost, as others are.
+      // The datagram is lost; the protocol tolerates lost datagrams.
     }
   }
 }
--- a/fleet/src/test/java/ferngrade/fleet/ListCopyTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/EndpointListCopyTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The worker list made of a watch's lines. */
-class ListCopyTest {
-  private final ListCopy copy = new ListCopy();
+/** Guards against an endpoint list that misses a change or is corrupted by an invalid line. */
+class EndpointListCopyTest {
+  private final EndpointListCopy copy = new EndpointListCopy();
 
   private static String line(long revision, boolean complete, String members) {
     return "{\"revision\":"
@@ -23,28 +23,28 @@
   }
 
   @Test
-  void changesAreTakenIntoTheWholeAndWhoHasLeftIsTakenOut() {
-    copy.take(
+  void appliesChangesAndRemovesMembersThatLeft() {
+    copy.apply(
         line(
             1,
             true,
             "{\"id\":\"a\",\"phase\":\"active\",\"size\":1.5},{\"id\":\"b\",\"phase\":\"active\"}"));
-    copy.take(
+    copy.apply(
         line(2, false, "{\"id\":\"b\",\"phase\":\"leaving\"},{\"id\":\"c\",\"phase\":\"active\"}"));
-    copy.take(line(3, false, "{\"id\":\"a\",\"phase\":\"left\"}"));
+    copy.apply(line(3, false, "{\"id\":\"a\",\"phase\":\"left\"}"));
     assertEquals(
         line(3, true, "{\"id\":\"b\",\"phase\":\"leaving\"},{\"id\":\"c\",\"phase\":\"active\"}"),
         copy.whole());
-    copy.take(line(1, true, "{\"id\":\"z\"}"));
+    copy.apply(line(1, true, "{\"id\":\"z\"}"));
     assertEquals(
         line(1, true, "{\"id\":\"z\"}"),
         copy.whole(),
-        "a whole list takes the place of all, whatever its number");
+        "a complete list replaces the list even if its revision is lower");
   }
 
   @Test
-  void thereIsNoListBeforeAWholeOne() {
-    copy.take(line(2, false, "{\"id\":\"b\"}"));
+  void returnsNullBeforeCompleteListIsApplied() {
+    copy.apply(line(2, false, "{\"id\":\"b\"}"));
     assertNull(copy.whole());
   }
 
@@ -57,10 +57,10 @@
         "{\"revision\":4,\"complete\":true,\"members\":[{\"phase\":\"left\"}]}",
         "{\"revision\":4,\"complete\":true,\"members\":[7]}"
       })
-  void whatIsNoListChangesNothing(String bad) {
+  void invalidLineChangesNothing(String invalid) {
     String before = line(1, true, "{\"id\":\"a\"}");
-    copy.take(before);
-    assertThrows(RuntimeException.class, () -> copy.take(bad));
+    copy.apply(before);
+    assertThrows(RuntimeException.class, () -> copy.apply(invalid));
     assertEquals(before, copy.whole());
   }
 }
--- a/fleet/src/test/java/ferngrade/fleet/FleetFileTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetFileTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The fleet's file. */
+/** Guards against invalid fleet files that are accepted or reported without their place. */
 class FleetFileTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       name = "f"
       targets = ["127.0.0.1:8080"]
@@ -43,24 +43,24 @@
   }
 
   @Test
-  void aFileIsReadAndTheOneInDeployToo() throws IOException, FileException {
-    FleetFile file = read(GOOD);
-    assertEquals(86_400_000, file.jobs().get(0).when().every());
+  void readsFileAndDeployedFile() throws IOException, FileException {
+    FleetFile file = read(VALID);
+    assertEquals(86_400_000, file.jobs().get(0).schedule().every());
     assertTrue(
-        file.jobs().get(0).when().repeat()
+        file.jobs().get(0).schedule().repeat()
             && file.member("a").voter()
             && !file.member("b").voter());
     assertEquals(3, FleetFile.read(Path.of("../deploy/fleet.toml")).members().size());
   }
 
   @Test
-  void keysAreReadFromTheirFileAndABadFileIsSaid() throws IOException, FileException {
-    String keyed = GOOD.replace("targets", "key-file = \"fleet.key\"\ntargets");
-    for (String bad :
+  void readsKeysAndRejectsInvalidKeyFile() throws IOException, FileException {
+    String keyed = VALID.replace("targets", "key-file = \"fleet.key\"\ntargets");
+    for (String invalid :
         new String[] {
           "", "short\n", "a key of some length\nanother of some length\na third of some length\n"
         }) {
-      Files.writeString(folder.resolve("fleet.key"), bad);
+      Files.writeString(folder.resolve("fleet.key"), invalid);
       assertTrue(
           assertThrows(FileException.class, () -> read(keyed))
               .getMessage()
@@ -82,23 +82,24 @@
       value = {
         "name = \"f\" | colour = \"red\" | fleet.toml:1: colour is unknown here",
         "part = \"learner\" | part = \"king\" | fleet.toml:9: member[1].part is neither",
-        "name = \"b\" | name = \"a\" | fleet.toml:7: member[1].name is there twice",
+        "name = \"b\" | name = \"a\" | fleet.toml:7: member[1].name is a duplicate: a",
         "every = \"24h\" | every = \"1us\" | fleet.toml:12: recurring[0].every must be",
         "effect = \"keyed\" | effect = \"often\" | fleet.toml:15: recurring[0].effect is unknown",
-        "address = \"127.0.0.1:7101\" | address = \"here\" | fleet.toml:5: member[0].address is no"
-            + " address",
+        "address = \"127.0.0.1:7101\" | address = \"here\" | fleet.toml:5: member[0].address is not"
+            + " an address",
         "targets = [\"127.0.0.1:8080\"] | hold = \"1500ms\" | fleet.toml: targets is missing",
         "part = \"learner\" | list = \"127.0.0.1:1\" | fleet.toml: discovery is missing",
-        "part = \"learner\" | gossip = \"there\" | fleet.toml:9: member[1].gossip is no address",
+        "part = \"learner\" | gossip = \"there\" | fleet.toml:9: member[1].gossip is not an"
+            + " address",
         "tenant = \"t\" | deadline = \"1s\" | fleet.toml:10: recurring[0].tenant is missing",
         "[[member]] | [[member | fleet.toml:3: is not TOML"
       })
-  void whatCannotBeUsedIsSaidWithFileLineAndKey(String there, String instead, String said) {
-    String wrong =
-        there.startsWith("name = \"f\"")
-            ? GOOD.replace(there, instead + "\n" + there)
-            : GOOD.replace(there, instead);
-    FileException bad = assertThrows(FileException.class, () -> read(wrong));
-    assertTrue(bad.getMessage().contains(said), bad.getMessage());
+  void reportsInvalidValueWithFileLineAndKey(String original, String replacement, String expected) {
+    String text =
+        original.startsWith("name = \"f\"")
+            ? VALID.replace(original, replacement + "\n" + original)
+            : VALID.replace(original, replacement);
+    FileException invalid = assertThrows(FileException.class, () -> read(text));
+    assertTrue(invalid.getMessage().contains(expected), invalid.getMessage());
   }
 }
--- a/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
@@ -29,8 +29,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What members send each other of the worker list, their frames, and what operators are answered,
- * keep their form.
+ * Guards against incompatible changes of the messages of the endpoint list relay, of the frames
+ * between members, and of the responses to operators.
  */
 class FleetGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("fleet.txt");
@@ -52,78 +52,78 @@
 
   @TempDir private Path folder;
 
-  /** One member's side, and what it has sent; time stands still. */
-  private final class Side {
+  /** The relay transport of one member with a fixed clock, and the messages that it has sent. */
+  private final class RelayMember {
     private final List<byte[]> sent = new ArrayList<>();
-    private final EndpointListRelayTransport duty;
+    private final EndpointListRelayTransport transport;
     private double now = 1_000;
 
-    Side(String name) throws Exception {
+    RelayMember(String name) throws Exception {
       Path file = Files.writeString(folder.resolve("fleet.toml"), FILE);
-      duty =
+      transport =
           new EndpointListRelayTransport(
               FleetFile.read(file),
               name,
-              new EndpointListRelayTransport.Surroundings(
+              new EndpointListRelayTransport.Environment(
                   () -> now, Runnable::run, (to, message) -> sent.add(message), line -> {}));
     }
 
-    /** What was sent since the last call, which has the recorded form under this name. */
+    /** Verifies the only message sent since the last call against the recording of this name. */
     private void verifySent(String name) {
       assertEquals(1, sent.size(), name);
       GOLDEN.verify(name, sent.remove(0));
     }
   }
 
-  /** A line that a watch would have brought to its owner, which feeds it to the others. */
-  private static byte[] written(String name, EndpointListRelay.Fed line) {
+  /** Returns a list line as its owner sends it to the other members, after verifying its bytes. */
+  private static byte[] encoded(String name, EndpointListRelay.Fed line) {
     GOLDEN.verify(name, new Codec(List.of(EndpointListRelay.Fed.class)).write(line));
     return GOLDEN.bytes(name);
   }
 
   @Test
-  void messagesOfTheWorkerListAreWrittenAndReadAsRecorded() throws Exception {
-    Side owner = new Side("a");
-    Side other = new Side("b");
+  void endpointListMessagesMatchRecordedBytes() throws Exception {
+    RelayMember owner = new RelayMember("a");
+    RelayMember other = new RelayMember("b");
 
-    owner.duty.look(OptionalLong.of(EPOCH));
+    owner.transport.poll(OptionalLong.of(EPOCH));
     owner.verifySent("list-sign-of-life");
-    owner.duty.look(OptionalLong.empty());
-    owner.duty.received(
-        "b", written("list-line", new EndpointListRelay.Fed(EPOCH + 1, 1, WHOLE_LIST, 3.5)));
-    owner.duty.look(OptionalLong.of(NEXT_EPOCH));
+    owner.transport.poll(OptionalLong.empty());
+    owner.transport.handleMessage(
+        "b", encoded("list-line", new EndpointListRelay.Fed(EPOCH + 1, 1, WHOLE_LIST, 3.5)));
+    owner.transport.poll(OptionalLong.of(NEXT_EPOCH));
     owner.verifySent("list-whole-fed");
 
-    // A gap in the line numbers: it asks for the whole list and gets it.
-    other.duty.received(
-        "a", written("list-later-line", new EndpointListRelay.Fed(NEXT_EPOCH, 3, WHOLE_LIST, 0)));
+    // A gap in the line numbers makes a member request the whole list.
+    other.transport.handleMessage(
+        "a", encoded("list-later-line", new EndpointListRelay.Fed(NEXT_EPOCH, 3, WHOLE_LIST, 0)));
     other.verifySent("list-ask-whole");
-    owner.duty.received("b", GOLDEN.bytes("list-ask-whole"));
+    owner.transport.handleMessage("b", GOLDEN.bytes("list-ask-whole"));
     owner.verifySent("list-answer");
-    other.duty.received("a", GOLDEN.bytes("list-answer"));
+    other.transport.handleMessage("a", GOLDEN.bytes("list-answer"));
     other.now += 10;
-    other.duty.look(OptionalLong.of(NEXT_EPOCH + 1));
+    other.transport.poll(OptionalLong.of(NEXT_EPOCH + 1));
     other.verifySent("list-whole-of-next-owner");
   }
 
   @Test
   @Timeout(30)
-  void aFrameBetweenMembersHasTheRecordedBytes() throws Exception {
+  void frameBetweenMembersMatchesRecordedBytes() throws Exception {
     try (ServerSocket listener = new ServerSocket(0)) {
-      MessageAuthenticator seal =
+      MessageAuthenticator authenticator =
           new MessageAuthenticator(
               "f", List.of("a key of the fleet's own".getBytes(StandardCharsets.UTF_8)), 77);
-      try (MemberConnections links =
+      try (MemberConnections connections =
           new MemberConnections(
-              seal,
+              authenticator,
               "a",
               Map.of(
                   "b",
                   new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort())),
               (from, message) -> {})) {
-        links.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        connections.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         try (Socket accepted = listener.accept()) {
-          byte[] frame = firstFrame(links, accepted);
+          byte[] frame = firstFrame(connections, accepted);
           GOLDEN.verify("frame", frame);
         }
       }
@@ -131,13 +131,14 @@
   }
 
   /**
-   * A frame is dropped before the connection stands: it is sent until one comes; only written ones
-   * are numbered.
+   * Sends a message until a frame arrives and returns that frame. Messages are dropped before the
+   * connection is open; they do not count in the frame's number.
    */
-  private static byte[] firstFrame(MemberConnections links, Socket accepted) throws Exception {
+  private static byte[] firstFrame(MemberConnections connections, Socket accepted)
+      throws Exception {
     DataInputStream in = new DataInputStream(accepted.getInputStream());
     while (in.available() == 0) {
-      links.send("b", "hello".getBytes(StandardCharsets.UTF_8));
+      connections.send("b", "hello".getBytes(StandardCharsets.UTF_8));
       Thread.sleep(20);
     }
     byte[] length = in.readNBytes(Integer.BYTES);
@@ -149,7 +150,7 @@
   }
 
   @Test
-  void whatOperatorsAreAnsweredOfTheFleetIsAsRecorded() {
+  void operatorResponsesMatchRecordedJson() {
     Shard shard = new Shard("sweep", 0);
     Session session = new Session(13, "a", "ff", 5, true, 1_790_000_002_123L);
     Slot owned =
@@ -167,10 +168,10 @@
             List.of(new FleetStatus.Duty(owned, "a"), new FleetStatus.Duty(free, null)));
     GOLDEN.verify("status", status.json().toString());
     List<MembersStatus.Line> lines = new ArrayList<>();
-    for (MemberStatus standing : MemberStatus.values()) {
+    for (MemberStatus memberStatus : MemberStatus.values()) {
       lines.add(
           new MembersStatus.Line(
-              new MembershipUpdate("m", "127.0.0.1:7946", -3, 4, standing, "b"), 12.6));
+              new MembershipUpdate("m", "127.0.0.1:7946", -3, 4, memberStatus, "b"), 12.6));
     }
     GOLDEN.verify("members", new MembersStatus("a", lines, 7).json().toString());
   }
--- a/fleet/src/test/java/ferngrade/fleet/JobSenderTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/JobSenderTest.java
@@ -22,32 +22,32 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Where a recurring job is put in, and when again. */
+/** Guards against recurring jobs that are submitted twice, or not retried after a rejection. */
 class JobSenderTest {
   private final ExecutorService loop = Executors.newSingleThreadExecutor();
   private final List<HttpServer> servers = new ArrayList<>();
-  private final List<String> came = Collections.synchronizedList(new ArrayList<>());
-  private final List<Long> times = Collections.synchronizedList(new ArrayList<>());
+  private final List<String> received = Collections.synchronizedList(new ArrayList<>());
+  private final List<Long> receivedAtNanos = Collections.synchronizedList(new ArrayList<>());
 
   @AfterEach
-  void end() {
-    servers.forEach(each -> each.stop(0));
+  void stopServers() {
+    servers.forEach(server -> server.stop(0));
     loop.shutdownNow();
   }
 
-  /** A target that answers with these codes, one after another, the last for ever. */
+  /** Starts a target that answers with these status codes in turn and then repeats the last. */
   private InetSocketAddress target(String name, String retryAfter, int... codes)
       throws IOException {
     HttpServer server =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 8);
-    int[] next = new int[1];
+    int[] requestCount = new int[1];
     server.createContext(
         "/api",
         exchange -> {
           exchange.getRequestBody().readAllBytes();
-          times.add(System.nanoTime());
-          came.add(name + " " + exchange.getRequestHeaders().getFirst("Fencing-Token"));
-          int code = codes[Math.min(next[0]++, codes.length - 1)];
+          receivedAtNanos.add(System.nanoTime());
+          received.add(name + " " + exchange.getRequestHeaders().getFirst("Fencing-Token"));
+          int code = codes[Math.min(requestCount[0]++, codes.length - 1)];
           if (code == 503 && retryAfter != null) {
             exchange.getResponseHeaders().set("Retry-After", retryAfter);
           }
@@ -59,8 +59,8 @@
     return server.getAddress();
   }
 
-  private Optional<String> put(Effect effect, BooleanSupplier holds, InetSocketAddress... targets)
-      throws Exception {
+  private Optional<String> send(
+      Effect effect, BooleanSupplier stillOwned, InetSocketAddress... targets) throws Exception {
     Job job =
         new Job(
             new RecurringSchedule("sweep", 1_000, true, effect != Effect.UNSAFE),
@@ -71,41 +71,42 @@
             5_000);
     CompletableFuture<Optional<String>> result = new CompletableFuture<>();
     JobSender sender = new JobSender("f", List.of(targets), loop);
-    loop.execute(() -> sender.put(job, 1_000, 7, holds, result::complete));
+    loop.execute(() -> sender.send(job, 1_000, 7, stillOwned, result::complete));
     return result.get(30, TimeUnit.SECONDS);
   }
 
   @Test
-  void aRefusalIsFollowedByTheNextTargetAtOnce() throws Exception {
+  void triesNextTargetImmediatelyAfterRejection() throws Exception {
     assertEquals(
         Optional.of("served"),
-        put(Effect.UNSAFE, () -> true, target("a", "2", 503), target("b", null, 200)));
-    assertEquals(List.of("a 7", "b 7"), came);
+        send(Effect.UNSAFE, () -> true, target("a", "2", 503), target("b", null, 200)));
+    assertEquals(List.of("a 7", "b 7"), received);
   }
 
   @Test
-  void onceAllHaveRefusedTheShortestTimeThatWasAskedForIsWaited() throws Exception {
+  void waitsShortestRetryAfterOnceAllTargetsHaveRejected() throws Exception {
     assertEquals(
         Optional.of("served"),
-        put(Effect.UNSAFE, () -> true, target("a", "9", 503, 200), target("b", "0.3", 503, 200)));
-    assertEquals(List.of("a 7", "b 7", "a 7"), came);
+        send(Effect.UNSAFE, () -> true, target("a", "9", 503, 200), target("b", "0.3", 503, 200)));
+    assertEquals(List.of("a 7", "b 7", "a 7"), received);
     assertTrue(
-        times.get(2) - times.get(1) >= 290_000_000L,
-        "waited " + (times.get(2) - times.get(1)) / 1e6 + " ms");
+        receivedAtNanos.get(2) - receivedAtNanos.get(1) >= 290_000_000L,
+        "waited " + (receivedAtNanos.get(2) - receivedAtNanos.get(1)) / 1e6 + " ms");
   }
 
   @Test
-  void itIsGivenUpAfterThreeRoundsAndNotPutInOnceTheShardIsLost() throws Exception {
-    assertEquals(Optional.of("refused"), put(Effect.KEYED, () -> true, target("a", "0", 503)));
-    assertEquals(3, came.size());
-    assertEquals(Optional.empty(), put(Effect.KEYED, () -> came.size() < 4, target("b", "0", 503)));
-    assertEquals(4, came.size());
+  void givesUpAfterThreeRoundsAndStopsOnceShardIsLost() throws Exception {
+    assertEquals(Optional.of("refused"), send(Effect.KEYED, () -> true, target("a", "0", 503)));
+    assertEquals(3, received.size());
+    assertEquals(
+        Optional.empty(), send(Effect.KEYED, () -> received.size() < 4, target("b", "0", 503)));
+    assertEquals(4, received.size());
   }
 
   @Test
-  void aFailureThatMayHaveRunIsNotPutInAgain() throws Exception {
+  void doesNotRetryFailureAfterWhichJobMayHaveRun() throws Exception {
     assertEquals(
-        Optional.of("failed: 502"), put(Effect.UNSAFE, () -> true, target("a", null, 502)));
-    assertEquals(1, came.size());
+        Optional.of("failed: 502"), send(Effect.UNSAFE, () -> true, target("a", null, 502)));
+    assertEquals(1, received.size());
   }
 }
--- a/fleet/src/test/java/ferngrade/fleet/MemberConnectionsTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/MemberConnectionsTest.java
@@ -20,87 +20,89 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What passes between members' links, and what does not. */
+/** Guards against messages lost after a member's restart and against accepted forged frames. */
 class MemberConnectionsTest {
   private static final String KEY = "a key of the fleet's own";
 
-  private final List<MemberConnections> open = new ArrayList<>();
-  private final BlockingQueue<String> came = new LinkedBlockingQueue<>();
+  private final List<MemberConnections> openConnections = new ArrayList<>();
+  private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
   @AfterEach
-  void end() {
-    open.forEach(MemberConnections::close);
+  void closeConnections() {
+    openConnections.forEach(MemberConnections::close);
   }
 
-  private MemberConnections links(
+  private MemberConnections connections(
       String name, String key, long run, Map<String, InetSocketAddress> others) {
-    MemberConnections links =
+    MemberConnections connections =
         new MemberConnections(
             new MessageAuthenticator("f", List.of(key.getBytes(StandardCharsets.UTF_8)), run),
             name,
             others,
-            (from, message) -> came.add(from + " " + new String(message, StandardCharsets.UTF_8)));
-    open.add(links);
-    return links;
+            (from, message) ->
+                received.add(from + " " + new String(message, StandardCharsets.UTF_8)));
+    openConnections.add(connections);
+    return connections;
   }
 
-  private static InetSocketAddress any() {
+  private static InetSocketAddress freeAddress() {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 
-  /** An address at which nobody listens. */
-  private static InetSocketAddress nobody() throws IOException {
-    try (ServerSocket free = new ServerSocket(0)) {
-      return new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
+  /** Returns an address without a listener. */
+  private static InetSocketAddress unusedAddress() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0)) {
+      return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
     }
   }
 
   /**
-   * Sends until something has come: first tries are lost while links open and ends say who they
-   * are.
+   * Sends a message until one is received. The first ones are lost while the connections open and
+   * the members exchange the identities of their processes.
    */
-  private String sendUntilCome(MemberConnections from, String to, String word)
+  private String sendUntilReceived(MemberConnections from, String to, String text)
       throws InterruptedException {
-    String got = null;
-    for (int i = 0; i < 1_000 && got == null; i++) {
-      from.send(to, word.getBytes(StandardCharsets.UTF_8));
-      got = came.poll(20, TimeUnit.MILLISECONDS);
+    String message = null;
+    for (int i = 0; i < 1_000 && message == null; i++) {
+      from.send(to, text.getBytes(StandardCharsets.UTF_8));
+      message = received.poll(20, TimeUnit.MILLISECONDS);
     }
-    return got;
+    return message;
   }
 
   @Test
-  void aMemberIsHeardAlsoByTheNextProcessOfTheOther() throws Exception {
-    MemberConnections b = links("b", KEY, 2, Map.of("a", nobody()));
-    InetSocketAddress at = b.start(any());
-    MemberConnections a = links("a", KEY, 1, Map.of("b", at));
-    a.start(any());
-    assertEquals("a hello", sendUntilCome(a, "b", "hello"));
+  void deliversMessagesToTheSuccessorProcessOfAMember() throws Exception {
+    MemberConnections b = connections("b", KEY, 2, Map.of("a", unusedAddress()));
+    InetSocketAddress address = b.start(freeAddress());
+    MemberConnections a = connections("a", KEY, 1, Map.of("b", address));
+    a.start(freeAddress());
+    assertEquals("a hello", sendUntilReceived(a, "b", "hello"));
     b.close();
-    came.clear();
-    links("b", KEY, 3, Map.of("a", nobody())).start(at);
-    assertEquals("a again", sendUntilCome(a, "b", "again"));
+    received.clear();
+    connections("b", KEY, 3, Map.of("a", unusedAddress())).start(address);
+    assertEquals("a again", sendUntilReceived(a, "b", "again"));
   }
 
   @Test
-  void whoHasNoKeyOrNoNameOfTheFleetIsNotHeardAndALongFrameOfRubbishEndsItsConnection()
-      throws Exception {
-    MemberConnections b = links("b", KEY, 2, Map.of("a", nobody()));
-    InetSocketAddress at = b.start(any());
-    MemberConnections stranger = links("a", "a key of somebody else's", 7, Map.of("b", at));
-    stranger.start(any());
-    MemberConnections unknown = links("x", KEY, 8, Map.of("b", at));
-    unknown.start(any());
-    MemberConnections a = links("a", KEY, 1, Map.of("b", at));
-    a.start(any());
+  void ignoresSendersWithoutKeyOrMemberNameAndClosesConnectionAfterInvalidFrame() throws Exception {
+    MemberConnections b = connections("b", KEY, 2, Map.of("a", unusedAddress()));
+    InetSocketAddress address = b.start(freeAddress());
+    MemberConnections forger =
+        connections("a", "a key of somebody else's", 7, Map.of("b", address));
+    forger.start(freeAddress());
+    MemberConnections nonMember = connections("x", KEY, 8, Map.of("b", address));
+    nonMember.start(freeAddress());
+    MemberConnections a = connections("a", KEY, 1, Map.of("b", address));
+    a.start(freeAddress());
     for (int i = 0; i < 20; i++) {
-      stranger.send("b", "forged".getBytes(StandardCharsets.UTF_8));
-      unknown.send("b", "unknown".getBytes(StandardCharsets.UTF_8));
-      // Whatever they have sent by then was there before this.
-      assertEquals("a true", sendUntilCome(a, "b", "true"));
+      forger.send("b", "forged".getBytes(StandardCharsets.UTF_8));
+      nonMember.send("b", "unknown".getBytes(StandardCharsets.UTF_8));
+      // Frames that the two other senders sent before this one have been processed by now.
+      assertEquals("a true", sendUntilReceived(a, "b", "true"));
     }
-    assertNull(came.stream().filter(each -> !each.equals("a true")).findFirst().orElse(null));
-    try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+    assertNull(
+        received.stream().filter(message -> !message.equals("a true")).findFirst().orElse(null));
+    try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
       out.writeInt(200);
       out.write(new byte[200]);
