--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -42,7 +42,7 @@
 /**
  * Runs one member of a fleet: its Raft member, the lease table built from the replicated log, its
  * leases, and the recurring jobs that it submits. A single thread owns this state and blocks on
- * disk writes; connections and operators' calls run on threads of their own.
+ * disk writes; connections and operators' calls run on separate threads.
  */
 public final class MemberProcess implements AutoCloseable {
   private static final double PROPOSAL_TIMEOUT_MILLIS = 1_000;
@@ -440,12 +440,12 @@
    * false if the shard or the member is unknown, and a text with the reason if the outcome is not
    * known.
    */
-  CompletableFuture<Object> transfer(String duty, int number, String to) {
+  CompletableFuture<Object> transfer(String duty, int number, String targetMember) {
     CompletableFuture<Object> result = new CompletableFuture<>();
     loop.execute(
         () ->
             raftMember.propose(
-                new Command.Transfer(new Shard(duty, number), to),
+                new Command.Transfer(new Shard(duty, number), targetMember),
                 PROPOSAL_TIMEOUT_MILLIS,
                 ProposalOutcome.of(result::complete, result::complete)));
     return result;
--- a/fleet/src/main/java/ferngrade/fleet/Membership.java
+++ b/fleet/src/main/java/ferngrade/fleet/Membership.java
@@ -33,8 +33,8 @@
 
 /**
  * Runs the gossip membership of a member: connects {@link SwimProtocol} to a UDP socket and
- * authenticates each datagram. All methods belong to the member's thread; only the socket has a
- * thread of its own, which passes datagrams on to the member's thread.
+ * authenticates each datagram. All methods belong to the member's thread; the socket has a separate
+ * thread, which passes received datagrams to the member's thread.
  */
 final class Membership implements AutoCloseable {
   private final Map<String, InetSocketAddress> gossipAddresses = new HashMap<>();
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -113,7 +113,8 @@
   }
 
   /**
-   * Lets the next {@code succeeding} operations succeed and the {@code failing} after them fail.
+   * Lets the next {@code succeeding} operations of this type succeed and the {@code failing}
+   * operations after them fail.
    */
   public synchronized void fail(Operation operation, Errno errno, long succeeding, long failing) {
     schedule.schedule(operation, errno, succeeding, failing);
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultSchedule.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultSchedule.java
@@ -32,7 +32,8 @@
   private final Map<Operation, Faults> faults = new EnumMap<>(Operation.class);
 
   /**
-   * Lets the next {@code succeeding} operations succeed and the {@code failing} after them fail.
+   * Lets the next {@code succeeding} operations of this type succeed and the {@code failing}
+   * operations after them fail.
    */
   void schedule(Operation operation, Errno errno, long succeeding, long failing) {
     faults.put(operation, new Faults(errno, succeeding, failing));
--- a/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
@@ -31,21 +31,23 @@
   }
 
   /** Returns the content length of the batch at an offset; -1 if there is no readable batch. */
-  public static int lengthAt(ByteBuffer in, int at) {
-    if (in.capacity() - at < HEADER_BYTES) {
+  public static int lengthAt(ByteBuffer in, int offset) {
+    if (in.capacity() - offset < HEADER_BYTES) {
       return -1;
     }
-    int length = in.getInt(at);
-    if (length < 0 || length > MAX_CONTENT_BYTES || length > in.capacity() - at - HEADER_BYTES) {
+    int length = in.getInt(offset);
+    if (length < 0
+        || length > MAX_CONTENT_BYTES
+        || length > in.capacity() - offset - HEADER_BYTES) {
       return -1;
     }
-    int from = in.arrayOffset() + at + 8;
-    return in.getInt(at + 4) == checksum(in.array(), from, 8 + length, length) ? length : -1;
+    int from = in.arrayOffset() + offset + 8;
+    return in.getInt(offset + 4) == checksum(in.array(), from, 8 + length, length) ? length : -1;
   }
 
   /** Returns the number of the readable batch at an offset. */
-  public static long numberAt(ByteBuffer in, int at) {
-    return in.getLong(at + 8);
+  public static long numberAt(ByteBuffer in, int offset) {
+    return in.getLong(offset + 8);
   }
 
   /**
@@ -53,9 +55,11 @@
    * which shows that the data at the offset was synced.
    */
   public static boolean followed(ByteBuffer in, int from, long number) {
-    for (int at = from + 1; at <= in.capacity() - HEADER_BYTES; at++) {
-      long found = numberAt(in, at);
-      if (found > number + 1 && found < number + MAX_NUMBER_GAP && lengthAt(in, at) >= 0) {
+    for (int offset = from + 1; offset <= in.capacity() - HEADER_BYTES; offset++) {
+      long foundNumber = numberAt(in, offset);
+      if (foundNumber > number + 1
+          && foundNumber < number + MAX_NUMBER_GAP
+          && lengthAt(in, offset) >= 0) {
         return true;
       }
     }
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
@@ -93,14 +93,14 @@
   }
 
   /**
-   * Reads the snapshot and the logs after it with numbers below {@code belowLog}. Only the last log
-   * of the store may have a torn tail.
+   * Reads the snapshot and the logs after it with numbers below {@code belowLogNumber}. Only the
+   * last log of the store may have a torn tail.
    *
    * @throws CorruptLogException if synced data is damaged; the records before it were replayed
    */
-  void readAll(long belowLog) throws IOException {
+  void readAll(long belowLogNumber) throws IOException {
     try {
-      readFiles(belowLog);
+      readFiles(belowLogNumber);
     } catch (CorruptLogException damage) {
       // A repair keeps all batches before the damage, including the pending one.
       replayPending();
@@ -109,17 +109,18 @@
     replayPending();
   }
 
-  private void readFiles(long belowLog) throws IOException {
+  private void readFiles(long belowLogNumber) throws IOException {
     LogFiles files = LogFiles.list(storage);
     unfinished = files.unfinished();
     TreeMap<Long, String> logs = files.logs();
-    boolean all = belowLog == Long.MAX_VALUE;
-    Optional<String> following = Optional.ofNullable(logs.get(belowLog));
-    logs.tailMap(belowLog).clear();
-    long first = readLastSnapshot(files);
-    readLogs(logs, first, all);
-    if (all && !files.snapshots().isEmpty() && logs.isEmpty()) {
-      throw new CorruptLogException(LogFiles.logName(first), 0, "is missing after its snapshot");
+    boolean readsAllLogs = belowLogNumber == Long.MAX_VALUE;
+    Optional<String> following = Optional.ofNullable(logs.get(belowLogNumber));
+    logs.tailMap(belowLogNumber).clear();
+    long firstNumber = readLastSnapshot(files);
+    readLogs(logs, firstNumber, readsAllLogs);
+    if (readsAllLogs && !files.snapshots().isEmpty() && logs.isEmpty()) {
+      throw new CorruptLogException(
+          LogFiles.logName(firstNumber), 0, "is missing after its snapshot");
     }
     if (following.isPresent()) {
       // The following log is not replayed, but its first batch may supersede the pending one.
@@ -142,16 +143,17 @@
     return 1;
   }
 
-  private void readLogs(SortedMap<Long, String> logs, long first, boolean all) throws IOException {
-    lastLog = first - 1;
-    long expected = first;
+  private void readLogs(SortedMap<Long, String> logs, long firstNumber, boolean readsAllLogs)
+      throws IOException {
+    lastLog = firstNumber - 1;
+    long expected = firstNumber;
     for (long number : logs.keySet()) {
       if (number != expected) {
         throw new CorruptLogException(
             LogFiles.logName(expected), 0, "is missing between other logs");
       }
       expected++;
-      readLog(logs.get(number), number, all && number == logs.lastKey());
+      readLog(logs.get(number), number, readsAllLogs && number == logs.lastKey());
       lastLog = lastHasNoHeader ? number - 1 : number;
     }
   }
@@ -162,53 +164,54 @@
     if (!LogFiles.hasHeader(in, number)) {
       throw new CorruptLogException(name, 0, "has no valid header of this store");
     }
-    int at = LogFiles.HEADER_BYTES;
+    int offset = LogFiles.HEADER_BYTES;
     boolean ended = false;
-    while (at < content.length) {
-      int length = LogBatch.lengthAt(in, at);
+    while (offset < content.length) {
+      int length = LogBatch.lengthAt(in, offset);
       if (length < 0) {
-        throw new CorruptLogException(name, at, UNREADABLE);
+        throw new CorruptLogException(name, offset, UNREADABLE);
       }
-      long found = LogBatch.numberAt(in, at);
-      if (found < batchNumber) {
-        throw outOfOrder(name, at, found);
+      long foundNumber = LogBatch.numberAt(in, offset);
+      if (foundNumber < batchNumber) {
+        throw outOfOrder(name, offset, foundNumber);
       }
-      batchNumber = found;
+      batchNumber = foundNumber;
       ended = length == 0;
-      replay(new ReadBatch(name, content, at + LogBatch.HEADER_BYTES, length, 0, found));
-      at += LogBatch.HEADER_BYTES + length;
+      replay(new ReadBatch(name, content, offset + LogBatch.HEADER_BYTES, length, 0, foundNumber));
+      offset += LogBatch.HEADER_BYTES + length;
     }
     if (!ended) {
       throw new CorruptLogException(name, content.length, "the snapshot has no end marker");
     }
   }
 
-  private CorruptLogException outOfOrder(String name, int at, long found) {
-    return new CorruptLogException(name, at, "batch " + found + " comes after " + batchNumber);
+  private CorruptLogException outOfOrder(String name, int offset, long foundNumber) {
+    return new CorruptLogException(
+        name, offset, "batch " + foundNumber + " comes after " + batchNumber);
   }
 
-  private void readLog(String name, long number, boolean last) throws IOException {
+  private void readLog(String name, long number, boolean isLast) throws IOException {
     byte[] content = storage.read(name);
     ByteBuffer in = ByteBuffer.wrap(content);
     if (!LogFiles.hasHeader(in, number)) {
-      readWithoutHeader(name, content, last);
+      readWithoutHeader(name, content, isLast);
       return;
     }
     resolvePending(in);
-    int end = readBatches(name, content, last);
-    if (last) {
-      lastContent = Arrays.copyOf(content, end);
+    int endOffset = readBatches(name, content, isLast);
+    if (isLast) {
+      lastContent = Arrays.copyOf(content, endOffset);
     } else {
       pending = pending.map(ReadBatch::withoutFile);
     }
   }
 
-  private void readWithoutHeader(String name, byte[] content, boolean last)
+  private void readWithoutHeader(String name, byte[] content, boolean isLast)
       throws CorruptLogException {
     if (tornTail.isPresent()) {
       throw tornTail.get();
     }
-    if (!last || content.length > LogFiles.HEADER_BYTES) {
+    if (!isLast || content.length > LogFiles.HEADER_BYTES) {
       throw new CorruptLogException(name, 0, "has no valid header of this store");
     }
     lastHasNoHeader = true;
@@ -216,57 +219,57 @@
   }
 
   /** Reads the batches of a log and returns the offset of the end of the last readable one. */
-  private int readBatches(String name, byte[] content, boolean last) throws IOException {
+  private int readBatches(String name, byte[] content, boolean isLast) throws IOException {
     ByteBuffer in = ByteBuffer.wrap(content);
-    int at = LogFiles.HEADER_BYTES;
-    while (at < content.length) {
+    int offset = LogFiles.HEADER_BYTES;
+    while (offset < content.length) {
       // A batch follows the pending one, so the pending one was synced.
       replayPending();
-      int length = LogBatch.lengthAt(in, at);
+      int length = LogBatch.lengthAt(in, offset);
       if (length < 0) {
-        handleUnreadable(name, in, at, last);
+        handleUnreadable(name, in, offset, isLast);
         break;
       }
-      long found = LogBatch.numberAt(in, at);
-      if (found <= batchNumber) {
-        throw outOfOrder(name, at, found);
+      long foundNumber = LogBatch.numberAt(in, offset);
+      if (foundNumber <= batchNumber) {
+        throw outOfOrder(name, offset, foundNumber);
       }
-      if (found != batchNumber + 1) {
+      if (foundNumber != batchNumber + 1) {
         throw new CorruptLogException(
-            name, at, "batch " + (batchNumber + 1) + " is missing before " + found);
+            name, offset, "batch " + (batchNumber + 1) + " is missing before " + foundNumber);
       }
-      batchNumber = found;
-      int from = at + LogBatch.HEADER_BYTES;
-      pending = Optional.of(new ReadBatch(name, content, from, length, 0, found));
-      at = from + length;
+      batchNumber = foundNumber;
+      int from = offset + LogBatch.HEADER_BYTES;
+      pending = Optional.of(new ReadBatch(name, content, from, length, 0, foundNumber));
+      offset = from + length;
     }
-    return at;
+    return offset;
   }
 
   /** Replays or drops the pending end of the previous log, based on the first batch of the next. */
-  private void resolvePending(ByteBuffer next) throws IOException {
-    boolean readable = LogBatch.lengthAt(next, LogFiles.HEADER_BYTES) >= 0;
-    long first = readable ? LogBatch.numberAt(next, LogFiles.HEADER_BYTES) : 0;
+  private void resolvePending(ByteBuffer nextLog) throws IOException {
+    boolean readable = LogBatch.lengthAt(nextLog, LogFiles.HEADER_BYTES) >= 0;
+    long firstNumber = readable ? LogBatch.numberAt(nextLog, LogFiles.HEADER_BYTES) : 0;
     if (tornTail.isPresent()) {
-      if (first != batchNumber + 1) {
+      if (firstNumber != batchNumber + 1) {
         throw tornTail.get();
       }
       tornTail = Optional.empty();
-    } else if (pending.isPresent() && first == pending.get().number()) {
+    } else if (pending.isPresent() && firstNumber == pending.get().number()) {
       batchNumber = pending.get().number() - 1;
       pending = Optional.empty();
     }
     replayPending();
   }
 
-  private void handleUnreadable(String name, ByteBuffer in, int at, boolean last)
+  private void handleUnreadable(String name, ByteBuffer in, int offset, boolean isLast)
       throws CorruptLogException {
-    CorruptLogException damage = new CorruptLogException(name, at, UNREADABLE);
-    if (LogBatch.followed(in, at, batchNumber)) {
+    CorruptLogException damage = new CorruptLogException(name, offset, UNREADABLE);
+    if (LogBatch.followed(in, offset, batchNumber)) {
       throw damage;
     }
-    if (last) {
-      tornBytes = (long) in.capacity() - at;
+    if (isLast) {
+      tornBytes = (long) in.capacity() - offset;
       tornFile = Optional.of(name);
     } else {
       tornTail = Optional.of(damage);
@@ -285,14 +288,15 @@
     ByteBuffer in = ByteBuffer.wrap(batch.bytes(), batch.from(), batch.length());
     while (in.hasRemaining()) {
       int size = in.getInt();
-      int at = in.position();
+      int offset = in.position();
       try {
-        replay.accept(LogRecordCodec.read(batch.bytes(), at, size));
+        replay.accept(LogRecordCodec.read(batch.bytes(), offset, size));
       } catch (IOException | IllegalStateException invalid) {
-        throw new CorruptLogException(batch.file(), batch.fileOffset() + at, invalid.getMessage());
+        throw new CorruptLogException(
+            batch.file(), batch.fileOffset() + offset, invalid.getMessage());
       }
       records++;
-      in.position(at + size);
+      in.position(offset + size);
     }
     batches++;
     bytes += batch.length();
--- a/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
@@ -19,7 +19,7 @@
 /**
  * Guards against an unsafe job that runs twice. Explores all reachable states of up to two jobs,
  * two workers and one restart of the node: messages are delayed, duplicated, reordered or lost,
- * leases may expire in any state, and the node may crash after any lease is stored.
+ * leases may expire in any state, and the node may crash at any point.
  */
 class JobTableExplorationTest {
   private static final JobTableSettings SETTINGS = new JobTableSettings(100, 100, 1e18, 3, 0, 0);
