--- a/test-support/src/main/java/ferngrade/golden/GoldenFile.java
+++ b/test-support/src/main/java/ferngrade/golden/GoldenFile.java
@@ -11,16 +11,15 @@
 import java.util.TreeMap;
 
 /**
- * Recorded values, one per line as {@code name value}, in a test resource of the module under test.
- * A test compares them with what the code produces now, so that a refactoring which changes a
- * stored or transmitted form fails.
+ * Holds recorded values, one per line as {@code name value}, from a test resource of the module
+ * under test. A test compares them with the values that the current code produces, so that a
+ * refactoring that changes a stored or transmitted format fails.
  *
- * <p>Values are compared unless the system property {@value #RECORD_PROPERTY} names this very file;
- * then the values are written to the module's {@code src/test/resources/golden} instead. Belongs to
- * one thread.
+ * <p>If the system property {@value #RECORD_PROPERTY} names this file, the values are written to
+ * the module's {@code src/test/resources/golden} instead of being compared. Not thread-safe.
  */
 public final class GoldenFile {
-  /** The system property that names the one file to record anew. */
+  /** The system property that names the golden file to record. */
   public static final String RECORD_PROPERTY = "golden.record";
 
   private static final String RESOURCE_FOLDER = "golden";
@@ -36,8 +35,8 @@
   }
 
   /**
-   * Opens the golden file of this name; a file that does not exist is an error unless it is being
-   * recorded.
+   * Opens the golden file of this name. Throws IllegalStateException if the file does not exist and
+   * is not being recorded.
    */
   public static GoldenFile open(String fileName) {
     GoldenFile file = new GoldenFile(fileName);
@@ -51,14 +50,14 @@
     try (InputStream in =
         GoldenFile.class.getResourceAsStream("/" + RESOURCE_FOLDER + "/" + fileName)) {
       if (in == null) {
-        throw new IllegalStateException("no golden file " + fileName);
+        throw new IllegalStateException("golden file " + fileName + " does not exist");
       }
       for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n", 0)) {
         int space = line.indexOf(' ');
         values.put(line.substring(0, space), line.substring(space + 1));
       }
-    } catch (IOException unreadable) {
-      throw new UncheckedIOException(unreadable);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 
@@ -86,7 +85,7 @@
     verify(name, actual.replace("\\", "\\\\").replace("\r", "\\r").replace("\n", "\\n"));
   }
 
-  /** The recorded bytes of this name. */
+  /** Returns the recorded bytes of this name. */
   public byte[] bytes(String name) {
     String hex = values.get(name);
     if (hex == null) {
@@ -101,8 +100,8 @@
     try {
       Files.createDirectories(SOURCE_FOLDER);
       Files.writeString(SOURCE_FOLDER.resolve(fileName), text);
-    } catch (IOException unwritable) {
-      throw new UncheckedIOException(unwritable);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 }
--- a/test-support/src/main/java/ferngrade/golden/package-info.java
+++ b/test-support/src/main/java/ferngrade/golden/package-info.java
@@ -1,2 +1,2 @@
-/** Golden files: recorded values that tests compare with what the code writes today. */
+/** Golden files: recorded values that tests compare with the values that the code produces. */
 package ferngrade.golden;
--- a/test-support/src/main/java/ferngrade/knownfailures/SkipKnownFailures.java
+++ b/test-support/src/main/java/ferngrade/knownfailures/SkipKnownFailures.java
@@ -10,15 +10,15 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Skips a test that the list of known failures names: a line {@code CLASS | cause | issue}, or
- * {@code CLASS#method | cause | issue}, in {@value #LIST} at the root of the repository. The system
- * property {@value #RUN_PROPERTY} set to true runs them all the same.
+ * Skips tests that are in the list of known failures. An entry is a line {@code CLASS | cause |
+ * issue}, or {@code CLASS#method | cause | issue}, in {@value #LIST_FILE} at the root of the
+ * repository. If the system property {@value #RUN_PROPERTY} is true, the listed tests run.
  */
 public final class SkipKnownFailures implements ExecutionCondition {
-  /** The system property that has listed tests run. */
+  /** The system property that enables the listed tests if it is true. */
   public static final String RUN_PROPERTY = "known-failures.run";
 
-  private static final String LIST = "KNOWN-RED.txt";
+  private static final String LIST_FILE = "KNOWN-RED.txt";
   private static final String SEPARATOR = " | ";
 
   @Override
@@ -26,30 +26,37 @@
     if (Boolean.getBoolean(RUN_PROPERTY)) {
       return ConditionEvaluationResult.enabled("known failures are run");
     }
-    String type = context.getRequiredTestClass().getName();
-    String method = context.getTestMethod().map(each -> type + "#" + each.getName()).orElse(type);
+    String className = context.getRequiredTestClass().getName();
+    String testName =
+        context
+            .getTestMethod()
+            .map(testMethod -> className + "#" + testMethod.getName())
+            .orElse(className);
     return lines().stream()
-        .filter(line -> names(line, type) || names(line, method))
+        .filter(line -> isEntryFor(line, className) || isEntryFor(line, testName))
         .findFirst()
         .map(line -> ConditionEvaluationResult.disabled("known failure: " + line))
         .orElse(ConditionEvaluationResult.enabled("not listed"));
   }
 
-  /** True if this line of the list is about this test, a class or a method of one. */
-  static boolean names(String line, String test) {
+  /** Returns true if this line of the list is the entry for this test class or test method. */
+  static boolean isEntryFor(String line, String test) {
     return line.startsWith(test + SEPARATOR);
   }
 
-  /** The list's lines; the folder of a module stands below the one that holds the list. */
+  /**
+   * Returns the lines of the list, or an empty list if there is no such file. Searches the current
+   * folder and its parents, because the tests of a module run in the module's folder.
+   */
   private static List<String> lines() {
     Path folder = Path.of("").toAbsolutePath();
-    while (folder != null && !Files.exists(folder.resolve(LIST))) {
+    while (folder != null && !Files.exists(folder.resolve(LIST_FILE))) {
       folder = folder.getParent();
     }
     try {
-      return folder == null ? List.of() : Files.readAllLines(folder.resolve(LIST));
-    } catch (IOException unreadable) {
-      throw new UncheckedIOException(unreadable);
+      return folder == null ? List.of() : Files.readAllLines(folder.resolve(LIST_FILE));
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 }
--- a/test-support/src/main/java/ferngrade/knownfailures/package-info.java
+++ b/test-support/src/main/java/ferngrade/knownfailures/package-info.java
@@ -1,2 +1,2 @@
-/** Keeps tests that are known to fail, listed with their cause, from failing the build. */
+/** Skips tests that are listed as known failures, so that they do not fail the build. */
 package ferngrade.knownfailures;
--- a/test-support/src/test/java/ferngrade/knownfailures/SkipKnownFailuresTest.java
+++ b/test-support/src/test/java/ferngrade/knownfailures/SkipKnownFailuresTest.java
@@ -7,12 +7,12 @@
 
 class SkipKnownFailuresTest {
   @Test
-  void lineNamesItsTestAndNoOther() {
+  void entryMatchesOnlyItsOwnTest() {
     String line = "a.FirstTest#method | some cause | issue 1";
-    assertTrue(SkipKnownFailures.names(line, "a.FirstTest#method"));
-    assertFalse(SkipKnownFailures.names(line, "a.FirstTest"));
-    assertFalse(SkipKnownFailures.names(line, "a.FirstTest#methodology"));
-    assertFalse(SkipKnownFailures.names(line, "some cause"));
-    assertTrue(SkipKnownFailures.names("a.FirstTest | cause | issue 1", "a.FirstTest"));
+    assertTrue(SkipKnownFailures.isEntryFor(line, "a.FirstTest#method"));
+    assertFalse(SkipKnownFailures.isEntryFor(line, "a.FirstTest"));
+    assertFalse(SkipKnownFailures.isEntryFor(line, "a.FirstTest#methodology"));
+    assertFalse(SkipKnownFailures.isEntryFor(line, "some cause"));
+    assertTrue(SkipKnownFailures.isEntryFor("a.FirstTest | cause | issue 1", "a.FirstTest"));
   }
 }
