--- a/experiment/src/main/java/ferngrade/experiment/BenchCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/BenchCommand.java
@@ -10,19 +10,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Makes a page of a bench's journal. */
+/** Writes a page that summarizes a bench's journal. */
 @Command(
     name = "bench",
-    description = "Makes one page of what a bench's journal holds of days on real sockets.",
+    description = "Writes a page that summarizes the days on real sockets in a bench's journal.",
     mixinStandardHelpOptions = true)
 final class BenchCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "JOURNAL", description = "The journal's folder.")
+  @Parameters(paramLabel = "JOURNAL", description = "The folder with the journal.")
   private Path journal;
 
   @Option(
       names = "--out",
       paramLabel = "FILE",
-      description = "Where the page goes; printed if left out.")
+      description = "The file for the page; printed by default.")
   private Path out;
 
   @Override
@@ -35,8 +35,8 @@
         Files.writeString(out, page);
       }
       return 0;
-    } catch (FileException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (FileException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
   }
--- a/experiment/src/main/java/ferngrade/experiment/BenchTable.java
+++ b/experiment/src/main/java/ferngrade/experiment/BenchTable.java
@@ -14,36 +14,42 @@
 import java.util.stream.Stream;
 
 /**
- * What a bench's journal holds of days on real sockets, as one page: for each site and day the last
- * play, how many there were, and how far plays of one build on one seed lie apart, which is what a
- * single play can be wrong by.
+ * Summarizes the days on real sockets in a bench's journal as one page: for each site and day the
+ * last play, the number of plays, and the largest score difference between plays of the same build
+ * and seed, which is the error to expect of a single play.
  */
 final class BenchTable {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** One play of one day: when, of which build, on which seed, and what it came to. */
-  private record Play(
+  /**
+   * One play of a day. {@code worth}, {@code floor} and {@code top} are the journal's G, G_floor
+   * and G_top.
+   */
+  private record DayPlay(
       String at, String build, long seed, double worth, double floor, double top, double score) {}
 
-  /** One run of a panel. */
+  /** One run of a panel, which is a set of days with a common score. */
   private record Panel(String at, String build, double score, String gate, int days) {}
 
-  private final Map<String, List<Play>> days = new TreeMap<>();
+  private final Map<String, List<DayPlay>> days = new TreeMap<>();
   private final Map<String, List<Panel>> panels = new TreeMap<>();
 
-  /** Reads all entries of a journal's folder; one that is none is an error that names it. */
+  /**
+   * Reads all entries in a journal's folder. A file that is not a journal entry is an error whose
+   * message names the file.
+   */
   BenchTable(Path folder) throws FileException {
     List<Path> files;
-    try (Stream<Path> some = Files.list(folder)) {
-      files = some.filter(file -> file.toString().endsWith(".json")).sorted().toList();
-    } catch (IOException unreadable) {
-      throw new FileException(folder.toString(), "cannot be read: " + unreadable.getMessage());
+    try (Stream<Path> entries = Files.list(folder)) {
+      files = entries.filter(file -> file.toString().endsWith(".json")).sorted().toList();
+    } catch (IOException e) {
+      throw new FileException(folder.toString(), "cannot be read: " + e.getMessage());
     }
     for (Path file : files) {
       try {
         read(JSON.readTree(file.toFile()));
-      } catch (IOException malformed) {
-        throw new FileException(file.toString(), "is no entry of a journal");
+      } catch (IOException e) {
+        throw new FileException(file.toString(), "is not a journal entry");
       }
     }
   }
@@ -76,7 +82,7 @@
     for (JsonNode day : played) {
       days.computeIfAbsent(site + " | " + day.path("name").asText(), key -> new ArrayList<>())
           .add(
-              new Play(
+              new DayPlay(
                   at,
                   build,
                   day.path("seed").asLong(),
@@ -87,26 +93,29 @@
     }
   }
 
-  /** The widest distance between two plays of one build on one seed, NaN if there are no two. */
-  private static double spread(List<Play> plays) {
+  /**
+   * Returns the largest score difference between two plays of the same build and seed, or NaN if no
+   * build and seed was played twice.
+   */
+  private static double spread(List<DayPlay> plays) {
     Map<String, double[]> ranges = new TreeMap<>();
     Map<String, Integer> counts = new TreeMap<>();
-    for (Play each : plays) {
-      String like = each.build() + " " + each.seed();
+    for (DayPlay play : plays) {
+      String buildAndSeed = play.build() + " " + play.seed();
       double[] range =
-          ranges.computeIfAbsent(like, key -> new double[] {each.score(), each.score()});
-      range[0] = Math.min(range[0], each.score());
-      range[1] = Math.max(range[1], each.score());
-      counts.merge(like, 1, Integer::sum);
+          ranges.computeIfAbsent(buildAndSeed, key -> new double[] {play.score(), play.score()});
+      range[0] = Math.min(range[0], play.score());
+      range[1] = Math.max(range[1], play.score());
+      counts.merge(buildAndSeed, 1, Integer::sum);
     }
     return ranges.entrySet().stream()
-        .filter(each -> counts.get(each.getKey()) > 1)
-        .mapToDouble(each -> each.getValue()[1] - each.getValue()[0])
+        .filter(range -> counts.get(range.getKey()) > 1)
+        .mapToDouble(range -> range.getValue()[1] - range.getValue()[0])
         .max()
         .orElse(Double.NaN);
   }
 
-  /** The page, in Markdown. */
+  /** Returns the page in Markdown. */
   String markdown() {
     StringBuilder page =
         new StringBuilder(
@@ -136,12 +145,12 @@
             + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     days.forEach(
         (name, plays) -> {
-          Play last = plays.get(plays.size() - 1);
+          DayPlay last = plays.get(plays.size() - 1);
           String before =
               plays.stream()
-                  .filter(each -> !each.build().equals(last.build()) && each.seed() == last.seed())
+                  .filter(play -> !play.build().equals(last.build()) && play.seed() == last.seed())
                   .reduce((first, second) -> second)
-                  .map(each -> String.format(Locale.ROOT, "%.2f", each.score()))
+                  .map(play -> String.format(Locale.ROOT, "%.2f", play.score()))
                   .orElse("");
           double spread = spread(plays);
           page.append(
--- a/experiment/src/main/java/ferngrade/experiment/Charts.java
+++ b/experiment/src/main/java/ferngrade/experiment/Charts.java
@@ -19,16 +19,21 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** The charts of a result, as PNG by file name. */
+/** Draws the charts of a result as PNG images. */
 final class Charts {
-  /** Settings whose series are drawn at all, and up to how many all of them are. */
-  private static final int MOST_SETTINGS = 16;
+  /** The maximum number of points of a sweep for which any time series are drawn. */
+  private static final int MAX_CHARTED_POINTS = 16;
+
+  /**
+   * The maximum number of points for which all time series are drawn, and of slices that are drawn
+   * together with the budget.
+   */
+  private static final int MAX_DETAILED_POINTS = 4;
 
-  private static final int FEW_SETTINGS = 4;
   private static final int WIDTH = 900;
   private static final int HEIGHT = 420;
 
-  /** Colours that also those can tell apart who see few (Okabe and Ito, 2008). */
+  /** A palette that is distinguishable with colour vision deficiency (Okabe and Ito, 2008). */
   private static final Color[] COLOURS = {
     new Color(0, 114, 178),
     new Color(213, 94, 0),
@@ -47,25 +52,28 @@
     this.results = results;
   }
 
-  /** Draws everything that the results show. */
+  /** Returns the charts by file name; empty if there are no trials. */
   static Map<String, byte[]> of(Results results) {
     Charts charts = new Charts(results);
     if (!results.trials().isEmpty()) {
       charts.goodput();
       List<String> points = results.cells().stream().map(Results.Cell::point).distinct().toList();
-      // Where many settings are swept the series would fill a book; the tables have them all.
-      for (int i = 0; i < Math.min(points.size(), MOST_SETTINGS); i++) {
+      // A sweep with many points would produce too many charts; the tables have all time series.
+      for (int i = 0; i < Math.min(points.size(), MAX_CHARTED_POINTS); i++) {
         charts.overTime(
-            points.get(i), points.size() == 1 ? "" : "-" + (i + 1), points.size() <= FEW_SETTINGS);
+            points.get(i),
+            points.size() == 1 ? "" : "-" + (i + 1),
+            points.size() <= MAX_DETAILED_POINTS);
       }
     }
     return charts.charts;
   }
 
   /**
-   * A setting without its parameter's name where there is only one, which the page names anyway.
+   * Returns the point's value without the parameter's name if there is only one parameter, because
+   * the page shows the name elsewhere.
    */
-  private static String brief(String point) {
+  private static String shortLabel(String point) {
     int equals = point.indexOf('=');
     return equals > 0 && equals == point.lastIndexOf('=') ? point.substring(equals + 1) : point;
   }
@@ -81,34 +89,34 @@
             .width(WIDTH)
             .height(HEIGHT)
             .title("Goodput, with 95 % intervals")
-            .yAxisTitle("share of the worth asked for")
+            .yAxisTitle("share of requested worth")
             .build();
     style(chart.getStyler());
     chart.getStyler().setXAxisLabelRotation(points.size() > 3 ? 30 : 0);
     chart.getStyler().setYAxisMin(0.0);
     List<String> labels =
-        points.stream().map(point -> point.isEmpty() ? "goodput" : brief(point)).toList();
+        points.stream().map(point -> point.isEmpty() ? "goodput" : shortLabel(point)).toList();
     for (String policy : policies()) {
       List<Double> means = new ArrayList<>();
-      List<Double> halves = new ArrayList<>();
+      List<Double> halfWidths = new ArrayList<>();
       for (String point : points) {
         Estimate estimate =
             results.estimate(new Results.Cell(point, policy), ExperimentRun.Result::goodput);
         means.add(estimate.mean());
-        halves.add(Double.isInfinite(estimate.halfWidth()) ? 0 : estimate.halfWidth());
+        halfWidths.add(Double.isInfinite(estimate.halfWidth()) ? 0 : estimate.halfWidth());
       }
-      chart.addSeries(policy, labels, means, halves);
+      chart.addSeries(policy, labels, means, halfWidths);
     }
     add("goodput", chart);
     byName("tenants", "Goodput by tenant", ExperimentRun.Result::byTenant);
     byName("classes", "Goodput by class", ExperimentRun.Result::byClass);
   }
 
-  private interface Shares {
+  private interface GoodputByName {
     Map<String, Double> of(ExperimentRun.Result result);
   }
 
-  private void byName(String file, String title, Shares shares) {
+  private void byName(String file, String title, GoodputByName shares) {
     String point = results.trials().get(0).point();
     List<String> names = new ArrayList<>(shares.of(results.trials().get(0)).keySet());
     if (names.isEmpty()) {
@@ -118,8 +126,8 @@
         new CategoryChartBuilder()
             .width(WIDTH)
             .height(HEIGHT)
-            .title(title + (point.isEmpty() ? "" : " (" + brief(point) + ")"))
-            .yAxisTitle("share of the worth")
+            .title(title + (point.isEmpty() ? "" : " (" + shortLabel(point) + ")"))
+            .yAxisTitle("share of requested worth")
             .build();
     style(chart.getStyler());
     chart.getStyler().setYAxisMin(0.0);
@@ -129,13 +137,13 @@
           policy,
           names,
           names.stream()
-              .map(name -> results.estimate(cell, each -> shares.of(each).get(name)).mean())
+              .map(name -> results.estimate(cell, result -> shares.of(result).get(name)).mean())
               .toList());
     }
     add(file, chart);
   }
 
-  private void overTime(String point, String suffix, boolean all) {
+  private void overTime(String point, String suffix, boolean detailed) {
     Map<String, Map<String, double[]>> byPolicy = new LinkedHashMap<>();
     for (String policy : policies()) {
       Results.Cell cell = new Results.Cell(point, policy);
@@ -143,55 +151,61 @@
         byPolicy.put(policy, results.meanSeries(cell));
       }
     }
-    String of = point.isEmpty() ? "" : " (" + brief(point) + ")";
+    String pointSuffix = point.isEmpty() ? "" : " (" + shortLabel(point) + ")";
     lines(
         "goodput-over-time" + suffix,
-        "Goodput by time of arrival" + of,
-        "share of the worth",
+        "Goodput by time of arrival" + pointSuffix,
+        "share of requested worth",
         byPolicy,
         "goodput");
-    if (all) {
-      others(suffix, of, byPolicy);
+    if (detailed) {
+      detailsOverTime(suffix, pointSuffix, byPolicy);
     }
     Map<String, double[]> first = byPolicy.values().iterator().next();
     Map<String, double[]> slices = new LinkedHashMap<>();
     Set<String> names = first.keySet();
-    // The sum dwarfs the slices of a larger tier.
-    boolean few = names.stream().filter(name -> name.startsWith("slice ")).count() <= FEW_SETTINGS;
+    // In a larger tier the sum is so much larger than the slices that they would be unreadable.
+    boolean showBudget =
+        names.stream().filter(name -> name.startsWith("slice ")).count() <= MAX_DETAILED_POINTS;
     names.stream()
-        .filter(name -> name.startsWith("slice ") || (few && name.equals("budget")))
+        .filter(name -> name.startsWith("slice ") || (showBudget && name.equals("budget")))
         .forEach(name -> slices.put(name, first.get(name)));
     draw(
         "slices-over-time" + suffix,
-        "Slices of the budget, " + byPolicy.keySet().iterator().next() + of,
-        "slots a second",
+        "Slices of the budget, " + byPolicy.keySet().iterator().next() + pointSuffix,
+        "slots per second",
         slices);
   }
 
-  private void others(String suffix, String of, Map<String, Map<String, double[]>> byPolicy) {
+  private void detailsOverTime(
+      String suffix, String pointSuffix, Map<String, Map<String, double[]>> byPolicy) {
     lines(
         "p50-over-time" + suffix,
-        "Median latency by time of arrival" + of,
+        "Median latency by time of arrival" + pointSuffix,
         "ms",
         byPolicy,
         "p50 ms");
     lines(
         "p99-over-time" + suffix,
-        "99th percentile of latency by time of arrival" + of,
+        "99th percentile of latency by time of arrival" + pointSuffix,
         "ms",
         byPolicy,
         "p99 ms");
     lines(
         "refused-over-time" + suffix,
-        "Refused, in each window" + of,
+        "Rejected requests per window" + pointSuffix,
         "answers",
         byPolicy,
         "refused");
     lines(
-        "retries-over-time" + suffix, "Retries, in each window" + of, "tries", byPolicy, "retries");
+        "retries-over-time" + suffix,
+        "Retries per window" + pointSuffix,
+        "tries",
+        byPolicy,
+        "retries");
     lines(
         "depth-over-time" + suffix,
-        "Jobs waiting at a worker" + of,
+        "Queue depth of a worker" + pointSuffix,
         "jobs",
         byPolicy,
         "queue depth");
@@ -219,26 +233,26 @@
             .build();
     style(chart.getStyler());
     chart.getStyler().setYAxisMin(0.0);
-    boolean any = false;
+    boolean hasData = false;
     double window = results.trials().get(0).windowMs() / 1000;
     for (Map.Entry<String, double[]> line : lines.entrySet()) {
-      List<Double> at = new ArrayList<>();
+      List<Double> times = new ArrayList<>();
       List<Double> values = new ArrayList<>();
-      double[] all = line.getValue();
-      for (int i = 0; all != null && i < all.length; i++) {
-        if (!Double.isNaN(all[i])) {
-          at.add(i * window);
-          values.add(all[i]);
+      double[] windowValues = line.getValue();
+      for (int i = 0; windowValues != null && i < windowValues.length; i++) {
+        if (!Double.isNaN(windowValues[i])) {
+          times.add(i * window);
+          values.add(windowValues[i]);
         }
       }
-      if (!at.isEmpty()) {
-        any = true;
-        XYSeries series = chart.addSeries(line.getKey(), at, values);
+      if (!times.isEmpty()) {
+        hasData = true;
+        XYSeries series = chart.addSeries(line.getKey(), times, values);
         series.setMarker(SeriesMarkers.NONE);
         series.setLineStyle(new BasicStroke(2));
       }
     }
-    if (any) {
+    if (hasData) {
       add(file, chart);
     }
   }
@@ -254,8 +268,8 @@
     try {
       charts.put(
           name + ".png", BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
-    } catch (IOException failed) {
-      throw new UncheckedIOException(failed);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/CompareCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/CompareCommand.java
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Holds two results against each other. */
+/** Compares the results of two runs of an experiment. */
 @Command(
     name = "compare",
-    description = "Compares two results, seed by seed, with 95 % intervals.",
+    description = "Compares two results, paired by seed, with 95 % intervals.",
     mixinStandardHelpOptions = true)
 final class CompareCommand implements Callable<Integer> {
   @Parameters(index = "0", paramLabel = "BEFORE")
@@ -25,12 +25,12 @@
     List<Comparison.Row> rows;
     try {
       rows = new Comparison(Results.read(before), Results.read(after)).rows();
-    } catch (FileException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (FileException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
     if (rows.isEmpty()) {
-      System.err.println("ferngrade: the two results share no setting, policy and seed");
+      System.err.println("ferngrade: the two results have no point, policy and seed in common");
       return Cli.BAD_CONFIG;
     }
     for (Comparison.Row row : rows) {
@@ -42,7 +42,7 @@
           row.before(),
           row.after(),
           row.difference(),
-          row.difference().differsFromZero() ? "" : "  (no difference shown)");
+          row.difference().differsFromZero() ? "" : "  (not significant)");
     }
     return 0;
   }
--- a/experiment/src/main/java/ferngrade/experiment/Comparison.java
+++ b/experiment/src/main/java/ferngrade/experiment/Comparison.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Two results held against each other: cell by cell and seed by seed, with the interval of the
- * difference.
+ * Compares two results cell by cell. Differences are paired by seed and have a 95 % confidence
+ * interval.
  */
 public record Comparison(Results before, Results after) {
   private static final List<String> FIGURES =
@@ -21,26 +21,30 @@
           "failed",
           "attempts a try");
 
-  /** One figure of one cell that both have; {@code difference} is after less before. */
+  /**
+   * One figure of a cell that both results have. {@code difference} is the after value minus the
+   * before value.
+   */
   public record Row(
       Results.Cell cell, String figure, Estimate before, Estimate after, Estimate difference) {}
 
-  /** All rows; empty if the two share no cell and seed. */
+  /** Returns all rows; empty if the two results have no cell and seed in common. */
   public List<Row> rows() {
-    Set<Results.Cell> shared = new LinkedHashSet<>(before.cells());
-    shared.retainAll(after.cells());
+    Set<Results.Cell> sharedCells = new LinkedHashSet<>(before.cells());
+    sharedCells.retainAll(after.cells());
     List<Row> rows = new ArrayList<>();
-    for (Results.Cell cell : shared) {
+    for (Results.Cell cell : sharedCells) {
       for (String figure : FIGURES) {
         Estimate difference =
-            Results.difference(after.of(cell), before.of(cell), each -> each.figures().get(figure));
+            Results.difference(
+                after.of(cell), before.of(cell), trial -> trial.figures().get(figure));
         if (difference.count() > 0) {
           rows.add(
               new Row(
                   cell,
                   figure,
-                  before.estimate(cell, each -> each.figures().get(figure)),
-                  after.estimate(cell, each -> each.figures().get(figure)),
+                  before.estimate(cell, trial -> trial.figures().get(figure)),
+                  after.estimate(cell, trial -> trial.figures().get(figure)),
                   difference));
         }
       }
--- a/experiment/src/main/java/ferngrade/experiment/Estimate.java
+++ b/experiment/src/main/java/ferngrade/experiment/Estimate.java
@@ -4,13 +4,13 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * A mean over seeds with the half width of its 95 % confidence interval (Student's t); the half
- * width is infinite where one seed alone gives none.
+ * A mean over seeds and the half width of its 95 % confidence interval (Student's t). The half
+ * width is infinite for fewer than two values.
  */
 public record Estimate(double mean, double halfWidth, long count) {
-  private static final double TAIL = 0.975;
+  private static final double QUANTILE = 0.975;
 
-  /** The estimate that these values give; values that are not numbers are left out. */
+  /** Returns the estimate for these values, ignoring NaN. */
   public static Estimate of(double... values) {
     SummaryStatistics summary = new SummaryStatistics();
     for (double value : values) {
@@ -19,16 +19,16 @@
       }
     }
     long count = summary.getN();
-    double half =
+    double halfWidth =
         count < 2
             ? Double.POSITIVE_INFINITY
-            : new TDistribution(count - 1).inverseCumulativeProbability(TAIL)
+            : new TDistribution(count - 1).inverseCumulativeProbability(QUANTILE)
                 * summary.getStandardDeviation()
                 / Math.sqrt((double) count);
-    return new Estimate(summary.getMean(), half, count);
+    return new Estimate(summary.getMean(), halfWidth, count);
   }
 
-  /** True if the interval leaves 0 out. */
+  /** Returns true if the confidence interval does not contain 0. */
   public boolean differsFromZero() {
     return Math.abs(mean) > halfWidth;
   }
--- a/experiment/src/main/java/ferngrade/experiment/Experiment.java
+++ b/experiment/src/main/java/ferngrade/experiment/Experiment.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * What is to be tried: a scenario, or several where parameters are swept, under some policies and
- * with some seeds. {@code source} is the file as it was read, for those that change it and read it
- * again.
+ * An experiment: a scenario, or one scenario per combination of swept parameters, to run under each
+ * policy and with each seed. {@code source} is the parsed file; {@link Search} modifies a copy of
+ * it and reads the copy again.
  */
 public record Experiment(
     String name,
@@ -20,10 +20,14 @@
     Mutation mutation,
     JsonNode source) {
   /**
-   * One setting of the swept parameters, in the file's own words, and the scenario that it makes.
+   * One combination of the swept parameters, with the keys and values as they are written in the
+   * file, and the scenario that results from it.
    */
   public record Point(Map<String, String> parameters, Scenario scenario) {
-    /** The parameters in one word; empty where nothing is swept. */
+    /**
+     * Returns the parameters as {@code key=value} pairs separated by commas, or an empty string if
+     * nothing is swept.
+     */
     public String label() {
       StringBuilder label = new StringBuilder();
       parameters.forEach(
@@ -33,7 +37,7 @@
     }
   }
 
-  /** The runs that this asks for. */
+  /** Returns the number of trials: one for each point, policy and seed. */
   public int trials() {
     return points.size() * policies.size() * seeds.size();
   }
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentCommand.java
@@ -4,10 +4,10 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The commands that run experiments on an emulated fleet; each is a class of its own. */
+/** Groups the commands that run experiments on an emulated fleet. */
 @Command(
     name = "experiment",
-    description = "Runs experiments on an emulated fleet and keeps their results.",
+    description = "Runs experiments on an emulated fleet and stores their results.",
     mixinStandardHelpOptions = true,
     subcommands = {
       RunCommand.class,
@@ -27,6 +27,6 @@
 
   @Override
   public void run() {
-    throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
+    throw new CommandLine.ParameterException(spec.commandLine(), "a subcommand is missing");
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentReader.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentReader.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-/** Reads experiments. What a file leaves out is as in {@link Scenario#standard}. */
+/** Reads experiments from TOML files. Omitted keys have the values of {@link Scenario#standard}. */
 public final class ExperimentReader {
   private final String file;
   private final Path folder;
@@ -34,21 +34,24 @@
     this.lines = lines;
   }
 
-  /** Reads a file. */
+  /** Reads the experiment in this file. */
   public static Experiment read(Path path) throws FileException {
     return read(path.toString(), path.toAbsolutePath().getParent(), Section.text(path));
   }
 
   /**
-   * Reads a text; {@code file} is its name in messages, and traces are looked for in {@code
-   * folder}.
+   * Reads the experiment in this text. {@code file} is the file name in error messages; paths of
+   * traces are relative to {@code folder}.
    */
   public static Experiment read(String file, Path folder, String text) throws FileException {
     return new ExperimentReader(file, folder, new TomlLines(text))
         .experiment(Section.parse(file, text));
   }
 
-  /** Reads a tree that was an experiment before it was changed. */
+  /**
+   * Reads an experiment from a modified copy of {@link Experiment#source}. Error messages have no
+   * line numbers.
+   */
   public static Experiment read(String file, Path folder, JsonNode root) throws FileException {
     return new ExperimentReader(file, folder, new TomlLines("")).experiment(root);
   }
@@ -60,24 +63,24 @@
       if (!Policies.names().contains(policy)) {
         throw top.bad(
             "policies",
-            "holds an unknown one: \""
+            "contains an unknown policy: \""
                 + policy
-                + "\"; there are "
+                + "\"; known policies are "
                 + String.join(", ", Policies.names()));
       }
     }
     List<Long> seeds = seeds(top);
     Mutation mutation = top.word("mutation", Mutation.class, Mutation.NONE);
     List<Experiment.Point> points = new ArrayList<>();
-    for (Map<String, JsonNode> setting : settings(top)) {
-      JsonNode changed = root.deepCopy();
-      ((ObjectNode) changed).remove("sweep");
+    for (Map<String, JsonNode> combination : combinations(top)) {
+      JsonNode modifiedRoot = root.deepCopy();
+      ((ObjectNode) modifiedRoot).remove("sweep");
       Map<String, String> parameters = new LinkedHashMap<>();
-      for (Map.Entry<String, JsonNode> each : setting.entrySet()) {
-        set(top, (ObjectNode) changed, each.getKey(), each.getValue());
-        parameters.put(each.getKey(), words(each.getValue()));
+      for (Map.Entry<String, JsonNode> parameter : combination.entrySet()) {
+        setParameter(top, (ObjectNode) modifiedRoot, parameter.getKey(), parameter.getValue());
+        parameters.put(parameter.getKey(), formatValue(parameter.getValue()));
       }
-      Section section = new Section(file, lines, "", changed);
+      Section section = new Section(file, lines, "", modifiedRoot);
       for (String key : List.of("name", "title", "policies", "seeds", "mutation")) {
         section.has(key);
       }
@@ -108,85 +111,90 @@
     if (!top.has("seeds")) {
       return List.of(1L);
     }
-    for (JsonNode each : top.values("seeds")) {
-      if (!each.canConvertToLong() || !each.isIntegralNumber()) {
-        throw top.bad("seeds", "holds what is not a whole number: " + each);
+    for (JsonNode seed : top.values("seeds")) {
+      if (!seed.canConvertToLong() || !seed.isIntegralNumber()) {
+        throw top.bad("seeds", "contains a value that is not an integer: " + seed);
       }
-      seeds.add(each.asLong());
+      seeds.add(seed.asLong());
     }
     return seeds;
   }
 
-  /** Every combination of the swept parameters; one empty setting where nothing is swept. */
-  private static List<Map<String, JsonNode>> settings(Section top) throws FileException {
+  /**
+   * Returns every combination of the swept parameters, or one empty combination if nothing is
+   * swept.
+   */
+  private static List<Map<String, JsonNode>> combinations(Section top) throws FileException {
     Section sweep = top.section("sweep");
-    List<Map<String, JsonNode>> settings = new ArrayList<>(List.of(Map.of()));
+    List<Map<String, JsonNode>> combinations = new ArrayList<>(List.of(Map.of()));
     for (String key : sweep.keys()) {
-      List<Map<String, JsonNode>> wider = new ArrayList<>();
-      for (Map<String, JsonNode> setting : settings) {
+      List<Map<String, JsonNode>> extended = new ArrayList<>();
+      for (Map<String, JsonNode> combination : combinations) {
         for (JsonNode value : sweep.values(key)) {
-          Map<String, JsonNode> more = new LinkedHashMap<>(setting);
-          more.put(key, value);
-          wider.add(more);
+          Map<String, JsonNode> extendedCombination = new LinkedHashMap<>(combination);
+          extendedCombination.put(key, value);
+          extended.add(extendedCombination);
         }
       }
-      settings = wider;
+      combinations = extended;
     }
-    return settings;
+    return combinations;
   }
 
   /**
-   * One parameter, or several that are swept together: their paths with commas between, their
-   * values in a list.
+   * Sets one swept parameter, or several that are swept together: {@code paths} then holds their
+   * paths separated by commas, and {@code value} a list with one value for each path.
    */
-  private static void set(Section top, ObjectNode root, String paths, JsonNode value)
+  private static void setParameter(Section top, ObjectNode root, String paths, JsonNode value)
       throws FileException {
-    String[] all = paths.split("\\s*,\\s*", 0);
-    if (all.length > 1 && (!value.isArray() || value.size() != all.length)) {
-      throw top.bad("sweep." + paths, "needs a list of " + all.length + " values for each setting");
+    String[] pathList = paths.split("\\s*,\\s*", 0);
+    if (pathList.length > 1 && (!value.isArray() || value.size() != pathList.length)) {
+      throw top.bad(
+          "sweep." + paths, "needs a list of " + pathList.length + " values for each point");
     }
-    for (int i = 0; i < all.length; i++) {
-      put(top, root, all[i], all.length == 1 ? value : value.get(i));
+    for (int i = 0; i < pathList.length; i++) {
+      setAtPath(top, root, pathList[i], pathList.length == 1 ? value : value.get(i));
     }
   }
 
-  /** A value of a sweep in one word. */
-  static String words(JsonNode value) {
+  /** Returns a value of a sweep as text; the elements of a list are separated by spaces. */
+  static String formatValue(JsonNode value) {
     if (!value.isArray()) {
       return value.asText();
     }
-    List<String> words = new ArrayList<>();
-    value.forEach(each -> words.add(words(each)));
-    return String.join(" ", words);
+    List<String> parts = new ArrayList<>();
+    value.forEach(element -> parts.add(formatValue(element)));
+    return String.join(" ", parts);
   }
 
-  private static void put(Section top, ObjectNode root, String path, JsonNode value)
+  private static void setAtPath(Section top, ObjectNode root, String path, JsonNode value)
       throws FileException {
-    String[] steps = path.split("\\.", 0);
-    JsonNode at = root;
-    for (int i = 0; i < steps.length - 1; i++) {
-      boolean item = at.isArray();
-      JsonNode inner = item ? at.get(index(top, path, steps[i])) : at.get(steps[i]);
-      if (inner == null && !item && !steps[i + 1].matches("[0-9]+")) {
-        inner = ((ObjectNode) at).putObject(steps[i]);
+    String[] keys = path.split("\\.", 0);
+    JsonNode current = root;
+    for (int i = 0; i < keys.length - 1; i++) {
+      boolean inArray = current.isArray();
+      JsonNode child = inArray ? current.get(index(top, path, keys[i])) : current.get(keys[i]);
+      if (child == null && !inArray && !keys[i + 1].matches("[0-9]+")) {
+        child = ((ObjectNode) current).putObject(keys[i]);
       }
-      if (inner == null || !inner.isContainerNode()) {
+      if (child == null || !child.isContainerNode()) {
         throw top.bad(
-            "sweep." + path, "leads nowhere at " + steps[i + (inner == null && !item ? 1 : 0)]);
+            "sweep." + path,
+            "cannot be resolved at " + keys[i + (child == null && !inArray ? 1 : 0)]);
       }
-      at = inner;
+      current = child;
     }
-    if (!at.isObject()) {
-      throw top.bad("sweep." + path, "does not end in a table's key");
+    if (!current.isObject()) {
+      throw top.bad("sweep." + path, "does not end at a key of a table");
     }
-    ((ObjectNode) at).set(steps[steps.length - 1], value);
+    ((ObjectNode) current).set(keys[keys.length - 1], value);
   }
 
-  private static int index(Section top, String path, String step) throws FileException {
+  private static int index(Section top, String path, String key) throws FileException {
     try {
-      return Integer.parseInt(step);
-    } catch (NumberFormatException notANumber) {
-      throw top.bad("sweep." + path, "needs a number for the item of a list, not " + step);
+      return Integer.parseInt(key);
+    } catch (NumberFormatException e) {
+      throw top.bad("sweep." + path, "needs the index of a list element, not " + key);
     }
   }
 
@@ -225,10 +233,10 @@
     return scenario;
   }
 
-  /** Zones by name, or so many of them. */
-  private static List<String> zones(Section fleet, List<String> absent) throws FileException {
+  /** Reads the zones: either a list of names, or a number of zones to be named z0, z1 and so on. */
+  private static List<String> zones(Section fleet, List<String> defaults) throws FileException {
     if (!fleet.numeric("zones")) {
-      return new ArrayList<>(fleet.texts("zones", absent));
+      return new ArrayList<>(fleet.texts("zones", defaults));
     }
     double count = fleet.number("zones", 0);
     if (count < 1 || count != Math.rint(count) || count > 10_000) {
@@ -240,26 +248,26 @@
   private void workload(Section section, WorkloadSpec workload) throws FileException {
     Fields.fill(section, workload);
     if (section.has("rate") && section.has("load")) {
-      throw section.bad("rate", "and load are both given; one of them sets the arrivals");
+      throw section.bad("rate", "and load are both set; only one of them may define the arrivals");
     }
     List<Section> classes = section.sections("class");
     if (!classes.isEmpty()) {
       workload.classes.clear();
-      for (Section each : classes) {
-        workload.classes.add(Fields.fill(each, new ClassSpec()));
-        each.end();
+      for (Section classSection : classes) {
+        workload.classes.add(Fields.fill(classSection, new ClassSpec()));
+        classSection.end();
       }
     }
     List<Section> tenants = section.sections("tenant");
     if (!tenants.isEmpty()) {
       workload.tenants.clear();
-      for (Section each : tenants) {
+      for (Section tenantSection : tenants) {
         TenantSpec tenant = new TenantSpec();
-        tenant.share = each.number("share", 1);
-        tenant.usage = each.number("usage", tenant.share);
-        tenant.name = each.text("name", "tenant-" + workload.tenants.size());
+        tenant.share = tenantSection.number("share", 1);
+        tenant.usage = tenantSection.number("usage", tenant.share);
+        tenant.name = tenantSection.text("name", "tenant-" + workload.tenants.size());
         workload.tenants.add(tenant);
-        each.end();
+        tenantSection.end();
       }
     }
     String trace = section.text("trace", null);
@@ -270,44 +278,48 @@
   }
 
   /**
-   * A trace has a line for each arrival: its time in ms, its class and tenant by name, and its work
-   * in ms.
+   * Reads a trace. It has one line per arrival: time in ms, name of the class, name of the tenant
+   * and work in ms, separated by commas. Empty lines and lines that start with # are ignored.
    */
   private List<WorkloadSpec.Arrival> trace(Section section, String name, WorkloadSpec workload)
       throws FileException {
-    List<String> classes = workload.classes.stream().map(each -> each.name).toList();
-    List<String> tenants = workload.tenants.stream().map(each -> each.name).toList();
+    List<String> classes = workload.classes.stream().map(jobClass -> jobClass.name).toList();
+    List<String> tenants = workload.tenants.stream().map(tenant -> tenant.name).toList();
     List<WorkloadSpec.Arrival> arrivals = new ArrayList<>();
     List<String> rows;
     try {
       rows = Files.readAllLines(folder.resolve(name));
-    } catch (IOException unreadable) {
-      throw section.bad("trace", "cannot be read: " + unreadable.getMessage());
+    } catch (IOException e) {
+      throw section.bad("trace", "cannot be read: " + e.getMessage());
     }
-    double last = 0;
+    double previousMillis = 0;
     for (int i = 0; i < rows.size(); i++) {
       String row = rows.get(i).strip();
       if (row.isEmpty() || row.startsWith("#")) {
         continue;
       }
       String[] cells = row.split("\\s*,\\s*", 0);
-      String where = folder.resolve(name).getFileName() + ":" + (i + 1);
+      String location = folder.resolve(name).getFileName() + ":" + (i + 1);
       try {
-        double at = Double.parseDouble(cells[0]);
+        double arrivalMillis = Double.parseDouble(cells[0]);
         double work = Double.parseDouble(cells[3]);
         int jobClass = classes.indexOf(cells[1]);
         int tenant = tenants.indexOf(cells[2]);
-        if (cells.length != 4 || !(at >= last) || !(work > 0) || jobClass < 0 || tenant < 0) {
+        if (cells.length != 4
+            || !(arrivalMillis >= previousMillis)
+            || !(work > 0)
+            || jobClass < 0
+            || tenant < 0) {
           throw new FileException(
-              where,
-              "needs a time that does not go back, a class, a tenant and a"
+              location,
+              "needs a time that is not before the previous one, a known class, a known tenant and"
                   + " work above 0: "
                   + row);
         }
-        last = at;
-        arrivals.add(new WorkloadSpec.Arrival(at, jobClass, tenant, work));
-      } catch (NumberFormatException | ArrayIndexOutOfBoundsException malformed) {
-        throw new FileException(where, "is not time,class,tenant,work: " + row);
+        previousMillis = arrivalMillis;
+        arrivals.add(new WorkloadSpec.Arrival(arrivalMillis, jobClass, tenant, work));
+      } catch (NumberFormatException | ArrayIndexOutOfBoundsException e) {
+        throw new FileException(location, "is not time,class,tenant,work: " + row);
       }
     }
     return arrivals;
@@ -318,7 +330,7 @@
     if (kind == null) {
       throw section.bad("kind", "is missing");
     }
-    double size = section.number("size", standardSize(kind));
+    double size = section.number("size", defaultSize(kind));
     double part = section.number("part", kind == Fault.Kind.ZONE_CUT ? 0 : 0.5);
     double target = section.has("target") ? section.number("target", 0) : -1;
     if (size <= 0) {
@@ -339,7 +351,7 @@
     return fault;
   }
 
-  private static double standardSize(Fault.Kind kind) {
+  private static double defaultSize(Fault.Kind kind) {
     return switch (kind) {
       case DEPLOY -> 0.15;
       case SLOW_WORKER -> 5;
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
@@ -19,14 +19,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One run of an experiment: a scenario, a policy and a seed. */
+/** One trial of an experiment: a point of the sweep, a policy and a seed. */
 public record ExperimentRun(String point, String policy, long seed) {
   private static final Logger LOG = LoggerFactory.getLogger(ExperimentRun.class);
 
   /**
-   * What came of it. Latencies are milliseconds; {@code breaches} counts them by rule; {@code
-   * trace} is the digest of all that happened; {@code passedMs} is the time that passed in the run
-   * and {@code tookMs} the machine's.
+   * The result of a trial. Latencies are in milliseconds. {@code breaches} counts the violations of
+   * each invariant, and {@code breachTexts} describes them. {@code fallen} counts the workers that
+   * failed under load during slow start. {@code trace} is the hash of all events, empty on sockets.
+   * {@code passedMs} is the duration in the trial's own time, {@code tookMs} the elapsed time of
+   * the machine. The component names are keys in {@code results.json}.
    */
   public record Result(
       String point,
@@ -44,86 +46,93 @@
       long events,
       double passedMs,
       double tookMs) {
-    /** The breaches of all rules. */
-    public long allBreaches() {
+    /** Returns the number of violations of all invariants. */
+    public long totalViolations() {
       return breaches.values().stream().mapToLong(count -> count).sum();
     }
 
-    /** The share of the worth asked for that was answered in time. */
+    /** Returns the share of the requested worth that was served in time, from 0 to 1. */
     public double goodput() {
       return figures.get("goodput");
     }
   }
 
   /**
-   * Plays the run on sockets against nodes that {@code command} starts; null if the machine was too
-   * busy for it.
+   * Runs the trial on loopback sockets against nodes that {@code command} starts. Returns null if
+   * the machine was too busy for a valid measurement.
    */
-  public Result playOnSockets(Scenario scenario, List<String> command, Path folder)
+  public Result runOnSockets(Scenario scenario, List<String> command, Path folder)
       throws InterruptedException, IOException {
     Statistics statistics = new Statistics(scenario, Double.NaN);
-    InvariantCheckers bench = new InvariantCheckers(scenario);
-    List<Observer> observers = new ArrayList<>(bench.judges());
+    InvariantCheckers checkers = new InvariantCheckers(scenario);
+    List<Observer> observers = new ArrayList<>(checkers.judges());
     observers.add(statistics);
     Files.createDirectories(folder);
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     SocketRun run = new SocketRun(scenario, seed, command, folder, observers);
-    String unfit = run.run();
-    if (unfit != null) {
+    String invalidReason = run.run();
+    if (invalidReason != null) {
       LOG.warn(
           "void: policy={} seed={} point=\"{}\" why=\"the machine was too busy: {}\"",
           policy,
           seed,
           point,
-          unfit);
+          invalidReason);
       return null;
     }
-    bench.finish(run.startedAt() + run.passed());
+    checkers.finish(run.startedAt() + run.passed());
     return result(
-        statistics, bench, run.startedAt(), "", 0, run.passed(), (System.nanoTime() - began) / 1e6);
+        statistics,
+        checkers,
+        run.startedAt(),
+        "",
+        0,
+        run.passed(),
+        (System.nanoTime() - startNanos) / 1e6);
   }
 
-  /** Plays the run in virtual time. */
-  public Result play(Scenario scenario, Mutation mutation) {
+  /** Runs the trial in virtual time. */
+  public Result runInVirtualTime(Scenario scenario, Mutation mutation) {
     Statistics statistics = new Statistics(scenario, VirtualRun.START);
     TraceHash trace = new TraceHash();
-    InvariantCheckers bench = new InvariantCheckers(scenario);
-    List<Observer> observers = new ArrayList<>(bench.judges());
+    InvariantCheckers checkers = new InvariantCheckers(scenario);
+    List<Observer> observers = new ArrayList<>(checkers.judges());
     observers.add(statistics);
     observers.add(trace);
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), mutation, observers);
     run.run();
-    bench.finish(VirtualRun.START + run.passed());
+    checkers.finish(VirtualRun.START + run.passed());
     return result(
         statistics,
-        bench,
+        checkers,
         VirtualRun.START,
         trace.hex(),
         run.events(),
         run.passed(),
-        (System.nanoTime() - began) / 1e6);
+        (System.nanoTime() - startNanos) / 1e6);
   }
 
   private Result result(
       Statistics statistics,
-      InvariantCheckers bench,
+      InvariantCheckers checkers,
       double start,
       String trace,
       long events,
-      double passed,
-      double took) {
+      double durationMillis,
+      double elapsedMillis) {
     Map<String, Long> breaches = new LinkedHashMap<>();
     List<String> texts = new ArrayList<>();
-    for (InvariantChecker judge : bench.judges()) {
-      breaches.put(judge.rule(), judge.count());
-      judge
+    for (InvariantChecker checker : checkers.judges()) {
+      breaches.put(checker.rule(), checker.count());
+      checker
           .breaches()
           .forEach(
-              each ->
+              violation ->
                   texts.add(
                       String.format(
-                          "%s at %.1f ms: %s", each.rule(), each.at() - start, each.what())));
+                          "%s at %.1f ms: %s",
+                          violation.rule(), violation.at() - start, violation.what())));
     }
     return new Result(
         point,
@@ -136,10 +145,10 @@
         statistics.window(),
         breaches,
         texts,
-        bench.fallen(),
+        checkers.fallen(),
         trace,
         events,
-        passed,
-        took);
+        durationMillis,
+        elapsedMillis);
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentRunner.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRunner.java
@@ -11,19 +11,22 @@
 import java.util.function.Consumer;
 
 /**
- * Plays the trials of an experiment, several at a time; each runs on one thread and shares nothing
- * with the others.
+ * Runs the trials of an experiment in virtual time on a pool of threads. Each trial runs on one
+ * thread and shares no state with the others.
  */
 public final class ExperimentRunner {
   private final int threads;
   private final AtomicBoolean stopped = new AtomicBoolean();
 
-  /** A laboratory that plays so many trials at a time. */
+  /** Creates a runner that runs up to {@code threads} trials concurrently. */
   public ExperimentRunner(int threads) {
     this.threads = threads;
   }
 
-  /** Begins no further trial; those in work end, and {@link #run} returns what there is. */
+  /**
+   * Stops starting trials. Trials that are running finish, and {@link #run} returns the results so
+   * far. May be called from any thread.
+   */
   public void stop() {
     stopped.set(true);
   }
@@ -32,41 +35,48 @@
     return stopped.get();
   }
 
-  /** Plays all trials; {@code finished} hears of each as it ends, on the calling thread. */
+  /**
+   * Runs all trials and returns their results in the order in which the trials finished. Passes
+   * each result to {@code onResult} on the calling thread as soon as its trial finishes.
+   */
   public List<ExperimentRun.Result> run(
-      Experiment experiment, Consumer<ExperimentRun.Result> finished) throws InterruptedException {
+      Experiment experiment, Consumer<ExperimentRun.Result> onResult) throws InterruptedException {
     ExecutorService pool =
         Executors.newFixedThreadPool(
             threads,
-            task -> {
-              Thread thread = new Thread(task, "trial");
+            runnable -> {
+              Thread thread = new Thread(runnable, "trial");
               thread.setDaemon(true);
               return thread;
             });
     try {
-      CompletionService<ExperimentRun.Result> trials = new ExecutorCompletionService<>(pool);
-      int begun = 0;
+      CompletionService<ExperimentRun.Result> completionService =
+          new ExecutorCompletionService<>(pool);
+      int submittedCount = 0;
       for (long seed : experiment.seeds()) {
         for (Experiment.Point point : experiment.points()) {
           for (String policy : experiment.policies()) {
             ExperimentRun trial = new ExperimentRun(point.label(), policy, seed);
-            trials.submit(
-                () -> stopped.get() ? null : trial.play(point.scenario(), experiment.mutation()));
-            begun++;
+            completionService.submit(
+                () ->
+                    stopped.get()
+                        ? null
+                        : trial.runInVirtualTime(point.scenario(), experiment.mutation()));
+            submittedCount++;
           }
         }
       }
       List<ExperimentRun.Result> results = new ArrayList<>();
-      for (int i = 0; i < begun; i++) {
-        ExperimentRun.Result result = trials.take().get();
+      for (int i = 0; i < submittedCount; i++) {
+        ExperimentRun.Result result = completionService.take().get();
         if (result != null) {
           results.add(result);
-          finished.accept(result);
+          onResult.accept(result);
         }
       }
       return results;
-    } catch (ExecutionException failed) {
-      throw new IllegalStateException("a trial failed: " + failed.getCause(), failed.getCause());
+    } catch (ExecutionException e) {
+      throw new IllegalStateException("a trial failed: " + e.getCause(), e.getCause());
     } finally {
       pool.shutdownNow();
     }
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestChurnCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestChurnCommand.java
@@ -15,37 +15,47 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Upgrades a node whose processes are stopped all the time, while everything round it fails. */
+/**
+ * Upgrades a node whose processes are stopped repeatedly, while its workers fail and its clients
+ * disconnect.
+ */
 @Command(
     name = "churn",
     description =
-        "Plays upgrades of a node held to a fraction of a core, with failing workers, clients that"
-            + " leave and signals in series, one run a seed, and judges what is seen from outside.",
+        "Runs upgrades of a node limited to a fraction of a core, with failing workers, clients"
+            + " that disconnect and repeated signals, one run per seed, and checks the externally"
+            + " visible behaviour.",
     mixinStandardHelpOptions = true)
 final class FaultTestChurnCommand implements Callable<Integer> {
-  @Option(names = "--seeds", paramLabel = "N", description = "How many seeds; 5 if left out.")
+  @Option(names = "--seeds", paramLabel = "N", description = "The number of seeds; default 5.")
   private int seeds = 5;
 
-  @Option(names = "--from", paramLabel = "SEED", description = "The first seed; 1 if left out.")
+  @Option(names = "--from", paramLabel = "SEED", description = "The first seed; default 1.")
   private long from = 1;
 
-  @Option(names = "--upgrades", paramLabel = "N", description = "Upgrades of a run; 2 if left out.")
+  @Option(
+      names = "--upgrades",
+      paramLabel = "N",
+      description = "The number of upgrades per run; default 2.")
   private int upgrades = 2;
 
   @Option(
       names = "--mutation",
       paramLabel = "NAME",
-      description = "Gives the node this fault: ${COMPLETION-CANDIDATES}.")
+      description = "Injects this fault into the node: ${COMPLETION-CANDIDATES}.")
   private Mutation mutation;
 
   @Option(
       names = "--program",
       paramLabel = "WORD",
       arity = "1..*",
-      description = "Starts a process of the node; this very program if left out.")
+      description = "The command that starts a process of the node; by default this program.")
   private List<String> program = UpgradeRun.thisProgram();
 
-  @Option(names = "--out", paramLabel = "DIR", description = "Where timelines of failed runs go.")
+  @Option(
+      names = "--out",
+      paramLabel = "DIR",
+      description = "The folder for the timelines of failed runs.")
   private Path out;
 
   @Override
@@ -55,7 +65,9 @@
     for (long seed = from; seed < from + seeds; seed++) {
       ChurnRun.Result result = ChurnRun.play(ChurnPlan.of(seed, upgrades), command);
       System.out.println(summary(result));
-      result.violations().stream().limit(5).forEach(each -> System.out.println("  " + each));
+      result.violations().stream()
+          .limit(5)
+          .forEach(violation -> System.out.println("  " + violation));
       if (!result.violations().isEmpty()) {
         failed++;
         writeTimeline(result);
@@ -79,7 +91,7 @@
     for (Outcome outcome : Outcome.values()) {
       long count =
           result.observations().results().stream()
-              .filter(each -> each.outcome() == outcome)
+              .filter(jobResult -> jobResult.outcome() == outcome)
               .count();
       outcomes
           .append(' ')
@@ -89,7 +101,8 @@
     }
     return String.format(
         Locale.ROOT,
-        "seed %d: %d clients, crowd of %d, running %.2f of the time, stopped up to %d ms;%s; %s",
+        "seed %d: %d clients, %d idle connections, running %.2f of the time, stopped for up to %d"
+            + " ms;%s; %s",
         result.plan().seed(),
         result.plan().clients(),
         result.plan().crowd(),
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestCommand.java
@@ -4,12 +4,12 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The commands that run fault tests: members of a fleet with faults injected between them. */
+/** Groups the commands that run fault tests on members of a fleet or processes of a node. */
 @Command(
     name = "faulttest",
     description =
-        "Runs members of a fleet, or processes of a node, with faults between them and checks what"
-            + " came of it.",
+        "Runs members of a fleet or processes of a node with injected faults and checks their"
+            + " invariants.",
     mixinStandardHelpOptions = true,
     subcommands = {
       FaultTestRunCommand.class,
@@ -24,6 +24,6 @@
 
   @Override
   public void run() {
-    throw new CommandLine.ParameterException(spec.commandLine(), "a sub-command is missing");
+    throw new CommandLine.ParameterException(spec.commandLine(), "a subcommand is missing");
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestLoadShiftCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestLoadShiftCommand.java
@@ -10,26 +10,30 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Shifts load to a new process while the machine lacks processor time. */
+/** Shifts load to a new process of a node while other processes keep the processors busy. */
 @Command(
     name = "load-shift",
     description =
-        "Upgrades a node beside busy processes and checks that no requests are rejected while its"
-            + " workers are idle; prints what was served and rejected in each second.",
+        "Upgrades a node while other processes keep the processors busy, and checks that no"
+            + " requests are rejected while workers are idle; prints the requests served and"
+            + " rejected in each second.",
     mixinStandardHelpOptions = true)
 final class FaultTestLoadShiftCommand implements Callable<Integer> {
-  private static final double SECOND = 1000;
+  private static final double SECOND_MILLIS = 1000;
 
-  @Option(names = "--seeds", paramLabel = "N", description = "How many plays; 1 if left out.")
+  @Option(names = "--seeds", paramLabel = "N", description = "The number of seeds; default 1.")
   private int seeds = 1;
 
-  @Option(names = "--from", paramLabel = "SEED", description = "The first seed; 1 if left out.")
+  @Option(names = "--from", paramLabel = "SEED", description = "The first seed; default 1.")
   private long from = 1;
 
-  @Option(names = "--busy", paramLabel = "N", description = "Busy processes; 12 if left out.")
+  @Option(
+      names = "--busy",
+      paramLabel = "N",
+      description = "The number of busy processes; default 12.")
   private int busy = 12;
 
-  @Option(names = "--verbose", description = "Prints the timeline, log lines included.")
+  @Option(names = "--verbose", description = "Prints the timeline, including log lines.")
   private boolean verbose;
 
   @Override
@@ -37,12 +41,14 @@
     int failed = 0;
     for (long seed = from; seed < from + seeds; seed++) {
       LoadShiftRun.Result result = LoadShiftRun.play(UpgradeRun.thisProgram(), busy, seed);
-      Observations seen = result.observations();
-      System.out.println("seed " + seed + ", served: " + bySecond(seen, Outcome.SERVED));
-      System.out.println("seed " + seed + ", rejected: " + bySecond(seen, Outcome.REFUSED));
-      result.violations().stream().limit(10).forEach(each -> System.out.println("  " + each));
+      Observations observations = result.observations();
+      System.out.println("seed " + seed + ", served: " + bySecond(observations, Outcome.SERVED));
+      System.out.println("seed " + seed + ", rejected: " + bySecond(observations, Outcome.REFUSED));
+      result.violations().stream()
+          .limit(10)
+          .forEach(violation -> System.out.println("  " + violation));
       if (verbose) {
-        seen.steps().forEach(System.out::println);
+        observations.steps().forEach(System.out::println);
       }
       failed += result.violations().isEmpty() ? 0 : 1;
     }
@@ -50,11 +56,11 @@
     return failed == 0 ? 0 : 1;
   }
 
-  private static String bySecond(Observations seen, Outcome outcome) {
-    int[] counts = new int[(int) (seen.now() / SECOND) + 1];
-    seen.results().stream()
-        .filter(each -> each.outcome() == outcome)
-        .forEach(each -> counts[(int) (each.endedAt() / SECOND)]++);
+  private static String bySecond(Observations observations, Outcome outcome) {
+    int[] counts = new int[(int) (observations.now() / SECOND_MILLIS) + 1];
+    observations.results().stream()
+        .filter(jobResult -> jobResult.outcome() == outcome)
+        .forEach(jobResult -> counts[(int) (jobResult.endedAt() / SECOND_MILLIS)]++);
     StringBuilder text = new StringBuilder();
     for (int count : counts) {
       text.append(count).append(' ');
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
@@ -32,24 +32,26 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Plays a trial of several processes, or the same state machines over many seeds in virtual time.
+ * Runs a fault test trial with several processes, or checks the same state machines in virtual time
+ * over many seeds or by exhaustive exploration of a small model.
  */
 @Command(
     name = "run",
     description =
-        "Plays a trial: members of a fleet as processes, with faults between them."
-            + " Exit code 0: it held; 1: something was broken; 2: the file cannot be used.",
+        "Runs a trial: members of a fleet as processes, with injected faults."
+            + " Exit code 0: all invariants held; 1: an invariant was violated; 2: the file cannot"
+            + " be used.",
     mixinStandardHelpOptions = true)
 final class FaultTestRunCommand implements Callable<Integer> {
-  private static final int BROKEN = 1;
+  private static final int VIOLATED = 1;
 
   @Parameters(
       arity = "0..1",
       paramLabel = "NAME|FILE",
-      description = "A trial that --list names, or a file.")
-  private String asked;
+      description = "The name of a trial that --list prints, or a file.")
+  private String nameOrFile;
 
-  @Option(names = "--list", description = "Lists the trials that come with the program.")
+  @Option(names = "--list", description = "Lists the trials that are included in the program.")
   private boolean list;
 
   @Option(names = "--seed", paramLabel = "N")
@@ -58,45 +60,49 @@
   @Option(
       names = "--mutant",
       paramLabel = "NAME",
-      description = "Breaks the program on purpose: ${COMPLETION-CANDIDATES}.")
+      description = "Injects this defect into the program: ${COMPLETION-CANDIDATES}.")
   private Mutant mutant = Mutant.NONE;
 
   @Option(
       names = "--out",
       paramLabel = "DIR",
-      description = "Files, history and chart; a new folder if left out.")
+      description = "The folder for files, history and chart; by default a new temporary folder.")
   private Path out;
 
   @Option(
       names = "--virtual",
       paramLabel = "SEEDS",
-      description = "So many seeds in virtual time, from --seed on.")
-  private long virtual;
+      description = "The number of seeds to run in virtual time, starting at --seed.")
+  private long virtualSeeds;
 
   @Option(
       names = "--swarm",
       paramLabel = "SEEDS",
-      description = "So many seeds of membership in virtual time.")
-  private long swarm;
+      description = "The number of seeds to run of membership in virtual time, starting at --seed.")
+  private long swarmSeeds;
 
   @Option(
       names = "--small",
       paramLabel = "STEPS",
-      description = "All that can happen within so many steps to a few members.")
-  private int small;
+      description = "Explores all states of a small model within this number of steps.")
+  private int modelSteps;
 
-  @Option(names = "--duties", paramLabel = "N", description = "Duties in the small; 1 if left out.")
-  private int duties = 1;
+  @Option(
+      names = "--duties",
+      paramLabel = "N",
+      description = "The number of shards in the model; default 1.")
+  private int shards = 1;
 
   @Option(
       names = "--calm",
-      description = "In the small, nobody dies and nothing is lost, only late.")
+      description =
+          "In the model, no member fails and no message is lost; messages are only delayed.")
   private boolean calm;
 
   @Option(
       names = "--members",
       paramLabel = "N",
-      description = "Members in virtual time; 3 if left out.")
+      description = "The number of members in virtual time and in the model; default 3.")
   private int members = 3;
 
   @Override
@@ -108,29 +114,32 @@
         }
         return 0;
       }
-      if (virtual > 0) {
-        return virtual();
+      if (virtualSeeds > 0) {
+        return runVirtualFleet();
       }
-      if (swarm > 0) {
-        return swarm();
+      if (swarmSeeds > 0) {
+        return runVirtualSwarm();
       }
-      if (small > 0) {
-        return small();
+      if (modelSteps > 0) {
+        return checkModel();
       }
-      if (asked == null) {
-        System.err.println("ferngrade: a trial's name or file is missing; --list names some");
+      if (nameOrFile == null) {
+        System.err.println(
+            "ferngrade: the name or file of a trial is missing; --list prints the names");
         return Cli.BAD_CONFIG;
       }
-      TrialFile shipped = TrialFile.shipped(asked);
-      return processes(
-          shipped != null ? shipped : TrialFile.read(asked, Section.text(Path.of(asked))));
-    } catch (FileException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+      TrialFile shipped = TrialFile.shipped(nameOrFile);
+      return runProcesses(
+          shipped != null
+              ? shipped
+              : TrialFile.read(nameOrFile, Section.text(Path.of(nameOrFile))));
+    } catch (FileException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
   }
 
-  private int processes(TrialFile trial) throws IOException, InterruptedException {
+  private int runProcesses(TrialFile trial) throws IOException, InterruptedException {
     Path folder = out != null ? out : Files.createTempDirectory("trial-" + trial.name() + "-");
     List<String> program =
         List.of(
@@ -143,38 +152,42 @@
             "ferngrade.Main");
     TrialRun.Result result = new TrialRun(trial, seed, mutant, program, folder).run();
     List<Event> events = result.history().events();
-    for (Event each : events) {
-      if (each.who().equals("harness")
-          || List.of("gained", "lost", "ended", "refused").contains(each.what())) {
+    for (Event event : events) {
+      if (event.who().equals("harness")
+          || List.of("gained", "lost", "ended", "refused").contains(event.what())) {
         System.out.printf(
-            "%8.0f ms  %-8s %-12s %s%n", each.at(), each.who(), each.what(), shown(each));
+            "%8.0f ms  %-8s %-12s %s%n", event.at(), event.who(), event.what(), details(event));
       }
     }
-    chart(events, trial, folder.resolve("timeline"));
+    writeChart(events, trial, folder.resolve("timeline"));
     Map<String, Integer> counts = new TreeMap<>();
     events.stream()
-        .filter(each -> each.who().equals("taker"))
-        .forEach(each -> counts.merge(each.what(), 1, Integer::sum));
+        .filter(event -> event.who().equals("taker"))
+        .forEach(event -> counts.merge(event.what(), 1, Integer::sum));
     System.out.printf(
-        "jobs at their taker %s; longest time without one: once %.0f ms, keyed %.0f ms%n",
+        "jobs by outcome at their receiver %s; longest gap between jobs: once %.0f ms, keyed %.0f"
+            + " ms%n",
         counts,
         HistoryChecker.longestGap(events, "once/0"),
         HistoryChecker.longestGap(events, "keyed/0"));
-    result.breaches().forEach(each -> System.out.println("BROKEN " + each));
+    result.breaches().forEach(violation -> System.out.println("BROKEN " + violation));
     System.out.printf(
-        "%s: %s; files in %s; again with --seed %d%n",
+        "%s: %s; files in %s; repeat with --seed %d%n",
         trial.name(), result.breaches().isEmpty() ? "held" : "broken", folder, seed);
-    return result.breaches().isEmpty() ? 0 : BROKEN;
+    return result.breaches().isEmpty() ? 0 : VIOLATED;
   }
 
-  private static String shown(Event event) {
-    Map<String, String> details = new TreeMap<>(event.details());
-    details.remove("line");
-    return details.toString();
+  private static String details(Event event) {
+    Map<String, String> shownDetails = new TreeMap<>(event.details());
+    shownDetails.remove("line");
+    return shownDetails.toString();
   }
 
-  /** Epochs over time: what landed of each job, and what was refused. */
-  private static void chart(List<Event> events, TrialFile trial, Path file) throws IOException {
+  /**
+   * Writes a chart of epochs over time: the effects of each shard that were accepted and rejected.
+   */
+  private static void writeChart(List<Event> events, TrialFile trial, Path file)
+      throws IOException {
     XYChart chart =
         new XYChartBuilder()
             .width(900)
@@ -188,20 +201,20 @@
         .setDefaultSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Scatter)
         .setMarkerSize(6);
     for (String shard : List.of("once/0", "keyed/0")) {
-      for (String what : List.of("landed", "refused")) {
-        List<Event> some =
+      for (String eventType : List.of("landed", "refused")) {
+        List<Event> matching =
             events.stream()
                 .filter(
-                    each ->
-                        each.who().equals("taker")
-                            && each.what().equals(what)
-                            && each.detail("shard").equals(shard))
+                    event ->
+                        event.who().equals("taker")
+                            && event.what().equals(eventType)
+                            && event.detail("shard").equals(shard))
                 .toList();
-        if (!some.isEmpty()) {
+        if (!matching.isEmpty()) {
           chart.addSeries(
-              shard + " " + what,
-              some.stream().map(each -> each.at() / 1000).toList(),
-              some.stream().map(each -> Double.valueOf(each.detail("epoch"))).toList());
+              shard + " " + eventType,
+              matching.stream().map(event -> event.at() / 1000).toList(),
+              matching.stream().map(event -> Double.valueOf(event.detail("epoch"))).toList());
         }
       }
     }
@@ -210,90 +223,94 @@
     }
   }
 
-  private int virtual() {
+  private int runVirtualFleet() {
     AtomicLong effects = new AtomicLong();
     AtomicLong refused = new AtomicLong();
-    Map<Long, List<Violation>> broken = new TreeMap<>();
-    LongStream.range(seed, seed + virtual)
+    Map<Long, List<Violation>> violatingSeeds = new TreeMap<>();
+    LongStream.range(seed, seed + virtualSeeds)
         .parallel()
         .forEach(
-            each -> {
-              VirtualFleet.Result result = VirtualFleet.play(members, each, mutant);
+            trialSeed -> {
+              VirtualFleet.Result result = VirtualFleet.play(members, trialSeed, mutant);
               effects.addAndGet(result.effects());
               refused.addAndGet(result.refused());
               if (!result.breaches().isEmpty()) {
-                synchronized (broken) {
-                  broken.put(each, result.breaches());
+                synchronized (violatingSeeds) {
+                  violatingSeeds.put(trialSeed, result.breaches());
                 }
               }
             });
-    Map<String, Integer> rules = new TreeMap<>();
-    broken
+    Map<String, Integer> seedsByRule = new TreeMap<>();
+    violatingSeeds
         .values()
         .forEach(
-            each ->
-                each.stream()
+            violations ->
+                violations.stream()
                     .map(Violation::rule)
                     .distinct()
-                    .forEach(rule -> rules.merge(rule, 1, Integer::sum)));
+                    .forEach(rule -> seedsByRule.merge(rule, 1, Integer::sum)));
     System.out.printf(
-        "%d seeds of %d members, mutant %s: %d broken %s; %d effects landed, %d were refused%n",
-        virtual,
+        "%d seeds of %d members, mutant %s: %d broken %s; %d effects accepted, %d rejected%n",
+        virtualSeeds,
         members,
         mutant.name().toLowerCase(Locale.ROOT),
-        broken.size(),
-        rules,
+        violatingSeeds.size(),
+        seedsByRule,
         effects.get(),
         refused.get());
-    broken.entrySet().stream()
+    violatingSeeds.entrySet().stream()
         .limit(5)
         .forEach(
-            each ->
+            entry ->
                 System.out.println(
                     "seed "
-                        + each.getKey()
+                        + entry.getKey()
                         + ": "
-                        + Arrays.toString(each.getValue().stream().limit(3).toArray())));
-    return broken.isEmpty() ? 0 : BROKEN;
+                        + Arrays.toString(entry.getValue().stream().limit(3).toArray())));
+    return violatingSeeds.isEmpty() ? 0 : VIOLATED;
   }
 
-  private int swarm() {
+  private int runVirtualSwarm() {
     AtomicLong refused = new AtomicLong();
-    Map<Long, List<Violation>> broken = new TreeMap<>();
-    LongStream.range(seed, seed + swarm)
+    Map<Long, List<Violation>> violatingSeeds = new TreeMap<>();
+    LongStream.range(seed, seed + swarmSeeds)
         .parallel()
         .forEach(
-            each -> {
-              VirtualSwarm.Result result = VirtualSwarm.play(members, each, mutant);
+            trialSeed -> {
+              VirtualSwarm.Result result = VirtualSwarm.play(members, trialSeed, mutant);
               refused.addAndGet(result.refused());
               if (!result.breaches().isEmpty()) {
-                synchronized (broken) {
-                  broken.put(each, result.breaches());
+                synchronized (violatingSeeds) {
+                  violatingSeeds.put(trialSeed, result.breaches());
                 }
               }
             });
     System.out.printf(
-        "%d seeds of %d members, mutant %s: %d broken; %d datagrams of strangers were refused%n",
-        swarm, members, mutant.name().toLowerCase(Locale.ROOT), broken.size(), refused.get());
-    broken.entrySet().stream()
+        "%d seeds of %d members, mutant %s: %d broken; %d replayed or forged datagrams rejected%n",
+        swarmSeeds,
+        members,
+        mutant.name().toLowerCase(Locale.ROOT),
+        violatingSeeds.size(),
+        refused.get());
+    violatingSeeds.entrySet().stream()
         .limit(5)
         .forEach(
-            each -> System.out.println("seed " + each.getKey() + ": " + each.getValue().get(0)));
-    return broken.isEmpty() ? 0 : BROKEN;
+            entry -> System.out.println("seed " + entry.getKey() + ": " + entry.getValue().get(0)));
+    return violatingSeeds.isEmpty() ? 0 : VIOLATED;
   }
 
-  private int small() {
-    ModelChecker.Result result = ModelChecker.explore(members, duties, small, calm, mutant);
+  private int checkModel() {
+    ModelChecker.Result result = ModelChecker.explore(members, shards, modelSteps, calm, mutant);
     System.out.printf(
-        "%d members, %d duties, mutant %s: %d states within %d steps, %s%n",
+        "%d members, %d shards, mutant %s: %d states within %d steps, %s%n",
         members,
-        duties,
+        shards,
         mutant.name().toLowerCase(Locale.ROOT),
         result.states(),
         result.depth(),
         result.broken() == null
             ? "none broken"
             : "BROKEN " + result.broken() + " by " + Arrays.toString(result.steps()));
-    return result.broken() == null ? 0 : BROKEN;
+    return result.broken() == null ? 0 : VIOLATED;
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestSwarmCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestSwarmCommand.java
@@ -16,22 +16,25 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What membership costs and how soon it notices, by the number of members, in virtual time. */
+/**
+ * Measures the cost of membership, the time to detect a failed member and the rate of false
+ * suspicions in virtual time, by the number of members.
+ */
 @Command(
     name = "swarm",
     description =
-        "Measures membership in virtual time: bytes and CPU of a member, how soon an end is"
-            + " noticed, false suspicions under loss.",
+        "Measures membership in virtual time: bytes and CPU time per member, time to detect a"
+            + " failed member, and false suspicions under packet loss.",
     mixinStandardHelpOptions = true)
 final class FaultTestSwarmCommand implements Callable<Integer> {
-  private static final double STEADY_MS = 30_000;
-  private static final double HOUR_MS = 3_600_000;
+  private static final double STEADY_MILLIS = 30_000;
+  private static final double HOUR_MILLIS = 3_600_000;
 
   @Option(
       names = "--sizes",
       paramLabel = "N,N",
       split = ",",
-      description = "Members; 10, 100 and 300 if left out.")
+      description = "The numbers of members; default 10,100,300.")
   private List<Integer> sizes = List.of(10, 100, 300);
 
   @Option(names = "--seeds", paramLabel = "N")
@@ -40,21 +43,21 @@
   @Option(
       names = "--loss",
       paramLabel = "SHARE",
-      description = "Share of datagrams lost for the hour; 0.05 if left out.")
+      description = "The share of datagrams lost in the hour with loss; default 0.05.")
   private double loss = 0.05;
 
   @Option(
       names = "--lossy",
       paramLabel = "N,N",
       split = ",",
-      description = "Members for the hour with loss; 10, 100.")
+      description = "The numbers of members for the hour with loss; default 10,100.")
   private List<Integer> lossy = List.of(10, 100);
 
   @Option(
       names = "--out",
       paramLabel = "DIR",
       required = true,
-      description = "Where the table and the chart go.")
+      description = "The folder for the tables and the chart.")
   private Path out;
 
   @Override
@@ -63,62 +66,64 @@
     List<String> rows = new ArrayList<>();
     rows.add(
         "members,bytes_a_second,datagrams_a_second,cpu_ms_a_second,noticed_p50_ms,noticed_most_ms");
-    List<Double> noticed = new ArrayList<>();
+    List<Double> medianDetectionMillis = new ArrayList<>();
     for (int size : sizes) {
-      long began = System.nanoTime();
-      VirtualSwarm.Result steady = VirtualSwarm.playLoss(size, 1, 0, STEADY_MS);
-      // The run in virtual time is one thread; the ten seconds in which all join are counted with
-      // it.
-      double cpu = (System.nanoTime() - began) / 1e6 / size / ((STEADY_MS + 10_000) / 1000);
-      double[] found =
+      long startNanos = System.nanoTime();
+      VirtualSwarm.Result steady = VirtualSwarm.playLoss(size, 1, 0, STEADY_MILLIS);
+      // The run in virtual time uses one thread, and includes the ten seconds in which all members
+      // join.
+      double cpuMillis =
+          (System.nanoTime() - startNanos) / 1e6 / size / ((STEADY_MILLIS + 10_000) / 1000);
+      double[] detectionMillis =
           LongStream.rangeClosed(1, seeds)
               .parallel()
               .mapToDouble(seed -> VirtualSwarm.playKill(size, seed).lastFound())
               .sorted()
               .toArray();
-      noticed.add(found[found.length / 2]);
+      medianDetectionMillis.add(detectionMillis[detectionMillis.length / 2]);
       rows.add(
           String.format(
               Locale.ROOT,
               "%d,%.0f,%.1f,%.3f,%.0f,%.0f",
               size,
-              steady.bytes() / (STEADY_MS / 1000) / size,
-              steady.datagrams() / (STEADY_MS / 1000) / size,
-              cpu,
-              found[found.length / 2],
-              found[found.length - 1]));
+              steady.bytes() / (STEADY_MILLIS / 1000) / size,
+              steady.datagrams() / (STEADY_MILLIS / 1000) / size,
+              cpuMillis,
+              detectionMillis[detectionMillis.length / 2],
+              detectionMillis[detectionMillis.length - 1]));
     }
     write("cost.csv", rows);
-    List<String> hours = new ArrayList<>();
-    hours.add("members,seed,loss,false_suspicions_an_hour,false_ends_an_hour");
+    List<String> lossRows = new ArrayList<>();
+    lossRows.add("members,seed,loss,false_suspicions_an_hour,false_ends_an_hour");
     lossy.forEach(
         size ->
             LongStream.rangeClosed(1, seeds)
                 .parallel()
                 .mapToObj(
                     seed -> {
-                      VirtualSwarm.Result hour = VirtualSwarm.playLoss(size, seed, loss, HOUR_MS);
+                      VirtualSwarm.Result lossRun =
+                          VirtualSwarm.playLoss(size, seed, loss, HOUR_MILLIS);
                       return String.format(
                           Locale.ROOT,
                           "%d,%d,%.2f,%d,%d",
                           size,
                           seed,
                           loss,
-                          hour.suspicions(),
-                          hour.falseEnds());
+                          lossRun.suspicions(),
+                          lossRun.falseEnds());
                     })
-                .forEachOrdered(hours::add));
-    write("loss.csv", hours);
+                .forEachOrdered(lossRows::add));
+    write("loss.csv", lossRows);
     XYChart chart =
         new XYChartBuilder()
             .width(700)
             .height(400)
-            .title("Until the last member has noticed an end")
+            .title("Time until every member has detected a failure")
             .xAxisTitle("members")
             .yAxisTitle("ms, median")
             .build();
     chart.getStyler().setXAxisLogarithmic(true);
-    chart.addSeries("median of " + seeds + " seeds", sizes, noticed);
+    chart.addSeries("median of " + seeds + " seeds", sizes, medianDetectionMillis);
     BitmapEncoder.saveBitmap(
         chart, out.resolve("noticed").toString(), BitmapEncoder.BitmapFormat.PNG);
     return 0;
@@ -128,8 +133,8 @@
     rows.forEach(System.out::println);
     try {
       Files.write(out.resolve(file), rows);
-    } catch (IOException unwritable) {
-      throw new UncheckedIOException(unwritable);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestUpgradeCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestUpgradeCommand.java
@@ -16,34 +16,38 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Soaks a node in upgrades with faults, seed by seed. */
+/** Runs soak tests of node upgrades with injected faults, one run per seed. */
 @Command(
     name = "upgrade",
     description =
-        "Plays upgrades of a node with real processes, operators, clients and faults, one run a"
-            + " seed, and judges what is seen from outside.",
+        "Runs upgrades of a node with real processes, operators, clients and faults, one run per"
+            + " seed, and checks the externally visible behaviour.",
     mixinStandardHelpOptions = true)
 final class FaultTestUpgradeCommand implements Callable<Integer> {
-  @Option(names = "--seeds", paramLabel = "N", description = "How many seeds; 5 if left out.")
+  @Option(names = "--seeds", paramLabel = "N", description = "The number of seeds; default 5.")
   private int seeds = 5;
 
-  @Option(names = "--from", paramLabel = "SEED", description = "The first seed; 1 if left out.")
+  @Option(names = "--from", paramLabel = "SEED", description = "The first seed; default 1.")
   private long from = 1;
 
-  @Option(names = "--episodes", paramLabel = "N", description = "Episodes of a run; 6 if left out.")
+  @Option(
+      names = "--episodes",
+      paramLabel = "N",
+      description = "The number of episodes per run; default 6.")
   private int episodes = 6;
 
   @Option(
       names = "--program",
       paramLabel = "WORD",
       arity = "1..*",
-      description = "Starts a process of the node; this very program if left out.")
+      description = "The command that starts a process of the node; by default this program.")
   private List<String> program = UpgradeRun.thisProgram();
 
   @Option(
       names = "--out",
       paramLabel = "DIR",
-      description = "Where the timelines go; only those of failed runs are printed if left out.")
+      description =
+          "The folder for the timelines; by default the timelines of failed runs are printed.")
   private Path out;
 
   @Override
@@ -52,7 +56,9 @@
     for (long seed = from; seed < from + seeds; seed++) {
       SoakRun.Result result = SoakRun.play(SoakPlan.of(seed, episodes), program);
       System.out.println(summary(result));
-      result.violations().stream().limit(10).forEach(each -> System.out.println("  " + each));
+      result.violations().stream()
+          .limit(10)
+          .forEach(violation -> System.out.println("  " + violation));
       failed += result.violations().isEmpty() ? 0 : 1;
       writeTimeline(result);
     }
@@ -72,28 +78,29 @@
   }
 
   private static String summary(SoakRun.Result result) {
-    Observations seen = result.observations();
+    Observations observations = result.observations();
     return String.format(
         Locale.ROOT,
-        "seed %d: %s; %d clients, crowd of %d; %d requests (%s), %d sends, %d operators' calls;"
-            + " together at most %d MB and %d descriptors; %s",
+        "seed %d: %s; %d clients, %d idle connections; %d requests (%s), %d sends, %d operator"
+            + " requests; maximum of all processes together: %d MB and %d descriptors; %s",
         result.plan().seed(),
-        result.plan().episodes().stream().map(each -> each.kind().name()).toList(),
+        result.plan().episodes().stream().map(episode -> episode.kind().name()).toList(),
         result.plan().clients(),
         result.plan().crowd(),
-        seen.results().size(),
-        outcomes(seen.results()),
-        seen.sends().size(),
-        seen.calls().size(),
-        seen.samples().stream().mapToLong(ResourceSample::memoryBytes).max().orElse(0) >> 20,
-        seen.samples().stream().mapToInt(ResourceSample::descriptors).max().orElse(0),
+        observations.results().size(),
+        outcomes(observations.results()),
+        observations.sends().size(),
+        observations.calls().size(),
+        observations.samples().stream().mapToLong(ResourceSample::memoryBytes).max().orElse(0)
+            >> 20,
+        observations.samples().stream().mapToInt(ResourceSample::descriptors).max().orElse(0),
         result.violations().isEmpty() ? "held" : result.violations().size() + " violations");
   }
 
   private static String outcomes(List<JobResult> results) {
     StringBuilder text = new StringBuilder();
     for (Outcome outcome : Outcome.values()) {
-      long count = results.stream().filter(each -> each.outcome() == outcome).count();
+      long count = results.stream().filter(result -> result.outcome() == outcome).count();
       if (count > 0) {
         text.append(text.isEmpty() ? "" : ", ")
             .append(count)
--- a/experiment/src/main/java/ferngrade/experiment/Fields.java
+++ b/experiment/src/main/java/ferngrade/experiment/Fields.java
@@ -11,15 +11,18 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Fills the plain fields of a specification from a table of an experiment. */
+/**
+ * Sets the fields of a specification from a table of an experiment file. The fields are public, not
+ * final, and have a primitive type, a String or an enum type.
+ */
 final class Fields {
   private static final Pattern RATE = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)\\s*/\\s*(s|min)");
 
   private Fields() {}
 
   /**
-   * Fills each plain field of {@code target} from the key that bears its name, in the unit that it
-   * is noted with.
+   * Sets each such field of {@code target} from the key with the field's name in kebab case. The
+   * field's {@link Quantity} annotation determines the unit. Fields without a key keep their value.
    */
   static <T> T fill(Section section, T target) throws FileException {
     for (Field field : target.getClass().getFields()) {
@@ -27,12 +30,12 @@
         continue;
       }
       String key = field.getName().replaceAll("([A-Z])", "-$1").toLowerCase(Locale.ROOT);
-      Object value = plain(section, field, key);
+      Object value = readValue(section, field, key);
       if (value != null) {
         try {
           field.set(target, value);
-        } catch (IllegalAccessException impossible) {
-          throw new IllegalStateException(impossible);
+        } catch (IllegalAccessException e) {
+          throw new IllegalStateException(e);
         }
       }
     }
@@ -40,10 +43,10 @@
   }
 
   @SuppressWarnings({"unchecked", "rawtypes"})
-  private static Object plain(Section section, Field field, String key) throws FileException {
+  private static Object readValue(Section section, Field field, String key) throws FileException {
     Class<?> type = field.getType();
-    boolean plain = type.isPrimitive() || type == String.class || type.isEnum();
-    JsonNode value = plain ? section.get(key) : null;
+    boolean supported = type.isPrimitive() || type == String.class || type.isEnum();
+    JsonNode value = supported ? section.get(key) : null;
     if (value == null) {
       return null;
     }
@@ -60,39 +63,40 @@
       return value.asBoolean();
     }
     Quantity quantity = field.getAnnotation(Quantity.class);
-    double figure = figure(section, key, value, quantity == null ? null : quantity.value());
+    double number = readNumber(section, key, value, quantity == null ? null : quantity.value());
     if (type == int.class) {
-      if (figure != Math.rint(figure) || figure > 1e9) {
+      if (number != Math.rint(number) || number > 1e9) {
         throw section.bad(key, "is not a whole number: " + value);
       }
-      return (int) figure;
+      return (int) number;
     }
-    return figure;
+    return number;
   }
 
-  private static double figure(Section section, String key, JsonNode value, Measure measure)
+  private static double readNumber(Section section, String key, JsonNode value, Measure measure)
       throws FileException {
     if (measure == Measure.TIME) {
       return section.time(key, value);
     }
     if (measure == Measure.RATE) {
-      return rate(section, key, value);
+      return parseRate(section, key, value);
     }
-    double figure = section.number(key, value);
-    if (measure == Measure.SHARE && figure > 1) {
+    double number = section.number(key, value);
+    if (measure == Measure.SHARE && number > 1) {
       throw section.bad(key, "must be between 0 and 1: " + value);
     }
-    if (measure == Measure.POSITIVE && figure == 0) {
+    if (measure == Measure.POSITIVE && number == 0) {
       throw section.bad(key, "must be above 0");
     }
-    return figure;
+    return number;
   }
 
-  private static double rate(Section section, String key, JsonNode value) throws FileException {
-    Matcher rate = RATE.matcher(value.isTextual() ? value.asText() : "");
-    if (!rate.matches()) {
+  private static double parseRate(Section section, String key, JsonNode value)
+      throws FileException {
+    Matcher matcher = RATE.matcher(value.isTextual() ? value.asText() : "");
+    if (!matcher.matches()) {
       throw section.bad(key, "is not a rate such as \"52/s\": " + value);
     }
-    return Double.parseDouble(rate.group(1)) / (rate.group(2).equals("s") ? 1 : 60);
+    return Double.parseDouble(matcher.group(1)) / (matcher.group(2).equals("s") ? 1 : 60);
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
@@ -15,17 +15,18 @@
 import picocli.CommandLine.Option;
 
 /**
- * What the spectrum of the nodes' peer graph says of their budget: the convergence rate and the
- * steady-state deviation that Siami and Skaf give for a distributed throttler ("Structural Analysis
- * and Optimal Design of Distributed System Throttlers", equations 15 and 24), with the step that
- * the module takes and with the best one (equation 27).
+ * Computes from the spectrum of the nodes' peer graph how fast the nodes' budget converges: the
+ * convergence rate and the steady-state deviation that Siami and Skaf derive for a distributed
+ * throttler ("Structural Analysis and Optimal Design of Distributed System Throttlers", equations
+ * 15 and 24), with the step size that the module uses and with the optimal one (equation 27).
  */
 @Command(
     name = "graph",
-    description = "Says how fast slack crosses the peer graph of a tier, by its spectrum.",
+    description =
+        "Computes from its spectrum how fast slack spreads through the peer graph of a tier.",
     mixinStandardHelpOptions = true)
 final class GraphCommand implements Callable<Integer> {
-  private static final double CYCLE_S = 0.5;
+  private static final double CYCLE_SECONDS = 0.5;
 
   @Option(
       names = "--nodes",
@@ -34,21 +35,28 @@
       paramLabel = "N")
   private List<Integer> sizes;
 
-  /** What the spectrum of one graph says. */
+  /**
+   * The properties of one peer graph. {@code links} is the largest number of peers of a node,
+   * {@code gamma} the module's step size, {@code lambda2} and {@code lambdaMax} the smallest
+   * nonzero and the largest eigenvalue of the Laplacian, {@code rate} and {@code bestRate} the
+   * factor by which differences shrink in a cycle with the module's and with the optimal step size,
+   * and {@code deviation} the steady-state deviation per node.
+   */
   record Spectrum(
       int nodes,
       int links,
       double gamma,
-      double least,
-      double most,
+      double lambda2,
+      double lambdaMax,
       double rate,
       double bestRate,
       double deviation) {
-    /** Cycles until the slowest difference has halved. */
+    /** Returns the number of cycles until the slowest-decaying difference has halved. */
     double halfLife() {
       return rate <= 0 ? 0 : Math.log(0.5) / Math.log(rate);
     }
 
+    /** Returns the same number of cycles with the optimal step size. */
     double bestHalfLife() {
       return bestRate <= 0 ? 0 : Math.log(0.5) / Math.log(bestRate);
     }
@@ -60,20 +68,20 @@
         "nodes,peers,gamma,lambda 2,lambda n,rate,half-life cycles,half-life s,"
             + "half-life s at the best gamma,deviation a node");
     for (int nodes : sizes) {
-      Spectrum s = spectrum(nodes);
+      Spectrum spectrum = spectrum(nodes);
       System.out.printf(
           Locale.ROOT,
           "%d,%d,%.3f,%.5f,%.3f,%.5f,%.1f,%.1f,%.1f,%.2f%n",
-          s.nodes(),
-          s.links(),
-          s.gamma(),
-          s.least(),
-          s.most(),
-          s.rate(),
-          s.halfLife(),
-          s.halfLife() * CYCLE_S,
-          s.bestHalfLife() * CYCLE_S,
-          s.deviation());
+          spectrum.nodes(),
+          spectrum.links(),
+          spectrum.gamma(),
+          spectrum.lambda2(),
+          spectrum.lambdaMax(),
+          spectrum.rate(),
+          spectrum.halfLife(),
+          spectrum.halfLife() * CYCLE_SECONDS,
+          spectrum.bestHalfLife() * CYCLE_SECONDS,
+          spectrum.deviation());
     }
     return 0;
   }
@@ -92,29 +100,32 @@
     double[] values = new EigenDecomposition(laplacian).getRealEigenvalues();
     Arrays.sort(values);
     double gamma = 1.0 / (links + 1);
-    double least = nodes > 1 ? values[1] : 0;
-    double most = values[nodes - 1];
+    double lambda2 = nodes > 1 ? values[1] : 0;
+    double lambdaMax = values[nodes - 1];
     double deviation = 0;
     for (int i = 1; i < nodes; i++) {
       deviation += 1 / (values[i] * (2 - gamma * values[i]));
     }
-    double best = 2 / (least + most);
+    double bestGamma = 2 / (lambda2 + lambdaMax);
     return new Spectrum(
         nodes,
         links,
         gamma,
-        least,
-        most,
-        Math.max(1 - gamma * least, gamma * most - 1),
-        Math.max(1 - best * least, best * most - 1),
+        lambda2,
+        lambdaMax,
+        Math.max(1 - gamma * lambda2, gamma * lambdaMax - 1),
+        Math.max(1 - bestGamma * lambda2, bestGamma * lambdaMax - 1),
         deviation / nodes);
   }
 
-  /** Whom the module of a node tells of its slice, learned from what it does in its first cycle. */
+  /**
+   * Returns the peers to which the module of a node sends its slice, observed from the messages of
+   * its first cycle.
+   */
   static List<Integer> peersOf(int node, int nodes) {
     Scenario scenario = Scenario.standard();
     scenario.nodes = nodes;
-    List<Integer> told = new ArrayList<>();
+    List<Integer> recipients = new ArrayList<>();
     List<Long> timers = new ArrayList<>();
     Dispatcher module =
         new ThrottlingDispatcher(
@@ -139,7 +150,7 @@
 
               @Override
               public void tell(int peer, byte[] message) {
-                told.add(peer);
+                recipients.add(peer);
               }
 
               @Override
@@ -154,6 +165,6 @@
               public void log(String line) {}
             });
     module.timer(1000, timers.get(0));
-    return told;
+    return recipients;
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/LoadCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/LoadCommand.java
@@ -14,23 +14,23 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Puts load on nodes that run already. */
+/** Sends the load of an experiment to nodes that are already running. */
 @Command(
     name = "load",
-    description = "Puts the open-loop load of an experiment on nodes that run already.",
+    description = "Sends the open-loop load of an experiment to nodes that are already running.",
     mixinStandardHelpOptions = true)
 final class LoadCommand implements Callable<Integer> {
   @Parameters(
       index = "0",
       paramLabel = "EXPERIMENT",
-      description = "Its workload and duration count.")
+      description = "The experiment; only its workload and duration are used.")
   private Path file;
 
   @Parameters(
       index = "1..*",
       arity = "1..*",
       paramLabel = "ADDRESS",
-      description = "Where nodes listen.")
+      description = "The addresses at which the nodes listen.")
   private List<String> targets;
 
   @Option(names = "--seed", paramLabel = "SEED")
@@ -49,16 +49,16 @@
         }
         addresses.add(address);
       }
-    } catch (FileException | IllegalArgumentException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (FileException | IllegalArgumentException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
     Statistics statistics = new Statistics(scenario, Double.NaN);
-    String unfit = new LoadRun(scenario, seed, addresses, List.of(statistics)).run();
+    String invalidReason = new LoadRun(scenario, seed, addresses, List.of(statistics)).run();
     statistics.figures().forEach((name, value) -> System.out.printf("%-22s %.4f%n", name, value));
-    if (unfit != null) {
-      System.err.println("ferngrade: void, the machine was too busy: " + unfit);
-      return RunCommand.VOID;
+    if (invalidReason != null) {
+      System.err.println("ferngrade: invalid run, the machine was too busy: " + invalidReason);
+      return RunCommand.RUN_INVALID;
     }
     return 0;
   }
--- a/experiment/src/main/java/ferngrade/experiment/NodeCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/NodeCommand.java
@@ -12,10 +12,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A node round another policy, so that policies can be held against each other on sockets too. */
+/** Runs a node with a different policy, so that policies can also be compared on sockets. */
 @Command(
     name = "node",
-    description = "Runs a node with another policy than the module's, as the LB_* variables say.",
+    description =
+        "Runs a node with a policy other than the module's, configured by the LB_* variables.",
     mixinStandardHelpOptions = true)
 final class NodeCommand implements Callable<Integer> {
   @Option(names = "--policy", required = true, paramLabel = "NAME")
@@ -27,8 +28,8 @@
     try {
       config = NodeConfig.fromEnvironment(System.getenv());
       Policies.named(policy);
-    } catch (ConfigException | IllegalArgumentException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (ConfigException | IllegalArgumentException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
     Clock clock = Clock.system();
@@ -41,8 +42,9 @@
             config,
             clock,
             log,
-            (told, now, actions) ->
-                Policies.named(policy).start(told.settings(), told.seed(), now, actions, null));
+            (assignment, now, actions) ->
+                Policies.named(policy)
+                    .start(assignment.settings(), assignment.seed(), now, actions, null));
     CountDownLatch stopped = new CountDownLatch(1);
     Runtime.getRuntime()
         .addShutdownHook(
@@ -50,7 +52,7 @@
                 () -> {
                   try {
                     server.stop();
-                  } catch (InterruptedException interrupted) {
+                  } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                   }
                 },
--- a/experiment/src/main/java/ferngrade/experiment/Progress.java
+++ b/experiment/src/main/java/ferngrade/experiment/Progress.java
@@ -5,32 +5,35 @@
 import me.tongfei.progressbar.ProgressBarBuilder;
 import me.tongfei.progressbar.ProgressBarStyle;
 
-/** Says how far an experiment is: a bar on a terminal, a line for each tenth elsewhere. */
+/**
+ * Reports the progress of an experiment: a progress bar on a terminal, otherwise one line for each
+ * tenth of the trials.
+ */
 final class Progress implements AutoCloseable {
-  private final Consumer<String> lines;
-  private final int all;
+  private final Consumer<String> output;
+  private final int total;
   private final ProgressBar bar;
-  private int done;
+  private int finished;
 
-  Progress(String name, int all, boolean terminal, Consumer<String> lines) {
-    this.lines = lines;
-    this.all = all;
+  Progress(String name, int total, boolean terminal, Consumer<String> output) {
+    this.output = output;
+    this.total = total;
     this.bar =
         terminal
             ? new ProgressBarBuilder()
                 .setTaskName(name)
-                .setInitialMax(all)
+                .setInitialMax(total)
                 .setStyle(ProgressBarStyle.ASCII)
                 .build()
             : null;
   }
 
   void step() {
-    done++;
+    finished++;
     if (bar != null) {
       bar.step();
-    } else if (done == all || done * 10 / all > (done - 1) * 10 / all) {
-      lines.accept(done + " of " + all + " runs");
+    } else if (finished == total || finished * 10 / total > (finished - 1) * 10 / total) {
+      output.accept(finished + " of " + total + " runs");
     }
   }
 
--- a/experiment/src/main/java/ferngrade/experiment/ReplayCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/ReplayCommand.java
@@ -8,10 +8,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays the first trial of an experiment and says all that is known of it. */
+/** Runs the first trial of an experiment again and prints all its figures. */
 @Command(
     name = "replay",
-    description = "Plays an experiment's first run again and prints all its figures.",
+    description = "Runs the first trial of an experiment again and prints all its figures.",
     mixinStandardHelpOptions = true)
 final class ReplayCommand implements Callable<Integer> {
   @Parameters(paramLabel = "EXPERIMENT")
@@ -20,7 +20,7 @@
   @Option(
       names = "--seed",
       paramLabel = "SEED",
-      description = "Another seed than the experiment's first.")
+      description = "The seed; by default the experiment's first seed.")
   private Long seed;
 
   @Override
@@ -28,8 +28,8 @@
     Experiment experiment;
     try {
       experiment = ExperimentReader.read(file);
-    } catch (FileException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (FileException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
     Experiment.Point point = experiment.points().get(0);
@@ -38,7 +38,7 @@
                 point.label(),
                 experiment.policies().get(0),
                 seed == null ? experiment.seeds().get(0) : seed)
-            .play(point.scenario(), experiment.mutation());
+            .runInVirtualTime(point.scenario(), experiment.mutation());
     result.figures().forEach((name, value) -> System.out.printf("%-22s %.4f%n", name, value));
     result.byClass().forEach((name, value) -> System.out.printf("class %-16s %.4f%n", name, value));
     result
@@ -49,6 +49,6 @@
     System.out.printf(
         "trace %s, %d events, %.0f ms in %.0f ms%n",
         result.trace(), result.events(), result.passedMs(), result.tookMs());
-    return result.allBreaches() > 0 ? RunCommand.RULE_BROKEN : 0;
+    return result.totalViolations() > 0 ? RunCommand.INVARIANT_VIOLATED : 0;
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/Report.java
+++ b/experiment/src/main/java/ferngrade/experiment/Report.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Writes a result as one HTML page that needs no other file, and its charts as PNG beside it. */
+/** Writes a result as a self-contained HTML page, and its charts as PNG files next to it. */
 public final class Report {
   private static final List<String> COLUMNS =
       List.of(
@@ -46,8 +46,8 @@
         Files.write(folder.resolve(chart.getKey()), chart.getValue());
       }
       Files.writeString(folder.resolve("report.html"), new Report(results).page(charts));
-    } catch (IOException failed) {
-      throw new UncheckedIOException(failed);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 
@@ -70,7 +70,7 @@
     if (!results.trials().isEmpty()) {
       summary();
       differences();
-      breaches();
+      violations();
       page.append("<h2>Charts</h2>");
       charts.forEach(
           (name, png) ->
@@ -94,21 +94,21 @@
         .append(". Latencies count from the time at which a request was due to be sent.</p>")
         .append("<table><tr><th>parameters<th>policy");
     COLUMNS.forEach(name -> page.append("<th>").append(name));
-    page.append("<th>rules broken<th>workers fallen</tr>");
+    page.append("<th>invariant violations<th>workers failed cold</tr>");
     for (Results.Cell cell : results.cells()) {
       page.append("<tr><td>")
           .append(escaped(cell.point()))
           .append("<td>")
           .append(escaped(cell.policy()));
       for (String name : COLUMNS) {
-        page.append("<td>").append(results.estimate(cell, each -> each.figures().get(name)));
+        page.append("<td>").append(results.estimate(cell, trial -> trial.figures().get(name)));
       }
-      long breaches =
-          results.of(cell).values().stream().mapToLong(ExperimentRun.Result::allBreaches).sum();
+      long violations =
+          results.of(cell).values().stream().mapToLong(ExperimentRun.Result::totalViolations).sum();
       long fallen =
           results.of(cell).values().stream().mapToLong(ExperimentRun.Result::fallen).sum();
-      page.append(breaches > 0 ? "<td class=\"bad\">" : "<td>")
-          .append(breaches)
+      page.append(violations > 0 ? "<td class=\"bad\">" : "<td>")
+          .append(violations)
           .append("<td>")
           .append(fallen)
           .append("</tr>");
@@ -118,9 +118,9 @@
 
   private void differences() {
     String first = results.policyFirst();
-    List<Results.Cell> others =
+    List<Results.Cell> otherCells =
         results.cells().stream().filter(cell -> !cell.policy().equals(first)).toList();
-    if (others.isEmpty()) {
+    if (otherCells.isEmpty()) {
       return;
     }
     page.append("<h2>Against ")
@@ -130,13 +130,13 @@
         .append(
             ", seed by seed.</p><table><tr><th>parameters<th>policy"
                 + "<th>difference<th>says</tr>");
-    for (Results.Cell cell : others) {
+    for (Results.Cell cell : otherCells) {
       Estimate estimate =
           Results.difference(
               results.of(cell),
               results.of(new Results.Cell(cell.point(), first)),
               ExperimentRun.Result::goodput);
-      String says =
+      String conclusion =
           !estimate.differsFromZero()
               ? "no difference shown"
               : estimate.mean() > 0 ? "better" : "worse";
@@ -147,34 +147,34 @@
           .append("<td>")
           .append(estimate)
           .append("<td>")
-          .append(says)
+          .append(conclusion)
           .append("</tr>");
     }
     page.append("</table>");
   }
 
-  private void breaches() {
-    List<ExperimentRun.Result> broken =
-        results.trials().stream().filter(each -> each.allBreaches() > 0).toList();
-    if (broken.isEmpty()) {
-      page.append("<p>No rule was broken.</p>");
+  private void violations() {
+    List<ExperimentRun.Result> violating =
+        results.trials().stream().filter(trial -> trial.totalViolations() > 0).toList();
+    if (violating.isEmpty()) {
+      page.append("<p>No invariant was violated.</p>");
       return;
     }
     page.append(
-        "<h2>Rules broken</h2><table><tr><th>parameters<th>policy<th>seed<th>the first of"
-            + " them</tr>");
-    broken.stream()
+        "<h2>Invariant violations</h2><table><tr><th>parameters<th>policy<th>seed<th>first"
+            + " violation</tr>");
+    violating.stream()
         .limit(40)
         .forEach(
-            each ->
+            trial ->
                 page.append("<tr><td>")
-                    .append(escaped(each.point()))
+                    .append(escaped(trial.point()))
                     .append("<td>")
-                    .append(escaped(each.policy()))
+                    .append(escaped(trial.policy()))
                     .append("<td>")
-                    .append(each.seed())
+                    .append(trial.seed())
                     .append("<td>")
-                    .append(escaped(each.breachTexts().get(0)))
+                    .append(escaped(trial.breachTexts().get(0)))
                     .append("</tr>"));
     page.append("</table>");
   }
--- a/experiment/src/main/java/ferngrade/experiment/ReportCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/ReportCommand.java
@@ -7,13 +7,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Writes the report of kept results anew. */
+/** Regenerates the tables, charts and report of stored results. */
 @Command(
     name = "report",
-    description = "Writes tables, charts and report.html of kept results anew.",
+    description = "Regenerates the tables, charts and report.html of stored results.",
     mixinStandardHelpOptions = true)
 final class ReportCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "DIR", description = "A folder with results.json.")
+  @Parameters(paramLabel = "DIR", description = "The folder with results.json.")
   private Path folder;
 
   @Override
@@ -24,8 +24,8 @@
       Report.write(results, folder);
       System.out.println(folder.resolve("report.html"));
       return 0;
-    } catch (FileException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (FileException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
   }
--- a/experiment/src/main/java/ferngrade/experiment/Results.java
+++ b/experiment/src/main/java/ferngrade/experiment/Results.java
@@ -18,7 +18,11 @@
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 
-/** The results of an experiment, as they are kept in {@code results.json}. */
+/**
+ * The results of an experiment. The component names are the keys in {@code results.json}: {@code
+ * policyFirst} is the first policy, {@code asked} the number of requested trials, {@code complete}
+ * is true if all of them finished, and {@code experiment} is the experiment's source.
+ */
 public record Results(
     int format,
     String name,
@@ -28,23 +32,26 @@
     boolean complete,
     String experiment,
     List<ExperimentRun.Result> trials) {
-  /** The version of the file's form. */
+  /** The version of the file format. */
   public static final int FORMAT = 1;
 
   private static final String FILE = "results.json";
   private static final ObjectMapper JSON =
       JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
-  /** One cell of a result table: a setting of the parameters under one policy. */
+  /** One cell of a result table: a point of the sweep under one policy. */
   public record Cell(String point, String policy) {}
 
-  /** The results with the trials in an order that does not depend on which ended first. */
+  /**
+   * Returns the results of these trials, sorted by point, policy and seed so that the order does
+   * not depend on which trial finished first.
+   */
   public static Results of(Experiment experiment, List<ExperimentRun.Result> trials) {
     List<String> points = experiment.points().stream().map(Experiment.Point::label).toList();
     List<ExperimentRun.Result> sorted = new ArrayList<>(trials);
     sorted.sort(
-        Comparator.<ExperimentRun.Result>comparingInt(each -> points.indexOf(each.point()))
-            .thenComparingInt(each -> experiment.policies().indexOf(each.policy()))
+        Comparator.<ExperimentRun.Result>comparingInt(trial -> points.indexOf(trial.point()))
+            .thenComparingInt(trial -> experiment.policies().indexOf(trial.policy()))
             .thenComparingLong(ExperimentRun.Result::seed));
     return new Results(
         FORMAT,
@@ -57,25 +64,24 @@
         sorted);
   }
 
-  /** Reads what {@link #write} has left in a folder. */
+  /** Reads the results that {@link #write} wrote to this folder. */
   public static Results read(Path folder) throws FileException {
     Path file = folder.resolve(FILE);
     try {
       Results results = JSON.readValue(file.toFile(), Results.class);
       if (results.format() != FORMAT) {
         throw new FileException(
-            file.toString(), "has the form " + results.format() + ", not " + FORMAT);
+            file.toString(), "has format " + results.format() + ", expected " + FORMAT);
       }
       return results;
-    } catch (JsonProcessingException malformed) {
-      throw new FileException(
-          file.toString(), "is not a result: " + malformed.getOriginalMessage());
-    } catch (IOException unreadable) {
-      throw new FileException(file.toString(), "cannot be read: " + unreadable.getMessage());
+    } catch (JsonProcessingException e) {
+      throw new FileException(file.toString(), "is not a results file: " + e.getOriginalMessage());
+    } catch (IOException e) {
+      throw new FileException(file.toString(), "cannot be read: " + e.getMessage());
     }
   }
 
-  /** Writes {@code results.json} and the tables. */
+  /** Writes {@code results.json} and the CSV tables to this folder. */
   public void write(Path folder) {
     try {
       Files.createDirectories(folder);
@@ -83,44 +89,48 @@
       Files.writeString(folder.resolve("trials.csv"), trialTable());
       Files.writeString(folder.resolve("summary.csv"), summaryTable());
       Files.writeString(folder.resolve("series.csv"), seriesTable());
-    } catch (IOException failed) {
-      throw new UncheckedIOException(failed);
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
   }
 
-  /** The cells, in the experiment's order. */
+  /** Returns the cells in the experiment's order. */
   public Set<Cell> cells() {
     Set<Cell> cells = new LinkedHashSet<>();
-    trials.forEach(each -> cells.add(new Cell(each.point(), each.policy())));
+    trials.forEach(trial -> cells.add(new Cell(trial.point(), trial.policy())));
     return cells;
   }
 
-  /** The trials of a cell by seed. */
+  /** Returns the trials of a cell by seed. */
   public Map<Long, ExperimentRun.Result> of(Cell cell) {
     Map<Long, ExperimentRun.Result> bySeed = new LinkedHashMap<>();
-    for (ExperimentRun.Result each : trials) {
-      if (each.point().equals(cell.point()) && each.policy().equals(cell.policy())) {
-        bySeed.put(each.seed(), each);
+    for (ExperimentRun.Result trial : trials) {
+      if (trial.point().equals(cell.point()) && trial.policy().equals(cell.policy())) {
+        bySeed.put(trial.seed(), trial);
       }
     }
     return bySeed;
   }
 
-  /** A figure of a cell over its seeds. */
+  /** Returns the estimate of a figure over the seeds of a cell. */
   public Estimate estimate(Cell cell, ToDoubleFunction<ExperimentRun.Result> figure) {
     return Estimate.of(of(cell).values().stream().mapToDouble(figure).toArray());
   }
 
-  /** The difference of a figure between two cells, pair by pair over the seeds that both have. */
+  /**
+   * Returns the estimate of a figure's difference, left minus right, paired over the seeds that
+   * both cells have.
+   */
   public static Estimate difference(
-      Map<Long, ExperimentRun.Result> one,
-      Map<Long, ExperimentRun.Result> other,
+      Map<Long, ExperimentRun.Result> left,
+      Map<Long, ExperimentRun.Result> right,
       ToDoubleFunction<ExperimentRun.Result> figure) {
     return Estimate.of(
-        one.keySet().stream()
-            .filter(other::containsKey)
+        left.keySet().stream()
+            .filter(right::containsKey)
             .mapToDouble(
-                seed -> figure.applyAsDouble(one.get(seed)) - figure.applyAsDouble(other.get(seed)))
+                seed ->
+                    figure.applyAsDouble(left.get(seed)) - figure.applyAsDouble(right.get(seed)))
             .toArray());
   }
 
@@ -134,23 +144,23 @@
       trials.get(0).figures().keySet().forEach(name -> table.append(',').append(quoted(name)));
     }
     table.append(",breaches,fallen,events,trace\n");
-    for (ExperimentRun.Result each : trials) {
+    for (ExperimentRun.Result trial : trials) {
       table
-          .append(quoted(each.point()))
+          .append(quoted(trial.point()))
           .append(',')
-          .append(each.policy())
+          .append(trial.policy())
           .append(',')
-          .append(each.seed());
-      each.figures().values().forEach(value -> table.append(',').append(value));
+          .append(trial.seed());
+      trial.figures().values().forEach(value -> table.append(',').append(value));
       table
           .append(',')
-          .append(each.allBreaches())
+          .append(trial.totalViolations())
           .append(',')
-          .append(each.fallen())
+          .append(trial.fallen())
           .append(',')
-          .append(each.events())
+          .append(trial.events())
           .append(',')
-          .append(each.trace())
+          .append(trial.trace())
           .append('\n');
     }
     return table.toString();
@@ -161,7 +171,7 @@
         new StringBuilder("parameters,policy,figure,mean,half width of 95 %,seeds\n");
     for (Cell cell : cells()) {
       for (String name : of(cell).values().iterator().next().figures().keySet()) {
-        Estimate estimate = estimate(cell, each -> each.figures().get(name));
+        Estimate estimate = estimate(cell, trial -> trial.figures().get(name));
         table
             .append(quoted(cell.point()))
             .append(',')
@@ -206,18 +216,22 @@
     return table.toString();
   }
 
-  /** The series of a cell, each window the mean over the seeds that have a value there. */
+  /**
+   * Returns the time series of a cell by name. The value of a window is the mean over the seeds
+   * that have a value there, or NaN if none has.
+   */
   public Map<String, double[]> meanSeries(Cell cell) {
     Map<String, double[]> means = new LinkedHashMap<>();
-    List<ExperimentRun.Result> all = List.copyOf(of(cell).values());
-    for (String name : all.get(0).series().keySet()) {
-      int length = all.stream().mapToInt(each -> each.series().get(name).length).max().orElse(0);
+    List<ExperimentRun.Result> cellTrials = List.copyOf(of(cell).values());
+    for (String name : cellTrials.get(0).series().keySet()) {
+      int length =
+          cellTrials.stream().mapToInt(trial -> trial.series().get(name).length).max().orElse(0);
       double[] mean = new double[length];
       for (int i = 0; i < length; i++) {
         double sum = 0;
         int count = 0;
-        for (ExperimentRun.Result each : all) {
-          double[] values = each.series().get(name);
+        for (ExperimentRun.Result trial : cellTrials) {
+          double[] values = trial.series().get(name);
           if (i < values.length && !Double.isNaN(values[i])) {
             sum += values[i];
             count++;
--- a/experiment/src/main/java/ferngrade/experiment/RunCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/RunCommand.java
@@ -19,13 +19,13 @@
     description = "Runs an experiment; writes results.json, tables, charts and report.html.",
     mixinStandardHelpOptions = true)
 final class RunCommand implements Callable<Integer> {
-  /** The exit code where a rule was broken by a policy that is to keep it. */
-  static final int RULE_BROKEN = 3;
+  /** The exit code if the module's policy violated an invariant. */
+  static final int INVARIANT_VIOLATED = 3;
 
-  /** The exit code of a run on sockets that a busy machine has made void. */
-  static final int VOID = 4;
+  /** The exit code if a run on sockets is invalid because the machine was too busy. */
+  static final int RUN_INVALID = 4;
 
-  /** The exit code of a run that was interrupted: what had ended is kept. */
+  /** The exit code of an interrupted run; the results of finished trials are written. */
   static final int INTERRUPTED = 130;
 
   @Parameters(paramLabel = "EXPERIMENT", description = "The experiment, a TOML file.")
@@ -35,26 +35,26 @@
       names = "--out",
       required = true,
       paramLabel = "DIR",
-      description = "Where the results go.")
+      description = "The folder for the results.")
   private Path out;
 
   @Option(
       names = "--threads",
       paramLabel = "N",
-      description = "Runs at a time; the cores if left out.")
+      description = "The number of concurrent trials; by default the number of processors.")
   private int threads = Runtime.getRuntime().availableProcessors();
 
   @Option(
       names = "--sockets",
-      description = "On loopback sockets and in real time, round real nodes.")
+      description = "Runs in real time on loopback sockets against real nodes.")
   private boolean sockets;
 
   @Option(
       names = "--node",
       paramLabel = "COMMAND",
       description =
-          "With --sockets: what starts a node, split at"
-              + " blanks; this program's serve if left out.")
+          "With --sockets: the command that starts a node, split at"
+              + " spaces; by default this program's serve.")
   private String node = "";
 
   @Override
@@ -62,29 +62,29 @@
     Experiment experiment;
     try {
       experiment = ExperimentReader.read(file);
-    } catch (FileException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+    } catch (FileException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
-    ExperimentRunner laboratory = new ExperimentRunner(Math.max(1, threads));
-    SocketExperimentRunner onSockets =
+    ExperimentRunner runner = new ExperimentRunner(Math.max(1, threads));
+    SocketExperimentRunner socketRunner =
         new SocketExperimentRunner(
             node.isBlank() ? List.of() : List.of(node.split(" +")), out.resolve("nodes"));
-    // Ctrl-C: what has ended is written before the process goes.
-    CountDownLatch written = new CountDownLatch(1);
-    Thread hook =
+    // On SIGINT the results of finished trials are written before the process exits.
+    CountDownLatch resultsWritten = new CountDownLatch(1);
+    Thread shutdownHook =
         new Thread(
             () -> {
-              laboratory.stop();
-              onSockets.stop();
+              runner.stop();
+              socketRunner.stop();
               try {
-                written.await();
-              } catch (InterruptedException impatient) {
+                resultsWritten.await();
+              } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             },
             "interrupted");
-    Runtime.getRuntime().addShutdownHook(hook);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
       List<ExperimentRun.Result> trials;
       Consumer<String> progressLines = System.out::println;
@@ -92,22 +92,22 @@
           new Progress(experiment.name(), experiment.trials(), onTerminal(), progressLines)) {
         trials =
             sockets
-                ? onSockets.run(experiment, each -> progress.step())
-                : laboratory.run(experiment, each -> progress.step());
+                ? socketRunner.run(experiment, result -> progress.step())
+                : runner.run(experiment, result -> progress.step());
       }
       Results results = Results.of(experiment, trials);
       results.write(out);
       Report.write(results, out);
-      summary(results);
+      printSummary(results);
       if (!results.complete()) {
-        return sockets && !laboratory.stopped() ? VOID : INTERRUPTED;
+        return sockets && !runner.stopped() ? RUN_INVALID : INTERRUPTED;
       }
-      boolean broken =
+      boolean violated =
           results.trials().stream()
-              .anyMatch(each -> each.policy().equals("module") && each.allBreaches() > 0);
-      return broken ? RULE_BROKEN : 0;
+              .anyMatch(result -> result.policy().equals("module") && result.totalViolations() > 0);
+      return violated ? INVARIANT_VIOLATED : 0;
     } finally {
-      written.countDown();
+      resultsWritten.countDown();
     }
   }
 
@@ -115,31 +115,34 @@
     return isTerminal(System.console());
   }
 
-  /** Java 22 and later have a console without a terminal too, and can tell the two apart. */
+  /**
+   * Returns true if the console is a terminal. Since Java 22 System.console() also returns a
+   * console when there is no terminal, and Console.isTerminal() tells the two cases apart.
+   */
   private static boolean isTerminal(Console console) {
     if (console == null) {
       return false;
     }
     try {
       return (boolean) Console.class.getMethod("isTerminal").invoke(console);
-    } catch (NoSuchMethodException beforeJava22) {
+    } catch (NoSuchMethodException e) {
       return true;
-    } catch (ReflectiveOperationException unexpected) {
-      throw new IllegalStateException(unexpected);
+    } catch (ReflectiveOperationException e) {
+      throw new IllegalStateException(e);
     }
   }
 
-  static void summary(Results results) {
+  static void printSummary(Results results) {
     for (Results.Cell cell : results.cells()) {
-      long breaches =
-          results.of(cell).values().stream().mapToLong(ExperimentRun.Result::allBreaches).sum();
+      long violations =
+          results.of(cell).values().stream().mapToLong(ExperimentRun.Result::totalViolations).sum();
       System.out.printf(
           "%-14s %s goodput %s  p99 %s ms%s%n",
           cell.policy(),
           cell.point(),
           results.estimate(cell, ExperimentRun.Result::goodput),
-          results.estimate(cell, each -> each.figures().get("p99 ms")),
-          breaches > 0 ? "  rules broken: " + breaches : "");
+          results.estimate(cell, result -> result.figures().get("p99 ms")),
+          violations > 0 ? "  invariant violations: " + violations : "");
     }
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/Search.java
+++ b/experiment/src/main/java/ferngrade/experiment/Search.java
@@ -11,70 +11,78 @@
 import java.util.function.Consumer;
 
 /**
- * Looks for the seed that breaks a rule, or that loses most, and makes what shows it small: fewer
- * faults, a shorter time, a smaller fleet, as long as it still shows. That is delta debugging
- * (Zeller and Hildebrandt, 2002), one dimension after another until none gives way.
+ * Searches for a trial that violates an invariant, or else for the trial with the lowest goodput,
+ * and minimizes it: fewer faults, a shorter duration and a smaller fleet, as long as the problem is
+ * still reproduced. This is delta debugging (Zeller and Hildebrandt, 2002), one dimension after the
+ * other until no dimension can be reduced further.
  */
 public final class Search {
-  /** A smaller experiment must still lose this share of what the found one loses. */
-  private static final double STILL = 0.8;
+  /** The share of the original goodput loss that a smaller experiment must still reproduce. */
+  private static final double MIN_LOSS_SHARE = 0.8;
 
-  private static final int MOST_ROUNDS = 6;
+  private static final int MAX_ROUNDS = 6;
 
   private final Experiment experiment;
   private final Path folder;
-  private final Consumer<String> say;
-  private int played;
+  private final Consumer<String> progress;
+  private int runs;
 
-  /** What was found: a replayable experiment of one seed and one policy, and its result. */
-  public record Found(JsonNode source, ExperimentRun.Result result, int played) {
-    /** True if it shows a broken rule, false if it is the one that loses most. */
-    public boolean breaksRule() {
-      return result.allBreaches() > 0;
+  /**
+   * The result of a search: an experiment with one seed and one policy that can be replayed, its
+   * result, and the number of trials that the search ran.
+   */
+  public record Found(JsonNode source, ExperimentRun.Result result, int runs) {
+    /** Returns true if the trial violates an invariant, false if it has the lowest goodput. */
+    public boolean violatesInvariant() {
+      return result.totalViolations() > 0;
     }
   }
 
-  /** A search through an experiment's points and seeds; {@code say} hears how it goes. */
-  public Search(Experiment experiment, Path folder, Consumer<String> say) {
+  /**
+   * Creates a search over an experiment's points, policies and seeds. {@code progress} receives one
+   * line for each step; {@code folder} is where the experiment's traces are.
+   */
+  public Search(Experiment experiment, Path folder, Consumer<String> progress) {
     this.experiment = experiment;
     this.folder = folder;
-    this.say = say;
+    this.progress = progress;
   }
 
-  /** Searches, then makes it small. */
+  /** Searches with this number of threads, then minimizes the worst trial on the calling thread. */
   public Found run(int threads) throws InterruptedException, FileException {
-    List<ExperimentRun.Result> results = new ExperimentRunner(threads).run(experiment, each -> {});
-    played = results.size();
+    List<ExperimentRun.Result> results =
+        new ExperimentRunner(threads).run(experiment, result -> {});
+    runs = results.size();
     ExperimentRun.Result worst = null;
-    for (ExperimentRun.Result each : results) {
-      if (worst == null || worse(each, worst)) {
-        worst = each;
+    for (ExperimentRun.Result result : results) {
+      if (worst == null || isWorse(result, worst)) {
+        worst = result;
       }
     }
-    say.accept(
+    progress.accept(
         String.format(
-            "seed %d of %s: %d rules broken, goodput %.3f",
-            worst.seed(), worst.policy(), worst.allBreaches(), worst.goodput()));
-    return shrink(alone(worst), worst);
+            "seed %d of %s: %d invariant violations, goodput %.3f",
+            worst.seed(), worst.policy(), worst.totalViolations(), worst.goodput()));
+    return shrink(singleTrial(worst), worst);
   }
 
   /**
-   * Broken rules first, then the loss; the lower seed where all is alike, so that every search ends
-   * alike.
+   * Returns true if the first result is worse: it violates an invariant and the second does not, or
+   * its goodput is lower. Ties go to the lower seed, so that the search is deterministic.
    */
-  private static boolean worse(ExperimentRun.Result one, ExperimentRun.Result other) {
-    boolean broken = one.allBreaches() > 0;
-    if (broken != other.allBreaches() > 0) {
-      return broken;
+  private static boolean isWorse(ExperimentRun.Result first, ExperimentRun.Result second) {
+    boolean violates = first.totalViolations() > 0;
+    if (violates != second.totalViolations() > 0) {
+      return violates;
     }
-    if (one.goodput() != other.goodput()) {
-      return one.goodput() < other.goodput();
+    if (first.goodput() != second.goodput()) {
+      return first.goodput() < second.goodput();
     }
-    return one.seed() < other.seed();
+    return first.seed() < second.seed();
   }
 
-  /** The experiment with this trial's setting, policy and seed alone. */
-  private JsonNode alone(ExperimentRun.Result worst) throws FileException {
+  /** Returns the experiment restricted to the point, policy and seed of this trial. */
+  private JsonNode singleTrial(ExperimentRun.Result worst) throws FileException {
     for (Experiment.Point point : experiment.points()) {
       if (point.label().equals(worst.point())) {
         ObjectNode source = experiment.source().deepCopy();
@@ -85,9 +93,9 @@
               .parameters()
               .forEach(
                   (key, value) -> {
-                    for (JsonNode each : original.get(key)) {
-                      if (ExperimentReader.words(each).equals(value)) {
-                        sweep.putArray(key).add(each);
+                    for (JsonNode option : original.get(key)) {
+                      if (ExperimentReader.formatValue(option).equals(value)) {
+                        sweep.putArray(key).add(option);
                       }
                     }
                   });
@@ -97,24 +105,24 @@
         return source;
       }
     }
-    throw new FileException(experiment.name(), "has no setting " + worst.point());
+    throw new FileException(experiment.name(), "has no point " + worst.point());
   }
 
-  private Found shrink(JsonNode found, ExperimentRun.Result shown) throws FileException {
-    JsonNode best = found;
-    ExperimentRun.Result result = shown;
-    for (int round = 0; round < MOST_ROUNDS; round++) {
+  private Found shrink(JsonNode source, ExperimentRun.Result original) throws FileException {
+    JsonNode best = source;
+    ExperimentRun.Result result = original;
+    for (int round = 0; round < MAX_ROUNDS; round++) {
       boolean smaller = false;
       for (ObjectNode candidate : candidates(best)) {
-        ExperimentRun.Result tried = play(candidate);
-        if (tried != null && shows(tried, shown)) {
+        ExperimentRun.Result attempt = run(candidate);
+        if (attempt != null && reproduces(attempt, original)) {
           best = candidate;
-          result = tried;
+          result = attempt;
           smaller = true;
-          say.accept(
+          progress.accept(
               String.format(
-                  "smaller: %s, %d rules broken, goodput %.3f",
-                  size(candidate), tried.allBreaches(), tried.goodput()));
+                  "smaller: %s, %d invariant violations, goodput %.3f",
+                  describe(candidate), attempt.totalViolations(), attempt.goodput()));
           break;
         }
       }
@@ -122,34 +130,34 @@
         break;
       }
       round = -1;
-      if (played > 400) {
+      if (runs > 400) {
         break;
       }
     }
-    return new Found(best, result, played);
+    return new Found(best, result, runs);
   }
 
-  private static boolean shows(ExperimentRun.Result tried, ExperimentRun.Result shown) {
-    if (shown.allBreaches() > 0) {
-      return shown.breaches().entrySet().stream()
-          .anyMatch(rule -> rule.getValue() > 0 && tried.breaches().get(rule.getKey()) > 0);
+  private static boolean reproduces(ExperimentRun.Result attempt, ExperimentRun.Result original) {
+    if (original.totalViolations() > 0) {
+      return original.breaches().entrySet().stream()
+          .anyMatch(rule -> rule.getValue() > 0 && attempt.breaches().get(rule.getKey()) > 0);
     }
-    return 1 - tried.goodput() >= STILL * (1 - shown.goodput());
+    return 1 - attempt.goodput() >= MIN_LOSS_SHARE * (1 - original.goodput());
   }
 
-  /** Smaller experiments, the boldest first. */
+  /** Returns smaller experiments; larger reductions of one dimension come before smaller ones. */
   private List<ObjectNode> candidates(JsonNode source) throws FileException {
     List<ObjectNode> candidates = new ArrayList<>();
     Scenario scenario = scenario(source);
     JsonNode faults = source.get("fault");
     for (int i = 0; faults != null && i < faults.size(); i++) {
-      ObjectNode fewer = source.deepCopy();
-      ArrayNode left = (ArrayNode) fewer.get("fault");
-      left.remove(i);
-      if (left.isEmpty()) {
-        fewer.remove("fault");
+      ObjectNode candidate = source.deepCopy();
+      ArrayNode remainingFaults = (ArrayNode) candidate.get("fault");
+      remainingFaults.remove(i);
+      if (remainingFaults.isEmpty()) {
+        candidate.remove("fault");
       }
-      candidates.add(fewer);
+      candidates.add(candidate);
     }
     for (double share : new double[] {0.5, 0.75}) {
       double shorter = Math.ceil(scenario.duration * share / 1000) * 1000;
@@ -181,24 +189,26 @@
     return ExperimentReader.read(experiment.name(), folder, source).points().get(0).scenario();
   }
 
-  private ExperimentRun.Result play(JsonNode source) {
+  private ExperimentRun.Result run(JsonNode source) {
     try {
       Experiment smaller = ExperimentReader.read(experiment.name(), folder, source);
-      played++;
+      runs++;
       return new ExperimentRun(
               smaller.points().get(0).label(), smaller.policies().get(0), smaller.seeds().get(0))
-          .play(smaller.points().get(0).scenario(), smaller.mutation());
-    } catch (FileException noExperiment) {
-      // A sweep may set what was just made smaller; that way down is closed, the others are not.
+          .runInVirtualTime(smaller.points().get(0).scenario(), smaller.mutation());
+    } catch (FileException invalidExperiment) {
+      // A sweep may set the value that was reduced, so that this candidate cannot be read; the
+      // other
+      // candidates are still tried.
       return null;
     }
   }
 
-  private static String size(JsonNode source) {
+  private static String describe(JsonNode source) {
     JsonNode faults = source.get("fault");
     return source.path("fleet")
         + " for "
-        + source.path("duration").asText("the standard time")
+        + source.path("duration").asText("the default duration")
         + " with "
         + (faults == null ? 0 : faults.size())
         + " faults";
--- a/experiment/src/main/java/ferngrade/experiment/SearchCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/SearchCommand.java
@@ -12,10 +12,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Searches for the seed that shows most. */
+/** Searches for a trial that violates an invariant or has the lowest goodput. */
 @Command(
     name = "search",
-    description = "Looks for a seed that breaks a rule or loses most, and makes it small.",
+    description =
+        "Searches for a trial that violates an invariant or has the lowest goodput, and minimizes"
+            + " it.",
     mixinStandardHelpOptions = true)
 final class SearchCommand implements Callable<Integer> {
   @Parameters(paramLabel = "EXPERIMENT")
@@ -24,13 +26,13 @@
   @Option(
       names = "--seeds",
       paramLabel = "N",
-      description = "Seeds to try, from 1 on; 20 if left out.")
+      description = "The number of seeds to try, starting at 1; default 20.")
   private int seeds = 20;
 
   @Option(
       names = "--out",
       paramLabel = "FILE",
-      description = "Where the small experiment goes; printed if left out.")
+      description = "The file for the minimized experiment; printed by default.")
   private Path out;
 
   @Option(names = "--threads", paramLabel = "N")
@@ -39,12 +41,13 @@
   @Override
   public Integer call() throws InterruptedException, IOException {
     try {
-      Experiment asked = ExperimentReader.read(file);
-      ObjectNode source = asked.source().deepCopy();
+      Experiment experiment = ExperimentReader.read(file);
+      ObjectNode source = experiment.source().deepCopy();
       source.put("seeds", seeds);
       Path folder = file.toAbsolutePath().getParent();
-      Experiment wide = ExperimentReader.read(file.toString(), folder, source);
-      Search.Found found = new Search(wide, folder, System.out::println).run(Math.max(1, threads));
+      Experiment allSeeds = ExperimentReader.read(file.toString(), folder, source);
+      Search.Found found =
+          new Search(allSeeds, folder, System.out::println).run(Math.max(1, threads));
       String toml = new TomlMapper().writeValueAsString(found.source());
       if (out == null) {
         System.out.println(toml);
@@ -54,10 +57,11 @@
       found.result().breachTexts().stream().limit(3).forEach(System.out::println);
       System.out.printf(
           "%s after %d runs%n",
-          found.breaksRule() ? "a rule is broken" : "no rule is broken", found.played());
-      return found.breaksRule() ? RunCommand.RULE_BROKEN : 0;
-    } catch (FileException bad) {
-      System.err.println("ferngrade: " + bad.getMessage());
+          found.violatesInvariant() ? "an invariant is violated" : "no invariant is violated",
+          found.runs());
+      return found.violatesInvariant() ? RunCommand.INVARIANT_VIOLATED : 0;
+    } catch (FileException e) {
+      System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
     }
   }
--- a/experiment/src/main/java/ferngrade/experiment/SocketExperimentRunner.java
+++ b/experiment/src/main/java/ferngrade/experiment/SocketExperimentRunner.java
@@ -7,28 +7,36 @@
 import java.util.function.Consumer;
 
 /**
- * Plays the trials of an experiment on sockets, one after the other: each needs the machine for
- * itself.
+ * Runs the trials of an experiment on loopback sockets in real time, one after the other, because
+ * concurrent trials would compete for processor time and distort each other's latencies.
  */
 final class SocketExperimentRunner {
-  /** How often a trial is played again that a busy machine has made void. */
-  private static final int AGAIN = 2;
+  /** The maximum number of repetitions of a trial that is invalid because the machine was busy. */
+  private static final int MAX_RERUNS = 2;
 
   private final List<String> command;
-  private final Path logs;
+  private final Path logFolder;
   private volatile boolean stopped;
 
-  /** {@code command} starts a node, as {@code serve} does; empty for this program itself. */
-  SocketExperimentRunner(List<String> command, Path logs) {
+  /**
+   * Creates a runner that starts each node with {@code command}, which takes the same environment
+   * variables as {@code serve}. An empty command starts this program.
+   */
+  SocketExperimentRunner(List<String> command, Path logFolder) {
     this.command = command;
-    this.logs = logs;
+    this.logFolder = logFolder;
   }
 
+  /** Stops before the next trial. May be called from any thread. */
   void stop() {
     stopped = true;
   }
 
-  List<ExperimentRun.Result> run(Experiment experiment, Consumer<ExperimentRun.Result> finished)
+  /**
+   * Runs all trials and returns the results of the valid ones. Passes each result to {@code
+   * onResult} on the calling thread.
+   */
+  List<ExperimentRun.Result> run(Experiment experiment, Consumer<ExperimentRun.Result> onResult)
       throws InterruptedException, IOException {
     List<ExperimentRun.Result> results = new ArrayList<>();
     for (long seed : experiment.seeds()) {
@@ -36,13 +44,13 @@
         for (String policy : experiment.policies()) {
           ExperimentRun trial = new ExperimentRun(point.label(), policy, seed);
           ExperimentRun.Result result = null;
-          for (int i = 0; i <= AGAIN && result == null && !stopped; i++) {
-            Path folder = logs.resolve(policy + "-" + seed + "-" + results.size());
-            result = trial.playOnSockets(point.scenario(), start(policy), folder);
+          for (int rerun = 0; rerun <= MAX_RERUNS && result == null && !stopped; rerun++) {
+            Path trialFolder = logFolder.resolve(policy + "-" + seed + "-" + results.size());
+            result = trial.runOnSockets(point.scenario(), nodeCommand(policy), trialFolder);
           }
           if (result != null) {
             results.add(result);
-            finished.accept(result);
+            onResult.accept(result);
           }
         }
       }
@@ -50,11 +58,11 @@
     return results;
   }
 
-  private List<String> start(String policy) {
+  private List<String> nodeCommand(String policy) {
     if (!command.isEmpty()) {
       return command;
     }
-    List<String> line =
+    List<String> arguments =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -64,10 +72,10 @@
                 "-cp",
                 System.getProperty("java.class.path"),
                 "ferngrade.Main"));
-    line.addAll(
+    arguments.addAll(
         policy.equals("module")
             ? List.of("serve")
             : List.of("experiment", "node", "--policy", policy));
-    return line;
+    return arguments;
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -17,30 +17,36 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The figures of one run. Goodput is the worth answered within each class's aim over the worth
- * asked for in first tries; a retry's answer counts for its first try, and a latency counts from
- * the time at which the first try was due.
+ * Computes the figures of one run from the events of the emulator. Goodput is the worth served
+ * within the latency objective of each class, divided by the worth requested in first tries. The
+ * answer to a retry counts for its first try, and latency is measured from the time at which the
+ * first try was due. A late answer counts for {@link ClassSpec#lateWorth} of its worth. Times are
+ * in milliseconds.
  */
 public final class Statistics implements Observer {
-  /** The least width of a window of the series, ms, and the most windows that a run is cut into. */
-  private static final double LEAST_WINDOW = 1000;
+  /** The minimum width of a window of the time series; shorter runs have windows of this width. */
+  private static final double MIN_WINDOW_MILLIS = 1000;
 
-  private static final int MOST_WINDOWS = 600;
+  /** The maximum number of windows; the windows of longer runs are wider. */
+  private static final int MAX_WINDOWS = 600;
 
-  /** Latencies are kept in microseconds, to three digits, up to two minutes. */
-  private static final long MOST_LATENCY = 120_000_000L;
+  /**
+   * Latencies are recorded in microseconds with three significant digits; latencies above two
+   * minutes are recorded as two minutes.
+   */
+  private static final long MAX_LATENCY_MICROS = 120_000_000L;
 
   private final Scenario scenario;
   private double start;
   private final double window;
-  private final Histogram latency = new Histogram(MOST_LATENCY, 3);
+  private final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
   private final List<Window> windows = new ArrayList<>();
-  private final double[] classAsked;
-  private final double[] classServed;
-  private final double[] tenantAsked;
-  private final double[] tenantServed;
+  private final double[] requestedByClass;
+  private final double[] servedByClass;
+  private final double[] requestedByTenant;
+  private final double[] servedByTenant;
   private final Map<Answer, Long> answers = new EnumMap<>(Answer.class);
-  private long first;
+  private long firstTries;
   private long tries;
   private long inTime;
   private long attempts;
@@ -50,30 +56,31 @@
   private double sentWork;
 
   private static final class Window {
-    double asked;
+    double requested;
     double served;
     long refused;
     long retries;
     long tries;
-    double depth;
-    long depths;
+    double depthSum;
+    long depthSamples;
     final Map<Integer, Double> slices = new LinkedHashMap<>();
-    final Histogram latency = new Histogram(MOST_LATENCY, 2);
+    final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 2);
   }
 
   /**
-   * Figures of a run of this scenario that begins at {@code start}, with its first arrival if that
-   * is NaN.
+   * Creates the statistics of a run of this scenario that starts at {@code start} ms. If {@code
+   * start} is NaN, the run starts at the first arrival.
    */
   public Statistics(Scenario scenario, double start) {
     this.scenario = scenario;
     this.start = start;
     this.window =
-        LEAST_WINDOW * Math.max(1, Math.ceil(scenario.duration / LEAST_WINDOW / MOST_WINDOWS));
-    this.classAsked = new double[scenario.workload.classes.size()];
-    this.classServed = new double[classAsked.length];
-    this.tenantAsked = new double[Math.max(1, scenario.workload.tenants.size())];
-    this.tenantServed = new double[tenantAsked.length];
+        MIN_WINDOW_MILLIS
+            * Math.max(1, Math.ceil(scenario.duration / MIN_WINDOW_MILLIS / MAX_WINDOWS));
+    this.requestedByClass = new double[scenario.workload.classes.size()];
+    this.servedByClass = new double[requestedByClass.length];
+    this.requestedByTenant = new double[Math.max(1, scenario.workload.tenants.size())];
+    this.servedByTenant = new double[requestedByTenant.length];
   }
 
   private Window window(double at) {
@@ -98,10 +105,10 @@
       window(now).retries++;
       return;
     }
-    first++;
-    window(now).asked += request.worth;
-    classAsked[request.jobClass] += request.worth;
-    tenantAsked[request.tenant] += request.worth;
+    firstTries++;
+    window(now).requested += request.worth;
+    requestedByClass[request.jobClass] += request.worth;
+    requestedByTenant[request.tenant] += request.worth;
   }
 
   @Override
@@ -113,19 +120,22 @@
     if (answer != Answer.SERVED) {
       return;
     }
-    double took = now - request.first.due;
-    long micros = Math.min(MOST_LATENCY, Math.max(1, Math.round(took * 1000)));
-    latency.recordValue(micros);
+    double latencyMillis = now - request.first.due;
+    long latencyMicros =
+        Math.min(MAX_LATENCY_MICROS, Math.max(1, Math.round(latencyMillis * 1000)));
+    latency.recordValue(latencyMicros);
     Window due = window(request.first.due);
-    due.latency.recordValue(micros);
-    ClassSpec spec = scenario.workload.classes.get(request.jobClass);
-    boolean timely = took <= Math.min(spec.aim + spec.stretch * request.work, spec.deadline);
-    double value = request.worth * (timely ? 1 : spec.lateWorth);
-    inTime += timely ? 1 : 0;
+    due.latency.recordValue(latencyMicros);
+    ClassSpec jobClass = scenario.workload.classes.get(request.jobClass);
+    boolean onTime =
+        latencyMillis
+            <= Math.min(jobClass.aim + jobClass.stretch * request.work, jobClass.deadline);
+    double servedWorth = request.worth * (onTime ? 1 : jobClass.lateWorth);
+    inTime += onTime ? 1 : 0;
     usefulWork += request.work;
-    due.served += value;
-    classServed[request.jobClass] += value;
-    tenantServed[request.tenant] += value;
+    due.served += servedWorth;
+    servedByClass[request.jobClass] += servedWorth;
+    servedByTenant[request.tenant] += servedWorth;
   }
 
   @Override
@@ -160,34 +170,34 @@
   @Override
   public void depth(double now, EmulatedWorker worker, int running, int waiting) {
     Window window = window(now);
-    window.depth += waiting;
-    window.depths++;
+    window.depthSum += waiting;
+    window.depthSamples++;
   }
 
-  // ---- What came of it ----
+  // ---- Results ----
 
-  /** The width of a window of the series, ms. */
+  /** Returns the width of a window of the time series in ms. */
   public double window() {
     return window;
   }
 
-  /** The share of the worth asked for that was answered in time. */
+  /** Returns the share of the requested worth that was served in time, 1 if none was requested. */
   public double goodput() {
-    double asked = Arrays.stream(classAsked).sum();
-    return asked == 0 ? 1 : Arrays.stream(classServed).sum() / asked;
+    double requested = Arrays.stream(requestedByClass).sum();
+    return requested == 0 ? 1 : Arrays.stream(servedByClass).sum() / requested;
   }
 
-  /** All figures by name; latencies are milliseconds. */
+  /** Returns all figures by name; latencies are in milliseconds. */
   public Map<String, Double> figures() {
     Map<String, Double> figures = new LinkedHashMap<>();
     figures.put("goodput", goodput());
-    figures.put("worst class", least(classAsked, classServed));
-    figures.put("worst tenant", least(tenantAsked, tenantServed));
+    figures.put("worst class", minShare(requestedByClass, servedByClass));
+    figures.put("worst tenant", minShare(requestedByTenant, servedByTenant));
     figures.put("p50 ms", latency.getValueAtPercentile(50) / 1000.0);
     figures.put("p90 ms", latency.getValueAtPercentile(90) / 1000.0);
     figures.put("p99 ms", latency.getValueAtPercentile(99) / 1000.0);
-    figures.put("first tries", (double) first);
-    figures.put("retries", (double) (tries - first));
+    figures.put("first tries", (double) firstTries);
+    figures.put("retries", (double) (tries - firstTries));
     figures.put("in time", (double) inTime);
     for (Answer answer : Answer.values()) {
       figures.put(Section.kebab(answer.name()), (double) answers.getOrDefault(answer, 0L));
@@ -199,55 +209,65 @@
     return figures;
   }
 
-  /** Goodput by class. */
+  /** Returns the goodput of each class by name. */
   public Map<String, Double> byClass() {
     Map<String, Double> shares = new LinkedHashMap<>();
-    for (int i = 0; i < classAsked.length; i++) {
-      shares.put(scenario.workload.classes.get(i).name, share(classServed[i], classAsked[i]));
+    for (int i = 0; i < requestedByClass.length; i++) {
+      shares.put(
+          scenario.workload.classes.get(i).name, share(servedByClass[i], requestedByClass[i]));
     }
     return shares;
   }
 
-  /** Goodput by tenant. */
+  /** Returns the goodput of each tenant by name. */
   public Map<String, Double> byTenant() {
     Map<String, Double> shares = new LinkedHashMap<>();
     for (int i = 0; i < scenario.workload.tenants.size(); i++) {
-      shares.put(scenario.workload.tenants.get(i).name, share(tenantServed[i], tenantAsked[i]));
+      shares.put(
+          scenario.workload.tenants.get(i).name, share(servedByTenant[i], requestedByTenant[i]));
     }
     return shares;
   }
 
-  /** The series over time, one value for each window; NaN where a window has none. */
+  /**
+   * Returns the time series by name, with one value per window; NaN where a window has no value.
+   */
   public Map<String, double[]> series() {
     Map<String, double[]> series = new LinkedHashMap<>();
-    put(series, "goodput", each -> each.asked == 0 ? Double.NaN : each.served / each.asked);
-    put(series, "p50 ms", each -> percentile(each, 50));
-    put(series, "p90 ms", each -> percentile(each, 90));
-    put(series, "p99 ms", each -> percentile(each, 99));
-    put(series, "refused", each -> each.refused);
-    put(series, "retries", each -> each.retries);
-    put(series, "tries", each -> each.tries);
-    put(series, "queue depth", each -> each.depths == 0 ? Double.NaN : each.depth / each.depths);
+    put(
+        series,
+        "goodput",
+        window -> window.requested == 0 ? Double.NaN : window.served / window.requested);
+    put(series, "p50 ms", window -> percentile(window, 50));
+    put(series, "p90 ms", window -> percentile(window, 90));
+    put(series, "p99 ms", window -> percentile(window, 99));
+    put(series, "refused", window -> window.refused);
+    put(series, "retries", window -> window.retries);
+    put(series, "tries", window -> window.tries);
+    put(
+        series,
+        "queue depth",
+        window -> window.depthSamples == 0 ? Double.NaN : window.depthSum / window.depthSamples);
     put(
         series,
         "budget",
-        each ->
-            each.slices.isEmpty()
+        window ->
+            window.slices.isEmpty()
                 ? Double.NaN
-                : each.slices.values().stream().mapToDouble(slice -> slice).sum());
-    int most = Math.min(8, scenario.nodes);
-    for (int i = 0; i < most; i++) {
+                : window.slices.values().stream().mapToDouble(slice -> slice).sum());
+    int nodesShown = Math.min(8, scenario.nodes);
+    for (int i = 0; i < nodesShown; i++) {
       int node = i;
-      put(series, "slice " + node, each -> each.slices.getOrDefault(node, Double.NaN));
+      put(series, "slice " + node, window -> window.slices.getOrDefault(node, Double.NaN));
     }
     return series;
   }
 
-  private interface Figure {
+  private interface WindowFigure {
     double of(Window window);
   }
 
-  private void put(Map<String, double[]> series, String name, Figure figure) {
+  private void put(Map<String, double[]> series, String name, WindowFigure figure) {
     series.put(name, windows.stream().mapToDouble(figure::of).toArray());
   }
 
@@ -257,15 +277,15 @@
         : window.latency.getValueAtPercentile(percentile) / 1000.0;
   }
 
-  private static double least(double[] asked, double[] served) {
-    double least = 1;
-    for (int i = 0; i < asked.length; i++) {
-      least = Math.min(least, share(served[i], asked[i]));
+  private static double minShare(double[] requested, double[] served) {
+    double min = 1;
+    for (int i = 0; i < requested.length; i++) {
+      min = Math.min(min, share(served[i], requested[i]));
     }
-    return least;
+    return min;
   }
 
-  private static double share(double served, double asked) {
-    return asked == 0 ? 1 : served / asked;
+  private static double share(double served, double requested) {
+    return requested == 0 ? 1 : served / requested;
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
@@ -28,15 +28,16 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures a store of durable jobs on a disk, against the raw rate of that disk's syncs in the same
- * run.
+ * Measures the throughput and restart time of a store of durable jobs on a disk, and the raw rate
+ * of the disk's syncs in the same run for comparison.
  */
 @Command(
     name = "store",
-    description = "Measures durable jobs a second on a disk against its raw rate of syncs.",
+    description =
+        "Measures durable jobs per second on a disk and compares them with its raw sync rate.",
     mixinStandardHelpOptions = true)
 final class StoreCommand implements Callable<Integer> {
-  private static final int PAYLOAD = 200;
+  private static final int PAYLOAD_BYTES = 200;
   private static final JobTableSettings SETTINGS =
       new JobTableSettings(10_000, 10_000, 1e9, 3, 100, 1000);
 
@@ -44,7 +45,7 @@
       names = "--dir",
       required = true,
       paramLabel = "DIR",
-      description = "A folder on the disk; emptied first.")
+      description = "A folder on the disk; its files are deleted first.")
   private Path folder;
 
   @Option(names = "--clients", split = ",", defaultValue = "1,10,100,1000", paramLabel = "N")
@@ -57,25 +58,25 @@
       names = "--open",
       defaultValue = "1000000",
       paramLabel = "N",
-      description = "Open jobs at the restart.")
-  private int open;
+      description = "The number of open jobs at a restart.")
+  private int openJobs;
 
   @Override
   public Integer call() throws Exception {
     System.out.println("clients,syncs a second (raw),jobs a second,jobs a sync,p50 ms,p99 ms");
     for (int count : clients) {
-      clear();
-      double raw = rawSyncs();
-      clear();
-      load(count, raw);
+      clearFolder();
+      double rawSyncsPerSecond = measureRawSyncs();
+      clearFolder();
+      measureThroughput(count, rawSyncsPerSecond);
     }
-    clear();
-    restart();
-    clear();
+    clearFolder();
+    measureRestarts();
+    clearFolder();
     return 0;
   }
 
-  private void clear() throws IOException {
+  private void clearFolder() throws IOException {
     if (Files.isDirectory(folder)) {
       try (Stream<Path> files = Files.list(folder)) {
         for (Path file : files.toList()) {
@@ -86,30 +87,31 @@
     Files.createDirectories(folder);
   }
 
-  /** Appends of one job's size, each synced. */
-  private double rawSyncs() throws IOException {
+  /** Returns the number of synced appends of one job's size per second. */
+  private double measureRawSyncs() throws IOException {
     try (FileChannel file =
         FileChannel.open(
             folder.resolve("raw"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
       long syncs = 0;
-      long began = System.nanoTime();
-      while (System.nanoTime() - began < seconds * 1e9 / 2) {
-        file.write(ByteBuffer.allocate(PAYLOAD + 60));
+      long startNanos = System.nanoTime();
+      while (System.nanoTime() - startNanos < seconds * 1e9 / 2) {
+        file.write(ByteBuffer.allocate(PAYLOAD_BYTES + 60));
         file.force(false);
         syncs++;
       }
-      return syncs / ((System.nanoTime() - began) / 1e9);
+      return syncs / ((System.nanoTime() - startNanos) / 1e9);
     }
   }
 
   /**
-   * So many clients, each with one job on its way: the next is handed in when the last is stored.
+   * Measures the throughput with this number of clients. Each client has one job in flight and
+   * submits the next when the previous one is stored.
    */
-  private void load(int count, double raw) throws Exception {
+  private void measureThroughput(int count, double rawSyncsPerSecond) throws Exception {
     ScheduledExecutorService owner = Executors.newSingleThreadScheduledExecutor();
     Histogram latency = new Histogram(60_000_000L, 3);
     long[] jobs = {0};
-    boolean[] over = {false};
+    boolean[] finished = {false};
     try (FileSystemStorage disk = FileSystemStorage.openExclusive(folder);
         JobStore store =
             JobStore.open(
@@ -118,32 +120,33 @@
                 0,
                 new JobStore.Owner(
                     owner,
-                    (delayMillis, run) ->
-                        owner.schedule(run, (long) (delayMillis * 1000), TimeUnit.MICROSECONDS)))) {
-      Callable<Void> begin =
+                    (delayMillis, task) ->
+                        owner.schedule(
+                            task, (long) (delayMillis * 1000), TimeUnit.MICROSECONDS)))) {
+      Callable<Void> startClients =
           () -> {
             for (int i = 0; i < count; i++) {
-              hand(store, latency, jobs, over);
+              submit(store, latency, jobs, finished);
             }
             return null;
           };
-      long began = System.nanoTime();
-      owner.submit(begin).get();
+      long startNanos = System.nanoTime();
+      owner.submit(startClients).get();
       TimeUnit.MILLISECONDS.sleep((long) (seconds * 1000));
-      Future<long[]> done =
+      Future<long[]> stopped =
           owner.submit(
               () -> {
-                over[0] = true;
-                return new long[] {jobs[0], store.syncs(), System.nanoTime() - began};
+                finished[0] = true;
+                return new long[] {jobs[0], store.syncs(), System.nanoTime() - startNanos};
               });
-      long[] figures = done.get();
-      double took = figures[2] / 1e9;
+      long[] counts = stopped.get();
+      double elapsedSeconds = counts[2] / 1e9;
       System.out.printf(
           "%d,%.0f,%.0f,%.1f,%.2f,%.2f%n",
           count,
-          raw,
-          figures[0] / took,
-          (double) figures[0] / Math.max(1, figures[1]),
+          rawSyncsPerSecond,
+          counts[0] / elapsedSeconds,
+          (double) counts[0] / Math.max(1, counts[1]),
           latency.getValueAtPercentile(50) / 1000.0,
           latency.getValueAtPercentile(99) / 1000.0);
     } finally {
@@ -151,32 +154,34 @@
     }
   }
 
-  private void hand(JobStore store, Histogram latency, long[] jobs, boolean[] over) {
-    long began = System.nanoTime();
-    String id = "j" + jobs[0] + "-" + began;
+  private void submit(JobStore store, Histogram latency, long[] jobs, boolean[] finished) {
+    long startNanos = System.nanoTime();
+    String id = "j" + jobs[0] + "-" + startNanos;
     store.commit(
         store
             .table()
-            .accept(new JobSubmission(id, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD]), 0),
+            .accept(new JobSubmission(id, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD_BYTES]), 0),
         () -> {
           jobs[0]++;
-          latency.recordValue(Math.min(60_000_000L, (System.nanoTime() - began) / 1000));
-          if (!over[0]) {
-            hand(store, latency, jobs, over);
+          latency.recordValue(Math.min(60_000_000L, (System.nanoTime() - startNanos) / 1000));
+          if (!finished[0]) {
+            submit(store, latency, jobs, finished);
           }
         });
   }
 
-  private void restart() throws IOException {
+  private void measureRestarts() throws IOException {
     JobTable table = new JobTable(SETTINGS);
     try (FileSystemStorage disk = FileSystemStorage.openExclusive(folder);
         WriteAheadLog log = WriteAheadLog.open(disk, 64 << 20, table::replay)) {
       List<LogRecord> batch = new ArrayList<>();
-      for (int i = 0; i < open; i++) {
+      for (int i = 0; i < openJobs; i++) {
         batch.addAll(
             table
                 .accept(
-                    new JobSubmission("job-" + i, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD]), 0)
+                    new JobSubmission(
+                        "job-" + i, Idempotency.UNSAFE, "", 0, new byte[PAYLOAD_BYTES]),
+                    0)
                 .records());
         if (i % 10 == 0) {
           batch.addAll(table.lease("job-" + i, "w", 0, 0).records());
@@ -188,35 +193,39 @@
       }
       log.commit(batch);
     }
-    long bytes = size();
-    restarted("from the logs", bytes);
+    long bytes = storedBytes();
+    measureRestart("from the logs", bytes);
     try (FileSystemStorage disk = FileSystemStorage.openExclusive(folder);
         WriteAheadLog log = WriteAheadLog.open(disk, 64 << 20, replayed -> {})) {
-      long began = System.nanoTime();
+      long startNanos = System.nanoTime();
       LogCompactor.compact(disk, log.logNumber());
       System.out.printf(
-          "snapshot of %d open jobs: %.2f s%n", open, (System.nanoTime() - began) / 1e9);
+          "snapshot of %d open jobs: %.2f s%n", openJobs, (System.nanoTime() - startNanos) / 1e9);
     }
-    restarted("from a snapshot", size());
+    measureRestart("from a snapshot", storedBytes());
   }
 
-  private void restarted(String how, long bytes) throws IOException {
+  private void measureRestart(String source, long bytes) throws IOException {
     System.gc();
-    long before = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+    long memoryBefore = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     JobTable recovered = new JobTable(SETTINGS);
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (FileSystemStorage disk = FileSystemStorage.openReadOnly(folder)) {
       WriteAheadLog.inspect(disk, recovered::replay);
     }
-    double took = (System.nanoTime() - began) / 1e9;
+    double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
     System.gc();
-    long after = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+    long memoryAfter = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     System.out.printf(
         "restart with %d open jobs %s: %.2f s, %d bytes a job on disk, %d in memory%n",
-        recovered.jobs().size(), how, took, bytes / open, (after - before) / open);
+        recovered.jobs().size(),
+        source,
+        elapsedSeconds,
+        bytes / openJobs,
+        (memoryAfter - memoryBefore) / openJobs);
   }
 
-  private long size() throws IOException {
+  private long storedBytes() throws IOException {
     long bytes = 0;
     try (Stream<Path> files = Files.list(folder)) {
       for (Path file : files.toList()) {
--- a/experiment/src/test/java/ferngrade/experiment/ArchitectureTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ArchitectureTest.java
@@ -12,14 +12,14 @@
 import java.util.Date;
 import org.junit.jupiter.api.Test;
 
-/** What holds over all modules; this one sees them all. */
+/** Checks architecture rules for all modules; this module depends on all of them. */
 class ArchitectureTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
           .withImportOption(new ImportOption.DoNotIncludeTests())
           .importPackages("ferngrade");
 
-  /** The JDK's ways to the wall clock: calls and method references alike. */
+  /** The JDK methods that read the wall clock, as calls and as method references. */
   private static final DescribedPredicate<JavaAccess<?>> READS_THE_WALL_CLOCK =
       DescribedPredicate.describe(
           "read the wall clock",
--- a/experiment/src/test/java/ferngrade/experiment/BenchTableTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/BenchTableTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The page that is made of a journal. */
+/** Tests the page that summarizes a bench's journal. */
 class BenchTableTest {
   @TempDir private Path folder;
 
-  private void entry(String name, String build, double score, boolean ok) throws IOException {
+  private void writeEntry(String name, String build, double score, boolean ok) throws IOException {
     String text =
         "{'cmd':'real-score','ok':"
             + ok
@@ -31,12 +31,11 @@
   }
 
   @Test
-  void theLastPlayTheOneOfTheBuildBeforeAndTheSpreadOfLikePlaysAreThere()
-      throws IOException, FileException {
-    entry("1", "aaaa1", 0.5, true);
-    entry("2", "bbbb1", 0.8, true);
-    entry("3", "bbbb1", 0.7, true);
-    entry("4", "bbbb1", 0.1, false);
+  void pageShowsLastPlayPreviousBuildAndSpreadOfEqualPlays() throws IOException, FileException {
+    writeEntry("1", "aaaa1", 0.5, true);
+    writeEntry("2", "bbbb1", 0.8, true);
+    writeEntry("3", "bbbb1", 0.7, true);
+    writeEntry("4", "bbbb1", 0.1, false);
     String page = new BenchTable(folder).markdown();
     assertTrue(page.contains("| s | calm:quick | 0.700 | passed | bbbb-abcd | 3 | 3 |"), page);
     assertTrue(
@@ -45,9 +44,9 @@
   }
 
   @Test
-  void whatIsNoEntryIsNamed() throws IOException {
+  void malformedEntryIsNamedInTheError() throws IOException {
     Files.writeString(folder.resolve("9.json"), "{");
-    FileException bad = assertThrows(FileException.class, () -> new BenchTable(folder));
-    assertTrue(bad.getMessage().contains("9.json"), bad.getMessage());
+    FileException exception = assertThrows(FileException.class, () -> new BenchTable(folder));
+    assertTrue(exception.getMessage().contains("9.json"), exception.getMessage());
   }
 }
--- a/experiment/src/test/java/ferngrade/experiment/ExperimentReaderTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ExperimentReaderTest.java
@@ -40,30 +40,31 @@
             + " slow-worker, hung-worker, worker-lost, worker-crash, zone-lost, node-kill,"
             + " herd-kill, node-pause, discovery-out, discovery-lies",
         "[[fault]];at = '1s' | x.toml:1: fault[0].kind is missing",
-        "policies = ['module', 'best'] | x.toml:1: policies holds an unknown one: \"best\"; there"
-            + " are module, random, round-robin, least-loaded, two-choices, all-seeing",
+        "policies = ['module', 'best'] | x.toml:1: policies contains an unknown policy: \"best\";"
+            + " known policies are module, random, round-robin, least-loaded, two-choices,"
+            + " all-seeing",
         "seeds = 0 | x.toml:1: seeds must be a list, or a whole number from 1 to 10000",
-        "[workload];rate = '5/s';load = 0.5 | x.toml:2: workload.rate and load are both given; one"
-            + " of them sets the arrivals",
-        "[sweep];'fleet.kind.5.speed' = [1] | x.toml:2: sweep.fleet.kind.5.speed leads nowhere at"
-            + " 5",
+        "[workload];rate = '5/s';load = 0.5 | x.toml:2: workload.rate and load are both set; only"
+            + " one of them may define the arrivals",
+        "[sweep];'fleet.kind.5.speed' = [1] | x.toml:2: sweep.fleet.kind.5.speed cannot be resolved"
+            + " at 5",
         "[[workload.class]];name = 'a';effect = 'maybe' | x.toml:3: workload.class[0].effect is"
             + " unknown: \"maybe\"; there are safe, keyed, unsafe"
       })
-  void aMistakeIsOneLineWithItsPlace(String text, String message) {
-    String said = assertThrows(FileException.class, () -> read(text)).getMessage();
-    assertEquals(message, said);
+  void reportsErrorInOneLineWithFileLineAndKey(String text, String expected) {
+    String actual = assertThrows(FileException.class, () -> read(text)).getMessage();
+    assertEquals(expected, actual);
   }
 
   @Test
-  void whatIsNoTomlNamesItsLine() {
-    String said = assertThrows(FileException.class, () -> read("a = 1;b = ;")).getMessage();
-    assertEquals("x.toml:2: is not TOML:", said.substring(0, 22));
-    assertEquals(1, said.lines().count());
+  void reportsLineOfMalformedToml() {
+    String actual = assertThrows(FileException.class, () -> read("a = 1;b = ;")).getMessage();
+    assertEquals("x.toml:2: is not TOML:", actual.substring(0, 22));
+    assertEquals(1, actual.lines().count());
   }
 
   @Test
-  void unitsFaultsAndWhatIsLeftOut() throws FileException {
+  void readsUnitsAndFaultsAndAppliesDefaults() throws FileException {
     Experiment experiment =
         read(
             "duration = '1.5min';seeds = [4, 9];[workload];rate = '120/min';period = '500ms';"
@@ -80,25 +81,25 @@
   }
 
   @Test
-  void aSweepMakesEveryCombination() throws FileException {
+  void sweepYieldsEveryCombination() throws FileException {
     Experiment experiment =
         read(
             "[[fault]];kind = 'burst';[sweep];'workload.load' = [0.5, 0.9];"
                 + "'fault.0.size' = [2, 3, 4]");
     assertEquals(6, experiment.points().size());
-    Experiment.Point last = experiment.points().get(5);
-    assertEquals(Map.of("workload.load", "0.9", "fault.0.size", "4"), last.parameters());
-    assertEquals(0.9, last.scenario().workload.load);
-    assertEquals(4, last.scenario().faults.get(0).size());
+    Experiment.Point lastPoint = experiment.points().get(5);
+    assertEquals(Map.of("workload.load", "0.9", "fault.0.size", "4"), lastPoint.parameters());
+    assertEquals(0.9, lastPoint.scenario().workload.load);
+    assertEquals(4, lastPoint.scenario().faults.get(0).size());
     assertEquals(6, experiment.trials());
-    Experiment together = read("[sweep];'fleet.nodes, fleet.workers' = [[2, 10], [8, 40]]");
-    assertEquals("fleet.nodes, fleet.workers=8 40", together.points().get(1).label());
-    assertEquals(40, together.points().get(1).scenario().workers);
-    assertEquals(2, together.points().size());
+    Experiment sweptTogether = read("[sweep];'fleet.nodes, fleet.workers' = [[2, 10], [8, 40]]");
+    assertEquals("fleet.nodes, fleet.workers=8 40", sweptTogether.points().get(1).label());
+    assertEquals(40, sweptTogether.points().get(1).scenario().workers);
+    assertEquals(2, sweptTogether.points().size());
   }
 
   @Test
-  void aTraceIsPlayedAsItStandsAndAMistakeInItNamesItsLine() throws Exception {
+  void readsTraceAndReportsLineOfInvalidArrival() throws Exception {
     Files.writeString(
         folder.resolve("t.csv"),
         "# ms,class,tenant,work\n5,plan,tenant-1,300\n7.5,order,tenant-0,900\n");
@@ -106,8 +107,8 @@
     assertEquals(2, scenario.workload.trace.size());
     assertEquals(7.5, scenario.workload.trace.get(1).at());
     Files.writeString(folder.resolve("t.csv"), "5,plan,tenant-1,300\n4,plan,tenant-1,300\n");
-    String said =
+    String actual =
         assertThrows(FileException.class, () -> read("[workload];trace = 't.csv'")).getMessage();
-    assertEquals("t.csv:2: needs a time", said.substring(0, 21));
+    assertEquals("t.csv:2: needs a time", actual.substring(0, 21));
   }
 }
--- a/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
@@ -37,14 +37,16 @@
 
   @TempDir private Path folder;
 
-  private Path file(String text) throws Exception {
+  private Path writeExperiment(String text) throws Exception {
     return Files.writeString(folder.resolve("e.toml"), text);
   }
 
   @Test
-  void aRunLeavesResultsTablesChartsAndAPageThatNeedsNoOtherFile() throws Exception {
+  void runWritesResultsTablesChartsAndSelfContainedReport() throws Exception {
     Path out = folder.resolve("out");
-    assertEquals(0, Cli.run("experiment", "run", file(SMALL).toString(), "--out", out.toString()));
+    assertEquals(
+        0,
+        Cli.run("experiment", "run", writeExperiment(SMALL).toString(), "--out", out.toString()));
     Results results = Results.read(out);
     assertTrue(results.complete());
     assertEquals(4, results.trials().size());
@@ -54,7 +56,8 @@
     assertEquals(5, Files.readAllLines(out.resolve("trials.csv")).size());
     byte[] png = Files.readAllBytes(out.resolve("goodput-over-time.png"));
     assertEquals("PNG", new String(png, 1, 3, StandardCharsets.US_ASCII));
-    // Read and written again, nothing changes; compared with itself, nothing differs.
+    // The report command rewrites an identical file, and comparing a result with itself shows no
+    // difference.
     String before = Files.readString(out.resolve("results.json"));
     assertEquals(0, Cli.run("experiment", "report", out.toString()));
     assertEquals(before, Files.readString(out.resolve("results.json")));
@@ -68,26 +71,26 @@
   }
 
   @Test
-  void theNumberOfThreadsChangesNothing() throws Exception {
-    Experiment experiment = ExperimentReader.read(file(SMALL));
-    List<String> one = traces(experiment, 1);
-    assertEquals(one, traces(experiment, 4));
-    assertEquals(4, one.stream().distinct().count());
+  void resultsDoNotDependOnTheNumberOfThreads() throws Exception {
+    Experiment experiment = ExperimentReader.read(writeExperiment(SMALL));
+    List<String> singleThreaded = traces(experiment, 1);
+    assertEquals(singleThreaded, traces(experiment, 4));
+    assertEquals(4, singleThreaded.stream().distinct().count());
   }
 
   private static List<String> traces(Experiment experiment, int threads)
       throws InterruptedException {
-    List<ExperimentRun.Result> trials = new ExperimentRunner(threads).run(experiment, each -> {});
+    List<ExperimentRun.Result> trials = new ExperimentRunner(threads).run(experiment, result -> {});
     return Results.of(experiment, trials).trials().stream()
         .map(ExperimentRun.Result::trace)
         .toList();
   }
 
   @Test
-  void whatHadEndedBeforeAnInterruptIsKept() throws Exception {
-    Experiment experiment = ExperimentReader.read(file(SMALL));
-    ExperimentRunner laboratory = new ExperimentRunner(1);
-    List<ExperimentRun.Result> trials = laboratory.run(experiment, each -> laboratory.stop());
+  void interruptedRunWritesFinishedTrials() throws Exception {
+    Experiment experiment = ExperimentReader.read(writeExperiment(SMALL));
+    ExperimentRunner runner = new ExperimentRunner(1);
+    List<ExperimentRun.Result> trials = runner.run(experiment, result -> runner.stop());
     assertTrue(
         !trials.isEmpty() && trials.size() < experiment.trials(), "trials: " + trials.size());
     Results results = Results.of(experiment, trials);
@@ -98,42 +101,47 @@
   }
 
   @Test
-  void aFileThatCannotBeUsedEndsWithCode2AndWritesNothing() throws Exception {
+  void invalidExperimentExitsWithCode2AndWritesNoResults() throws Exception {
     Path out = folder.resolve("none");
     assertEquals(
         2,
-        Cli.run("experiment", "run", file("duration = 5\n").toString(), "--out", out.toString()));
+        Cli.run(
+            "experiment",
+            "run",
+            writeExperiment("duration = 5\n").toString(),
+            "--out",
+            out.toString()));
     assertEquals(2, Cli.run("experiment", "compare", out.toString(), out.toString()));
     assertFalse(Files.exists(out));
   }
 
   @Test
-  void aSearchFindsTheBrokenRuleAndMakesItSmall() throws Exception {
+  void searchFindsViolationAndMinimizesIt() throws Exception {
     Experiment experiment =
         ExperimentReader.read(
-            file(
+            writeExperiment(
                 "mutation = \"double-send\"\n"
                     + SMALL.replace("[\"module\", \"random\"]", "[\"module\"]")));
-    List<String> said = new ArrayList<>();
-    Search.Found found = new Search(experiment, folder, said::add).run(4);
-    assertTrue(found.breaksRule());
+    List<String> progressLines = new ArrayList<>();
+    Search.Found found = new Search(experiment, folder, progressLines::add).run(4);
+    assertTrue(found.violatesInvariant());
     assertTrue(found.result().breaches().get("no-repeat") > 0);
-    // The faults have nothing to do with it; two workers and a moment show it too.
+    // The violation does not depend on the faults: two workers and one second reproduce it.
     assertFalse(found.source().has("fault"), found.source().toString());
     assertEquals("1s", found.source().path("duration").asText());
     assertTrue(found.source().path("fleet").path("workers").asInt() <= 2);
-    Experiment again = ExperimentReader.read("again", folder, found.source());
+    Experiment minimized = ExperimentReader.read("again", folder, found.source());
     ExperimentRun.Result replayed =
-        new ExperimentRun("", again.policies().get(0), again.seeds().get(0))
-            .play(again.points().get(0).scenario(), again.mutation());
+        new ExperimentRun("", minimized.policies().get(0), minimized.seeds().get(0))
+            .runInVirtualTime(minimized.points().get(0).scenario(), minimized.mutation());
     assertEquals(found.result().trace(), replayed.trace());
   }
 
   @Test
-  void anEstimateIsStudentsIntervalAndOneSeedGivesNone() {
+  void estimateHasStudentIntervalExceptForASingleValue() {
     Estimate estimate = Estimate.of(1, 2, 3, 4, Double.NaN);
     assertEquals(2.5, estimate.mean());
-    // t(0.975, 3) = 3.1824, deviation 1.2910, of 4.
+    // t(0.975, 3) = 3.1824, standard deviation 1.2910, 4 values.
     assertEquals(3.1824 * 1.2910 / 2, estimate.halfWidth(), 1e-3);
     assertTrue(estimate.differsFromZero());
     assertFalse(Estimate.of(5).differsFromZero());
--- a/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
@@ -7,24 +7,24 @@
 
 class GraphCommandTest {
   @Test
-  void aSmallTierIsCompleteAndItsSpectrumIsKnown() {
+  void smallTierHasTheSpectrumOfACompleteGraph() {
     GraphCommand.Spectrum five = GraphCommand.spectrum(5);
-    // The complete graph of n nodes has the eigenvalue n, n - 1 times; with a step of 1/n all slack
-    // goes in one cycle.
-    assertEquals(5, five.least(), 1e-9);
-    assertEquals(5, five.most(), 1e-9);
+    // The Laplacian of the complete graph of n nodes has the eigenvalue n with multiplicity n - 1;
+    // with a step size of 1/n all slack is distributed in one cycle.
+    assertEquals(5, five.lambda2(), 1e-9);
+    assertEquals(5, five.lambdaMax(), 1e-9);
     assertEquals(0, five.rate(), 1e-9);
     assertEquals(4.0 / 5 / 5, five.deviation(), 1e-9);
   }
 
   @Test
-  void inALargerTierLinksAreMutualAndSlackIsSlower() {
+  void largerTierHasMutualLinksAndSlowerConvergence() {
     for (int nodes : new int[] {8, 9, 33, 100}) {
       for (int node = 0; node < nodes; node++) {
         for (int peer : GraphCommand.peersOf(node, nodes)) {
           assertTrue(
               GraphCommand.peersOf(peer, nodes).contains(node),
-              node + " and " + peer + " of " + nodes);
+              "node " + peer + " does not send to node " + node + " in a tier of " + nodes);
         }
       }
     }
--- a/experiment/src/test/java/ferngrade/experiment/ResultsGoldenTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ResultsGoldenTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The files of an experiment's results keep the form that an earlier version wrote. */
+/** Guards against changes to the file format of an experiment's results. */
 class ResultsGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("results.txt");
   private static final List<String> FILES =
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void theFilesAreWrittenAsRecorded() throws Exception {
+  void filesMatchTheGoldenFile() throws Exception {
     results().write(folder);
     for (String file : FILES) {
       GOLDEN.verifyLines(file, Files.readString(folder.resolve(file)));
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void theRecordedFileIsReadAndWrittenAgainAsItWas() throws Exception {
+  void resultsAreUnchangedAfterReadingAndWriting() throws Exception {
     results().write(folder);
     Results.read(folder).write(folder);
     GOLDEN.verifyLines("results.json", Files.readString(folder.resolve("results.json")));
--- a/experiment/src/test/java/ferngrade/experiment/ServeStartTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ServeStartTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a node loads before it listens where the laboratory's libraries are on the class path. */
+/**
+ * Guards against a slow start: a node must not load the logging libraries of the experiments before
+ * it listens, even if they are on the class path.
+ */
 @Timeout(60)
 class ServeStartTest {
   private static final Path EXAMPLE = Path.of("../examples/node.json").toAbsolutePath();
@@ -24,7 +27,7 @@
   private Process process;
 
   @AfterEach
-  void end() throws InterruptedException {
+  void stopProcess() throws InterruptedException {
     process.destroy();
     if (!process.waitFor(10, TimeUnit.SECONDS)) {
       process.destroyForcibly();
@@ -32,7 +35,7 @@
   }
 
   @Test
-  void aNodeStartsWithoutTheLaboratorysLogging() throws IOException {
+  void nodeStartsWithoutLoadingLoggingLibraries() throws IOException {
     Path classLog = folder.resolve("classes");
     ProcessBuilder builder =
         new ProcessBuilder(
@@ -61,6 +64,6 @@
     while (line != null && !line.contains("listening at")) {
       line = log.readLine();
     }
-    assertTrue(line != null, "the node ended before it listened");
+    assertTrue(line != null, "the node exited before it listened");
   }
 }
