--- a/examples/ToyKitchen.java
+++ b/examples/ToyKitchen.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** A discovery with one worker, and that worker, for a try-out of a node: each job takes half a second. */
+/** Runs a discovery service and its only worker, to try out a node. Each job takes half a second. */
 public final class ToyKitchen {
     private static final String NODE = "http://127.0.0.1:8080/_jobs/news";
     private static final int WORKER_PORT = 8081;
@@ -36,7 +36,7 @@
         server.start();
     }
 
-    /** The whole list as the first line of a watch, then an empty line every 2 s. */
+    /** Sends the complete worker list as the first line of a watch, then an empty line every 2 s. */
     private static void list(HttpExchange exchange) throws IOException {
         String list = "{\"revision\":1,\"complete\":true,\"members\":[{\"id\":\"s-toy\",\"host_port\":\"127.0.0.1:"
                 + WORKER_PORT + "\",\"locality\":\"here\",\"flavor\":\"toy\",\"cell\":0,\"phase\":\"active\","
@@ -48,20 +48,20 @@
                 out.flush();
                 TimeUnit.SECONDS.sleep(2);
             }
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Takes a job, and tells of its start and its end. */
+    /** Accepts a job and reports its start and its result to the node. */
     private void work(HttpExchange exchange) throws IOException {
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
         String id = exchange.getRequestHeaders().getFirst("Req-Id");
-        boolean job = exchange.getRequestMethod().equals("POST") && id != null;
+        boolean accepted = exchange.getRequestMethod().equals("POST") && id != null;
         System.out.println(exchange.getRequestMethod() + " " + exchange.getRequestURI() + " " + id);
-        exchange.sendResponseHeaders(job ? 202 : 404, -1);
+        exchange.sendResponseHeaders(accepted ? 202 : 404, -1);
         exchange.close();
-        if (job) {
+        if (accepted) {
             tell(id, "\"started\"");
             jobs.schedule(() -> tell(id, "\"done\",\"result\":\"cooked: " + body.replaceAll("[\"\\\\\\s]", " ") + "\""),
                     JOB_MS, TimeUnit.MILLISECONDS);
@@ -69,8 +69,8 @@
     }
 
     private void tell(String id, String state) {
-        HttpRequest news = HttpRequest.newBuilder(URI.create(NODE)).POST(HttpRequest.BodyPublishers.ofString(
+        HttpRequest callback = HttpRequest.newBuilder(URI.create(NODE)).POST(HttpRequest.BodyPublishers.ofString(
                 "{\"id\":\"" + id + "\",\"from\":\"s-toy\",\"state\":" + state + "}")).build();
-        caller.sendAsync(news, HttpResponse.BodyHandlers.discarding());
+        caller.sendAsync(callback, HttpResponse.BodyHandlers.discarding());
     }
 }
