--- a/faulttest/src/main/java/ferngrade/faulttest/EndpointListStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/DiscoveryServiceStub.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Stands for the service that tells the worker list: a watch gets the whole, and a change each so
- * many ms.
+ * A discovery service: a watch receives the complete endpoint list first, and then an update every
+ * {@link #UPDATE_INTERVAL_MILLIS}.
  */
-final class EndpointListStub {
-  private static final long EVERY_MS = 200;
+final class DiscoveryServiceStub {
+  private static final long UPDATE_INTERVAL_MILLIS = 200;
 
   private final ExecutorService threads = Executors.newCachedThreadPool();
   private final AtomicInteger open = new AtomicInteger();
@@ -25,7 +25,7 @@
   private final History history;
   private final HttpServer server;
 
-  EndpointListStub(History history) throws IOException {
+  DiscoveryServiceStub(History history) throws IOException {
     this.history = history;
     this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
     server.setExecutor(threads);
@@ -37,21 +37,21 @@
     return server.getAddress();
   }
 
-  /** The revision now. */
+  /** Returns the current revision of the list. */
   long revision() {
-    return 1 + (System.nanoTime() - origin) / 1_000_000 / EVERY_MS;
+    return 1 + (System.nanoTime() - origin) / 1_000_000 / UPDATE_INTERVAL_MILLIS;
   }
 
-  /** How many watch it now. */
+  /** Returns the number of open watches. */
   int open() {
     return open.get();
   }
 
-  private static String line(long revision, boolean whole) {
+  private static String line(long revision, boolean complete) {
     return "{\"revision\":"
         + revision
         + ",\"complete\":"
-        + whole
+        + complete
         + ",\"members\":[{\"id\":\"s-"
         + revision % 3
         + "\",\"host_port\":\"127.0.0.1:9\",\"phase\":\"active\",\"size\":1.0,\"up_since_ms\":0}]}\n";
@@ -62,19 +62,19 @@
     try (exchange) {
       exchange.sendResponseHeaders(200, 0);
       OutputStream out = exchange.getResponseBody();
-      long told = 0;
+      long sentRevision = 0;
       while (true) {
-        long now = revision();
-        if (now > told) {
-          out.write(line(now, told == 0).getBytes(StandardCharsets.UTF_8));
+        long current = revision();
+        if (current > sentRevision) {
+          out.write(line(current, sentRevision == 0).getBytes(StandardCharsets.UTF_8));
           out.flush();
-          told = now;
+          sentRevision = current;
         }
-        Thread.sleep(EVERY_MS / 4);
+        Thread.sleep(UPDATE_INTERVAL_MILLIS / 4);
       }
-    } catch (IOException gone) {
-      // The other end has closed the watch.
-    } catch (InterruptedException ending) {
+    } catch (IOException disconnected) {
+      // The client has closed the watch.
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     } finally {
       history.add("list", "dropped", Map.of("open", Integer.toString(open.decrementAndGet())));
--- a/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
@@ -16,46 +16,47 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * Starts a member as {@code ferngrade fleet member} does, on clocks and a disk that can be hurt
- * while it runs: a line of standard input is {@code jump MS} (of the wall's clock), {@code rate R}
- * (of both, times the true one), {@code fill}, {@code mend} or {@code slow MS} (each sync).
+ * Starts a member as {@code ferngrade fleet member} does, with faults that can be injected into its
+ * clocks and its disk while it runs. Each line of standard input is a command: {@code jump MS} (of
+ * the wall clock), {@code rate R} (of both clocks, relative to real time), {@code fill}, {@code
+ * mend} or {@code slow MS} (the duration of each sync).
  */
 public final class FaultInjectingMember {
-  private static volatile boolean full;
-  private static volatile long slow;
+  private static volatile boolean diskFull;
+  private static volatile long syncDelayMillis;
 
   private FaultInjectingMember() {}
 
-  /** The arguments of {@code fleet member}. */
+  /** Takes the arguments of {@code fleet member}. */
   @SuppressWarnings("try")
   public static void main(String[] arguments)
       throws InterruptedException, IOException, FileException, ExecutionException {
-    List<String> all = Arrays.asList(arguments);
-    String name = all.get(all.indexOf("--name") + 1);
-    Path data = Path.of(all.get(all.indexOf("--data") + 1));
+    List<String> options = Arrays.asList(arguments);
+    String name = options.get(options.indexOf("--name") + 1);
+    Path data = Path.of(options.get(options.indexOf("--data") + 1));
     Empty empty =
-        all.contains("--found")
+        options.contains("--found")
             ? Empty.FOUND
-            : all.contains("--rejoin") ? Empty.REJOIN : Empty.STOP;
+            : options.contains("--rejoin") ? Empty.REJOIN : Empty.STOP;
     Clocks clocks = new Clocks();
     MemberProcess member =
         new MemberProcess(
-            FleetFile.read(Path.of(all.get(2))),
+            FleetFile.read(Path.of(options.get(2))),
             name,
             new MemberProcess.Start(
                 data,
                 empty,
-                FaultInjectingMember::hurt,
+                FaultInjectingMember::injectFaults,
                 clocks::monotonic,
                 clocks::wall,
                 line -> System.out.printf("%.3f %s %s%n", clocks.monotonic() / 1000, name, line)));
-    Thread orders = new Thread(() -> obey(clocks), "orders");
-    orders.setDaemon(true);
-    orders.start();
+    Thread commands = new Thread(() -> readCommands(clocks), "orders");
+    commands.setDaemon(true);
+    commands.start();
     member.runToEnd();
   }
 
-  private static void obey(Clocks clocks) {
+  private static void readCommands(Clocks clocks) {
     try (BufferedReader lines =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8))) {
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
@@ -63,45 +64,45 @@
         switch (words[0]) {
           case "jump" -> clocks.jump(Long.parseLong(words[1]));
           case "rate" -> clocks.rate(Double.parseDouble(words[1]));
-          case "fill" -> full = true;
-          case "mend" -> full = false;
-          case "slow" -> slow = Long.parseLong(words[1]);
-          default -> System.out.println("no such order: " + line);
+          case "fill" -> diskFull = true;
+          case "mend" -> diskFull = false;
+          case "slow" -> syncDelayMillis = Long.parseLong(words[1]);
+          default -> System.out.println("unknown command: " + line);
         }
       }
-    } catch (IOException ended) {
-      // Nobody gives orders any more.
+    } catch (IOException closed) {
+      // The harness has closed standard input.
     }
   }
 
-  /** Clocks that run at a rate of their own, the wall's jumping besides. */
+  /** Clocks that run at a configurable rate; the wall clock can also jump. */
   private static final class Clocks {
-    private long from = System.nanoTime();
-    private double base;
+    private long rateSetAt = System.nanoTime();
+    private double monotonicAtRateChange;
     private double rate = 1;
-    private double jumped = Clock.system().wall();
+    private double wallOffset = Clock.system().wall();
 
     synchronized double monotonic() {
-      return base + (System.nanoTime() - from) / 1e6 * rate;
+      return monotonicAtRateChange + (System.nanoTime() - rateSetAt) / 1e6 * rate;
     }
 
     synchronized long wall() {
-      return (long) (jumped + monotonic());
+      return (long) (wallOffset + monotonic());
     }
 
     synchronized void jump(long millis) {
-      jumped += millis;
+      wallOffset += millis;
     }
 
-    synchronized void rate(double next) {
-      base = monotonic();
-      from = System.nanoTime();
-      rate = next;
+    synchronized void rate(double newRate) {
+      monotonicAtRateChange = monotonic();
+      rateSetAt = System.nanoTime();
+      rate = newRate;
     }
   }
 
-  /** The disk, which is full or slow when told. */
-  private static Storage hurt(Storage disk) {
+  /** Wraps a disk that can become full or slow. */
+  private static Storage injectFaults(Storage disk) {
     return new Storage() {
       @Override
       public List<String> list() throws IOException {
@@ -115,12 +116,12 @@
 
       @Override
       public Appender create(String file) throws IOException {
-        return hurt(disk.create(file));
+        return injectFaults(disk.create(file));
       }
 
       @Override
-      public void rename(String old, String next) throws IOException {
-        disk.rename(old, next);
+      public void rename(String oldName, String newName) throws IOException {
+        disk.rename(oldName, newName);
       }
 
       @Override
@@ -135,31 +136,31 @@
     };
   }
 
-  private static Storage.Appender hurt(Storage.Appender to) {
+  private static Storage.Appender injectFaults(Storage.Appender delegate) {
     return new Storage.Appender() {
       @Override
       public void append(byte[] bytes, int length) throws IOException {
-        if (full) {
-          // A part of it fits.
-          to.append(bytes, length / 2);
+        if (diskFull) {
+          // A full disk writes a part of the data.
+          delegate.append(bytes, length / 2);
           throw new IOException("No space left on device");
         }
-        to.append(bytes, length);
+        delegate.append(bytes, length);
       }
 
       @Override
       public void sync() throws IOException {
         try {
-          Thread.sleep(slow);
-        } catch (InterruptedException ending) {
+          Thread.sleep(syncDelayMillis);
+        } catch (InterruptedException interrupted) {
           Thread.currentThread().interrupt();
         }
-        to.sync();
+        delegate.sync();
       }
 
       @Override
       public void close() throws IOException {
-        to.close();
+        delegate.close();
       }
     };
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/History.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/History.java
@@ -9,52 +9,52 @@
 import java.util.List;
 import java.util.Map;
 
-/** Who did what when, by the harness's one clock. Any thread may add to it. */
+/** The events of a trial, timed by the harness's single clock. Thread-safe. */
 public final class History {
   private final long origin = System.nanoTime();
   private final List<Event> events = new ArrayList<>();
 
-  /** Something that happened, {@code at} ms from the start of the trial. */
+  /** An event, {@code at} ms after the start of the trial. */
   public record Event(double at, String who, String what, Map<String, String> details) {
-    /** A detail, empty if there is none of this name. */
+    /** Returns a detail, empty if there is none of this name. */
     public String detail(String name) {
       return details.getOrDefault(name, "");
     }
   }
 
-  /** The time now, ms. */
+  /** Returns the time since the start of the trial, in ms. */
   public double now() {
     return (System.nanoTime() - origin) / 1e6;
   }
 
-  /** Adds what happens now. */
+  /** Adds an event at the current time. */
   public synchronized void add(String who, String what, Map<String, String> details) {
     events.add(new Event(now(), who, what, details));
     notifyAll();
   }
 
-  /** All so far, in their order. */
+  /** Returns all events so far, in order. */
   public synchronized List<Event> events() {
     return List.copyOf(events);
   }
 
-  /** Waits until something is added, for so many ms at the most. */
+  /** Waits until an event is added, for at most {@code millis} ms. */
   synchronized void await(double millis) throws InterruptedException {
-    int known = events.size();
-    long left = Math.max(1, (long) millis);
-    double end = now() + left;
-    while (events.size() == known && left > 0) {
-      wait(left);
-      left = (long) Math.ceil(end - now());
+    int countBefore = events.size();
+    long remaining = Math.max(1, (long) millis);
+    double end = now() + remaining;
+    while (events.size() == countBefore && remaining > 0) {
+      wait(remaining);
+      remaining = (long) Math.ceil(end - now());
     }
   }
 
-  /** Writes one JSON object a line. */
+  /** Writes one JSON object per line. */
   public void write(Path file) throws IOException {
     ObjectMapper mapper = new ObjectMapper();
     try (BufferedWriter out = Files.newBufferedWriter(file)) {
-      for (Event each : events()) {
-        out.write(mapper.writeValueAsString(each));
+      for (Event event : events()) {
+        out.write(mapper.writeValueAsString(event));
         out.write('\n');
       }
     }
--- a/faulttest/src/main/java/ferngrade/faulttest/HistoryChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/HistoryChecker.java
@@ -8,91 +8,101 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads a trial's history for what must never be. */
+/** Checks a trial's history against the safety invariants. */
 public final class HistoryChecker {
   private HistoryChecker() {}
 
-  static List<Violation> judge(List<Event> events) {
-    List<Violation> breaches = new ArrayList<>();
-    Map<String, Long> highest = new HashMap<>();
-    Set<String> landed = new HashSet<>();
+  static List<Violation> checkSafety(List<Event> events) {
+    List<Violation> violations = new ArrayList<>();
+    Map<String, Long> highestEpochs = new HashMap<>();
+    Set<String> executed = new HashSet<>();
     Map<String, String> owners = new HashMap<>();
-    for (Event each : events) {
-      if (each.what().equals("landed")) {
-        String shard = each.detail("shard");
-        long epoch = Long.parseLong(each.detail("epoch"));
-        long before = highest.merge(shard, epoch, Math::max);
-        if (epoch < before) {
-          breaches.add(
+    for (Event event : events) {
+      if (event.what().equals("landed")) {
+        String shard = event.detail("shard");
+        long epoch = Long.parseLong(event.detail("epoch"));
+        long previous = highestEpochs.merge(shard, epoch, Math::max);
+        if (epoch < previous) {
+          violations.add(
               new Violation(
-                  each.at(), "fenced", shard + " under " + epoch + " landed after " + before));
+                  event.at(),
+                  "fenced",
+                  shard + " under epoch " + epoch + " was executed after epoch " + previous));
         }
-        if (!landed.add(shard + "@" + each.detail("due"))) {
-          breaches.add(
-              new Violation(each.at(), "once", shard + " landed twice for " + each.detail("due")));
+        if (!executed.add(shard + "@" + event.detail("due"))) {
+          violations.add(
+              new Violation(
+                  event.at(), "once", shard + " was executed twice for " + event.detail("due")));
         }
-      } else if (each.what().equals("gained")) {
-        String before =
-            owners.putIfAbsent(each.detail("shard") + " " + each.detail("epoch"), each.who());
-        if (before != null && !before.equals(each.who())) {
-          breaches.add(
+      } else if (event.what().equals("gained")) {
+        String previous =
+            owners.putIfAbsent(event.detail("shard") + " " + event.detail("epoch"), event.who());
+        if (previous != null && !previous.equals(event.who())) {
+          violations.add(
               new Violation(
-                  each.at(),
+                  event.at(),
                   "one owner",
-                  before
+                  previous
                       + " and "
-                      + each.who()
-                      + " had "
-                      + each.detail("shard")
-                      + " under "
-                      + each.detail("epoch")));
+                      + event.who()
+                      + " both gained "
+                      + event.detail("shard")
+                      + " under epoch "
+                      + event.detail("epoch")));
         }
-      } else if (each.what().equals("fault:")) {
-        breaches.add(new Violation(each.at(), "no fault", each.detail("line")));
+      } else if (event.what().equals("fault:")) {
+        violations.add(new Violation(event.at(), "no fault", event.detail("line")));
       }
     }
-    return breaches;
+    return violations;
   }
 
-  /** Nobody may lose a duty from this time on. */
-  static List<Violation> kept(List<Event> events, double from) {
+  /** Returns a violation for each shard that a member lost after {@code from}. */
+  static List<Violation> checkNoShardLost(List<Event> events, double from) {
     return events.stream()
-        .filter(each -> each.at() > from && each.what().equals("lost"))
-        .map(each -> new Violation(each.at(), "kept", each.who() + " lost " + each.detail("shard")))
+        .filter(event -> event.at() > from && event.what().equals("lost"))
+        .map(
+            event ->
+                new Violation(event.at(), "kept", event.who() + " lost " + event.detail("shard")))
         .toList();
   }
 
   /**
-   * From this time on, each of the first texts must be in some line of a member's log, and none of
-   * the others in any.
+   * Checks that after {@code from} each text in {@code required} occurs in a log line of a member,
+   * and no text in {@code forbidden} does.
    */
-  static List<Violation> said(
-      List<Event> events, double from, List<String> must, List<String> never) {
+  static List<Violation> checkLogLines(
+      List<Event> events, double from, List<String> required, List<String> forbidden) {
     List<Event> lines =
-        events.stream().filter(each -> each.at() > from && !each.detail("line").isEmpty()).toList();
-    List<Violation> breaches = new ArrayList<>();
-    for (String text : must) {
-      if (lines.stream().noneMatch(each -> each.detail("line").contains(text))) {
-        breaches.add(new Violation(from, "said", "nobody has said \"" + text + "\""));
+        events.stream()
+            .filter(event -> event.at() > from && !event.detail("line").isEmpty())
+            .toList();
+    List<Violation> violations = new ArrayList<>();
+    for (String text : required) {
+      if (lines.stream().noneMatch(event -> event.detail("line").contains(text))) {
+        violations.add(new Violation(from, "said", "no log line contains \"" + text + "\""));
       }
     }
-    for (Event each : lines) {
-      if (never.stream().anyMatch(each.detail("line")::contains)) {
-        breaches.add(
-            new Violation(each.at(), "never", each.who() + " says " + each.detail("line")));
+    for (Event event : lines) {
+      if (forbidden.stream().anyMatch(event.detail("line")::contains)) {
+        violations.add(
+            new Violation(event.at(), "never", event.who() + " logged " + event.detail("line")));
       }
     }
-    return breaches;
+    return violations;
   }
 
-  /** The longest time, ms, in which nothing of a shard landed, from the first that did. */
+  /**
+   * Returns the longest time between two consecutive executions of a shard's job, in ms; 0 if there
+   * are fewer than two.
+   */
   public static double longestGap(List<Event> events, String shard) {
     double last = Double.NaN;
     double longest = 0;
-    for (Event each : events) {
-      if (each.what().equals("landed") && each.detail("shard").equals(shard)) {
-        longest = Double.isNaN(last) ? 0 : Math.max(longest, each.at() - last);
-        last = each.at();
+    for (Event event : events) {
+      if (event.what().equals("landed") && event.detail("shard").equals(shard)) {
+        longest = Double.isNaN(last) ? 0 : Math.max(longest, event.at() - last);
+        last = event.at();
       }
     }
     return longest;
--- a/faulttest/src/main/java/ferngrade/faulttest/JobReceiverStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/JobReceiverStub.java
@@ -13,23 +13,24 @@
 import java.util.concurrent.Executors;
 
 /**
- * Stands for whoever takes the fleet's recurring jobs: looks at the epoch that each carries, drops
- * a repeat of a key, and writes down what it did. A broken one looks at no epoch.
+ * A receiver of the fleet's recurring jobs: checks the epoch that each job carries, drops jobs with
+ * a repeated idempotency key, and records the result in the history. An unfenced receiver ignores
+ * epochs.
  */
 final class JobReceiverStub {
-  private final ExecutorService one = Executors.newSingleThreadExecutor();
+  private final ExecutorService executor = Executors.newSingleThreadExecutor();
   private final HttpServer server;
   private final History history;
   private final boolean fenced;
-  private final FencingGuard fence = new FencingGuard();
+  private final FencingGuard fencingGuard = new FencingGuard();
   private final Set<String> keys = new HashSet<>();
 
   JobReceiverStub(History history, boolean fenced) throws IOException {
     this.history = history;
     this.fenced = fenced;
     this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
-    server.setExecutor(one);
-    server.createContext("/api", this::take);
+    server.setExecutor(executor);
+    server.createContext("/api", this::receive);
     server.start();
   }
 
@@ -37,13 +38,13 @@
     return server.getAddress();
   }
 
-  private void take(HttpExchange exchange) throws IOException {
+  private void receive(HttpExchange exchange) throws IOException {
     exchange.getRequestBody().readAllBytes();
     String shard = exchange.getRequestHeaders().getFirst("Fencing-Shard");
     String epoch = exchange.getRequestHeaders().getFirst("Fencing-Token");
     String due = exchange.getRequestHeaders().getFirst("Due");
     String key = exchange.getRequestHeaders().getFirst("Idempotency-Key");
-    boolean admitted = fence.admits(shard, Long.parseLong(epoch)) || !fenced;
+    boolean admitted = fencingGuard.admits(shard, Long.parseLong(epoch)) || !fenced;
     boolean repeat = admitted && key != null && !keys.add(key);
     history.add(
         "taker",
@@ -55,6 +56,6 @@
 
   void close() {
     server.stop(0);
-    one.shutdownNow();
+    executor.shutdownNow();
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
@@ -10,71 +10,73 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Plays all that can happen to a {@link ModelState} within so many steps, breadth first, each state
- * once. A state is known by 128 bits of a hash of its picture.
+ * Explores all event sequences of a {@link ModelState} up to a number of steps, breadth first,
+ * visiting each state once. A state is identified by a 128-bit hash of its text.
  */
 public final class ModelChecker {
   private ModelChecker() {}
 
-  /** A state's hash. */
-  private record Mark(long high, long low) {}
+  /** The 128-bit hash of a state. */
+  private record StateHash(long high, long low) {}
 
   /**
-   * What an exploration came to: how many states, how many steps deep, the rule that was broken,
-   * null for none, and the steps that lead there.
+   * The number of states visited, the depth in steps, the violated rule, null for none, and the
+   * steps that lead to the violation.
    */
   public record Result(long states, int depth, String broken, int[] steps) {}
 
   /**
-   * Explores a world of so many members and duties; ends with the first state that breaks a rule.
-   * In a calm one nobody dies and nothing is lost, only late.
+   * Explores a model of this many members and shards; stops at the first state that violates a
+   * rule. If {@code calm}, no member crashes and no message is lost, but messages may be late.
    */
-  public static Result explore(int members, int duties, int depth, boolean calm, Mutant mutant) {
-    Set<Mark> seen = ConcurrentHashMap.newKeySet();
-    List<int[]> layer = List.of(new int[0]);
-    seen.add(mark(new ModelState(members, duties, calm, mutant)));
-    AtomicReference<Result> found = new AtomicReference<>();
-    for (int deep = 1; deep <= depth; deep++) {
-      int now = deep;
-      layer =
-          layer.parallelStream()
+  public static Result explore(int members, int shards, int depth, boolean calm, Mutant mutant) {
+    Set<StateHash> visited = ConcurrentHashMap.newKeySet();
+    List<int[]> frontier = List.of(new int[0]);
+    visited.add(hash(new ModelState(members, shards, calm, mutant)));
+    AtomicReference<Result> firstViolation = new AtomicReference<>();
+    for (int level = 1; level <= depth; level++) {
+      int currentDepth = level;
+      frontier =
+          frontier.parallelStream()
               .flatMap(
                   path -> {
                     List<int[]> next = new ArrayList<>();
-                    if (found.get() == null) {
-                      for (int step : replay(members, duties, calm, mutant, path).steps()) {
-                        int[] longer = Arrays.copyOf(path, path.length + 1);
-                        longer[path.length] = step;
-                        ModelState world = replay(members, duties, calm, mutant, longer);
-                        if (world.broken() != null) {
-                          found.compareAndSet(
-                              null, new Result(seen.size(), now, world.broken(), longer));
-                        } else if (seen.add(mark(world))) {
-                          next.add(longer);
+                    if (firstViolation.get() == null) {
+                      for (int step : replay(members, shards, calm, mutant, path).steps()) {
+                        int[] extended = Arrays.copyOf(path, path.length + 1);
+                        extended[path.length] = step;
+                        ModelState state = replay(members, shards, calm, mutant, extended);
+                        if (state.violatedRule() != null) {
+                          firstViolation.compareAndSet(
+                              null,
+                              new Result(
+                                  visited.size(), currentDepth, state.violatedRule(), extended));
+                        } else if (visited.add(hash(state))) {
+                          next.add(extended);
                         }
                       }
                     }
                     return next.stream();
                   })
               .toList();
-      if (found.get() != null) {
-        return found.get();
+      if (firstViolation.get() != null) {
+        return firstViolation.get();
       }
     }
-    return new Result(seen.size(), depth, null, null);
+    return new Result(visited.size(), depth, null, null);
   }
 
   private static ModelState replay(
-      int members, int duties, boolean calm, Mutant mutant, int[] path) {
-    ModelState world = new ModelState(members, duties, calm, mutant);
+      int members, int shards, boolean calm, Mutant mutant, int[] path) {
+    ModelState state = new ModelState(members, shards, calm, mutant);
     for (int step : path) {
-      world.step(step);
+      state.step(step);
     }
-    return world;
+    return state;
   }
 
-  private static Mark mark(ModelState world) {
-    long[] hash = MurmurHash3.hash128x64(world.picture().getBytes(StandardCharsets.UTF_8));
-    return new Mark(hash[0], hash[1]);
+  private static StateHash hash(ModelState state) {
+    long[] parts = MurmurHash3.hash128x64(state.describe().getBytes(StandardCharsets.UTF_8));
+    return new StateHash(parts[0], parts[1]);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
@@ -14,53 +14,56 @@
 import java.util.TreeMap;
 
 /**
- * A few members and duties, with a log that is right by definition: what is proposed stands in it
- * now, later or never, each member applies it when it likes, and answers come late or not at all.
- * Whatever can happen next is one of {@link #steps}; members' clocks run apart by all that the
- * bound on drift allows.
+ * A model of a few members and shards with a log that is correct by definition: a proposal is
+ * committed now, later or never, each member applies the log at any time, and answers arrive late
+ * or never. {@link #steps} returns all possible next steps; the members' clocks differ by the full
+ * drift bound.
  */
 final class ModelState {
-  private static final double HOLD = 1000;
-  private static final double DRIFT = 0.2;
-  private static final double QUANTUM = 0.9 * HOLD;
-  private static final int MOST_PASSES = 4;
-  private static final int MOST_WAITING = 2;
-  private static final int MOST_EFFECTS = 2;
-  private static final int MOST_CRASHES = 1;
-  private static final int ARGUMENTS = 32;
+  private static final double LEASE_MILLIS = 1000;
+  private static final double MAX_CLOCK_DRIFT = 0.2;
+  private static final double TIME_STEP_MILLIS = 0.9 * LEASE_MILLIS;
+  private static final int MAX_TIME_STEPS = 4;
+  private static final int MAX_PENDING_PROPOSALS = 2;
+  private static final int MAX_EFFECTS_IN_FLIGHT = 2;
+  private static final int MAX_CRASHES = 1;
+  private static final int MAX_ARGUMENTS = 32;
 
-  /** What can happen. */
-  private enum Kind {
-    /** Time passes for all. */
+  /** The type of a step. */
+  private enum StepType {
+    /** Time advances for all members. */
     PASS,
-    /** A member looks what it has to propose. */
+    /** A member's lease holder runs its tick, and may propose commands. */
     TICK,
     /**
-     * All at once, as it mostly is: a member knows the log, looks, and what it proposes stands and
-     * is answered.
+     * The common case in one step: a member applies the whole log and runs its tick, and its
+     * proposals are committed and answered.
      */
     ROUND,
-    /**
-     * What was proposed comes to stand in the log, and its proposer knows the log as far as that.
-     */
+    /** A proposal is committed, and its proposer applies the log up to it. */
     COMMIT,
-    /** What was proposed is lost. */
+    /** A proposal is lost. */
     LOSE,
-    /** The answer to what was proposed arrives. */
+    /** The answer to a proposal arrives. */
     ANSWER,
-    /** A member applies all that stands in the log. */
+    /** A member applies all committed entries. */
     CATCH_UP,
-    /** A member that holds a shard sends an effect. */
+    /** A member that owns a shard sends an effect. */
     ACT,
-    /** An effect lands. */
+    /** An effect is executed. */
     LAND,
-    /** A member dies and is there again, knowing nothing. */
+    /** A member crashes and restarts without its state. */
     CRASH
   }
 
-  /** A proposal on its way, or standing in the log and not answered yet. */
+  /** A proposal in flight, or committed and not answered yet. */
   private record Proposal(
-      int member, int life, double asked, Command command, boolean stands, Object result) {}
+      int member,
+      int incarnation,
+      double proposedAt,
+      Command command,
+      boolean committed,
+      Object result) {}
 
   private record Effect(Shard shard, long epoch) {}
 
@@ -71,40 +74,46 @@
   private final List<Command> log = new ArrayList<>();
   private final List<Proposal> proposals = new ArrayList<>();
   private final List<Effect> effects = new ArrayList<>();
-  private final Map<Shard, Long> landed = new TreeMap<>();
-  private final FencingGuard fence = new FencingGuard();
-  private final LeaseTable truth = new LeaseTable();
+  private final Map<Shard, Long> executedEpochs = new TreeMap<>();
+  private final FencingGuard fencingGuard = new FencingGuard();
+  private final LeaseTable referenceTable = new LeaseTable();
   private double now;
   private int crashes;
-  private String broken;
+  private String violatedRule;
 
-  /** A member's process: {@code life} tells it from those before it. */
+  /**
+   * A member's process; {@code incarnation} distinguishes it from earlier processes of the member.
+   */
   private final class Member {
     final int number;
     final double rate;
-    int life;
+    int incarnation;
     int applied;
 
-    /** When it looked last, and how much of the log it knew: looking again would change nothing. */
-    String looked = "";
+    /**
+     * The time of the last tick and the log index applied then: another tick with the same values
+     * would change nothing.
+     */
+    String lastTick = "";
 
     LeaseTable table = new LeaseTable();
     LeaseHolder holder;
 
     Member(int number) {
       this.number = number;
-      this.rate = 1 + (number % 2 == 0 ? -DRIFT : DRIFT);
+      this.rate = 1 + (number % 2 == 0 ? -MAX_CLOCK_DRIFT : MAX_CLOCK_DRIFT);
       this.holder = holder();
     }
 
     private LeaseHolder holder() {
-      double bound = mutant == Mutant.NO_DRIFT_BOUND ? 0 : DRIFT;
+      double driftBound = mutant == Mutant.NO_DRIFT_BOUND ? 0 : MAX_CLOCK_DRIFT;
       return new LeaseHolder(
           "m" + number,
-          "life" + life,
+          "life" + incarnation,
           shards,
-          new LeaseHolder.Terms(HOLD, bound),
-          command -> proposals.add(new Proposal(number, life, clock(), command, false, null)));
+          new LeaseHolder.Terms(LEASE_MILLIS, driftBound),
+          command ->
+              proposals.add(new Proposal(number, incarnation, clock(), command, false, null)));
     }
 
     double clock() {
@@ -119,9 +128,9 @@
     }
 
     void crash() {
-      life++;
+      incarnation++;
       applied = 0;
-      looked = "";
+      lastTick = "";
       table = new LeaseTable();
       holder = holder();
     }
@@ -132,82 +141,84 @@
   }
 
   /**
-   * Members that have their sessions, the shards given out among them; nobody dies and nothing is
-   * lost if it is calm.
+   * Creates members that have sessions and own the shards. If {@code calm}, no member crashes and
+   * no proposal is lost.
    */
-  ModelState(int size, int duties, boolean calm, Mutant mutant) {
+  ModelState(int size, int shardCount, boolean calm, Mutant mutant) {
     this.mutant = mutant;
     this.calm = calm;
-    for (int i = 0; i < duties; i++) {
+    for (int i = 0; i < shardCount; i++) {
       shards.add(new Shard("d" + i, 0));
     }
     for (int i = 0; i < size; i++) {
       members.add(new Member(i));
     }
-    for (Member each : members) {
-      each.catchUp();
-      each.holder.tick(each.clock(), 0, each.table);
+    for (Member member : members) {
+      member.catchUp();
+      member.holder.tick(member.clock(), 0, member.table);
       commit(0);
       answer(0);
     }
     members.forEach(Member::catchUp);
   }
 
-  /** A step as a number, which {@code Kind.values()} resolves again in the same run. */
-  @SuppressWarnings("EnumOrdinal") // never stored, and made too often for a map
-  private static int code(Kind kind, int argument) {
-    return kind.ordinal() * ARGUMENTS + argument;
+  /** Encodes a step as a number, which {@code StepType.values()} resolves again in the same run. */
+  @SuppressWarnings("EnumOrdinal") // never stored, and computed too often for a map
+  private static int code(StepType type, int argument) {
+    return type.ordinal() * MAX_ARGUMENTS + argument;
   }
 
-  /** All that can happen next, each as a number. */
+  /** Returns all possible next steps, each as a number. */
   List<Integer> steps() {
     List<Integer> steps = new ArrayList<>();
-    if (now < MOST_PASSES * QUANTUM) {
-      steps.add(code(Kind.PASS, 0));
+    if (now < MAX_TIME_STEPS * TIME_STEP_MILLIS) {
+      steps.add(code(StepType.PASS, 0));
     }
-    for (Member each : members) {
-      long waiting =
-          proposals.stream().filter(one -> one.member() == each.number && !one.stands()).count();
-      if (waiting < MOST_WAITING && !each.looked.equals(now + " " + each.applied)) {
-        steps.add(code(Kind.TICK, each.number));
-        steps.add(code(Kind.ROUND, each.number));
+    for (Member member : members) {
+      long pending =
+          proposals.stream()
+              .filter(proposal -> proposal.member() == member.number && !proposal.committed())
+              .count();
+      if (pending < MAX_PENDING_PROPOSALS && !member.lastTick.equals(now + " " + member.applied)) {
+        steps.add(code(StepType.TICK, member.number));
+        steps.add(code(StepType.ROUND, member.number));
       }
-      if (each.applied < log.size()) {
-        steps.add(code(Kind.CATCH_UP, each.number));
+      if (member.applied < log.size()) {
+        steps.add(code(StepType.CATCH_UP, member.number));
       }
-      if (!calm && crashes < MOST_CRASHES) {
-        steps.add(code(Kind.CRASH, each.number));
+      if (!calm && crashes < MAX_CRASHES) {
+        steps.add(code(StepType.CRASH, member.number));
       }
       for (int i = 0; i < shards.size(); i++) {
-        if (effects.size() < MOST_EFFECTS && each.epoch(shards.get(i)).isPresent()) {
-          steps.add(code(Kind.ACT, each.number * shards.size() + i));
+        if (effects.size() < MAX_EFFECTS_IN_FLIGHT && member.epoch(shards.get(i)).isPresent()) {
+          steps.add(code(StepType.ACT, member.number * shards.size() + i));
         }
       }
     }
     for (int i = 0; i < proposals.size(); i++) {
-      if (proposals.get(i).stands()) {
-        steps.add(code(Kind.ANSWER, i));
+      if (proposals.get(i).committed()) {
+        steps.add(code(StepType.ANSWER, i));
       } else {
-        steps.add(code(Kind.COMMIT, i));
+        steps.add(code(StepType.COMMIT, i));
       }
       if (!calm) {
-        steps.add(code(Kind.LOSE, i));
+        steps.add(code(StepType.LOSE, i));
       }
     }
     for (int i = 0; i < effects.size(); i++) {
-      steps.add(code(Kind.LAND, i));
+      steps.add(code(StepType.LAND, i));
     }
     return steps;
   }
 
-  /** Does one of the steps. */
+  /** Executes one of the steps. */
   void step(int code) {
-    int argument = code % ARGUMENTS;
-    switch (Kind.values()[code / ARGUMENTS]) {
-      case PASS -> now += QUANTUM;
+    int argument = code % MAX_ARGUMENTS;
+    switch (StepType.values()[code / MAX_ARGUMENTS]) {
+      case PASS -> now += TIME_STEP_MILLIS;
       case TICK -> {
         Member member = members.get(argument);
-        member.looked = now + " " + member.applied;
+        member.lastTick = now + " " + member.applied;
         member.holder.tick(member.clock(), 0, member.table);
       }
       case ROUND -> round(members.get(argument));
@@ -220,13 +231,13 @@
         Shard shard = shards.get(argument % shards.size());
         effects.add(new Effect(shard, member.epoch(shard).getAsLong()));
       }
-      case LAND -> land(effects.remove(argument));
+      case LAND -> executeEffect(effects.remove(argument));
       case CRASH -> {
         crashes++;
         members.get(argument).crash();
       }
     }
-    judge();
+    checkSingleOwner();
   }
 
   private void round(Member member) {
@@ -237,64 +248,64 @@
       commit(before);
       answer(before);
     }
-    member.looked = now + " " + member.applied;
+    member.lastTick = now + " " + member.applied;
   }
 
-  private void commit(int which) {
-    Proposal proposal = proposals.get(which);
+  private void commit(int index) {
+    Proposal proposal = proposals.get(index);
     log.add(proposal.command());
-    Object result = truth.apply(log.size(), proposal.command());
+    Object result = referenceTable.apply(log.size(), proposal.command());
     proposals.set(
-        which,
+        index,
         new Proposal(
             proposal.member(),
-            proposal.life(),
-            proposal.asked(),
+            proposal.incarnation(),
+            proposal.proposedAt(),
             proposal.command(),
             true,
             result));
     Member member = members.get(proposal.member());
-    if (member.life == proposal.life()) {
+    if (member.incarnation == proposal.incarnation()) {
       member.catchUp();
     }
   }
 
-  private void answer(int which) {
-    Proposal proposal = proposals.remove(which);
+  private void answer(int index) {
+    Proposal proposal = proposals.remove(index);
     Member member = members.get(proposal.member());
-    if (member.life == proposal.life()) {
+    if (member.incarnation == proposal.incarnation()) {
       member.holder.answered(
-          mutant == Mutant.HOLD_FROM_ANSWER ? member.clock() : proposal.asked(),
+          mutant == Mutant.HOLD_FROM_ANSWER ? member.clock() : proposal.proposedAt(),
           proposal.command(),
           proposal.result());
     }
   }
 
-  private void land(Effect effect) {
-    if (fence.admits(effect.shard().toString(), effect.epoch())
+  private void executeEffect(Effect effect) {
+    if (fencingGuard.admits(effect.shard().toString(), effect.epoch())
         || mutant == Mutant.NO_EPOCH_CHECK) {
-      long before = landed.merge(effect.shard(), effect.epoch(), Math::max);
+      long before = executedEpochs.merge(effect.shard(), effect.epoch(), Math::max);
       if (before > effect.epoch()) {
-        broken = "fenced";
+        violatedRule = "fenced";
       }
     }
   }
 
-  private void judge() {
+  private void checkSingleOwner() {
     for (Shard shard : shards) {
-      if (members.stream().filter(each -> each.epoch(shard).isPresent()).count() > 1) {
-        broken = "one owner";
+      if (members.stream().filter(member -> member.epoch(shard).isPresent()).count() > 1) {
+        violatedRule = "one owner";
       }
     }
   }
 
-  /** The rule that was broken, null for none. */
-  String broken() {
-    return broken;
+  /** Returns the violated rule, null for none. */
+  String violatedRule() {
+    return violatedRule;
   }
 
-  /** All that what comes next depends on, as a text. */
-  String picture() {
+  /** Returns the part of the state that all later steps depend on, as a text. */
+  String describe() {
     StringBuilder text =
         new StringBuilder()
             .append(now)
@@ -302,35 +313,38 @@
             .append(crashes)
             .append(log)
             .append(effects)
-            .append(landed);
-    proposals.forEach(each -> text.append(each));
-    for (Member each : members) {
+            .append(executedEpochs);
+    proposals.forEach(proposal -> text.append(proposal));
+    for (Member member : members) {
       text.append('|')
-          .append(each.life)
+          .append(member.incarnation)
           .append(' ')
-          .append(each.applied)
+          .append(member.applied)
           .append(' ')
-          .append(each.looked);
-      picture(each.holder, text);
+          .append(member.lastTick);
+      describe(member.holder, text);
     }
     return text.toString();
   }
 
-  /** The fields that change; the class under test need not know that it is looked at. */
-  private static void picture(LeaseHolder holder, StringBuilder text) {
+  /**
+   * Appends the mutable fields, read by reflection so that the class under test needs no accessors
+   * for this test.
+   */
+  private static void describe(LeaseHolder holder, StringBuilder text) {
     for (Field field : LeaseHolder.class.getDeclaredFields()) {
       try {
         field.setAccessible(true);
         Object value = field.get(holder);
         if (value instanceof Map<?, ?> map) {
           Map<String, Object> sorted = new TreeMap<>();
-          map.forEach((key, one) -> sorted.put(key.toString(), one));
+          map.forEach((key, entry) -> sorted.put(key.toString(), entry));
           text.append(sorted);
         } else if (!Modifier.isFinal(field.getModifiers())) {
           text.append(value).append(' ');
         }
-      } catch (IllegalAccessException closed) {
-        throw new IllegalStateException(closed);
+      } catch (IllegalAccessException inaccessible) {
+        throw new IllegalStateException(inaccessible);
       }
     }
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
@@ -1,21 +1,24 @@
 package ferngrade.faulttest;
 
 /**
- * The program broken on purpose, one guard at a time: trials that cannot find these prove nothing.
+ * A variant of the program in which one safety check is removed. A trial that does not detect these
+ * variants proves nothing.
  */
 public enum Mutant {
-  /** The program as it is. */
+  /** The unmodified program. */
   NONE,
-  /** Whoever takes effects looks at no epoch. */
+  /** The job receiver ignores epochs. */
   NO_EPOCH_CHECK,
-  /** A hold is counted from the answer, not from before the asking. */
+  /**
+   * A lease is counted from the arrival of the answer instead of from before the request was sent.
+   */
   HOLD_FROM_ANSWER,
-  /** A vote is told before it is synced. */
+  /** A vote is sent before it is synced to disk. */
   UNSYNCED_VOTE,
-  /** A voter that has lost its disk comes back under its name and votes. */
+  /** A voter that has lost its disk rejoins under its old name and votes. */
   FORGOTTEN_VOTES,
-  /** Clocks are taken to run alike. */
+  /** All clocks are assumed to run at the same rate. */
   NO_DRIFT_BOUND,
-  /** Members do not hear what is said of them, and so deny nothing. */
+  /** Members ignore updates about themselves, and so never refute a suspicion. */
   NO_DENIAL
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/Network.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Network.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A relay in each directed link between members, for connections and for datagrams, and from each
- * to whoever takes its jobs.
+ * The simulated network: a relay in each directed link between members, for connections and for
+ * datagrams, and from each member to the job receiver.
  */
 final class Network {
   private final EventLoopGroup group =
@@ -24,30 +24,34 @@
   private final Map<String, Relay> effects = new HashMap<>();
 
   /**
-   * Links among these; when an effect begins to wait in one that holds them, the history says so.
+   * Creates links between these members; the history records when an effect begins to be held back
+   * in a link.
    */
-  Network(List<String> names, InetSocketAddress taker, History history, SplittableRandom chance)
+  Network(
+      List<String> names, InetSocketAddress jobReceiver, History history, SplittableRandom random)
       throws InterruptedException {
     this.names = names;
     for (String name : names) {
       Relay effect = new Relay(group, () -> history.add(name, "held", Map.of()));
-      effect.to(taker);
+      effect.setTarget(jobReceiver);
       effects.put(name, effect);
       for (String other : names) {
         if (!other.equals(name)) {
           links.put(name + ">" + other, new Relay(group, () -> {}));
-          gossip.put(name + ">" + other, new UdpRelay(group, chance.nextLong()));
+          gossip.put(name + ">" + other, new UdpRelay(group, random.nextLong()));
         }
       }
     }
   }
 
-  /** A member listens there from now on; null where it takes no datagrams. */
-  void listens(String name, InetSocketAddress address, InetSocketAddress datagrams) {
+  /**
+   * Sets the addresses of a member; {@code datagrams} is null if the member receives no datagrams.
+   */
+  void setAddress(String name, InetSocketAddress address, InetSocketAddress datagrams) {
     for (String other : names) {
       if (!other.equals(name)) {
-        links.get(other + ">" + name).to(address);
-        gossip.get(other + ">" + name).to(datagrams);
+        links.get(other + ">" + name).setTarget(address);
+        gossip.get(other + ">" + name).setTarget(datagrams);
       }
     }
   }
@@ -64,54 +68,58 @@
     return effects.get(name);
   }
 
-  /** The links from a member, to it, or both. */
-  private List<String> some(String name, boolean from, boolean to) {
-    List<String> some = new ArrayList<>();
+  /** Returns the names of the links from a member, to it, or both. */
+  private List<String> linksOf(String name, boolean from, boolean to) {
+    List<String> selected = new ArrayList<>();
     for (String other : names) {
       if (!other.equals(name) && from) {
-        some.add(name + ">" + other);
+        selected.add(name + ">" + other);
       }
       if (!other.equals(name) && to) {
-        some.add(other + ">" + name);
+        selected.add(other + ">" + name);
       }
     }
-    return some;
+    return selected;
   }
 
   /**
-   * Cuts links from a member, to it, or both, with resets or silently; what is returned mends them.
+   * Cuts links from a member, to it, or both, with resets or silently; the returned task restores
+   * them.
    */
   Runnable cut(String name, boolean from, boolean to, Relay.Mode mode) {
-    List<String> hurt = some(name, from, to);
-    hurt.forEach(
+    List<String> affected = linksOf(name, from, to);
+    affected.forEach(
         link -> {
-          links.get(link).mode(mode);
-          gossip.get(link).silent(true);
+          links.get(link).setMode(mode);
+          gossip.get(link).setSilent(true);
         });
     return () ->
-        hurt.forEach(
+        affected.forEach(
             link -> {
-              links.get(link).mode(Relay.Mode.PASS);
-              gossip.get(link).silent(false);
+              links.get(link).setMode(Relay.Mode.PASS);
+              gossip.get(link).setSilent(false);
             });
   }
 
-  /** Loses, repeats and reorders a member's datagrams; what is returned ends it. */
+  /** Drops, duplicates and reorders a member's datagrams; the returned task ends it. */
   Runnable scramble(String name) {
-    List<String> hurt = some(name, true, true);
-    hurt.forEach(link -> gossip.get(link).scrambled(true));
-    return () -> hurt.forEach(link -> gossip.get(link).scrambled(false));
+    List<String> affected = linksOf(name, true, true);
+    affected.forEach(link -> gossip.get(link).setScrambled(true));
+    return () -> affected.forEach(link -> gossip.get(link).setScrambled(false));
   }
 
-  /** Sends a member again what came to it last, and each of that with a bit turned over. */
-  void forge(String name, SplittableRandom chance) {
-    for (String link : some(name, false, true)) {
-      byte[] last = gossip.get(link).last();
-      if (last != null) {
-        byte[] bad = last.clone();
-        bad[chance.nextInt(bad.length)] ^= (byte) (1 << chance.nextInt(8));
-        gossip.get(link).inject(last);
-        gossip.get(link).inject(bad);
+  /**
+   * Sends the last datagram of each link to a member again, both unchanged and with one bit
+   * flipped.
+   */
+  void forge(String name, SplittableRandom random) {
+    for (String link : linksOf(name, false, true)) {
+      byte[] lastDatagram = gossip.get(link).lastDatagram();
+      if (lastDatagram != null) {
+        byte[] forged = lastDatagram.clone();
+        forged[random.nextInt(forged.length)] ^= (byte) (1 << random.nextInt(8));
+        gossip.get(link).inject(lastDatagram);
+        gossip.get(link).inject(forged);
       }
     }
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/ProcessMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ProcessMember.java
@@ -19,7 +19,9 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** The program as a member, in a process of its own; what it says goes into the history. */
+/**
+ * A member that runs the program in a separate process; its log lines are recorded in the history.
+ */
 final class ProcessMember {
   private static final Pattern PAIR = Pattern.compile("([a-z]+)=(\\S+)");
 
@@ -30,25 +32,30 @@
   private final Path file;
   private final Path data;
   private final History history;
-  private final Listens listens;
+  private final AddressListener addressListener;
   private Process process;
-  private volatile String listAt;
-  private boolean begun;
+  private volatile String endpointListAddress;
+  private boolean startedBefore;
 
   /**
-   * Is told where a member listens, anew with each start; {@code datagrams} is null if it takes
-   * none.
+   * Receives the addresses of a member after each start; {@code datagrams} is null if the member
+   * receives no datagrams.
    */
   @FunctionalInterface
-  interface Listens {
-    /** It listens there. */
-    void at(InetSocketAddress address, InetSocketAddress datagrams);
+  interface AddressListener {
+    /** Called when the member listens at these addresses. */
+    void listening(InetSocketAddress address, InetSocketAddress datagrams);
   }
 
-  /** A member that is not started yet. */
+  /** Creates a member that is not started yet. */
   ProcessMember(
-      String name, List<String> program, Path file, Path data, History history, Listens listens) {
-    this.listens = listens;
+      String name,
+      List<String> program,
+      Path file,
+      Path data,
+      History history,
+      AddressListener addressListener) {
+    this.addressListener = addressListener;
     this.name = name;
     this.program = program;
     this.file = file;
@@ -56,14 +63,14 @@
     this.history = history;
   }
 
-  /** Starts it, the first time so that it begins a new fleet. */
+  /** Starts the process; the first start founds a new fleet. */
   void start() throws IOException {
-    start(begun ? "" : "--found");
+    start(startedBefore ? "" : "--found");
   }
 
-  /** Starts it with this option, empty for none. */
+  /** Starts the process with this option, empty for none. */
   void start(String option) throws IOException {
-    begun = true;
+    startedBefore = true;
     List<String> line = new ArrayList<>(program);
     line.addAll(
         List.of("fleet", "member", file.toString(), "--name", name, "--data", data.toString()));
@@ -78,46 +85,49 @@
     reader.start();
   }
 
-  private void read(Process from) {
+  private void read(Process running) {
     try (BufferedReader lines =
-        new BufferedReader(new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
+        new BufferedReader(
+            new InputStreamReader(running.getInputStream(), StandardCharsets.UTF_8))) {
       for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-        // "12.345 a gained shard=sweep/0 epoch=4": time, name, what, details.
+        // "12.345 a gained shard=sweep/0 epoch=4": time, name, event, details.
         String[] parts = line.split(" ", 4);
-        boolean own = parts.length > 2 && parts[1].equals(name);
+        boolean fromMember = parts.length > 2 && parts[1].equals(name);
         Map<String, String> details = new java.util.TreeMap<>();
         details.put("line", line);
         Matcher pair = PAIR.matcher(line);
         while (pair.find()) {
           details.put(pair.group(1), pair.group(2));
         }
-        if (own && parts[2].equals("listening")) {
-          listAt = details.get("list");
-          listens.at(
+        if (fromMember && parts[2].equals("listening")) {
+          endpointListAddress = details.get("list");
+          addressListener.listening(
               EndpointListParser.address(details.get("address")),
               details.containsKey("gossip")
                   ? EndpointListParser.address(details.get("gossip"))
                   : null);
         }
-        history.add(name, own ? parts[2] : "said", details);
+        history.add(name, fromMember ? parts[2] : "said", details);
       }
-    } catch (IOException ended) {
-      // Its end is what counts, and is seen below.
+    } catch (IOException closed) {
+      // The end of the stream is handled below.
     }
-    history.add(name, "ended", Map.of("code", Integer.toString(from.onExit().join().exitValue())));
+    history.add(
+        name, "ended", Map.of("code", Integer.toString(running.onExit().join().exitValue())));
   }
 
   boolean alive() {
     return process != null && process.isAlive();
   }
 
-  /** The revision of the worker list that it passes on now, -1 if it has none. */
-  long listed() {
-    try (InputStream in = URI.create("http://" + listAt + "/api/targets").toURL().openStream()) {
+  /** Returns the revision of the endpoint list that the member relays now, -1 if it has none. */
+  long endpointListRevision() {
+    try (InputStream in =
+        URI.create("http://" + endpointListAddress + "/api/targets").toURL().openStream()) {
       String line = new String(in.readAllBytes(), StandardCharsets.UTF_8);
       Matcher revision = REVISION.matcher(line);
       return revision.find() ? Long.parseLong(revision.group(1)) : -1;
-    } catch (IOException | IllegalArgumentException none) {
+    } catch (IOException | IllegalArgumentException unavailable) {
       return -1;
     }
   }
@@ -130,18 +140,18 @@
     process.destroy();
   }
 
-  /** Gives an order to a member that takes such from its standard input. */
-  void order(String line) throws IOException {
+  /** Sends a command to a {@link FaultInjectingMember} through its standard input. */
+  void sendCommand(String line) throws IOException {
     process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
     process.getOutputStream().flush();
   }
 
-  /** Turns over a bit in the middle of the newest file of its log. */
-  void flip() throws IOException {
+  /** Flips one bit in the middle of the newest file of the log. */
+  void flipLogBit() throws IOException {
     try (Stream<Path> files = Files.list(data)) {
       Path newest =
           files
-              .filter(each -> each.getFileName().toString().startsWith("voter-"))
+              .filter(path -> path.getFileName().toString().startsWith("voter-"))
               .max(Comparator.naturalOrder())
               .orElseThrow();
       byte[] bytes = Files.readAllBytes(newest);
@@ -150,10 +160,10 @@
     }
   }
 
-  /** SIGSTOP or SIGCONT. */
-  void stand(boolean still) throws IOException, InterruptedException {
+  /** Sends SIGSTOP or SIGCONT. */
+  void setSuspended(boolean suspend) throws IOException, InterruptedException {
     if (alive()) {
-      new ProcessBuilder("kill", still ? "-STOP" : "-CONT", Long.toString(process.pid()))
+      new ProcessBuilder("kill", suspend ? "-STOP" : "-CONT", Long.toString(process.pid()))
           .start()
           .waitFor();
     }
@@ -163,11 +173,11 @@
     process.waitFor(10, TimeUnit.SECONDS);
   }
 
-  /** Loses all that its folder holds. */
-  void forget() throws IOException {
+  /** Deletes the data folder. */
+  void deleteData() throws IOException {
     try (Stream<Path> files = Files.walk(data)) {
-      for (Path each : files.sorted(Comparator.reverseOrder()).toList()) {
-        Files.delete(each);
+      for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
+        Files.delete(path);
       }
     }
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/Relay.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Relay.java
@@ -22,23 +22,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One directed link between two parties, through which all that goes that way passes, and in which
- * it can be hurt.
+ * A directed link between two parties: relays all connections in that direction, and can inject
+ * faults.
  */
 final class Relay {
   /** How a link behaves. */
   enum Mode {
-    /** All comes through. */
+    /** All data is forwarded. */
     PASS,
-    /** Connections are reset, and new ones end at once. */
+    /** Connections are reset, and new connections are closed at once. */
     CUT,
     /**
-     * What goes this way waits, nobody is told, and goes on to its end once the link passes again;
-     * answers pass.
+     * Data in the link's direction is held back without notice to either side, and forwarded once
+     * the link passes again; answers are forwarded.
      */
     HOLD,
     /**
-     * Nothing comes through, nobody is told; what was sent meanwhile is lost with its connection.
+     * Nothing is forwarded, without notice to either side; data sent meanwhile is lost with its
+     * connection.
      */
     SILENT
   }
@@ -46,21 +47,19 @@
   private final EventLoopGroup group;
   private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final Channel listener;
-  private final Runnable held;
+  private final Runnable onHold;
 
-  /** What waits until the link passes again; belongs to the group's one thread. */
-  private final List<Runnable> waiting = new ArrayList<>();
+  /** Data that is held back until the link passes again; accessed by the group's single thread. */
+  private final List<Runnable> heldBack = new ArrayList<>();
 
   private volatile Mode mode = Mode.PASS;
   private volatile InetSocketAddress target;
   private volatile double delay;
 
-  /**
-   * A link that leads nowhere yet; {@code held} runs each time when something begins to wait in it.
-   */
-  Relay(EventLoopGroup group, Runnable held) throws InterruptedException {
+  /** Creates a link without a target; {@code onHold} runs each time data begins to be held back. */
+  Relay(EventLoopGroup group, Runnable onHold) throws InterruptedException {
     this.group = group;
-    this.held = held;
+    this.onHold = onHold;
     this.listener =
         new ServerBootstrap()
             .group(group)
@@ -83,32 +82,32 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** New connections lead there from now on. */
-  void to(InetSocketAddress address) {
+  /** Connects new connections to this address from now on. */
+  void setTarget(InetSocketAddress address) {
     target = address;
   }
 
-  /** Changes how the link behaves from now on. */
-  void mode(Mode next) {
+  /** Changes the mode. */
+  void setMode(Mode next) {
     Mode before = mode;
     mode = next;
     if (next == Mode.CUT || before == Mode.SILENT) {
       open.close();
     }
-    boolean reads = next != Mode.SILENT;
-    open.forEach(channel -> channel.config().setAutoRead(reads));
+    boolean autoRead = next != Mode.SILENT;
+    open.forEach(channel -> channel.config().setAutoRead(autoRead));
     if (next == Mode.PASS) {
       group.execute(
           () -> {
-            List<Runnable> all = List.copyOf(waiting);
-            waiting.clear();
-            all.forEach(Runnable::run);
+            List<Runnable> tasks = List.copyOf(heldBack);
+            heldBack.clear();
+            tasks.forEach(Runnable::run);
           });
     }
   }
 
-  /** From now on each piece takes so many ms. */
-  void delay(double millis) {
+  /** Delays each chunk of data by this time from now on. */
+  void setDelay(double millis) {
     delay = millis;
   }
 
@@ -135,40 +134,43 @@
               Channel to = connected.channel();
               open.add(to);
               from.pipeline().addLast(new Pipe(to, true));
-              boolean reads = mode != Mode.SILENT;
-              from.config().setAutoRead(reads);
-              to.config().setAutoRead(reads);
+              boolean autoRead = mode != Mode.SILENT;
+              from.config().setAutoRead(autoRead);
+              to.config().setAutoRead(autoRead);
             });
   }
 
-  /** Passes what comes on to the other end, and its end too. */
+  /** Forwards data, and the close of the connection, to the other end. */
   private final class Pipe extends ChannelInboundHandlerAdapter {
     private final Channel to;
-    private final boolean forth;
+    private final boolean forward;
 
-    Pipe(Channel to, boolean forth) {
+    Pipe(Channel to, boolean forward) {
       this.to = to;
-      this.forth = forth;
+      this.forward = forward;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-      if (forth && waits()) {
-        waiting.add(() -> pass(message));
-        held.run();
+      if (forward && mustHoldBack()) {
+        heldBack.add(() -> write(message));
+        onHold.run();
       } else if (delay > 0) {
-        ctx.executor().schedule(() -> pass(message), (long) (delay * 1000), TimeUnit.MICROSECONDS);
+        ctx.executor().schedule(() -> write(message), (long) (delay * 1000), TimeUnit.MICROSECONDS);
       } else {
-        pass(message);
+        write(message);
       }
     }
 
-    /** Also once the link passes again, until what waits has gone on: nothing overtakes it. */
-    private boolean waits() {
-      return mode == Mode.HOLD || !waiting.isEmpty();
+    /**
+     * Returns whether data must be held back: also after the link passes again, until the data held
+     * back before has been forwarded, so that the order is kept.
+     */
+    private boolean mustHoldBack() {
+      return mode == Mode.HOLD || !heldBack.isEmpty();
     }
 
-    private void pass(Object message) {
+    private void write(Object message) {
       if (to.isActive()) {
         to.writeAndFlush(message, to.voidPromise());
       } else {
@@ -178,8 +180,8 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-      if (forth && waits()) {
-        waiting.add(to::close);
+      if (forward && mustHoldBack()) {
+        heldBack.add(to::close);
       } else {
         to.close();
       }
--- /dev/null
+++ b/faulttest/src/main/java/ferngrade/faulttest/SimulatedProcess.java
@@ -0,0 +1,47 @@
+package ferngrade.faulttest;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * A process in virtual time that can be suspended, in which case its tasks wait, and killed, after
+ * which its tasks are dropped.
+ */
+final class SimulatedProcess {
+  private final List<Runnable> delayed = new ArrayList<>();
+  private boolean alive = true;
+  private boolean paused;
+
+  /**
+   * Runs a task of the process: after the process is resumed if it is suspended, never after it was
+   * killed.
+   */
+  void execute(Runnable task) {
+    if (alive && paused) {
+      delayed.add(task);
+    } else if (alive) {
+      task.run();
+    }
+  }
+
+  void setPaused(boolean suspend) {
+    paused = suspend;
+    if (!suspend) {
+      List<Runnable> tasks = List.copyOf(delayed);
+      delayed.clear();
+      tasks.forEach(this::execute);
+    }
+  }
+
+  void kill() {
+    alive = false;
+  }
+
+  boolean alive() {
+    return alive;
+  }
+
+  boolean paused() {
+    return paused;
+  }
+}
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -11,34 +11,36 @@
 import java.util.List;
 
 /**
- * A trial: how many members, and what is done to them when.
+ * A trial: the number of members, and the steps that are executed on them.
  *
  * @param name the trial's name
- * @param title what it shows
- * @param members how many members, all of them voters
- * @param hold how long a hold lasts, ms
- * @param every the period of its recurring jobs, ms
- * @param keeps whether nobody may lose a duty in it
- * @param stranger whether a member of another fleet runs beside, whose file has these members'
- *     addresses
- * @param list whether the members ask for a worker list once and pass it on
- * @param says texts each of which some line of a member's log must hold, from the first step on
- * @param never texts that none may hold from then on
- * @param steps what is done, in the order of the times
+ * @param title what the trial shows
+ * @param members the number of members, all of them voters
+ * @param leaseDuration the duration of a lease, ms
+ * @param recurrencePeriod the period of the recurring jobs, ms
+ * @param keepsShards whether it is a violation if a member loses a shard
+ * @param foreignMember whether a member of another fleet runs at the same time, whose file has
+ *     these members' addresses
+ * @param sharesEndpointList whether one member watches the endpoint list and relays it to the
+ *     others
+ * @param requiredLogTexts texts of which each must occur in a log line of a member, from the first
+ *     step on
+ * @param forbiddenLogTexts texts that must not occur in any log line from the first step on
+ * @param steps the steps, ordered by time
  */
 public record TrialFile(
     String name,
     String title,
     int members,
-    double hold,
-    double every,
-    boolean keeps,
-    boolean stranger,
-    boolean list,
-    List<String> says,
-    List<String> never,
+    double leaseDuration,
+    double recurrencePeriod,
+    boolean keepsShards,
+    boolean foreignMember,
+    boolean sharesEndpointList,
+    List<String> requiredLogTexts,
+    List<String> forbiddenLogTexts,
     List<Step> steps) {
-  /** The trials that come with the program. */
+  /** The names of the trials that are part of the program. */
   public static final List<String> SHIPPED =
       List.of(
           "owner-killed",
@@ -63,93 +65,120 @@
           "two-fleets",
           "list-asked-once");
 
-  /** What can be done. */
-  public enum Deed {
-    /** SIGKILL; started again after {@code for}, if that is there. */
+  /** The action of a step. */
+  public enum StepAction {
+    /** Kills the process with SIGKILL, and restarts it after {@code for} if that is set. */
     KILL,
-    /** SIGSTOP, and SIGCONT after {@code for}. */
+    /** Suspends the process with SIGSTOP, and resumes it with SIGCONT after {@code for}. */
     STOP,
-    /** Killed, and started again after {@code for} with an empty folder. */
+    /** Kills the process, and restarts it after {@code for} with an empty data folder. */
     FORGET,
-    /** Its connections to and from the other members are cut for {@code for}. */
+    /** Cuts the connections to and from the other members for {@code for}. */
     CUT,
-    /** What it sends to other members is silently lost for {@code for}; it goes on hearing them. */
+    /**
+     * Silently drops everything the member sends to other members for {@code for}; it still
+     * receives.
+     */
     MUTE,
-    /** What others send it is silently lost for {@code for}; they go on hearing it. */
+    /**
+     * Silently drops everything other members send to the member for {@code for}; it can still
+     * send.
+     */
     DEAFEN,
-    /** Its effects wait on their way for {@code for}, and then land. */
+    /** Holds back the jobs that the member submits for {@code for}, and then delivers them. */
     HOLD_EFFECTS,
-    /** Killed, and started again after {@code for} with an empty folder, to be taken in anew. */
+    /**
+     * Kills the process, and restarts it after {@code for} with an empty data folder, to be
+     * admitted again.
+     */
     REJOIN,
-    /** Killed, and started again after {@code for} with a bit of its log turned over. */
+    /** Kills the process, and restarts it after {@code for} with one bit of its log flipped. */
     FLIP,
-    /** Its disk is full for {@code for}; it goes on by itself after that. */
+    /** Makes the member's disk full for {@code for}; the member recovers without a restart. */
     FILL,
-    /** Each of its syncs takes {@code by} ms for {@code for}. */
+    /** Makes each sync take {@code by} ms for {@code for}. */
     SLOW,
-    /** Its wall clock jumps by so many ms. */
+    /** Makes the wall clock jump by {@code by} ms. */
     JUMP,
-    /** Its clocks run {@code by} times as fast as they should. */
+    /** Makes the clocks run at {@code by} times the real rate. */
     RATE,
-    /** Its datagrams are lost, repeated and reordered for {@code for}. */
+    /** Drops, duplicates and reorders the member's datagrams for {@code for}. */
     SCRAMBLE,
-    /** It is sent again what came last, as it was and with a bit turned over. */
+    /**
+     * Sends the last datagram of each link to the member again, both unchanged and with one bit
+     * flipped.
+     */
     FORGE,
-    /** SIGTERM: it gives back what it holds and ends; started again after {@code for}. */
+    /**
+     * Sends SIGTERM: the member releases its leases and exits; it is restarted after {@code for}.
+     */
     LEAVE
   }
 
-  /** What a step may wait for beside its time, or before its end is counted. */
-  public enum Sign {
-    /** Nothing. */
+  /** A condition that a step waits for in addition to its time, or before its duration starts. */
+  public enum Condition {
+    /** No condition. */
     NONE,
-    /** An effect of its member waits in a link whose effects are held. */
+    /** A job submitted by the member is held back in a link in {@link Relay.Mode#HOLD} mode. */
     HELD,
-    /** A job that its member owned when the step began has landed under a later epoch since. */
+    /**
+     * A job whose shard the member owned when the step began has been executed under a later epoch
+     * since.
+     */
     OVERTAKEN
   }
 
   /**
-   * One step: {@code who} is a member's name, {@code owner} (of the first job), {@code owner2} (of
-   * the second), {@code list-owner}, {@code another} (not the first one's owner), {@code same} (as
-   * the step before), or {@code all}; it begins at its time and once {@code when} was seen, and
-   * ends {@code length} ms after {@code until} was seen; both 0 and none: never. {@code by} is how
-   * much, where the deed has a measure.
+   * One step. {@code who} selects the members: a member's name, {@code owner} (of the first job's
+   * shard), {@code owner2} (of the second job's shard), {@code list-owner}, {@code another} (not
+   * the owner of the first job's shard), {@code same} (the member of the step before) or {@code
+   * all}. The step begins at its time and once {@code when} has occurred, and ends {@code length}
+   * ms after {@code until} has occurred; it never ends if {@code length} is 0 and {@code until} is
+   * {@code NONE}. {@code by} is the amount, for actions that have one.
    */
   public record Step(
-      double at, Sign when, Deed deed, String who, double by, double length, Sign until) {
-    boolean hurtsInside() {
-      return deed == Deed.FILL || deed == Deed.SLOW || deed == Deed.JUMP || deed == Deed.RATE;
+      double at,
+      Condition when,
+      StepAction action,
+      String who,
+      double by,
+      double length,
+      Condition until) {
+    boolean needsFaultInjection() {
+      return action == StepAction.FILL
+          || action == StepAction.SLOW
+          || action == StepAction.JUMP
+          || action == StepAction.RATE;
     }
 
     boolean ends() {
-      return length > 0 || until != Sign.NONE;
+      return length > 0 || until != Condition.NONE;
     }
   }
 
-  /** Reads a trial's text; {@code file} is its name in messages. */
+  /** Parses the text of a trial; {@code file} is its name in error messages. */
   public static TrialFile read(String file, String text) throws FileException {
     Section top = new Section(file, new TomlLines(text), "", Section.parse(file, text));
     List<Step> steps = new ArrayList<>();
-    for (Section each : top.sections("step")) {
-      Deed deed = each.word("do", Deed.class, null);
-      if (deed == null) {
-        throw each.bad("do", "is missing");
+    for (Section table : top.sections("step")) {
+      StepAction action = table.word("do", StepAction.class, null);
+      if (action == null) {
+        throw table.bad("do", "is missing");
       }
-      String who = each.text("who", null);
+      String who = table.text("who", null);
       if (who == null) {
-        throw each.bad("who", "is missing");
+        throw table.bad("who", "is missing");
       }
       steps.add(
           new Step(
-              each.time("at", 0),
-              each.word("when", Sign.class, Sign.NONE),
-              deed,
+              table.time("at", 0),
+              table.word("when", Condition.class, Condition.NONE),
+              action,
               who,
-              each.number("by", 0) * (each.text("back", "no").equals("yes") ? -1 : 1),
-              each.time("for", 0),
-              each.word("until", Sign.class, Sign.NONE)));
-      each.end();
+              table.number("by", 0) * (table.text("back", "no").equals("yes") ? -1 : 1),
+              table.time("for", 0),
+              table.word("until", Condition.class, Condition.NONE)));
+      table.end();
     }
     double members = top.number("members", 3);
     if (members < 1 || members > 9 || members != Math.rint(members)) {
@@ -172,7 +201,7 @@
     return trial;
   }
 
-  /** A trial that comes with the program, null if there is none of this name. */
+  /** Returns a trial that is part of the program, null if there is none of this name. */
   public static TrialFile shipped(String name) throws FileException {
     try (InputStream in = TrialFile.class.getResourceAsStream("/trials/" + name + ".toml")) {
       return in == null ? null : read(name, new String(in.readAllBytes(), StandardCharsets.UTF_8));
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
@@ -1,7 +1,7 @@
 package ferngrade.faulttest;
 
 import ferngrade.faulttest.History.Event;
-import ferngrade.faulttest.TrialFile.Sign;
+import ferngrade.faulttest.TrialFile.Condition;
 import ferngrade.faulttest.TrialFile.Step;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,23 +18,26 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Plays a trial: starts the members as processes of the program, with a relay of its own in each
- * directed link between them and from each to whoever takes their jobs; does the steps; waits until
- * every job has landed again after the last; and has the judges read the history. Times only say
- * when something is done: no verdict hangs on speed.
+ * Runs a trial. Starts each member as a process of the program, with a separate relay in each
+ * directed link between members and from each member to the job receiver; executes the steps; waits
+ * until each job has been executed after the last step; and checks the history. Times only
+ * determine when a step is executed: no check depends on speed.
  */
 public final class TrialRun {
-  /** How long, ms, anything that must come may take on a busy machine. */
-  private static final double GENEROUS = 60_000;
+  /** The time within which any expected event must occur even on a busy machine, in ms. */
+  private static final double EVENT_TIMEOUT_MILLIS = 60_000;
 
-  /** How long, ms, duties may still move to members that came last, before the first step. */
-  private static final double SETTLED = 500;
+  /**
+   * The time before the first step in which shards may still move to the members that joined last,
+   * in ms.
+   */
+  private static final double SETTLE_TIME_MILLIS = 500;
 
-  private static final String ANY = "\"127.0.0.1:0\"";
-  private static final String STRANGER = "x";
+  private static final String ANY_PORT = "\"127.0.0.1:0\"";
+  private static final String FOREIGN_NAME = "x";
 
-  /** How long, ms, is waited at the end for what may still land late. */
-  private static final double LATE = 1_500;
+  /** The time for which effects that arrive late are still recorded after the last check, in ms. */
+  private static final double LATE_EFFECT_WAIT_MILLIS = 1_500;
 
   private final TrialFile trial;
   private final Path folder;
@@ -42,84 +45,94 @@
   private final List<String> names = new ArrayList<>();
   private final TreeMap<String, ProcessMember> members = new TreeMap<>();
   private final Network network;
-  private final ProcessMember stranger;
-  private final JobReceiverStub taker;
-  private final EndpointListStub lister;
-  private final SplittableRandom chance;
-  private String hurtLast;
+  private final ProcessMember foreignMember;
+  private final JobReceiverStub jobReceiver;
+  private final DiscoveryServiceStub endpointListServer;
+  private final SplittableRandom random;
+  private String lastAffected;
 
-  /** What a trial came to: the breaches, and the history that they were found in. */
+  /** The violations found in a trial, and the history that they were found in. */
   public record Result(List<Violation> breaches, History history) {}
 
-  /** A trial of the program that {@code program} starts; its files go into {@code folder}. */
+  /**
+   * Creates a trial of the program that {@code program} starts; its files are written to {@code
+   * folder}.
+   */
   public TrialRun(TrialFile trial, long seed, Mutant mutant, List<String> program, Path folder)
       throws IOException, InterruptedException {
     this.trial = trial;
     this.folder = folder;
-    this.chance = new SplittableRandom(seed);
-    this.taker = new JobReceiverStub(history, mutant != Mutant.NO_EPOCH_CHECK);
-    this.lister = new EndpointListStub(history);
+    this.random = new SplittableRandom(seed);
+    this.jobReceiver = new JobReceiverStub(history, mutant != Mutant.NO_EPOCH_CHECK);
+    this.endpointListServer = new DiscoveryServiceStub(history);
     for (int i = 0; i < trial.members(); i++) {
       names.add(String.valueOf((char) ('a' + i)));
     }
-    this.hurtLast = names.get(0);
-    this.network = new Network(names, taker.address(), history, chance);
+    this.lastAffected = names.get(0);
+    this.network = new Network(names, jobReceiver.address(), history, random);
     Files.createDirectories(folder);
     Files.writeString(folder.resolve("key"), "a key that is known to this trial alone\n");
-    List<String> start = new ArrayList<>(program);
-    if (trial.steps().stream().anyMatch(Step::hurtsInside)) {
-      start.set(start.size() - 1, FaultInjectingMember.class.getName());
+    List<String> command = new ArrayList<>(program);
+    if (trial.steps().stream().anyMatch(Step::needsFaultInjection)) {
+      command.set(command.size() - 1, FaultInjectingMember.class.getName());
     }
     for (String name : names) {
       Path file = folder.resolve(name + ".toml");
-      Files.writeString(file, file(name));
+      Files.writeString(file, memberFleetFile(name));
       members.put(
           name,
           new ProcessMember(
               name,
-              start,
+              command,
               file,
               folder.resolve(name),
               history,
-              (address, datagrams) -> network.listens(name, address, datagrams)));
+              (address, datagrams) -> network.setAddress(name, address, datagrams)));
     }
-    Path file = folder.resolve(STRANGER + ".toml");
-    Files.writeString(file, strangersFile());
-    this.stranger =
+    Path file = folder.resolve(FOREIGN_NAME + ".toml");
+    Files.writeString(file, foreignFleetFile());
+    this.foreignMember =
         new ProcessMember(
-            STRANGER, program, file, folder.resolve(STRANGER), history, (address, datagrams) -> {});
+            FOREIGN_NAME,
+            program,
+            file,
+            folder.resolve(FOREIGN_NAME),
+            history,
+            (address, datagrams) -> {});
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String quotedAddress(InetSocketAddress address) {
     return "\"" + address.getHostString() + ":" + address.getPort() + "\"";
   }
 
-  /** The fleet's file as one member has it: it reaches the others through its own relays. */
-  private String file(String name) {
+  /**
+   * Returns the fleet file of one member, which reaches the other members through its own relays.
+   */
+  private String memberFleetFile(String name) {
     StringBuilder toml = new StringBuilder();
     toml.append("name = \"trial\"\nkey-file = \"key\"\nhold = \"")
-        .append((long) trial.hold())
+        .append((long) trial.leaseDuration())
         .append("ms\"\n");
-    toml.append("targets = [").append(text(network.effects(name).address())).append("]\n");
-    if (trial.list()) {
-      toml.append("discovery = ").append(text(lister.address())).append('\n');
+    toml.append("targets = [").append(quotedAddress(network.effects(name).address())).append("]\n");
+    if (trial.sharesEndpointList()) {
+      toml.append("discovery = ").append(quotedAddress(endpointListServer.address())).append('\n');
     }
     for (String other : names) {
       boolean own = other.equals(name);
-      member(
+      appendMember(
           toml,
           other,
-          own ? ANY : text(network.link(name, other)),
-          own ? ANY : text(network.datagrams(name, other)));
-      if (own && trial.list()) {
-        toml.append("list = ").append(ANY).append('\n');
+          own ? ANY_PORT : quotedAddress(network.link(name, other)),
+          own ? ANY_PORT : quotedAddress(network.datagrams(name, other)));
+      if (own && trial.sharesEndpointList()) {
+        toml.append("list = ").append(ANY_PORT).append('\n');
       }
     }
     for (String job : List.of("once", "keyed")) {
       toml.append("[[recurring]]\nname = \"")
           .append(job)
           .append("\"\nevery = \"")
-          .append((long) trial.every())
+          .append((long) trial.recurrencePeriod())
           .append("ms\"\nclass = \"c\"\ntenant = \"t\"\ndeadline = \"20s\"\neffect = \"")
           .append(job.equals("once") ? "unsafe" : "keyed")
           .append("\"\n");
@@ -127,7 +140,7 @@
     return toml.toString();
   }
 
-  private static void member(StringBuilder toml, String name, String address, String gossip) {
+  private static void appendMember(StringBuilder toml, String name, String address, String gossip) {
     toml.append("[[member]]\nname = \"")
         .append(name)
         .append("\"\naddress = ")
@@ -137,78 +150,91 @@
         .append('\n');
   }
 
-  /** The file of a member of another fleet, which takes this one's members for its own. */
-  private String strangersFile() {
+  /**
+   * Returns the fleet file of a member of another fleet, which lists the members of the tested
+   * fleet as its own.
+   */
+  private String foreignFleetFile() {
     StringBuilder toml = new StringBuilder("name = \"other\"\nkey-file = \"key\"\n");
-    member(toml, STRANGER, ANY, ANY);
+    appendMember(toml, FOREIGN_NAME, ANY_PORT, ANY_PORT);
     String first = names.get(0);
     for (String other : names.subList(1, names.size())) {
-      member(toml, other, text(network.link(first, other)), text(network.datagrams(first, other)));
+      appendMember(
+          toml,
+          other,
+          quotedAddress(network.link(first, other)),
+          quotedAddress(network.datagrams(first, other)));
       toml.append("part = \"learner\"\n");
     }
     return toml.toString();
   }
 
-  /** Plays it to its end. */
+  /** Runs the trial to its end. */
   public Result run() throws IOException, InterruptedException {
-    List<Violation> breaches = new ArrayList<>();
+    List<Violation> violations = new ArrayList<>();
     try {
       for (ProcessMember member : members.values()) {
         member.start();
       }
-      if (trial.stranger()) {
-        stranger.start();
+      if (trial.foreignMember()) {
+        foreignMember.start();
       }
-      double played = Double.POSITIVE_INFINITY;
-      if (!awaitSessions() || !awaitLanded(history.now())) {
-        breaches.add(new Violation(history.now(), "owned", "a job has not landed since the start"));
+      double stepsBegan = Double.POSITIVE_INFINITY;
+      if (!awaitSessions() || !awaitExecuted(history.now())) {
+        violations.add(
+            new Violation(history.now(), "owned", "a job has not been executed since the start"));
       } else {
-        pass(SETTLED);
-        played = history.now();
-        if (!play()) {
-          breaches.add(
+        sleep(SETTLE_TIME_MILLIS);
+        stepsBegan = history.now();
+        if (!executeSteps()) {
+          violations.add(
               new Violation(
-                  history.now(), "played", "a step waited in vain for what it comes after"));
+                  history.now(), "played", "the condition of a step did not occur in time"));
         }
-        if (!awaitLanded(history.now())) {
-          breaches.add(
-              new Violation(history.now(), "owned", "a job has not landed since the last fault"));
+        if (!awaitExecuted(history.now())) {
+          violations.add(
+              new Violation(
+                  history.now(), "owned", "a job has not been executed since the last fault"));
         }
-        if (trial.list()) {
-          breaches.addAll(judgeList());
+        if (trial.sharesEndpointList()) {
+          violations.addAll(checkEndpointList());
         }
-        pass(LATE);
+        sleep(LATE_EFFECT_WAIT_MILLIS);
       }
-      breaches.addAll(HistoryChecker.said(history.events(), played, trial.says(), trial.never()));
-      if (trial.keeps()) {
-        breaches.addAll(HistoryChecker.kept(history.events(), played));
+      violations.addAll(
+          HistoryChecker.checkLogLines(
+              history.events(), stepsBegan, trial.requiredLogTexts(), trial.forbiddenLogTexts()));
+      if (trial.keepsShards()) {
+        violations.addAll(HistoryChecker.checkNoShardLost(history.events(), stepsBegan));
       }
     } finally {
-      if (trial.stranger()) {
-        stranger.kill();
+      if (trial.foreignMember()) {
+        foreignMember.kill();
       }
       for (ProcessMember member : members.values()) {
-        member.stand(false);
+        member.setSuspended(false);
         member.kill();
         member.awaitEnd();
       }
-      taker.close();
-      lister.close();
+      jobReceiver.close();
+      endpointListServer.close();
       network.close();
       history.write(folder.resolve("history.jsonl"));
     }
-    breaches.addAll(HistoryChecker.judge(history.events()));
-    return new Result(breaches, history);
+    violations.addAll(HistoryChecker.checkSafety(history.events()));
+    return new Result(violations, history);
   }
 
-  /** Waits until each job has landed after this time. */
-  private boolean awaitLanded(double since) throws InterruptedException {
-    double until = history.now() + GENEROUS;
+  /**
+   * Waits until each job has been accepted by the receiver after {@code since}; false on a timeout.
+   */
+  private boolean awaitExecuted(double since) throws InterruptedException {
+    double until = history.now() + EVENT_TIMEOUT_MILLIS;
     while (history.now() < until) {
       long jobs =
           history.events().stream()
-              .filter(each -> each.at() > since && each.what().equals("landed"))
-              .map(each -> each.detail("shard"))
+              .filter(event -> event.at() > since && event.what().equals("landed"))
+              .map(event -> event.detail("shard"))
               .distinct()
               .count();
       if (jobs == 2) {
@@ -219,33 +245,37 @@
     return false;
   }
 
-  /** All that are up must come to have the list as it is, and one of them alone to ask for it. */
-  private List<Violation> judgeList() throws InterruptedException {
-    long revision = lister.revision();
-    double until = history.now() + GENEROUS;
-    String seen = "";
+  /**
+   * Checks that every running member reaches the current revision of the endpoint list, and that
+   * exactly one member watches the discovery service.
+   */
+  private List<Violation> checkEndpointList() throws InterruptedException {
+    long revision = endpointListServer.revision();
+    double until = history.now() + EVENT_TIMEOUT_MILLIS;
+    String lastObserved = "";
     while (history.now() < until) {
       List<String> behind =
           members.values().stream()
               .filter(ProcessMember::alive)
-              .filter(each -> each.listed() < revision)
-              .map(each -> each.name)
+              .filter(member -> member.endpointListRevision() < revision)
+              .map(member -> member.name)
               .toList();
-      if (behind.isEmpty() && lister.open() == 1) {
+      if (behind.isEmpty() && endpointListServer.open() == 1) {
         return List.of();
       }
-      seen = "behind " + behind + ", " + lister.open() + " ask";
+      lastObserved =
+          "members with an old list " + behind + ", open watches " + endpointListServer.open();
       history.await(100);
     }
-    return List.of(new Violation(history.now(), "asked once", seen));
+    return List.of(new Violation(history.now(), "asked once", lastObserved));
   }
 
-  /** Waits until a majority has confirmed each member. */
+  /** Waits until a majority has confirmed the session of each member; false on a timeout. */
   private boolean awaitSessions() throws InterruptedException {
-    double until = history.now() + GENEROUS;
+    double until = history.now() + EVENT_TIMEOUT_MILLIS;
     while (history.now() < until) {
       if (history.events().stream()
-              .filter(each -> each.what().equals("session"))
+              .filter(event -> event.what().equals("session"))
               .map(Event::who)
               .distinct()
               .count()
@@ -257,7 +287,7 @@
     return false;
   }
 
-  private void pass(double millis) throws InterruptedException {
+  private void sleep(double millis) throws InterruptedException {
     double until = history.now() + millis;
     while (history.now() < until) {
       history.await(until - history.now());
@@ -266,49 +296,54 @@
 
   // ---- Steps ----
 
-  /** Something to do at a time and once something else is so. */
-  private record Due(double at, BooleanSupplier when, Action action) {}
+  /** An action to run {@code at} ms or later, once {@code when} is true. */
+  private record ScheduledAction(double at, BooleanSupplier when, FaultAction action) {}
 
-  /** What a step does, or undoes. */
+  /** Executes a step, or undoes it. */
   @FunctionalInterface
-  private interface Action {
+  private interface FaultAction {
     void run() throws IOException, InterruptedException;
   }
 
-  /** Does all steps; false if one waited in vain for what it was to come after. */
-  private boolean play() throws IOException, InterruptedException {
+  /** Executes all steps; false if the condition of a step did not occur in time. */
+  private boolean executeSteps() throws IOException, InterruptedException {
     double start = history.now();
-    List<Due> agenda = new ArrayList<>();
+    List<ScheduledAction> scheduled = new ArrayList<>();
     for (Step step : trial.steps()) {
-      // Whose sign it waits for is settled with the first look after its time.
-      String[] whose = new String[1];
-      agenda.add(
-          new Due(
+      // The member whose condition is awaited is resolved at the first check after the step's
+      // time.
+      String[] awaitedMember = new String[1];
+      scheduled.add(
+          new ScheduledAction(
               start + step.at(),
               () -> {
-                whose[0] =
-                    whose[0] != null || step.when() == Sign.NONE
-                        ? whose[0]
-                        : who(step.who()).get(0).name;
-                return seen(step.when(), whose[0], start);
+                awaitedMember[0] =
+                    awaitedMember[0] != null || step.when() == Condition.NONE
+                        ? awaitedMember[0]
+                        : selectMembers(step.who()).get(0).name;
+                return hasOccurred(step.when(), awaitedMember[0], start);
               },
-              () -> begin(step, agenda)));
+              () -> startStep(step, scheduled)));
     }
-    while (!agenda.isEmpty()) {
+    while (!scheduled.isEmpty()) {
       double now = history.now();
-      Due next =
-          agenda.stream()
-              .filter(each -> each.at() <= now && each.when().getAsBoolean())
-              .min(Comparator.comparingDouble(Due::at))
+      ScheduledAction next =
+          scheduled.stream()
+              .filter(task -> task.at() <= now && task.when().getAsBoolean())
+              .min(Comparator.comparingDouble(ScheduledAction::at))
               .orElse(null);
       if (next != null) {
-        agenda.remove(next);
+        scheduled.remove(next);
         next.action().run();
-      } else if (agenda.stream().allMatch(each -> each.at() + GENEROUS < now)) {
+      } else if (scheduled.stream().allMatch(task -> task.at() + EVENT_TIMEOUT_MILLIS < now)) {
         return false;
       } else {
         double wait =
-            agenda.stream().mapToDouble(Due::at).filter(at -> at > now).min().orElse(now + 200)
+            scheduled.stream()
+                    .mapToDouble(ScheduledAction::at)
+                    .filter(at -> at > now)
+                    .min()
+                    .orElse(now + 200)
                 - now;
         history.await(Math.min(200, wait));
       }
@@ -316,140 +351,142 @@
     return true;
   }
 
-  private void begin(Step step, List<Due> agenda) throws IOException, InterruptedException {
-    for (ProcessMember one : who(step.who())) {
+  private void startStep(Step step, List<ScheduledAction> scheduled)
+      throws IOException, InterruptedException {
+    for (ProcessMember member : selectMembers(step.who())) {
       history.add(
           "harness",
-          step.deed().name().toLowerCase(Locale.ROOT).replace('_', '-'),
-          Map.of("member", one.name));
-      hurtLast = one.name;
+          step.action().name().toLowerCase(Locale.ROOT).replace('_', '-'),
+          Map.of("member", member.name));
+      lastAffected = member.name;
       double since = history.now();
-      Action undo = act(step, one);
+      FaultAction undo = execute(step, member);
       if (step.ends()) {
-        agenda.add(
-            new Due(
+        scheduled.add(
+            new ScheduledAction(
                 since,
-                () -> seen(step.until(), one.name, since),
+                () -> hasOccurred(step.until(), member.name, since),
                 () ->
-                    agenda.add(
-                        new Due(
+                    scheduled.add(
+                        new ScheduledAction(
                             history.now() + step.length(),
                             () -> true,
                             () -> {
                               history.add(
                                   "harness",
                                   "end",
-                                  Map.of("member", one.name, "deed", step.deed().name()));
+                                  Map.of("member", member.name, "deed", step.action().name()));
                               undo.run();
                             }))));
       }
     }
   }
 
-  /** Whether what a step waits for has been seen of this member since then. */
-  private boolean seen(Sign sign, String member, double since) {
-    return switch (sign) {
+  /** Returns whether the condition has occurred for this member since {@code since}. */
+  private boolean hasOccurred(Condition condition, String member, double since) {
+    return switch (condition) {
       case NONE -> true;
       case HELD ->
           history.events().stream()
               .anyMatch(
-                  each ->
-                      each.at() >= since
-                          && each.what().equals("held")
-                          && each.who().equals(member));
+                  event ->
+                      event.at() >= since
+                          && event.what().equals("held")
+                          && event.who().equals(member));
       case OVERTAKEN -> {
         Map<String, Long> owned = new HashMap<>();
         boolean overtaken = false;
-        for (Event each : history.events()) {
-          String shard = each.detail("shard");
-          if (each.what().equals("gained") && each.at() < since) {
+        for (Event event : history.events()) {
+          String shard = event.detail("shard");
+          if (event.what().equals("gained") && event.at() < since) {
             owned.remove(shard);
-            if (each.who().equals(member)) {
-              owned.put(shard, Long.parseLong(each.detail("epoch")));
+            if (event.who().equals(member)) {
+              owned.put(shard, Long.parseLong(event.detail("epoch")));
             }
           }
           overtaken |=
-              each.what().equals("landed")
-                  && each.at() > since
+              event.what().equals("landed")
+                  && event.at() > since
                   && owned.containsKey(shard)
-                  && Long.parseLong(each.detail("epoch")) > owned.get(shard);
+                  && Long.parseLong(event.detail("epoch")) > owned.get(shard);
         }
         yield overtaken;
       }
     };
   }
 
-  /** Does a step to one member; what is returned undoes it. */
-  private Action act(Step step, ProcessMember one) throws IOException, InterruptedException {
-    switch (step.deed()) {
+  /** Executes a step on one member; the returned action undoes it. */
+  private FaultAction execute(Step step, ProcessMember member)
+      throws IOException, InterruptedException {
+    switch (step.action()) {
       case KILL, FORGET, REJOIN, FLIP -> {
-        one.kill();
+        member.kill();
         return () -> {
-          one.awaitEnd();
-          if (step.deed() == TrialFile.Deed.FLIP) {
-            one.flip();
-          } else if (step.deed() != TrialFile.Deed.KILL) {
-            one.forget();
+          member.awaitEnd();
+          if (step.action() == TrialFile.StepAction.FLIP) {
+            member.flipLogBit();
+          } else if (step.action() != TrialFile.StepAction.KILL) {
+            member.deleteData();
           }
-          one.start(step.deed() == TrialFile.Deed.REJOIN ? "--rejoin" : "");
+          member.start(step.action() == TrialFile.StepAction.REJOIN ? "--rejoin" : "");
         };
       }
       case LEAVE -> {
-        one.terminate();
+        member.terminate();
         return () -> {
-          one.awaitEnd();
-          one.start();
+          member.awaitEnd();
+          member.start();
         };
       }
       case STOP -> {
-        one.stand(true);
-        return () -> one.stand(false);
+        member.setSuspended(true);
+        return () -> member.setSuspended(false);
       }
       case HOLD_EFFECTS -> {
-        network.effects(one.name).mode(Relay.Mode.HOLD);
-        return () -> network.effects(one.name).mode(Relay.Mode.PASS);
+        network.effects(member.name).setMode(Relay.Mode.HOLD);
+        return () -> network.effects(member.name).setMode(Relay.Mode.PASS);
       }
       case FILL -> {
-        one.order("fill");
-        return () -> one.order("mend");
+        member.sendCommand("fill");
+        return () -> member.sendCommand("mend");
       }
       case SLOW -> {
-        one.order("slow " + (long) step.by());
-        return () -> one.order("slow 0");
+        member.sendCommand("slow " + (long) step.by());
+        return () -> member.sendCommand("slow 0");
       }
       case JUMP -> {
-        one.order("jump " + (long) step.by());
-        return () -> one.order("jump " + (long) -step.by());
+        member.sendCommand("jump " + (long) step.by());
+        return () -> member.sendCommand("jump " + (long) -step.by());
       }
       case RATE -> {
-        one.order("rate " + step.by());
-        return () -> one.order("rate 1");
+        member.sendCommand("rate " + step.by());
+        return () -> member.sendCommand("rate 1");
       }
       case SCRAMBLE -> {
-        return network.scramble(one.name)::run;
+        return network.scramble(member.name)::run;
       }
       case FORGE -> {
-        network.forge(one.name, chance);
+        network.forge(member.name, random);
         return () -> {};
       }
       default -> {
         return network.cut(
-                one.name,
-                step.deed() != TrialFile.Deed.DEAFEN,
-                step.deed() != TrialFile.Deed.MUTE,
-                step.deed() == TrialFile.Deed.CUT ? Relay.Mode.CUT : Relay.Mode.SILENT)
+                member.name,
+                step.action() != TrialFile.StepAction.DEAFEN,
+                step.action() != TrialFile.StepAction.MUTE,
+                step.action() == TrialFile.StepAction.CUT ? Relay.Mode.CUT : Relay.Mode.SILENT)
             ::run;
       }
     }
   }
 
-  private List<ProcessMember> who(String word) {
+  private List<ProcessMember> selectMembers(String selector) {
     List<Event> events = history.events();
     String owner = owner(events, "once/0");
     String second = owner(events, "keyed/0");
-    return switch (word) {
+    return switch (selector) {
       case "all" -> List.copyOf(members.values());
-      case "same" -> List.of(members.get(hurtLast));
+      case "same" -> List.of(members.get(lastAffected));
       case "owner" -> List.of(members.get(owner));
       case "owner2" -> List.of(members.get(second));
       case "list-owner" -> List.of(members.get(owner(events, "list/0")));
@@ -457,23 +494,25 @@
         List<ProcessMember> others =
             members.values().stream()
                 .filter(ProcessMember::alive)
-                .filter(each -> !each.name.equals(owner))
+                .filter(member -> !member.name.equals(owner))
                 .toList();
-        yield List.of(others.get(chance.nextInt(others.size())));
+        yield List.of(others.get(random.nextInt(others.size())));
       }
       default -> {
-        if (!members.containsKey(word)) {
-          throw new IllegalArgumentException("no member " + word);
+        if (!members.containsKey(selector)) {
+          throw new IllegalArgumentException("there is no member \"" + selector + "\"");
         }
-        yield List.of(members.get(word));
+        yield List.of(members.get(selector));
       }
     };
   }
 
-  /** The member that said last that it gained a shard; the first one before any did. */
+  /**
+   * Returns the member that last logged that it gained the shard; the first member before any did.
+   */
   private String owner(List<Event> events, String shard) {
     return events.stream()
-        .filter(each -> each.what().equals("gained") && each.detail("shard").equals(shard))
+        .filter(event -> event.what().equals("gained") && event.detail("shard").equals(shard))
         .reduce((first, last) -> last)
         .map(Event::who)
         .orElse(members.firstKey());
--- a/faulttest/src/main/java/ferngrade/faulttest/UdpRelay.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/UdpRelay.java
@@ -14,28 +14,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One directed link for datagrams: what comes from its one end goes on to the other, and what the
- * other answers to it goes back. It can lose, repeat, delay and so reorder them. All but the
- * switches belongs to the group's one thread.
+ * A directed link for datagrams: forwards datagrams from the sender to the target, and the target's
+ * answers back. Can drop, duplicate and delay, and so reorder, datagrams. All state except the
+ * volatile fields belongs to the group's single thread.
  */
 final class UdpRelay {
-  private static final double LOST = 0.2;
-  private static final double REPEATED = 0.2;
-  private static final double LATE = 0.3;
-  private static final int LATE_MS = 150;
+  private static final double LOSS_PROBABILITY = 0.2;
+  private static final double DUPLICATION_PROBABILITY = 0.2;
+  private static final double DELAY_PROBABILITY = 0.3;
+  private static final int MAX_DELAY_MILLIS = 150;
 
   private final Channel channel;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private InetSocketAddress from;
   private volatile InetSocketAddress target;
   private volatile boolean silent;
   private volatile boolean scrambled;
 
-  /** The last that passed, for whoever wants to send it again. */
-  private volatile byte[] last;
+  /** The last forwarded datagram, for replays. */
+  private volatile byte[] lastDatagram;
 
   UdpRelay(EventLoopGroup group, long seed) throws InterruptedException {
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.channel =
         new Bootstrap()
             .group(group)
@@ -50,27 +50,27 @@
     return (InetSocketAddress) channel.localAddress();
   }
 
-  /** What comes goes there from now on. */
-  void to(InetSocketAddress address) {
+  /** Forwards datagrams to this address from now on. */
+  void setTarget(InetSocketAddress address) {
     target = address;
   }
 
-  /** Whether all is lost. */
-  void silent(boolean now) {
-    silent = now;
+  /** Sets whether all datagrams are dropped. */
+  void setSilent(boolean enabled) {
+    silent = enabled;
   }
 
-  /** Whether datagrams are lost, repeated and delayed by chance. */
-  void scrambled(boolean now) {
-    scrambled = now;
+  /** Sets whether datagrams are randomly dropped, duplicated and delayed. */
+  void setScrambled(boolean enabled) {
+    scrambled = enabled;
   }
 
-  /** The last datagram that came this way, null before the first. */
-  byte[] last() {
-    return last;
+  /** Returns the last datagram forwarded to the target, null before the first. */
+  byte[] lastDatagram() {
+    return lastDatagram;
   }
 
-  /** Sends this to the end, as though it had come this way. */
+  /** Sends a datagram to the target as if it had been received on this link. */
   void inject(byte[] datagram) {
     channel.eventLoop().execute(() -> write(target, datagram));
   }
@@ -91,22 +91,25 @@
       if (to == null) {
         return;
       }
-      boolean back = packet.sender().equals(to);
-      if (!back) {
+      boolean isAnswer = packet.sender().equals(to);
+      if (!isAnswer) {
         from = packet.sender();
       }
-      InetSocketAddress next = back ? from : to;
-      if (next == null || silent || (scrambled && chance.nextDouble() < LOST)) {
+      InetSocketAddress next = isAnswer ? from : to;
+      if (next == null || silent || (scrambled && random.nextDouble() < LOSS_PROBABILITY)) {
         return;
       }
       byte[] bytes = new byte[packet.content().readableBytes()];
       packet.content().readBytes(bytes);
-      last = back ? last : bytes;
-      int copies = scrambled && chance.nextDouble() < REPEATED ? 2 : 1;
+      lastDatagram = isAnswer ? lastDatagram : bytes;
+      int copies = scrambled && random.nextDouble() < DUPLICATION_PROBABILITY ? 2 : 1;
       for (int i = 0; i < copies; i++) {
-        if (scrambled && chance.nextDouble() < LATE) {
+        if (scrambled && random.nextDouble() < DELAY_PROBABILITY) {
           ctx.executor()
-              .schedule(() -> write(next, bytes), chance.nextInt(LATE_MS), TimeUnit.MILLISECONDS);
+              .schedule(
+                  () -> write(next, bytes),
+                  random.nextInt(MAX_DELAY_MILLIS),
+                  TimeUnit.MILLISECONDS);
         } else {
           write(next, bytes);
         }
@@ -115,7 +118,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // Whoever is not there takes nothing.
+      // Datagrams to a closed port are lost.
     }
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/Violation.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Violation.java
@@ -1,9 +1,11 @@
 package ferngrade.faulttest;
 
-/** Something that must hold and did not: when, ms from the start, which rule, and what was seen. */
-public record Violation(double at, String rule, String seen) {
+/**
+ * An invariant that did not hold: the time in ms since the start, the rule, and what was observed.
+ */
+public record Violation(double at, String rule, String description) {
   @Override
   public String toString() {
-    return String.format("%.0f ms: %s: %s", at, rule, seen);
+    return String.format("%.0f ms: %s: %s", at, rule, description);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -19,22 +19,22 @@
 import java.util.function.Consumer;
 
 /**
- * A few members in virtual time, with faults drawn from a seed: crashes that lose what was not
- * synced, pauses, cuts in one direction or both, loss, late and repeated messages, clocks that run
- * at their own rates and jump, full and lost disks, leaves. What must hold is judged as it happens;
- * at the end all faults are over, and every shard must have an owner.
+ * Members in virtual time with faults drawn from a seed: crashes that lose unsynced data, pauses,
+ * cuts in one direction or both, loss, late and duplicated messages, clocks that drift and jump,
+ * full and lost disks, leaves. Invariants are checked while a run proceeds; at the end all faults
+ * are over, and every shard must have an owner.
  */
 public final class VirtualFleet {
-  private static final double QUIET = 12_000;
-  private static final double AGAIN = 300;
-  private static final double FAULTS_FROM = 4_000;
-  private static final double FAULTS_UNTIL = 22_000;
+  private static final double RECOVERY_MILLIS = 12_000;
+  private static final double RESTART_RETRY_MILLIS = 300;
+  private static final double FIRST_FAULT_MILLIS = 4_000;
+  private static final double LAST_FAULT_MILLIS = 22_000;
 
   final VirtualTime time = new VirtualTime(0);
   final Mutant mutant;
-  final double hold = 1500;
+  final double leaseDuration = 1500;
   final double heartbeat = 100;
-  final double drift = 0.02;
+  final double maxClockDrift = 0.02;
   final List<String> names = new ArrayList<>();
   final List<RecurringSchedule> jobs =
       List.of(
@@ -42,104 +42,114 @@
           new RecurringSchedule("roll", 100, true, true),
           new RecurringSchedule("skip", 300, false, false));
   final List<Shard> shards = jobs.stream().map(RecurringSchedule::shard).toList();
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final Map<String, VirtualMember> members = new HashMap<>();
   private final Map<String, FaultInjectingStorage> disks = new HashMap<>();
-  private final Map<String, Double> rates = new HashMap<>();
-  private final Map<String, Long> jumps = new HashMap<>();
+  private final Map<String, Double> clockRates = new HashMap<>();
+  private final Map<String, Long> clockJumps = new HashMap<>();
   private final Set<String> cuts = new HashSet<>();
-  private final Set<String> lost = new HashSet<>();
+  private final Set<String> lostDisks = new HashSet<>();
   private final Set<String> drained = new HashSet<>();
   private final Map<Integer, String> leaders = new HashMap<>();
   private final Map<Long, String> log = new HashMap<>();
-  private final FencingGuard fence = new FencingGuard();
-  private final Map<String, Long> landed = new TreeMap<>();
-  private final Map<String, Double> acted = new HashMap<>();
+  private final FencingGuard fencingGuard = new FencingGuard();
+  private final Map<String, Long> executedEpochs = new TreeMap<>();
+  private final Map<String, Double> lastExecutedAt = new HashMap<>();
   private final Set<String> effects = new HashSet<>();
-  private final List<Violation> breaches = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private double loss;
-  private double slowness;
+  private double meanDelayMillis;
   private long processes;
   private long refused;
 
-  /** What a run came to. */
+  /**
+   * The violations of a run, and the number of effects executed, of effects rejected, and of events
+   * in virtual time.
+   */
   public record Result(List<Violation> breaches, long effects, long refused, long events) {}
 
   private VirtualFleet(int size, long seed, Mutant mutant) {
     this.mutant = mutant;
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     for (int i = 0; i < size; i++) {
       String name = String.valueOf((char) ('a' + i));
       names.add(name);
-      disks.put(name, new FaultInjectingStorage(chance.nextLong(), 0));
-      rates.put(name, 1 + drift * (2 * chance.nextDouble() - 1));
+      disks.put(name, new FaultInjectingStorage(random.nextLong(), 0));
+      clockRates.put(name, 1 + maxClockDrift * (2 * random.nextDouble() - 1));
     }
   }
 
-  /** Plays one run of so many members. */
+  /** Runs one fleet of {@code size} members. */
   public static Result play(int size, long seed, Mutant mutant) {
     VirtualFleet fleet = new VirtualFleet(size, seed, mutant);
     fleet.run();
-    return new Result(fleet.breaches, fleet.effects.size(), fleet.refused, fleet.time.ran());
+    return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
   }
 
   /**
-   * Plays a run without faults in which each message takes from half of {@code millis} to once and
-   * a half of it, as on a machine that is far too busy; judged is that each shard is acted for.
+   * Runs without faults, with message delays between 0.5 and 1.5 times {@code millis}, as on an
+   * overloaded machine; checks that the job of each shard is executed.
    */
   public static Result playSlow(int size, long seed, double millis) {
     VirtualFleet fleet = new VirtualFleet(size, seed, Mutant.NONE);
-    fleet.slowness = millis;
+    fleet.meanDelayMillis = millis;
     fleet.names.forEach(fleet::start);
-    fleet.time.run(QUIET);
-    // One that is left out when it is late is always late here.
-    fleet.judgeOwned(
+    fleet.time.run(RECOVERY_MILLIS);
+    // Jobs that are skipped when late are always late at this delay.
+    fleet.checkOwned(
         fleet.jobs.stream()
             .filter(RecurringSchedule::missed)
             .map(RecurringSchedule::shard)
             .toList());
-    return new Result(fleet.breaches, fleet.effects.size(), fleet.refused, fleet.time.ran());
+    return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
   }
 
   private void run() {
     names.forEach(this::start);
-    int faults = 3 + chance.nextInt(6);
+    int faults = 3 + random.nextInt(6);
     for (int i = 0; i < faults; i++) {
-      time.after(FAULTS_FROM + chance.nextDouble() * (FAULTS_UNTIL - FAULTS_FROM), this::fault);
+      time.after(
+          FIRST_FAULT_MILLIS + random.nextDouble() * (LAST_FAULT_MILLIS - FIRST_FAULT_MILLIS),
+          this::injectFault);
     }
-    time.after(50, this::lookAtLeaders);
-    time.run(FAULTS_UNTIL + 6_000);
+    time.after(50, this::checkLeaders);
+    time.run(LAST_FAULT_MILLIS + 6_000);
     cuts.clear();
-    jumps.clear();
+    clockJumps.clear();
     loss = 0;
     for (String name : names) {
       VirtualMember member = members.get(name);
-      member.pause(false);
+      member.setPaused(false);
       disks.get(name).heal();
       if (!member.alive() || drained.contains(name)) {
-        member.die();
+        member.kill();
         start(name);
       }
     }
-    time.run(time.now() + QUIET);
-    judgeOwned(shards);
+    time.run(time.now() + RECOVERY_MILLIS);
+    checkOwned(shards);
     for (VirtualMember member : members.values()) {
-      if (member.alive() && !member.takenIn() && mutant != Mutant.FORGOTTEN_VOTES) {
-        breach("taken in", member.name + " has lost its disk and is not taken in again");
+      if (member.alive() && !member.isAdmitted() && mutant != Mutant.FORGOTTEN_VOTES) {
+        addViolation("taken in", member.name + " has lost its disk and was not admitted again");
       }
     }
   }
 
-  private void judgeOwned(List<Shard> judged) {
-    long up = members.values().stream().filter(VirtualMember::alive).count();
-    for (Shard shard : judged) {
-      long owners = members.values().stream().filter(each -> each.epoch(shard).isPresent()).count();
-      if (2 * up > names.size()
-          && acted.getOrDefault(shard.toString(), 0.0) < time.now() - QUIET / 2) {
-        breach("acted for", shard + " was last acted for at " + acted.get(shard.toString()));
+  private void checkOwned(List<Shard> checked) {
+    long running = members.values().stream().filter(VirtualMember::alive).count();
+    for (Shard shard : checked) {
+      long owners =
+          members.values().stream().filter(member -> member.epoch(shard).isPresent()).count();
+      if (2 * running > names.size()
+          && lastExecutedAt.getOrDefault(shard.toString(), 0.0)
+              < time.now() - RECOVERY_MILLIS / 2) {
+        addViolation(
+            "acted for", shard + " was last executed at " + lastExecutedAt.get(shard.toString()));
       }
-      if (2 * up > names.size() && owners != 1) {
-        breach("owned", shard + " has " + owners + " owners " + QUIET + " ms after the last fault");
+      if (2 * running > names.size() && owners != 1) {
+        addViolation(
+            "owned",
+            shard + " has " + owners + " owners " + RECOVERY_MILLIS + " ms after the last fault");
       }
     }
   }
@@ -148,7 +158,7 @@
 
   private void start(String name) {
     if (members.containsKey(name) && members.get(name).alive()) {
-      // Its folder is locked.
+      // The process that is still running holds the lock of the data folder.
       return;
     }
     FaultInjectingStorage disk = disks.get(name);
@@ -160,20 +170,20 @@
               this,
               name,
               disk,
-              rates.get(name),
+              clockRates.get(name),
               ++processes * 7919 + 13,
-              lost.contains(name) && mutant != Mutant.FORGOTTEN_VOTES));
+              lostDisks.contains(name) && mutant != Mutant.FORGOTTEN_VOTES));
     } catch (CorruptLogException damaged) {
-      breach("disk", name + " cannot read what it synced: " + damaged.getMessage());
+      addViolation("disk", name + " cannot read data that it synced: " + damaged.getMessage());
     } catch (IOException full) {
-      time.after(AGAIN, () -> start(name));
+      time.after(RESTART_RETRY_MILLIS, () -> start(name));
     }
   }
 
-  private void crash(String name, double down) {
-    members.get(name).die();
+  private void crash(String name, double downtime) {
+    members.get(name).kill();
     time.after(
-        down,
+        downtime,
         () -> {
           if (!members.get(name).alive()) {
             start(name);
@@ -181,22 +191,22 @@
         });
   }
 
-  private void fault() {
-    String one = names.get(chance.nextInt(names.size()));
-    String other = names.get(chance.nextInt(names.size()));
-    double length = 200 + chance.nextDouble() * 4_000;
-    switch (chance.nextInt(12)) {
-      case 0, 1 -> crash(one, chance.nextDouble() * 3_000);
+  private void injectFault() {
+    String name = names.get(random.nextInt(names.size()));
+    String other = names.get(random.nextInt(names.size()));
+    double length = 200 + random.nextDouble() * 4_000;
+    switch (random.nextInt(12)) {
+      case 0, 1 -> crash(name, random.nextDouble() * 3_000);
       case 2, 3 -> {
-        VirtualMember member = members.get(one);
-        member.pause(true);
-        time.after(length, () -> member.pause(false));
+        VirtualMember member = members.get(name);
+        member.setPaused(true);
+        time.after(length, () -> member.setPaused(false));
       }
-      case 4 -> cut(List.of(one + other), length);
-      case 5 -> cut(List.of(one + other, other + one), length);
+      case 4 -> cut(List.of(name + other), length);
+      case 5 -> cut(List.of(name + other, other + name), length);
       case 6 -> {
         List<String> all = new ArrayList<>();
-        names.forEach(each -> all.addAll(List.of(one + each, each + one)));
+        names.forEach(peer -> all.addAll(List.of(name + peer, peer + name)));
         cut(all, length);
       }
       case 7 -> {
@@ -204,81 +214,84 @@
         time.after(length, () -> loss = 0);
       }
       case 9 -> {
-        // The leader dies for a moment and comes back unheard by one voter, while the voter between
-        // them dies
-        // again and again: both may ask it for the same vote.
+        // The leader crashes and restarts, cut off from all voters except one, which crashes
+        // repeatedly: both sides may request its vote for the same term.
         String leader =
             members.values().stream()
-                .map(each -> each.view().leader())
+                .map(member -> member.view().leader())
                 .filter(Objects::nonNull)
                 .findFirst()
-                .orElse(one);
+                .orElse(name);
         List<String> others = new ArrayList<>(names);
         others.remove(leader);
-        String between = others.remove(chance.nextInt(others.size()));
-        crash(leader, 300 + chance.nextDouble() * 700);
-        others.forEach(far -> cut(List.of(far + leader, leader + far), 4_000));
+        String reachableVoter = others.remove(random.nextInt(others.size()));
+        crash(leader, 300 + random.nextDouble() * 700);
+        others.forEach(voter -> cut(List.of(voter + leader, leader + voter), 4_000));
         for (int i = 1; i <= 15; i++) {
           time.after(
-              400 + i * (40 + chance.nextDouble() * 60),
-              () -> crash(between, 5 + chance.nextDouble() * 20));
+              400 + i * (40 + random.nextDouble() * 60),
+              () -> crash(reachableVoter, 5 + random.nextDouble() * 20));
         }
       }
       case 10 -> {
-        // One falls behind, the next loses its disk, and then the third is away for a moment.
-        cut(List.of(other + one, one + other), length);
-        time.after(length / 3, () -> lose(one, 100));
-        String third = names.get(chance.nextInt(names.size()));
-        time.after(length / 2, () -> crash(third, 800 + chance.nextDouble() * 1_000));
+        // One member falls behind and loses its disk, and then a randomly chosen member restarts.
+        cut(List.of(other + name, name + other), length);
+        time.after(length / 3, () -> loseDisk(name, 100));
+        String third = names.get(random.nextInt(names.size()));
+        time.after(length / 2, () -> crash(third, 800 + random.nextDouble() * 1_000));
       }
-      // Of one member alone, and of none once one has left: the others' clocks are to count.
+      // Only one member's clock jumps, and only while no member has drained: the clocks of the
+      // other members must count.
       case 8 ->
-          jumps.merge(
+          clockJumps.merge(
               drained.isEmpty() ? names.get(0) : "none",
-              chance.nextBoolean() ? 3_600_000L : -3_600_000L,
+              random.nextBoolean() ? 3_600_000L : -3_600_000L,
               Long::sum);
-      default -> rarer(one, length);
+      default -> injectRareFault(name, length);
     }
   }
 
-  private void rarer(String one, double length) {
-    switch (chance.nextInt(3)) {
+  private void injectRareFault(String name, double length) {
+    switch (random.nextInt(3)) {
       case 0 -> {
-        failDisk(disks.get(one), (long) length % 2 == 0);
-        time.after(length, () -> disks.get(one).heal());
+        failDisk(disks.get(name), (long) length % 2 == 0);
+        time.after(length, () -> disks.get(name).heal());
       }
-      case 1 -> lose(one, length);
+      case 1 -> loseDisk(name, length);
       default -> {
-        if (jumps.isEmpty()) {
-          drained.add(one);
-          members.get(one).drain();
+        if (clockJumps.isEmpty()) {
+          drained.add(name);
+          members.get(name).drain();
         }
       }
     }
   }
 
-  /** Has a disk be full, or fail in its syncs and changes of names. */
+  /** Makes a disk full, or makes its syncs and renames fail. */
   private static void failDisk(FaultInjectingStorage disk, boolean full) {
     if (full) {
       disk.fill(true);
       return;
     }
-    for (FaultInjectingStorage.Operation each :
+    for (FaultInjectingStorage.Operation operation :
         List.of(
             FaultInjectingStorage.Operation.SYNC,
             FaultInjectingStorage.Operation.RENAME,
             FaultInjectingStorage.Operation.SYNC_NAMES)) {
-      disk.fail(each, FaultInjectingStorage.Errno.EIO, 0, Long.MAX_VALUE);
+      disk.fail(operation, FaultInjectingStorage.Errno.EIO, 0, Long.MAX_VALUE);
     }
   }
 
-  /** At most one disk is lost in a run: more are more than a majority's disks can make up for. */
-  private void lose(String one, double down) {
-    if (lost.isEmpty()) {
-      lost.add(one);
-      members.get(one).die();
-      disks.put(one, new FaultInjectingStorage(chance.nextLong(), 0));
-      time.after(down, () -> start(one));
+  /**
+   * Loses a member's disk, at most one in a run: the members cannot recover from the loss of more,
+   * since the disks of a majority must survive.
+   */
+  private void loseDisk(String name, double downtime) {
+    if (lostDisks.isEmpty()) {
+      lostDisks.add(name);
+      members.get(name).kill();
+      disks.put(name, new FaultInjectingStorage(random.nextLong(), 0));
+      time.after(downtime, () -> start(name));
     }
   }
 
@@ -287,47 +300,49 @@
     time.after(length, () -> links.forEach(cuts::remove));
   }
 
-  // ---- What surrounds a member ----
+  // ---- Environment of a member ----
 
-  /** A member's wall clock, Unix ms. */
-  long wall(String name) {
+  /** Returns a member's wall clock, in Unix ms. */
+  long wallClock(String name) {
     return 1_700_000_000_000L
-        + (long) (time.now() * rates.get(name))
-        + jumps.getOrDefault(name, 0L);
+        + (long) (time.now() * clockRates.get(name))
+        + clockJumps.getOrDefault(name, 0L);
   }
 
   void send(String from, String to, byte[] message) {
-    if (cuts.contains(from + to) || chance.nextDouble() < loss) {
+    if (cuts.contains(from + to) || random.nextDouble() < loss) {
       return;
     }
-    int copies = chance.nextInt(200) == 0 ? 2 : 1;
+    int copies = random.nextInt(200) == 0 ? 2 : 1;
     for (int i = 0; i < copies; i++) {
       double delay =
-          slowness > 0 ? slowness * (0.5 + chance.nextDouble()) : 0.2 + chance.nextDouble() * 3;
-      delay += chance.nextInt(25) == 0 ? chance.nextDouble() * 250 : 0;
-      delay += chance.nextInt(2_000) == 0 ? chance.nextDouble() * 8_000 : 0;
+          meanDelayMillis > 0
+              ? meanDelayMillis * (0.5 + random.nextDouble())
+              : 0.2 + random.nextDouble() * 3;
+      delay += random.nextInt(25) == 0 ? random.nextDouble() * 250 : 0;
+      delay += random.nextInt(2_000) == 0 ? random.nextDouble() * 8_000 : 0;
       time.after(delay, () -> members.get(to).receive(from, message));
     }
   }
 
   /**
-   * An effect is on its way to whoever takes it, which looks at its epoch, and drops a repeat of a
-   * job that may be put in again.
+   * Delivers an effect to the job receiver after a delay. The receiver checks the epoch, and drops
+   * a repeat of a job that may be submitted again.
    */
   void effect(String from, RecurringSchedule job, long epoch, long due, Consumer<String> result) {
     double delay =
-        0.5 + chance.nextDouble() * 5 + (chance.nextInt(20) == 0 ? chance.nextDouble() * 4_000 : 0);
+        0.5 + random.nextDouble() * 5 + (random.nextInt(20) == 0 ? random.nextDouble() * 4_000 : 0);
     Shard shard = job.shard();
     time.after(
         delay,
         () -> {
           boolean admitted =
-              fence.admits(shard.toString(), epoch) || mutant == Mutant.NO_EPOCH_CHECK;
+              fencingGuard.admits(shard.toString(), epoch) || mutant == Mutant.NO_EPOCH_CHECK;
           if (admitted) {
-            acted.put(shard.toString(), time.now());
-            long before = landed.merge(shard.toString(), epoch, Math::max);
-            if (before > epoch) {
-              breach(
+            lastExecutedAt.put(shard.toString(), time.now());
+            long previous = executedEpochs.merge(shard.toString(), epoch, Math::max);
+            if (previous > epoch) {
+              addViolation(
                   "fenced",
                   "an effect of "
                       + from
@@ -335,11 +350,11 @@
                       + shard
                       + " under "
                       + epoch
-                      + " landed after "
-                      + before);
+                      + " was executed after "
+                      + previous);
             }
             if (!effects.add(shard + "@" + due) && !job.repeat()) {
-              breach("once", shard + " was acted for twice at " + due);
+              addViolation("once", shard + " was executed twice for due time " + due);
             }
           } else {
             refused++;
@@ -348,46 +363,47 @@
         });
   }
 
-  // ---- Judges ----
+  // ---- Checks ----
 
-  private void breach(String rule, String seen) {
-    if (breaches.size() < 20) {
-      breaches.add(new Violation(time.now(), rule, seen));
+  private void addViolation(String rule, String description) {
+    if (violations.size() < 20) {
+      violations.add(new Violation(time.now(), rule, description));
     }
   }
 
-  /** The program failed in a way that nothing explains. */
-  void fault(String name, Throwable fault) {
-    breach("no fault", name + ": " + fault);
+  /** Records an unexpected failure of the program. */
+  void processFailed(String name, Throwable failure) {
+    addViolation("no fault", name + ": " + failure);
   }
 
-  /** No two processes may believe at one moment that they hold the same shard. */
-  void judgeHold(VirtualMember acts, Shard shard) {
+  /** Checks that no two processes believe at the same time that they own the shard. */
+  void checkSingleOwner(VirtualMember acting, Shard shard) {
     for (VirtualMember other : members.values()) {
-      if (other != acts && acts.epoch(shard).isPresent() && other.epoch(shard).isPresent()) {
-        breach("one owner", acts.name + " and " + other.name + " both hold " + shard);
+      if (other != acting && acting.epoch(shard).isPresent() && other.epoch(shard).isPresent()) {
+        addViolation("one owner", acting.name + " and " + other.name + " both own " + shard);
       }
     }
   }
 
-  /** What stands at an index of the log is the same for all. */
-  void applied(long index, Object command) {
-    String before = log.putIfAbsent(index, command.toString());
-    if (before != null && !before.equals(command.toString())) {
-      breach("one log", "at " + index + " stand " + before + " and " + command);
+  /** Checks that the entry at an index of the log is the same on all members. */
+  void checkApplied(long index, Object command) {
+    String previous = log.putIfAbsent(index, command.toString());
+    if (previous != null && !previous.equals(command.toString())) {
+      addViolation("one log", "index " + index + " holds " + previous + " and " + command);
     }
   }
 
-  private void lookAtLeaders() {
+  private void checkLeaders() {
     for (VirtualMember member : members.values()) {
       var view = member.view();
       if (member.alive() && member.name.equals(view.leader())) {
-        String before = leaders.putIfAbsent(view.term(), member.name);
-        if (before != null && !before.equals(member.name)) {
-          breach("one leader", before + " and " + member.name + " lead term " + view.term());
+        String previous = leaders.putIfAbsent(view.term(), member.name);
+        if (previous != null && !previous.equals(member.name)) {
+          addViolation(
+              "one leader", previous + " and " + member.name + " lead term " + view.term());
         }
       }
     }
-    time.after(20, this::lookAtLeaders);
+    time.after(20, this::checkLeaders);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
@@ -26,30 +26,30 @@
 import java.util.function.Consumer;
 
 /**
- * One process of a member in virtual time: the program's own voter, table and holder on a disk that
- * can fail.
+ * One process of a member in virtual time: the program's own voter, lease table and lease holder,
+ * on simulated storage with fault injection.
  */
 final class VirtualMember {
-  /** Ms between two looks at what the member owns. */
-  private static final double ACT = 60;
+  /** The interval between two checks for jobs of owned shards, in ms. */
+  private static final double JOB_CHECK_INTERVAL_MILLIS = 60;
 
-  private static final double PATIENCE = 900;
+  private static final double PROPOSAL_TIMEOUT_MILLIS = 900;
 
   final String name;
   private final VirtualFleet fleet;
   private final double rate;
-  private final double began;
+  private final double startedAt;
   private final LeaseTable table = new LeaseTable();
   private final LeaseHolder holder;
   private final RaftLogStore log;
   private final RaftMember voter;
   private final Timers timers;
-  private final Standstill process = new Standstill();
-  private final List<RecurringJobRunner> performers;
+  private final SimulatedProcess process = new SimulatedProcess();
+  private final List<RecurringJobRunner> jobRunners;
 
   /**
-   * Starts a process of the member; its clock runs at this rate and from zero, and it may have lost
-   * its disk.
+   * Starts a process of the member. Its clock starts at zero and runs at {@code rate} times virtual
+   * time; {@code diskLost} is true if the member has lost its disk.
    */
   VirtualMember(
       VirtualFleet fleet,
@@ -57,19 +57,20 @@
       FaultInjectingStorage disk,
       double rate,
       long seed,
-      boolean anew)
+      boolean diskLost)
       throws IOException {
     this.fleet = fleet;
     this.name = name;
     this.rate = rate;
-    this.began = fleet.time.now();
-    Clock clock = () -> (fleet.time.now() - began) * rate;
+    this.startedAt = fleet.time.now();
+    Clock clock = () -> (fleet.time.now() - startedAt) * rate;
     this.timers =
         new Timers(
             clock,
-            // A little late: rounded down, the clock would not be there yet when it wakes, for
-            // ever.
-            (millis, run) -> fleet.time.after(millis / rate + 1e-6, () -> enter(run)));
+            // Fires slightly late: if the delay were rounded down, the clock would not have
+            // reached the deadline when the timer fires, and the timer would be rescheduled
+            // forever.
+            (millis, task) -> fleet.time.after(millis / rate + 1e-6, () -> execute(task)));
     Codec codec = LogFormat.codec(Command.CLASSES);
     RaftLogStore log = RaftLogStore.open(disk, codec, 1 << 16, failure -> diskFailed());
     this.log = log;
@@ -84,59 +85,63 @@
             new RaftMember.Persistence(
                 store,
                 log.restored(),
-                anew ? Optional.of(Long.toHexString(seed)) : Optional.empty()),
+                diskLost ? Optional.of(Long.toHexString(seed)) : Optional.empty()),
             new RaftMember.Environment(
-                clock, timers, task -> fleet.time.after(0, () -> enter(task)), seed),
+                clock, timers, task -> fleet.time.after(0, () -> execute(task)), seed),
             new RaftMember.Messaging(codec, (to, message) -> fleet.send(name, to, message)),
-            watched());
+            observedStateMachine());
     this.holder =
         new LeaseHolder(
             name,
             Long.toHexString(seed),
             fleet.shards,
             new LeaseHolder.Terms(
-                fleet.hold, fleet.mutant == Mutant.NO_DRIFT_BOUND ? 0 : fleet.drift),
+                fleet.leaseDuration,
+                fleet.mutant == Mutant.NO_DRIFT_BOUND ? 0 : fleet.maxClockDrift),
             this::propose);
-    this.performers = fleet.jobs.stream().map(this::performer).toList();
+    this.jobRunners = fleet.jobs.stream().map(this::jobRunner).toList();
     voter.start();
     tick();
-    act();
+    runJobs();
   }
 
   private void diskFailed() {
     voter.suspend(log, () -> {});
   }
 
-  /** The log writes the term and the vote, and syncs them with whatever comes later. */
+  /**
+   * Returns a store that writes the term and the vote only together with later log entries, and so
+   * syncs them late.
+   */
   private static RaftStore unsyncedVotes(RaftLogStore log) {
-    RaftTermPersistentState[] late = new RaftTermPersistentState[1];
+    RaftTermPersistentState[] unsynced = new RaftTermPersistentState[1];
     return (RaftStore)
         Proxy.newProxyInstance(
             RaftStore.class.getClassLoader(),
             new Class<?>[] {RaftStore.class},
             (proxy, method, arguments) -> {
               if (method.getName().equals("persistAndFlushTerm")) {
-                late[0] = (RaftTermPersistentState) arguments[0];
+                unsynced[0] = (RaftTermPersistentState) arguments[0];
                 return null;
               }
-              if (method.getName().equals("persistLogEntries") && late[0] != null) {
-                log.persistAndFlushTerm(late[0]);
-                late[0] = null;
+              if (method.getName().equals("persistLogEntries") && unsynced[0] != null) {
+                log.persistAndFlushTerm(unsynced[0]);
+                unsynced[0] = null;
               }
               try {
                 return method.invoke(log, arguments);
-              } catch (InvocationTargetException failed) {
-                throw failed.getCause();
+              } catch (InvocationTargetException wrapper) {
+                throw wrapper.getCause();
               }
             });
   }
 
-  /** The table, with what it applies told to the judges. */
-  private ReplicatedStateMachine watched() {
+  /** Returns the lease table, reporting each applied command to the checks. */
+  private ReplicatedStateMachine observedStateMachine() {
     return new ReplicatedStateMachine() {
       @Override
       public Object apply(long index, Object command) {
-        fleet.applied(index, command);
+        fleet.checkApplied(index, command);
         return table.apply(index, command);
       }
 
@@ -153,20 +158,20 @@
   }
 
   private double now() {
-    return (fleet.time.now() - began) * rate;
+    return (fleet.time.now() - startedAt) * rate;
   }
 
-  /** Runs something of this process, as {@link Standstill} lets it. */
-  void enter(Runnable run) {
-    process.enter(
+  /** Runs a task of this process, subject to {@link SimulatedProcess}. */
+  void execute(Runnable task) {
+    process.execute(
         () -> {
           try {
-            run.run();
-          } catch (RuntimeException | AssertionError fault) {
-            // A process that has ended may fail in anything; else it must not happen.
+            task.run();
+          } catch (RuntimeException | AssertionError unexpected) {
+            // A failure of a process that has ended is expected; any other is a violation.
             if (alive()) {
-              fleet.fault(name, fault);
-              die();
+              fleet.processFailed(name, unexpected);
+              kill();
             }
           }
         });
@@ -176,59 +181,61 @@
     return process.alive();
   }
 
-  void die() {
-    process.die();
+  void kill() {
+    process.kill();
   }
 
-  void pause(boolean begins) {
-    process.pause(begins);
+  void setPaused(boolean suspend) {
+    process.setPaused(suspend);
   }
 
   void drain() {
-    enter(holder::drain);
+    execute(holder::drain);
   }
 
   void receive(String from, byte[] message) {
-    enter(() -> voter.handle(from, message));
+    execute(() -> voter.handle(from, message));
   }
 
   RaftMember.View view() {
     return voter.view();
   }
 
-  boolean takenIn() {
+  boolean isAdmitted() {
     return voter.admitted();
   }
 
-  /** The epoch under which this process would act for a shard now. */
+  /**
+   * Returns the epoch under which this process would act for a shard now, empty if it would not.
+   */
   OptionalLong epoch(Shard shard) {
     return alive() ? holder.epoch(shard, now(), table) : OptionalLong.empty();
   }
 
   void propose(Command command) {
-    double asked = now();
+    double proposedAt = now();
     voter.propose(
         command,
-        PATIENCE,
+        PROPOSAL_TIMEOUT_MILLIS,
         ProposalOutcome.of(
             result ->
                 holder.answered(
-                    fleet.mutant == Mutant.HOLD_FROM_ANSWER ? now() : asked, command, result),
-            why -> {}));
+                    fleet.mutant == Mutant.HOLD_FROM_ANSWER ? now() : proposedAt, command, result),
+            failure -> {}));
   }
 
   private void tick() {
-    holder.tick(now(), fleet.wall(name), table);
+    holder.tick(now(), fleet.wallClock(name), table);
     timers.after(holder.period(), this::tick);
   }
 
-  private void act() {
-    performers.forEach(each -> each.look(now(), fleet.wall(name)));
-    timers.after(ACT, this::act);
+  private void runJobs() {
+    jobRunners.forEach(runner -> runner.look(now(), fleet.wallClock(name)));
+    timers.after(JOB_CHECK_INTERVAL_MILLIS, this::runJobs);
   }
 
-  /** The performer of one job, whose effects go to whoever takes them in this fleet. */
-  private RecurringJobRunner performer(RecurringSchedule job) {
+  /** Creates the runner of one job, whose effects are sent to the fleet's job receiver. */
+  private RecurringJobRunner jobRunner(RecurringSchedule job) {
     RecurringJobRunner[] self = new RecurringJobRunner[1];
     self[0] =
         new RecurringJobRunner(
@@ -238,15 +245,19 @@
             new RecurringJobRunner.Actions() {
               @Override
               public void propose(Command command, Consumer<Object> done, Runnable unknown) {
-                fleet.judgeHold(VirtualMember.this, job.shard());
-                voter.propose(command, PATIENCE, ProposalOutcome.of(done, why -> unknown.run()));
+                fleet.checkSingleOwner(VirtualMember.this, job.shard());
+                voter.propose(
+                    command,
+                    PROPOSAL_TIMEOUT_MILLIS,
+                    ProposalOutcome.of(done, failure -> unknown.run()));
               }
 
               @Override
               public void put(long due, long epoch) {
                 if (holder.epoch(job.shard(), now(), table).equals(OptionalLong.of(epoch))) {
-                  fleet.judgeHold(VirtualMember.this, job.shard());
-                  fleet.effect(name, job, epoch, due, result -> enter(() -> self[0].came(result)));
+                  fleet.checkSingleOwner(VirtualMember.this, job.shard());
+                  fleet.effect(
+                      name, job, epoch, due, result -> execute(() -> self[0].came(result)));
                 } else {
                   self[0].notPut();
                 }
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -20,28 +20,28 @@
 import java.util.TreeMap;
 
 /**
- * Members in virtual time that tell who seems to live, by the program's own classes, sealed bytes
- * included: loss, one-way cuts, a part cut off, pauses, kills, restarts under the same name,
- * leaves, late joiners, and somebody who sends again what was sent before, or forges. What must
- * hold is judged as it happens and at the end.
+ * Members in virtual time that run the program's own membership protocol, sealing of datagrams
+ * included. Injected faults: loss, one-way cuts, partitions, pauses, crashes, restarts under the
+ * same name, leaves, late joins, and an intruder that replays or forges datagrams. Invariants are
+ * checked while a run proceeds and at its end.
  */
 public final class VirtualSwarm {
   private static final List<byte[]> KEYS =
       List.of("a key that all members share".getBytes(StandardCharsets.UTF_8));
-  private static final double FAULTS_FROM = 5_000;
-  private static final double FAULTS_UNTIL = 20_000;
-  private static final int KEPT = 200;
+  private static final double FIRST_FAULT_MILLIS = 5_000;
+  private static final double LAST_FAULT_MILLIS = 20_000;
+  private static final int MAX_RECORDED_DATAGRAMS = 200;
 
   private final VirtualTime time = new VirtualTime(0);
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final Mutant mutant;
   private final List<String> names = new ArrayList<>();
-  private final Map<String, One> members = new TreeMap<>();
+  private final Map<String, SimulatedMember> members = new TreeMap<>();
   private final Set<String> cuts = new HashSet<>();
-  private final List<Sent> kept = new ArrayList<>();
-  private final List<Violation> breaches = new ArrayList<>();
+  private final List<RecordedDatagram> recordedDatagrams = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private double loss;
-  private boolean faultless;
+  private boolean lossOnly;
   private long bytes;
   private long datagrams;
   private long suspicions;
@@ -50,20 +50,21 @@
   private int widest;
   private long runs = 1;
 
-  /** A datagram that somebody has kept. */
-  private record Sent(String from, String to, byte[] datagram) {}
+  /** A datagram recorded for a replay. */
+  private record RecordedDatagram(String from, String to, byte[] datagram) {}
 
   /**
-   * What a run came to.
+   * The outcome of a run.
    *
-   * @param bytes sealed bytes that were sent, and in how many {@code datagrams}, the widest of
-   *     {@code widest} bytes
-   * @param suspicions how often somebody held another for suspect
-   * @param falseEnds how often somebody held a member for failed that was up, running and not cut
-   *     off
-   * @param refused datagrams that were sent again or forged and were refused
-   * @param lastFound when the last of all members noticed the end of the member that was killed,
-   *     ms; not a number if none was
+   * @param bytes the number of sealed bytes sent
+   * @param datagrams the number of datagrams sent
+   * @param widest the size of the largest datagram, bytes
+   * @param suspicions how often a member suspected another member
+   * @param falseEnds how often a member declared a member failed that was up, running and not
+   *     partitioned
+   * @param refused the number of replayed or forged datagrams that were rejected
+   * @param lastFound the time until the last member detected the crash of the killed member, ms;
+   *     NaN if no member was killed
    */
   public record Result(
       List<Violation> breaches,
@@ -76,34 +77,37 @@
       double lastFound) {}
 
   private VirtualSwarm(int size, long seed, Mutant mutant) {
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.mutant = mutant;
     for (int i = 0; i < size; i++) {
       names.add("m" + i);
     }
   }
 
-  /** Plays faults drawn from the seed; at the end all that are up must agree on who is. */
+  /**
+   * Runs faults drawn from the seed; at the end all running members must agree on the membership.
+   */
   public static Result play(int size, long seed, Mutant mutant) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, mutant);
-    int atOnce = Math.max(2, size / 2);
-    swarm.names.subList(0, atOnce).forEach(swarm::start);
-    // The others join within a second.
+    int initialSize = Math.max(2, size / 2);
+    swarm.names.subList(0, initialSize).forEach(swarm::start);
     swarm
         .names
-        .subList(atOnce, size)
+        .subList(initialSize, size)
         .forEach(
             name ->
                 swarm.time.after(
-                    2_000 + swarm.chance.nextDouble() * 1_000, () -> swarm.start(name)));
-    swarm.faults();
+                    2_000 + swarm.random.nextDouble() * 1_000, () -> swarm.start(name)));
+    swarm.runFaults();
     return swarm.result(Double.NaN);
   }
 
-  /** Plays {@code millis} with nothing but this share of the datagrams lost. */
+  /**
+   * Runs for {@code millis} with the share {@code loss} of the datagrams lost and no other fault.
+   */
   public static Result playLoss(int size, long seed, double loss, double millis) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, Mutant.NONE);
-    swarm.faultless = true;
+    swarm.lossOnly = true;
     swarm.names.forEach(swarm::start);
     swarm.time.run(10_000);
     swarm.bytes = 0;
@@ -113,106 +117,113 @@
     return swarm.result(Double.NaN);
   }
 
-  /** Plays the end of one member, and says when the last of the others noticed. */
+  /** Crashes one member, and measures the time until the last of the others detects it. */
   public static Result playKill(int size, long seed) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, Mutant.NONE);
     swarm.names.forEach(swarm::start);
-    swarm.time.run(10_000 + swarm.chance.nextDouble() * 500);
+    swarm.time.run(10_000 + swarm.random.nextDouble() * 500);
     double killed = swarm.time.now();
-    String victim = swarm.names.get(swarm.chance.nextInt(size));
+    String victim = swarm.names.get(swarm.random.nextInt(size));
     swarm.kill(victim);
     while (swarm.time.now() < killed + 60_000
         && swarm.members.values().stream()
-            .anyMatch(each -> each.process.alive() && each.swim.alive(victim))) {
+            .anyMatch(member -> member.process.alive() && member.swim.alive(victim))) {
       swarm.time.run(swarm.time.now() + 20);
     }
     return swarm.result(swarm.time.now() - killed);
   }
 
-  private Result result(double found) {
-    return new Result(breaches, bytes, datagrams, widest, suspicions, falseEnds, refused, found);
+  private Result result(double detectionTime) {
+    return new Result(
+        violations, bytes, datagrams, widest, suspicions, falseEnds, refused, detectionTime);
   }
 
   // ---- Faults ----
 
-  private void faults() {
-    int count = 3 + chance.nextInt(5);
+  private void runFaults() {
+    int count = 3 + random.nextInt(5);
     for (int i = 0; i < count; i++) {
-      time.after(FAULTS_FROM + chance.nextDouble() * (FAULTS_UNTIL - FAULTS_FROM), this::fault);
+      time.after(
+          FIRST_FAULT_MILLIS + random.nextDouble() * (LAST_FAULT_MILLIS - FIRST_FAULT_MILLIS),
+          this::injectFault);
     }
     for (int i = 0; i < 40; i++) {
-      time.after(FAULTS_FROM + chance.nextDouble() * (FAULTS_UNTIL - FAULTS_FROM), this::intrude);
+      time.after(
+          FIRST_FAULT_MILLIS + random.nextDouble() * (LAST_FAULT_MILLIS - FIRST_FAULT_MILLIS),
+          this::injectForeignDatagram);
     }
-    time.run(FAULTS_UNTIL + 8_000);
+    time.run(LAST_FAULT_MILLIS + 8_000);
     cuts.clear();
     loss = 0;
-    members.values().forEach(each -> each.process.pause(false));
-    double quiet = 40_000 + 4 * names.size() * 500;
-    time.run(time.now() + quiet);
-    for (One one : members.values()) {
-      if (!one.process.alive()) {
+    members.values().forEach(member -> member.process.setPaused(false));
+    double faultFreeMillis = 40_000 + 4 * names.size() * 500;
+    time.run(time.now() + faultFreeMillis);
+    for (SimulatedMember member : members.values()) {
+      if (!member.process.alive()) {
         continue;
       }
-      for (One other : members.values()) {
-        MemberStatus seen = one.standing(other.name);
-        boolean right =
-            other == one
+      for (SimulatedMember other : members.values()) {
+        MemberStatus status = member.statusOf(other.name);
+        boolean correct =
+            other == member
                 || (other.process.alive()
-                    ? seen == MemberStatus.ALIVE
-                    : seen == null || seen == MemberStatus.FAILED || seen == MemberStatus.LEFT);
-        if (!right) {
-          breach(
+                    ? status == MemberStatus.ALIVE
+                    : status == null
+                        || status == MemberStatus.FAILED
+                        || status == MemberStatus.LEFT);
+        if (!correct) {
+          addViolation(
               "agreed",
-              one.name
-                  + " holds "
+              member.name
+                  + " sees "
                   + other.name
                   + ", which is "
-                  + (other.process.alive() ? "up" : "gone")
-                  + ", for "
-                  + seen
+                  + (other.process.alive() ? "up" : "down")
+                  + ", as "
+                  + status
                   + " after "
-                  + quiet
-                  + " ms of quiet");
+                  + faultFreeMillis
+                  + " ms without faults");
         }
-        if (other.process.alive() && other != one && one.run(other.name) != other.run) {
-          breach("agreed", one.name + " knows an old process of " + other.name);
+        if (other.process.alive() && other != member && member.runOf(other.name) != other.run) {
+          addViolation("agreed", member.name + " knows an earlier process of " + other.name);
         }
       }
     }
     if (widest > SwimProtocol.Terms.LOCAL.bytes() + MessageAuthenticator.BYTES) {
-      breach("bounded", "a datagram of " + widest + " bytes");
+      addViolation("bounded", "a datagram of " + widest + " bytes");
     }
   }
 
-  private void fault() {
-    String one = names.get(chance.nextInt(names.size()));
-    String other = names.get(chance.nextInt(names.size()));
-    double length = 300 + chance.nextDouble() * 6_000;
-    One member = members.get(one);
+  private void injectFault() {
+    String name = names.get(random.nextInt(names.size()));
+    String other = names.get(random.nextInt(names.size()));
+    double length = 300 + random.nextDouble() * 6_000;
+    SimulatedMember member = members.get(name);
     if (member == null) {
       return;
     }
-    switch (chance.nextInt(7)) {
+    switch (random.nextInt(7)) {
       case 0 -> {
-        kill(one);
-        time.after(length, () -> start(one));
+        kill(name);
+        time.after(length, () -> start(name));
       }
       case 1 -> {
-        kill(one);
-        time.after(20 + chance.nextDouble() * 200, () -> start(one));
+        kill(name);
+        time.after(20 + random.nextDouble() * 200, () -> start(name));
       }
       case 2 -> {
-        member.process.pause(true);
-        time.after(length, () -> member.process.pause(false));
+        member.process.setPaused(true);
+        time.after(length, () -> member.process.setPaused(false));
       }
-      case 3 -> cut(List.of(one + ">" + other), length);
+      case 3 -> cut(List.of(name + ">" + other), length);
       case 4 -> {
         List<String> links = new ArrayList<>();
-        int far = 1 + chance.nextInt(names.size());
-        for (String a : names.subList(0, far)) {
-          for (String b : names.subList(far, names.size())) {
-            links.add(a + ">" + b);
-            links.add(b + ">" + a);
+        int split = 1 + random.nextInt(names.size());
+        for (String memberA : names.subList(0, split)) {
+          for (String memberB : names.subList(split, names.size())) {
+            links.add(memberA + ">" + memberB);
+            links.add(memberB + ">" + memberA);
           }
         }
         cut(links, length * 2);
@@ -223,10 +234,10 @@
       }
       default -> {
         if (member.process.alive()) {
-          member.process.enter(() -> member.swim.leave(time.now()));
-          member.process.die();
-          if (chance.nextBoolean()) {
-            time.after(length, () -> start(one));
+          member.process.execute(() -> member.swim.leave(time.now()));
+          member.process.kill();
+          if (random.nextBoolean()) {
+            time.after(length, () -> start(name));
           }
         }
       }
@@ -238,26 +249,26 @@
     time.after(length, () -> links.forEach(cuts::remove));
   }
 
-  /** Somebody sends again what was sent long ago, or changes a bit of it. */
-  private void intrude() {
-    if (kept.isEmpty()) {
+  /** Replays a recorded datagram, or sends it with one bit flipped. */
+  private void injectForeignDatagram() {
+    if (recordedDatagrams.isEmpty()) {
       return;
     }
-    Sent old = kept.get(chance.nextInt(kept.size()));
-    One to = members.get(old.to());
-    byte[] bad = old.datagram().clone();
-    boolean forges = chance.nextBoolean();
-    if (forges) {
-      bad[chance.nextInt(bad.length)] ^= (byte) (1 << chance.nextInt(8));
+    RecordedDatagram old = recordedDatagrams.get(random.nextInt(recordedDatagrams.size()));
+    SimulatedMember to = members.get(old.to());
+    byte[] replayed = old.datagram().clone();
+    boolean forged = random.nextBoolean();
+    if (forged) {
+      replayed[random.nextInt(replayed.length)] ^= (byte) (1 << random.nextInt(8));
     }
-    to.process.enter(
+    to.process.execute(
         () -> {
-          MessageAuthenticator.Opened opened = to.seal.open("intruder", bad);
+          MessageAuthenticator.Opened opened = to.authenticator.open("intruder", replayed);
           if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
-            breach(
-                forges ? "forged" : "replayed",
-                to.name + " has taken what " + old.from() + " had not sent it so");
-            to.take("intruder", opened.content());
+            addViolation(
+                forged ? "forged" : "replayed",
+                to.name + " accepted a replayed or forged datagram of " + old.from());
+            to.accept("intruder", opened.content());
           } else {
             refused++;
           }
@@ -265,36 +276,36 @@
   }
 
   private void kill(String name) {
-    members.get(name).process.die();
+    members.get(name).process.kill();
   }
 
   private void start(String name) {
     if (!members.containsKey(name) || !members.get(name).process.alive()) {
-      members.put(name, new One(name));
+      members.put(name, new SimulatedMember(name));
     }
   }
 
-  private void breach(String rule, String seen) {
-    if (breaches.size() < 20) {
-      breaches.add(new Violation(time.now(), rule, seen));
+  private void addViolation(String rule, String description) {
+    if (violations.size() < 20) {
+      violations.add(new Violation(time.now(), rule, description));
     }
   }
 
   // ---- Members ----
 
   /** One process of a member. */
-  private final class One implements SwimProtocol.Out {
+  private final class SimulatedMember implements SwimProtocol.Out {
     final String name;
     final long run = ++runs * 0x9E3779B97F4A7C15L | 1;
-    final double began = time.now();
-    final MessageAuthenticator seal;
+    final double startedAt = time.now();
+    final MessageAuthenticator authenticator;
     final SwimProtocol swim;
     final Codec codec = new Codec(Message.CLASSES);
-    final Standstill process = new Standstill();
+    final SimulatedProcess process = new SimulatedProcess();
 
-    One(String name) {
+    SimulatedMember(String name) {
       this.name = name;
-      this.seal = new MessageAuthenticator("swarm", KEYS, run);
+      this.authenticator = new MessageAuthenticator("swarm", KEYS, run);
       this.swim =
           new SwimProtocol(
               name,
@@ -302,80 +313,83 @@
               run,
               names.subList(0, Math.min(3, names.size())),
               SwimProtocol.Terms.LOCAL,
-              new SplittableRandom(chance.nextLong()),
+              new SplittableRandom(random.nextLong()),
               this);
       swim.start(0);
       tick();
     }
 
     private double now() {
-      return time.now() - began;
+      return time.now() - startedAt;
     }
 
     private void tick() {
       swim.run(now());
-      time.after(Math.max(0.01, swim.next() - now()), () -> process.enter(this::tick));
+      time.after(Math.max(0.01, swim.next() - now()), () -> process.execute(this::tick));
     }
 
-    MemberStatus standing(String other) {
+    MemberStatus statusOf(String other) {
       return swim.peers().stream()
-          .filter(each -> each.name().equals(other))
+          .filter(peer -> peer.name().equals(other))
           .map(Peer::standing)
           .findFirst()
           .orElse(null);
     }
 
-    long run(String other) {
+    long runOf(String other) {
       return swim.peers().stream()
-          .filter(each -> each.name().equals(other))
-          .map(each -> each.news().run())
+          .filter(peer -> peer.name().equals(other))
+          .map(peer -> peer.news().run())
           .findFirst()
           .orElse(0L);
     }
 
     @Override
     public void send(String to, String address, Letter letter) {
-      post(to == null ? address : to, seal.close(to == null ? address : to, codec.write(letter)));
+      transmit(
+          to == null ? address : to,
+          authenticator.close(to == null ? address : to, codec.write(letter)));
     }
 
-    private void post(String to, byte[] datagram) {
+    private void transmit(String to, byte[] datagram) {
       bytes += datagram.length;
       datagrams++;
       widest = Math.max(widest, datagram.length);
-      if (cuts.contains(name + ">" + to) || chance.nextDouble() < loss) {
+      if (cuts.contains(name + ">" + to) || random.nextDouble() < loss) {
         return;
       }
       double delay =
           0.2
-              + chance.nextDouble() * 3
-              + (chance.nextInt(100) == 0 ? chance.nextDouble() * 200 : 0);
+              + random.nextDouble() * 3
+              + (random.nextInt(100) == 0 ? random.nextDouble() * 200 : 0);
       time.after(
           delay,
           () -> {
-            One there = members.get(to);
-            if (there != null) {
-              there.process.enter(
+            SimulatedMember receiver = members.get(to);
+            if (receiver != null) {
+              receiver.process.execute(
                   () -> {
-                    if (kept.size() < KEPT && chance.nextInt(20) == 0) {
-                      kept.add(new Sent(name, to, datagram));
+                    if (recordedDatagrams.size() < MAX_RECORDED_DATAGRAMS
+                        && random.nextInt(20) == 0) {
+                      recordedDatagrams.add(new RecordedDatagram(name, to, datagram));
                     }
-                    there.come(name, datagram);
+                    receiver.handle(name, datagram);
                   });
             }
           });
     }
 
-    private void come(String from, byte[] datagram) {
-      MessageAuthenticator.Opened opened = seal.open(from, datagram);
+    private void handle(String from, byte[] datagram) {
+      MessageAuthenticator.Opened opened = authenticator.open(from, datagram);
       if (opened.answer() != null) {
-        post(from, opened.answer());
+        transmit(from, opened.answer());
       }
       if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
-        take(from, opened.content());
+        accept(from, opened.content());
       }
     }
 
-    void take(String from, byte[] content) {
+    void accept(String from, byte[] content) {
       try {
         if (codec.read(content, 0, content.length) instanceof Letter letter) {
           if (mutant == Mutant.NO_DENIAL) {
@@ -390,17 +404,19 @@
           swim.received(now(), from, letter);
         }
       } catch (IOException malformed) {
-        breach("no fault", name + " cannot read what " + from + " sent: " + malformed.getMessage());
+        addViolation(
+            "no fault",
+            name + " cannot decode a datagram of " + from + ": " + malformed.getMessage());
       }
     }
 
     private List<MembershipUpdate> others(List<MembershipUpdate> all) {
-      return all.stream().filter(each -> !each.name().equals(name)).toList();
+      return all.stream().filter(update -> !update.name().equals(name)).toList();
     }
 
     @Override
     public void changed(Peer before, Peer after) {
-      One other = members.get(after.name());
+      SimulatedMember other = members.get(after.name());
       suspicions += after.standing() == MemberStatus.SUSPECT ? 1 : 0;
       if (after.standing() == MemberStatus.FAILED
           && other != null
@@ -410,22 +426,24 @@
           && cuts.isEmpty()
           && after.news().run() == other.run) {
         falseEnds++;
-        if (faultless) {
-          breach("no false end", name + " holds " + after.name() + " for failed, which is up");
+        if (lossOnly) {
+          addViolation("no false end", name + " declared " + after.name() + " failed, which is up");
         }
       }
       if (before != null
           && before.standing() == MemberStatus.LEFT
           && after.standing() == MemberStatus.FAILED
           && before.news().run() == after.news().run()) {
-        breach("left", after.name() + " has left and is called failed");
+        addViolation("left", after.name() + " has left and is declared failed");
       }
     }
 
     @Override
     public void clash(MembershipUpdate other) {
       if (members.get(name) == this) {
-        breach("one process", name + " hears of another process of its name that is none");
+        addViolation(
+            "one process",
+            name + " was notified of another process with its name, which does not exist");
       }
     }
   }
--- a/faulttest/src/test/java/ferngrade/faulttest/ArchitectureTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** What the boundaries of the fleet's modules cannot hold. */
+/** Dependency rules that the boundaries of the fleet's modules cannot enforce. */
 class ArchitectureTest {
   private static final JavaClasses CLASSES =
       new ClassFileImporter()
@@ -16,7 +16,7 @@
           .importPackages("ferngrade");
 
   @Test
-  void whoOwnsADutyIsDecidedWithoutClockSocketFileOrThread() {
+  void leasePackageUsesNoClockSocketFileOrThread() {
     noClasses()
         .that()
         .resideInAPackage("ferngrade.lease")
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void packagesFormNoCircle() {
+  void packagesHaveNoCyclicDependencies() {
     slices().matching("ferngrade.(*)..").should().beFreeOfCycles().check(CLASSES);
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
@@ -9,12 +9,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * All that can happen in the small; deeper explorations are played by {@code faulttest run
- * --small}.
+ * Exhaustive exploration of a small model; {@code faulttest run --small} runs deeper explorations.
  */
 class ModelCheckerTest {
   @Test
-  void nothingThatCanHappenBreaksARule() {
+  void noReachableStateViolatesARule() {
     ModelChecker.Result result = ModelChecker.explore(2, 1, 7, false, Mutant.NONE);
     assertNull(result.broken());
     assertTrue(result.states() > 1_000, "states " + result.states());
@@ -22,7 +21,7 @@
 
   @ParameterizedTest
   @CsvSource({"NO_EPOCH_CHECK,fenced", "HOLD_FROM_ANSWER,one owner", "NO_DRIFT_BOUND,one owner"})
-  void aGuardThatIsMissingIsFound(Mutant mutant, String rule) {
+  void detectsMissingSafetyCheck(Mutant mutant, String rule) {
     assertEquals(rule, ModelChecker.explore(2, 1, 10, true, mutant).broken());
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/TrialRunTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/TrialRunTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Trials of several processes of the program. */
+/** Trials with several processes of the program. */
 class TrialRunTest {
   private static final List<String> PROGRAM =
       List.of(
@@ -26,7 +26,7 @@
 
   @TempDir private Path folder;
 
-  private List<Violation> play(String name, Mutant mutant) throws Exception {
+  private List<Violation> runTrial(String name, Mutant mutant) throws Exception {
     return new TrialRun(TrialFile.shipped(name), 1, mutant, PROGRAM, folder).run().breaches();
   }
 
@@ -43,26 +43,28 @@
         "forged",
         "list-asked-once"
       })
-  void itHolds(String name) throws Exception {
-    assertEquals(List.of(), play(name, Mutant.NONE));
+  void trialHasNoViolations(String name) throws Exception {
+    assertEquals(List.of(), runTrial(name, Mutant.NONE));
   }
 
   @Test
-  void aTakerThatLooksAtNoEpochIsFound() throws Exception {
-    List<Violation> breaches = play("late-effect", Mutant.NO_EPOCH_CHECK);
+  void detectsJobReceiverThatIgnoresEpochs() throws Exception {
+    List<Violation> violations = runTrial("late-effect", Mutant.NO_EPOCH_CHECK);
     assertTrue(
-        breaches.stream().anyMatch(each -> each.rule().equals("fenced")), breaches.toString());
+        violations.stream().anyMatch(violation -> violation.rule().equals("fenced")),
+        violations.toString());
   }
 
   @Test
-  void everyTrialThatIsListedCanBeReadAndAWrongOneIsSaidWithItsLine() throws FileException {
+  void parsesShippedTrialsAndReportsTheLineOfAnError() throws FileException {
     for (String name : TrialFile.SHIPPED) {
       assertEquals(name, TrialFile.shipped(name).name());
     }
-    FileException bad =
+    FileException failure =
         assertThrows(
             FileException.class,
             () -> TrialFile.read("t.toml", "name = \"x\"\n[[step]]\nwho = \"a\"\ndo = \"sing\"\n"));
-    assertTrue(bad.getMessage().startsWith("t.toml:4: step[0].do is unknown"), bad.getMessage());
+    assertTrue(
+        failure.getMessage().startsWith("t.toml:4: step[0].do is unknown"), failure.getMessage());
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/VirtualFleetTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/VirtualFleetTest.java
@@ -10,48 +10,48 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Members in virtual time under drawn faults; the number of seeds is set by {@code
- * ferngrade.seeds}.
+ * Members in virtual time under randomly drawn faults; the system property {@code ferngrade.seeds}
+ * sets the number of seeds.
  */
 class VirtualFleetTest {
   private static final int SEEDS = Integer.getInteger("ferngrade.seeds", 150);
 
   @Test
-  void oneOwnerAtATimeAndOneLogThroughDrawnFaults() {
+  void randomFaultsViolateNoInvariant() {
     for (int size : new int[] {3, 5}) {
-      List<String> broken =
+      List<String> violations =
           LongStream.rangeClosed(1, SEEDS)
               .parallel()
               .boxed()
               .flatMap(
                   seed ->
                       VirtualFleet.play(size, seed, Mutant.NONE).breaches().stream()
-                          .map(each -> size + " members, seed " + seed + ": " + each))
+                          .map(violation -> size + " members, seed " + seed + ": " + violation))
               .limit(5)
               .toList();
-      assertEquals(List.of(), broken);
+      assertEquals(List.of(), violations);
     }
   }
 
   @Test
-  void votersOnAMachineThatIsFarTooBusyElectALeaderAllTheSame() {
-    // As long as a vote's way took longer than elections were drawn apart, these asked in step and
-    // never agreed.
-    List<String> broken =
+  void electsLeaderOnAnOverloadedMachine() {
+    // When a vote request took longer than the spread of the election timeouts, the voters started
+    // elections in step and never elected a leader.
+    List<String> violations =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
             .boxed()
             .flatMap(
                 seed ->
                     VirtualFleet.playSlow(3, seed, 80).breaches().stream()
-                        .map(each -> "seed " + seed + ": " + each))
+                        .map(violation -> "seed " + seed + ": " + violation))
             .limit(5)
             .toList();
-    assertEquals(List.of(), broken);
+    assertEquals(List.of(), violations);
   }
 
   @Test
-  void theSameSeedGivesTheSameRun() {
+  void sameSeedGivesTheSameResult() {
     assertEquals(VirtualFleet.play(3, 7, Mutant.NONE), VirtualFleet.play(3, 7, Mutant.NONE));
   }
 
@@ -63,14 +63,14 @@
     "FORGOTTEN_VOTES,one log",
     "UNSYNCED_VOTE,one leader"
   })
-  void aProgramBrokenOnPurposeIsFoundByItsJudge(Mutant mutant, String rule) {
+  void detectsMutantByTheExpectedRule(Mutant mutant, String rule) {
     assertTrue(
         LongStream.rangeClosed(1, 2_000)
             .parallel()
             .anyMatch(
                 seed ->
                     VirtualFleet.play(3, seed, mutant).breaches().stream()
-                        .anyMatch(each -> each.rule().equals(rule))),
-        mutant + " went unseen");
+                        .anyMatch(violation -> violation.rule().equals(rule))),
+        mutant + " was not detected");
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/VirtualSwarmTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/VirtualSwarmTest.java
@@ -7,12 +7,12 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Who seems to live, in virtual time under drawn faults. */
+/** The membership protocol in virtual time under randomly drawn faults. */
 class VirtualSwarmTest {
   private static final int SEEDS = Integer.getInteger("ferngrade.seeds", 150);
 
   @Test
-  void allAgreeInTheEndAndNothingForgedOrOldIsTaken() {
+  void membersAgreeAndRejectReplayedAndForgedDatagrams() {
     for (int size : new int[] {3, 7, 20}) {
       List<VirtualSwarm.Result> results =
           LongStream.rangeClosed(1, SEEDS / 2)
@@ -20,33 +20,34 @@
               .mapToObj(seed -> VirtualSwarm.play(size, seed, Mutant.NONE))
               .toList();
       assertEquals(
-          List.of(), results.stream().flatMap(each -> each.breaches().stream()).limit(5).toList());
+          List.of(),
+          results.stream().flatMap(result -> result.breaches().stream()).limit(5).toList());
       assertTrue(results.stream().mapToLong(VirtualSwarm.Result::refused).sum() > 10L * SEEDS);
     }
   }
 
   @Test
-  void nobodyIsHeldForFailedBecauseOfLoss() {
+  void lossAloneMarksNoMemberAsFailed() {
     VirtualSwarm.Result result = VirtualSwarm.playLoss(10, 1, 0.05, 600_000);
     assertEquals(List.of(), result.breaches());
     assertEquals(0, result.falseEnds());
   }
 
   @Test
-  void anEndIsNoticedByAll() {
+  void allMembersDetectACrash() {
     for (long seed = 1; seed <= 10; seed++) {
       assertTrue(VirtualSwarm.playKill(10, seed).lastFound() < 20_000, "seed " + seed);
     }
   }
 
   @Test
-  void membersThatDenyNothingAreFound() {
+  void detectsMembersThatRefuteNothing() {
     assertTrue(
         LongStream.rangeClosed(1, 200)
             .parallel()
             .anyMatch(
                 seed ->
                     VirtualSwarm.play(7, seed, Mutant.NO_DENIAL).breaches().stream()
-                        .anyMatch(each -> each.rule().equals("agreed"))));
+                        .anyMatch(violation -> violation.rule().equals("agreed"))));
   }
 }
