--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/BackgroundLoop.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/BackgroundLoop.java
@@ -1,6 +1,6 @@
 package ferngrade.faulttest.upgrade;
 
-/** A thread of the harness that repeats a step until it is stopped. */
+/** A harness thread that repeats a step until it is stopped. */
 abstract class BackgroundLoop {
   private final Thread thread;
   private volatile boolean running = true;
@@ -10,18 +10,18 @@
     thread.setDaemon(true);
   }
 
-  /** Begins to run; called once. */
+  /** Starts the thread; must be called only once. */
   final void start() {
     thread.start();
   }
 
-  /** Does one step, pauses included. */
+  /** Executes one step, including its pause. */
   abstract void step() throws InterruptedException;
 
-  /** Runs on the thread behind the last step. */
-  void ended() {}
+  /** Called on the thread after the last step. */
+  void onStopped() {}
 
-  /** False once the loop is told to stop. */
+  /** Returns whether the loop has not been told to stop. */
   final boolean running() {
     return running;
   }
@@ -31,14 +31,14 @@
       while (running) {
         step();
       }
-    } catch (InterruptedException ending) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     } finally {
-      ended();
+      onStopped();
     }
   }
 
-  /** Returns once the last step is done. */
+  /** Stops the loop, and waits for the last step. */
   final void stop() throws InterruptedException {
     running = false;
     thread.join();
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/BusyProcesses.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/BusyProcesses.java
@@ -5,14 +5,15 @@
 import java.util.List;
 
 /**
- * Processes that use all the processor time they get, until they are closed or their time is up.
+ * Processes that use all processor time available to them, until they are closed or their time is
+ * over.
  */
 final class BusyProcesses implements AutoCloseable {
   private static final String LOOP = "my $end = time + shift; 1 while time < $end;";
 
   private final List<Process> processes = new ArrayList<>();
 
-  /** Starts {@code count} of them, which end by themselves after {@code seconds}. */
+  /** Starts {@code count} processes, which end by themselves after {@code seconds}. */
   BusyProcesses(int count, int seconds) throws IOException {
     for (int i = 0; i < count; i++) {
       processes.add(
@@ -22,7 +23,7 @@
     }
   }
 
-  /** How many there are. */
+  /** Returns the number of processes started. */
   int count() {
     return processes.size();
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
@@ -5,14 +5,14 @@
 import java.util.Random;
 
 /**
- * All that a seed decides about a churn run.
+ * The parameters of a churn run, all drawn from a seed.
  *
  * @param seed the seed
  * @param clients the number of clients
- * @param behaviour how they behave
- * @param crowd connections that carry nothing
- * @param share the part of the time that processes run
- * @param longestPause the longest time for which they are stopped, ms
+ * @param behaviour the behaviour of the clients
+ * @param crowd the number of idle connections
+ * @param share the share of the time that processes run
+ * @param longestPause the maximum time for which processes are stopped, ms
  * @param steps the upgrades, in order
  */
 public record ChurnPlan(
@@ -23,36 +23,36 @@
     double share,
     int longestPause,
     List<Step> steps) {
-  /** All workers; the first ones fail. */
+  /** The number of workers; the first {@link #FAULTY} of them misbehave. */
   static final int WORKERS = 8;
 
-  /** How many of them fail in each step, a quarter. */
+  /** The number of workers that misbehave in each step, a quarter. */
   static final int FAULTY = 2;
 
-  /** The longest pause that the platform's page asks a node to bear, ms. */
-  private static final int LONGEST_PAUSE = 150;
+  /** The longest pause that the platform's documentation requires a node to tolerate, ms. */
+  private static final int MAX_PAUSE_MILLIS = 150;
 
-  private static final int CROWD = 400;
+  private static final int CROWD_SIZE = 400;
 
   /**
    * One upgrade.
    *
-   * @param pause how long the node serves in peace before it, ms
-   * @param movesDiscovery true if discovery moves while both processes run
-   * @param signals how many times SIGTERM is sent, some ms apart
-   * @param faults what the faulty workers do from its beginning on
+   * @param pause the time before the upgrade without any fault, ms
+   * @param movesDiscovery whether discovery moves while both processes run
+   * @param signals the number of SIGTERM signals sent in short succession
+   * @param faults the faults of the faulty workers from the beginning of the step
    */
   public record Step(long pause, boolean movesDiscovery, int signals, List<WorkerFault> faults) {}
 
-  /** The plan of a seed, with so many upgrades. */
+  /** Returns the plan of a seed with this number of upgrades. */
   public static ChurnPlan of(long seed, int upgrades) {
     Random random = new Random(seed);
     int clients = 8 + random.nextInt(12);
     ClientBehaviour behaviour =
         new ClientBehaviour(30 + random.nextInt(60), 2000, 0.02 + 0.1 * random.nextDouble());
-    int crowd = random.nextInt(4) == 0 ? CROWD : 0;
+    int crowd = random.nextInt(4) == 0 ? CROWD_SIZE : 0;
     double share = 0.3 + 0.3 * random.nextDouble();
-    int longest = LONGEST_PAUSE - random.nextInt(LONGEST_PAUSE / 2);
+    int maxPause = MAX_PAUSE_MILLIS - random.nextInt(MAX_PAUSE_MILLIS / 2);
     List<Step> steps = new ArrayList<>();
     for (int i = 0; i < upgrades; i++) {
       List<WorkerFault> faults = new ArrayList<>();
@@ -63,6 +63,6 @@
           new Step(
               500 + random.nextInt(1000), random.nextInt(3) == 0, 1 + random.nextInt(3), faults));
     }
-    return new ChurnPlan(seed, clients, behaviour, crowd, share, longest, steps);
+    return new ChurnPlan(seed, clients, behaviour, crowd, share, maxPause, steps);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Upgrades of a node whose processes are stopped all the time, as a crowded machine would, while
- * workers fail, clients leave early, discovery moves and signals come in series. Judged from
- * outside.
+ * Upgrades of a node whose processes are stopped repeatedly, as on an overloaded machine, while
+ * workers misbehave, clients abandon requests, discovery moves and signals are sent several times.
+ * All checks are made from outside the processes.
  */
 public final class ChurnRun {
   private static final RunSettings SETTINGS =
@@ -19,19 +19,22 @@
           new WorkerBehaviour(30, 200, 8, 32, false),
           1000);
 
-  /** The longest deadline of the settings and 0.7 s: no process is killed sooner after SIGTERM. */
-  private static final long KILL_AFTER = 3700;
+  /**
+   * The longest deadline of the settings plus 0.7 s: no process is killed earlier than this after
+   * SIGTERM, ms.
+   */
+  private static final long KILL_DELAY_MILLIS = 3700;
 
-  /** Between two signals of a series, ms. */
-  private static final long SIGNAL_INTERVAL = 30;
+  /** The interval between two signals of a series, ms. */
+  private static final long SIGNAL_INTERVAL_MILLIS = 30;
 
-  private static final long AFTERMATH = 1000;
+  private static final long SETTLE_TIME_MILLIS = 1000;
 
   private final UpgradeRun run;
-  private final List<Violation> found = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private ServingProcess serving;
 
-  /** What came of a run. */
+  /** The outcome of a run. */
   public record Result(ChurnPlan plan, Observations observations, List<Violation> violations) {}
 
   private ChurnRun(UpgradeRun run, ServingProcess first) {
@@ -39,7 +42,7 @@
     this.serving = first;
   }
 
-  /** Plays a plan with processes that {@code command} starts. */
+  /** Runs a plan with processes that {@code command} starts. */
   public static Result play(ChurnPlan plan, List<String> command)
       throws IOException, InterruptedException {
     try (UpgradeRun run = new UpgradeRun(command, SETTINGS)) {
@@ -56,26 +59,27 @@
       for (Step step : plan.steps()) {
         churn.play(step);
       }
-      Thread.sleep(AFTERMATH);
+      Thread.sleep(SETTLE_TIME_MILLIS);
       load.stop();
       for (BackgroundLoop loop : loops) {
         loop.stop();
       }
-      Observations seen = run.observations();
-      // A callback about a job that was cut short, or whose client left, may find nobody who knows.
-      churn.found.addAll(UpgradeChecker.sendsToWorkersOut(seen));
-      churn.found.addAll(UpgradeChecker.repeatedJobs(seen));
-      churn.found.addAll(UpgradeChecker.unansweredJobs(seen, plan.crowd() > 0));
-      churn.found.addAll(DepartureChecker.check(seen));
-      churn.found.addAll(IdleCapacityChecker.check(seen));
-      return new Result(plan, seen, List.copyOf(churn.found));
+      Observations observations = run.observations();
+      // Lost callbacks are not checked: after an abandoned request, or a job cut short, no process
+      // may know the job.
+      churn.violations.addAll(UpgradeChecker.sendsToDisabledWorkers(observations));
+      churn.violations.addAll(UpgradeChecker.repeatedJobs(observations));
+      churn.violations.addAll(UpgradeChecker.unansweredJobs(observations, plan.crowd() > 0));
+      churn.violations.addAll(DepartureChecker.check(observations));
+      churn.violations.addAll(IdleCapacityChecker.check(observations));
+      return new Result(plan, observations, List.copyOf(churn.violations));
     }
   }
 
   private void play(Step step) throws IOException, InterruptedException {
     Thread.sleep(step.pause());
     for (int worker = 0; worker < step.faults().size(); worker++) {
-      run.fault(worker, step.faults().get(worker));
+      run.setFault(worker, step.faults().get(worker));
     }
     ServingProcess old = serving;
     ServingProcess next = run.start();
@@ -89,27 +93,31 @@
     double signalled = run.observations().now();
     for (int i = 0; i < step.signals(); i++) {
       run.signal(old, "TERM");
-      Thread.sleep(SIGNAL_INTERVAL);
+      Thread.sleep(SIGNAL_INTERVAL_MILLIS);
     }
-    awaitEnd(old, signalled + KILL_AFTER);
+    awaitEnd(old, signalled + KILL_DELAY_MILLIS);
   }
 
-  /** The platform kills what has not ended by then; clients use its connections until that. */
-  private void awaitEnd(ServingProcess process, double killedAt)
+  /**
+   * Waits for the end of a process, and kills it at {@code killAt} as the platform does; clients
+   * use its connections until then.
+   */
+  private void awaitEnd(ServingProcess process, double killAt)
       throws IOException, InterruptedException {
     Observations observations = run.observations();
     try {
-      int status = process.awaitEnd((long) Math.max(1, killedAt - observations.now()));
+      int status = process.awaitEnd((long) Math.max(1, killAt - observations.now()));
       if (status != 0) {
-        violation("ended out of order", "process " + process.pid() + " ended with " + status);
+        violation(
+            "exited abnormally", "process " + process.pid() + " exited with wait status " + status);
       }
-    } catch (IOException late) {
-      violation("killed", "process " + process.pid() + " had not ended in time");
+    } catch (IOException timedOut) {
+      violation("killed", "process " + process.pid() + " did not end in time");
       run.signal(process, "KILL");
     }
   }
 
-  private void violation(String rule, String seen) {
-    found.add(new Violation(run.observations().now(), rule, seen));
+  private void violation(String rule, String description) {
+    violations.add(new Violation(run.observations().now(), rule, description));
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ClientBehaviour.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ClientBehaviour.java
@@ -1,10 +1,10 @@
 package ferngrade.faulttest.upgrade;
 
 /**
- * How clients behave: their mean pause between two requests, the deadline that they tell, both ms,
- * and the share of requests whose client closes its connection before the answer.
+ * The behaviour of clients: the mean pause between two requests and the deadline of a request, both
+ * in ms, and the share of requests whose client closes its connection before the answer.
  */
-public record ClientBehaviour(double meanPause, double deadline, double leaveShare) {
-  /** The longest that a client waits before it leaves, ms. */
-  static final int MAX_WAIT = 200;
+public record ClientBehaviour(double meanPause, double deadline, double abandonShare) {
+  /** The maximum time after which a client closes its connection, ms. */
+  static final int MAX_WAIT_MILLIS = 200;
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ClientLoad.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ClientLoad.java
@@ -11,15 +11,15 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients with one connection each, which they use for as long as it stays open: one request at a
- * time, with a pause between two. A request whose connection ends unanswered is sent once more on a
- * new one.
+ * Clients that each keep one connection for as long as it stays open, and send one request at a
+ * time with a pause between two. A request whose connection closes without an answer is retried
+ * once on a new connection.
  */
 final class ClientLoad {
-  /** How long a client waits beyond its deadline before the request counts as unanswered, ms. */
-  private static final double GRACE = 500;
+  /** The time after its deadline at which a request counts as unanswered, ms. */
+  private static final double GRACE_MILLIS = 500;
 
-  private static final int CONNECT_TIMEOUT = 2000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 2000;
 
   private final InetSocketAddress address;
   private final Observations observations;
@@ -28,7 +28,7 @@
   private final List<Thread> threads = new ArrayList<>();
   private volatile boolean running = true;
 
-  /** {@code clients} of them. */
+  /** Starts {@code clients} clients. */
   ClientLoad(
       InetSocketAddress address,
       Observations observations,
@@ -53,13 +53,14 @@
       while (running) {
         Thread.sleep((long) (-behaviour.meanPause() * Math.log(1 - random.nextDouble())));
         JobKind kind = JobKind.values()[random.nextInt(JobKind.values().length)];
-        boolean leaves = random.nextDouble() < behaviour.leaveShare();
+        boolean abandons = random.nextDouble() < behaviour.abandonShare();
         connection =
-            leaves
-                ? abandonedRequest(connection, kind, random.nextInt(ClientBehaviour.MAX_WAIT))
+            abandons
+                ? abandonedRequest(
+                    connection, kind, random.nextInt(ClientBehaviour.MAX_WAIT_MILLIS))
                 : request(connection, kind);
       }
-    } catch (InterruptedException ending) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     } finally {
       if (connection != null) {
@@ -68,29 +69,32 @@
     }
   }
 
-  /** Sends one request; returns the connection for the next one, null if a new one is needed. */
-  private HttpConnection request(HttpConnection kept, JobKind kind) {
+  /**
+   * Sends one request; returns the connection for the next request, null if a new one is needed.
+   */
+  private HttpConnection request(HttpConnection previousConnection, JobKind kind) {
     String job = String.format("%016x", jobs.incrementAndGet());
     String headers = headers(job, kind);
     double sentAt = observations.now();
-    HttpConnection connection = kept;
-    for (int tries = kept == null ? 1 : 2; tries > 0; tries--) {
+    HttpConnection connection = previousConnection;
+    for (int attemptsLeft = previousConnection == null ? 1 : 2; attemptsLeft > 0; attemptsLeft--) {
       try {
         if (connection == null) {
-          connection = new HttpConnection(address, CONNECT_TIMEOUT);
+          connection = new HttpConnection(address, CONNECT_TIMEOUT_MILLIS);
         }
         connection.write("POST /api", headers, "");
         sentAt = observations.now();
-        HttpConnection.Response response = connection.read((long) (behaviour.deadline() + GRACE));
-        ended(job, kind, sentAt, outcome(response, job));
+        HttpConnection.Response response =
+            connection.read((long) (behaviour.deadline() + GRACE_MILLIS));
+        recordResult(job, kind, sentAt, outcome(response, job));
         if (connection.reusable()) {
           return connection;
         }
         connection.close();
         return null;
-      } catch (SocketTimeoutException silent) {
+      } catch (SocketTimeoutException timedOut) {
         connection.close();
-        ended(job, kind, sentAt, Outcome.UNANSWERED);
+        recordResult(job, kind, sentAt, Outcome.UNANSWERED);
         return null;
       } catch (IOException closed) {
         if (connection != null) {
@@ -99,7 +103,7 @@
         connection = null;
       }
     }
-    ended(job, kind, sentAt, Outcome.CLOSED);
+    recordResult(job, kind, sentAt, Outcome.CLOSED);
     return null;
   }
 
@@ -116,16 +120,21 @@
         + (kind == JobKind.PLAN ? "Idempotency-Key: " + job + "\r\n" : "");
   }
 
-  /** Sends one request and closes the connection {@code wait} ms later, whatever has come. */
-  private HttpConnection abandonedRequest(HttpConnection kept, JobKind kind, int wait)
+  /**
+   * Sends one request and closes the connection {@code wait} ms later, even if no answer has
+   * arrived.
+   */
+  private HttpConnection abandonedRequest(HttpConnection previousConnection, JobKind kind, int wait)
       throws InterruptedException {
     String job = String.format("%016x", jobs.incrementAndGet());
     try (HttpConnection connection =
-        kept == null ? new HttpConnection(address, CONNECT_TIMEOUT) : kept) {
+        previousConnection == null
+            ? new HttpConnection(address, CONNECT_TIMEOUT_MILLIS)
+            : previousConnection) {
       connection.write("POST /api", headers(job, kind), "");
       Thread.sleep(wait);
     } catch (IOException closed) {
-      // The node has ended the connection before its client could.
+      // The node closed the connection before the client could.
     }
     observations.add(new Observations.Departure(observations.now(), job));
     return null;
@@ -139,16 +148,16 @@
     };
   }
 
-  private void ended(String job, JobKind kind, double sentAt, Outcome outcome) {
+  private void recordResult(String job, JobKind kind, double sentAt, Outcome outcome) {
     observations.add(
         new JobResult(job, kind, sentAt, observations.now(), behaviour.deadline(), outcome));
   }
 
-  /** Ends the load: no client sends another request; waits for those that are out. */
+  /** Stops the load: no client sends another request; waits for the requests in progress. */
   void stop() throws InterruptedException {
     running = false;
     for (Thread thread : threads) {
-      thread.join((long) (2 * (behaviour.deadline() + GRACE)) + CONNECT_TIMEOUT);
+      thread.join((long) (2 * (behaviour.deadline() + GRACE_MILLIS)) + CONNECT_TIMEOUT_MILLIS);
     }
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/DepartureChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/DepartureChecker.java
@@ -6,30 +6,36 @@
 import java.util.List;
 import java.util.Map;
 
-/** Nothing is begun for a client that has gone. Stateless. */
+/** Checks that no attempt begins for a client that has closed its connection. Stateless. */
 public final class DepartureChecker {
-  /** An attempt may begin for so long after the client's close, ms: 100, and 50 for sockets. */
-  static final double GRACE = 150;
+  /**
+   * The time after the client's close within which an attempt may still begin, ms: 100, and 50 for
+   * the sockets.
+   */
+  static final double GRACE_MILLIS = 150;
 
   private DepartureChecker() {}
 
-  /** A violation for each attempt that began too long after its client had left. */
+  /**
+   * Returns a violation for each attempt that began too long after its client closed the
+   * connection.
+   */
   public static List<Violation> check(Observations observations) {
-    Map<String, Double> left = new HashMap<>();
+    Map<String, Double> closedAt = new HashMap<>();
     for (Departure departure : observations.departures()) {
-      left.put(departure.job(), departure.at());
+      closedAt.put(departure.job(), departure.at());
     }
     return observations.sends().stream()
-        .filter(send -> left.containsKey(send.job()))
-        .filter(send -> send.at() > left.get(send.job()) + GRACE)
+        .filter(send -> closedAt.containsKey(send.job()))
+        .filter(send -> send.at() > closedAt.get(send.job()) + GRACE_MILLIS)
         .map(
             send ->
                 new Violation(
                     send.at(),
-                    "begun for a client that has gone",
+                    "attempt begun after its client closed the connection",
                     String.format(
                         "job %s at %s %.0f ms after the close",
-                        send.job(), send.worker(), send.at() - left.get(send.job()))))
+                        send.job(), send.worker(), send.at() - closedAt.get(send.job()))))
         .toList();
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/DiscoveryStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/DiscoveryStub.java
@@ -15,12 +15,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The discovery agent on the node's machine: each watch gets the whole list, and the list again
- * every {@link #INTERVAL} ms.
+ * A discovery agent on the node's machine: each watch receives the complete endpoint list, and
+ * again every {@link #INTERVAL_MILLIS}.
  */
 final class DiscoveryStub implements AutoCloseable {
-  /** How often a watch gets the list, ms: often, so that lists cross all else that happens. */
-  private static final long INTERVAL = 300;
+  /**
+   * The interval between two lists on a watch, ms: short, so that lists arrive during all other
+   * events.
+   */
+  private static final long INTERVAL_MILLIS = 300;
 
   private final ServerSocket listener;
   private final List<WorkerStub> workers;
@@ -30,10 +33,10 @@
   DiscoveryStub(List<WorkerStub> workers) throws IOException {
     this.workers = workers;
     this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    daemon("discovery", this::accept);
+    startDaemon("discovery", this::accept);
   }
 
-  private static void daemon(String name, Runnable task) {
+  private static void startDaemon(String name, Runnable task) {
     Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     thread.start();
@@ -48,7 +51,7 @@
       try {
         Socket watch = listener.accept();
         watches.add(watch);
-        daemon("watch", () -> serve(watch));
+        startDaemon("watch", () -> serve(watch));
       } catch (IOException closed) {
         return;
       }
@@ -58,32 +61,32 @@
   private void serve(Socket watch) {
     try (watch) {
       InputStream in = watch.getInputStream();
-      // The request ends with an empty line; nothing in it matters here.
+      // The request ends with an empty line; its content does not matter.
       int newlines = 0;
       while (newlines < 2) {
-        int c = in.read();
-        if (c < 0) {
+        int character = in.read();
+        if (character < 0) {
           return;
         }
-        newlines = c == '\n' ? newlines + 1 : c == '\r' ? newlines : 0;
+        newlines = character == '\n' ? newlines + 1 : character == '\r' ? newlines : 0;
       }
       OutputStream out = watch.getOutputStream();
       out.write(ascii("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
       while (!listener.isClosed()) {
         String line = list() + "\n";
         out.write(ascii(Integer.toHexString(line.length()) + "\r\n" + line + "\r\n"));
-        Thread.sleep(INTERVAL);
+        Thread.sleep(INTERVAL_MILLIS);
       }
-    } catch (IOException gone) {
-      // The node has ended its watch.
-    } catch (InterruptedException ending) {
+    } catch (IOException disconnected) {
+      // The node has closed its watch.
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     } finally {
       watches.remove(watch);
     }
   }
 
-  /** How many watches are open. */
+  /** Returns the number of open watches. */
   int watches() {
     return watches.size();
   }
@@ -105,7 +108,7 @@
               .add("size", worker.listedSize())
               .add("up_since_ms", 0));
     }
-    long revision = 1 + (System.nanoTime() - origin) / 1_000_000 / INTERVAL;
+    long revision = 1 + (System.nanoTime() - origin) / 1_000_000 / INTERVAL_MILLIS;
     return new JsonObject()
         .add("revision", revision)
         .add("complete", true)
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/DutyCycle.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/DutyCycle.java
@@ -5,55 +5,55 @@
 import java.util.Random;
 
 /**
- * Holds the processes of a node to a fraction of a core: stops each for up to {@code longest} ms
- * and lets it run in between, all the time.
+ * Limits the processes of a node to a fraction of a core: repeatedly stops all of them for up to
+ * {@code maxStop} ms and then lets them run.
  */
 final class DutyCycle extends BackgroundLoop {
-  private static final int SHORTEST = 20;
+  private static final int MIN_STOP_MILLIS = 20;
 
   private final UpgradeRun run;
   private final Random random;
   private final double share;
-  private final int longest;
+  private final int maxStop;
 
-  /** {@code share}: the part of the time that a process runs, 0 to 1. */
-  DutyCycle(UpgradeRun run, double share, int longest, long seed) {
+  /** Creates a duty cycle in which a process runs for {@code share} of the time, 0 to 1. */
+  DutyCycle(UpgradeRun run, double share, int maxStop, long seed) {
     super("duty cycle");
     this.run = run;
     this.share = share;
-    this.longest = longest;
+    this.maxStop = maxStop;
     this.random = new Random(seed);
   }
 
   @Override
   void step() throws InterruptedException {
-    int stopped = SHORTEST + random.nextInt(longest - SHORTEST + 1);
+    int stopMillis = MIN_STOP_MILLIS + random.nextInt(maxStop - MIN_STOP_MILLIS + 1);
     List<ServingProcess> processes = run.alive();
     signal(processes, "STOP");
-    Thread.sleep(stopped);
+    Thread.sleep(stopMillis);
     signal(processes, "CONT");
-    Thread.sleep((long) (stopped * share / (1 - share)));
+    Thread.sleep((long) (stopMillis * share / (1 - share)));
   }
 
   private static void signal(List<ServingProcess> processes, String name)
       throws InterruptedException {
-    for (ServingProcess each : processes) {
+    for (ServingProcess process : processes) {
       try {
-        each.signal(name);
-      } catch (IOException ended) {
-        // It has ended meanwhile.
+        process.signal(name);
+      } catch (IOException exited) {
+        // The process has ended in the meantime.
       }
     }
   }
 
   @Override
-  void ended() {
-    for (ServingProcess each : run.alive()) {
+  void onStopped() {
+    for (ServingProcess process : run.alive()) {
       try {
-        each.signal("CONT");
-      } catch (IOException ended) {
-        // It has ended meanwhile.
-      } catch (InterruptedException ending) {
+        process.signal("CONT");
+      } catch (IOException exited) {
+        // The process has ended in the meantime.
+      } catch (InterruptedException interrupted) {
         Thread.currentThread().interrupt();
       }
     }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/Episode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/Episode.java
@@ -1,14 +1,20 @@
 package ferngrade.faulttest.upgrade;
 
 /**
- * One episode of a soak, with all that is left to chance in it.
+ * One episode of a soak run, with all its random choices.
  *
- * @param kind what happens
- * @param pause how long the node serves in peace before it, ms
- * @param offset when in it the fault or the signal comes, ms
- * @param length how long a passing fault lasts, ms
- * @param old true if the earlier of two processes is meant, where one of them is
- * @param worker the worker that operators take out in it
+ * @param kind the type of the episode
+ * @param pause the time before the episode without any fault, ms
+ * @param offset the time from the start of the episode to the fault or the signal, ms
+ * @param length the duration of a temporary fault, ms
+ * @param affectsOldProcess whether the earlier of two processes is affected, where only one of them
+ *     is
+ * @param worker the worker that operators disable in the episode
  */
 public record Episode(
-    EpisodeKind kind, long pause, long offset, long length, boolean old, String worker) {}
+    EpisodeKind kind,
+    long pause,
+    long offset,
+    long length,
+    boolean affectsOldProcess,
+    String worker) {}
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/EpisodeKind.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/EpisodeKind.java
@@ -1,23 +1,23 @@
 package ferngrade.faulttest.upgrade;
 
-/** What may happen to a node in a soak; each ends with one process that serves. */
+/** The types of episodes of a soak run; each ends with a single serving process. */
 public enum EpisodeKind {
-  /** A new process, and SIGTERM to the old one once it is ready. */
+  /** Starts a new process, and sends SIGTERM to the old one once the new one is ready. */
   UPGRADE,
-  /** A new process that is killed before or just after it is ready. */
+  /** Starts a new process and kills it before or just after it is ready. */
   FAILED_UPGRADE,
-  /** Two new processes in quick succession; the earlier two are told to end. */
+  /** Starts two new processes in quick succession, and sends SIGTERM to the earlier two. */
   DOUBLE_UPGRADE,
-  /** A new process, and SIGKILL to the old one once the new one is ready. */
+  /** Starts a new process, and sends SIGKILL to the old one once the new one is ready. */
   OLD_KILLED,
-  /** A new process that is told to end, while the old one goes on. */
+  /** Starts a new process and terminates it while the old one continues to serve. */
   NEW_TERMINATED,
-  /** An upgrade in which one of the two processes is stopped for a while. */
+  /** Upgrades while one of the two processes is stopped for a while. */
   ONE_STOPPED,
-  /** Discovery moves; one of two processes is told by SIGHUP. */
+  /** Moves discovery and sends SIGHUP to one of two processes. */
   RELOAD,
-  /** Operators drain and resume the node, at different processes. */
+  /** Drains and resumes the node through calls at different processes. */
   DRAIN,
-  /** The folder that the processes share cannot be used for a while. */
+  /** Makes the shared folder unavailable for a while. */
   FOLDER_FAILS
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/HttpConnection.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/HttpConnection.java
@@ -11,15 +11,15 @@
 import java.util.Locale;
 
 /**
- * A blocking connection that carries one HTTP/1.1 call after the other. The harness decides when it
- * is opened and closed, which clients of the libraries keep to themselves.
+ * A blocking connection that carries HTTP/1.1 calls one after the other. The harness controls when
+ * the connection is opened and closed, which HTTP client libraries do not expose.
  */
 final class HttpConnection implements AutoCloseable {
   private final Socket socket = new Socket();
   private final InputStream in;
   private boolean reusable = true;
 
-  /** An answer: its status and whether the connection ends behind it. */
+  /** A response: its status, whether the connection closes after it, and its body. */
   record Response(int status, boolean closes, String body) {}
 
   /** Connects within {@code timeout} ms. */
@@ -29,7 +29,7 @@
     in = new BufferedInputStream(socket.getInputStream());
   }
 
-  /** Writes a whole call: the request line's method and path, headers that end lines, a body. */
+  /** Writes a complete request: method and path, headers with line ends, and body. */
   void write(String request, String headers, String body) throws IOException {
     String message =
         request
@@ -43,8 +43,9 @@
   }
 
   /**
-   * Reads the answer; a {@link java.net.SocketTimeoutException} says that none came within {@code
-   * timeout} ms, an {@link EOFException} that the connection ended before its first byte.
+   * Reads the response; throws a {@link java.net.SocketTimeoutException} if nothing arrives within
+   * {@code timeout} ms, and an {@link EOFException} if the connection closes before the end of the
+   * head.
    */
   Response read(long timeout) throws IOException {
     socket.setSoTimeout((int) Math.max(1, timeout));
@@ -65,7 +66,7 @@
   }
 
   /**
-   * Writes a call on a connection of its own and reads its answer, all within {@code timeout} ms.
+   * Makes a call on a separate connection and reads the response, all within {@code timeout} ms.
    */
   static Response call(InetSocketAddress address, String request, String body, int timeout)
       throws IOException {
@@ -76,7 +77,7 @@
     }
   }
 
-  /** True if the other side has ended the connection, which carries no call. */
+  /** Returns whether the peer has closed the connection, which must be idle. */
   boolean endedByPeer() {
     try {
       socket.setSoTimeout(1);
@@ -95,18 +96,18 @@
     }
   }
 
-  /** True while another call may be written, as far as is known without reading. */
+  /** Returns whether another request may be written, as far as is known without reading. */
   boolean reusable() {
     return reusable;
   }
 
   private String line() throws IOException {
     StringBuilder line = new StringBuilder();
-    for (int c = in.read(); c != '\n'; c = in.read()) {
-      if (c < 0) {
+    for (int character = in.read(); character != '\n'; character = in.read()) {
+      if (character < 0) {
         throw new EOFException("the connection has ended");
       }
-      line.append((char) c);
+      line.append((char) character);
     }
     return line.toString().strip();
   }
@@ -115,8 +116,8 @@
   public void close() {
     try {
       socket.close();
-    } catch (IOException ended) {
-      // It has ended, which is what was asked for.
+    } catch (IOException closed) {
+      // The connection is already broken, so there is nothing left to close.
     }
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCrowd.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCrowd.java
@@ -6,11 +6,12 @@
 import java.util.List;
 
 /**
- * Connections of clients that send nothing. Each that the node ends is opened anew after a while.
+ * A set of client connections that send nothing. A connection that the node closes is reopened at
+ * the next step.
  */
 final class IdleCrowd extends BackgroundLoop {
-  private static final long INTERVAL = 100;
-  private static final int CONNECT_TIMEOUT = 500;
+  private static final long INTERVAL_MILLIS = 100;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
   private final InetSocketAddress address;
   private final int size;
@@ -27,16 +28,16 @@
     open.removeIf(HttpConnection::endedByPeer);
     try {
       while (running() && open.size() < size) {
-        open.add(new HttpConnection(address, CONNECT_TIMEOUT));
+        open.add(new HttpConnection(address, CONNECT_TIMEOUT_MILLIS));
       }
     } catch (IOException notAccepted) {
-      // Tried again in the next step.
+      // Retried in the next step.
     }
-    Thread.sleep(INTERVAL);
+    Thread.sleep(INTERVAL_MILLIS);
   }
 
   @Override
-  void ended() {
+  void onStopped() {
     open.forEach(HttpConnection::close);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantChannels.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantChannels.java
@@ -13,17 +13,20 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Clients' connections that write their answers wrong. */
+/**
+ * A channel provider whose client connections delay or truncate responses, depending on the
+ * mutation.
+ */
 final class MutantChannels implements ChannelProvider {
-  private static final long DELAY = 600;
+  private static final long DELAY_MILLIS = 600;
 
-  /** Of how many answers with a result one is forgotten in its middle. */
-  private static final int FORGETS_EACH = 50;
+  /** The interval between truncated responses, in responses with a result. */
+  private static final int TRUNCATION_INTERVAL = 50;
 
   private static final int STATUS_BYTES = 12;
 
   private final Mutation mutation;
-  private int answers;
+  private int resultsWritten;
 
   MutantChannels(Mutation mutation) {
     this.mutation = mutation;
@@ -61,12 +64,12 @@
             bytes.toString(bytes.readerIndex(), STATUS_BYTES, StandardCharsets.US_ASCII);
         if (mutation == Mutation.LATE_GUARD_TIMER && status.contains(" 50") && !delayed) {
           delayed = true;
-          eventLoop().schedule(this::flush, DELAY, TimeUnit.MILLISECONDS);
+          eventLoop().schedule(this::flush, DELAY_MILLIS, TimeUnit.MILLISECONDS);
           return;
         }
         if (mutation == Mutation.HALF_WRITTEN_ANSWER
             && status.endsWith(" 200")
-            && ++answers % FORGETS_EACH == 0) {
+            && ++resultsWritten % TRUNCATION_INTERVAL == 0) {
           bytes.writerIndex(bytes.readerIndex() + bytes.readableBytes() / 2);
         }
       }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
@@ -15,18 +15,20 @@
 import java.util.List;
 
 /**
- * The process of a node with one {@link Mutation}, started like {@code serve}: the first argument
- * names the mutation. A test double that shows whether the checkers bite.
+ * Runs a node with one {@link Mutation}, started like {@code serve}; the first argument names the
+ * mutation. The checkers must detect each mutation.
  */
 public final class MutantNode {
-  /** Requests a second that a budget which never grows admits. */
-  private static final double FIXED_BUDGET = 5;
+  /** The number of requests per second that a budget that never grows admits. */
+  private static final double FIXED_REQUESTS_PER_SECOND = 5;
 
-  private static final long SIGNAL_DELAY = 600;
+  private static final long SIGNAL_DELAY_MILLIS = 600;
 
   private MutantNode() {}
 
-  /** The command that starts a node with this mutation, with the classes of this program. */
+  /**
+   * Returns the command that starts a node with this mutation, with the classes of this program.
+   */
   public static List<String> command(Mutation mutation) {
     List<String> command = new ArrayList<>(UpgradeRun.thisProgram());
     int main = command.indexOf("ferngrade.Main");
@@ -62,7 +64,7 @@
   private static void stop(Mutation mutation, NodeServer server) {
     try {
       if (mutation == Mutation.SIGNAL_NOTICED_LATE) {
-        Thread.sleep(SIGNAL_DELAY);
+        Thread.sleep(SIGNAL_DELAY_MILLIS);
       }
       server.stopAndExit(() -> Runtime.getRuntime().halt(0));
     } catch (InterruptedException interrupted) {
@@ -79,29 +81,29 @@
 
   private static Dispatcher dispatcher(
       Mutation mutation, NodeConfig config, double now, Dispatcher.Actions actions) {
-    Dispatcher real = new ThrottlingDispatcher(config.settings(), config.seed(), now, actions);
-    return mutation == Mutation.BUDGET_NEVER_GROWS ? withFixedBudget(real, actions) : real;
+    Dispatcher delegate = new ThrottlingDispatcher(config.settings(), config.seed(), now, actions);
+    return mutation == Mutation.BUDGET_NEVER_GROWS ? withFixedBudget(delegate, actions) : delegate;
   }
 
-  private static Dispatcher withFixedBudget(Dispatcher real, Dispatcher.Actions actions) {
+  private static Dispatcher withFixedBudget(Dispatcher delegate, Dispatcher.Actions actions) {
     double[] nextAt = {0};
     return (Dispatcher)
         Proxy.newProxyInstance(
             MutantNode.class.getClassLoader(),
             new Class<?>[] {Dispatcher.class},
-            (self, method, with) -> {
+            (proxy, method, invocationArguments) -> {
               if (method.getName().equals("arrived")) {
-                double now = (Double) with[0];
+                double now = (Double) invocationArguments[0];
                 if (now < nextAt[0]) {
-                  actions.refuse(((Job) with[1]).id(), 0);
+                  actions.refuse(((Job) invocationArguments[1]).id(), 0);
                   return null;
                 }
-                nextAt[0] = now + 1000 / FIXED_BUDGET;
+                nextAt[0] = now + 1000 / FIXED_REQUESTS_PER_SECOND;
               }
               try {
-                return method.invoke(real, with);
-              } catch (InvocationTargetException failed) {
-                throw failed.getCause();
+                return method.invoke(delegate, invocationArguments);
+              } catch (InvocationTargetException wrapper) {
+                throw wrapper.getCause();
               }
             });
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/NodeLimits.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/NodeLimits.java
@@ -1,4 +1,4 @@
 package ferngrade.faulttest.upgrade;
 
-/** The limits of a node's configuration, which hold for all its processes together. */
+/** The limits of a node's configuration, which apply to all its processes together. */
 public record NodeLimits(int memoryMb, int descriptors) {}
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/Observations.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/Observations.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * What was seen from outside the processes of a run, with times in ms of the harness's monotonic
- * clock since the run began. Any thread may add to it.
+ * The events observed from outside the processes of a run, with times in ms of the harness's
+ * monotonic clock since the run began. Thread-safe.
  */
 public final class Observations {
   private final long origin = System.nanoTime();
@@ -21,30 +21,38 @@
   private final List<Departure> departures = new ArrayList<>();
   private final List<Utilisation> utilisations = new ArrayList<>();
 
-  /** An attempt that reached a worker; {@code process} is what it said of its sender. */
+  /**
+   * An attempt that reached a worker; {@code process} is the sender as named by the attempt's
+   * header.
+   */
   public record Send(double at, String worker, String job, String process) {}
 
   /** How a client's request ended. */
   public enum Outcome {
     SERVED,
-    /** Answered 503 or 429. */
+    /** Rejected with 503 or 429. */
     REFUSED,
-    /** Answered otherwise. */
+    /** Answered with any other status, or with a wrong result. */
     FAILED,
-    /** Its connection ended without an answer, also on the one retry that a client makes. */
+    /**
+     * Its connection was closed without an answer, also on the single retry that a client makes.
+     */
     CLOSED,
-    /** No answer half a second after its deadline. */
+    /** Not answered within half a second after its deadline. */
     UNANSWERED
   }
 
-  /** A client's request, from its last byte to its answer; {@code deadline} in ms from there. */
+  /**
+   * A client's request, from its last byte to its answer; {@code deadline} in ms from {@code
+   * sentAt}.
+   */
   public record JobResult(
       String job, JobKind kind, double sentAt, double endedAt, double deadline, Outcome outcome) {}
 
-  /** A client has closed its connection while its request was open. */
+  /** A client closed its connection while its request was in progress. */
   record Departure(double at, String job) {}
 
-  /** What an operator asked of a worker, or of the node. */
+  /** The type of an operator's call. */
   public enum Verb {
     DISABLE,
     ENABLE,
@@ -53,18 +61,21 @@
   }
 
   /**
-   * A call of an operator; {@code worker} is null for one about the node, {@code status} 0 if there
-   * was no answer within the second that operators wait.
+   * An operator's call; {@code worker} is null for a call about the node, {@code status} is 0 if
+   * there was no answer within the timeout of 1 s.
    */
   public record OperatorCall(
       Verb verb, String worker, long pid, double calledAt, double answeredAt, int status) {
-    /** True for an answer of yes. */
+    /** Returns whether the call was answered with a 2xx status. */
     public boolean accepted() {
       return status / 100 == 2;
     }
   }
 
-  /** What the harness did, or what a process logged; {@code pid} 0 where it is about none. */
+  /**
+   * An action of the harness, or a log line of a process; {@code pid} is 0 if it concerns no
+   * process.
+   */
   public record Step(double at, long pid, String text) {
     @Override
     public String toString() {
@@ -73,8 +84,8 @@
   }
 
   /**
-   * The harness is about to do harm to a process, or has just done it: a pair of them bounds the
-   * time. Requests in work then may be lost, by no fault of the node.
+   * Marks the time just before or just after the harness harms a process; each fault is a pair of
+   * these. Requests in progress between them may be lost without a fault of the node.
    */
   record Fault(double at, long pid, Kind kind) {
     enum Kind {
@@ -83,13 +94,16 @@
     }
   }
 
-  /** The jobs in work at all workers, by their own count, of the slots that they have. */
-  record Utilisation(double at, int inWork, int slots) {}
+  /**
+   * The number of jobs running or queued at all workers, as counted by the workers, and the number
+   * of their slots.
+   */
+  record Utilisation(double at, int jobsInProgress, int slots) {}
 
-  /** What the processes of the node held together. */
+  /** The memory and descriptors that the processes of the node held together. */
   public record ResourceSample(double at, int processes, long memoryBytes, int descriptors) {}
 
-  /** The time now, ms. */
+  /** Returns the time since the start of the run, in ms. */
   public double now() {
     return (System.nanoTime() - origin) / 1e6;
   }
@@ -118,7 +132,7 @@
     departures.add(departure);
   }
 
-  /** The clients that have left. */
+  /** Returns the requests that clients abandoned. */
   synchronized List<Departure> departures() {
     return List.copyOf(departures);
   }
@@ -127,52 +141,52 @@
     utilisations.add(utilisation);
   }
 
-  /** What the workers had in work, by time. */
+  /** Returns the utilisation samples, ordered by time. */
   synchronized List<Utilisation> utilisations() {
     return List.copyOf(utilisations);
   }
 
-  /** A worker has given up calling back for this job. */
+  /** Records that a worker has given up its callback for this job. */
   synchronized void callbackLost(String job) {
     lostCallbacks.add(job);
   }
 
-  /** Adds what happens now. */
+  /** Adds a step at the current time. */
   synchronized void step(long pid, String text) {
     steps.add(new Step(now(), pid, text));
   }
 
-  /** All attempts so far, in the order of their arrival. */
+  /** Returns all attempts so far, in the order of their arrival. */
   public synchronized List<Send> sends() {
     return List.copyOf(sends);
   }
 
-  /** All ended requests so far. */
+  /** Returns all completed requests so far. */
   public synchronized List<JobResult> results() {
     return List.copyOf(results);
   }
 
-  /** All ended operators' calls so far, by the time of the call. */
+  /** Returns all completed operators' calls so far, ordered by the time of the call. */
   public synchronized List<OperatorCall> calls() {
     return calls.stream().sorted(Comparator.comparingDouble(OperatorCall::calledAt)).toList();
   }
 
-  /** All samples so far. */
+  /** Returns all resource samples so far. */
   public synchronized List<ResourceSample> samples() {
     return List.copyOf(samples);
   }
 
-  /** All harm done so far. */
+  /** Returns the start and end marks of all faults so far. */
   synchronized List<Fault> faults() {
     return List.copyOf(faults);
   }
 
-  /** The jobs for which a worker has given up calling back. */
+  /** Returns the jobs for which a worker has given up its callback. */
   public synchronized List<String> lostCallbacks() {
     return List.copyOf(lostCallbacks);
   }
 
-  /** The timeline: steps of the harness and log lines of the processes. */
+  /** Returns the timeline: actions of the harness and log lines of the processes. */
   public synchronized List<Step> steps() {
     return List.copyOf(steps);
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ProcessLauncher.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ProcessLauncher.java
@@ -19,12 +19,12 @@
 import java.util.regex.Pattern;
 
 /**
- * Stands for the platform that owns the clients' listening socket: starts processes which inherit
- * it as descriptor 0. Java cannot pass a socket on, so a Perl script does.
+ * Replaces the platform that owns the clients' listening socket: starts processes that inherit it
+ * as descriptor 0. A Perl script does this, because Java cannot pass a socket to a child process.
  */
 final class ProcessLauncher implements AutoCloseable {
   private static final String SCRIPT = "launch.pl";
-  private static final long START_TIMEOUT = 10_000;
+  private static final long START_TIMEOUT_MILLIS = 10_000;
   private static final Pattern LOG_LINE = Pattern.compile("\\S+ \\S+\\[(\\d+)\\] (.*)");
   private static final Pattern LISTENING = Pattern.compile("operators' calls at /(\\S+)");
 
@@ -34,7 +34,7 @@
   private final BlockingQueue<Long> started = new LinkedBlockingQueue<>();
   private final Map<Long, ServingProcess> processes = new ConcurrentHashMap<>();
 
-  /** Prepares the socket for processes that {@code command} starts. */
+  /** Opens the socket for processes that {@code command} starts. */
   ProcessLauncher(List<String> command, Path folder, Observations observations) throws IOException {
     this.observations = observations;
     Path script = folder.resolve(SCRIPT);
@@ -47,28 +47,28 @@
     BufferedReader out = launcher.inputReader(StandardCharsets.UTF_8);
     clients =
         new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(out.readLine()));
-    daemon("launcher", () -> readReports(out));
-    daemon("logs", () -> readLogs(launcher.errorReader(StandardCharsets.UTF_8)));
+    startDaemon("launcher", () -> readReports(out));
+    startDaemon("logs", () -> readLogs(launcher.errorReader(StandardCharsets.UTF_8)));
   }
 
-  private static void daemon(String name, Runnable task) {
+  private static void startDaemon(String name, Runnable task) {
     Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Where clients connect. */
+  /** Returns the address that clients connect to. */
   InetSocketAddress clients() {
     return clients;
   }
 
-  /** Starts a process with these variables in its environment. */
+  /** Starts a process with these additional environment variables. */
   synchronized ServingProcess start(Map<String, String> environment)
       throws IOException, InterruptedException {
     StringBuilder line = new StringBuilder("start");
     environment.forEach((name, value) -> line.append('\t').append(name).append('=').append(value));
     launcher.outputWriter(StandardCharsets.UTF_8).append(line).append('\n').flush();
-    Long pid = started.poll(START_TIMEOUT, TimeUnit.MILLISECONDS);
+    Long pid = started.poll(START_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     if (pid == null) {
       throw new IOException("no process was started");
     }
@@ -89,43 +89,45 @@
           started.add(pid);
         } else {
           observations.step(pid, "process ended, wait status " + words[2]);
-          process(pid).ended(Integer.parseInt(words[2]));
+          process(pid).recordExit(Integer.parseInt(words[2]));
         }
       }
-    } catch (IOException ended) {
-      // The launcher has ended with the run.
+    } catch (IOException closed) {
+      // The launcher has been terminated at the end of the run.
     }
   }
 
   private void readLogs(BufferedReader log) {
     try {
       for (String line = log.readLine(); line != null; line = log.readLine()) {
-        Matcher own = LOG_LINE.matcher(line);
-        if (!own.matches()) {
+        Matcher logLine = LOG_LINE.matcher(line);
+        if (!logLine.matches()) {
           observations.step(0, line);
           continue;
         }
-        long pid = Long.parseLong(own.group(1));
-        observations.step(pid, own.group(2));
-        Matcher listening = LISTENING.matcher(own.group(2));
+        long pid = Long.parseLong(logLine.group(1));
+        observations.step(pid, logLine.group(2));
+        Matcher listening = LISTENING.matcher(logLine.group(2));
         if (listening.find()) {
           process(pid).listening(EndpointListParser.address(listening.group(1)));
         }
       }
-    } catch (IOException ended) {
-      // The launcher has ended with the run.
+    } catch (IOException closed) {
+      // The launcher has been terminated at the end of the run.
     }
   }
 
-  /** The processes that have not ended. */
+  /** Returns the processes that have not ended. */
   List<ServingProcess> alive() {
     return processes.values().stream().filter(ServingProcess::alive).toList();
   }
 
-  /** Ends all processes and the launcher. */
+  /** Kills all processes and the launcher. */
   @Override
   public void close() {
-    alive().forEach(each -> ProcessHandle.of(each.pid()).ifPresent(ProcessHandle::destroyForcibly));
+    alive()
+        .forEach(
+            process -> ProcessHandle.of(process.pid()).ifPresent(ProcessHandle::destroyForcibly));
     launcher.destroy();
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ResourceSampler.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ResourceSampler.java
@@ -9,11 +9,12 @@
 import java.util.stream.Stream;
 
 /**
- * Measures at intervals what all processes of the node hold together, from the proc file system.
+ * Periodically measures the memory and descriptors that all processes of the node hold together,
+ * from the proc file system.
  */
 final class ResourceSampler extends BackgroundLoop {
-  private static final long INTERVAL = 100;
-  private static final String PROPORTIONAL_SET = "Pss:";
+  private static final long INTERVAL_MILLIS = 100;
+  private static final String PROPORTIONAL_SET_SIZE = "Pss:";
 
   private final UpgradeRun run;
 
@@ -33,17 +34,20 @@
     }
     run.observations()
         .add(new ResourceSample(run.observations().now(), alive.size(), memory, descriptors));
-    Thread.sleep(INTERVAL);
+    Thread.sleep(INTERVAL_MILLIS);
   }
 
-  /** Bytes of memory, with the process's part of what it shares with others; 0 if it has ended. */
+  /**
+   * Returns the memory of a process in bytes, including its proportional share of shared pages; 0
+   * if it has ended.
+   */
   private static long memory(long pid) {
     try (Stream<String> lines = Files.lines(Path.of("/proc/" + pid + "/smaps_rollup"))) {
       return lines
-          .filter(line -> line.startsWith(PROPORTIONAL_SET))
+          .filter(line -> line.startsWith(PROPORTIONAL_SET_SIZE))
           .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")) * 1024)
           .sum();
-    } catch (IOException | UncheckedIOException ended) {
+    } catch (IOException | UncheckedIOException exited) {
       return 0;
     }
   }
@@ -51,7 +55,7 @@
   private static int descriptors(long pid) {
     try (Stream<Path> open = Files.list(Path.of("/proc/" + pid + "/fd"))) {
       return (int) open.count();
-    } catch (IOException | UncheckedIOException ended) {
+    } catch (IOException | UncheckedIOException exited) {
       return 0;
     }
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/RunSettings.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/RunSettings.java
@@ -1,15 +1,18 @@
 package ferngrade.faulttest.upgrade;
 
 /**
- * What a run is like: the node's limits, how many workers there are and how they run jobs, and the
+ * The settings of a run: the node's limits, the number of workers and their behaviour, and the
  * latency objective of all classes, ms.
  */
 public record RunSettings(
     NodeLimits limits, int workers, WorkerBehaviour behaviour, int latencyObjective) {
-  private static final int ORDINARY_OBJECTIVE = 1000;
+  private static final int ORDINARY_OBJECTIVE_MILLIS = 1000;
 
-  /** Workers that take every job at once, and an objective that they keep with ease. */
+  /**
+   * Returns settings with workers that start every job at once, and an objective that they meet
+   * easily.
+   */
   public static RunSettings ordinary(NodeLimits limits, int workers) {
-    return new RunSettings(limits, workers, WorkerBehaviour.UNLIMITED, ORDINARY_OBJECTIVE);
+    return new RunSettings(limits, workers, WorkerBehaviour.UNLIMITED, ORDINARY_OBJECTIVE_MILLIS);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ServingProcess.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ServingProcess.java
@@ -7,17 +7,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** One process of the node under test, as seen from outside. Any thread may use it. */
+/** A process of the node under test, as observed from outside. Thread-safe. */
 public final class ServingProcess {
   private final long pid;
   private final CompletableFuture<InetSocketAddress> operators = new CompletableFuture<>();
-  private final CompletableFuture<Integer> ended = new CompletableFuture<>();
+  private final CompletableFuture<Integer> waitStatus = new CompletableFuture<>();
 
   ServingProcess(long pid) {
     this.pid = pid;
   }
 
-  /** Its process id. */
+  /** Returns the process id. */
   public long pid() {
     return pid;
   }
@@ -26,17 +26,20 @@
     operators.complete(address);
   }
 
-  void ended(int status) {
-    ended.complete(status);
+  void recordExit(int status) {
+    waitStatus.complete(status);
     operators.completeExceptionally(new IOException("process " + pid + " has ended"));
   }
 
-  /** False once it has ended. */
+  /** Returns whether the process has not ended yet. */
   public boolean alive() {
-    return !ended.isDone();
+    return !waitStatus.isDone();
   }
 
-  /** Where it takes operators' calls; fails if it does not listen within {@code timeout} ms. */
+  /**
+   * Returns the address of operators' calls; fails if the process does not listen within {@code
+   * timeout} ms.
+   */
   public InetSocketAddress operators(long timeout) throws IOException, InterruptedException {
     try {
       return operators.get(timeout, TimeUnit.MILLISECONDS);
@@ -45,21 +48,23 @@
     }
   }
 
-  /** Where it takes operators' calls, null as long as it does not listen. */
-  InetSocketAddress operatorsNow() {
+  /** Returns the address of operators' calls, null while the process does not listen. */
+  InetSocketAddress operatorsIfListening() {
     return operators.isCompletedExceptionally() ? null : operators.getNow(null);
   }
 
-  /** Its wait status, once it has ended; fails if that takes longer than {@code timeout} ms. */
+  /**
+   * Waits for the end of the process and returns its wait status; fails after {@code timeout} ms.
+   */
   public int awaitEnd(long timeout) throws IOException, InterruptedException {
     try {
-      return ended.get(timeout, TimeUnit.MILLISECONDS);
+      return waitStatus.get(timeout, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException failed) {
       throw new IOException("process " + pid + " does not end: " + failed.getMessage(), failed);
     }
   }
 
-  /** Sends it a signal, by its name without SIG. */
+  /** Sends a signal, given by its name without SIG. */
   void signal(String name) throws IOException, InterruptedException {
     if (alive()) {
       new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor();
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakRun.java
@@ -10,108 +10,111 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Plays the plan of one seed against real processes, and has it judged. */
+/** Runs the plan of one seed against real processes, and checks the invariants. */
 public final class SoakRun {
-  private static final double DEADLINE = 2000;
+  private static final double DEADLINE_MILLIS = 2000;
   private static final NodeLimits LIMITS = new NodeLimits(256, 384);
 
-  /** The longest deadline of the settings and 0.7 s: no process is killed sooner after SIGTERM. */
-  private static final long KILL_AFTER = 3700;
+  /**
+   * The longest deadline of the settings plus 0.7 s: no process is killed earlier than this after
+   * SIGTERM, ms.
+   */
+  private static final long KILL_DELAY_MILLIS = 3700;
 
-  /** How long the platform waits for a new process, ms. */
-  private static final long READY_TIMEOUT = 6000;
+  /** The time within which a new process must become ready, ms. */
+  private static final long READY_TIMEOUT_MILLIS = 6000;
 
-  /** How soon after a drain, or its end, all processes must say so, ms. */
-  private static final long DRAIN_SETTLES = 1000;
+  /** The time after a drain or a resume within which all processes must report it, ms. */
+  private static final long DRAIN_SETTLE_MILLIS = 1000;
 
-  /** How long a run looks on after its last episode, ms. */
-  private static final long AFTERMATH = 1500;
+  /** The time for which a run continues after its last episode, ms. */
+  private static final long SETTLE_TIME_MILLIS = 1500;
 
   private final SoakPlan plan;
   private final UpgradeRun run;
-  private final OperatorDesk desk;
+  private final OperatorLoop operator;
   private final Observations observations;
-  private final List<Violation> found = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private ServingProcess serving;
 
-  /** What came of a run. */
+  /** The outcome of a run. */
   public record Result(SoakPlan plan, Observations observations, List<Violation> violations) {}
 
-  private SoakRun(SoakPlan plan, UpgradeRun run, OperatorDesk desk, ServingProcess first) {
+  private SoakRun(SoakPlan plan, UpgradeRun run, OperatorLoop operator, ServingProcess first) {
     this.serving = first;
     this.plan = plan;
     this.run = run;
-    this.desk = desk;
+    this.operator = operator;
     this.observations = run.observations();
   }
 
-  /** Plays a plan with processes that {@code command} starts. */
+  /** Runs a plan with processes that {@code command} starts. */
   public static Result play(SoakPlan plan, List<String> command)
       throws IOException, InterruptedException {
     try (UpgradeRun run = new UpgradeRun(command, RunSettings.ordinary(LIMITS, SoakPlan.WORKERS))) {
       ServingProcess first = run.start();
       run.awaitReady(first);
-      OperatorDesk desk = new OperatorDesk(run, plan.seed());
-      SoakRun soak = new SoakRun(plan, run, desk, first);
-      ClientLoad load = run.load(plan.clients(), plan.meanPause(), DEADLINE, plan.seed());
+      OperatorLoop operator = new OperatorLoop(run, plan.seed());
+      SoakRun soak = new SoakRun(plan, run, operator, first);
+      ClientLoad load = run.load(plan.clients(), plan.meanPause(), DEADLINE_MILLIS, plan.seed());
       List<BackgroundLoop> loops =
-          List.of(desk, new ResourceSampler(run), new IdleCrowd(run.clients(), plan.crowd()));
+          List.of(operator, new ResourceSampler(run), new IdleCrowd(run.clients(), plan.crowd()));
       loops.forEach(BackgroundLoop::start);
-      soak.playEpisodes();
+      soak.runEpisodes();
       for (BackgroundLoop loop : loops) {
         loop.stop();
       }
       load.stop();
-      for (ServingProcess each : run.alive()) {
-        run.signal(each, "TERM");
-        soak.found.addAll(awaitOrderlyEnd(run, each));
+      for (ServingProcess servingProcess : run.alive()) {
+        run.signal(servingProcess, "TERM");
+        soak.violations.addAll(awaitOrderlyEnd(run, servingProcess));
       }
-      soak.found.addAll(UpgradeChecker.check(run.observations(), plan.crowd() > 0));
-      soak.found.addAll(UpgradeChecker.limits(run.observations(), LIMITS));
-      return new Result(plan, run.observations(), List.copyOf(soak.found));
+      soak.violations.addAll(UpgradeChecker.check(run.observations(), plan.crowd() > 0));
+      soak.violations.addAll(UpgradeChecker.limits(run.observations(), LIMITS));
+      return new Result(plan, run.observations(), List.copyOf(soak.violations));
     }
   }
 
-  private void playEpisodes() throws InterruptedException {
+  private void runEpisodes() throws InterruptedException {
     try {
       for (Episode episode : plan.episodes()) {
         Thread.sleep(episode.pause());
         observations.step(0, "episode " + episode.kind());
-        play(episode);
+        runEpisode(episode);
       }
-    } catch (IOException broken) {
-      violation("episode broken off", broken.getMessage());
+    } catch (IOException failure) {
+      violation("episode failed", failure.getMessage());
     }
-    Thread.sleep(AFTERMATH);
+    Thread.sleep(SETTLE_TIME_MILLIS);
   }
 
-  private void play(Episode episode) throws IOException, InterruptedException {
+  private void runEpisode(Episode episode) throws IOException, InterruptedException {
     switch (episode.kind()) {
       case UPGRADE -> upgrade(episode);
       case FAILED_UPGRADE -> failedUpgrade(episode);
       case DOUBLE_UPGRADE -> doubleUpgrade(episode);
-      case OLD_KILLED -> oldKilled(episode);
-      case NEW_TERMINATED -> newTerminated(episode);
-      case ONE_STOPPED -> oneStopped(episode);
+      case OLD_KILLED -> killOldProcess(episode);
+      case NEW_TERMINATED -> terminateNewProcess(episode);
+      case ONE_STOPPED -> stopOneProcess(episode);
       case RELOAD -> reload(episode);
       case DRAIN -> drain(episode);
-      case FOLDER_FAILS -> folderFails(episode);
+      case FOLDER_FAILS -> failSharedFolder(episode);
     }
   }
 
-  /** Starts a process and waits as the platform does; false if it was not ready in time. */
+  /** Waits until a process is ready; false if it took longer than the platform allows. */
   private boolean awaitReady(ServingProcess process) throws IOException, InterruptedException {
-    double begun = observations.now();
+    double startedAt = observations.now();
     run.awaitReady(process);
-    double took = observations.now() - begun;
-    if (took > READY_TIMEOUT) {
-      violation("not ready", "process " + process.pid() + " took " + (long) took + " ms");
+    double elapsed = observations.now() - startedAt;
+    if (elapsed > READY_TIMEOUT_MILLIS) {
+      violation("not ready", "process " + process.pid() + " took " + (long) elapsed + " ms");
     }
-    return took <= READY_TIMEOUT;
+    return elapsed <= READY_TIMEOUT_MILLIS;
   }
 
-  private void violation(String rule, String seen) {
-    found.add(new Violation(observations.now(), rule, seen));
+  private void violation(String rule, String description) {
+    violations.add(new Violation(observations.now(), rule, description));
   }
 
   private void upgrade(Episode episode) throws IOException, InterruptedException {
@@ -121,7 +124,7 @@
     run.operate(old, Verb.DISABLE, episode.worker());
     awaitReady(next);
     serving = next;
-    if (episode.old()) {
+    if (episode.affectsOldProcess()) {
       run.signal(old, "TERM");
       run.operate(old, Verb.ENABLE, episode.worker());
       run.operate(old, Verb.DISABLE, episode.worker());
@@ -130,37 +133,44 @@
       run.operate(next, Verb.DISABLE, episode.worker());
       run.signal(old, "TERM");
     }
-    found.addAll(awaitOrderlyEnd(run, old));
+    violations.addAll(awaitOrderlyEnd(run, old));
     run.operate(next, Verb.ENABLE, episode.worker());
   }
 
-  /** A process that was told to end does so with 0 before the platform kills it. */
+  /**
+   * Waits for the end of a process after SIGTERM, and returns a violation if its exit status is not
+   * 0 or if it has to be killed after {@link #KILL_DELAY_MILLIS}.
+   */
   private static List<Violation> awaitOrderlyEnd(UpgradeRun run, ServingProcess process)
       throws IOException, InterruptedException {
     Observations observations = run.observations();
     try {
-      int status = process.awaitEnd(KILL_AFTER);
+      int status = process.awaitEnd(KILL_DELAY_MILLIS);
       return status == 0
           ? List.of()
           : List.of(
               new Violation(
                   observations.now(),
-                  "ended out of order",
-                  "process " + process.pid() + " ended with wait status " + status));
-    } catch (IOException late) {
+                  "exited abnormally",
+                  "process " + process.pid() + " exited with wait status " + status));
+    } catch (IOException timedOut) {
       run.signal(process, "KILL");
       return List.of(
           new Violation(
               observations.now(),
               "killed",
-              "process " + process.pid() + " had not ended " + KILL_AFTER + " ms after SIGTERM"));
+              "process "
+                  + process.pid()
+                  + " was still running "
+                  + KILL_DELAY_MILLIS
+                  + " ms after SIGTERM"));
     }
   }
 
   private void kill(ServingProcess process) throws IOException, InterruptedException {
     observations.add(new Fault(observations.now(), process.pid(), Fault.Kind.KILLED));
     run.signal(process, "KILL");
-    process.awaitEnd(READY_TIMEOUT);
+    process.awaitEnd(READY_TIMEOUT_MILLIS);
     observations.add(new Fault(observations.now(), process.pid(), Fault.Kind.KILLED));
   }
 
@@ -185,51 +195,51 @@
     serving = third;
     run.signal(old, "TERM");
     run.signal(second, "TERM");
-    found.addAll(awaitOrderlyEnd(run, old));
-    found.addAll(awaitOrderlyEnd(run, second));
+    violations.addAll(awaitOrderlyEnd(run, old));
+    violations.addAll(awaitOrderlyEnd(run, second));
     run.operate(third, Verb.ENABLE, episode.worker());
   }
 
-  private void oldKilled(Episode episode) throws IOException, InterruptedException {
+  private void killOldProcess(Episode episode) throws IOException, InterruptedException {
     ServingProcess old = serving;
     ServingProcess next = run.start();
     awaitReady(next);
     serving = next;
-    desk.avoid(old);
+    operator.avoid(old);
     run.operate(old, Verb.DISABLE, episode.worker());
     kill(old);
-    desk.avoid(null);
+    operator.avoid(null);
     Thread.sleep(episode.length());
     run.operate(next, Verb.ENABLE, episode.worker());
   }
 
-  private void newTerminated(Episode episode) throws IOException, InterruptedException {
+  private void terminateNewProcess(Episode episode) throws IOException, InterruptedException {
     ServingProcess next = run.start();
     awaitReady(next);
     run.operate(next, Verb.DISABLE, episode.worker());
     run.signal(next, "TERM");
-    found.addAll(awaitOrderlyEnd(run, next));
+    violations.addAll(awaitOrderlyEnd(run, next));
     Thread.sleep(episode.offset());
     run.operate(serving, Verb.ENABLE, episode.worker());
   }
 
-  private void oneStopped(Episode episode) throws IOException, InterruptedException {
+  private void stopOneProcess(Episode episode) throws IOException, InterruptedException {
     ServingProcess old = serving;
     ServingProcess next = run.start();
     awaitReady(next);
-    ServingProcess stopped = episode.old() ? old : next;
-    ServingProcess other = episode.old() ? next : old;
-    desk.avoid(stopped);
+    ServingProcess stopped = episode.affectsOldProcess() ? old : next;
+    ServingProcess other = episode.affectsOldProcess() ? next : old;
+    operator.avoid(stopped);
     observations.add(new Fault(observations.now(), stopped.pid(), Fault.Kind.STOPPED));
     run.signal(stopped, "STOP");
     run.operate(other, Verb.DISABLE, episode.worker());
     Thread.sleep(episode.length());
     run.signal(stopped, "CONT");
     observations.add(new Fault(observations.now(), stopped.pid(), Fault.Kind.STOPPED));
-    desk.avoid(null);
+    operator.avoid(null);
     serving = next;
     run.signal(old, "TERM");
-    found.addAll(awaitOrderlyEnd(run, old));
+    violations.addAll(awaitOrderlyEnd(run, old));
     run.operate(next, Verb.ENABLE, episode.worker());
   }
 
@@ -240,12 +250,14 @@
     run.moveDiscovery();
     run.signal(old, "HUP");
     awaitReady(next);
-    run.endFormerDiscovery();
+    run.stopFormerDiscovery();
     serving = next;
     run.signal(old, "TERM");
-    found.addAll(awaitOrderlyEnd(run, old));
-    if (!run.watched(READY_TIMEOUT)) {
-      violation("reload", "process " + next.pid() + " does not watch the discovery of the node");
+    violations.addAll(awaitOrderlyEnd(run, old));
+    if (!run.awaitWatch(READY_TIMEOUT_MILLIS)) {
+      violation(
+          "reload",
+          "process " + next.pid() + " does not watch the discovery agent of the configuration");
     }
   }
 
@@ -253,29 +265,29 @@
     ServingProcess old = serving;
     ServingProcess next = run.start();
     awaitReady(next);
-    ServingProcess called = episode.old() ? old : next;
-    ServingProcess other = episode.old() ? next : old;
+    ServingProcess called = episode.affectsOldProcess() ? old : next;
+    ServingProcess other = episode.affectsOldProcess() ? next : old;
     OperatorCall drained = run.operate(called, Verb.DRAIN, null);
-    Thread.sleep(DRAIN_SETTLES);
+    Thread.sleep(DRAIN_SETTLE_MILLIS);
     expectReadiness(drained, 503);
     OperatorCall resumed = run.operate(other, Verb.RESUME, null);
-    Thread.sleep(DRAIN_SETTLES);
+    Thread.sleep(DRAIN_SETTLE_MILLIS);
     expectReadiness(resumed, 200);
     serving = next;
     run.signal(old, "TERM");
-    found.addAll(awaitOrderlyEnd(run, old));
+    violations.addAll(awaitOrderlyEnd(run, old));
   }
 
   private void expectReadiness(OperatorCall after, int status) {
-    for (ServingProcess each : run.alive()) {
-      int seen = UpgradeRun.get(each.operatorsNow(), "/-/ready");
-      if (seen != status) {
+    for (ServingProcess servingProcess : run.alive()) {
+      int actual = UpgradeRun.getStatus(servingProcess.operatorsIfListening(), "/-/ready");
+      if (actual != status) {
         violation(
             "ready",
             "process "
-                + each.pid()
-                + " says "
-                + seen
+                + servingProcess.pid()
+                + " answers "
+                + actual
                 + " after "
                 + after.verb()
                 + " at process "
@@ -284,21 +296,21 @@
     }
   }
 
-  private void folderFails(Episode episode) throws IOException, InterruptedException {
+  private void failSharedFolder(Episode episode) throws IOException, InterruptedException {
     ServingProcess old = serving;
     ServingProcess next = run.start();
     awaitReady(next);
     Path folder = run.sharedFolder();
-    Path aside = folder.resolveSibling("aside");
-    observations.step(0, "the shared folder is gone");
-    Files.move(folder, aside);
-    run.operate(episode.old() ? old : next, Verb.DISABLE, episode.worker());
+    Path movedFolder = folder.resolveSibling("aside");
+    observations.step(0, "the shared folder is moved away");
+    Files.move(folder, movedFolder);
+    run.operate(episode.affectsOldProcess() ? old : next, Verb.DISABLE, episode.worker());
     Thread.sleep(episode.length());
-    Files.move(aside, folder);
-    observations.step(0, "the shared folder is back");
+    Files.move(movedFolder, folder);
+    observations.step(0, "the shared folder is restored");
     serving = next;
     run.signal(old, "TERM");
-    found.addAll(awaitOrderlyEnd(run, old));
+    violations.addAll(awaitOrderlyEnd(run, old));
     run.operate(next, Verb.ENABLE, episode.worker());
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
@@ -16,66 +16,72 @@
 import java.util.Set;
 
 /**
- * Judges what was observed of a run from outside, without knowledge of how the processes agree.
+ * Checks the observations of a run from outside, without knowledge of how the processes agree.
  * Stateless.
  */
 public final class UpgradeChecker {
-  /** A worker may get work for so long after it is out, ms: the drain rule's 250 and 50 for it. */
-  static final double DRAIN_GRACE = 300;
+  /**
+   * The time for which a worker may still receive jobs after it was disabled, ms: 250 of the drain
+   * rule, and 50 of margin.
+   */
+  static final double DRAIN_GRACE_MILLIS = 300;
 
-  /** A call binds after so long even if it was answered no or not at all, ms. */
-  static final double BINDS_AFTER = 1000;
+  /** The time after which a call takes effect even if it was rejected or not answered, ms. */
+  static final double BINDS_AFTER_MILLIS = 1000;
 
-  /** How long after a fault connections may still break of it, ms. */
-  private static final double FAULT_MARGIN = 100;
+  /** The time before and after a fault within which connections may break because of it, ms. */
+  private static final double FAULT_MARGIN_MILLIS = 100;
 
   private UpgradeChecker() {}
 
   /**
-   * All violations, by rule. Where a {@code crowd} fills the node's descriptors, it may shut new
-   * connections unread.
+   * Returns the violations of all rules. If a {@code crowd} exhausts the node's descriptors, the
+   * node may close new connections without reading the request.
    */
   public static List<Violation> check(Observations observations, boolean crowd) {
-    List<Violation> found = new ArrayList<>();
-    found.addAll(sendsToWorkersOut(observations));
-    found.addAll(repeatedJobs(observations));
-    found.addAll(unansweredJobs(observations, crowd));
-    found.addAll(lostCallbacks(observations));
-    return found;
+    List<Violation> violations = new ArrayList<>();
+    violations.addAll(sendsToDisabledWorkers(observations));
+    violations.addAll(repeatedJobs(observations));
+    violations.addAll(unansweredJobs(observations, crowd));
+    violations.addAll(lostCallbacks(observations));
+    return violations;
   }
 
-  /** The processes of the node together keep the limits of its configuration. */
+  /**
+   * Returns a violation for each sample in which the processes of the node together exceed the
+   * limits of the configuration.
+   */
   public static List<Violation> limits(Observations observations, NodeLimits limits) {
-    List<Violation> found = new ArrayList<>();
+    List<Violation> violations = new ArrayList<>();
     for (ResourceSample sample : observations.samples()) {
       if (sample.descriptors() > limits.descriptors()) {
-        found.add(
+        violations.add(
             new Violation(
                 sample.at(),
                 "descriptors",
                 sample.processes() + " processes hold " + sample.descriptors()));
       }
       if (sample.memoryBytes() > (long) limits.memoryMb() << 20) {
-        found.add(
+        violations.add(
             new Violation(
                 sample.at(),
                 "memory",
                 sample.processes() + " processes hold " + (sample.memoryBytes() >> 20) + " MB"));
       }
     }
-    return found;
+    return violations;
   }
 
   /**
-   * Jobs that were in work while the harness killed or stopped a process: any of them may have been
-   * that process's.
+   * Returns the jobs that were in progress while the harness killed or stopped a process: each may
+   * have been handled by that process.
    */
   private static Set<String> excusedJobs(Observations observations) {
     Set<String> excused = new HashSet<>();
     List<Fault> faults = observations.faults();
     for (int i = 0; i + 1 < faults.size(); i += 2) {
-      double from = faults.get(i).at() - FAULT_MARGIN;
-      double to = faults.get(i + 1).at() + FAULT_MARGIN;
+      double from = faults.get(i).at() - FAULT_MARGIN_MILLIS;
+      double to = faults.get(i + 1).at() + FAULT_MARGIN_MILLIS;
       for (JobResult result : observations.results()) {
         if (result.sentAt() <= to && result.endedAt() >= from) {
           excused.add(result.job());
@@ -85,7 +91,7 @@
     return excused;
   }
 
-  /** A worker's callback is answered, in the end, by the process that has the job. */
+  /** Returns a violation for each callback that was never answered. */
   static List<Violation> lostCallbacks(Observations observations) {
     Set<String> excused = excusedJobs(observations);
     return observations.lostCallbacks().stream()
@@ -95,16 +101,17 @@
   }
 
   /**
-   * From the yes, or {@link #BINDS_AFTER} after a call that was not answered so, until the call
-   * back a worker gets nothing new.
+   * Returns a violation for each job sent to a disabled worker: a worker receives no new job from
+   * the positive answer to a disable call, or from {@link #BINDS_AFTER_MILLIS} after a call without
+   * one, until the enable call.
    */
-  static List<Violation> sendsToWorkersOut(Observations observations) {
-    List<Violation> found = new ArrayList<>();
+  static List<Violation> sendsToDisabledWorkers(Observations observations) {
+    List<Violation> violations = new ArrayList<>();
     List<OperatorCall> calls = observations.calls();
     for (Send send : observations.sends()) {
-      OperatorCall last = lastBinding(calls, send);
+      OperatorCall last = lastCallInForce(calls, send);
       if (last != null && last.verb() == Verb.DISABLE) {
-        found.add(
+        violations.add(
             new Violation(
                 send.at(),
                 "sent to a worker that is out",
@@ -118,56 +125,62 @@
                     last.status())));
       }
     }
-    return found;
+    return violations;
   }
 
-  /** The call on this send's worker that was in force when it came; null if there is none. */
-  private static OperatorCall lastBinding(List<OperatorCall> calls, Send send) {
-    OperatorCall binding = null;
+  /**
+   * Returns the call about this worker that was in force when the job arrived, null if there is
+   * none.
+   */
+  private static OperatorCall lastCallInForce(List<OperatorCall> calls, Send send) {
+    OperatorCall inForce = null;
     for (OperatorCall call : calls) {
       if (!send.worker().equals(call.worker()) || call.status() == 404) {
         continue;
       }
-      boolean out = call.verb() == Verb.DISABLE;
-      // A call back ends the ban from the moment it is made.
-      double since = out ? bindsAt(call) + DRAIN_GRACE : call.calledAt();
-      if (since <= send.at() && (binding == null || call.calledAt() >= binding.calledAt())) {
-        binding = call;
+      boolean disables = call.verb() == Verb.DISABLE;
+      // An enable call ends the exclusion from the moment it is made.
+      double since = disables ? inForceSince(call) + DRAIN_GRACE_MILLIS : call.calledAt();
+      if (since <= send.at() && (inForce == null || call.calledAt() >= inForce.calledAt())) {
+        inForce = call;
       }
     }
-    return binding;
+    return inForce;
   }
 
-  private static double bindsAt(OperatorCall call) {
-    return call.accepted() ? call.answeredAt() : call.calledAt() + BINDS_AFTER;
+  private static double inForceSince(OperatorCall call) {
+    return call.accepted() ? call.answeredAt() : call.calledAt() + BINDS_AFTER_MILLIS;
   }
 
-  /** No worker gets a job twice, and none gets one that may not run twice after another has. */
+  /**
+   * Returns a violation for each job sent twice to the same worker, and for each job that must not
+   * run twice and was sent to a second worker.
+   */
   static List<Violation> repeatedJobs(Observations observations) {
     Map<String, JobKind> kinds = new HashMap<>();
-    observations.results().forEach(each -> kinds.put(each.job(), each.kind()));
+    observations.results().forEach(result -> kinds.put(result.job(), result.kind()));
     Set<String> excused = excusedJobs(observations);
     Map<String, Send> first = new HashMap<>();
-    List<Violation> found = new ArrayList<>();
+    List<Violation> violations = new ArrayList<>();
     for (Send send : observations.sends()) {
       if (excused.contains(send.job())) {
         continue;
       }
       Send earlier = first.putIfAbsent(send.job() + " at " + send.worker(), send);
       if (earlier != null) {
-        found.add(repeated(send, earlier, "sent twice to one worker"));
+        violations.add(repeatedSend(send, earlier, "sent twice to one worker"));
       }
       if (kinds.get(send.job()) == JobKind.ORDER) {
         earlier = first.putIfAbsent(send.job(), send);
         if (earlier != null) {
-          found.add(repeated(send, earlier, "run twice"));
+          violations.add(repeatedSend(send, earlier, "run twice"));
         }
       }
     }
-    return found;
+    return violations;
   }
 
-  private static Violation repeated(Send send, Send earlier, String rule) {
+  private static Violation repeatedSend(Send send, Send earlier, String rule) {
     return new Violation(
         send.at(),
         rule,
@@ -181,21 +194,21 @@
             send.at() - earlier.at()));
   }
 
-  /** Each request that the node has read gets an answer. */
+  /** Returns a violation for each request that the node has read and not answered. */
   static List<Violation> unansweredJobs(Observations observations, boolean crowd) {
     Set<String> excused = excusedJobs(observations);
     if (crowd) {
       Set<String> sent = new HashSet<>();
-      observations.sends().forEach(each -> sent.add(each.job()));
+      observations.sends().forEach(send -> sent.add(send.job()));
       observations.results().stream()
-          .filter(each -> each.outcome() == Outcome.CLOSED && !sent.contains(each.job()))
-          .forEach(each -> excused.add(each.job()));
+          .filter(result -> result.outcome() == Outcome.CLOSED && !sent.contains(result.job()))
+          .forEach(result -> excused.add(result.job()));
     }
-    List<Violation> found = new ArrayList<>();
+    List<Violation> violations = new ArrayList<>();
     for (JobResult result : observations.results()) {
       boolean lost = result.outcome() == Outcome.CLOSED || result.outcome() == Outcome.UNANSWERED;
       if (lost && !excused.contains(result.job())) {
-        found.add(
+        violations.add(
             new Violation(
                 result.endedAt(),
                 "lost",
@@ -204,6 +217,6 @@
                     result.job(), result.kind().label, result.sentAt(), result.outcome())));
       }
     }
-    return found;
+    return violations;
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
@@ -21,8 +21,8 @@
 import java.util.stream.Stream;
 
 /**
- * One node with its platform, workers, discovery, clients and operators, all on loopback. What
- * happens is up to the caller; what was seen is in {@link #observations}.
+ * One node with its platform, workers, discovery agents, clients and operators, all on loopback.
+ * The caller controls the events of the run; {@link #observations} returns the recorded events.
  */
 public final class UpgradeRun implements AutoCloseable {
   static final String ZONE = "here";
@@ -30,52 +30,52 @@
   static final String TENANT = "tenant";
   static final String RESULT = "done ";
 
-  /** The status of a call that reached the process and was not answered in time. */
+  /** The status of a call that reached the process and was not answered before the timeout. */
   static final int NO_ANSWER = 0;
 
-  /** The status of a call for which nobody listened. */
-  static final int NOT_CALLED = -1;
+  /** The status of a call to a process that does not listen. */
+  static final int NOT_LISTENING = -1;
 
-  /** How long an operator waits for an answer, ms. */
-  private static final int OPERATOR_TIMEOUT = 1000;
+  /** The timeout of an operator's call, ms. */
+  private static final int OPERATOR_TIMEOUT_MILLIS = 1000;
 
-  /** How long the platform gives a process until it is ready, ms; on a busy machine it is slow. */
-  private static final long READY_TIMEOUT = 30_000;
+  /** The time within which a process must become ready, ms; startup is slow on a busy machine. */
+  private static final long READY_TIMEOUT_MILLIS = 30_000;
 
-  private static final long READY_POLL = 20;
-  private static final int LONGEST_DEADLINE = 3000;
+  private static final long READY_POLL_MILLIS = 20;
+  private static final int MAX_DEADLINE_MILLIS = 3000;
   private static final String CLASS_ARCHIVE_SUFFIX = ".jsa";
 
   private final Observations observations = new Observations();
-  private final ScheduledExecutorService runner = Executors.newScheduledThreadPool(1);
-  private final ExecutorService callers = Executors.newCachedThreadPool();
+  private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(1);
+  private final ExecutorService executor = Executors.newCachedThreadPool();
   private final Path folder;
-  private final Path shared;
+  private final Path sharedFolder;
   private final RunSettings settings;
   private final List<WorkerStub> workers = new ArrayList<>();
   private final List<DiscoveryStub> discoveries = new ArrayList<>();
   private final ProcessLauncher launcher;
-  private int discovery;
+  private int discoveryIndex;
 
-  /** A run whose processes {@code command} starts. */
+  /** Creates a run whose processes {@code command} starts. */
   public UpgradeRun(List<String> command, RunSettings settings) throws IOException {
     this.settings = settings;
     folder = Files.createTempDirectory("upgrade-run");
-    shared = Files.createDirectory(folder.resolve("shared"));
+    sharedFolder = Files.createDirectory(folder.resolve("shared"));
     for (int i = 1; i <= settings.workers(); i++) {
       this.workers.add(
-          new WorkerStub("s-" + i, observations, runner, callers, settings.behaviour()));
+          new WorkerStub("s-" + i, observations, scheduler, executor, settings.behaviour()));
     }
     discoveries.add(new DiscoveryStub(this.workers));
     discoveries.add(new DiscoveryStub(this.workers));
     launcher = new ProcessLauncher(command, folder, observations);
-    this.workers.forEach(each -> each.callBackTo(sender -> launcher.clients()));
+    this.workers.forEach(worker -> worker.setCallbackAddress(sender -> launcher.clients()));
     writeConfiguration();
   }
 
   /**
-   * The command that serves with the classes of this very program, within the bounds of the deploy
-   * file and, like there, from a class archive where the build has made one.
+   * Returns the command that starts {@code serve} with the classes of this program, within the
+   * limits of the deploy file and, like there, with a class archive if the build has created one.
    */
   public static List<String> thisProgram() {
     String classPath = System.getProperty("java.class.path");
@@ -98,8 +98,8 @@
   }
 
   /**
-   * The options for the class archive beside the jar, none where {@code classPath} is not a single
-   * jar that has one. An archive that does not fit is ignored without a word.
+   * Returns the options for the class archive beside the jar; none if {@code classPath} is not a
+   * single jar with an archive. The runtime silently ignores an archive that does not match.
    */
   static List<String> classArchive(String classPath) {
     Path archive = Path.of(classPath.replaceFirst("[.]jar$", CLASS_ARCHIVE_SUFFIX));
@@ -113,40 +113,40 @@
         "-Xlog:all=error:stderr");
   }
 
-  /** What was seen so far. */
+  /** Returns the observations so far. */
   public Observations observations() {
     return observations;
   }
 
-  /** The limits that the node's configuration names. */
+  /** Returns the limits of the node's configuration. */
   public NodeLimits limits() {
     return settings.limits();
   }
 
-  /** The names of the workers. */
+  /** Returns the names of the workers. */
   public List<String> workerNames() {
     return workers.stream().map(WorkerStub::name).toList();
   }
 
-  /** The jobs in work at all workers together. */
-  int jobsInWork() {
-    return workers.stream().mapToInt(WorkerStub::inWork).sum();
+  /** Returns the number of jobs running or queued at all workers. */
+  int jobsInProgress() {
+    return workers.stream().mapToInt(WorkerStub::jobsInProgress).sum();
   }
 
-  /** The slots of all workers together. */
+  /** Returns the number of slots of all workers. */
   int slots() {
     return workers.stream().mapToInt(WorkerStub::slots).sum();
   }
 
-  /** Has a worker do something wrong from now on. */
-  void fault(int worker, WorkerFault fault) {
+  /** Makes a worker misbehave from now on. */
+  void setFault(int worker, WorkerFault fault) {
     observations.step(0, "worker " + workers.get(worker).name() + ": " + fault);
-    workers.get(worker).fault(fault);
+    workers.get(worker).setFault(fault);
   }
 
-  /** The folder that the processes share. */
+  /** Returns the folder that the processes share. */
   public Path sharedFolder() {
-    return shared;
+    return sharedFolder;
   }
 
   private void writeConfiguration() throws IOException {
@@ -159,7 +159,7 @@
               .add("KeyScope", "all")
               .add("Window", 15_000)
               .add("GoalTime", settings.latencyObjective())
-              .add("Deadline", LONGEST_DEADLINE));
+              .add("Deadline", MAX_DEADLINE_MILLIS));
     }
     JsonObject nodeSettings =
         new JsonObject()
@@ -179,7 +179,7 @@
                     .add("MaxRetryAfter", 2000))
             .add("Extra", new JsonObject().add("TellsStart", settings.behaviour().tellsStart()))
             .add("Classes", classes);
-    InetSocketAddress agent = discoveries.get(discovery).address();
+    InetSocketAddress agent = discoveries.get(discoveryIndex).address();
     JsonObject configuration =
         new JsonObject()
             .add("name", "n1")
@@ -195,111 +195,118 @@
     Files.writeString(folder.resolve("node.json"), configuration.toString());
   }
 
-  // ---- What the platform does ----
+  // ---- The platform ----
 
-  /** Starts one more process of the node. */
+  /** Starts another process of the node. */
   public ServingProcess start() throws IOException, InterruptedException {
     Map<String, String> environment = new LinkedHashMap<>();
     environment.put("LB_CONFIG", folder.resolve("node.json").toString());
     environment.put("LB_ADMIN", "127.0.0.1:0");
     environment.put("LB_ACCEPT_FD", "0");
-    environment.put("TMPDIR", shared.toString());
+    environment.put("TMPDIR", sharedFolder.toString());
     return launcher.start(environment);
   }
 
-  /** Returns once the process says that it is ready. */
+  /** Waits until the process reports that it is ready; fails if it ends or times out before. */
   public void awaitReady(ServingProcess process) throws IOException, InterruptedException {
-    InetSocketAddress operators = process.operators(READY_TIMEOUT);
-    double end = observations.now() + READY_TIMEOUT;
+    InetSocketAddress operators = process.operators(READY_TIMEOUT_MILLIS);
+    double end = observations.now() + READY_TIMEOUT_MILLIS;
     while (observations.now() < end && process.alive()) {
-      if (get(operators, "/-/ready") == 200) {
-        observations.step(process.pid(), "ready, as the platform sees it");
+      if (getStatus(operators, "/-/ready") == 200) {
+        observations.step(process.pid(), "the platform has seen the process ready");
         return;
       }
-      Thread.sleep(READY_POLL);
+      Thread.sleep(READY_POLL_MILLIS);
     }
-    throw new IOException("process " + process.pid() + " has not become ready");
+    throw new IOException("process " + process.pid() + " did not become ready");
   }
 
-  /** The status of a call, 0 if there was no answer. */
-  static int get(InetSocketAddress operators, String path) {
+  /** Returns the status of a GET request, 0 if there was no answer. */
+  static int getStatus(InetSocketAddress operators, String path) {
     try {
-      return HttpConnection.call(operators, "GET " + path, "", OPERATOR_TIMEOUT).status();
+      return HttpConnection.call(operators, "GET " + path, "", OPERATOR_TIMEOUT_MILLIS).status();
     } catch (IOException unanswered) {
       return 0;
     }
   }
 
-  /** Sends a signal, by its name without SIG. */
+  /** Sends a signal, given by its name without SIG. */
   public void signal(ServingProcess process, String name) throws IOException, InterruptedException {
     observations.step(process.pid(), "SIG" + name);
     process.signal(name);
   }
 
-  /** Moves discovery in the configuration; SIGHUP has a process read it. */
+  /** Moves discovery to the other agent in the configuration; SIGHUP makes a process read it. */
   public void moveDiscovery() throws IOException {
-    discovery = 1 - discovery;
+    discoveryIndex = 1 - discoveryIndex;
     writeConfiguration();
   }
 
-  /** The agent that the configuration does not name any more ends. */
-  void endFormerDiscovery() throws IOException {
-    int former = 1 - discovery;
+  /** Stops the agent that the configuration no longer names, and creates a new one in its place. */
+  void stopFormerDiscovery() throws IOException {
+    int former = 1 - discoveryIndex;
     discoveries.get(former).close();
     discoveries.set(former, new DiscoveryStub(workers));
   }
 
-  /** True once the agent that the configuration names is watched, within {@code timeout} ms. */
-  boolean watched(long timeout) throws InterruptedException {
+  /**
+   * Waits until a process watches the agent that the configuration names; false after {@code
+   * timeout} ms.
+   */
+  boolean awaitWatch(long timeout) throws InterruptedException {
     double end = observations.now() + timeout;
-    while (observations.now() < end && discoveries.get(discovery).watches() == 0) {
-      Thread.sleep(READY_POLL);
+    while (observations.now() < end && discoveries.get(discoveryIndex).watches() == 0) {
+      Thread.sleep(READY_POLL_MILLIS);
     }
-    return discoveries.get(discovery).watches() > 0;
+    return discoveries.get(discoveryIndex).watches() > 0;
   }
 
-  /** The processes that have not ended. */
+  /** Returns the processes that have not ended. */
   public List<ServingProcess> alive() {
     return launcher.alive();
   }
 
-  // ---- What clients and operators do ----
+  // ---- Clients and operators ----
 
-  /** Clients that send until they are stopped. */
+  /** Starts clients that send requests until they are stopped. */
   ClientLoad load(int clients, double meanPause, double deadline, long seed) {
     return load(clients, new ClientBehaviour(meanPause, deadline, 0), seed);
   }
 
-  /** Clients of this behaviour that send until they are stopped. */
+  /** Starts clients with this behaviour that send requests until they are stopped. */
   ClientLoad load(int clients, ClientBehaviour behaviour, long seed) {
     return new ClientLoad(launcher.clients(), observations, clients, behaviour, seed);
   }
 
-  /** Where clients connect. */
+  /** Returns the address that clients connect to. */
   InetSocketAddress clients() {
     return launcher.clients();
   }
 
-  /** An operator's call at one process, about a worker or, if that is null, about the node. */
+  /**
+   * Makes an operator's call at one process, about a worker or, if {@code worker} is null, about
+   * the node.
+   */
   public OperatorCall operate(ServingProcess process, Verb verb, String worker) {
     String name = verb.name().toLowerCase(java.util.Locale.ROOT);
     String path = worker == null ? "/-/" + name : "/-/menu-workers/" + worker + "/" + name;
     double calledAt = observations.now();
-    int status = NOT_CALLED;
-    InetSocketAddress operators = process.operatorsNow();
+    int status = NOT_LISTENING;
+    InetSocketAddress operators = process.operatorsIfListening();
     if (operators != null) {
       status = NO_ANSWER;
       try {
-        status = HttpConnection.call(operators, "POST " + path, "", OPERATOR_TIMEOUT).status();
+        status =
+            HttpConnection.call(operators, "POST " + path, "", OPERATOR_TIMEOUT_MILLIS).status();
       } catch (ConnectException refused) {
-        status = NOT_CALLED;
+        status = NOT_LISTENING;
       } catch (IOException unanswered) {
-        // Counts as no answer.
+        // Recorded as not answered.
       }
     }
     OperatorCall call =
         new OperatorCall(verb, worker, process.pid(), calledAt, observations.now(), status);
-    if (status != NOT_CALLED) {
+    if (status != NOT_LISTENING) {
       observations.add(call);
     }
     observations.step(
@@ -311,15 +318,15 @@
   @Override
   public void close() {
     launcher.close();
-    runner.shutdownNow();
+    scheduler.shutdownNow();
     workers.forEach(WorkerStub::close);
-    callers.shutdownNow();
+    executor.shutdownNow();
     try (Stream<Path> files = Files.walk(folder)) {
-      for (DiscoveryStub each : discoveries) {
-        each.close();
+      for (DiscoveryStub agent : discoveries) {
+        agent.close();
       }
-      for (Path each : files.sorted(Comparator.reverseOrder()).toList()) {
-        Files.deleteIfExists(each);
+      for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
+        Files.deleteIfExists(path);
       }
     } catch (IOException failed) {
       throw new UncheckedIOException(failed);
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UtilisationSampler.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UtilisationSampler.java
@@ -1,8 +1,8 @@
 package ferngrade.faulttest.upgrade;
 
-/** Asks the workers at intervals how much they have in work. */
+/** Periodically samples the number of jobs in progress at all workers. */
 final class UtilisationSampler extends BackgroundLoop {
-  private static final long INTERVAL = 20;
+  private static final long INTERVAL_MILLIS = 20;
 
   private final UpgradeRun run;
 
@@ -15,7 +15,7 @@
   void step() throws InterruptedException {
     Observations observations = run.observations();
     observations.add(
-        new Observations.Utilisation(observations.now(), run.jobsInWork(), run.slots()));
-    Thread.sleep(INTERVAL);
+        new Observations.Utilisation(observations.now(), run.jobsInProgress(), run.slots()));
+    Thread.sleep(INTERVAL_MILLIS);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerFault.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerFault.java
@@ -1,14 +1,14 @@
 package ferngrade.faulttest.upgrade;
 
-/** What a worker does wrong. */
+/** A way in which a worker misbehaves. */
 public enum WorkerFault {
   NONE,
-  /** Reads each job and answers nothing. */
+  /** Reads each job and never answers. */
   HANGS,
-  /** Accepts each job a second or more after it has come, and runs it. */
+  /** Accepts each job a second or more after receiving it, and runs it. */
   ACCEPTS_LATE,
-  /** Ends the connection under each third job without an answer; the job does not run. */
+  /** Closes the connection of each third job without an answer; the job does not run. */
   RESETS,
-  /** Calls back twice about each job. */
+  /** Sends the callback of each job twice. */
   CALLS_BACK_TWICE
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
@@ -16,54 +16,56 @@
 import java.util.function.Function;
 
 /**
- * A worker: accepts each job for which it has a slot or a place in its queue with a 202, runs it
- * for a while, and calls back until it is answered. Any thread may use it.
+ * A worker that accepts each job for which it has a slot or a place in its queue with a 202, runs
+ * it for a random time, and sends a callback until it is answered. Thread-safe.
  */
 final class WorkerStub implements AutoCloseable {
   private static final TimeUnit MILLIS = TimeUnit.MILLISECONDS;
-  private static final int CALLBACK_TRIES = 10;
-  private static final int CALLBACK_TIMEOUT = 1000;
-  private static final long CALLBACK_PAUSE = 50;
+  private static final int MAX_CALLBACK_ATTEMPTS = 10;
+  private static final int CALLBACK_TIMEOUT_MILLIS = 1000;
+  private static final long CALLBACK_RETRY_MILLIS = 50;
   private static final int ACCEPTED = 202;
   private static final int DECLINED = 503;
 
-  /** How long a worker that accepts late waits, ms: between this and half as much again. */
-  private static final int LATE_ACCEPTANCE = 1000;
+  /** The minimum delay of a late acceptance, ms; the maximum is 1.5 times this. */
+  private static final int MIN_LATE_ACCEPTANCE_MILLIS = 1000;
 
-  /** Of how many jobs one is reset by a worker that resets. */
+  /** With {@link WorkerFault#RESETS}, one of this many jobs is reset. */
   private static final int RESET_INTERVAL = 3;
 
   private final String name;
   private final HttpServer server;
   private final Observations observations;
-  private final ScheduledExecutorService runner;
-  private final ExecutorService callers;
+  private final ScheduledExecutorService scheduler;
+  private final ExecutorService executor;
   private final WorkerBehaviour behaviour;
-  private final Queue<ReceivedJob> waiting = new ArrayDeque<>();
+  private final Queue<ReceivedJob> queue = new ArrayDeque<>();
   private final AtomicInteger received = new AtomicInteger();
   private int running;
   private volatile WorkerFault fault = WorkerFault.NONE;
-  private volatile Function<String, InetSocketAddress> nodes;
+  private volatile Function<String, InetSocketAddress> callbackAddresses;
 
-  /** A job, and what its attempt said of the process that sent it. */
+  /** A job, and the sender as named by the attempt's header. */
   private record ReceivedJob(String id, String sender) {}
 
-  /** A worker whose jobs end on {@code runner}'s time and call back on {@code callers}. */
+  /**
+   * Creates a worker whose jobs end on {@code scheduler}; callbacks are sent on {@code executor}.
+   */
   WorkerStub(
       String name,
       Observations observations,
-      ScheduledExecutorService runner,
-      ExecutorService callers,
+      ScheduledExecutorService scheduler,
+      ExecutorService executor,
       WorkerBehaviour behaviour)
       throws IOException {
     this.name = name;
     this.observations = observations;
-    this.runner = runner;
-    this.callers = callers;
+    this.scheduler = scheduler;
+    this.executor = executor;
     this.behaviour = behaviour;
     this.server =
         HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 256);
-    server.setExecutor(callers);
+    server.setExecutor(executor);
     server.createContext("/", this::handle);
     server.start();
   }
@@ -76,34 +78,34 @@
     return server.getAddress();
   }
 
-  /** Where it calls back about a job, by what the attempt said of its sender. */
-  void callBackTo(Function<String, InetSocketAddress> bySender) {
-    nodes = bySender;
+  /** Sets the address of callbacks, by the sender that the attempt named. */
+  void setCallbackAddress(Function<String, InetSocketAddress> addressBySender) {
+    callbackAddresses = addressBySender;
   }
 
-  /** What it does wrong from now on. */
-  void fault(WorkerFault next) {
+  /** Changes the fault. */
+  void setFault(WorkerFault next) {
     fault = next;
   }
 
-  /** What it does wrong now. */
+  /** Returns the current fault. */
   WorkerFault fault() {
     return fault;
   }
 
-  /** Its slots. */
+  /** Returns the number of slots. */
   int slots() {
     return behaviour.slots();
   }
 
-  /** The size that the endpoint list tells: its slots, 1 where they are no limit. */
+  /** Returns the size in the endpoint list: the number of slots, 1 if they are unlimited. */
   int listedSize() {
     return slots() == Integer.MAX_VALUE ? 1 : slots();
   }
 
-  /** The jobs that it runs or that wait in its queue. */
-  synchronized int inWork() {
-    return running + waiting.size();
+  /** Returns the number of running and queued jobs. */
+  synchronized int jobsInProgress() {
+    return running + queue.size();
   }
 
   private void handle(HttpExchange exchange) throws IOException {
@@ -124,7 +126,7 @@
     int number = received.incrementAndGet();
     switch (fault) {
       case HANGS -> {
-        // The exchange stays open until the node or the run ends it.
+        // The exchange stays open until the node closes it or the run ends.
       }
       case RESETS -> {
         if (number % RESET_INTERVAL == 0) {
@@ -134,8 +136,10 @@
         }
       }
       case ACCEPTS_LATE -> {
-        int delay = ThreadLocalRandom.current().nextInt(LATE_ACCEPTANCE, LATE_ACCEPTANCE * 3 / 2);
-        runner.schedule(() -> callers.execute(() -> acceptLate(exchange, job)), delay, MILLIS);
+        int delay =
+            ThreadLocalRandom.current()
+                .nextInt(MIN_LATE_ACCEPTANCE_MILLIS, MIN_LATE_ACCEPTANCE_MILLIS * 3 / 2);
+        scheduler.schedule(() -> executor.execute(() -> acceptLate(exchange, job)), delay, MILLIS);
       }
       case NONE, CALLS_BACK_TWICE -> accept(exchange, job);
     }
@@ -144,8 +148,8 @@
   private void acceptLate(HttpExchange exchange, ReceivedJob job) {
     try {
       accept(exchange, job);
-    } catch (IOException gone) {
-      // The node has given the attempt up, and its connection with it.
+    } catch (IOException disconnected) {
+      // The node has abandoned the attempt and closed its connection.
     }
   }
 
@@ -154,7 +158,7 @@
       boolean starts;
       synchronized (this) {
         starts = running < behaviour.slots();
-        if (!starts && waiting.size() >= behaviour.queue()) {
+        if (!starts && queue.size() >= behaviour.queue()) {
           exchange.getResponseHeaders().set("Srv-Declined", "1");
           exchange.sendResponseHeaders(DECLINED, -1);
           return;
@@ -162,7 +166,7 @@
         if (starts) {
           running++;
         } else {
-          waiting.add(job);
+          queue.add(job);
         }
       }
       exchange.sendResponseHeaders(ACCEPTED, -1);
@@ -175,52 +179,55 @@
   private void run(ReceivedJob job) {
     int runtime =
         ThreadLocalRandom.current().nextInt(behaviour.minRuntime(), behaviour.maxRuntime() + 1);
-    runner.schedule(() -> callers.execute(() -> ended(job)), runtime, MILLIS);
+    scheduler.schedule(() -> executor.execute(() -> completeJob(job)), runtime, MILLIS);
     if (behaviour.tellsStart()) {
-      callers.execute(() -> answered(job, news(job, "started")));
+      executor.execute(() -> sendCallback(job, callbackBody(job, "started")));
     }
   }
 
-  private void ended(ReceivedJob job) {
+  private void completeJob(ReceivedJob job) {
     ReceivedJob next;
     synchronized (this) {
-      next = waiting.poll();
+      next = queue.poll();
       running -= next == null ? 1 : 0;
     }
     if (next != null) {
       run(next);
     }
-    boolean twice = fault == WorkerFault.CALLS_BACK_TWICE;
-    callBack(job, CALLBACK_TRIES);
-    if (twice) {
-      callBack(job, CALLBACK_TRIES);
+    boolean repeats = fault == WorkerFault.CALLS_BACK_TWICE;
+    callBack(job, MAX_CALLBACK_ATTEMPTS);
+    if (repeats) {
+      callBack(job, MAX_CALLBACK_ATTEMPTS);
     }
   }
 
-  private void callBack(ReceivedJob job, int tries) {
-    JsonObject done = news(job, "done").add("result", UpgradeRun.RESULT + job.id());
-    if (answered(job, done)) {
+  private void callBack(ReceivedJob job, int attemptsLeft) {
+    JsonObject done = callbackBody(job, "done").add("result", UpgradeRun.RESULT + job.id());
+    if (sendCallback(job, done)) {
       return;
     }
-    if (tries > 1) {
-      runner.schedule(
-          () -> callers.execute(() -> callBack(job, tries - 1)), CALLBACK_PAUSE, MILLIS);
+    if (attemptsLeft > 1) {
+      scheduler.schedule(
+          () -> executor.execute(() -> callBack(job, attemptsLeft - 1)),
+          CALLBACK_RETRY_MILLIS,
+          MILLIS);
     } else {
       observations.step(0, "callback of " + name + " for " + job.id() + " was never answered");
       observations.callbackLost(job.id());
     }
   }
 
-  private JsonObject news(ReceivedJob job, String state) {
+  private JsonObject callbackBody(ReceivedJob job, String state) {
     return new JsonObject().add("id", job.id()).add("from", name).add("state", state);
   }
 
-  /** Sends one callback; true if the node has answered it. */
-  private boolean answered(ReceivedJob job, JsonObject body) {
-    InetSocketAddress node = nodes.apply(job.sender());
+  /** Sends one callback; returns whether the node has answered it. */
+  private boolean sendCallback(ReceivedJob job, JsonObject body) {
+    InetSocketAddress node = callbackAddresses.apply(job.sender());
     try {
       int status =
-          HttpConnection.call(node, "POST /_jobs/news", body.toString(), CALLBACK_TIMEOUT).status();
+          HttpConnection.call(node, "POST /_jobs/news", body.toString(), CALLBACK_TIMEOUT_MILLIS)
+              .status();
       return status == 200 || status == 204;
     } catch (IOException unanswered) {
       return false;
--- a/faulttest/src/main/resources/ferngrade/faulttest/upgrade/launch.pl
+++ b/faulttest/src/main/resources/ferngrade/faulttest/upgrade/launch.pl
@@ -1,6 +1,7 @@
-# Listens on a loopback port and prints it. For each line "start<TAB>KEY=VALUE<TAB>..." on its standard input it starts the
-# command of its arguments with that environment and with the listening socket as descriptor 0, as the platform does at an
-# upgrade, and prints "started PID". Prints "ended PID STATUS" when one ends, by its wait status. Ends with its standard input.
+# Listens on a loopback port and prints the port. For each line "start<TAB>KEY=VALUE<TAB>..." on standard input, starts the
+# command given by the arguments with that environment and with the listening socket as descriptor 0, as the platform does at
+# an upgrade, and prints "started PID". Prints "ended PID STATUS", with the wait status, when a child ends. Exits when standard
+# input is closed.
 use strict;
 use warnings;
 use POSIX ':sys_wait_h';
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/ChurnTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/ChurnTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A short churn of a fixed seed, and two faults on purpose that its checkers have to find. */
+/** A short churn run of a fixed seed, and two mutations that its checkers must detect. */
 @ExtendWith(SkipKnownFailures.class)
 class ChurnTest {
   private static final long SEED = 2;
@@ -30,7 +30,7 @@
   @EnumSource(
       value = Mutation.class,
       names = {"BUDGET_NEVER_GROWS", "HALF_WRITTEN_ANSWER"})
-  void nodeWithThisFaultIsFound(Mutation mutation) throws Exception {
+  void detectsMutation(Mutation mutation) throws Exception {
     ChurnRun.Result result = ChurnRun.play(ChurnPlan.of(SEED, 1), MutantNode.command(mutation));
     assertFalse(result.violations().isEmpty(), mutation.name());
   }
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/ClassArchiveOptionsTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/ClassArchiveOptionsTest.java
@@ -10,19 +10,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A node under test starts from a class archive, as a deployed one does, where there is one. */
+/**
+ * A node under test starts with a class archive, as a deployed node does, if there is an archive.
+ */
 class ClassArchiveOptionsTest {
   @TempDir private Path folder;
 
   @Test
-  void theArchiveBesideASingleJarIsUsed() throws IOException {
+  void usesTheArchiveBesideASingleJar() throws IOException {
     Path archive = Files.createFile(folder.resolve("node.jsa"));
     List<String> options = UpgradeRun.classArchive(folder.resolve("node.jar").toString());
     assertTrue(options.contains("-XX:SharedArchiveFile=" + archive), options.toString());
   }
 
   @Test
-  void aJarWithoutAnArchiveAndOtherClassPathsStartAsTheyAre() throws IOException {
+  void addsNoOptionsWithoutAnArchiveOrForOtherClassPaths() throws IOException {
     Path jar = folder.resolve("node.jar");
     assertEquals(List.of(), UpgradeRun.classArchive(jar.toString()));
     Files.createFile(folder.resolve("node.jsa"));
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/DrainedUpgradeTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/DrainedUpgradeTest.java
@@ -10,13 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node is drained and then upgraded. The drain holds in the new process, which says no, as no
- * client may come; but the platform gives that process 6 s to say yes, and ends the drained one
- * behind the yes. It said no until a resume, and the upgrade failed. So the drain of before its
- * start holds for as long as both can be kept, and ends before the 6 s are over.
+ * Guards against a failed upgrade of a drained node: the new process reported not ready until a
+ * resume, but the platform allows it 6 s to become ready, and only then terminates the old one. The
+ * earlier drain must end before the 6 s are over, and hold until then.
  */
 class DrainedUpgradeTest {
-  private static final double READY_WITHIN = 6000;
+  private static final double READY_TIMEOUT_MILLIS = 6000;
   private static final int READY = 200;
   private static final int NOT_READY = 503;
 
@@ -41,14 +40,22 @@
     double started = run.observations().now();
     ServingProcess next = run.start();
     InetSocketAddress operators = next.operators(30_000);
-    assertEquals(NOT_READY, UpgradeRun.get(operators, "/-/ready"), "the drain holds at first");
+    assertEquals(
+        NOT_READY, UpgradeRun.getStatus(operators, "/-/ready"), "the drain holds at first");
     run.awaitReady(next);
-    double took = run.observations().now() - started;
-    assertTrue(took < READY_WITHIN, "ready after " + took + " ms");
-    assertEquals(NOT_READY, UpgradeRun.get(old.operatorsNow(), "/-/ready"), "the old one stays");
+    double elapsed = run.observations().now() - started;
+    assertTrue(elapsed < READY_TIMEOUT_MILLIS, "ready after " + elapsed + " ms");
+    assertEquals(
+        NOT_READY,
+        UpgradeRun.getStatus(old.operatorsIfListening(), "/-/ready"),
+        "the old process stays drained");
     assertTrue(run.operate(next, Verb.DRAIN, null).accepted());
-    assertEquals(NOT_READY, UpgradeRun.get(operators, "/-/ready"), "a new drain binds both");
+    assertEquals(
+        NOT_READY,
+        UpgradeRun.getStatus(operators, "/-/ready"),
+        "a new drain applies to both processes");
     assertTrue(run.operate(old, Verb.RESUME, null).accepted());
-    assertEquals(READY, UpgradeRun.get(operators, "/-/ready"), "and a resume, too");
+    assertEquals(
+        READY, UpgradeRun.getStatus(operators, "/-/ready"), "a resume applies to both processes");
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/FirstUseClassLoadingTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/FirstUseClassLoadingTest.java
@@ -17,18 +17,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against classes that are read or made at the first use in service. */
+/**
+ * Guards against classes that are loaded from a jar or generated at their first use while the node
+ * serves.
+ */
 class FirstUseClassLoadingTest {
   private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
   private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"");
   private static final Pattern LISTENING = Pattern.compile("listening at /([0-9.]+):(\\d+)");
 
   /**
-   * A class that the process would have to read or make, method handles that are composed among
-   * them. The runtime makes accessors by itself, after the fifteenth of equal calls, here of
-   * refused connections.
+   * Matches a class that the process must load or generate, including composed method handles.
+   * Excludes the accessors that the runtime generates after the fifteenth equal reflective call,
+   * here for refused connections.
    */
-  private static final Pattern COSTLY =
+  private static final Pattern UNARCHIVED_CLASS =
       Pattern.compile(
           "(?!.*jdk[.]internal[.]reflect[.])"
               + ".*(source: (file:|__ClassDefiner__)|LambdaForm[$]MH/.*source: __JVM_).*");
@@ -42,7 +45,8 @@
   @BeforeEach
   void start() throws IOException {
     assertTrue(
-        Files.exists(ROOT.resolve("node/target/ferngrade.jsa")), "made by mvn verify or package");
+        Files.exists(ROOT.resolve("node/target/ferngrade.jsa")),
+        "the class archive is built by mvn verify or package");
     classLog = folder.resolve("classes");
     Matcher run = RUN.matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
     assertTrue(run.find());
@@ -67,18 +71,18 @@
     }
   }
 
-  private String awaitLine(String part) throws IOException {
+  private String awaitLine(String text) throws IOException {
     for (String line = log.readLine(); line != null; line = log.readLine()) {
-      if (line.contains(part)) {
+      if (line.contains(text)) {
         return line;
       }
     }
-    throw new IOException("the node ended before it said: " + part);
+    throw new IOException("the node ended before it logged: " + text);
   }
 
   /**
-   * Fails where the first request, a bad one, many at once, or a new configuration loads what is
-   * not archived.
+   * Fails if the first request, a malformed request, a pipeline of many requests, or a new
+   * configuration loads classes that are not in the archive.
    */
   @Test
   void firstRequestsAndANewConfigurationLoadArchivedClassesOnly() throws Exception {
@@ -89,18 +93,18 @@
         status(
             "Req-Id: 00000000000000aa\r\nReq-Kind: order\r\nReq-Owner: hill-view\r\n"
                 + "Req-Deadline: 900m\r\n"));
-    pipelined(100);
+    sendPipelined(100);
     new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     awaitLine("configuration read anew");
     List<String> loaded = Files.readAllLines(classLog);
-    List<String> costly =
+    List<String> unarchived =
         loaded.subList(before, loaded.size()).stream()
-            .filter(line -> COSTLY.matcher(line).matches())
+            .filter(line -> UNARCHIVED_CLASS.matcher(line).matches())
             .toList();
-    assertEquals(List.of(), costly);
+    assertEquals(List.of(), unarchived);
   }
 
-  private void pipelined(int count) throws IOException {
+  private void sendPipelined(int count) throws IOException {
     try (HttpConnection client = new HttpConnection(address, 5000)) {
       client.write("GET /-/ready HTTP/1.1\r\n\r\n".repeat(count - 1) + "GET /-/ready", "", "");
       for (int i = 0; i < count; i++) {
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
@@ -14,31 +14,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against requests lost where a process is held up while its SIGTERM comes. */
+/** Guards against requests that are lost if a process is suspended when its SIGTERM arrives. */
 @ExtendWith(SkipKnownFailures.class)
 class HeldUpShutdownTest {
   private static final int WORKERS = 2;
   private static final int CLIENTS = 6;
 
-  /** Longer than any request may last, so that all are open at the end. */
-  private static final int RUNTIME = 20_000;
+  /** Longer than any deadline, so that all requests are still open at the end, ms. */
+  private static final int RUNTIME_MILLIS = 20_000;
 
   private static final String DEADLINE = "3000m";
 
-  /** When the last requests are written at the earliest, ms after SIGTERM. */
-  private static final double REQUESTED = 800;
+  /** The earliest time of the last requests, ms after SIGTERM. */
+  private static final double LAST_REQUEST_MILLIS = 800;
 
-  /** The same after the process runs again, ms: it still accepts requests then. */
-  private static final double REQUESTED_BEHIND = 300;
+  /**
+   * The time of the last requests after the process resumes, ms: the process still accepts requests
+   * then.
+   */
+  private static final double LAST_REQUEST_AFTER_RESUME_MILLIS = 300;
 
-  /** When SIGKILL comes, ms after SIGTERM. */
-  private static final double KILLED = 3700;
+  /** The time of SIGKILL, ms after SIGTERM. */
+  private static final double KILL_MILLIS = 3700;
 
   private UpgradeRun run;
 
   @BeforeEach
   void startRun() throws Exception {
-    WorkerBehaviour slow = new WorkerBehaviour(RUNTIME, RUNTIME, Integer.MAX_VALUE, 0, false);
+    WorkerBehaviour slow =
+        new WorkerBehaviour(RUNTIME_MILLIS, RUNTIME_MILLIS, Integer.MAX_VALUE, 0, false);
     run =
         new UpgradeRun(
             UpgradeRun.thisProgram(),
@@ -50,30 +54,31 @@
     run.close();
   }
 
-  /** {@code stopped}: for how long the process is stopped from its SIGTERM on, ms. */
+  /** {@code stopped}: the time for which the process is suspended, starting at its SIGTERM, ms. */
   @ParameterizedTest
   @ValueSource(doubles = {300, 500, 1000})
-  void requestsAreAnsweredBeforeTheKillThatFollowsTheTrueSignal(double stopped) throws Exception {
+  void answersRequestsBeforeTheKillThatIsTimedFromTheSignal(double stopped) throws Exception {
     ServingProcess process = run.start();
     run.awaitReady(process);
     List<HttpConnection> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
-      clients.add(connectedAndUsed(i));
+      clients.add(connectAndSendOneRequest(i));
     }
     run.signal(process, "STOP");
     run.signal(process, "TERM");
     double signalled = run.observations().now();
     sleepUntil(signalled + stopped);
     run.signal(process, "CONT");
-    sleepUntil(signalled + Math.max(REQUESTED, stopped + REQUESTED_BEHIND));
+    sleepUntil(
+        signalled + Math.max(LAST_REQUEST_MILLIS, stopped + LAST_REQUEST_AFTER_RESUME_MILLIS));
     List<Boolean> written = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       written.add(write(clients.get(i), CLIENTS + i));
     }
     List<String> lost = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
-      double left = signalled + KILLED - run.observations().now();
-      if (written.get(i) && !answered(clients.get(i), left)) {
+      double remaining = signalled + KILL_MILLIS - run.observations().now();
+      if (written.get(i) && !answered(clients.get(i), remaining)) {
         lost.add("request " + i);
       }
     }
@@ -82,15 +87,20 @@
     assertEquals(List.of(), lost, timeline);
   }
 
-  /** A connection that has carried one request, which a close by the node would show at once. */
-  private HttpConnection connectedAndUsed(int number) throws IOException {
+  /**
+   * Opens a connection and sends one request on it; a close by the node would be visible at once.
+   */
+  private HttpConnection connectAndSendOneRequest(int number) throws IOException {
     HttpConnection client = new HttpConnection(run.clients(), 1000);
     client.write("GET /-/ready", "", "");
     assertTrue(client.read(2000).status() == 200, "client " + number);
     return client;
   }
 
-  /** False if the node has closed the connection, as it may between requests. */
+  /**
+   * Writes a request; false if the node has closed the connection, which it may do between
+   * requests.
+   */
   private static boolean write(HttpConnection client, int number) {
     if (client.endedByPeer()) {
       return false;
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/MaintenanceDuringUpgradeTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/MaintenanceDuringUpgradeTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.extension.ExtendWith;
 
 /**
- * The incident of 2026-12-02 with real processes: a worker that operators take out at one process
- * of a node gets nothing new from any other.
+ * Guards against the incident of 2026-12-02, with real processes: a worker that operators had
+ * disabled at one process of a node received new jobs from another process.
  */
 @ExtendWith(SkipKnownFailures.class)
 class MaintenanceDuringUpgradeTest {
@@ -24,8 +24,8 @@
   private static final double MEAN_PAUSE = 20;
   private static final double DEADLINE = 2000;
 
-  /** Enough jobs for each worker to have been picked some times by each process. */
-  private static final int JOBS_TO_SEE = 150;
+  /** The number of jobs after which each worker has been selected several times by each process. */
+  private static final int JOBS_TO_OBSERVE = 150;
 
   private UpgradeRun run;
   private ClientLoad load;
@@ -48,16 +48,16 @@
     return process;
   }
 
-  /** Starts clients, and returns once the node has served some of them. */
+  /** Starts clients, and returns once the node has served some of their requests. */
   private void startLoad() throws Exception {
     load = run.load(CLIENTS, MEAN_PAUSE, DEADLINE, 1);
-    awaitSends(JOBS_TO_SEE);
+    awaitSends(JOBS_TO_OBSERVE);
   }
 
-  /** Returns once so many more jobs have reached workers. */
+  /** Waits until {@code more} further jobs have reached workers. */
   private void awaitSends(int more) throws Exception {
-    int wanted = run.observations().sends().size() + more;
-    while (run.observations().sends().size() < wanted) {
+    int target = run.observations().sends().size() + more;
+    while (run.observations().sends().size() < target) {
       Thread.sleep(5);
     }
   }
@@ -69,40 +69,40 @@
 
   private void assertNoViolation() throws Exception {
     load.stop();
-    List<Violation> found = UpgradeChecker.check(run.observations(), false);
+    List<Violation> violations = UpgradeChecker.check(run.observations(), false);
     String timeline =
         run.observations().steps().stream()
             .map(Observations.Step::toString)
             .collect(Collectors.joining("\n"));
-    assertEquals(List.of(), found.stream().limit(5).toList(), timeline);
+    assertEquals(List.of(), violations.stream().limit(5).toList(), timeline);
   }
 
   @Test
-  void callAtTheOldProcessRightAfterItsSigtermBindsTheNewOne() throws Exception {
+  void callAtTheOldProcessRightAfterItsSigtermAppliesToTheNewOne() throws Exception {
     ServingProcess old = startReady();
     startLoad();
     startReady();
     run.signal(old, "TERM");
     disable(old, "s-1");
-    awaitSends(JOBS_TO_SEE);
+    awaitSends(JOBS_TO_OBSERVE);
     old.awaitEnd(20_000);
-    awaitSends(JOBS_TO_SEE);
+    awaitSends(JOBS_TO_OBSERVE);
     assertNoViolation();
   }
 
   @Test
-  void callAtEitherProcessBindsBothWhileBothServe() throws Exception {
+  void callAtEitherProcessAppliesToBothWhileBothServe() throws Exception {
     ServingProcess old = startReady();
     startLoad();
     ServingProcess next = startReady();
     disable(next, "s-1");
     disable(old, "s-2");
-    awaitSends(2 * JOBS_TO_SEE);
+    awaitSends(2 * JOBS_TO_OBSERVE);
     assertNoViolation();
   }
 
   @Test
-  void callsWhileTheNewProcessStartsBindIt() throws Exception {
+  void callsDuringStartupApplyToTheNewProcess() throws Exception {
     ServingProcess old = startReady();
     startLoad();
     ServingProcess next = run.start();
@@ -111,26 +111,26 @@
     disable(old, "s-2");
     run.awaitReady(next);
     disable(old, "s-3");
-    awaitSends(2 * JOBS_TO_SEE);
+    awaitSends(2 * JOBS_TO_OBSERVE);
     run.signal(old, "TERM");
-    awaitSends(JOBS_TO_SEE);
+    awaitSends(JOBS_TO_OBSERVE);
     assertNoViolation();
   }
 
   @Test
-  void thirdProcessKnowsTheChangesOfBothAndLosesNoCallback() throws Exception {
+  void thirdProcessReceivesTheChangesOfBothAndLosesNoCallback() throws Exception {
     ServingProcess first = startReady();
     startLoad();
     ServingProcess second = startReady();
     disable(first, "s-1");
     disable(second, "s-2");
     startReady();
-    awaitSends(2 * JOBS_TO_SEE);
+    awaitSends(2 * JOBS_TO_OBSERVE);
     run.signal(first, "TERM");
     run.signal(second, "TERM");
     first.awaitEnd(20_000);
     second.awaitEnd(20_000);
-    awaitSends(JOBS_TO_SEE);
+    awaitSends(JOBS_TO_OBSERVE);
     assertNoViolation();
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/UpgradeSoakTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/UpgradeSoakTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A short soak of fixed seeds, which have each kind of episode between them. */
+/** A short soak run of fixed seeds, which together contain each type of episode. */
 @ExtendWith(SkipKnownFailures.class)
 class UpgradeSoakTest {
   private static final int EPISODES = 3;
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 4, 8})
-  void nothingIsLostOrSentWhereItMustNot(long seed) throws Exception {
+  void losesNothingAndSendsNothingToDisabledWorkers(long seed) throws Exception {
     SoakRun.Result result = SoakRun.play(SoakPlan.of(seed, EPISODES), UpgradeRun.thisProgram());
     String timeline =
         result.observations().steps().stream()
