--- a/emulator/src/main/java/ferngrade/emulator/ClassSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/ClassSpec.java
@@ -5,22 +5,28 @@
 import ferngrade.dispatch.JobClass;
 
 /**
- * One class of jobs: what the decisions are told of it, and how much work its jobs bring.
- * Milliseconds.
+ * Specifies a class of jobs: the settings that dispatchers receive, and the work of its jobs. Times
+ * are in ms.
  */
 public final class ClassSpec {
   public String name = "job";
 
-  /** Its part of the arrivals, in proportion to the other classes'. */
+  /** The weight by which arrivals are distributed among the classes. */
   public double share = 1;
 
-  /** The mean of its work on a standard core, lognormal with this coefficient of variation. */
+  /**
+   * The mean work of a job on a standard core. The work is lognormal with the coefficient of
+   * variation {@link #workSpread}.
+   */
   @Quantity(Quantity.Measure.TIME)
   public double work = 900;
 
   public double workSpread = 0.4;
 
-  /** How far the hint and each attempt stray from that, as coefficients of variation. */
+  /**
+   * The coefficient of variation of the client's estimate relative to the work; {@link
+   * #attemptNoise} is that of the work of a single attempt.
+   */
   public double hintNoise = 0.3;
 
   public double attemptNoise = 0.3;
@@ -45,7 +51,7 @@
   @Quantity(Quantity.Measure.POSITIVE)
   public int slots = 1;
 
-  /** What the decisions are told. */
+  /** Returns the settings of this class that dispatchers receive. */
   public JobClass jobClass() {
     return new JobClass(
         name, effect, scope, window, aim, stretch, deadline, worth, lateWorth, -1, priority);
--- a/emulator/src/main/java/ferngrade/emulator/Clients.java
+++ b/emulator/src/main/java/ferngrade/emulator/Clients.java
@@ -10,196 +10,199 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 
 /**
- * All clients: an open loop of arrivals that waits for nothing, and what each client does with its
- * answer. A latency counts from the time at which a try was due, so that a service that stalls
- * cannot hide what piled up meanwhile.
+ * Simulates all clients: an open-loop arrival process that never waits for answers, and the
+ * reaction of each client to its answer. Latency is measured from the time at which a request was
+ * due, so that a stalled service cannot hide the requests that queued up meanwhile.
  */
 public final class Clients {
-  /** How long past its deadline an answer still counts, ms. */
-  public static final double ANSWER_SLACK = 66;
+  /** The time after its deadline during which an answer still counts, in ms. */
+  public static final double ANSWER_SLACK_MILLIS = 66;
 
-  /** The longest step over which a rate that moves is taken as constant, ms. */
-  private static final double STEP = 20;
+  /** The longest step over which a varying rate is treated as constant, in ms. */
+  private static final double MAX_RATE_STEP_MILLIS = 20;
 
   private final Scenario scenario;
   private final WorkloadSpec spec;
   private final Scheduler time;
   private final Observer observer;
-  private final Carrier carrier;
+  private final Transport transport;
   private final UniformRandomProvider arrivals;
   private final UniformRandomProvider jobs;
-  private final UniformRandomProvider habits;
+  private final UniformRandomProvider behavior;
   private final DiscreteSampler objects;
-  private final double start;
+  private final double startedAt;
   private final double rate;
   private final double[] classShares;
-  private final List<Draw.Spread> works;
-  private final List<Draw.Spread> hints;
+  private final List<Draw.Spread> workSpreads;
+  private final List<Draw.Spread> hintSpreads;
   private final double[] usages;
-  private final double[] boosts;
-  private final double[] zones;
-  private final double[] surges;
+  private final double[] tenantFactors;
+  private final double[] zoneShares;
+  private final double[] zoneFactors;
   private final double[] allowances;
-  private final double[] spent;
-  private int waiting;
+  private final double[] spentAllowances;
+  private int openRequests;
   private final long idBase;
-  private double boost = 1;
-  private double second = Double.NEGATIVE_INFINITY;
-  private boolean high;
-  private double switchAt;
-  private int traced;
-  private long numbers;
+  private double rateFactor = 1;
+  private double allowancePeriodStart = Double.NEGATIVE_INFINITY;
+  private boolean inBurst;
+  private double nextSwitchAt;
+  private int nextTraceIndex;
+  private long requestCount;
 
-  /** Takes requests to the nodes, and the word that a client has left. */
-  public interface Carrier {
-    /** Sends a try on its way; its answer comes by {@link Clients#answer}. */
+  /** Carries requests from clients to nodes. */
+  public interface Transport {
+    /** Sends a request; its answer is delivered to {@link Clients#answer}. */
     void submit(Request request);
 
-    /** The client closes its connection. */
-    void leave(Request request);
+    /** Closes the client's connection. */
+    void disconnect(Request request);
   }
 
-  /** All clients of a scenario, whose tries {@code carrier} takes to the nodes. */
+  /** Creates the clients of a scenario, whose requests are sent through {@code transport}. */
   public Clients(
-      Scenario scenario, Scheduler time, Streams streams, Observer observer, Carrier carrier) {
+      Scenario scenario, Scheduler time, Streams streams, Observer observer, Transport transport) {
     this.scenario = scenario;
     this.spec = scenario.workload;
     this.time = time;
     this.observer = observer;
-    this.carrier = carrier;
+    this.transport = transport;
     this.arrivals = streams.stream("arrivals");
     this.jobs = streams.stream("jobs");
-    this.habits = streams.stream("habits");
+    this.behavior = streams.stream("habits");
     this.objects =
         spec.objects == 0
             ? null
             : RejectionInversionZipfSampler.of(
                 streams.stream("objects"), spec.objects, spec.objectSkew);
-    this.start = time.now();
+    this.startedAt = time.now();
     this.rate = scenario.rate();
-    this.classShares = spec.classes.stream().mapToDouble(each -> each.share).toArray();
-    this.works = spec.classes.stream().map(each -> Draw.Spread.of(each.workSpread)).toList();
-    this.hints = spec.classes.stream().map(each -> Draw.Spread.of(each.hintNoise)).toList();
-    this.usages = spec.tenants.stream().mapToDouble(each -> each.usage).toArray();
-    this.boosts = new double[usages.length];
-    Arrays.fill(boosts, 1);
-    this.zones = new double[scenario.zones.size()];
-    Arrays.fill(zones, 1);
-    this.surges = zones.clone();
+    this.classShares = spec.classes.stream().mapToDouble(jobClass -> jobClass.share).toArray();
+    this.workSpreads =
+        spec.classes.stream().map(jobClass -> Draw.Spread.of(jobClass.workSpread)).toList();
+    this.hintSpreads =
+        spec.classes.stream().map(jobClass -> Draw.Spread.of(jobClass.hintNoise)).toList();
+    this.usages = spec.tenants.stream().mapToDouble(tenant -> tenant.usage).toArray();
+    this.tenantFactors = new double[usages.length];
+    Arrays.fill(tenantFactors, 1);
+    this.zoneShares = new double[scenario.zones.size()];
+    Arrays.fill(zoneShares, 1);
+    this.zoneFactors = zoneShares.clone();
     this.allowances = scenario.allowances();
-    this.spent = new double[usages.length];
+    this.spentAllowances = new double[usages.length];
     this.idBase = streams.seed("ids") & 0xffffff;
   }
 
-  /** Lets the arrivals begin. */
+  /** Starts the arrivals. */
   public void begin() {
     if (spec.trace.isEmpty()) {
-      draw();
+      scheduleNextArrival();
     } else {
-      follow();
+      followTrace();
     }
   }
 
-  /** All arrivals times so much. */
+  /** Multiplies the rate of all arrivals by {@code times}. */
   void boost(double times) {
-    boost *= times;
+    rateFactor *= times;
   }
 
-  /** One tenant's arrivals times so much. */
+  /** Multiplies the arrival rate of one tenant by {@code times}. */
   void boost(int tenant, double times) {
-    boosts[tenant] *= times;
+    tenantFactors[tenant] *= times;
   }
 
-  /** One zone's arrivals times so much. */
+  /** Multiplies the arrival rate of one zone by {@code times}. */
   void surge(int zone, double times) {
-    surges[zone] *= times;
+    zoneFactors[zone] *= times;
   }
 
-  /** Tries whose client still waits. */
+  /** Returns the number of requests whose client is waiting for an answer. */
   public int open() {
-    return waiting;
+    return openRequests;
   }
 
   // ---- Arrivals ----
 
-  private void draw() {
-    double passed = time.now() - start;
-    if (passed >= scenario.duration) {
+  private void scheduleNextArrival() {
+    double elapsed = time.now() - startedAt;
+    if (elapsed >= scenario.duration) {
       return;
     }
-    double next = Draw.exponential(arrivals, 1000 / Math.max(1e-9, present(passed)));
-    if (next > STEP) {
-      // Arrivals have no memory: where the rate may have moved meanwhile the wait is drawn anew.
-      time.after(STEP, this::draw);
+    double next = Draw.exponential(arrivals, 1000 / Math.max(1e-9, currentRate(elapsed)));
+    if (next > MAX_RATE_STEP_MILLIS) {
+      // The arrival process is memoryless: after a step in which the rate may have changed, the
+      // waiting time can be drawn again.
+      time.after(MAX_RATE_STEP_MILLIS, this::scheduleNextArrival);
     } else {
       time.after(
           next,
           () -> {
             arrive();
-            draw();
+            scheduleNextArrival();
           });
     }
   }
 
-  private double present(double passed) {
-    double tenants = 0;
+  private double currentRate(double elapsed) {
+    double boostedUsage = 0;
     double usage = 0;
     for (int i = 0; i < usages.length; i++) {
-      tenants += usages[i] * boosts[i];
+      boostedUsage += usages[i] * tenantFactors[i];
       usage += usages[i];
     }
     double shape =
         switch (spec.shape) {
           case STEADY -> 1;
-          case WAVE -> 1 + spec.swing * Math.sin(2 * Math.PI * passed / spec.period);
-          case BURSTY -> bursty(passed);
+          case WAVE -> 1 + spec.swing * Math.sin(2 * Math.PI * elapsed / spec.period);
+          case BURSTY -> burstFactor(elapsed);
         };
     return rate
-        * boost
+        * rateFactor
         * shape
-        * (usage == 0 ? 1 : tenants / usage)
-        * Arrays.stream(surges).average().orElse(1);
+        * (usage == 0 ? 1 : boostedUsage / usage)
+        * Arrays.stream(zoneFactors).average().orElse(1);
   }
 
-  private double bursty(double passed) {
-    while (passed >= switchAt) {
-      high = !high;
-      switchAt += Draw.exponential(arrivals, spec.period / 2);
+  private double burstFactor(double elapsed) {
+    while (elapsed >= nextSwitchAt) {
+      inBurst = !inBurst;
+      nextSwitchAt += Draw.exponential(arrivals, spec.period / 2);
     }
-    return high ? 1 + spec.swing : 1 - spec.swing;
+    return inBurst ? 1 + spec.swing : 1 - spec.swing;
   }
 
   private void arrive() {
     int jobClass = pick(classShares, null);
-    ClassSpec each = spec.classes.get(jobClass);
+    ClassSpec classSpec = spec.classes.get(jobClass);
     create(
         jobClass,
-        usages.length == 0 ? 0 : pick(usages, boosts),
-        each.work * works.get(jobClass).draw(jobs));
+        usages.length == 0 ? 0 : pick(usages, tenantFactors),
+        classSpec.work * workSpreads.get(jobClass).draw(jobs));
   }
 
-  private void follow() {
-    if (traced < spec.trace.size()) {
-      WorkloadSpec.Arrival next = spec.trace.get(traced++);
+  private void followTrace() {
+    if (nextTraceIndex < spec.trace.size()) {
+      WorkloadSpec.Arrival next = spec.trace.get(nextTraceIndex++);
       time.after(
-          start + next.at() - time.now(),
+          startedAt + next.at() - time.now(),
           () -> {
             create(next.jobClass(), next.tenant(), next.work());
-            follow();
+            followTrace();
           });
     }
   }
 
-  private int pick(double[] shares, double[] times) {
+  private int pick(double[] shares, double[] factors) {
     double sum = 0;
     for (int i = 0; i < shares.length; i++) {
-      sum += shares[i] * (times == null ? 1 : times[i]);
+      sum += shares[i] * (factors == null ? 1 : factors[i]);
     }
-    double at = jobs.nextDouble() * sum;
+    double remaining = jobs.nextDouble() * sum;
     int picked = 0;
     while (picked < shares.length - 1) {
-      at -= shares[picked] * (times == null ? 1 : times[picked]);
-      if (at < 0) {
+      remaining -= shares[picked] * (factors == null ? 1 : factors[picked]);
+      if (remaining < 0) {
         break;
       }
       picked++;
@@ -208,27 +211,30 @@
   }
 
   private void create(int jobClass, int tenant, double work) {
-    ClassSpec each = spec.classes.get(jobClass);
+    ClassSpec classSpec = spec.classes.get(jobClass);
     double now = time.now();
-    if (now - second >= 1000) {
-      second = now;
-      Arrays.fill(spent, 0);
+    if (now - allowancePeriodStart >= 1000) {
+      allowancePeriodStart = now;
+      Arrays.fill(spentAllowances, 0);
     }
-    boolean within = allowances.length == 0 || ++spent[tenant] <= Math.max(1, allowances[tenant]);
-    double worth = each.worth * work * (within ? 1 : spec.overShareWorth);
+    boolean withinAllowance =
+        allowances.length == 0 || ++spentAllowances[tenant] <= Math.max(1, allowances[tenant]);
+    double worth = classSpec.worth * work * (withinAllowance ? 1 : spec.overShareWorth);
     String key =
-        each.effect == Idempotency.KEYED ? "k" + Long.toHexString(idBase << 32 | numbers) : null;
+        classSpec.effect == Idempotency.KEYED
+            ? "k" + Long.toHexString(idBase << 32 | requestCount)
+            : null;
     Request request =
         new Request(
             id(),
             jobClass,
             tenant,
-            pick(zones, surges),
+            pick(zoneShares, zoneFactors),
             work,
-            work * hints.get(jobClass).draw(jobs),
+            work * hintSpreads.get(jobClass).draw(jobs),
             key,
             now,
-            now + each.deadline,
+            now + classSpec.deadline,
             worth,
             objects == null ? 0 : objects.sample(),
             null);
@@ -236,28 +242,28 @@
   }
 
   private String id() {
-    return "r" + Long.toHexString(idBase << 32 | numbers++);
+    return "r" + Long.toHexString(idBase << 32 | requestCount++);
   }
 
   private void submit(Request request) {
     double now = time.now();
     observer.due(now, request);
-    boolean leaves = habits.nextDouble() < spec.impatient;
+    boolean leavesEarly = behavior.nextDouble() < spec.impatient;
     double wait =
-        leaves
-            ? habits.nextDouble() * (request.deadline - now)
-            : request.deadline + ANSWER_SLACK - now;
-    request.patience = time.after(wait, () -> leave(request, leaves));
-    waiting++;
-    carrier.submit(request);
+        leavesEarly
+            ? behavior.nextDouble() * (request.deadline - now)
+            : request.deadline + ANSWER_SLACK_MILLIS - now;
+    request.giveUpTimer = time.after(wait, () -> leave(request, leavesEarly));
+    openRequests++;
+    transport.submit(request);
   }
 
   private void leave(Request request, boolean early) {
-    waiting--;
+    openRequests--;
     request.over = true;
     observer.ended(time.now(), request, Answer.LEFT);
-    carrier.leave(request);
-    if (early && repeatable(request)) {
+    transport.disconnect(request);
+    if (early && mayRetry(request)) {
       retry(request, 0);
     }
   }
@@ -265,8 +271,8 @@
   // ---- Answers ----
 
   /**
-   * An answer has reached its client; {@code retryAfter} ms is the wait that it asks for, 0 for
-   * none.
+   * Delivers an answer to its client. {@code retryAfter} is the wait before a retry that the answer
+   * asks for, in ms, or 0 if it asks for none.
    */
   public void answer(Request request, Answer answer, double retryAfter) {
     double now = time.now();
@@ -274,23 +280,24 @@
       observer.stray(now, request, answer);
       return;
     }
-    waiting--;
-    request.patience.cancel();
+    openRequests--;
+    request.giveUpTimer.cancel();
     request.over = true;
     observer.ended(now, request, answer);
-    boolean harmless = answer == Answer.REFUSED || answer == Answer.UNREACHED;
-    boolean bad = answer == Answer.FAILED || answer == Answer.BROKEN;
-    if (harmless || (bad && repeatable(request))) {
+    boolean retryable = answer == Answer.REFUSED || answer == Answer.UNREACHED;
+    boolean failed = answer == Answer.FAILED || answer == Answer.BROKEN;
+    if (retryable || (failed && mayRetry(request))) {
       retry(request, retryAfter);
     }
   }
 
-  /** True if a client may ask again although the first may have run. */
-  private boolean repeatable(Request request) {
-    ClassSpec each = spec.classes.get(request.jobClass);
-    boolean keyed = each.effect == Idempotency.KEYED && each.scope == IdempotencyScope.ALL;
-    return each.effect == Idempotency.SAFE
-        || (keyed && time.now() < request.first.due + each.window);
+  /** Returns true if the client may retry the request even though its job may have run. */
+  private boolean mayRetry(Request request) {
+    ClassSpec classSpec = spec.classes.get(request.jobClass);
+    boolean keyed =
+        classSpec.effect == Idempotency.KEYED && classSpec.scope == IdempotencyScope.ALL;
+    return classSpec.effect == Idempotency.SAFE
+        || (keyed && time.now() < request.first.due + classSpec.window);
   }
 
   private void retry(Request last, double retryAfter) {
@@ -300,8 +307,8 @@
     double backoff =
         spec.backoff
             * (spec.exponential ? Math.scalb(1, last.tries) : 1)
-            * (0.5 + habits.nextDouble());
-    double wait = retryAfter > 0 && habits.nextDouble() < spec.honour ? retryAfter : backoff;
+            * (0.5 + behavior.nextDouble());
+    double wait = retryAfter > 0 && behavior.nextDouble() < spec.honour ? retryAfter : backoff;
     if (time.now() + wait >= last.first.deadline) {
       return;
     }
--- a/emulator/src/main/java/ferngrade/emulator/DiscoverySpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/DiscoverySpec.java
@@ -1,38 +1,41 @@
 package ferngrade.emulator;
 
-/** How the worker list reaches the nodes. Milliseconds; ranges are drawn evenly for each change. */
+/**
+ * Specifies how the worker list reaches the nodes. Times are in ms; the delay of each change is
+ * drawn uniformly from its range.
+ */
 public final class DiscoverySpec {
-  /** How late a change is noticed. */
+  /** The shortest delay until a change is detected; {@link #noticeMost} is the longest. */
   @Quantity(Quantity.Measure.TIME)
   public double noticeLeast = 600;
 
   @Quantity(Quantity.Measure.TIME)
   public double noticeMost = 4900;
 
-  /** How late a new worker is listed. */
+  /** The shortest delay until a new worker is listed; {@link #addMost} is the longest. */
   @Quantity(Quantity.Measure.TIME)
   public double addLeast = 240;
 
   @Quantity(Quantity.Measure.TIME)
   public double addMost = 2500;
 
-  /** How far apart the nodes hear of the same change. */
+  /** The time within which all nodes receive the same change. */
   @Quantity(Quantity.Measure.TIME)
   public double spread = 100;
 
-  /** The share of changes that are told twice. */
+  /** The share of changes that are sent twice. */
   @Quantity(Quantity.Measure.SHARE)
   public double repeats;
 
-  /** The share of changes after which an older list is told again. */
+  /** The share of changes after which an outdated list is sent. */
   @Quantity(Quantity.Measure.SHARE)
   public double stale;
 
-  /** Time between renewals of the weights; none if 0. */
+  /** The time between updates of the worker weights; 0 disables the updates. */
   @Quantity(Quantity.Measure.TIME)
   public double weightPeriod;
 
-  /** How old a weight is when it is told. */
+  /** The age of a weight when it is sent. */
   @Quantity(Quantity.Measure.TIME)
   public double weightLate;
 }
--- a/emulator/src/main/java/ferngrade/emulator/Draw.java
+++ b/emulator/src/main/java/ferngrade/emulator/Draw.java
@@ -3,32 +3,34 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Draws from the distributions that the model uses. */
+/** Draws random numbers from the distributions that the emulator uses. */
 final class Draw {
   private Draw() {}
 
-  /** A time with this mean and no memory. */
-  static double exponential(UniformRandomProvider chance, double mean) {
-    return mean * ZigguratSampler.Exponential.of(chance).sample();
+  /** Draws from the exponential distribution with this mean. */
+  static double exponential(UniformRandomProvider random, double mean) {
+    return mean * ZigguratSampler.Exponential.of(random).sample();
   }
 
-  /** A number between the two. */
-  static double between(UniformRandomProvider chance, double least, double most) {
-    return least + chance.nextDouble() * (most - least);
+  /** Draws uniformly from the range from {@code min} to {@code max}. */
+  static double between(UniformRandomProvider random, double min, double max) {
+    return min + random.nextDouble() * (max - min);
   }
 
-  /** Factors with the mean 1, lognormal: {@code sigma} is the deviation of their logarithm. */
+  /**
+   * Lognormal factors with the mean 1; {@code sigma} is the standard deviation of their logarithm.
+   */
   record Spread(double sigma) {
-    /** Factors with this coefficient of variation. */
+    /** Creates factors with this coefficient of variation. */
     static Spread of(double variation) {
       return new Spread(Math.sqrt(Math.log1p(variation * variation)));
     }
 
-    double draw(UniformRandomProvider chance) {
+    double draw(UniformRandomProvider random) {
       return sigma == 0
           ? 1
           : Math.exp(
-              sigma * ZigguratSampler.NormalizedGaussian.of(chance).sample() - sigma * sigma / 2);
+              sigma * ZigguratSampler.NormalizedGaussian.of(random).sample() - sigma * sigma / 2);
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedDiscovery.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedDiscovery.java
@@ -12,83 +12,84 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Discovery: it notices changes of the fleet late, and tells all nodes in one order. It can fall
- * silent, repeat itself, tell an older list again, and call a worker active that is not.
+ * Emulates the discovery service. It detects changes of the fleet with a delay and publishes them
+ * to all nodes in the same order. It can be made to stop publishing, repeat updates, publish
+ * outdated lists, and list a draining worker as active.
  */
 public final class EmulatedDiscovery {
-  private static final double REPEAT_AFTER = 500;
+  private static final double REPEAT_DELAY_MILLIS = 500;
 
   private final DiscoverySpec spec;
   private final Scheduler time;
-  private final UniformRandomProvider chance;
-  private final Teller teller;
+  private final UniformRandomProvider random;
+  private final Publisher publisher;
   private final Map<Long, Endpoint> listed = new LinkedHashMap<>();
   private final Deque<Runnable> heldBack = new ArrayDeque<>();
-  private double lastNotice = Double.NEGATIVE_INFINITY;
-  private int silent;
-  private double lies;
+  private double lastDetection = Double.NEGATIVE_INFINITY;
+  private int openOutages;
+  private double unreportedDrainShare;
   private long revision = 1;
 
-  /** Brings news to all nodes, each within {@code spread} ms. */
+  /** Delivers list updates to all nodes. */
   @FunctionalInterface
-  public interface Teller {
-    /** Tells all nodes. */
-    void tell(EndpointListUpdate news, List<Endpoint> entries, long revision, double spread);
+  public interface Publisher {
+    /** Delivers an update to all nodes within {@code spread} ms. */
+    void publish(EndpointListUpdate update, List<Endpoint> entries, long revision, double spread);
   }
 
-  /** Discovery of this fleet, which {@code teller} brings to the nodes. */
+  /** Creates the discovery service of {@code fleet}, which publishes through {@code publisher}. */
   public EmulatedDiscovery(
       DiscoverySpec spec,
       Scheduler time,
-      UniformRandomProvider chance,
+      UniformRandomProvider random,
       Fleet fleet,
-      Teller teller) {
+      Publisher publisher) {
     this.spec = spec;
     this.time = time;
-    this.chance = chance;
-    this.teller = teller;
+    this.random = random;
+    this.publisher = publisher;
     fleet.all().forEach(worker -> listed.put(worker.id, worker.entry()));
     if (spec.weightPeriod > 0) {
       time.after(spec.weightPeriod, () -> renewWeights(fleet));
     }
   }
 
-  /** The list as discovery has it at present. */
+  /** Returns the current worker list. */
   public List<Endpoint> list() {
     return List.copyOf(listed.values());
   }
 
-  /** The list's version. */
+  /** Returns the revision of the current worker list. */
   public long revision() {
     return revision;
   }
 
-  /** True while it tells nothing. */
-  public boolean silent() {
-    return silent > 0;
+  /** Returns true during an outage, in which nothing is published. */
+  public boolean inOutage() {
+    return openOutages > 0;
   }
 
-  /** The worker has changed, and discovery will notice. */
+  /** Schedules the detection of a change of the worker. */
   void changed(EmulatedWorker worker, boolean added) {
-    if (worker.phase == WorkerState.DRAINING && chance.nextDouble() < lies) {
+    if (worker.phase == WorkerState.DRAINING && random.nextDouble() < unreportedDrainShare) {
       return;
     }
-    double late =
+    double delay =
         added
-            ? Draw.between(chance, spec.addLeast, spec.addMost)
-            : Draw.between(chance, spec.noticeLeast, spec.noticeMost);
+            ? Draw.between(random, spec.addLeast, spec.addMost)
+            : Draw.between(random, spec.noticeLeast, spec.noticeMost);
     Endpoint entry = worker.entry();
-    // One feed in one order: what is noticed later is not told earlier.
-    lastNotice = Math.max(lastNotice, time.now() + late);
-    time.after(lastNotice - time.now(), () -> notice(entry));
+    // All nodes receive one ordered feed: a change is never published before an earlier one.
+    lastDetection = Math.max(lastDetection, time.now() + delay);
+    time.after(lastDetection - time.now(), () -> publishChange(entry));
   }
 
-  private void notice(Endpoint entry) {
-    if (silent > 0) {
-      heldBack.add(() -> notice(entry));
+  private void publishChange(Endpoint entry) {
+    if (openOutages > 0) {
+      heldBack.add(() -> publishChange(entry));
       return;
     }
-    List<Endpoint> before = list();
+    List<Endpoint> previous = list();
     if (entry.worker().state() == WorkerState.GONE) {
       listed.remove(entry.worker().id());
     } else {
@@ -96,26 +97,27 @@
     }
     revision++;
     List<Endpoint> change = List.of(entry);
-    teller.tell(EndpointListUpdate.CHANGES, change, revision, spec.spread);
-    if (chance.nextDouble() < spec.repeats) {
+    publisher.publish(EndpointListUpdate.CHANGES, change, revision, spec.spread);
+    if (random.nextDouble() < spec.repeats) {
       time.after(
-          REPEAT_AFTER,
-          () -> teller.tell(EndpointListUpdate.CHANGES, change, revision, spec.spread));
+          REPEAT_DELAY_MILLIS,
+          () -> publisher.publish(EndpointListUpdate.CHANGES, change, revision, spec.spread));
     }
-    if (chance.nextDouble() < spec.stale) {
+    if (random.nextDouble() < spec.stale) {
       time.after(
-          REPEAT_AFTER,
+          REPEAT_DELAY_MILLIS,
           () -> {
-            teller.tell(EndpointListUpdate.WHOLE, before, revision - 1, spec.spread);
+            publisher.publish(EndpointListUpdate.WHOLE, previous, revision - 1, spec.spread);
             time.after(
-                REPEAT_AFTER + spec.spread,
-                () -> teller.tell(EndpointListUpdate.WHOLE, list(), revision, spec.spread));
+                REPEAT_DELAY_MILLIS + spec.spread,
+                () -> publisher.publish(EndpointListUpdate.WHOLE, list(), revision, spec.spread));
           });
     }
   }
 
   /**
-   * A live weight falls with the jobs that a worker holds; it is renewed now and then, and late.
+   * Publishes the weights of all workers, {@code weightLate} ms after they were read. A live weight
+   * decreases with the number of jobs at the worker.
    */
   private void renewWeights(Fleet fleet) {
     List<Endpoint> changes = new ArrayList<>();
@@ -133,29 +135,31 @@
     time.after(
         spec.weightLate,
         () -> {
-          // What has changed otherwise meanwhile was told already, and stands.
-          List<Endpoint> standing = changes.stream().filter(this::stillListed).toList();
-          if (silent == 0) {
-            teller.tell(EndpointListUpdate.CHANGES, standing, ++revision, spec.spread);
+          // Drops the entries that a more recent, already published change has replaced.
+          List<Endpoint> current = changes.stream().filter(this::stillListed).toList();
+          if (openOutages == 0) {
+            publisher.publish(EndpointListUpdate.CHANGES, current, ++revision, spec.spread);
           }
         });
     time.after(spec.weightPeriod, () -> renewWeights(fleet));
   }
 
-  /** Whether the list still holds this very entry, and not a later one of the same content. */
-  @SuppressWarnings("ReferenceEquality") // a later entry may be equal, and is announced on its own
+  /** Returns true if the list contains this instance, not a later entry with equal content. */
+  @SuppressWarnings("ReferenceEquality") // a later, equal entry is published separately
   private boolean stillListed(Endpoint entry) {
     return listed.get(entry.worker().id()) == entry;
   }
 
-  void silence(boolean begins) {
-    silent += begins ? 1 : -1;
-    while (silent == 0 && !heldBack.isEmpty()) {
+  /** Begins or ends an outage; updates that were held back are published when the last one ends. */
+  void setOutage(boolean begins) {
+    openOutages += begins ? 1 : -1;
+    while (openOutages == 0 && !heldBack.isEmpty()) {
       heldBack.poll().run();
     }
   }
 
-  void lie(double share) {
-    lies = share;
+  /** Sets the share of draining workers whose state change is never published. */
+  void setUnreportedDrainShare(double share) {
+    unreportedDrainShare = share;
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
@@ -8,36 +8,36 @@
 import java.net.UnknownHostException;
 
 /**
- * One worker of the emulated fleet: its place, its process, and what discovery truly should say of
- * it.
+ * A worker of the emulated fleet: its location, its process, and the entry that a correct worker
+ * list contains for it.
  */
 public final class EmulatedWorker {
   public final int number;
   public final String name;
 
-  /** The id that nodes know it by; it tells nothing of the number. */
+  /** The id that nodes use; it is independent of the number. */
   public final long id;
 
   public final int zone;
   public final int kind;
   public final int cell;
   public final WorkerModel model;
-  final int mostConnections;
+  final int maxConnections;
   private final double handshakeWork;
   private final double cores;
   private final double size;
 
-  /** Where it is reached: a made-up address in virtual time, where it listens on sockets. */
+  /** The listening address on sockets, or a synthetic address in virtual time. */
   public final InetSocketAddress address;
 
   WorkerState phase = WorkerState.READY;
 
-  /** Its machine says nothing any more. */
+  /** True once the machine is unreachable. */
   boolean vanished;
 
   int connections;
 
-  /** Work on its way to it, which only the policy that sees everything may count. */
+  /** The work in flight to the worker, in ms; only the all-seeing policy may use it. */
   double inFlight;
 
   EmulatedWorker(
@@ -57,14 +57,14 @@
     this.cell = cell;
     this.model = model;
     this.address = address;
-    this.mostConnections = (int) Math.max(1, spec.connectionsPerCore * spec.cores);
+    this.maxConnections = (int) Math.max(1, spec.connectionsPerCore * spec.cores);
     this.handshakeWork = spec.handshakeWork;
     this.cores = spec.cores;
     this.size = spec.cores * spec.speed;
   }
 
-  /** An address that no socket uses: it only tells workers apart. */
-  static InetSocketAddress madeUp(int number) {
+  /** Returns a synthetic address that identifies a worker and is never connected to. */
+  static InetSocketAddress syntheticAddress(int number) {
     byte[] bytes = {10, (byte) (number >> 16), (byte) (number >> 8), (byte) number};
     try {
       return new InetSocketAddress(InetAddress.getByAddress(bytes), 1 + (number >> 24));
@@ -73,24 +73,24 @@
     }
   }
 
-  /** The work that a new connection costs it. */
+  /** Returns the work that a new connection costs the worker, in ms on a standard core. */
   public double handshakeWork() {
     return handshakeWork;
   }
 
-  /** True once its machine says nothing any more. */
+  /** Returns true once the machine is unreachable. */
   public boolean vanished() {
     return vanished;
   }
 
   /**
-   * The truth, as an entry of the worker list: its weight is its size, lowered by the jobs held for
-   * each core.
+   * Returns the worker's current entry for the worker list. The weight is the worker's size,
+   * divided by one plus the number of jobs held per core.
    */
   Endpoint entry() {
-    int held = model.up() ? model.running() + model.waiting() : 0;
+    int jobsHeld = model.up() ? model.running() + model.waiting() : 0;
     Worker worker =
-        new Worker(id, phase, zone, kind, cell, model.startedAt(), size / (1 + held / cores));
+        new Worker(id, phase, zone, kind, cell, model.startedAt(), size / (1 + jobsHeld / cores));
     return new Endpoint(name, address, worker);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/Fault.java
+++ b/emulator/src/main/java/ferngrade/emulator/Fault.java
@@ -1,54 +1,54 @@
 package ferngrade.emulator;
 
 /**
- * One fault of a plan: from {@code at} for {@code length} ms after the run's start. {@code size}
- * and {@code part} mean what the kind says; {@code target} names a tenant, zone, worker or node by
- * its number, -1 for one drawn by chance.
+ * A scheduled fault. It begins {@code at} ms after the start of the run and lasts {@code length}
+ * ms. The meaning of {@code size} and {@code part} depends on the kind. {@code target} is the
+ * number of a tenant, zone, worker or node, or -1 for a random one.
  */
 public record Fault(Kind kind, double at, double length, double size, double part, int target) {
-  /** What can go wrong. */
+  /** The kind of a fault. */
   public enum Kind {
-    /** All arrivals times {@code size}. */
+    /** Multiplies the rate of all arrivals by {@code size}. */
     BURST,
-    /** The arrivals of one tenant times {@code size}. */
+    /** Multiplies the arrival rate of one tenant by {@code size}. */
     TENANT_FLOOD,
-    /** The arrivals of one zone times {@code size}. */
+    /** Multiplies the arrival rate of one zone by {@code size}. */
     ZONE_SURGE,
     /**
-     * A rolling deploy of the share {@code part} of the fleet, {@code size} of the fleet at a time.
+     * Replaces the share {@code part} of the fleet in a rolling deploy, in batches of the share
+     * {@code size}.
      */
     DEPLOY,
-    /** The fleet and the arrivals shrink by {@code size}, and stay so. */
+    /** Divides the fleet and the arrival rate by {@code size}, permanently. */
     SHRINK,
     /**
-     * A zone is cut off from the others: both ways, or with a {@code part} above 0 towards it only.
+     * Partitions a zone from the others, in both directions, or only towards the zone if {@code
+     * part} is above 0.
      */
     ZONE_CUT,
-    /** A worker runs {@code size} times slower and says nothing of it. */
+    /** Makes a worker {@code size} times slower, which it does not report. */
     SLOW_WORKER,
-    /** A worker takes what it is sent and never answers. */
+    /** Makes a worker accept requests without ever answering them. */
     HUNG_WORKER,
-    /** A worker's machine vanishes without a word; its connections stay open and silent. */
+    /** Makes a worker's machine unreachable; its connections stay open, but carry no data. */
     WORKER_LOST,
-    /** A worker's process dies, and restarts cold after {@code length}. */
+    /** Crashes a worker's process, which restarts cold after {@code length}. */
     WORKER_CRASH,
-    /** All processes of a zone's workers die at once, and restart cold after {@code length}. */
+    /** Crashes all workers of a zone at once; they restart cold after {@code length}. */
     ZONE_LOST,
-    /** A node is killed, and starts again after {@code length}. */
+    /** Kills a node, which restarts after {@code length}. */
     NODE_KILL,
-    /**
-     * The share {@code part} of the nodes is killed at once, and starts again after {@code length}.
-     */
+    /** Kills the share {@code part} of the nodes at once; they restart after {@code length}. */
     HERD_KILL,
-    /** A node's process stands still while its clock goes on. */
+    /** Pauses a node's process while its clock continues. */
     NODE_PAUSE,
-    /** Discovery tells nothing; what it held back comes at the end. */
+    /** Stops discovery from publishing; the delayed changes are published when the fault ends. */
     DISCOVERY_OUT,
-    /** Discovery calls the share {@code part} of the leaving workers active. */
+    /** Makes discovery list the share {@code part} of the draining workers as active. */
     DISCOVERY_LIES
   }
 
-  /** A fault with everything but its kind and times left to chance. */
+  /** Creates a fault; rejects negative times. */
   public Fault {
     if (!(at >= 0) || !(length >= 0)) {
       throw new IllegalArgumentException(kind + " has a time below 0");
--- a/emulator/src/main/java/ferngrade/emulator/FaultInjector.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultInjector.java
@@ -1,25 +1,25 @@
 package ferngrade.emulator;
 
-/** What a plan of faults can do to the nodes and the network; each skin does it in its own way. */
+/** Injects faults into nodes and the network; implemented by virtual-time and socket runs. */
 public interface FaultInjector {
   /** Kills a node's process. */
   void killNode(int node);
 
-  /** Starts a node that was killed. */
+  /** Restarts a node that was killed. */
   void startNode(int node);
 
-  /** A node's process stands still, or goes on. */
+  /** Pauses or resumes a node's process. */
   void pauseNode(int node, boolean begins);
 
-  /** Nothing gets from one zone to another any more, or it does again. */
+  /** Begins or ends a network cut in the direction from one zone to another. */
   void cut(int from, int to, boolean begins);
 
-  /** A worker's process has ended: its connections break, and new ones are refused. */
+  /** Closes a worker's connections after its process has ended; new connections are refused. */
   void workerDown(EmulatedWorker worker);
 
-  /** A worker's machine vanishes. */
+  /** Makes a worker's machine unreachable without closing its connections. */
   void workerVanished(EmulatedWorker worker);
 
-  /** A worker was added or its process started again. */
+  /** Makes a worker reachable after it was added or its process restarted. */
   void workerUp(EmulatedWorker worker);
 }
--- a/emulator/src/main/java/ferngrade/emulator/Plan.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
@@ -6,43 +6,43 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Carries out a plan of faults: each begins at its time, ends after its length, and what it set in
- * motion goes on.
+ * Executes the faults of a scenario. Each fault begins at its time and ends after its length; its
+ * consequences, for example a worker that drains, may outlast it.
  */
-public final class Plan {
-  /** How long a worker drains before its process ends, ms. */
-  private static final double DRAIN = 5000;
+public final class FaultPlan {
+  /** The minimum time for which a worker drains before its process ends, in ms. */
+  private static final double DRAIN_MILLIS = 5000;
 
   private final Scenario scenario;
   private final Scheduler time;
-  private final UniformRandomProvider chance;
+  private final UniformRandomProvider random;
   private final Observer observer;
   private final Fleet fleet;
-  private final EmulatedDiscovery roll;
+  private final EmulatedDiscovery discovery;
   private final Clients clients;
-  private final FaultInjector levers;
+  private final FaultInjector faultInjector;
 
-  /** The scenario's plan over these parties. */
-  public Plan(
+  /** Creates the fault plan of a scenario, which acts on the given components. */
+  public FaultPlan(
       Scenario scenario,
       Scheduler time,
-      UniformRandomProvider chance,
+      UniformRandomProvider random,
       Observer observer,
       Fleet fleet,
-      EmulatedDiscovery roll,
+      EmulatedDiscovery discovery,
       Clients clients,
-      FaultInjector levers) {
+      FaultInjector faultInjector) {
     this.scenario = scenario;
     this.time = time;
-    this.chance = chance;
+    this.random = random;
     this.observer = observer;
     this.fleet = fleet;
-    this.roll = roll;
+    this.discovery = discovery;
     this.clients = clients;
-    this.levers = levers;
+    this.faultInjector = faultInjector;
   }
 
-  /** Sets all faults up. */
+  /** Schedules all faults. */
   public void begin() {
     scenario.faults.forEach(
         fault ->
@@ -60,7 +60,7 @@
                 }));
   }
 
-  /** Starts a fault; returns what ends it. */
+  /** Starts a fault and returns the action that ends it. */
   private Runnable start(Fault fault) {
     return switch (fault.kind()) {
       case BURST -> {
@@ -94,65 +94,65 @@
         EmulatedWorker worker = worker(fault);
         worker.vanished = true;
         worker.model.kill(false);
-        levers.workerVanished(worker);
-        gone(worker);
+        faultInjector.workerVanished(worker);
+        removeFromList(worker);
         yield () -> {};
       }
       case WORKER_CRASH -> {
         EmulatedWorker worker = worker(fault);
         worker.model.kill(true);
-        levers.workerDown(worker);
+        faultInjector.workerDown(worker);
         yield () -> restart(worker);
       }
       case ZONE_LOST -> {
         int zone = target(fault, scenario.zones.size());
         List<EmulatedWorker> lost =
-            fleet.serving().stream().filter(each -> each.zone == zone).toList();
+            fleet.serving().stream().filter(worker -> worker.zone == zone).toList();
         lost.forEach(this::crash);
         yield () -> lost.forEach(this::restart);
       }
       case NODE_KILL -> {
         int node = target(fault, scenario.nodes);
-        levers.killNode(node);
-        yield () -> levers.startNode(node);
+        faultInjector.killNode(node);
+        yield () -> faultInjector.startNode(node);
       }
       case HERD_KILL -> {
-        List<Integer> killed = herd(fault);
-        killed.forEach(levers::killNode);
-        yield () -> killed.forEach(levers::startNode);
+        List<Integer> killed = drawNodes(fault);
+        killed.forEach(faultInjector::killNode);
+        yield () -> killed.forEach(faultInjector::startNode);
       }
       case NODE_PAUSE -> {
         int node = target(fault, scenario.nodes);
-        levers.pauseNode(node, true);
-        yield () -> levers.pauseNode(node, false);
+        faultInjector.pauseNode(node, true);
+        yield () -> faultInjector.pauseNode(node, false);
       }
       case DISCOVERY_OUT -> {
-        roll.silence(true);
-        yield () -> roll.silence(false);
+        discovery.setOutage(true);
+        yield () -> discovery.setOutage(false);
       }
       case DISCOVERY_LIES -> {
-        roll.lie(fault.part());
-        yield () -> roll.lie(0);
+        discovery.setUnreportedDrainShare(fault.part());
+        yield () -> discovery.setUnreportedDrainShare(0);
       }
     };
   }
 
   private int target(Fault fault, int count) {
-    int drawn = chance.nextInt(count);
+    int drawn = random.nextInt(count);
     return fault.target() >= 0 ? fault.target() % count : drawn;
   }
 
   private EmulatedWorker worker(Fault fault) {
     List<EmulatedWorker> serving = fleet.serving();
-    List<EmulatedWorker> from = serving.isEmpty() ? fleet.all() : serving;
-    return from.get(target(fault, from.size()));
+    List<EmulatedWorker> candidates = serving.isEmpty() ? fleet.all() : serving;
+    return candidates.get(target(fault, candidates.size()));
   }
 
-  /** The share {@code part} of the nodes, at least one, drawn by chance. */
-  private List<Integer> herd(Fault fault) {
+  /** Draws the share {@code part} of the nodes, at least one, at random. */
+  private List<Integer> drawNodes(Fault fault) {
     List<Integer> nodes = new ArrayList<>();
     for (int node = 0; node < scenario.nodes; node++) {
-      nodes.add(chance.nextInt(nodes.size() + 1), node);
+      nodes.add(random.nextInt(nodes.size() + 1), node);
     }
     return List.copyOf(
         nodes.subList(0, (int) Math.max(1, Math.round(scenario.nodes * fault.part()))));
@@ -168,21 +168,21 @@
   private void cut(int zone, boolean oneWay, boolean begins) {
     for (int other = 0; other < scenario.zones.size(); other++) {
       if (other != zone) {
-        levers.cut(other, zone, begins);
+        faultInjector.cut(other, zone, begins);
         if (!oneWay) {
-          levers.cut(zone, other, begins);
+          faultInjector.cut(zone, other, begins);
         }
       }
     }
   }
 
   private Runnable deploy(Fault fault) {
-    List<EmulatedWorker> old = new ArrayList<>(fleet.serving());
-    int replaced = (int) Math.round(old.size() * Math.min(1, fault.part()));
-    int batch = (int) Math.max(1, Math.round(old.size() * fault.size()));
+    List<EmulatedWorker> serving = new ArrayList<>(fleet.serving());
+    int replaced = (int) Math.round(serving.size() * Math.min(1, fault.part()));
+    int batch = (int) Math.max(1, Math.round(serving.size() * fault.size()));
     int batches = Math.max(1, (replaced + batch - 1) / batch);
     for (int i = 0; i < replaced; i++) {
-      EmulatedWorker worker = old.get(i);
+      EmulatedWorker worker = serving.get(i);
       int batchesBefore = i / batch;
       time.after(fault.length() * batchesBefore / batches, () -> retire(worker, true));
     }
@@ -190,61 +190,66 @@
   }
 
   private Runnable shrink(Fault fault) {
-    List<EmulatedWorker> old = new ArrayList<>(fleet.serving());
-    int kept = (int) Math.max(1, Math.round(old.size() / fault.size()));
+    List<EmulatedWorker> serving = new ArrayList<>(fleet.serving());
+    int remaining = (int) Math.max(1, Math.round(serving.size() / fault.size()));
     clients.boost(1 / fault.size());
-    for (int i = kept; i < old.size(); i++) {
-      EmulatedWorker worker = old.get(i);
-      time.after(fault.length() * (i - kept) / (old.size() - kept), () -> retire(worker, false));
+    for (int i = remaining; i < serving.size(); i++) {
+      EmulatedWorker worker = serving.get(i);
+      time.after(
+          fault.length() * (i - remaining) / (serving.size() - remaining),
+          () -> retire(worker, false));
     }
     return () -> {};
   }
 
-  /** Drains a worker and ends its process; a successor on a new machine starts cold. */
+  /**
+   * Drains a worker and then ends its process. With {@code replace}, a cold worker on a new machine
+   * replaces it.
+   */
   private void retire(EmulatedWorker worker, boolean replace) {
     if (worker.phase != WorkerState.READY || !worker.model.up()) {
       return;
     }
     worker.phase = WorkerState.DRAINING;
     worker.model.drain();
-    roll.changed(worker, false);
-    time.after(DRAIN, () -> end(worker, replace));
+    discovery.changed(worker, false);
+    time.after(DRAIN_MILLIS, () -> endProcess(worker, replace));
   }
 
-  private void end(EmulatedWorker worker, boolean replace) {
+  private void endProcess(EmulatedWorker worker, boolean replace) {
     if (!worker.model.up()) {
       return;
     }
     if (worker.model.running() + worker.model.waiting() > 0) {
-      time.after(DRAIN / 10, () -> end(worker, replace));
+      time.after(DRAIN_MILLIS / 10, () -> endProcess(worker, replace));
       return;
     }
     worker.model.kill(true);
-    levers.workerDown(worker);
-    gone(worker);
+    faultInjector.workerDown(worker);
+    removeFromList(worker);
     if (replace) {
-      EmulatedWorker fresh = fleet.add(worker.kind, worker.zone, time.now());
-      levers.workerUp(fresh);
-      roll.changed(fresh, true);
+      EmulatedWorker replacement = fleet.add(worker.kind, worker.zone, time.now());
+      faultInjector.workerUp(replacement);
+      discovery.changed(replacement, true);
     }
   }
 
-  private void gone(EmulatedWorker worker) {
+  private void removeFromList(EmulatedWorker worker) {
     worker.phase = WorkerState.GONE;
-    roll.changed(worker, false);
+    discovery.changed(worker, false);
   }
 
-  /** The process dies, and discovery notices that it is gone. */
+  /** Crashes a worker's process; discovery detects that the worker is gone. */
   private void crash(EmulatedWorker worker) {
     worker.model.kill(true);
-    levers.workerDown(worker);
-    gone(worker);
+    faultInjector.workerDown(worker);
+    removeFromList(worker);
   }
 
   private void restart(EmulatedWorker worker) {
     worker.phase = WorkerState.READY;
     worker.model.restart();
-    levers.workerUp(worker);
-    roll.changed(worker, true);
+    faultInjector.workerUp(worker);
+    discovery.changed(worker, true);
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/Fleet.java
+++ b/emulator/src/main/java/ferngrade/emulator/Fleet.java
@@ -11,21 +11,24 @@
 import java.util.function.IntFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** All workers that a run has had, and what they share: the windows of keys. */
+/** Holds all workers of a run, past and present, and their shared idempotency windows. */
 public final class Fleet {
   private final Scenario scenario;
   private final Scheduler time;
   private final Streams streams;
   private final Observer observer;
   private final IntFunction<InetSocketAddress> addresses;
-  private final UniformRandomProvider chance;
-  private final List<Draw.Spread> noise;
+  private final UniformRandomProvider random;
+  private final List<Draw.Spread> attemptNoise;
   private final KeyWindows windows;
   private final List<EmulatedWorker> all = new ArrayList<>();
   private final Map<InetSocketAddress, EmulatedWorker> byAddress = new HashMap<>();
   private final Map<Long, EmulatedWorker> byId = new HashMap<>();
 
-  /** The scenario's fleet; {@code addresses} says where the worker with a number is reached. */
+  /**
+   * Creates the fleet of a scenario. {@code addresses} returns the address of the worker with a
+   * given number.
+   */
   public Fleet(
       Scenario scenario,
       Scheduler time,
@@ -37,16 +40,18 @@
     this.streams = streams;
     this.observer = observer;
     this.addresses = addresses;
-    this.chance = streams.stream("attempts");
-    this.noise =
-        scenario.workload.classes.stream().map(each -> Draw.Spread.of(each.attemptNoise)).toList();
+    this.random = streams.stream("attempts");
+    this.attemptNoise =
+        scenario.workload.classes.stream()
+            .map(jobClass -> Draw.Spread.of(jobClass.attemptNoise))
+            .toList();
     this.windows = new KeyWindows(time);
     for (int i = 0; i < scenario.workers; i++) {
       add(scenario.kindOf(i), i % scenario.zones.size(), 0);
     }
   }
 
-  /** Adds a worker whose process started at {@code startedAt}, 0 for long ago. */
+  /** Adds a worker whose process started at {@code startedAt}, 0 if it started long ago. */
   EmulatedWorker add(int kind, int zone, double startedAt) {
     int number = all.size();
     KindSpec spec = scenario.kinds.get(kind);
@@ -59,7 +64,7 @@
             scenario.fallMultiple,
             scenario.tipMs,
             streams.stream("worker-" + number),
-            share -> observer.fell(time.now(), self[0], share));
+            share -> observer.coldWorkerCrashed(time.now(), self[0], share));
     long id = streams.seed("id-" + number) >>> 1;
     EmulatedWorker worker =
         new EmulatedWorker(
@@ -78,15 +83,18 @@
     return worker;
   }
 
-  /** Offers an attempt to a worker's process; false is 'full'. */
+  /**
+   * Offers an attempt to a worker's process. Returns false if the worker rejects it as full. {@code
+   * informed} is true if the sending node knew when the process started.
+   */
   public boolean offer(
-      EmulatedWorker worker, Request request, boolean informed, WorkerModel.Ear ear) {
+      EmulatedWorker worker, Request request, boolean informed, WorkerModel.JobListener listener) {
     ClassSpec spec = scenario.workload.classes.get(request.jobClass);
     if (worker.model.cold()) {
-      observer.reached(time.now(), worker, request, informed);
+      observer.reachedColdWorker(time.now(), worker, request, informed);
     }
-    double work = request.work * noise.get(request.jobClass).draw(chance);
-    WorkerModel.Work asked =
+    double work = request.work * attemptNoise.get(request.jobClass).draw(random);
+    WorkerModel.Work attempt =
         new WorkerModel.Work(
             request.id,
             work,
@@ -95,51 +103,53 @@
             request.object,
             scenario.workload.fetch * scenario.workload.meanWork());
     if (spec.effect != Idempotency.KEYED || request.key == null) {
-      return worker.model.offer(asked, informed, ear);
+      return worker.model.offer(attempt, informed, listener);
     }
-    String key = KeyWindows.name(spec.scope, worker.zone, worker.cell, request.key);
-    if (!windows.first(key, spec.window, end -> repeat(ear, end))) {
+    String key = KeyWindows.qualifiedKey(spec.scope, worker.zone, worker.cell, request.key);
+    if (!windows.registerFirst(key, spec.window, end -> reportEnd(listener, end))) {
       return true;
     }
-    boolean taken =
+    boolean accepted =
         worker.model.offer(
-            asked, informed, WorkerModel.ending(ear, end -> windows.ended(key, end)));
-    if (!taken) {
+            attempt, informed, WorkerModel.notifyingEnd(listener, end -> windows.ended(key, end)));
+    if (!accepted) {
       windows.ended(key, KeyWindows.End.RETURNED);
     }
-    return taken;
+    return accepted;
   }
 
-  private static void repeat(WorkerModel.Ear ear, KeyWindows.End end) {
+  private static void reportEnd(WorkerModel.JobListener listener, KeyWindows.End end) {
     switch (end) {
-      case DONE -> ear.done();
-      case FAILED -> ear.failed();
-      case RETURNED -> ear.returned();
-      default -> ear.lost();
+      case DONE -> listener.done();
+      case FAILED -> listener.failed();
+      case RETURNED -> listener.returned();
+      default -> listener.lost();
     }
   }
 
-  /** The worker at an address. */
-  public EmulatedWorker at(InetSocketAddress address) {
+  /** Returns the worker at an address. */
+  public EmulatedWorker byAddress(InetSocketAddress address) {
     return byAddress.get(address);
   }
 
-  /** The worker that nodes know under this id. */
+  /** Returns the worker with this id. */
   public EmulatedWorker byId(long id) {
     return byId.get(id);
   }
 
-  /** All workers that there have been, in the order of their numbers. */
+  /** Returns all workers of the run, including removed ones, ordered by number. */
   public List<EmulatedWorker> all() {
     return Collections.unmodifiableList(all);
   }
 
-  /** Those that are in service: listed as ready, and up. */
+  /** Returns the workers that are ready and whose process is up. */
   public List<EmulatedWorker> serving() {
-    return all.stream().filter(each -> each.phase == WorkerState.READY && each.model.up()).toList();
+    return all.stream()
+        .filter(worker -> worker.phase == WorkerState.READY && worker.model.up())
+        .toList();
   }
 
-  /** Repeats that workers have dropped. */
+  /** Returns the number of repeated jobs that workers have dropped. */
   public long repeatsDropped() {
     return windows.dropped();
   }
--- a/emulator/src/main/java/ferngrade/emulator/FleetState.java
+++ b/emulator/src/main/java/ferngrade/emulator/FleetState.java
@@ -1,16 +1,16 @@
 package ferngrade.emulator;
 
 /**
- * The true state of the fleet, which no real dispatcher sees: for the policy that others are
- * measured against.
+ * Exposes the true state of the fleet, which no real dispatcher can observe. It is used by the
+ * reference policy with which other policies are compared.
  */
 public interface FleetState {
   /**
-   * When a job of this work would be done if it were sent to this worker now, ms from now; infinite
-   * for never.
+   * Estimates how many ms a job with this work would take if it were sent to the worker now;
+   * infinite if the worker would not complete it.
    */
-  double finishIn(long worker, double work);
+  double estimateCompletionTime(long worker, double work);
 
-  /** The work that the job truly brings, ms on a standard core. */
+  /** Returns the actual work of the job, in ms on a standard core. */
   double work(String id);
 }
--- a/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
+++ b/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
@@ -2,56 +2,56 @@
 
 import ferngrade.dispatch.Dispatcher.Actions;
 
-/** Passes everything that a module asks for on, for those that change one thing. */
+/** Forwards all actions of a dispatcher; subclasses override the actions that they change. */
 class ForwardingActions implements Actions {
-  private final Actions to;
+  private final Actions delegate;
 
-  ForwardingActions(Actions to) {
-    this.to = to;
+  ForwardingActions(Actions delegate) {
+    this.delegate = delegate;
   }
 
   @Override
   public void send(String id, long worker, double timeout) {
-    to.send(id, worker, timeout);
+    delegate.send(id, worker, timeout);
   }
 
   @Override
   public void refuse(String id, double retryAfter) {
-    to.refuse(id, retryAfter);
+    delegate.refuse(id, retryAfter);
   }
 
   @Override
   public void fail(String id) {
-    to.fail(id);
+    delegate.fail(id);
   }
 
   @Override
   public void cancel(String id, int attempt) {
-    to.cancel(id, attempt);
+    delegate.cancel(id, attempt);
   }
 
   @Override
   public void check(long worker) {
-    to.check(worker);
+    delegate.check(worker);
   }
 
   @Override
   public void tell(int peer, byte[] message) {
-    to.tell(peer, message);
+    delegate.tell(peer, message);
   }
 
   @Override
   public void timer(double after, long token) {
-    to.timer(after, token);
+    delegate.timer(after, token);
   }
 
   @Override
   public void watch() {
-    to.watch();
+    delegate.watch();
   }
 
   @Override
   public void log(String line) {
-    to.log(line);
+    delegate.log(line);
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/KeyWindows.java
+++ b/emulator/src/main/java/ferngrade/emulator/KeyWindows.java
@@ -10,17 +10,17 @@
 import java.util.function.Consumer;
 
 /**
- * The windows within which workers drop a repeat of a key: a repeat does no work and ends as the
- * first does. All workers of a group share theirs; which group a worker belongs to is the scope's
- * matter.
+ * Deduplicates jobs by idempotency key. Within a time window after the first job with a key, a
+ * repeat does no work and ends with the outcome of the first. All workers of a group share their
+ * windows; the idempotency scope determines the groups.
  */
 final class KeyWindows {
   private final Scheduler time;
   private final Map<String, Entry> entries = new HashMap<>();
-  private final Deque<Entry> byAge = new ArrayDeque<>();
+  private final Deque<Entry> expiryQueue = new ArrayDeque<>();
   private long dropped;
 
-  /** How a keyed job ended. */
+  /** The outcome of a job with a key. */
   enum End {
     DONE,
     FAILED,
@@ -30,13 +30,13 @@
 
   private static final class Entry {
     final String key;
-    final double until;
+    final double expiresAt;
     End end;
     final List<Consumer<End>> repeats = new ArrayList<>(1);
 
-    Entry(String key, double until) {
+    Entry(String key, double expiresAt) {
       this.key = key;
-      this.until = until;
+      this.expiresAt = expiresAt;
     }
   }
 
@@ -44,8 +44,8 @@
     this.time = time;
   }
 
-  /** The group's own name of a key. */
-  static String name(IdempotencyScope scope, int zone, int cell, String key) {
+  /** Returns the key qualified with the zone or cell that shares the window. */
+  static String qualifiedKey(IdempotencyScope scope, int zone, int cell, String key) {
     return switch (scope) {
       case ALL -> key;
       case ZONE -> "z" + zone + ":" + key;
@@ -54,20 +54,20 @@
   }
 
   /**
-   * True: it is the first under its key and runs. False: a repeat, whose end {@code repeat} will
-   * hear.
+   * Returns true if the job is the first with its key and must run. Otherwise it is a repeat, and
+   * {@code repeat} is called with the outcome of the first.
    */
-  boolean first(String key, double window, Consumer<End> repeat) {
+  boolean registerFirst(String key, double window, Consumer<End> repeat) {
     double now = time.now();
-    while (!byAge.isEmpty() && byAge.peek().until <= now) {
-      Entry old = byAge.poll();
-      entries.remove(old.key, old);
+    while (!expiryQueue.isEmpty() && expiryQueue.peek().expiresAt <= now) {
+      Entry expired = expiryQueue.poll();
+      entries.remove(expired.key, expired);
     }
     Entry known = entries.get(key);
     if (known == null) {
-      Entry fresh = new Entry(key, now + window);
-      entries.put(key, fresh);
-      byAge.add(fresh);
+      Entry added = new Entry(key, now + window);
+      entries.put(key, added);
+      expiryQueue.add(added);
       return true;
     }
     dropped++;
@@ -79,7 +79,10 @@
     return false;
   }
 
-  /** The job that ran under the key has ended; one that never ran leaves the key free. */
+  /**
+   * Records the outcome of the first job with the key. A job that was returned or lost counts as
+   * not run, and its key is free again.
+   */
   void ended(String key, End end) {
     Entry entry = entries.get(key);
     if (entry == null || entry.end != null) {
@@ -89,11 +92,11 @@
     if (end == End.RETURNED || end == End.LOST) {
       entries.remove(key);
     }
-    entry.repeats.forEach(each -> each.accept(end));
+    entry.repeats.forEach(repeat -> repeat.accept(end));
     entry.repeats.clear();
   }
 
-  /** The repeats dropped so far. */
+  /** Returns the number of repeats that were dropped. */
   long dropped() {
     return dropped;
   }
--- a/emulator/src/main/java/ferngrade/emulator/KindSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/KindSpec.java
@@ -1,11 +1,10 @@
 package ferngrade.emulator;
 
-/** One kind of worker. Speeds are multiples of a standard core's; times are milliseconds. */
+/** Specifies a kind of worker. Speeds are relative to a standard core; times are in ms. */
 public final class KindSpec {
-  /** Its name. */
   public String name = "std";
 
-  /** Its part of the fleet, in proportion to the other kinds'. */
+  /** The weight by which the workers of the fleet are distributed among the kinds. */
   public double share = 1;
 
   @Quantity(Quantity.Measure.POSITIVE)
@@ -14,19 +13,19 @@
   @Quantity(Quantity.Measure.POSITIVE)
   public double speed = 1;
 
-  /** The spread of speed from worker to worker, as a coefficient of variation. */
+  /** The coefficient of variation of the speed among workers. */
   public double speedSpread = 0.1;
 
   @Quantity(Quantity.Measure.POSITIVE)
   public double slotsPerCore = 1;
 
-  /** Places in the queue for each core; beyond them the answer is 'full'. */
+  /** The queue capacity per core; a worker whose queue is full rejects further jobs. */
   public double queuePerCore = 10;
 
-  /** {@code fifo}, {@code backfill} or {@code priority}. */
+  /** The order in which queued jobs are started. */
   public Order order = Order.FIFO;
 
-  /** The share of its capacity with which a worker starts, and when it is warm. */
+  /** The share of its capacity that a worker has at its start; it is warm after {@link #coldMs}. */
   @Quantity(Quantity.Measure.SHARE)
   public double coldStart = 0.2;
 
@@ -34,74 +33,78 @@
   public double coldMs = 15_000;
 
   /**
-   * Loss of efficiency for each core's worth of jobs held beyond {@code thrashAt} for each core.
+   * The loss of efficiency for each job per core, running or queued, in excess of {@link #thrashAt}
+   * jobs per core.
    */
   public double thrash = 0.3;
 
   public double thrashAt = 4;
 
-  /** The share of jobs that end in an error. */
+  /** The share of jobs that end with an error. */
   @Quantity(Quantity.Measure.SHARE)
   public double errorRate = 0.001;
 
-  /** A pause of all work now and then; none if {@code pauseMs} is 0. */
+  /** The mean time between pauses of all work; there are no pauses if {@link #pauseMs} is 0. */
   @Quantity(Quantity.Measure.TIME)
   public double pauseEvery = 8000;
 
   @Quantity(Quantity.Measure.TIME)
   public double pauseMs;
 
-  /** Whether a cancel drops a waiting job. */
+  /** Whether a cancellation drops a waiting job. */
   public boolean cancelDropsWaiting;
 
-  /** Whether a drain hands back what has not started. */
+  /** Whether a draining worker returns the jobs that have not started. */
   public boolean drainReturns = true;
 
-  /** Connections accepted at a time, for each core. */
+  /** The maximum number of open connections per core. */
   @Quantity(Quantity.Measure.POSITIVE)
   public double connectionsPerCore = 700;
 
-  /** The work that a new connection costs. */
+  /** The work that a new connection costs the worker. */
   @Quantity(Quantity.Measure.TIME)
   public double handshakeWork = 2;
 
-  /** How often its load report is made anew, and how far each figure strays, as a share of it. */
+  /**
+   * The time between updates of the load report. {@link #reportNoise} is the largest deviation of a
+   * reported value, as a share of the value.
+   */
   @Quantity(Quantity.Measure.TIME)
   public double reportPeriod = 50;
 
   @Quantity(Quantity.Measure.SHARE)
   public double reportNoise = 0.05;
 
-  /** Whether its news of an end brings the report, with the requests that it holds. */
+  /** Whether the callback that ends a job carries the load report and the number of jobs held. */
   public boolean reportsWithAnswers;
 
-  /** Time between progress reports; none if 0. */
+  /** The time between progress reports; 0 disables them. */
   @Quantity(Quantity.Measure.TIME)
   public double progressMs = 1000;
 
-  /** Objects that it keeps for each slot, those used last. */
+  /** The capacity per slot of the object cache, which evicts the least recently used object. */
   @Quantity(Quantity.Measure.POSITIVE)
   public double keptPerSlot = 0.85;
 
-  /** The order in which a queue is served. */
+  /** An order in which queued jobs are started. */
   public enum Order {
     FIFO,
     BACKFILL,
     PRIORITY
   }
 
-  /** The slots of a worker of this kind. */
+  /** Returns the number of slots of a worker. */
   public int slots() {
     return (int) Math.max(1, Math.round(cores * slotsPerCore));
   }
 
-  /** The objects that it keeps. */
-  public int kept() {
+  /** Returns the number of objects that a worker caches. */
+  public int cachedObjects() {
     return (int) Math.max(1, Math.round(slots() * keptPerSlot));
   }
 
-  /** The places in its queue. */
-  public int queue() {
+  /** Returns the queue capacity of a worker. */
+  public int queueCapacity() {
     return (int) Math.max(0, Math.round(cores * queuePerCore));
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/Mutation.java
+++ b/emulator/src/main/java/ferngrade/emulator/Mutation.java
@@ -3,56 +3,58 @@
 import ferngrade.node.ResponseHandler;
 
 /**
- * A program that is broken on purpose, to show that a judge sees it. Each breaks a node at the seam
- * between its decisions and its surroundings; {@link #NONE} breaks nothing.
+ * A deliberate defect of a node, used to show that an invariant checker detects it. Each defect is
+ * injected at the interface between the dispatcher and its environment; {@link #NONE} injects
+ * nothing.
  */
 public enum Mutation {
   NONE,
-  /** Sends again what may have run. */
+  /** Sends a job again although it may have run. */
   DOUBLE_SEND,
-  /** Loses one answer of a hundred. */
+  /** Loses one answer in a hundred. */
   LOST_ANSWER,
-  /** Hears of a drain a second late. */
+  /** Processes changes of the worker list one second late. */
   LATE_DRAIN,
-  /** Takes every worker for warm. */
+  /** Treats every worker as warm. */
   COLD_PUSH,
-  /** Holds a refusal back for two seconds. */
+  /** Delays each rejection by two seconds. */
   HELD_REFUSAL;
 
-  /** How late a broken node hears of the list, and how long it holds a refusal back, ms. */
-  static final double LATE = 1000;
+  /** The delay of list changes with {@link #LATE_DRAIN}, in ms. */
+  static final double LIST_DELAY_MILLIS = 1000;
 
-  static final double HELD = 2000;
+  /** The delay of rejections with {@link #HELD_REFUSAL}, in ms. */
+  static final double REJECTION_DELAY_MILLIS = 2000;
 
   /**
-   * The way back to a client, broken where this breaks it; {@code count} counts the replies of the
-   * node.
+   * Wraps a client's response handler if this mutation affects answers. {@code count} is the number
+   * of requests that the node has accepted before this one.
    */
-  ResponseHandler reply(ResponseHandler whole, Scheduler time, long count) {
+  ResponseHandler wrap(ResponseHandler delegate, Scheduler time, long count) {
     return switch (this) {
-      case LOST_ANSWER -> count % 100 == 0 ? nowhere() : whole;
+      case LOST_ANSWER -> count % 100 == 0 ? discardingHandler() : delegate;
       case HELD_REFUSAL ->
           new ResponseHandler() {
             @Override
             public void served(String result) {
-              whole.served(result);
+              delegate.served(result);
             }
 
             @Override
             public void refused(double retryAfter) {
-              time.after(HELD, () -> whole.refused(retryAfter));
+              time.after(REJECTION_DELAY_MILLIS, () -> delegate.refused(retryAfter));
             }
 
             @Override
             public void failed() {
-              whole.failed();
+              delegate.failed();
             }
           };
-      default -> whole;
+      default -> delegate;
     };
   }
 
-  private static ResponseHandler nowhere() {
+  private static ResponseHandler discardingHandler() {
     return new ResponseHandler() {
       @Override
       public void served(String result) {}
--- a/emulator/src/main/java/ferngrade/emulator/Network.java
+++ b/emulator/src/main/java/ferngrade/emulator/Network.java
@@ -3,24 +3,28 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Delays, losses and cuts between zones. A message into a cut never arrives, and nobody is told.
+ * Emulates delays, packet loss and network partitions between zones. A message into a partition is
+ * dropped without an error for the sender.
  */
 public final class Network {
-  /** The delay of what never arrives. */
+  /** The delay of a message that never arrives. */
   public static final double NEVER = Double.POSITIVE_INFINITY;
 
   private final NetworkSpec spec;
-  private final UniformRandomProvider chance;
+  private final UniformRandomProvider random;
   private final int[][] cuts;
 
-  /** A network between so many zones. */
-  public Network(NetworkSpec spec, int zones, UniformRandomProvider chance) {
+  /** Creates a network between {@code zones} zones. */
+  public Network(NetworkSpec spec, int zones, UniformRandomProvider random) {
     this.spec = spec;
-    this.chance = chance;
+    this.random = random;
     this.cuts = new int[zones][zones];
   }
 
-  /** Cuts a direction between two zones, once more or once less. */
+  /**
+   * Begins or ends a cut of the direction from one zone to another. Cuts may overlap: messages pass
+   * again when all of them have ended.
+   */
   public void cut(int from, int to, boolean begins) {
     cuts[from][to] += begins ? 1 : -1;
   }
@@ -29,40 +33,40 @@
     return cuts[from][to] == 0;
   }
 
-  /** The way of a segment of a stream from zone to zone, ms; {@link #NEVER} where it is cut. */
+  /** Draws the delay of a TCP segment between zones, in ms; {@link #NEVER} if they are cut. */
   public double stream(int from, int to) {
     if (!open(from, to)) {
       return NEVER;
     }
-    double way = jittered(from == to ? spec.sameZone : spec.crossZone);
-    double again = spec.retransmit;
-    while (spec.loss > 0 && chance.nextDouble() < spec.loss) {
-      way += again;
-      again *= 2;
+    double delay = jittered(from == to ? spec.sameZone : spec.crossZone);
+    double retransmitTimeout = spec.retransmit;
+    while (spec.loss > 0 && random.nextDouble() < spec.loss) {
+      delay += retransmitTimeout;
+      retransmitTimeout *= 2;
     }
-    return way;
+    return delay;
   }
 
-  /** The way between a client and its front's node. */
+  /** Draws the delay between a client and the node that the front picked for it, in ms. */
   public double client() {
     return jittered(spec.client);
   }
 
   /**
-   * The way of a datagram between nodes; lost ones never arrive, and late ones overtake one
-   * another.
+   * Draws the delay of a datagram between nodes, in ms; {@link #NEVER} if it is lost. Datagrams may
+   * arrive out of order.
    */
   public double datagram(int from, int to) {
-    boolean lost = !open(from, to) || (spec.loss > 0 && chance.nextDouble() < spec.loss);
+    boolean lost = !open(from, to) || (spec.loss > 0 && random.nextDouble() < spec.loss);
     return lost ? NEVER : jittered(spec.peer);
   }
 
-  /** True for an attempt whose connection is to be reset. */
+  /** Draws whether the connection of an attempt is reset. */
   public boolean resets() {
-    return spec.reset > 0 && chance.nextDouble() < spec.reset;
+    return spec.reset > 0 && random.nextDouble() < spec.reset;
   }
 
   private double jittered(double delay) {
-    return spec.jitter <= 0 ? delay : delay * (1 + spec.jitter * (2 * chance.nextDouble() - 1));
+    return spec.jitter <= 0 ? delay : delay * (1 + spec.jitter * (2 * random.nextDouble() - 1));
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/NetworkSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/NetworkSpec.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator;
 
 /**
- * The network between the parties. Delays are one way, in milliseconds; the rest are shares of
- * messages.
+ * Specifies the network between clients, nodes and workers. Times are in ms, delays are one-way,
+ * and loss and reset are shares of the messages.
  */
 public final class NetworkSpec {
   @Quantity(Quantity.Measure.TIME)
@@ -14,22 +14,22 @@
   @Quantity(Quantity.Measure.TIME)
   public double client = 0.5;
 
-  /** Delay of a datagram between nodes. */
+  /** The delay of a datagram between nodes. */
   @Quantity(Quantity.Measure.TIME)
   public double peer = 10;
 
-  /** The spread of each delay, as a share of it; drawn evenly. */
+  /** The largest deviation of a delay, as a share of the delay; drawn uniformly. */
   @Quantity(Quantity.Measure.SHARE)
   public double jitter = 0.2;
 
-  /** Segments lost: each costs a retransmission on a stream; a datagram is gone. */
+  /** The share of lost packets. A lost TCP segment is retransmitted; a lost datagram is not. */
   @Quantity(Quantity.Measure.SHARE)
   public double loss;
 
   @Quantity(Quantity.Measure.TIME)
   public double retransmit = 200;
 
-  /** Attempts whose connection is reset on the way. */
+  /** The share of attempts whose connection is reset before the worker reads the request. */
   @Quantity(Quantity.Measure.SHARE)
   public double reset;
 
@@ -39,6 +39,6 @@
   @Quantity(Quantity.Measure.TIME)
   public double connectionIdle = 60_000;
 
-  /** Trips that a new connection takes before its first request. */
+  /** The number of round trips that a new connection takes before its first request. */
   public double handshakeTrips = 2;
 }
--- a/emulator/src/main/java/ferngrade/emulator/Observer.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observer.java
@@ -5,67 +5,70 @@
 import ferngrade.emulator.Request.Answer;
 
 /**
- * Sees what happens between the parties: judges, statistics and traces are observers. All methods
- * are called on the run's thread, in the order of the events; {@code now} is the time in
- * milliseconds.
+ * Receives the events between clients, nodes and workers. Invariant checkers, statistics and traces
+ * are observers. All methods are called on the thread of the run, in the order of the events;
+ * {@code now} is the time in ms.
  */
 public interface Observer {
-  /** A client's try is due; it is sent at the same instant. */
+  /** Called when a client's request is due, which is when it is sent. */
   default void due(double now, Request request) {}
 
-  /** The whole request is in the node's hands: from here on it owes one answer. */
-  default void taken(double now, int node, Request request) {}
+  /** Called when the node has received the whole request and owes exactly one answer to it. */
+  default void accepted(double now, int node, Request request) {}
 
-  /** The emulator itself has lost the request, or the answer to it: nobody can be blamed. */
+  /** Called when the emulator loses the request or its answer, which is no fault of the node. */
   default void lost(double now, Request request, String why) {}
 
-  /** The node has answered. */
+  /** Called when the node sends its answer. */
   default void answered(double now, int node, Request request, Answer answer, double retryAfter) {}
 
-  /** The client knows how its try ended. */
+  /** Called when the client learns the outcome of its request. */
   default void ended(double now, Request request, Answer answer) {}
 
-  /** An answer reached a client that had sent its retry already, or had left. */
+  /** Called when an answer reaches a client that has already retried or given up. */
   default void stray(double now, Request request, Answer answer) {}
 
-  /** The first byte of an attempt has left the node. */
+  /** Called when the node sends the first byte of an attempt. */
   default void sent(double now, int node, EmulatedWorker worker, Request request) {}
 
-  /** The node knows how an attempt ended, or has given it up (TIMEOUT or CANCELLED). */
+  /**
+   * Called when the node learns the outcome of an attempt or gives it up (TIMEOUT or CANCELLED).
+   */
   default void attemptOver(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {}
 
   /**
-   * An attempt has reached a worker that is still cold; {@code informed}: the node knew of its
-   * start.
+   * Called when an attempt reaches a worker that is cold. {@code informed} is true if the node knew
+   * when the worker's process started.
    */
-  default void reached(double now, EmulatedWorker worker, Request request, boolean informed) {}
+  default void reachedColdWorker(
+      double now, EmulatedWorker worker, Request request, boolean informed) {}
 
-  /** A worker has begun a job's work. */
+  /** Called when a worker starts a job. */
   default void started(double now, EmulatedWorker worker, String id) {}
 
-  /** The list told a node of a worker. */
-  default void told(
+  /** Called when a node receives a worker's entry in a list update. */
+  default void workerListed(
       double now, int node, EmulatedWorker worker, WorkerState state, double startedAt) {}
 
   /**
-   * A cold worker has fallen over; {@code informedShare} of the pressure came from nodes that knew
-   * it was cold.
+   * Called when a cold worker crashes from overload. {@code informedShare} is the share of the
+   * offered work that came from nodes that knew it was cold.
    */
-  default void fell(double now, EmulatedWorker worker, double informedShare) {}
+  default void coldWorkerCrashed(double now, EmulatedWorker worker, double informedShare) {}
 
-  /** A node's process has started, or is gone. */
+  /** Called when a node's process starts or ends. */
   default void node(double now, int node, boolean up) {}
 
-  /** A node's process begins to stand still, or goes on. */
+  /** Called when a node's process is paused or resumed. */
   default void paused(double now, int node, boolean begins) {}
 
-  /** A fault begins or ends. */
+  /** Called when a fault begins or ends. */
   default void fault(double now, Fault fault, boolean begins) {}
 
-  /** The slice of the budget that a node holds; called now and then. */
+  /** Called periodically with a node's slice of the budget. */
   default void slice(double now, int node, double slots) {}
 
-  /** What a worker holds: jobs in work and waiting; called now and then. */
+  /** Called periodically with the numbers of running and waiting jobs of a worker. */
   default void depth(double now, EmulatedWorker worker, int running, int waiting) {}
 }
--- a/emulator/src/main/java/ferngrade/emulator/Policy.java
+++ b/emulator/src/main/java/ferngrade/emulator/Policy.java
@@ -4,10 +4,10 @@
 import ferngrade.dispatch.Dispatcher.Actions;
 import ferngrade.dispatch.DispatcherSettings;
 
-/** A way to decide, which an emulated node is started with. */
+/** Creates the dispatcher with which an emulated node is started. */
 @FunctionalInterface
 public interface Policy {
-  /** Starts one node's decisions; the seed is their only source of chance. */
+  /** Creates the dispatcher of one node; {@code seed} is its only source of randomness. */
   Dispatcher start(
-      DispatcherSettings settings, long seed, double now, Actions actions, FleetState truth);
+      DispatcherSettings settings, long seed, double now, Actions actions, FleetState fleetState);
 }
--- a/emulator/src/main/java/ferngrade/emulator/Quantity.java
+++ b/emulator/src/main/java/ferngrade/emulator/Quantity.java
@@ -6,24 +6,24 @@
 import java.lang.annotation.Target;
 
 /**
- * What a figure of a scenario measures, so that whoever reads one from a file can ask for its unit
- * and its range.
+ * Declares the quantity that a scenario's field measures. Readers of scenario files use it to check
+ * the unit and the range of a value.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.FIELD)
 public @interface Quantity {
-  /** The measure; a figure without this note is a number of 0 or more. */
+  /** The measure; the value of a field without this annotation is a number of 0 or more. */
   Measure value();
 
-  /** Measures. */
+  /** The measure of a quantity. */
   enum Measure {
-    /** Milliseconds in the program, a number and a unit in a file. */
+    /** A time, in ms in the program and as a number with a unit in a file. */
     TIME,
-    /** Per second. */
+    /** A rate per second. */
     RATE,
-    /** From 0 to 1. */
+    /** A share from 0 to 1. */
     SHARE,
-    /** Above 0. */
+    /** A number above 0. */
     POSITIVE
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -1,20 +1,20 @@
 package ferngrade.emulator;
 
-/** One try of a client. A retry is a new request under a new id that knows the first. */
+/** A request of a client. A retry is a new request with a new id and a reference to the first. */
 public final class Request {
-  /** What became of a try, as its client sees it. */
+  /** The outcome of a request, as its client observes it. */
   public enum Answer {
     /** Served with a worker's result. */
     SERVED,
-    /** Refused: it certainly did not run, or may run again. */
+    /** Rejected: the job has certainly not run, or is safe to run again. */
     REFUSED,
-    /** Failed: it may have run. */
+    /** Failed: the job may have run. */
     FAILED,
-    /** No node could be reached; it cannot have run. */
+    /** No node could be reached: the job cannot have run. */
     UNREACHED,
-    /** The connection ended with no answer: the node died. */
+    /** The connection was closed without an answer because the node crashed. */
     BROKEN,
-    /** The client waited no longer. */
+    /** The client gave up. */
     LEFT
   }
 
@@ -23,38 +23,40 @@
   public final int tenant;
   public final int zone;
 
-  /** Its work on a standard core, ms, and the client's guess at it. */
+  /** The work in ms on a standard core; {@link #hint} is the client's estimate of it. */
   public final double work;
 
   public final double hint;
 
-  /** The key under which workers drop repeats; null for none. */
+  /** The idempotency key by which workers drop repeats; null if there is none. */
   public final String key;
 
-  /** When it was due to be sent; a latency counts from here. */
+  /** The time at which the request was due, in ms; latency is measured from it. */
   public final double due;
 
-  /** When its client gives up. */
+  /** The time at which the client gives up, in ms. */
   public final double deadline;
 
-  /** The first try, itself for a first one, and how many came before. */
+  /**
+   * The first request, of which this is a retry or which this is; {@link #tries} counts retries.
+   */
   public final Request first;
 
   public final int tries;
 
-  /** What it is about, 0 for nothing. */
+  /** The object that the job refers to; 0 if there is none. */
   public final long object;
 
-  /** What its answer is worth, with the tenant's share taken into account. */
+  /** The worth of a successful answer, reduced if the tenant exceeds its share. */
   public final double worth;
 
-  /** The node that it goes to; -1 before the front has picked one. */
+  /** The node to which the request is sent; -1 until the front has picked one. */
   int node = -1;
 
   boolean over;
 
-  /** Ends the wait of its client. */
-  Scheduler.Handle patience;
+  /** The timer after which the client gives up. */
+  Scheduler.Handle giveUpTimer;
 
   Request(
       String id,
@@ -89,17 +91,17 @@
 
   private int retries;
 
-  /** Notes the node that the front has picked; -1 for none. */
-  public void sentTo(int picked) {
+  /** Sets the node that the front has picked; -1 if there is none. */
+  public void setNode(int picked) {
     node = picked;
   }
 
-  /** True once its client waits no longer. */
+  /** Returns true once the client has received an answer or given up. */
   public boolean over() {
     return over;
   }
 
-  /** The node that it was sent to. */
+  /** Returns the node to which the request was sent; -1 if there is none. */
   public int node() {
     return node;
   }
--- a/emulator/src/main/java/ferngrade/emulator/Scenario.java
+++ b/emulator/src/main/java/ferngrade/emulator/Scenario.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * Everything that a run is made of but its seed and its policy. A run reads it and changes nothing
- * in it. Times are milliseconds.
+ * Specifies a run except for its seed and policy. A run does not modify its scenario. Times are in
+ * ms.
  */
 public final class Scenario {
-  /** Arrivals come for so long; after that the run goes on until all is answered. */
+  /** The time during which requests arrive; the run then continues until all are answered. */
   @Quantity(Quantity.Measure.TIME)
   public double duration = 30_000;
 
@@ -57,7 +57,10 @@
   @Quantity(Quantity.Measure.TIME)
   public double tipMs = 3000;
 
-  /** What the rules promise of a fresh worker; the kinds must keep it. */
+  /**
+   * The share of its capacity that dispatchers assume a new worker to have at least. Every worker
+   * kind must satisfy it.
+   */
   @Quantity(Quantity.Measure.SHARE)
   public double startCapacity = 0.15;
 
@@ -67,13 +70,13 @@
   @Quantity(Quantity.Measure.SHARE)
   public double crossCharge = 0.017;
 
-  /** How long the front goes on sending to a node that has died. */
+  /** The time during which the front keeps sending requests to a crashed node. */
   @Quantity(Quantity.Measure.TIME)
   public double frontNotice = 2500;
 
   /**
-   * A fleet of two zones and three kinds, and two classes of jobs, one of which must never run
-   * twice.
+   * Creates a scenario with two zones, three worker kinds and two job classes; jobs of the class
+   * {@code order} must not run twice.
    */
   public static Scenario standard() {
     Scenario scenario = new Scenario();
@@ -111,23 +114,23 @@
     return kind;
   }
 
-  /** The kind of the worker with this number: kinds are dealt out evenly, by their shares. */
+  /** Returns the index of the kind of a worker; kinds are assigned evenly by their shares. */
   public int kindOf(int number) {
     double shares = 0;
     for (KindSpec kind : kinds) {
       shares += kind.share;
     }
-    // The golden ratio's multiples spread the kinds evenly over any range of numbers.
-    double at = (number + 0.5) * 0.6180339887498949 % 1 * shares;
+    // Multiples of the golden ratio distribute the kinds evenly over any range of numbers.
+    double remaining = (number + 0.5) * 0.6180339887498949 % 1 * shares;
     int kind = 0;
-    while (kind < kinds.size() - 1 && at >= kinds.get(kind).share) {
-      at -= kinds.get(kind).share;
+    while (kind < kinds.size() - 1 && remaining >= kinds.get(kind).share) {
+      remaining -= kinds.get(kind).share;
       kind++;
     }
     return kind;
   }
 
-  /** The capacity of the fleet at the start, in ms of work on a standard core for each ms. */
+  /** Returns the capacity of the fleet at the start, in ms of work on a standard core per ms. */
   public double capacity() {
     double capacity = 0;
     for (int i = 0; i < workers; i++) {
@@ -137,36 +140,39 @@
     return capacity;
   }
 
-  /** Jobs a second that clients ask for, before faults. */
+  /** Returns the arrival rate in jobs per second, without the effect of faults. */
   public double rate() {
     return workload.rate > 0
         ? workload.rate
         : 1000 * workload.load * capacity() / workload.meanWork();
   }
 
-  /** Requests a second inside each tenant's share. */
+  /** Returns, for each tenant, the rate that its share allows, in requests per second. */
   public double[] allowances() {
-    double shares = workload.tenants.stream().mapToDouble(each -> each.share).sum();
+    double shares = workload.tenants.stream().mapToDouble(tenant -> tenant.share).sum();
     double jobs = 1000 * workload.quota * capacity() / workload.meanWork();
-    return workload.tenants.stream().mapToDouble(each -> jobs * each.share / shares).toArray();
+    return workload.tenants.stream().mapToDouble(tenant -> jobs * tenant.share / shares).toArray();
   }
 
-  /** The zone of the node with this number. */
+  /** Returns the index of a node's zone. */
   public int zoneOfNode(int node) {
     return node % zones.size();
   }
 
-  /** What the node with this number is told of the deployment. */
+  /** Returns the dispatcher settings of a node. */
   public DispatcherSettings settings(int node) {
     return settings(node, allowances());
   }
 
-  /** The same for those who ask for many nodes: the allowances go through the whole fleet. */
+  /**
+   * Returns the dispatcher settings of a node with precomputed allowances. Computing the allowances
+   * iterates over the whole fleet, which is slow if repeated for many nodes.
+   */
   DispatcherSettings settings(int node, double[] allowances) {
     List<Tenant> tenants = new ArrayList<>();
     for (int i = 0; i < workload.tenants.size(); i++) {
-      TenantSpec each = workload.tenants.get(i);
-      tenants.add(new Tenant(each.name, each.share, allowances[i]));
+      TenantSpec tenant = workload.tenants.get(i);
+      tenants.add(new Tenant(tenant.name, tenant.share, allowances[i]));
     }
     return new DispatcherSettings(
         node,
--- a/emulator/src/main/java/ferngrade/emulator/Scheduler.java
+++ b/emulator/src/main/java/ferngrade/emulator/Scheduler.java
@@ -3,18 +3,19 @@
 import ferngrade.node.Clock;
 
 /**
- * Time as a model knows it: it can be read, and a task can be put off. The emulated parties know
- * nothing else of time, so that the same model runs in virtual time and on a machine's clock.
+ * Provides the current time and delayed execution. The emulated components use no other source of
+ * time, so that they run both in virtual time and on the machine's clock.
  */
 public interface Scheduler extends Clock {
   /**
-   * Runs the task {@code millis} from now, at once in the order of the calls if that is 0 or less.
+   * Runs the task in {@code millis} ms. Tasks with a delay of 0 or less run in the order of the
+   * calls.
    */
   Handle after(double millis, Runnable task);
 
-  /** One task put off. */
+  /** A scheduled task. */
   interface Handle {
-    /** Calls the task off; no effect once it has run. */
+    /** Cancels the task; has no effect once it has run. */
     void cancel();
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/Streams.java
+++ b/emulator/src/main/java/ferngrade/emulator/Streams.java
@@ -5,25 +5,25 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Streams of chance that one seed opens. Each party draws from a stream of its own, named after it,
- * so that a change to one party leaves the luck of all others as it was: two policies meet the same
- * arrivals and the same faults.
+ * Derives independent random streams from one seed. Each component draws from its own named stream,
+ * so that a change to one component does not alter the random numbers of the others: two policies
+ * are compared with the same arrivals and the same faults.
  */
 public final class Streams {
   private final long seed;
 
-  /** All streams of this seed. */
+  /** Creates the streams of a seed. */
   public Streams(long seed) {
     this.seed = seed;
   }
 
-  /** The stream of this name, from its beginning. */
+  /** Returns a new generator at the beginning of the named stream. */
   public UniformRandomProvider stream(String name) {
     RestorableUniformRandomProvider stream = RandomSource.XO_RO_SHI_RO_128_PP.create(seed(name));
     return stream;
   }
 
-  /** A seed for a party that makes its own stream. */
+  /** Returns the seed of the named stream, for a component that creates its own generator. */
   public long seed(String name) {
     long mixed = seed;
     for (int i = 0; i < name.length(); i++) {
@@ -32,7 +32,7 @@
     return mix(mixed);
   }
 
-  /** The finalizer of SplitMix64 (Steele, Lea and Flood, 2014). */
+  /** Applies the finalizer of SplitMix64 (Steele, Lea and Flood, 2014). */
   private static long mix(long value) {
     long z = value + 0x9e3779b97f4a7c15L;
     z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
--- a/emulator/src/main/java/ferngrade/emulator/TenantSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/TenantSpec.java
@@ -1,18 +1,18 @@
 package ferngrade.emulator;
 
 /**
- * One tenant: its share of the service, and its part of the arrivals in proportion to the other
- * tenants'.
+ * Specifies a tenant: its share of the service, and its usage, the weight by which arrivals are
+ * distributed among the tenants.
  */
 public final class TenantSpec {
   public String name = "tenant";
   public double share = 1;
   public double usage = 1;
 
-  /** A tenant with nothing set. */
+  /** Creates a tenant with default values. */
   public TenantSpec() {}
 
-  /** A tenant that uses its share. */
+  /** Creates a tenant whose usage equals its share. */
   public TenantSpec(String name, double share) {
     this.name = name;
     this.share = share;
--- a/emulator/src/main/java/ferngrade/emulator/TraceHash.java
+++ b/emulator/src/main/java/ferngrade/emulator/TraceHash.java
@@ -9,15 +9,15 @@
 import java.util.HexFormat;
 
 /**
- * A digest of everything that happened in a run, to the last bit of each time: the same run has the
- * same one.
+ * Computes a digest of all observed events of a run, including the exact bits of each time. Equal
+ * runs have equal digests.
  */
 public final class TraceHash implements Observer {
   private final ByteBuffer buffer = ByteBuffer.allocate(1 << 13);
   private final MessageDigest digest;
   private long events;
 
-  /** The digest of nothing. */
+  /** Creates the digest of an empty trace. */
   public TraceHash() {
     try {
       digest = MessageDigest.getInstance("SHA-256");
@@ -26,21 +26,21 @@
     }
   }
 
-  private void note(int kind, double now, String text, long number, double value) {
+  private void record(int eventType, double now, String text, long number, double value) {
     events++;
     int length = text.length();
     if (buffer.remaining() < 29 + length) {
       flush();
     }
-    buffer.put((byte) kind).putDouble(now).putLong(number).putDouble(value).putInt(length);
+    buffer.put((byte) eventType).putDouble(now).putLong(number).putDouble(value).putInt(length);
     for (int i = 0; i < length; i++) {
       buffer.put((byte) text.charAt(i));
     }
   }
 
-  /** The position of a constant in its enum, which is what the recorded traces hold. */
-  @SuppressWarnings("EnumOrdinal") // the recorded form; TraceGoldenTest notices a moved constant
-  private static int code(Enum<?> constant) {
+  /** Returns the ordinal of a constant, which is the form in which traces record it. */
+  @SuppressWarnings("EnumOrdinal") // TraceGoldenTest fails if a constant is moved
+  private static int ordinalOf(Enum<?> constant) {
     return constant.ordinal();
   }
 
@@ -49,71 +49,71 @@
     buffer.clear();
   }
 
-  /** The digest in hexadecimal; ends the trace. */
+  /** Ends the trace and returns its digest in hexadecimal. */
   public String hex() {
     flush();
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  /** The events that went in. */
+  /** Returns the number of events in the trace. */
   public long events() {
     return events;
   }
 
   @Override
   public void due(double now, Request request) {
-    note(1, now, request.id, request.jobClass * 64L + request.tenant, request.work);
+    record(1, now, request.id, request.jobClass * 64L + request.tenant, request.work);
   }
 
   @Override
-  public void taken(double now, int node, Request request) {
-    note(2, now, request.id, node, 0);
+  public void accepted(double now, int node, Request request) {
+    record(2, now, request.id, node, 0);
   }
 
   @Override
   public void lost(double now, Request request, String why) {
-    note(3, now, request.id, 0, 0);
+    record(3, now, request.id, 0, 0);
   }
 
   @Override
   public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
-    note(4, now, request.id, code(answer), retryAfter);
+    record(4, now, request.id, ordinalOf(answer), retryAfter);
   }
 
   @Override
   public void ended(double now, Request request, Answer answer) {
-    note(5, now, request.id, code(answer), 0);
+    record(5, now, request.id, ordinalOf(answer), 0);
   }
 
   @Override
   public void sent(double now, int node, EmulatedWorker worker, Request request) {
-    note(6, now, request.id, worker.id, node);
+    record(6, now, request.id, worker.id, node);
   }
 
   @Override
   public void attemptOver(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
-    note(7, now, request.id, worker.id, code(outcome));
+    record(7, now, request.id, worker.id, ordinalOf(outcome));
   }
 
   @Override
   public void started(double now, EmulatedWorker worker, String id) {
-    note(8, now, id, worker.id, 0);
+    record(8, now, id, worker.id, 0);
   }
 
   @Override
-  public void told(
+  public void workerListed(
       double now, int node, EmulatedWorker worker, WorkerState state, double startedAt) {
-    note(9, now, worker.name, node * 8L + code(state), startedAt);
+    record(9, now, worker.name, node * 8L + ordinalOf(state), startedAt);
   }
 
   @Override
-  public void fell(double now, EmulatedWorker worker, double informedShare) {
-    note(10, now, worker.name, 0, informedShare);
+  public void coldWorkerCrashed(double now, EmulatedWorker worker, double informedShare) {
+    record(10, now, worker.name, 0, informedShare);
   }
 
   @Override
   public void slice(double now, int node, double slots) {
-    note(11, now, "", node, slots);
+    record(11, now, "", node, slots);
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -20,28 +20,28 @@
 import java.util.Map;
 
 /**
- * One node's process in virtual time: the program's own {@link RequestCoordinator} and decisions,
- * unchanged, on an emulated machine that can die, start again and stand still.
+ * Runs one node process in virtual time: the unmodified production {@link RequestCoordinator} and
+ * dispatcher on an emulated machine that can crash, restart and pause.
  */
 final class VirtualNode {
   private static final byte[] NO_BODY = new byte[0];
 
-  /** What a node may hold; the machine's memory is not what these runs are about. */
-  private static final RequestCoordinator.RequestLimits ROOM =
+  /** Limits that are high enough never to be reached: these runs do not model a node's memory. */
+  private static final RequestCoordinator.RequestLimits REQUEST_LIMITS =
       new RequestCoordinator.RequestLimits(200_000, 1L << 40, 500);
 
   final int number;
   final int zone;
   private final VirtualRun run;
-  private final Map<String, Request> held = new HashMap<>();
+  private final Map<String, Request> openRequests = new HashMap<>();
   private final Deque<Runnable> deferred = new ArrayDeque<>();
   private VirtualWorkers transport;
-  private RequestCoordinator node;
-  private Dispatcher module;
+  private RequestCoordinator coordinator;
+  private Dispatcher dispatcher;
   private int incarnation;
   private boolean up;
-  private int pauses;
-  private long replies;
+  private int openPauses;
+  private long replyCount;
 
   VirtualNode(VirtualRun run, int number) {
     this.run = run;
@@ -53,52 +53,54 @@
     return up;
   }
 
-  /** The slice of the budget that it holds; NaN where its decisions know of none. */
+  /** Returns the node's slice of the budget, or NaN if its dispatcher has no slices. */
   double slice() {
-    return up && module instanceof ThrottlingDispatcher choice ? choice.slice() : Double.NaN;
+    return up && dispatcher instanceof ThrottlingDispatcher throttling
+        ? throttling.slice()
+        : Double.NaN;
   }
 
-  // ---- The process ----
+  // ---- Process lifecycle ----
 
   void start(List<Endpoint> known) {
     up = true;
     incarnation++;
     deferred.clear();
-    held.clear();
+    openRequests.clear();
     VirtualTime time = run.time;
-    Timers timers = new Timers(time, (millis, wake) -> time.after(millis, here(wake)));
+    Timers timers = new Timers(time, (millis, wake) -> time.after(millis, inProcess(wake)));
     transport = new VirtualWorkers(run, this);
     long seed = run.streams.seed("node-" + number + "-" + incarnation);
-    node =
+    coordinator =
         new RequestCoordinator(
             new RequestCoordinator.Surroundings(
                 time,
                 timers,
-                task -> time.after(0, here(task)),
+                task -> time.after(0, inProcess(task)),
                 transport,
-                (peer, message) -> run.tell(this, peer, message),
+                (peer, message) -> run.sendToPeers(this, peer, message),
                 new RateLimitedLog(time, line -> {})),
-            ROOM,
-            actions -> module(actions, seed));
+            REQUEST_LIMITS,
+            actions -> createDispatcher(actions, seed));
     run.observer.node(time.now(), number, true);
-    hear(EndpointListUpdate.STORED, known);
+    receiveEndpoints(EndpointListUpdate.STORED, known);
   }
 
-  private Dispatcher module(Dispatcher.Actions actions, long seed) {
-    MutantModule[] mutant = new MutantModule[1];
-    Dispatcher.Actions asked =
-        run.mutation == Mutation.NONE ? actions : MutantModule.counting(actions, mutant);
-    module =
+  private Dispatcher createDispatcher(Dispatcher.Actions actions, long seed) {
+    MutantDispatcher[] mutant = new MutantDispatcher[1];
+    Dispatcher.Actions dispatcherActions =
+        run.mutation == Mutation.NONE ? actions : MutantDispatcher.counting(actions, mutant);
+    dispatcher =
         run.policy.start(
             run.scenario.settings(number, run.allowances),
             seed,
             run.time.now(),
-            asked,
-            run.truth(this));
+            dispatcherActions,
+            run.fleetState(this));
     if (run.mutation == Mutation.NONE) {
-      return module;
+      return dispatcher;
     }
-    mutant[0] = new MutantModule(run.mutation, module, actions);
+    mutant[0] = new MutantDispatcher(run.mutation, dispatcher, actions);
     return mutant[0];
   }
 
@@ -110,20 +112,20 @@
     incarnation++;
     double now = run.time.now();
     run.observer.node(now, number, false);
-    for (Request request : new ArrayList<>(held.values())) {
+    for (Request request : new ArrayList<>(openRequests.values())) {
       run.observer.lost(now, request, "its node was killed");
       run.time.after(run.network.client(), () -> run.clients.answer(request, Answer.BROKEN, 0));
     }
-    held.clear();
+    openRequests.clear();
     transport.close();
   }
 
-  /** Stands still, or goes on: what came meanwhile is done then, in its order. */
+  /** Pauses or resumes the process. Tasks that arrive meanwhile run in order on resumption. */
   void pause(boolean begins) {
-    if (begins && pauses++ == 0) {
+    if (begins && openPauses++ == 0) {
       run.observer.paused(run.time.now(), number, true);
     }
-    if (!begins && --pauses == 0) {
+    if (!begins && --openPauses == 0) {
       run.observer.paused(run.time.now(), number, false);
       while (!deferred.isEmpty()) {
         deferred.poll().run();
@@ -131,14 +133,17 @@
     }
   }
 
-  /** A task of this process: it dies with it, and waits while it stands still. */
-  Runnable here(Runnable task) {
-    int mine = incarnation;
+  /**
+   * Binds a task to the current process: the task is dropped if the process has ended, and deferred
+   * while it is paused.
+   */
+  Runnable inProcess(Runnable task) {
+    int boundIncarnation = incarnation;
     return () -> {
-      if (mine != incarnation) {
+      if (boundIncarnation != incarnation) {
         return;
       }
-      if (pauses > 0) {
+      if (openPauses > 0) {
         deferred.add(task);
       } else {
         task.run();
@@ -146,12 +151,12 @@
     };
   }
 
-  // ---- What reaches it ----
+  // ---- Incoming requests and messages ----
 
-  void take(Request request) {
+  void accept(Request request) {
     double now = run.time.now();
-    held.put(request.id, request);
-    run.observer.taken(now, number, request);
+    openRequests.put(request.id, request);
+    run.observer.accepted(now, number, request);
     ClassSpec spec = run.scenario.workload.classes.get(request.jobClass);
     Job job =
         new Job(
@@ -163,25 +168,26 @@
             spec.slots,
             0,
             run.scenario.workload.tellObjects ? request.object : 0);
-    JobRequest call = new JobRequest(request.id, "POST", "/api", request.key, NO_BODY);
-    ResponseHandler reply = run.mutation.reply(new ClientReply(request), run.time, replies++);
-    if (!node.request(job, call, reply)) {
+    JobRequest jobRequest = new JobRequest(request.id, "POST", "/api", request.key, NO_BODY);
+    ResponseHandler replyHandler =
+        run.mutation.wrap(new ClientReply(request), run.time, replyCount++);
+    if (!coordinator.request(job, jobRequest, replyHandler)) {
       answer(request, Answer.FAILED, 0);
     }
   }
 
-  void leave(Request request) {
-    if (held.remove(request.id) != null) {
-      node.clientGone(request.id);
+  void clientDisconnected(Request request) {
+    if (openRequests.remove(request.id) != null) {
+      coordinator.clientGone(request.id);
     }
   }
 
-  void hear(EndpointListUpdate news, List<Endpoint> entries) {
+  void receiveEndpoints(EndpointListUpdate update, List<Endpoint> entries) {
     double now = run.time.now();
-    boolean late = run.mutation == Mutation.LATE_DRAIN && news == EndpointListUpdate.CHANGES;
-    if (run.tells(news, entries)) {
+    boolean late = run.mutation == Mutation.LATE_DRAIN && update == EndpointListUpdate.CHANGES;
+    if (run.observesEntries(update, entries)) {
       for (Endpoint entry : entries) {
-        run.observer.told(
+        run.observer.workerListed(
             now,
             number,
             run.fleet.byId(entry.worker().id()),
@@ -190,43 +196,44 @@
       }
     }
     if (late) {
-      run.time.after(Mutation.LATE, here(() -> node.members(news, entries)));
+      run.time.after(
+          Mutation.LIST_DELAY_MILLIS, inProcess(() -> coordinator.members(update, entries)));
     } else {
-      node.members(news, entries);
+      coordinator.members(update, entries);
     }
   }
 
-  void broken(EmulatedWorker worker) {
+  void workerProcessEnded(EmulatedWorker worker) {
     if (up) {
-      transport.broken(worker);
+      transport.workerProcessEnded(worker);
     }
   }
 
-  void hear(int from, byte[] message) {
-    node.heard(from, message);
+  void receivePeerMessage(int from, byte[] message) {
+    coordinator.heard(from, message);
   }
 
-  /** A worker's call-back; false: it fits nothing that this process knows. */
-  boolean hear(WorkerCallback news) {
-    return node.callback(news);
+  /** Passes on a worker's callback; returns false if it matches no attempt of this process. */
+  boolean receiveCallback(WorkerCallback callback) {
+    return coordinator.callback(callback);
   }
 
-  /** The request that the node holds under an id; null once it is answered. */
-  Request held(String id) {
-    return held.get(id);
+  /** Returns the open request with this id, or null if it has been answered. */
+  Request openRequest(String id) {
+    return openRequests.get(id);
   }
 
   private void answer(Request request, Answer answer, double retryAfter) {
     double now = run.time.now();
-    if (held.remove(request.id) == null && request.over) {
-      // The client has left; nobody hears it.
+    if (openRequests.remove(request.id) == null && request.over) {
+      // The client has disconnected: the answer has no receiver.
       return;
     }
     run.observer.answered(now, number, request, answer, retryAfter);
     run.time.after(run.network.client(), () -> run.clients.answer(request, answer, retryAfter));
   }
 
-  /** The way back to one client. */
+  /** Delivers the node's answer to one client. */
   private final class ClientReply implements ResponseHandler {
     private final Request request;
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -11,18 +11,20 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One run in virtual time: the emulated clients, fleet, discovery and network round the program's
- * own nodes. Scenario, seed and policy decide everything that happens; the same three give the same
- * run, event for event.
+ * Runs a scenario in virtual time: emulated clients, workers, discovery and network around nodes
+ * that execute production code. A run is deterministic: the same scenario, seed and policy produce
+ * the same events in the same order.
  */
-public final class VirtualRun implements Clients.Carrier, FaultInjector {
-  /** The clock at a run's start, ms; above 0, which stands for 'long ago' in lists. */
+public final class VirtualRun implements Clients.Transport, FaultInjector {
+  /**
+   * The time at the start of a run, in ms. It is above 0, which means 'long ago' in worker lists.
+   */
   public static final double START = 1_000_000;
 
-  private static final double SAMPLE = 500;
+  private static final double SAMPLE_PERIOD_MILLIS = 500;
 
-  /** Fleets larger than this are not sampled worker by worker. */
-  private static final int MOST_SAMPLED = 64;
+  /** The largest fleet of which every worker is sampled. */
+  private static final int MAX_SAMPLED_WORKERS = 64;
 
   final Scenario scenario;
   final Streams streams;
@@ -34,16 +36,16 @@
   final double[] allowances;
   final Fleet fleet;
   final Clients clients;
-  private final EmulatedDiscovery roll;
-  private final Plan plan;
-  private final UniformRandomProvider front;
+  private final EmulatedDiscovery discovery;
+  private final FaultPlan faultPlan;
+  private final UniformRandomProvider frontRandom;
   private final List<VirtualNode> nodes = new ArrayList<>();
-  private final List<List<VirtualNode>> byZone = new ArrayList<>();
+  private final List<List<VirtualNode>> nodesByZone = new ArrayList<>();
 
-  /** The nodes that the front holds for dead. */
+  /** The nodes that the front considers down. */
   private final Set<VirtualNode> believedDown = new HashSet<>();
 
-  /** A run that these observers see. */
+  /** Creates a run that reports its events to {@code observers}. */
   public VirtualRun(
       Scenario scenario,
       long seed,
@@ -57,58 +59,59 @@
     this.observer = new Observers(observers);
     this.network = new Network(scenario.network, scenario.zones.size(), streams.stream("network"));
     this.allowances = scenario.allowances();
-    this.fleet = new Fleet(scenario, time, streams, observer, EmulatedWorker::madeUp);
+    this.fleet = new Fleet(scenario, time, streams, observer, EmulatedWorker::syntheticAddress);
     this.clients = new Clients(scenario, time, streams, observer, this);
-    this.roll =
+    this.discovery =
         new EmulatedDiscovery(
             scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
-    this.plan =
-        new Plan(scenario, time, streams.stream("faults"), observer, fleet, roll, clients, this);
-    this.front = streams.stream("front");
+    this.faultPlan =
+        new FaultPlan(
+            scenario, time, streams.stream("faults"), observer, fleet, discovery, clients, this);
+    this.frontRandom = streams.stream("front");
     for (int i = 0; i < scenario.nodes; i++) {
       VirtualNode node = new VirtualNode(this, i);
       nodes.add(node);
-      while (byZone.size() <= node.zone) {
-        byZone.add(new ArrayList<>());
+      while (nodesByZone.size() <= node.zone) {
+        nodesByZone.add(new ArrayList<>());
       }
-      byZone.get(node.zone).add(node);
+      nodesByZone.get(node.zone).add(node);
     }
   }
 
-  /** Plays the run to its end: until the last client has its answer or has left. */
+  /** Executes the run until every client has received its answer or has given up. */
   public void run() {
-    List<Endpoint> known = roll.list();
+    List<Endpoint> known = discovery.list();
     for (VirtualNode node : nodes) {
       node.start(known);
-      node.hear(EndpointListUpdate.WHOLE, known);
+      node.receiveEndpoints(EndpointListUpdate.WHOLE, known);
     }
-    time.after(SAMPLE, this::sample);
-    plan.begin();
+    time.after(SAMPLE_PERIOD_MILLIS, this::sample);
+    faultPlan.begin();
     clients.begin();
     time.run(START + scenario.duration);
-    double longest = 0;
-    for (ClassSpec each : scenario.workload.classes) {
-      longest = Math.max(longest, each.deadline);
+    double longestDeadline = 0;
+    for (ClassSpec jobClass : scenario.workload.classes) {
+      longestDeadline = Math.max(longestDeadline, jobClass.deadline);
     }
-    double end = time.now() + longest + 1000;
+    double end = time.now() + longestDeadline + 1000;
     while (clients.open() > 0 && time.now() < end) {
       time.run(time.now() + 100);
     }
-    // What was still on its way when the last client had its answer counts too.
+    // Also runs the events that were in flight when the last client received its answer.
     time.run(time.now() + 1000);
   }
 
-  /** The time that has passed in the run, ms, and the events that it took. */
+  /** Returns the virtual time that has elapsed since the start of the run, in ms. */
   public double passed() {
     return time.now() - START;
   }
 
-  /** The events that the run took. */
+  /** Returns the number of events that the run has executed. */
   public long events() {
     return time.ran();
   }
 
-  /** Repeats of keys that workers dropped. */
+  /** Returns the number of jobs that workers dropped because their key was a repeat. */
   public long repeatsDropped() {
     return fleet.repeatsDropped();
   }
@@ -121,37 +124,37 @@
         observer.slice(now, node.number, slice);
       }
     }
-    if (fleet.all().size() <= MOST_SAMPLED) {
+    if (fleet.all().size() <= MAX_SAMPLED_WORKERS) {
       for (EmulatedWorker worker : fleet.all()) {
         if (worker.model.up()) {
           observer.depth(now, worker, worker.model.running(), worker.model.waiting());
         }
       }
     }
-    time.after(SAMPLE, this::sample);
+    time.after(SAMPLE_PERIOD_MILLIS, this::sample);
   }
 
-  // ---- Clients and their front ----
+  // ---- Clients and the front load balancer ----
 
   @Override
   public void submit(Request request) {
     VirtualNode node = pick(request);
     request.node = node == null ? -1 : node.number;
-    double way = network.client();
+    double delay = network.client();
     if (node == null) {
-      time.after(2 * way, () -> clients.answer(request, Answer.UNREACHED, 0));
+      time.after(2 * delay, () -> clients.answer(request, Answer.UNREACHED, 0));
       return;
     }
     time.after(
-        way,
+        delay,
         () -> {
           if (!node.up()) {
-            time.after(way, () -> clients.answer(request, Answer.UNREACHED, 0));
+            time.after(delay, () -> clients.answer(request, Answer.UNREACHED, 0));
           } else {
-            node.here(
+            node.inProcess(
                     () -> {
                       if (!request.over) {
-                        node.take(request);
+                        node.accept(request);
                       }
                     })
                 .run();
@@ -160,63 +163,67 @@
   }
 
   /**
-   * The front deals requests out among the nodes of their zone that it holds for alive, else among
-   * all.
+   * Picks a random node of the request's zone that the front considers up, or of any zone if there
+   * is none. Returns null if the front considers all nodes down.
    */
   private VirtualNode pick(Request request) {
-    List<VirtualNode> from = request.zone < byZone.size() ? byZone.get(request.zone) : nodes;
+    List<VirtualNode> candidates =
+        request.zone < nodesByZone.size() ? nodesByZone.get(request.zone) : nodes;
     if (!believedDown.isEmpty()) {
-      List<VirtualNode> near = from.stream().filter(node -> !believedDown.contains(node)).toList();
-      from =
-          !near.isEmpty()
-              ? near
+      List<VirtualNode> sameZone =
+          candidates.stream().filter(node -> !believedDown.contains(node)).toList();
+      candidates =
+          !sameZone.isEmpty()
+              ? sameZone
               : nodes.stream().filter(node -> !believedDown.contains(node)).toList();
     }
-    return from.isEmpty() ? null : from.get(front.nextInt(from.size()));
+    return candidates.isEmpty() ? null : candidates.get(frontRandom.nextInt(candidates.size()));
   }
 
   @Override
-  public void leave(Request request) {
+  public void disconnect(Request request) {
     if (request.node >= 0) {
       VirtualNode node = nodes.get(request.node);
-      time.after(network.client(), node.here(() -> node.leave(request)));
+      time.after(network.client(), node.inProcess(() -> node.clientDisconnected(request)));
     }
   }
 
   // ---- Discovery and peers ----
 
   private void spread(
-      EndpointListUpdate news, List<Endpoint> entries, long revision, double spread) {
+      EndpointListUpdate update, List<Endpoint> entries, long revision, double spread) {
     for (VirtualNode node : nodes) {
-      // The same delay for a node each time, so that its news stay in their order.
-      double late = spread * (node.number + 1) / nodes.size();
-      time.after(late, node.here(() -> node.hear(news, entries)));
+      // The delay of a node is always the same, so that it receives the updates in order.
+      double delay = spread * (node.number + 1) / nodes.size();
+      time.after(delay, node.inProcess(() -> node.receiveEndpoints(update, entries)));
     }
   }
 
   /**
-   * Whole lists are told entry by entry only in small fleets, and never at a start: nothing in them
-   * is an end.
+   * Returns true if observers are notified of each entry of an update. Complete lists are reported
+   * only in small fleets. A list that a node starts with contains no worker that drains or is gone.
    */
-  boolean tells(EndpointListUpdate news, List<Endpoint> entries) {
-    return news == EndpointListUpdate.CHANGES || entries.size() <= MOST_SAMPLED;
+  boolean observesEntries(EndpointListUpdate update, List<Endpoint> entries) {
+    return update == EndpointListUpdate.CHANGES || entries.size() <= MAX_SAMPLED_WORKERS;
   }
 
   boolean informed(int node, EmulatedWorker worker) {
-    // Who sends to a worker had it from its list, and the list tells when its process started.
+    // A node sends only to workers on its list, and the list contains the process start time.
     return node >= 0 && worker.model.startedAt() > 0;
   }
 
-  void tell(VirtualNode from, int peer, byte[] message) {
+  /** Sends a message to one peer, or to all nodes if {@code peer} is negative. */
+  void sendToPeers(VirtualNode from, int peer, byte[] message) {
     for (VirtualNode to : peer < 0 ? nodes : List.of(nodes.get(peer))) {
-      double way = network.datagram(from.zone, to.zone);
-      if (way != Network.NEVER) {
-        time.after(way, () -> to.here(() -> to.hear(from.number, message)).run());
+      double delay = network.datagram(from.zone, to.zone);
+      if (delay != Network.NEVER) {
+        time.after(
+            delay, () -> to.inProcess(() -> to.receivePeerMessage(from.number, message)).run());
       }
     }
   }
 
-  // ---- Levers ----
+  // ---- Fault injection ----
 
   @Override
   public void killNode(int node) {
@@ -235,9 +242,9 @@
   public void startNode(int node) {
     VirtualNode started = nodes.get(node);
     if (!started.up()) {
-      started.start(roll.list());
-      if (!roll.silent()) {
-        started.hear(EndpointListUpdate.WHOLE, roll.list());
+      started.start(discovery.list());
+      if (!discovery.inOutage()) {
+        started.receiveEndpoints(EndpointListUpdate.WHOLE, discovery.list());
       }
       believedDown.remove(started);
     }
@@ -255,12 +262,12 @@
 
   @Override
   public void workerDown(EmulatedWorker worker) {
-    nodes.forEach(node -> node.broken(worker));
+    nodes.forEach(node -> node.workerProcessEnded(worker));
   }
 
   @Override
   public void workerVanished(EmulatedWorker worker) {
-    // Nobody is told: connections stay open and silent.
+    // No node is notified: connections stay open, but no data arrives on them.
   }
 
   @Override
@@ -268,30 +275,31 @@
     worker.connections = 0;
   }
 
-  /** The true state, as a policy in this node may see it. */
-  FleetState truth(VirtualNode node) {
-    return new FleetTruth(node);
+  /** Returns the true state of the fleet, for a policy that runs in this node. */
+  FleetState fleetState(VirtualNode node) {
+    return new TrueFleetState(node);
   }
 
-  private final class FleetTruth implements FleetState {
+  private final class TrueFleetState implements FleetState {
     private final VirtualNode node;
 
-    FleetTruth(VirtualNode node) {
+    TrueFleetState(VirtualNode node) {
       this.node = node;
     }
 
     @Override
-    public double finishIn(long worker, double work) {
-      EmulatedWorker each = fleet.byId(worker);
-      if (each.vanished || each.phase != WorkerState.READY) {
+    public double estimateCompletionTime(long workerId, double work) {
+      EmulatedWorker worker = fleet.byId(workerId);
+      if (worker.vanished || worker.phase != WorkerState.READY) {
         return Double.POSITIVE_INFINITY;
       }
-      return each.model.finishIn(work) + each.inFlight / Math.max(1e-9, each.model.capacity());
+      return worker.model.estimateCompletionTime(work)
+          + worker.inFlight / Math.max(1e-9, worker.model.capacity());
     }
 
     @Override
     public double work(String id) {
-      return node.held(id).work;
+      return node.openRequest(id).work;
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualTime.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualTime.java
@@ -5,24 +5,25 @@
 import java.util.PriorityQueue;
 
 /**
- * Time that passes only by what happens in it: a queue of events, the earliest first. Events at the
- * same instant run in the order in which they were put off, so that a run depends on nothing but
- * its inputs.
+ * A virtual clock that advances from event to event. Events at the same time run in the order in
+ * which they were scheduled, so that a run is deterministic.
  *
- * <p>Most events are far off and are called off before their time: deadlines. They lie unsorted in
- * buckets, and only those of the bucket whose time has come are sorted, a calendar queue in its
- * plainest form (Brown, 1988).
+ * <p>Most events are deadlines, which are scheduled far ahead and usually cancelled before they are
+ * due. They are kept unsorted in buckets, and a bucket is sorted only when its time comes. This is
+ * a simple calendar queue (Brown, 1988).
  */
 public final class VirtualTime implements Scheduler {
-  private static final double BUCKET = 16;
-  private static final int BUCKETS = 2048;
+  private static final double BUCKET_MILLIS = 16;
+  private static final int BUCKET_COUNT = 2048;
 
   private final PriorityQueue<Event> near = new PriorityQueue<>(256);
-  private final List<List<Event>> far = new ArrayList<>(BUCKETS);
-  private int inFar;
+  private final List<List<Event>> far = new ArrayList<>(BUCKET_COUNT);
+  private int farEventCount;
 
-  /** The first bucket, counted from time 0, that has not been moved to the near ones. */
-  private long edge;
+  /**
+   * The index, counted from time 0, of the first bucket that has not been moved to the near queue.
+   */
+  private long firstFarBucket;
 
   private double now;
   private long order;
@@ -46,17 +47,16 @@
 
     @Override
     public void cancel() {
-      // It stays where it lies until its time; taking it out of the middle would cost more than the
-      // place.
+      // The event stays in its queue until it is due: removing it would cost more than the memory.
       task = null;
     }
   }
 
-  /** Time that begins at {@code start} ms. */
+  /** Creates a clock that starts at {@code start} ms. */
   public VirtualTime(double start) {
     this.now = start;
-    this.edge = (long) Math.floor(start / BUCKET) + 1;
-    for (int i = 0; i < BUCKETS; i++) {
+    this.firstFarBucket = (long) Math.floor(start / BUCKET_MILLIS) + 1;
+    for (int i = 0; i < BUCKET_COUNT; i++) {
       far.add(new ArrayList<>());
     }
   }
@@ -69,24 +69,25 @@
   @Override
   public Handle after(double millis, Runnable task) {
     if (Double.isNaN(millis)) {
-      throw new IllegalArgumentException("a delay that is not a number");
+      throw new IllegalArgumentException("the delay is NaN");
     }
     Event event = new Event(now + Math.max(0, millis), order++, task);
-    long bucket = (long) Math.floor(event.at / BUCKET);
-    if (bucket < edge || bucket >= edge + BUCKETS) {
+    long bucket = (long) Math.floor(event.at / BUCKET_MILLIS);
+    if (bucket < firstFarBucket || bucket >= firstFarBucket + BUCKET_COUNT) {
       near.add(event);
     } else {
-      far.get((int) (bucket % BUCKETS)).add(event);
-      inFar++;
+      far.get((int) (bucket % BUCKET_COUNT)).add(event);
+      farEventCount++;
     }
     return event;
   }
 
-  /** Runs everything up to and including {@code until}, which is the time when this returns. */
+  /** Runs all events up to and including time {@code until}, and sets the clock to it. */
   public void run(double until) {
     while (true) {
-      while (inFar > 0 && (near.isEmpty() || near.peek().at >= edge * BUCKET)) {
-        bringNear();
+      while (farEventCount > 0
+          && (near.isEmpty() || near.peek().at >= firstFarBucket * BUCKET_MILLIS)) {
+        moveNextBucketToNear();
       }
       if (near.isEmpty() || near.peek().at > until) {
         break;
@@ -103,9 +104,9 @@
     now = Math.max(now, until);
   }
 
-  private void bringNear() {
-    List<Event> bucket = far.get((int) (edge++ % BUCKETS));
-    inFar -= bucket.size();
+  private void moveNextBucketToNear() {
+    List<Event> bucket = far.get((int) (firstFarBucket++ % BUCKET_COUNT));
+    farEventCount -= bucket.size();
     for (Event event : bucket) {
       if (event.task != null) {
         near.add(event);
@@ -114,7 +115,7 @@
     bucket.clear();
   }
 
-  /** The events that have run so far. */
+  /** Returns the number of events that have run. */
   public long ran() {
     return ran;
   }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -17,23 +17,24 @@
 import java.util.function.BiConsumer;
 
 /**
- * The way from one node to the workers in virtual time: connections, delays, losses and silence.
+ * Connects one node to the workers in virtual time, with pooled connections, delays, packet loss
+ * and unresponsive peers.
  */
 final class VirtualWorkers implements WorkerTransport {
-  /** How often and for how long a worker tries a call-back that is not answered. */
-  private static final int CALLBACK_TRIES = 10;
+  /** How many times a worker retries a callback that is not acknowledged. */
+  private static final int MAX_CALLBACK_RETRIES = 10;
 
-  private static final double CALLBACK_AGAIN = 500;
-  private static final double CHECK_TIMEOUT = 300;
+  private static final double CALLBACK_RETRY_DELAY_MILLIS = 500;
+  private static final double CHECK_TIMEOUT_MILLIS = 300;
 
   private final VirtualRun run;
   private final VirtualNode node;
-  private final IdentityHashMap<EmulatedWorker, Link> links = new IdentityHashMap<>();
+  private final IdentityHashMap<EmulatedWorker, ConnectionPool> pools = new IdentityHashMap<>();
   private final Set<Transfer> unanswered = new LinkedHashSet<>();
   private boolean closed;
 
-  /** The idle connections to one worker: when each fell idle, the newest last. */
-  private static final class Link {
+  /** The times at which the idle connections to one worker became idle, the latest last. */
+  private static final class ConnectionPool {
     final Deque<Double> idle = new ArrayDeque<>(2);
   }
 
@@ -42,45 +43,47 @@
     this.node = node;
   }
 
-  /** The process has ended: its connections are gone. */
+  /** Closes all connections when the node's process ends. */
   void close() {
     closed = true;
-    links.forEach((worker, link) -> worker.connections -= link.idle.size());
-    links.clear();
-    for (Transfer each : List.copyOf(unanswered)) {
-      each.disconnect();
+    pools.forEach((worker, pool) -> worker.connections -= pool.idle.size());
+    pools.clear();
+    for (Transfer transfer : List.copyOf(unanswered)) {
+      transfer.disconnect();
     }
   }
 
   /**
-   * The worker's process has died: what it has not answered is reset, and its idle connections are
-   * closed.
+   * Resets the unanswered attempts at a worker whose process has ended, and closes the idle
+   * connections to it.
    */
-  void broken(EmulatedWorker worker) {
-    Link link = links.remove(worker);
-    if (link != null) {
-      worker.connections -= link.idle.size();
+  void workerProcessEnded(EmulatedWorker worker) {
+    ConnectionPool pool = pools.remove(worker);
+    if (pool != null) {
+      worker.connections -= pool.idle.size();
     }
-    List<Transfer> hit = new ArrayList<>();
+    List<Transfer> affected = new ArrayList<>();
     unanswered.forEach(
-        each -> {
-          if (each.worker == worker) {
-            hit.add(each);
+        transfer -> {
+          if (transfer.worker == worker) {
+            affected.add(transfer);
           }
         });
-    hit.forEach(
-        each -> run.time.after(run.network.stream(worker.zone, node.zone), node.here(each::reset)));
+    affected.forEach(
+        transfer ->
+            run.time.after(
+                run.network.stream(worker.zone, node.zone), node.inProcess(transfer::reset)));
   }
 
   @Override
   public AttemptHandle send(
-      JobRequest call, InetSocketAddress address, double patience, Listener listener) {
-    EmulatedWorker worker = run.fleet.at(address);
-    Transfer transfer = new Transfer(worker, node.held(call.id()), listener);
-    Link link = links.get(worker);
-    while (link != null && !link.idle.isEmpty()) {
-      double since = link.idle.pollLast();
-      if (run.time.now() - since < run.scenario.network.connectionIdle) {
+      JobRequest job, InetSocketAddress address, double timeoutMillis, Listener listener) {
+    EmulatedWorker worker = run.fleet.byAddress(address);
+    Transfer transfer = new Transfer(worker, node.openRequest(job.id()), listener);
+    ConnectionPool pool = pools.get(worker);
+    while (pool != null && !pool.idle.isEmpty()) {
+      double idleSince = pool.idle.pollLast();
+      if (run.time.now() - idleSince < run.scenario.network.connectionIdle) {
         transfer.connected = true;
         transfer.begin();
         return transfer;
@@ -93,25 +96,28 @@
 
   private void connect(EmulatedWorker worker, Transfer transfer) {
     NetworkSpec spec = run.scenario.network;
-    double there = run.network.stream(node.zone, worker.zone);
-    double back = run.network.stream(worker.zone, node.zone);
-    boolean silent = worker.vanished || there + back == Network.NEVER;
-    if (silent) {
+    double requestDelay = run.network.stream(node.zone, worker.zone);
+    double responseDelay = run.network.stream(worker.zone, node.zone);
+    boolean noResponse = worker.vanished || requestDelay + responseDelay == Network.NEVER;
+    if (noResponse) {
       run.time.after(
-          spec.connectTimeout, node.here(() -> transfer.over(AttemptOutcome.CONNECT_FAILED)));
-    } else if (!worker.model.up() || worker.connections >= worker.mostConnections) {
-      run.time.after(there + back, node.here(() -> transfer.over(AttemptOutcome.CONNECT_FAILED)));
+          spec.connectTimeout, node.inProcess(() -> transfer.over(AttemptOutcome.CONNECT_FAILED)));
+    } else if (!worker.model.up() || worker.connections >= worker.maxConnections) {
+      run.time.after(
+          requestDelay + responseDelay,
+          node.inProcess(() -> transfer.over(AttemptOutcome.CONNECT_FAILED)));
     } else {
       worker.connections++;
       transfer.connected = true;
-      worker.model.burden(worker.handshakeWork());
-      run.time.after(spec.handshakeTrips * (there + back), node.here(transfer::begin));
+      worker.model.addOverhead(worker.handshakeWork());
+      run.time.after(
+          spec.handshakeTrips * (requestDelay + responseDelay), node.inProcess(transfer::begin));
     }
   }
 
   private void release(EmulatedWorker worker) {
     if (!closed && worker.model.up() && !worker.vanished) {
-      links.computeIfAbsent(worker, key -> new Link()).idle.add(run.time.now());
+      pools.computeIfAbsent(worker, key -> new ConnectionPool()).idle.add(run.time.now());
     } else {
       worker.connections--;
     }
@@ -119,27 +125,28 @@
 
   @Override
   public void check(InetSocketAddress address, BiConsumer<AttemptOutcome, LoadReport> listener) {
-    EmulatedWorker worker = run.fleet.at(address);
-    double way =
+    EmulatedWorker worker = run.fleet.byAddress(address);
+    double roundTrip =
         run.network.stream(node.zone, worker.zone) + run.network.stream(worker.zone, node.zone);
-    boolean silent = worker.vanished || worker.model.hung() || way >= CHECK_TIMEOUT;
+    boolean noResponse =
+        worker.vanished || worker.model.hung() || roundTrip >= CHECK_TIMEOUT_MILLIS;
     run.time.after(
-        Math.min(way, CHECK_TIMEOUT),
-        node.here(
+        Math.min(roundTrip, CHECK_TIMEOUT_MILLIS),
+        node.inProcess(
             () -> {
-              if (silent) {
+              if (noResponse) {
                 listener.accept(AttemptOutcome.TIMEOUT, LoadReport.NONE);
               } else if (!worker.model.up()) {
                 listener.accept(AttemptOutcome.CONNECT_FAILED, LoadReport.NONE);
               } else {
-                worker.model.burden(1);
+                worker.model.addOverhead(1);
                 listener.accept(AttemptOutcome.OK, worker.model.report());
               }
             }));
   }
 
-  /** One attempt on its way. */
-  private final class Transfer implements AttemptHandle, WorkerModel.Ear {
+  /** Carries one attempt to a worker and its outcome back to the node. */
+  private final class Transfer implements AttemptHandle, WorkerModel.JobListener {
     private final EmulatedWorker worker;
     private final Request request;
     private final Listener listener;
@@ -148,7 +155,7 @@
     private boolean taken;
     private boolean givenUp;
     private boolean over;
-    private boolean flying;
+    private boolean requestInFlight;
 
     Transfer(EmulatedWorker worker, Request request, Listener listener) {
       this.worker = worker;
@@ -156,7 +163,7 @@
       this.listener = listener;
     }
 
-    // -- The node's end --
+    // -- Node side --
 
     void begin() {
       if (givenUp) {
@@ -172,17 +179,17 @@
       unanswered.add(this);
       run.observer.sent(run.time.now(), node.number, worker, request);
       listener.written();
-      double way = run.network.stream(node.zone, worker.zone);
-      if (way == Network.NEVER) {
+      double delay = run.network.stream(node.zone, worker.zone);
+      if (delay == Network.NEVER) {
         return;
       }
-      flying = true;
+      requestInFlight = true;
       worker.inFlight += request.work;
       boolean resets = run.network.resets();
       run.time.after(
-          way,
+          delay,
           () -> {
-            land();
+            requestDelivered();
             if (resets) {
               toNode(this::reset);
             } else {
@@ -191,14 +198,14 @@
           });
     }
 
-    private void land() {
-      if (flying) {
-        flying = false;
+    private void requestDelivered() {
+      if (requestInFlight) {
+        requestInFlight = false;
         worker.inFlight -= request.work;
       }
     }
 
-    /** The attempt has ended as the transport sees it. */
+    /** Reports the outcome to the node, unless the attempt has ended or the node gave it up. */
     void over(AttemptOutcome outcome) {
       if (!over && !givenUp) {
         end(outcome);
@@ -228,19 +235,19 @@
     }
 
     @Override
-    public void giveUp(Runnable told) {
+    public void giveUp(Runnable onGivenUp) {
       if (!givenUp && !over) {
         giveUp();
       }
-      told.run();
+      onGivenUp.run();
     }
 
     private void giveUp() {
       givenUp = true;
       if (taken) {
-        double way = run.network.stream(node.zone, worker.zone);
-        if (way != Network.NEVER) {
-          run.time.after(way, () -> worker.model.cancel(request.id));
+        double delay = run.network.stream(node.zone, worker.zone);
+        if (delay != Network.NEVER) {
+          run.time.after(delay, () -> worker.model.cancel(request.id));
         }
       } else if (written) {
         disconnect();
@@ -248,7 +255,7 @@
       end(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
     }
 
-    // -- The worker's end --
+    // -- Worker side --
 
     private void arrive() {
       if (worker.vanished || worker.model.hung()) {
@@ -259,7 +266,7 @@
         return;
       }
       if (givenUp && !connected) {
-        // The connection ended before the request had come whole; the worker never saw it.
+        // The connection was closed before the worker had read the complete request.
         return;
       }
       if (run.fleet.offer(worker, request, run.informed(node.number, worker), this)) {
@@ -284,24 +291,25 @@
     }
 
     private void toNode(Runnable task) {
-      double way = run.network.stream(worker.zone, node.zone);
-      if (way != Network.NEVER) {
-        run.time.after(way, node.here(task));
+      double delay = run.network.stream(worker.zone, node.zone);
+      if (delay != Network.NEVER) {
+        run.time.after(delay, node.inProcess(task));
       }
     }
 
-    private void callBack(State state, double share, AttemptOutcome outcome, int tries) {
+    private void sendCallback(State state, double share, AttemptOutcome outcome, int retries) {
       if (worker.vanished) {
         return;
       }
-      double way = run.network.stream(worker.zone, node.zone);
-      if (way == Network.NEVER || !node.up()) {
-        if (tries < CALLBACK_TRIES) {
-          run.time.after(CALLBACK_AGAIN, () -> callBack(state, share, outcome, tries + 1));
+      double delay = run.network.stream(worker.zone, node.zone);
+      if (delay == Network.NEVER || !node.up()) {
+        if (retries < MAX_CALLBACK_RETRIES) {
+          run.time.after(
+              CALLBACK_RETRY_DELAY_MILLIS, () -> sendCallback(state, share, outcome, retries + 1));
         }
         return;
       }
-      WorkerCallback news =
+      WorkerCallback callback =
           new WorkerCallback(
               request.id,
               worker.name,
@@ -312,50 +320,50 @@
                   ? worker.model.report()
                   : LoadReport.NONE);
       run.time.after(
-          way,
-          node.here(
+          delay,
+          node.inProcess(
               () -> {
                 if (outcome != null && !over && !givenUp) {
                   end(outcome);
                   if (!taken) {
-                    // The 202 is still on its way, and the connection with it.
+                    // The 202 response is still in flight, and the connection is in use by it.
                     taken = true;
                     release(worker);
                   }
                 }
-                node.hear(news);
+                node.receiveCallback(callback);
               }));
     }
 
     @Override
     public void started() {
       run.observer.started(run.time.now(), worker, request.id);
-      callBack(State.STARTED, 0, null, 0);
+      sendCallback(State.STARTED, 0, null, 0);
     }
 
     @Override
     public void progress(double share) {
-      callBack(State.RUNNING, share, null, CALLBACK_TRIES);
+      sendCallback(State.RUNNING, share, null, MAX_CALLBACK_RETRIES);
     }
 
     @Override
     public void done() {
-      callBack(State.DONE, 1, AttemptOutcome.OK, 0);
+      sendCallback(State.DONE, 1, AttemptOutcome.OK, 0);
     }
 
     @Override
     public void failed() {
-      callBack(State.FAILED, 0, AttemptOutcome.ERROR, 0);
+      sendCallback(State.FAILED, 0, AttemptOutcome.ERROR, 0);
     }
 
     @Override
     public void returned() {
-      callBack(State.RETURNED, 0, AttemptOutcome.FULL, 0);
+      sendCallback(State.RETURNED, 0, AttemptOutcome.FULL, 0);
     }
 
     @Override
     public void lost() {
-      callBack(State.LOST, 0, AttemptOutcome.RESET, 0);
+      sendCallback(State.LOST, 0, AttemptOutcome.RESET, 0);
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
@@ -13,89 +13,91 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A worker's machine and its process: slots, cores that the jobs in slots share evenly, a bounded
- * queue, a cold start that warms evenly, and what becomes of it when it is pushed while cold.
+ * Models a worker's machine and process: slots, cores that are shared evenly among the jobs in
+ * slots, a bounded queue, a cold start with a linear warm-up, and a crash from overload while cold.
  *
- * <p>All jobs in slots advance at one rate, so the model keeps one figure, the work that each of
- * them has been served since the beginning, and the figure at which each ends; a change of rate
- * moves the next end and nothing else. That is processor sharing in the form of a virtual clock
- * (Zhang, 1990).
+ * <p>All jobs in slots progress at the same rate. The model therefore keeps a single counter of the
+ * work that each running job has received since the model was created, and for each job the counter
+ * value at which it completes; a change of rate only moves the next completion. This is processor
+ * sharing in the form of a virtual clock (Zhang, 1990).
  */
 public final class WorkerModel {
   private final Scheduler time;
   private final KindSpec kind;
-  private final UniformRandomProvider chance;
+  private final UniformRandomProvider random;
   private final double speed;
   private final List<Task> running = new ArrayList<>();
   private final List<Task> waiting = new ArrayList<>();
-  private final Deque<Push> pushes = new ArrayDeque<>();
-  private final Set<Long> objects = new LinkedHashSet<>();
+  private final Deque<ColdOffer> coldOffers = new ArrayDeque<>();
+  private final Set<Long> cachedObjects = new LinkedHashSet<>();
   private final double fallMultiple;
   private final double tipMs;
-  private final DoubleConsumer whenFallen;
+  private final DoubleConsumer onOverload;
   private double startedAt;
-  private double served;
-  private double settledAt;
-  private double pushed;
-  private double pushedInformed;
-  private int slotsTaken;
-  private double slowness = 1;
+  private double servedWork;
+  private double advancedAt;
+  private double offeredWork;
+  private double informedOfferedWork;
+  private int slotsInUse;
+  private double slowdown = 1;
   private boolean hung;
-  private boolean still;
+  private boolean paused;
   private boolean draining;
   private boolean up = true;
-  private Scheduler.Handle next;
-  private Scheduler.Handle pausing;
+  private Scheduler.Handle nextCompletion;
+  private Scheduler.Handle nextPause;
   private double reportedAt = Double.NEGATIVE_INFINITY;
   private LoadReport report = LoadReport.NONE;
 
-  /** Hears what becomes of one job; the last call is the job's end. */
-  public interface Ear {
-    /** The work has begun. */
+  /** Receives the progress of one job; the last call reports how the job ended. */
+  public interface JobListener {
+    /** Called when the worker starts the job. */
     void started();
 
-    /** This share of it is done. */
+    /** Called with the share of the work that is done, from 0 to 1. */
     void progress(double share);
 
-    /** It is done. */
+    /** Called when the job completes. */
     void done();
 
-    /** It ended in an error. */
+    /** Called when the job ends with an error. */
     void failed();
 
-    /** It is handed back unstarted. */
+    /** Called when a draining worker returns the job without having started it. */
     void returned();
 
-    /** The process died. */
+    /** Called when the worker's process ended before the job did. */
     void lost();
   }
 
   /**
-   * What the process is to do: {@code fetch} more work if it has not got the {@code object}, 0 for
-   * none.
+   * A job as the worker sees it. {@code amount} is the work in ms on a standard core; {@code fetch}
+   * is added to it if the worker has not cached {@code object}, which is 0 for a job without one.
    */
   public record Work(
       String id, double amount, int slots, int priority, long object, double fetch) {}
 
-  private record Push(double at, double work, boolean informed) {}
+  private record ColdOffer(double at, double work, boolean informed) {}
 
   private final class Task {
     final Work work;
-    final Ear ear;
-    double startedAtServed;
-    double endsAtServed;
+    final JobListener listener;
+    double servedWorkAtStart;
+    double servedWorkAtEnd;
     boolean ended;
 
-    Task(Work work, Ear ear) {
+    Task(Work work, JobListener listener) {
       this.work = work;
-      this.ear = ear;
+      this.listener = listener;
     }
 
     void reportProgress() {
       if (!ended && up) {
-        if (!hung && !still) {
-          settle();
-          ear.progress(Math.min(1, (served - startedAtServed) / (endsAtServed - startedAtServed)));
+        if (!hung && !paused) {
+          advance();
+          listener.progress(
+              Math.min(
+                  1, (servedWork - servedWorkAtStart) / (servedWorkAtEnd - servedWorkAtStart)));
         }
         time.after(kind.progressMs, this::reportProgress);
       }
@@ -103,8 +105,9 @@
   }
 
   /**
-   * A worker that started at {@code startedAt}, 0 for long ago. {@code whenFallen} hears of its
-   * fall with the share of the pressure that came from nodes that knew of its start.
+   * Creates a worker whose process started at {@code startedAt}, 0 if it started long ago. {@code
+   * onOverload} is called when the worker crashes from overload while cold, with the share of the
+   * offered work that came from nodes that knew when the process started.
    */
   public WorkerModel(
       Scheduler time,
@@ -112,148 +115,151 @@
       double startedAt,
       double fallMultiple,
       double tipMs,
-      UniformRandomProvider chance,
-      DoubleConsumer whenFallen) {
+      UniformRandomProvider random,
+      DoubleConsumer onOverload) {
     this.time = time;
     this.kind = kind;
-    this.chance = chance;
+    this.random = random;
     this.startedAt = startedAt;
     this.fallMultiple = fallMultiple;
     this.tipMs = tipMs;
-    this.whenFallen = whenFallen;
-    this.speed = kind.speed * Draw.Spread.of(kind.speedSpread).draw(chance);
-    this.settledAt = time.now();
+    this.onOverload = onOverload;
+    this.speed = kind.speed * Draw.Spread.of(kind.speedSpread).draw(random);
+    this.advancedAt = time.now();
     if (kind.pauseMs > 0) {
-      pausing = time.after(Draw.exponential(chance, kind.pauseEvery), this::pause);
+      nextPause = time.after(Draw.exponential(random, kind.pauseEvery), this::beginPause);
     }
   }
 
-  // ---- What comes in ----
+  // ---- Jobs and lifecycle ----
 
   /**
-   * Offers a job; false is the answer 'full'. {@code informed}: the sender knew when the process
-   * started.
+   * Offers a job to the worker. Returns false if the worker rejects it as full. {@code informed} is
+   * true if the sending node knew when the process started.
    */
-  public boolean offer(Work work, boolean informed, Ear ear) {
+  public boolean offer(Work work, boolean informed, JobListener listener) {
     if (!up) {
-      throw new IllegalStateException("a process that is down hears nothing");
+      throw new IllegalStateException("a job was offered to a process that is down");
     }
-    push(work.amount() * work.slots(), informed);
+    countColdOffer(work.amount() * work.slots(), informed);
     if (!up || draining || work.slots() > kind.slots()) {
       return false;
     }
-    boolean fits = slotsTaken + work.slots() <= kind.slots();
-    boolean first = waiting.isEmpty() || kind.order == KindSpec.Order.BACKFILL;
-    if (!(fits && first) && waiting.size() >= kind.queue()) {
+    boolean fits = slotsInUse + work.slots() <= kind.slots();
+    boolean maySkipQueue = waiting.isEmpty() || kind.order == KindSpec.Order.BACKFILL;
+    if (!(fits && maySkipQueue) && waiting.size() >= kind.queueCapacity()) {
       return false;
     }
-    settle();
-    waiting.add(new Task(work, ear));
-    fill();
+    advance();
+    waiting.add(new Task(work, listener));
+    startWaitingJobs();
     return true;
   }
 
-  /** A cancel: drops a waiting job where the kind does so; work that runs goes on. */
+  /** Drops a waiting job if this kind of worker supports it; a running job continues. */
   public void cancel(String id) {
     if (up && kind.cancelDropsWaiting && waiting.removeIf(task -> task.work.id().equals(id))) {
-      settle();
-      fill();
+      advance();
+      startWaitingJobs();
     }
   }
 
-  /** Adds work that has no job, such as a handshake: it delays all that runs. */
-  public void burden(double work) {
+  /** Adds work that belongs to no job, for example a handshake; it delays all running jobs. */
+  public void addOverhead(double work) {
     if (up && !running.isEmpty()) {
-      settle();
-      served -= Math.min(work / Math.max(1, Math.min(kind.cores, slotsTaken)), 50);
+      advance();
+      servedWork -= Math.min(work / Math.max(1, Math.min(kind.cores, slotsInUse)), 50);
       schedule();
     }
   }
 
-  /** From here on it takes nothing new; it may hand back what has not started. */
+  /** Rejects new jobs from now on and, if this kind of worker does so, returns waiting jobs. */
   public void drain() {
     draining = true;
     if (kind.drainReturns && up) {
-      settle();
-      List<Task> back = new ArrayList<>(waiting);
+      advance();
+      List<Task> returned = new ArrayList<>(waiting);
       waiting.clear();
-      back.forEach(task -> task.ear.returned());
+      returned.forEach(task -> task.listener.returned());
       schedule();
     }
   }
 
-  /** The process ends; {@code tell}: its machine's agent says so of each job. */
-  public void kill(boolean tell) {
+  /**
+   * Ends the process. With {@code notifyListeners}, the agent on its machine reports each job as
+   * lost.
+   */
+  public void kill(boolean notifyListeners) {
     if (!up) {
       return;
     }
     up = false;
-    if (next != null) {
-      next.cancel();
+    if (nextCompletion != null) {
+      nextCompletion.cancel();
     }
-    if (pausing != null) {
-      pausing.cancel();
+    if (nextPause != null) {
+      nextPause.cancel();
     }
     List<Task> all = new ArrayList<>(running);
     all.addAll(waiting);
     running.clear();
     waiting.clear();
-    slotsTaken = 0;
+    slotsInUse = 0;
     for (Task task : all) {
       task.ended = true;
-      if (tell) {
-        task.ear.lost();
+      if (notifyListeners) {
+        task.listener.lost();
       }
     }
   }
 
-  /** The process starts anew, cold. */
+  /** Restarts the process, which is cold again. */
   public void restart() {
     kill(false);
     up = true;
     draining = false;
     hung = false;
-    still = false;
-    slowness = 1;
+    paused = false;
+    slowdown = 1;
     startedAt = time.now();
-    settledAt = startedAt;
-    pushes.clear();
-    objects.clear();
-    pushed = 0;
-    pushedInformed = 0;
+    advancedAt = startedAt;
+    coldOffers.clear();
+    cachedObjects.clear();
+    offeredWork = 0;
+    informedOfferedWork = 0;
   }
 
-  /** Runs so many times slower from here on. */
-  public void slow(double times) {
-    settle();
-    slowness = times;
+  /** Divides the worker's speed by {@code factor} from now on. */
+  public void slow(double factor) {
+    advance();
+    slowdown = factor;
     schedule();
   }
 
-  /** Takes jobs and does nothing with them, or goes on. */
-  public void hang(boolean hangs) {
-    settle();
-    hung = hangs;
+  /** Hangs the worker, which then accepts jobs but does not execute them, or ends the hang. */
+  public void hang(boolean begins) {
+    advance();
+    hung = begins;
     schedule();
   }
 
-  // ---- What can be seen ----
+  // ---- Observable state ----
 
   public boolean up() {
     return up;
   }
 
-  /** True while it takes what it is sent and does nothing with it. */
+  /** Returns true while the worker accepts jobs but does not execute them. */
   public boolean hung() {
     return hung;
   }
 
-  /** When the process started; 0 for long ago. */
+  /** Returns the time at which the process started, in ms; 0 if it started long ago. */
   public double startedAt() {
     return startedAt;
   }
 
-  /** True if its answers bring its report. */
+  /** Returns true if the callback that ends a job carries the worker's load report. */
   public boolean reportsWithAnswers() {
     return kind.reportsWithAnswers;
   }
@@ -267,10 +273,10 @@
   }
 
   public int freeSlots() {
-    return kind.slots() - slotsTaken;
+    return kind.slots() - slotsInUse;
   }
 
-  /** Its load report, which is as old as its period lets it be, and noisy. */
+  /** Returns the load report, which is up to one report period old and contains noise. */
   public LoadReport report() {
     double now = time.now();
     if (now - reportedAt >= kind.reportPeriod) {
@@ -285,47 +291,48 @@
     return report;
   }
 
-  private double noisy(double figure) {
-    return figure * (1 + kind.reportNoise * (2 * chance.nextDouble() - 1));
+  private double noisy(double value) {
+    return value * (1 + kind.reportNoise * (2 * random.nextDouble() - 1));
   }
 
   public boolean cold() {
     return startedAt > 0 && time.now() - startedAt < kind.coldMs;
   }
 
-  /** The ms of work on a standard core that it can do in a ms at present. */
+  /** Returns the current capacity, in ms of work on a standard core per ms. */
   public double capacity() {
-    return kind.cores * speed * warmth(time.now()) / slowness;
+    return kind.cores * speed * warmth(time.now()) / slowdown;
   }
 
   /**
-   * When a job of this work would be done if it came now, ms from now, as nobody outside can know.
+   * Estimates from the true state, which no client can observe, how many ms a job with this work
+   * would take if it arrived now; infinite if the worker would not complete it.
    */
-  public double finishIn(double work) {
+  public double estimateCompletionTime(double work) {
     if (!up || hung || draining) {
       return Double.POSITIVE_INFINITY;
     }
-    settle();
-    double ahead = 0;
+    advance();
+    double workAhead = 0;
     for (Task task : running) {
-      ahead += (task.endsAtServed - served) * task.work.slots();
+      workAhead += (task.servedWorkAtEnd - servedWork) * task.work.slots();
     }
     for (Task task : waiting) {
-      ahead += task.work.amount() * task.work.slots();
+      workAhead += task.work.amount() * task.work.slots();
     }
-    double own = work / (speed * warmth(time.now()) / slowness);
-    boolean full = slotsTaken >= kind.slots();
-    return own
-        + (full ? ahead / capacity() / Math.max(1, running.size()) * (1 + waiting.size()) : 0);
+    double ownTime = work / (speed * warmth(time.now()) / slowdown);
+    boolean full = slotsInUse >= kind.slots();
+    return ownTime
+        + (full ? workAhead / capacity() / Math.max(1, running.size()) * (1 + waiting.size()) : 0);
   }
 
-  // ---- How it works ----
+  // ---- Execution ----
 
-  private void fill() {
-    Iterator<Task> queue = inOrder().iterator();
+  private void startWaitingJobs() {
+    Iterator<Task> queue = queueInServiceOrder().iterator();
     while (queue.hasNext()) {
       Task task = queue.next();
-      if (slotsTaken + task.work.slots() <= kind.slots()) {
+      if (slotsInUse + task.work.slots() <= kind.slots()) {
         waiting.remove(task);
         start(task);
       } else if (kind.order != KindSpec.Order.BACKFILL) {
@@ -335,7 +342,7 @@
     schedule();
   }
 
-  private List<Task> inOrder() {
+  private List<Task> queueInServiceOrder() {
     if (waiting.isEmpty()) {
       return List.of();
     }
@@ -348,12 +355,12 @@
 
   private void start(Task task) {
     running.add(task);
-    slotsTaken += task.work.slots();
-    task.startedAtServed = served;
-    task.endsAtServed =
-        served + task.work.amount() + (has(task.work.object()) ? 0 : task.work.fetch());
+    slotsInUse += task.work.slots();
+    task.servedWorkAtStart = servedWork;
+    task.servedWorkAtEnd =
+        servedWork + task.work.amount() + (cacheObject(task.work.object()) ? 0 : task.work.fetch());
     if (!hung) {
-      task.ear.started();
+      task.listener.started();
       if (kind.progressMs > 0) {
         time.after(kind.progressMs, task::reportProgress);
       }
@@ -361,38 +368,39 @@
   }
 
   /**
-   * True if the object is at hand, as it is from here on in place of the one not used for longest.
+   * Returns true if the object is cached. Afterwards it is cached in any case, and the least
+   * recently used object is evicted if the cache is full.
    */
-  private boolean has(long object) {
+  private boolean cacheObject(long object) {
     if (object == 0) {
       return true;
     }
-    boolean had = objects.remove(object);
-    objects.add(object);
-    if (objects.size() > kind.kept()) {
-      objects.remove(objects.iterator().next());
+    boolean wasCached = cachedObjects.remove(object);
+    cachedObjects.add(object);
+    if (cachedObjects.size() > kind.cachedObjects()) {
+      cachedObjects.remove(cachedObjects.iterator().next());
     }
-    return had;
+    return wasCached;
   }
 
-  /** Brings the work served up to the present. */
-  private void settle() {
+  /** Advances the counter of received work to the current time. */
+  private void advance() {
     double now = time.now();
-    if (now > settledAt) {
-      served += rate() * (warmed(now) - warmed(settledAt));
-      settledAt = now;
+    if (now > advancedAt) {
+      servedWork += rate() * (cumulativeWarmth(now) - cumulativeWarmth(advancedAt));
+      advancedAt = now;
     }
   }
 
-  /** Work that each job in a slot is served in a ms, for a warm process. */
+  /** Returns the work that each running job of a warm process receives per ms. */
   private double rate() {
-    if (running.isEmpty() || hung || still) {
+    if (running.isEmpty() || hung || paused) {
       return 0;
     }
-    double held = slotsTaken + waiting.size();
-    double excess = Math.max(0, held / kind.cores - kind.thrashAt);
+    double jobsHeld = slotsInUse + waiting.size();
+    double excess = Math.max(0, jobsHeld / kind.cores - kind.thrashAt);
     double efficiency = 1 / (1 + kind.thrash * excess);
-    return speed / slowness * Math.min(1, kind.cores / slotsTaken) * efficiency;
+    return speed / slowdown * Math.min(1, kind.cores / slotsInUse) * efficiency;
   }
 
   private double warmth(double at) {
@@ -401,8 +409,8 @@
     return warm ? 1 : kind.coldStart + (1 - kind.coldStart) * age / kind.coldMs;
   }
 
-  /** The integral of the warmth since the start, up to {@code at}. */
-  private double warmed(double at) {
+  /** Returns the integral of the warmth from the start of the process up to {@code at}. */
+  private double cumulativeWarmth(double at) {
     if (startedAt <= 0) {
       return at;
     }
@@ -414,19 +422,19 @@
   }
 
   /**
-   * The time at which the integral of the warmth has grown by {@code gain} from now on: its
-   * inverse.
+   * Returns the ms from now until the integral of the warmth has grown by {@code gain}. This
+   * inverts {@link #cumulativeWarmth}.
    */
-  private double timeFor(double gain) {
+  private double timeUntilWarmthGain(double gain) {
     double now = time.now();
     if (startedAt <= 0 || now - startedAt >= kind.coldMs) {
       return gain;
     }
-    double target = warmed(now) + gain;
-    double whenWarm = warmed(startedAt + kind.coldMs);
+    double target = cumulativeWarmth(now) + gain;
+    double cumulativeWhenWarm = cumulativeWarmth(startedAt + kind.coldMs);
     double age;
-    if (target >= whenWarm) {
-      age = kind.coldMs + target - whenWarm;
+    if (target >= cumulativeWhenWarm) {
+      age = kind.coldMs + target - cumulativeWhenWarm;
     } else {
       double a = (1 - kind.coldStart) / (2 * kind.coldMs);
       double b = kind.coldStart;
@@ -436,115 +444,120 @@
   }
 
   private void schedule() {
-    if (next != null) {
-      next.cancel();
-      next = null;
+    if (nextCompletion != null) {
+      nextCompletion.cancel();
+      nextCompletion = null;
     }
     double rate = rate();
     if (rate > 0) {
-      double first = Double.POSITIVE_INFINITY;
+      double nextEnd = Double.POSITIVE_INFINITY;
       for (Task task : running) {
-        first = Math.min(first, task.endsAtServed);
+        nextEnd = Math.min(nextEnd, task.servedWorkAtEnd);
       }
-      next = time.after(timeFor(Math.max(0, first - served) / rate), this::finish);
+      nextCompletion =
+          time.after(
+              timeUntilWarmthGain(Math.max(0, nextEnd - servedWork) / rate), this::finishNextJob);
     }
   }
 
-  private void finish() {
-    settle();
+  private void finishNextJob() {
+    advance();
     Task first = null;
     for (Task task : running) {
-      if (first == null || task.endsAtServed < first.endsAtServed) {
+      if (first == null || task.servedWorkAtEnd < first.servedWorkAtEnd) {
         first = task;
       }
     }
     if (first == null) {
       return;
     }
-    // The event was put off for this one; what is left of it is the rounding of doubles.
-    served = Math.max(served, first.endsAtServed);
+    // The event was scheduled for this job's completion: any remaining work is a rounding error.
+    servedWork = Math.max(servedWork, first.servedWorkAtEnd);
     running.remove(first);
-    slotsTaken -= first.work.slots();
+    slotsInUse -= first.work.slots();
     first.ended = true;
-    if (chance.nextDouble() < kind.errorRate) {
-      first.ear.failed();
+    if (random.nextDouble() < kind.errorRate) {
+      first.listener.failed();
     } else {
-      first.ear.done();
+      first.listener.done();
     }
-    fill();
+    startWaitingJobs();
   }
 
-  private void pause() {
-    settle();
-    still = true;
+  private void beginPause() {
+    advance();
+    paused = true;
     schedule();
-    pausing =
+    nextPause =
         time.after(
             kind.pauseMs,
             () -> {
-              settle();
-              still = false;
+              advance();
+              paused = false;
               schedule();
-              pausing = time.after(Draw.exponential(chance, kind.pauseEvery), this::pause);
+              nextPause = time.after(Draw.exponential(random, kind.pauseEvery), this::beginPause);
             });
   }
 
-  /** Work that reaches a cold process adds pressure, also work that it turns away. */
-  private void push(double work, boolean informed) {
+  /**
+   * Counts the work offered to a cold process within the last {@code tipMs}, including rejected
+   * work, and crashes the process if it exceeds {@code fallMultiple} times the current capacity.
+   */
+  private void countColdOffer(double work, boolean informed) {
     if (!cold()) {
       return;
     }
     double now = time.now();
-    pushes.add(new Push(now, work, informed));
-    pushed += work;
-    pushedInformed += informed ? work : 0;
-    while (pushes.peek().at() <= now - tipMs) {
-      Push old = pushes.poll();
-      pushed -= old.work();
-      pushedInformed -= old.informed() ? old.work() : 0;
-    }
-    if (pushed > fallMultiple * capacity() * tipMs) {
-      double share = pushedInformed / pushed;
+    coldOffers.add(new ColdOffer(now, work, informed));
+    offeredWork += work;
+    informedOfferedWork += informed ? work : 0;
+    while (coldOffers.peek().at() <= now - tipMs) {
+      ColdOffer expired = coldOffers.poll();
+      offeredWork -= expired.work();
+      informedOfferedWork -= expired.informed() ? expired.work() : 0;
+    }
+    if (offeredWork > fallMultiple * capacity() * tipMs) {
+      double informedShare = informedOfferedWork / offeredWork;
       kill(true);
-      whenFallen.accept(share);
+      onOverload.accept(informedShare);
     }
   }
 
-  /** An ear that hands the one end of a keyed job on to its window. */
-  static Ear ending(Ear ear, Consumer<KeyWindows.End> end) {
-    return new Ear() {
+  /** Wraps a listener so that the end of a keyed job is also passed to {@code onEnd}. */
+  static JobListener notifyingEnd(JobListener listener, Consumer<KeyWindows.End> onEnd) {
+    return new JobListener() {
       @Override
       public void started() {
-        ear.started();
+        listener.started();
       }
 
       @Override
       public void progress(double share) {
-        ear.progress(share);
+        listener.progress(share);
       }
 
       @Override
       public void done() {
-        ear.done();
-        end.accept(KeyWindows.End.DONE);
+        listener.done();
+        onEnd.accept(KeyWindows.End.DONE);
       }
 
       @Override
       public void failed() {
-        ear.failed();
-        end.accept(KeyWindows.End.FAILED);
+        listener.failed();
+        onEnd.accept(KeyWindows.End.FAILED);
       }
 
       @Override
       public void returned() {
-        ear.returned();
-        end.accept(KeyWindows.End.RETURNED);
+        listener.returned();
+        onEnd.accept(KeyWindows.End.RETURNED);
       }
 
       @Override
       public void lost() {
-        ear.lost();
-        end.accept(KeyWindows.End.LOST);
+        listener.lost();
+        onEnd.accept(KeyWindows.End.LOST);
       }
     };
   }
--- a/emulator/src/main/java/ferngrade/emulator/WorkloadSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkloadSpec.java
@@ -3,19 +3,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What clients ask for: an open loop, in which arrivals never wait for answers. */
+/** Specifies the clients' workload: an open loop, in which arrivals never wait for answers. */
 public final class WorkloadSpec {
-  /** Jobs a second; 0 takes {@code load}. */
+  /** The arrival rate in jobs per second; if 0, it is derived from {@code load}. */
   @Quantity(Quantity.Measure.RATE)
   public double rate;
 
-  /** The work asked for, as a share of the fleet's capacity at the start. */
+  /** The offered work, as a share of the fleet's capacity at the start. */
   public double load = 0.7;
 
   public Shape shape = Shape.STEADY;
 
   /**
-   * How far a wave swings and a bursty load jumps, as a share of the rate; and how long that takes.
+   * The amplitude of a wave or of the bursts, as a share of the rate. {@link #period} is the period
+   * of the wave, or the mean length of a high and a low phase together.
    */
   @Quantity(Quantity.Measure.SHARE)
   public double swing = 0.3;
@@ -23,7 +24,7 @@
   @Quantity(Quantity.Measure.TIME)
   public double period = 20_000;
 
-  /** Retries that a client makes by itself at most, and the wait before one. */
+  /** The maximum number of retries by a client; {@link #backoff} is the wait before the first. */
   public int retries = 1;
 
   @Quantity(Quantity.Measure.TIME)
@@ -31,17 +32,17 @@
 
   public boolean exponential = true;
 
-  /** The share of clients that wait as long as {@code Retry-After} says. */
+  /** The share of retries that honour a {@code Retry-After} header. */
   @Quantity(Quantity.Measure.SHARE)
   public double honour = 0.9;
 
-  /** The share of tries that their client leaves early. */
+  /** The share of requests that the client abandons before the deadline. */
   @Quantity(Quantity.Measure.SHARE)
   public double impatient = 0.02;
 
   /**
-   * The worth of what a tenant asks beyond its share, and the share of the capacity that shares
-   * divide.
+   * The factor by which the worth of a request beyond the tenant's share is reduced. {@link #quota}
+   * is the share of the fleet's capacity that is divided among the tenants.
    */
   @Quantity(Quantity.Measure.SHARE)
   public double overShareWorth = 0.05;
@@ -50,14 +51,14 @@
   public double quota = 0.85;
 
   /**
-   * How many objects jobs are about, 0 for none, and the exponent of Zipf's law by which they are
-   * asked for.
+   * The number of objects that jobs refer to, 0 if jobs have no objects. Their popularity follows
+   * Zipf's law with the exponent {@link #objectSkew}.
    */
   public int objects;
 
   public double objectSkew = 1;
 
-  /** What a fetch costs a worker that has not got the object, as a share of the mean job. */
+  /** The work to fetch an object that a worker has not cached, as a share of the mean work. */
   public double fetch = 0.9;
 
   /** Whether jobs name their object to the nodes. */
@@ -66,10 +67,10 @@
   public List<ClassSpec> classes = new ArrayList<>();
   public List<TenantSpec> tenants = new ArrayList<>();
 
-  /** Arrivals taken from a trace in place of drawn ones; empty for none. */
+  /** A trace of arrivals to replay; if empty, arrivals are random. */
   public List<Arrival> trace = List.of();
 
-  /** How the rate moves. */
+  /** How the arrival rate varies over time. */
   public enum Shape {
     STEADY,
     WAVE,
@@ -79,13 +80,13 @@
   /** One arrival of a trace, {@code at} ms from the start. */
   public record Arrival(double at, int jobClass, int tenant, double work) {}
 
-  /** The mean core time of a job, in ms on a standard core. */
+  /** Returns the mean work of a job, in ms on a standard core. */
   public double meanWork() {
     double shares = 0;
     double work = 0;
-    for (ClassSpec each : classes) {
-      shares += each.share;
-      work += each.share * each.work * each.slots;
+    for (ClassSpec jobClass : classes) {
+      shares += jobClass.share;
+      work += jobClass.share * jobClass.work * jobClass.slots;
     }
     return work / shares;
   }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/DrainChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/DrainChecker.java
@@ -8,52 +8,52 @@
 import java.util.Map;
 
 /**
- * Nothing new goes to a worker later than the grace after its node was told that it drains or is
- * gone.
+ * Checks that a node sends no new attempt to a worker once the grace period has elapsed since the
+ * node was notified that the worker is draining or gone.
  */
 public final class DrainChecker extends InvariantChecker {
   private final double grace;
-  private final Map<Told, Double> ends = new HashMap<>();
+  private final Map<NodeAndWorker, Double> notifiedAt = new HashMap<>();
 
-  private record Told(int node, long worker) {}
+  private record NodeAndWorker(int node, long worker) {}
 
-  /** A judge with the scenario's grace. */
+  /** Creates a checker with the scenario's grace period. */
   public DrainChecker(Scenario scenario) {
     super("drain");
     this.grace = scenario.drainGrace;
   }
 
   @Override
-  public void told(
+  public void workerListed(
       double now, int node, EmulatedWorker worker, WorkerState state, double startedAt) {
-    Told about = new Told(node, worker.id);
+    NodeAndWorker key = new NodeAndWorker(node, worker.id);
     if (state == WorkerState.READY) {
-      ends.remove(about);
+      notifiedAt.remove(key);
     } else {
-      ends.putIfAbsent(about, now);
+      notifiedAt.putIfAbsent(key, now);
     }
   }
 
   @Override
   public void node(double now, int node, boolean up) {
-    ends.keySet().removeIf(told -> told.node() == node);
+    notifiedAt.keySet().removeIf(key -> key.node() == node);
   }
 
   @Override
   public void sent(double now, int node, EmulatedWorker worker, Request request) {
-    if (ends.isEmpty()) {
+    if (notifiedAt.isEmpty()) {
       return;
     }
-    Double since = ends.get(new Told(node, worker.id));
+    Double since = notifiedAt.get(new NodeAndWorker(node, worker.id));
     if (since != null && now > since + grace) {
-      breach(
+      reportViolation(
           now,
           request
-              + " went to "
+              + " was sent to "
               + worker
               + " "
               + (now - since)
-              + " ms after its end was told to node "
+              + " ms after its drain or removal was announced to node "
               + node);
     }
   }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
@@ -7,65 +7,72 @@
 import java.util.IdentityHashMap;
 import java.util.Set;
 
-/** Each request that a node has taken gets exactly one final answer, before its client gives up. */
+/**
+ * Checks that each request that a node has accepted gets exactly one final answer, before the
+ * client gives up.
+ */
 public final class FinalAnswerChecker extends InvariantChecker {
   /**
-   * After a longer way than this into the hands of the node it cannot keep the deadline as its
-   * client counts it, ms.
+   * The longest delivery time, in ms, after which a node is still expected to meet the deadline
+   * that the client measures from the time at which the request was due.
    */
-  private static final double HELD_UP = Clients.ANSWER_SLACK / 2;
+  private static final double MAX_DELIVERY_MILLIS = Clients.ANSWER_SLACK_MILLIS / 2;
 
-  private final IdentityHashMap<Request, State> owed = new IdentityHashMap<>();
+  private final IdentityHashMap<Request, State> openRequests = new IdentityHashMap<>();
 
-  private final Set<Integer> still = new HashSet<>();
+  private final Set<Integer> pausedNodes = new HashSet<>();
 
   private enum State {
+    /** The node must answer. */
     OWED,
-    /** It lay so long before a process that stood still that the node cannot know its deadline. */
+    /** The request waited too long for a paused process, which cannot know its true deadline. */
     HELD_UP,
     /**
-     * Its client has left by its own choice, or waited for a process that stood still: no answer is
-     * owed.
+     * The client left before the deadline, or gave up on a paused process: an answer is permitted
+     * but not required.
      */
     LEFT,
-    /** The client gave up: it wants no answer, and it has had none in its time. */
+    /** The client gave up at the deadline without an answer. */
     OVERDUE
   }
 
-  /** A judge that has seen nothing yet. */
+  /** Creates a checker without open requests. */
   public FinalAnswerChecker() {
     super("one-answer");
   }
 
   @Override
-  public void taken(double now, int node, Request request) {
-    if (owed.put(request, now - request.due > HELD_UP ? State.HELD_UP : State.OWED) != null) {
-      breach(now, request + " was taken twice");
+  public void accepted(double now, int node, Request request) {
+    if (openRequests.put(
+            request, now - request.due > MAX_DELIVERY_MILLIS ? State.HELD_UP : State.OWED)
+        != null) {
+      reportViolation(now, request + " was accepted twice");
     }
   }
 
   @Override
   public void lost(double now, Request request, String why) {
-    // The emulator itself lost it: whatever is missing from here on is not the program's doing.
-    owed.remove(request);
+    // The emulator lost the request or its answer: a missing answer is not the node's fault.
+    openRequests.remove(request);
   }
 
   @Override
   public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
-    State state = owed.remove(request);
+    State state = openRequests.remove(request);
     if (state == null) {
-      breach(now, request + " was answered " + answer + " although no answer was owed");
-    } else if (state == State.OWED && now > request.deadline + Clients.ANSWER_SLACK) {
-      breach(now, request + " was answered " + (now - request.deadline) + " ms after its deadline");
+      reportViolation(now, request + " was answered " + answer + " although no answer was owed");
+    } else if (state == State.OWED && now > request.deadline + Clients.ANSWER_SLACK_MILLIS) {
+      reportViolation(
+          now, request + " was answered " + (now - request.deadline) + " ms after its deadline");
     }
   }
 
   @Override
   public void paused(double now, int node, boolean begins) {
     if (begins) {
-      still.add(node);
+      pausedNodes.add(node);
     } else {
-      still.remove(node);
+      pausedNodes.remove(node);
     }
   }
 
@@ -74,22 +81,23 @@
     if (answer != Answer.LEFT) {
       return;
     }
-    boolean heldUp = owed.get(request) == State.HELD_UP || still.contains(request.node());
-    if (now < request.deadline || heldUp) {
-      // A node that has not heard of it yet may answer all the same, once.
-      owed.computeIfPresent(request, (key, before) -> State.LEFT);
-    } else if (owed.containsKey(request)) {
-      owed.put(request, State.OVERDUE);
-      breach(now, request + " had no answer when its client gave up");
+    boolean delayed =
+        openRequests.get(request) == State.HELD_UP || pausedNodes.contains(request.node());
+    if (now < request.deadline || delayed) {
+      // A node that has not noticed the disconnect yet may still answer once.
+      openRequests.computeIfPresent(request, (key, before) -> State.LEFT);
+    } else if (openRequests.containsKey(request)) {
+      openRequests.put(request, State.OVERDUE);
+      reportViolation(now, request + " had no answer when its client gave up");
     }
   }
 
   @Override
   public void finish(double now) {
-    owed.forEach(
+    openRequests.forEach(
         (request, state) -> {
           if (state == State.OWED) {
-            breach(now, request + " never had an answer");
+            reportViolation(now, request + " never had an answer");
           }
         });
   }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
@@ -6,46 +6,46 @@
 import java.util.List;
 
 /**
- * Watches a run for one rule. A judge knows only what observers see, shares no code with the
- * program, and keeps notes of its own.
+ * Checks one invariant during a run. A checker uses only observed events, keeps its own state and
+ * shares no code with the program under test.
  */
 public abstract class InvariantChecker implements Observer {
-  /** Breaches kept with their text; more are only counted. */
-  private static final int MOST_KEPT = 20;
+  /** The maximum number of violations that are stored with a message; others are only counted. */
+  private static final int MAX_STORED_VIOLATIONS = 20;
 
   private final String rule;
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private long count;
 
-  /** One breach of a rule. */
-  public record Breach(String rule, double at, String what) {}
+  /** A violation of a rule. */
+  public record Violation(String rule, double at, String what) {}
 
   InvariantChecker(String rule) {
     this.rule = rule;
   }
 
-  /** The rule's short name. */
+  /** Returns the short name of the rule. */
   public String rule() {
     return rule;
   }
 
-  final void breach(double now, String what) {
+  final void reportViolation(double now, String message) {
     count++;
-    if (breaches.size() < MOST_KEPT) {
-      breaches.add(new Breach(rule, now, what));
+    if (violations.size() < MAX_STORED_VIOLATIONS) {
+      violations.add(new Violation(rule, now, message));
     }
   }
 
-  /** The first breaches seen. */
-  public List<Breach> breaches() {
-    return Collections.unmodifiableList(breaches);
+  /** Returns the first violations, with their messages. */
+  public List<Violation> breaches() {
+    return Collections.unmodifiableList(violations);
   }
 
-  /** All breaches seen. */
+  /** Returns the number of all violations. */
   public long count() {
     return count;
   }
 
-  /** Called once, when the run is over. */
+  /** Called once, at the end of the run. */
   public void finish(double now) {}
 }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
@@ -3,39 +3,39 @@
 import ferngrade.emulator.Scenario;
 import java.util.List;
 
-/** The judges of all rules, for one run. */
+/** Holds the checkers of all invariants for one run. */
 public final class InvariantCheckers {
-  private final SlowStartChecker cold = new SlowStartChecker();
-  private final List<InvariantChecker> judges;
+  private final SlowStartChecker slowStart = new SlowStartChecker();
+  private final List<InvariantChecker> checkers;
 
-  /** Judges that have seen nothing yet. */
+  /** Creates the checkers for a run of the scenario. */
   public InvariantCheckers(Scenario scenario) {
-    judges =
+    checkers =
         List.of(
             new FinalAnswerChecker(),
             new RetryChecker(scenario),
             new DrainChecker(scenario),
-            cold,
+            slowStart,
             new RejectionChecker(scenario));
   }
 
-  /** The judges, each an observer. */
+  /** Returns the checkers, which must observe the run. */
   public List<InvariantChecker> judges() {
-    return judges;
+    return checkers;
   }
 
-  /** Ends the watch. */
+  /** Finishes all checkers at the end of the run. */
   public void finish(double now) {
-    judges.forEach(judge -> judge.finish(now));
+    checkers.forEach(checker -> checker.finish(now));
   }
 
-  /** The breaches of all rules. */
+  /** Returns the number of violations of all rules. */
   public long breaches() {
-    return judges.stream().mapToLong(InvariantChecker::count).sum();
+    return checkers.stream().mapToLong(InvariantChecker::count).sum();
   }
 
-  /** Workers that fell while cold, whoever was to blame. */
+  /** Returns the number of workers that crashed from overload while cold, whatever the cause. */
   public long fallen() {
-    return cold.fallen();
+    return slowStart.fallen();
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
@@ -10,25 +10,25 @@
 import java.util.Map;
 
 /**
- * A request that is given up is answered at once: no refusal comes long after the last thing that
- * happened to its request, be that its arrival or the end of an attempt.
+ * Checks that a request is rejected promptly: a rejection must follow soon after the last event of
+ * its request, which is its arrival or the start or end of an attempt.
  */
 public final class RejectionChecker extends InvariantChecker {
-  /** What a loop and a busy moment may take, ms. */
-  private static final double PROMPT = 100;
+  /** The time allowed for a turn of the event loop and a short load peak, in ms. */
+  private static final double PROMPT_MILLIS = 100;
 
-  private final double allowed;
+  private final double allowedMillis;
   private final IdentityHashMap<Request, Double> lastEvent = new IdentityHashMap<>();
-  private final Map<Integer, Double> resumed = new HashMap<>();
+  private final Map<Integer, Double> resumedAt = new HashMap<>();
 
-  /** A judge for nodes with the scenario's round. */
+  /** Creates a checker for nodes that decide once per round of the scenario. */
   public RejectionChecker(Scenario scenario) {
     super("prompt-refusal");
-    this.allowed = PROMPT + scenario.roundMs;
+    this.allowedMillis = PROMPT_MILLIS + scenario.roundMs;
   }
 
   @Override
-  public void taken(double now, int node, Request request) {
+  public void accepted(double now, int node, Request request) {
     lastEvent.put(request, now);
   }
 
@@ -46,7 +46,7 @@
   @Override
   public void paused(double now, int node, boolean begins) {
     if (!begins) {
-      resumed.put(node, now);
+      resumedAt.put(node, now);
     }
   }
 
@@ -56,10 +56,9 @@
     if (answer != Answer.REFUSED || last == null) {
       return;
     }
-    double from = Math.max(last, resumed.getOrDefault(node, Double.NEGATIVE_INFINITY));
-    if (now > from + allowed) {
-      breach(
-          now, request + " was refused " + (now - from) + " ms after anything had happened to it");
+    double from = Math.max(last, resumedAt.getOrDefault(node, Double.NEGATIVE_INFINITY));
+    if (now > from + allowedMillis) {
+      reportViolation(now, request + " was rejected " + (now - from) + " ms after its last event");
     }
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
@@ -13,26 +13,26 @@
 import java.util.List;
 
 /**
- * Nothing that may have run goes out again unless its class allows it; a worker has one attempt of
- * a request at a time; and what may have run is not called refused.
+ * Checks that a job that may have run is retried only if its class allows it, that a worker has at
+ * most one attempt of a request at a time, and that a job that may have run is not rejected.
  */
 public final class RetryChecker extends InvariantChecker {
   private final Scenario scenario;
-  private final IdentityHashMap<Request, List<Sent>> sent = new IdentityHashMap<>();
+  private final IdentityHashMap<Request, List<Attempt>> sent = new IdentityHashMap<>();
 
-  private static final class Sent {
+  private static final class Attempt {
     final EmulatedWorker worker;
     final double at;
-    boolean out = true;
+    boolean inFlight = true;
     boolean neverRan;
 
-    Sent(EmulatedWorker worker, double at) {
+    Attempt(EmulatedWorker worker, double at) {
       this.worker = worker;
       this.at = at;
     }
   }
 
-  /** A judge for the classes of this scenario. */
+  /** Creates a checker for the job classes of a scenario. */
   public RetryChecker(Scenario scenario) {
     super("no-repeat");
     this.scenario = scenario;
@@ -40,63 +40,70 @@
 
   @Override
   public void sent(double now, int node, EmulatedWorker worker, Request request) {
-    List<Sent> before = sent.computeIfAbsent(request, key -> new ArrayList<>(2));
+    List<Attempt> earlierAttempts = sent.computeIfAbsent(request, key -> new ArrayList<>(2));
     ClassSpec spec = scenario.workload.classes.get(request.jobClass);
-    Sent doubtful = null;
-    int out = 0;
-    for (Sent each : before) {
-      out += each.out ? 1 : 0;
-      if (each.out && each.worker == worker) {
-        breach(now, request + " has two attempts at " + worker);
+    Attempt possiblyRan = null;
+    int inFlight = 0;
+    for (Attempt attempt : earlierAttempts) {
+      inFlight += attempt.inFlight ? 1 : 0;
+      if (attempt.inFlight && attempt.worker == worker) {
+        reportViolation(now, request + " has two attempts at " + worker);
       }
-      if (!each.neverRan && doubtful == null) {
-        doubtful = each;
+      if (!attempt.neverRan && possiblyRan == null) {
+        possiblyRan = attempt;
       }
     }
-    if (out > 0 && !scenario.secondCopies) {
-      breach(now, request + " has two copies out");
+    if (inFlight > 0 && !scenario.secondCopies) {
+      reportViolation(now, request + " has two attempts in flight");
     }
-    if (doubtful != null && !allows(spec, doubtful, worker, now)) {
-      breach(
-          now, request + " went to " + worker + " although it may have run at " + doubtful.worker);
+    if (possiblyRan != null && !mayRetry(spec, possiblyRan, worker, now)) {
+      reportViolation(
+          now,
+          request
+              + " was sent to "
+              + worker
+              + " although it may have run at "
+              + possiblyRan.worker);
     }
-    before.add(new Sent(worker, now));
+    earlierAttempts.add(new Attempt(worker, now));
   }
 
-  private static boolean allows(ClassSpec spec, Sent doubtful, EmulatedWorker worker, double now) {
+  private static boolean mayRetry(
+      ClassSpec spec, Attempt possiblyRan, EmulatedWorker worker, double now) {
     if (spec.effect == Idempotency.SAFE) {
       return true;
     }
-    boolean group =
+    boolean sameGroup =
         spec.scope == IdempotencyScope.ALL
-            || (spec.scope == IdempotencyScope.ZONE && doubtful.worker.zone == worker.zone)
-            || (spec.scope == IdempotencyScope.CELL && doubtful.worker.cell == worker.cell);
-    return spec.effect == Idempotency.KEYED && group && now <= doubtful.at + spec.window;
+            || (spec.scope == IdempotencyScope.ZONE && possiblyRan.worker.zone == worker.zone)
+            || (spec.scope == IdempotencyScope.CELL && possiblyRan.worker.cell == worker.cell);
+    return spec.effect == Idempotency.KEYED && sameGroup && now <= possiblyRan.at + spec.window;
   }
 
   @Override
   public void attemptOver(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
-    for (Sent each : sent.getOrDefault(request, List.of())) {
-      if (each.worker == worker && each.out) {
-        each.out = false;
-        each.neverRan = outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.CONNECT_FAILED;
+    for (Attempt attempt : sent.getOrDefault(request, List.of())) {
+      if (attempt.worker == worker && attempt.inFlight) {
+        attempt.inFlight = false;
+        attempt.neverRan =
+            outcome == AttemptOutcome.FULL || outcome == AttemptOutcome.CONNECT_FAILED;
       }
     }
   }
 
   @Override
   public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
-    List<Sent> before = sent.remove(request);
+    List<Attempt> earlierAttempts = sent.remove(request);
     ClassSpec spec = scenario.workload.classes.get(request.jobClass);
-    boolean harmless =
+    boolean mayRunAgain =
         spec.effect == Idempotency.SAFE
             || (spec.effect == Idempotency.KEYED && spec.scope == IdempotencyScope.ALL);
     if (answer == Answer.REFUSED
-        && before != null
-        && !harmless
-        && before.stream().anyMatch(each -> !each.neverRan)) {
-      breach(now, request + " was called refused although it may have run");
+        && earlierAttempts != null
+        && !mayRunAgain
+        && earlierAttempts.stream().anyMatch(attempt -> !attempt.neverRan)) {
+      reportViolation(now, request + " was rejected although it may have run");
     }
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
@@ -2,32 +2,33 @@
 
 import ferngrade.emulator.EmulatedWorker;
 
-/** No cold worker is pushed over by work from nodes that knew it was cold. */
+/** Checks that nodes do not overload a worker that they know to be cold. */
 public final class SlowStartChecker extends InvariantChecker {
-  private static final double BLAMED = 2.0 / 3;
+  /** The share of work from informed nodes from which a crash counts as a violation. */
+  private static final double MIN_VIOLATING_SHARE = 2.0 / 3;
 
-  private long fallen;
+  private long crashedWorkers;
 
-  /** A judge that has seen nothing yet. */
+  /** Creates a checker without violations. */
   public SlowStartChecker() {
     super("cold-start");
   }
 
   @Override
-  public void fell(double now, EmulatedWorker worker, double informedShare) {
-    fallen++;
-    if (informedShare >= BLAMED) {
-      breach(
+  public void coldWorkerCrashed(double now, EmulatedWorker worker, double informedShare) {
+    crashedWorkers++;
+    if (informedShare >= MIN_VIOLATING_SHARE) {
+      reportViolation(
           now,
           worker
-              + " was pushed over while cold, "
+              + " crashed from overload while cold, "
               + Math.round(100 * informedShare)
-              + " % of it by nodes that knew");
+              + " % of the work came from nodes that knew it was cold");
     }
   }
 
-  /** All workers that fell, whoever was to blame. */
+  /** Returns the number of workers that crashed from overload while cold, whatever the cause. */
   public long fallen() {
-    return fallen;
+    return crashedWorkers;
   }
 }
