--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -20,24 +20,24 @@
 import java.util.Set;
 
 /**
- * What the plain policies share: the list of workers, what each holds, and the guard that keeps an
- * attempt that may have run from going out again. They admit everything and differ in the pick
- * alone.
+ * Base class of the simple policies. It tracks the worker list and the attempts in flight, and does
+ * not retry a job that may have run. The policies admit every job and differ only in how they pick
+ * a worker.
  */
 abstract class PlainPolicy implements Dispatcher {
   private final DispatcherSettings settings;
   private final Actions actions;
-  private final Map<Long, Worker> listed = new HashMap<>();
-  private final Map<Long, Integer> held = new HashMap<>();
-  private final Map<String, Open> open = new HashMap<>();
+  private final Map<Long, Worker> workersById = new HashMap<>();
+  private final Map<Long, Integer> attemptsInFlight = new HashMap<>();
+  private final Map<String, PendingJob> pendingJobs = new HashMap<>();
   private List<Worker> ready = List.of();
 
-  private static final class Open {
+  private static final class PendingJob {
     final Job job;
     final List<Long> tried = new ArrayList<>(1);
-    boolean doubtful;
+    boolean mayHaveRun;
 
-    Open(Job job) {
+    PendingJob(Job job) {
       this.job = job;
     }
   }
@@ -47,48 +47,52 @@
     this.actions = actions;
   }
 
-  /** The worker to take, of at least one; those of {@code tried} have had the job. */
+  /**
+   * Picks one of the ready workers that have not been tried, of which there is at least one; null
+   * rejects the job.
+   */
   abstract Worker pick(List<Worker> ready, Job job);
 
-  /** The attempts that this dispatcher has out at a worker. */
-  final int held(Worker worker) {
-    return held.getOrDefault(worker.id(), 0);
+  /** Returns the number of attempts that this dispatcher has in flight at a worker. */
+  final int attemptsInFlight(Worker worker) {
+    return attemptsInFlight.getOrDefault(worker.id(), 0);
   }
 
   @Override
   public final void arrived(double now, Job job) {
-    Open request = new Open(job);
-    open.put(job.id(), request);
-    send(request, now);
+    PendingJob pending = new PendingJob(job);
+    pendingJobs.put(job.id(), pending);
+    send(pending, now);
   }
 
-  private void send(Open request, double now) {
-    List<Worker> left = ready;
-    if (!request.tried.isEmpty()) {
-      Set<Long> tried = new HashSet<>(request.tried);
-      left = ready.stream().filter(worker -> !tried.contains(worker.id())).toList();
+  private void send(PendingJob pending, double now) {
+    List<Worker> candidates = ready;
+    if (!pending.tried.isEmpty()) {
+      Set<Long> tried = new HashSet<>(pending.tried);
+      candidates = ready.stream().filter(worker -> !tried.contains(worker.id())).toList();
     }
-    boolean spent = request.tried.size() >= settings.limits().tries() || now >= request.job.due();
-    Worker worker = spent || left.isEmpty() ? null : pick(left, request.job);
+    boolean exhausted =
+        pending.tried.size() >= settings.limits().tries() || now >= pending.job.due();
+    Worker worker = exhausted || candidates.isEmpty() ? null : pick(candidates, pending.job);
     if (worker == null) {
-      answer(request);
+      answer(pending);
       return;
     }
-    request.tried.add(worker.id());
-    held.merge(worker.id(), 1, Integer::sum);
-    actions.send(request.job.id(), worker.id(), 0);
+    pending.tried.add(worker.id());
+    attemptsInFlight.merge(worker.id(), 1, Integer::sum);
+    actions.send(pending.job.id(), worker.id(), 0);
   }
 
-  private void answer(Open request) {
-    open.remove(request.job.id());
-    JobClass jobClass = settings.classes().get(request.job.jobClass());
-    boolean harmless =
+  private void answer(PendingJob pending) {
+    pendingJobs.remove(pending.job.id());
+    JobClass jobClass = settings.classes().get(pending.job.jobClass());
+    boolean mayRunAgain =
         jobClass.effect() == Idempotency.SAFE
             || (jobClass.effect() == Idempotency.KEYED && jobClass.scope() == IdempotencyScope.ALL);
-    if (harmless || !request.doubtful) {
-      actions.refuse(request.job.id(), 0);
+    if (mayRunAgain || !pending.mayHaveRun) {
+      actions.refuse(pending.job.id(), 0);
     } else {
-      actions.fail(request.job.id());
+      actions.fail(pending.job.id());
     }
   }
 
@@ -101,29 +105,29 @@
       double took,
       boolean over,
       LoadReport report) {
-    Open request = open.get(id);
-    if (request == null) {
+    PendingJob pending = pendingJobs.get(id);
+    if (pending == null) {
       return;
     }
-    held.merge(request.tried.get(attempt), -1, Integer::sum);
-    request.doubtful |= !outcome.neverRan;
+    attemptsInFlight.merge(pending.tried.get(attempt), -1, Integer::sum);
+    pending.mayHaveRun |= !outcome.neverRan;
     if (over || outcome == AttemptOutcome.OK) {
-      open.remove(id);
-    } else if (request.doubtful) {
-      answer(request);
+      pendingJobs.remove(id);
+    } else if (pending.mayHaveRun) {
+      answer(pending);
     } else {
-      send(request, now);
+      send(pending, now);
     }
   }
 
   @Override
-  public final void members(double now, EndpointListUpdate news, List<Worker> workers) {
-    if (news != EndpointListUpdate.CHANGES) {
-      listed.clear();
+  public final void members(double now, EndpointListUpdate update, List<Worker> workers) {
+    if (update != EndpointListUpdate.CHANGES) {
+      workersById.clear();
     }
-    workers.forEach(worker -> listed.put(worker.id(), worker));
+    workers.forEach(worker -> workersById.put(worker.id(), worker));
     ready =
-        listed.values().stream()
+        workersById.values().stream()
             .filter(worker -> worker.state() == WorkerState.READY)
             .sorted(Comparator.comparingLong(Worker::id))
             .toList();
--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -15,44 +15,49 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** The policies that experiments compare, by name. */
+/** Maps the names of policies that experiments compare to the policies. */
 public final class Policies {
   private static final Map<String, Policy> ALL = new LinkedHashMap<>();
 
   static {
     ALL.put(
         "module",
-        (settings, seed, now, actions, truth) ->
+        (settings, seed, now, actions, fleetState) ->
             new ThrottlingDispatcher(settings, seed, now, actions));
     ALL.put(
-        "random", (settings, seed, now, actions, truth) -> new RandomPick(settings, seed, actions));
+        "random",
+        (settings, seed, now, actions, fleetState) -> new RandomPick(settings, seed, actions));
     ALL.put(
         "round-robin",
-        (settings, seed, now, actions, truth) -> new RoundRobin(settings, seed, actions));
+        (settings, seed, now, actions, fleetState) -> new RoundRobin(settings, seed, actions));
     ALL.put(
         "least-loaded",
-        (settings, seed, now, actions, truth) -> new LeastLoaded(settings, seed, actions));
+        (settings, seed, now, actions, fleetState) -> new LeastLoaded(settings, seed, actions));
     ALL.put(
         "two-choices",
-        (settings, seed, now, actions, truth) -> new TwoChoices(settings, seed, actions));
+        (settings, seed, now, actions, fleetState) -> new TwoChoices(settings, seed, actions));
     ALL.put(
         "all-seeing",
-        (settings, seed, now, actions, truth) -> new AllSeeing(settings, actions, truth));
+        (settings, seed, now, actions, fleetState) -> new AllSeeing(settings, actions, fleetState));
   }
 
   private Policies() {}
 
-  /** The names, the decision module's first. */
+  /** Returns the names of all policies; the first is that of the production dispatcher. */
   public static Set<String> names() {
     return ALL.keySet();
   }
 
-  /** The policy of this name; an {@link IllegalArgumentException} says which there are. */
+  /**
+   * Returns the policy with this name.
+   *
+   * @throws IllegalArgumentException if there is none; the message lists the known names
+   */
   public static Policy named(String name) {
     Policy policy = ALL.get(name);
     if (policy == null) {
       throw new IllegalArgumentException(
-          "no policy " + name + "; there are " + String.join(", ", ALL.keySet()));
+          "unknown policy " + name + "; known policies: " + String.join(", ", ALL.keySet()));
     }
     return policy;
   }
@@ -62,16 +67,16 @@
   }
 
   private static final class RandomPick extends PlainPolicy {
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
 
     RandomPick(DispatcherSettings settings, long seed, Actions actions) {
       super(settings, actions);
-      this.chance = stream(seed);
+      this.random = stream(seed);
     }
 
     @Override
     Worker pick(List<Worker> ready, Job job) {
-      return ready.get(chance.nextInt(ready.size()));
+      return ready.get(random.nextInt(ready.size()));
     }
   }
 
@@ -90,20 +95,20 @@
   }
 
   private static final class LeastLoaded extends PlainPolicy {
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
 
     LeastLoaded(DispatcherSettings settings, long seed, Actions actions) {
       super(settings, actions);
-      this.chance = stream(seed);
+      this.random = stream(seed);
     }
 
     @Override
     Worker pick(List<Worker> ready, Job job) {
-      int start = chance.nextInt(ready.size());
+      int start = random.nextInt(ready.size());
       Worker best = null;
       for (int i = 0; i < ready.size(); i++) {
         Worker worker = ready.get((start + i) % ready.size());
-        if (best == null || held(worker) < held(best)) {
+        if (best == null || attemptsInFlight(worker) < attemptsInFlight(best)) {
           best = worker;
         }
       }
@@ -111,51 +116,51 @@
     }
   }
 
-  /** Mitzenmacher's power of two choices (2001): the less loaded of two drawn by chance. */
+  /** Picks the less loaded of two random workers: the power of two choices (Mitzenmacher, 2001). */
   private static final class TwoChoices extends PlainPolicy {
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
 
     TwoChoices(DispatcherSettings settings, long seed, Actions actions) {
       super(settings, actions);
-      this.chance = stream(seed);
+      this.random = stream(seed);
     }
 
     @Override
     Worker pick(List<Worker> ready, Job job) {
-      Worker one = ready.get(chance.nextInt(ready.size()));
-      Worker other = ready.get(chance.nextInt(ready.size()));
-      return held(other) < held(one) ? other : one;
+      Worker first = ready.get(random.nextInt(ready.size()));
+      Worker second = ready.get(random.nextInt(ready.size()));
+      return attemptsInFlight(second) < attemptsInFlight(first) ? second : first;
     }
   }
 
   /**
-   * Sends each job where it will be done first, by the true state; one that would be late anyway is
-   * refused.
+   * Uses the true state of the fleet to pick the worker that completes the job first, and rejects a
+   * job that would miss its latency target on every worker.
    */
   private static final class AllSeeing extends PlainPolicy {
     private final DispatcherSettings settings;
-    private final FleetState truth;
+    private final FleetState fleetState;
 
-    AllSeeing(DispatcherSettings settings, Actions actions, FleetState truth) {
+    AllSeeing(DispatcherSettings settings, Actions actions, FleetState fleetState) {
       super(settings, actions);
       this.settings = settings;
-      this.truth = truth;
+      this.fleetState = fleetState;
     }
 
     @Override
     Worker pick(List<Worker> ready, Job job) {
-      double work = truth.work(job.id());
+      double work = fleetState.work(job.id());
       Worker best = null;
-      double least = Double.POSITIVE_INFINITY;
+      double minTime = Double.POSITIVE_INFINITY;
       for (Worker worker : ready) {
-        double ends = truth.finishIn(worker.id(), work);
-        if (ends < least) {
-          least = ends;
+        double completionTime = fleetState.estimateCompletionTime(worker.id(), work);
+        if (completionTime < minTime) {
+          minTime = completionTime;
           best = worker;
         }
       }
       JobClass jobClass = settings.classes().get(job.jobClass());
-      return least > jobClass.aim() + jobClass.stretch() * work ? null : best;
+      return minTime > jobClass.aim() + jobClass.stretch() * work ? null : best;
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/socket/ClientSockets.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/ClientSockets.java
@@ -22,9 +22,9 @@
 import java.util.function.IntPredicate;
 import java.util.function.ToIntFunction;
 
-/** Takes the clients' tries to nodes over the platform's protocol. */
-final class ClientSockets implements Clients.Carrier {
-  private static final double UNREACHED_AFTER = 100;
+/** Sends the clients' requests to nodes over HTTP, in the form that the platform defines. */
+final class ClientSockets implements Clients.Transport {
+  private static final double UNREACHED_DELAY_MILLIS = 100;
 
   private final Scenario scenario;
   private final Scheduler time;
@@ -33,14 +33,14 @@
   private final Observer observer;
   private final ToIntFunction<Request> front;
   private final IntFunction<InetSocketAddress> nodes;
-  private final IntPredicate dead;
-  private final Map<String, Request> requests = new HashMap<>();
-  private final Map<Request, HttpPool.Sent> waiting = new HashMap<>();
+  private final IntPredicate isKilled;
+  private final Map<String, Request> requestsById = new HashMap<>();
+  private final Map<Request, HttpPool.PendingRequest> openExchanges = new HashMap<>();
   private Clients clients;
 
   /**
-   * {@code front} picks a node for a try, -1 for none; {@code dead} tells of a node that was
-   * killed.
+   * Creates a transport. {@code front} picks the node for a request, -1 if there is none; {@code
+   * dead} returns true for a node that was killed.
    */
   ClientSockets(
       Scenario scenario,
@@ -50,7 +50,7 @@
       Observer observer,
       ToIntFunction<Request> front,
       IntFunction<InetSocketAddress> nodes,
-      IntPredicate dead) {
+      IntPredicate isKilled) {
     this.scenario = scenario;
     this.time = time;
     this.network = network;
@@ -58,36 +58,37 @@
     this.observer = observer;
     this.front = front;
     this.nodes = nodes;
-    this.dead = dead;
+    this.isKilled = isKilled;
   }
 
-  /** Whose tries these are; called once, before the first. */
-  void serve(Clients whose) {
-    clients = whose;
+  /** Sets the clients that receive the answers; called once, before the first request. */
+  void setClients(Clients owner) {
+    clients = owner;
   }
 
-  /** The request that was sent under an id; null if none was. */
+  /** Returns the request that was sent with this id, or null if there is none. */
   Request request(String id) {
-    return id == null ? null : requests.get(id);
+    return id == null ? null : requestsById.get(id);
   }
 
   @Override
   public void submit(Request request) {
     int node = front.applyAsInt(request);
-    request.sentTo(node);
+    request.setNode(node);
     if (node < 0) {
       time.after(1, () -> clients.answer(request, Answer.UNREACHED, 0));
       return;
     }
-    requests.put(request.id, request);
+    requestsById.put(request.id, request);
     time.after(
         network.client(),
         () -> {
           if (!request.over()) {
-            observer.taken(time.now(), node, request);
-            waiting.put(
+            observer.accepted(time.now(), node, request);
+            openExchanges.put(
                 request,
-                http.send(nodes.apply(node), () -> message(request), new Waiting(request)));
+                http.send(
+                    nodes.apply(node), () -> message(request), new ResponseListener(request)));
           }
         });
   }
@@ -117,17 +118,17 @@
   }
 
   @Override
-  public void leave(Request request) {
-    HttpPool.Sent sent = waiting.remove(request);
+  public void disconnect(Request request) {
+    HttpPool.PendingRequest sent = openExchanges.remove(request);
     if (sent != null) {
       sent.giveUp();
     }
   }
 
-  private final class Waiting implements HttpPool.Listener {
+  private final class ResponseListener implements HttpPool.Listener {
     private final Request request;
 
-    Waiting(Request request) {
+    ResponseListener(Request request) {
       this.request = request;
     }
 
@@ -136,7 +137,7 @@
       int code = response.status().code();
       boolean refused = code == 429 || code == 503;
       Answer answer = code == 200 ? Answer.SERVED : refused ? Answer.REFUSED : Answer.FAILED;
-      waiting.remove(request);
+      openExchanges.remove(request);
       if (request.over()) {
         clients.answer(request, answer, 0);
         return;
@@ -150,22 +151,22 @@
       String seconds = response.headers().get(HttpHeaderNames.RETRY_AFTER);
       try {
         return seconds == null ? 0 : Double.parseDouble(seconds) * 1000;
-      } catch (NumberFormatException date) {
+      } catch (NumberFormatException httpDate) {
         return 0;
       }
     }
 
     @Override
     public void unreached() {
-      waiting.remove(request);
+      openExchanges.remove(request);
       observer.lost(time.now(), request, "its node could not be reached");
-      time.after(UNREACHED_AFTER, () -> clients.answer(request, Answer.UNREACHED, 0));
+      time.after(UNREACHED_DELAY_MILLIS, () -> clients.answer(request, Answer.UNREACHED, 0));
     }
 
     @Override
     public void broken() {
-      waiting.remove(request);
-      if (dead.test(request.node())) {
+      openExchanges.remove(request);
+      if (isKilled.test(request.node())) {
         observer.lost(time.now(), request, "its node was killed");
       }
       clients.answer(request, Answer.BROKEN, 0);
--- a/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/DiscoverySocket.java
@@ -21,9 +21,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** The discovery agent beside one node. */
+/** Emulates the discovery agent of one node. */
 final class DiscoverySocket {
-  private static final double SIGN_OF_LIFE = 2000;
+  private static final double KEEPALIVE_PERIOD_MILLIS = 2000;
 
   private final SocketRun run;
   private final int node;
@@ -33,7 +33,7 @@
   DiscoverySocket(SocketRun run, int node, EventLoopGroup group) {
     this.run = run;
     this.node = node;
-    this.listener = new HttpListener(group, Watch::new);
+    this.listener = new HttpListener(group, WatchHandler::new);
   }
 
   HttpListener listener() {
@@ -42,33 +42,34 @@
 
   void begin() {
     run.time.after(
-        SIGN_OF_LIFE,
+        KEEPALIVE_PERIOD_MILLIS,
         () -> {
-          if (!run.roll.silent()) {
-            watchers.forEach(each -> write(each, "\n"));
+          if (!run.discovery.inOutage()) {
+            watchers.forEach(watcher -> write(watcher, "\n"));
           }
           begin();
         });
   }
 
-  /** Tells the node of changes, or the whole list. */
-  void tell(EndpointListUpdate news, List<Endpoint> entries, long revision) {
-    watchers.forEach(each -> tell(each, news, entries, revision));
+  /** Sends an update, which holds changes or the whole list, to the node's open watches. */
+  void publish(EndpointListUpdate update, List<Endpoint> entries, long revision) {
+    watchers.forEach(watcher -> publish(watcher, update, entries, revision));
   }
 
-  private void tell(
-      Channel watcher, EndpointListUpdate news, List<Endpoint> entries, long revision) {
+  private void publish(
+      Channel watcher, EndpointListUpdate update, List<Endpoint> entries, long revision) {
     double now = run.time.now();
     for (Endpoint entry : entries) {
       WorkerState state = entry.worker().state();
-      if (news == EndpointListUpdate.CHANGES || state != WorkerState.READY) {
-        run.observer.told(
+      if (update == EndpointListUpdate.CHANGES || state != WorkerState.READY) {
+        run.observer.workerListed(
             now, node, run.fleet.byId(entry.worker().id()), state, entry.worker().startedAt());
       }
     }
     write(
         watcher,
-        NodeFile.list(run.scenario, entries, revision, news != EndpointListUpdate.CHANGES) + "\n");
+        NodeFile.list(run.scenario, entries, revision, update != EndpointListUpdate.CHANGES)
+            + "\n");
   }
 
   private static void write(Channel watcher, String line) {
@@ -76,18 +77,20 @@
         new DefaultHttpContent(Unpooled.copiedBuffer(line, StandardCharsets.UTF_8)));
   }
 
-  /** A connection of the node's: it asks to watch, and hears from then on. */
-  private final class Watch extends SimpleChannelInboundHandler<FullHttpRequest> {
+  /** Handles a connection of the node: answers its watch request with the list and then updates. */
+  private final class WatchHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-      if (run.roll.silent()) {
-        // An agent that has heard nothing says nothing; the connection stays open.
+      if (run.discovery.inOutage()) {
+        // During an outage the agent has no list and sends no answer; the connection stays open.
         return;
       }
-      HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-      head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-      ctx.writeAndFlush(head);
-      tell(ctx.channel(), EndpointListUpdate.WHOLE, run.roll.list(), run.roll.revision());
+      HttpResponse responseHead =
+          new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+      responseHead.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+      ctx.writeAndFlush(responseHead);
+      publish(
+          ctx.channel(), EndpointListUpdate.WHOLE, run.discovery.list(), run.discovery.revision());
       watchers.add(ctx.channel());
     }
 
--- a/emulator/src/main/java/ferngrade/emulator/socket/HttpListener.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/HttpListener.java
@@ -18,14 +18,14 @@
 import java.util.function.Supplier;
 
 /**
- * A stand-in's listener: it can close as a process that dies does, and come back at the same
- * address.
+ * An HTTP listener of an emulated component. It can close all connections, as the crash of a
+ * process does, and reopen at the same address.
  */
 final class HttpListener {
-  private static final int MOST_BODY = 1 << 17;
+  private static final int MAX_BODY_BYTES = 1 << 17;
 
   private final ServerBootstrap bootstrap;
-  private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+  private final ChannelGroup openChannels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private Channel listener;
   private InetSocketAddress address;
 
@@ -41,18 +41,18 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    open.add(channel);
+                    openChannels.add(channel);
                     channel
                         .pipeline()
                         .addLast(
                             new HttpServerCodec(),
-                            new HttpObjectAggregator(MOST_BODY),
+                            new HttpObjectAggregator(MAX_BODY_BYTES),
                             handler.get());
                   }
                 });
   }
 
-  /** Listens at a free port; called off the loop. */
+  /** Binds to a free port and blocks until bound; must not be called on the event loop. */
   void listen() throws InterruptedException {
     listener =
         bootstrap.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
@@ -63,13 +63,13 @@
     return address;
   }
 
-  /** Ends all connections and refuses new ones. */
+  /** Closes all connections and refuses new ones. */
   void close() {
     listener.close();
-    open.close();
+    openChannels.close();
   }
 
-  /** Listens at its address again. */
+  /** Binds to the same address again. */
   void reopen() {
     bootstrap
         .bind(address)
--- a/emulator/src/main/java/ferngrade/emulator/socket/HttpPool.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/HttpPool.java
@@ -22,31 +22,32 @@
 import java.util.function.Supplier;
 
 /**
- * HTTP requests from one loop: connections are kept, carry one request at a time, and more are
- * opened as needed.
+ * An HTTP client on one event loop with keep-alive connections. A connection carries one request at
+ * a time; a new one is opened if none is idle.
  */
 final class HttpPool {
-  private static final int MOST_BODY = 1 << 17;
+  private static final int MAX_BODY_BYTES = 1 << 17;
 
   private final Bootstrap bootstrap;
-  private final Map<InetSocketAddress, Deque<Channel>> idle = new HashMap<>();
+  private final Map<InetSocketAddress, Deque<Channel>> idleByAddress = new HashMap<>();
 
   /**
-   * Hears how a request ended; exactly one of the methods is called, once, unless it was given up.
+   * Receives the outcome of a request. Exactly one of the methods is called, once; none is called
+   * if the request was given up.
    */
   interface Listener {
     void answered(FullHttpResponse response);
 
-    /** No connection could be made: the request was not sent. */
+    /** Called if the connection could not be opened: the request was not sent. */
     void unreached();
 
-    /** The connection ended without a whole answer. */
+    /** Called if the connection was closed before the response was complete. */
     void broken();
   }
 
-  /** A request on its way. */
-  interface Sent {
-    /** Closes the connection that it uses; its listener hears no more. */
+  /** A request in flight. */
+  interface PendingRequest {
+    /** Closes the connection of the request; its listener is not called any more. */
     void giveUp();
   }
 
@@ -65,21 +66,22 @@
                         .pipeline()
                         .addLast(
                             new HttpClientCodec(),
-                            new HttpObjectAggregator(MOST_BODY),
+                            new HttpObjectAggregator(MAX_BODY_BYTES),
                             new Handler());
                   }
                 });
   }
 
   /**
-   * Sends a request, which is made anew if a kept connection was closed before anything came back.
+   * Sends a request. It is created and sent again on a new connection if a reused connection was
+   * closed before a response arrived.
    */
-  Sent send(InetSocketAddress to, Supplier<FullHttpRequest> request, Listener listener) {
+  PendingRequest send(InetSocketAddress to, Supplier<FullHttpRequest> request, Listener listener) {
     Exchange exchange = new Exchange(to, request, listener);
-    Deque<Channel> kept = idle.getOrDefault(to, new ArrayDeque<>());
-    Channel channel = kept.pollLast();
+    Deque<Channel> idleChannels = idleByAddress.getOrDefault(to, new ArrayDeque<>());
+    Channel channel = idleChannels.pollLast();
     while (channel != null && !channel.isActive()) {
-      channel = kept.pollLast();
+      channel = idleChannels.pollLast();
     }
     if (channel != null) {
       exchange.reused = true;
@@ -90,7 +92,7 @@
     return exchange;
   }
 
-  private final class Exchange implements Sent {
+  private final class Exchange implements PendingRequest {
     private final InetSocketAddress to;
     private final Supplier<FullHttpRequest> request;
     private final Listener listener;
@@ -132,7 +134,7 @@
       over = true;
       if (HttpUtil.isKeepAlive(response)) {
         used.pipeline().get(Handler.class).current = null;
-        idle.computeIfAbsent(to, key -> new ArrayDeque<>()).addLast(used);
+        idleByAddress.computeIfAbsent(to, key -> new ArrayDeque<>()).addLast(used);
       } else {
         used.close();
       }
@@ -146,7 +148,7 @@
         return;
       }
       if (reused) {
-        // The close has crossed a request that the other side has not read: once more on a new
+        // The server closed the idle connection before it read the request: sends it again on a new
         // connection.
         reused = false;
         connect();
--- a/emulator/src/main/java/ferngrade/emulator/socket/LoadRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/LoadRun.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** The clients alone: open-loop load on nodes that somebody else runs. */
+/** Runs only the emulated clients, as an open-loop load generator for externally started nodes. */
 public final class LoadRun {
   private final Scenario scenario;
   private final EventLoopGroup group =
@@ -24,7 +24,7 @@
   private final RealTime time = new RealTime(loop);
   private final Clients clients;
 
-  /** Load as the scenario's workload says, dealt out in turn among these addresses. */
+  /** Creates a load run of the scenario's workload, with round-robin over the target addresses. */
   public LoadRun(
       Scenario scenario,
       long seed,
@@ -47,28 +47,33 @@
             targets::get,
             node -> false);
     this.clients = new Clients(scenario, time, streams, observer, sockets);
-    sockets.serve(clients);
+    sockets.setClients(clients);
   }
 
   /**
-   * Loads until the last client has its answer; returns why the figures are void, or null if they
-   * count.
+   * Generates load until every client has received its answer or given up. Returns the reason why
+   * the results are invalid, or null if they are valid.
    */
   public String run() throws InterruptedException {
     try {
       CountDownLatch done = new CountDownLatch(1);
       loop.execute(
           () -> {
-            time.watch();
+            time.watchLateness();
             clients.begin();
             time.after(scenario.duration, () -> finish(done));
           });
-      long longest =
+      long longestDeadline =
           (long)
-              scenario.workload.classes.stream().mapToDouble(each -> each.deadline).max().orElse(0);
+              scenario.workload.classes.stream()
+                  .mapToDouble(jobClass -> jobClass.deadline)
+                  .max()
+                  .orElse(0);
       boolean ended =
-          done.await((long) scenario.duration + longest + 20_000, TimeUnit.MILLISECONDS);
-      return ended ? time.tooBusy() : "clients still waited long after the last deadline";
+          done.await((long) scenario.duration + longestDeadline + 20_000, TimeUnit.MILLISECONDS);
+      return ended
+          ? time.invalidReason()
+          : "clients were still waiting for answers long after the last deadline";
     } finally {
       group.shutdownGracefully(0, 1000, TimeUnit.MILLISECONDS).await();
     }
--- a/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
@@ -15,13 +15,15 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes what a node reads: its configuration and worker lists, in the platform's forms. */
+/**
+ * Creates a node's configuration and worker lists in the JSON formats that the platform defines.
+ */
 public final class NodeFile {
   private NodeFile() {}
 
   /**
-   * A node's configuration; {@code peers} has an address for each node, empty where nodes do not
-   * talk.
+   * Returns a node's configuration. {@code peers} has one address for each node, or is empty if the
+   * nodes do not exchange messages.
    */
   static JsonObject configuration(
       Scenario scenario,
@@ -33,12 +35,12 @@
       List<InetSocketAddress> peers,
       JsonObject known) {
     JsonArray addresses = new JsonArray();
-    peers.forEach(each -> addresses.add(text(each)));
+    peers.forEach(peer -> addresses.add(addressText(peer)));
     JsonObject json =
         new JsonObject()
             .add("name", "n" + node)
-            .add("listen", text(listen))
-            .add("discovery", text(discovery))
+            .add("listen", addressText(listen))
+            .add("discovery", addressText(discovery))
             .add("seed", seed)
             .add(
                 "limits",
@@ -47,42 +49,42 @@
             .add("known", known);
     return peers.isEmpty()
         ? json
-        : json.add("peer_listen", text(peerListen)).add("peers", addresses);
+        : json.add("peer_listen", addressText(peerListen)).add("peers", addresses);
   }
 
-  static String text(InetSocketAddress address) {
+  static String addressText(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  /** The settings as a node's file spells them; {@code SettingsMapping} reads them back. */
+  /** Returns a node's settings in the JSON format that {@code SettingsMapping} reads. */
   public static JsonObject settings(Scenario scenario, int node) {
     JsonArray classes = new JsonArray();
     JsonArray kinds = new JsonArray();
     JsonArray priorities = new JsonArray();
     JsonArray stretches = new JsonArray();
-    for (ClassSpec each : scenario.workload.classes) {
+    for (ClassSpec jobClass : scenario.workload.classes) {
       classes.add(
           new JsonObject()
-              .add("Name", each.name)
-              .add("Effect", effect(each.effect))
-              .add("KeyScope", each.scope.name().toLowerCase(Locale.ROOT))
-              .add("Window", each.window)
-              .add("GoalTime", each.aim)
-              .add("Deadline", each.deadline)
-              .add("Worth", each.worth)
-              .add("LateWorth", each.lateWorth));
+              .add("Name", jobClass.name)
+              .add("Effect", effect(jobClass.effect))
+              .add("KeyScope", jobClass.scope.name().toLowerCase(Locale.ROOT))
+              .add("Window", jobClass.window)
+              .add("GoalTime", jobClass.aim)
+              .add("Deadline", jobClass.deadline)
+              .add("Worth", jobClass.worth)
+              .add("LateWorth", jobClass.lateWorth));
       kinds.add(-1);
-      priorities.add(each.priority);
-      stretches.add(each.stretch);
+      priorities.add(jobClass.priority);
+      stretches.add(jobClass.stretch);
     }
     JsonArray tenants = new JsonArray();
     double[] allowances = scenario.allowances();
     for (int i = 0; i < scenario.workload.tenants.size(); i++) {
-      TenantSpec each = scenario.workload.tenants.get(i);
+      TenantSpec tenant = scenario.workload.tenants.get(i);
       tenants.add(
           new JsonObject()
-              .add("Name", each.name)
-              .add("Share", each.share)
+              .add("Name", tenant.name)
+              .add("Share", tenant.share)
               .add("AllowancePerS", allowances[i]));
     }
     return new JsonObject()
@@ -90,8 +92,8 @@
         .add("Balancers", scenario.nodes)
         .add("Locality", scenario.zoneOfNode(node))
         .add("Round", scenario.roundMs)
-        .add("Zones", texts(scenario.zones))
-        .add("Kinds", texts(scenario.kinds.stream().map((KindSpec kind) -> kind.name).toList()))
+        .add("Zones", arrayOf(scenario.zones))
+        .add("Kinds", arrayOf(scenario.kinds.stream().map((KindSpec kind) -> kind.name).toList()))
         .add("Discovery", "push")
         .add("Classes", classes)
         .add("Tenants", tenants)
@@ -133,13 +135,13 @@
     };
   }
 
-  private static JsonArray texts(List<String> texts) {
+  private static JsonArray arrayOf(List<String> texts) {
     JsonArray array = new JsonArray();
     texts.forEach(array::add);
     return array;
   }
 
-  /** A worker list in discovery's form. */
+  /** Returns a worker list in the JSON format of discovery. */
   static JsonObject list(
       Scenario scenario, List<Endpoint> members, long revision, boolean complete) {
     JsonArray entries = new JsonArray();
@@ -148,7 +150,7 @@
       entries.add(
           new JsonObject()
               .add("id", member.name())
-              .add("host_port", text(member.address()))
+              .add("host_port", addressText(member.address()))
               .add("locality", scenario.zones.get(worker.zone()))
               .add("flavor", scenario.kinds.get(worker.kind()).name)
               .add("cell", worker.cell())
--- a/emulator/src/main/java/ferngrade/emulator/socket/NodeProcess.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/NodeProcess.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The real program as a child process. */
+/** Runs a production node as a child process. */
 final class NodeProcess {
   private final List<String> command;
   private final Path file;
@@ -21,7 +21,10 @@
   private final InetSocketAddress listen;
   private Process process;
 
-  /** A node that {@code command} starts with its configuration in the environment. */
+  /**
+   * Creates a node that is started by {@code command}, with the path of its configuration file in
+   * the environment. The file and the log are written to {@code folder}.
+   */
   NodeProcess(List<String> command, Path folder, String name, InetSocketAddress listen) {
     this.command = command;
     this.file = folder.resolve(name + ".json");
@@ -33,7 +36,7 @@
     return listen;
   }
 
-  /** Starts the process; it is ready some time later. */
+  /** Starts the process without waiting until it is ready. */
   void start(JsonObject configuration) {
     try {
       Files.writeString(file, configuration.toString());
@@ -53,12 +56,12 @@
     return process != null && process.isAlive();
   }
 
-  /** Ends it at once, as a SIGKILL does. */
+  /** Kills the process with SIGKILL. */
   void kill() {
     process.destroyForcibly();
   }
 
-  /** Stops it in order; killed if that takes too long. */
+  /** Terminates the process gracefully, and kills it if it has not exited within 5 s. */
   void stop() throws InterruptedException {
     if (process == null) {
       return;
@@ -70,7 +73,7 @@
     }
   }
 
-  /** Makes the process stand still, or go on. */
+  /** Pauses the process with SIGSTOP or resumes it with SIGCONT. */
   void pause(boolean begins) {
     signal(begins ? "STOP" : "CONT");
   }
@@ -86,14 +89,14 @@
     }
   }
 
-  /** The last lines of its log. */
-  List<String> lastLines(int most) {
+  /** Returns up to {@code max} lines from the end of the log; empty if there is no log. */
+  List<String> lastLines(int max) {
     try (BufferedReader reader =
         new BufferedReader(
             new InputStreamReader(Files.newInputStream(log), StandardCharsets.UTF_8))) {
       List<String> lines = new ArrayList<>(reader.lines().toList());
-      return lines.subList(Math.max(0, lines.size() - most), lines.size());
-    } catch (IOException none) {
+      return lines.subList(Math.max(0, lines.size() - max), lines.size());
+    } catch (IOException unreadable) {
       return List.of();
     }
   }
--- a/emulator/src/main/java/ferngrade/emulator/socket/PeerRelay.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/PeerRelay.java
@@ -15,15 +15,15 @@
 import java.util.List;
 
 /**
- * The network between nodes: for each node and each of its peers an address that stands for the
- * peer. What the node sends there goes on late or never, and reaches the peer from the address that
- * stands for the node at the peer.
+ * Relays datagrams between nodes with emulated delay and loss. Each node has one relay address for
+ * each of its peers. A datagram that the node sends to this address is forwarded to the peer, from
+ * the relay address that the peer uses for the node.
  */
 final class PeerRelay {
   private final SocketRun run;
 
-  /** By the node that uses it, then by the peer that it stands for. */
-  private final List<List<Channel>> doors = new ArrayList<>();
+  /** The relay sockets, indexed by the sending node and then by the receiving peer. */
+  private final List<List<Channel>> relayChannels = new ArrayList<>();
 
   private final List<InetSocketAddress> nodes = new ArrayList<>();
 
@@ -45,29 +45,35 @@
                       @Override
                       protected void channelRead0(
                           ChannelHandlerContext ctx, DatagramPacket packet) {
-                        pass(sender, receiver, packet.content());
+                        forward(sender, receiver, packet.content());
                       }
                     })
                 .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .sync()
                 .channel());
       }
-      doors.add(row);
+      relayChannels.add(row);
     }
   }
 
-  /** The addresses under which a node reaches the nodes of its tier, its own included. */
+  /** Returns the relay addresses by which a node reaches all nodes, including itself. */
   List<InetSocketAddress> peersOf(int node) {
-    return doors.get(node).stream().map(door -> (InetSocketAddress) door.localAddress()).toList();
+    return relayChannels.get(node).stream()
+        .map(channel -> (InetSocketAddress) channel.localAddress())
+        .toList();
   }
 
-  private void pass(int from, int to, ByteBuf content) {
-    double way = run.network.datagram(run.scenario.zoneOfNode(from), run.scenario.zoneOfNode(to));
-    if (way != Network.NEVER) {
+  private void forward(int from, int to, ByteBuf content) {
+    double delay = run.network.datagram(run.scenario.zoneOfNode(from), run.scenario.zoneOfNode(to));
+    if (delay != Network.NEVER) {
       ByteBuf copy = content.copy();
       run.time.after(
-          way,
-          () -> doors.get(to).get(from).writeAndFlush(new DatagramPacket(copy, nodes.get(to))));
+          delay,
+          () ->
+              relayChannels
+                  .get(to)
+                  .get(from)
+                  .writeAndFlush(new DatagramPacket(copy, nodes.get(to))));
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/socket/RealTime.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/RealTime.java
@@ -7,55 +7,58 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The machine's time, on one event loop. It also watches how late its own ticks come: a machine
- * that was too busy for the stand-ins says nothing about the program.
+ * Schedules tasks on one event loop in real time. It also measures the lateness of periodic ticks:
+ * if the machine was too busy for the emulator, the run is invalid and says nothing about the
+ * program under test.
  */
 final class RealTime implements Scheduler {
-  private static final double TICK = 10;
+  private static final double TICK_MILLIS = 10;
 
-  /** A tick this late counts as late, and one this late is enough, ms. */
-  private static final double LATE = 25;
+  /** The lateness from which a tick counts as late, in ms. */
+  private static final double LATE_TICK_MILLIS = 25;
 
-  private static final double HOPELESS = 400;
+  /** The lateness of a single tick above which a run is invalid, in ms. */
+  private static final double MAX_LATENESS_MILLIS = 400;
 
-  /** The share of late ticks from which on a run is void. */
-  private static final double MOST_LATE = 0.02;
+  /** The share of late ticks above which a run is invalid. */
+  private static final double MAX_LATE_SHARE = 0.02;
 
   private final Clock clock = Clock.system();
   private final EventLoop loop;
   private long ticks;
-  private long late;
-  private double latest;
+  private long lateTicks;
+  private double maxLateness;
 
   RealTime(EventLoop loop) {
     this.loop = loop;
   }
 
-  void watch() {
-    double due = now() + TICK;
+  void watchLateness() {
+    double due = now() + TICK_MILLIS;
     after(
-        TICK,
+        TICK_MILLIS,
         () -> {
           tick(now() - due);
-          watch();
+          watchLateness();
         });
   }
 
   void tick(double lateness) {
     ticks++;
-    late += lateness > LATE ? 1 : 0;
-    latest = Math.max(latest, lateness);
+    lateTicks += lateness > LATE_TICK_MILLIS ? 1 : 0;
+    maxLateness = Math.max(maxLateness, lateness);
   }
 
-  /** Why the run says nothing; null if it does. */
-  String tooBusy() {
-    if (latest > HOPELESS) {
-      return String.format("the stand-ins stood still for %.0f ms", latest);
+  /** Returns the reason why the run is invalid, or null if it is valid. */
+  String invalidReason() {
+    if (maxLateness > MAX_LATENESS_MILLIS) {
+      return String.format("the emulator's event loop was blocked for %.0f ms", maxLateness);
     }
-    return late <= MOST_LATE * ticks
+    return lateTicks <= MAX_LATE_SHARE * ticks
         ? null
         : String.format(
-            "%d of %d ticks of the stand-ins came over %.0f ms late", late, ticks, LATE);
+            "%d of %d ticks of the emulator's event loop were more than %.0f ms late",
+            lateTicks, ticks, LATE_TICK_MILLIS);
   }
 
   @Override
@@ -68,8 +71,8 @@
     if (Double.isInfinite(millis)) {
       return () -> {};
     }
-    Future<?> future =
+    Future<?> scheduled =
         loop.schedule(task, (long) (Math.max(0, millis) * 1e6), TimeUnit.NANOSECONDS);
-    return () -> future.cancel(false);
+    return () -> scheduled.cancel(false);
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -6,11 +6,11 @@
 import ferngrade.emulator.EmulatedDiscovery;
 import ferngrade.emulator.EmulatedWorker;
 import ferngrade.emulator.FaultInjector;
+import ferngrade.emulator.FaultPlan;
 import ferngrade.emulator.Fleet;
 import ferngrade.emulator.Network;
 import ferngrade.emulator.Observer;
 import ferngrade.emulator.Observers;
-import ferngrade.emulator.Plan;
 import ferngrade.emulator.Request;
 import ferngrade.emulator.Scenario;
 import ferngrade.emulator.Streams;
@@ -41,19 +41,21 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * One run on loopback sockets and in real time: the same clients, fleet, discovery, faults and
- * judges as in virtual time, round nodes that are processes of their own. All stand-ins share one
- * event loop, whose lateness is watched: a run on a machine that was too busy is void.
+ * Runs a scenario on loopback sockets and in real time: the same clients, fleet, discovery, faults
+ * and invariant checkers as in virtual time, around nodes in separate processes. All emulated
+ * components share one event loop, whose lateness is measured: a run on an overloaded machine is
+ * invalid.
  *
- * <p>It differs from virtual time in what loopback cannot do: a machine that has vanished still
- * completes TCP's handshake, and delays are spent in the stand-ins rather than on the way.
+ * <p>A socket run differs from virtual time because of the limits of loopback: an unreachable
+ * machine still completes the TCP handshake, and delays are applied in the emulated components, not
+ * in the network.
  */
 public final class SocketRun implements FaultInjector {
-  /** Rolling deploys bring new workers; listeners for them are opened before the run. */
-  private static final int SPARES = 2;
+  /** The number of listeners per worker that are opened before the run for later replacements. */
+  private static final int SPARE_LISTENERS_PER_WORKER = 2;
 
-  private static final double FRONT_RETRY = 100;
-  private static final long READY_WITHIN_MS = 30_000;
+  private static final double FRONT_POLL_MILLIS = 100;
+  private static final long READY_TIMEOUT_MILLIS = 30_000;
 
   final Scenario scenario;
   final Observer observer;
@@ -61,28 +63,28 @@
   final Network network;
   final HttpPool http;
   final Fleet fleet;
-  final EmulatedDiscovery roll;
+  final EmulatedDiscovery discovery;
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final Streams streams;
-  private final UniformRandomProvider front;
+  private final UniformRandomProvider frontRandom;
   private final Clients clients;
-  private final Plan plan;
+  private final FaultPlan faultPlan;
   private final List<HttpListener> listeners = new ArrayList<>();
-  private final List<DiscoverySocket> discoveries = new ArrayList<>();
+  private final List<DiscoverySocket> discoveryAgents = new ArrayList<>();
   private final List<NodeProcess> nodes = new ArrayList<>();
   private final List<InetSocketAddress> peerListens = new ArrayList<>();
   private final boolean[] believedDown;
   private final int[] incarnations;
   private final ClientSockets sockets;
-  private final Map<String, Runnable> attempts = new HashMap<>();
+  private final Map<String, Runnable> giveUpCallbacks = new HashMap<>();
   private PeerRelay relay;
   private double start;
 
   /**
-   * A run of real nodes, each started by {@code command}; their files and logs go into {@code
-   * folder}.
+   * Creates a run of production nodes, each of which is started by {@code command}. Their
+   * configuration files and logs are written to {@code folder}.
    */
   public SocketRun(
       Scenario scenario,
@@ -99,8 +101,8 @@
     this.time = new RealTime(loop);
     this.network = new Network(scenario.network, scenario.zones.size(), streams.stream("network"));
     this.http = new HttpPool(group);
-    int most = scenario.workers * (1 + SPARES);
-    for (int i = 0; i < most; i++) {
+    int listenerCount = scenario.workers * (1 + SPARE_LISTENERS_PER_WORKER);
+    for (int i = 0; i < listenerCount; i++) {
       int number = i;
       HttpListener listener = new HttpListener(group, () -> new WorkerSocket(this, worker(number)));
       listener.listen();
@@ -108,7 +110,7 @@
     }
     this.fleet =
         new Fleet(scenario, time, streams, observer, number -> listeners.get(number).address());
-    this.front = streams.stream("front");
+    this.frontRandom = streams.stream("front");
     this.sockets =
         new ClientSockets(
             scenario,
@@ -120,16 +122,17 @@
             this::nodeAddress,
             node -> !nodes.get(node).alive() || believedDown[node]);
     this.clients = new Clients(scenario, time, streams, observer, sockets);
-    sockets.serve(clients);
-    this.roll =
+    sockets.setClients(clients);
+    this.discovery =
         new EmulatedDiscovery(
             scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
-    this.plan =
-        new Plan(scenario, time, streams.stream("faults"), observer, fleet, roll, clients, this);
+    this.faultPlan =
+        new FaultPlan(
+            scenario, time, streams.stream("faults"), observer, fleet, discovery, clients, this);
     for (int i = 0; i < scenario.nodes; i++) {
-      DiscoverySocket discovery = new DiscoverySocket(this, i, group);
-      discovery.listener().listen();
-      discoveries.add(discovery);
+      DiscoverySocket agent = new DiscoverySocket(this, i, group);
+      agent.listener().listen();
+      discoveryAgents.add(agent);
       nodes.add(new NodeProcess(command, folder, "n" + i, freeTcp()));
       peerListens.add(freeUdp());
     }
@@ -139,18 +142,18 @@
   }
 
   private static InetSocketAddress freeTcp() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return new InetSocketAddress(numericLoopback(), free.getLocalPort());
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return new InetSocketAddress(numericLoopback(), socket.getLocalPort());
     }
   }
 
   private static InetSocketAddress freeUdp() throws IOException {
-    try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-      return new InetSocketAddress(numericLoopback(), free.getLocalPort());
+    try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+      return new InetSocketAddress(numericLoopback(), socket.getLocalPort());
     }
   }
 
-  /** 127.0.0.1 without a host name: a node writes the address it was given into Host headers. */
+  /** Returns 127.0.0.1 without a host name, because nodes write this address into Host headers. */
   private static InetAddress numericLoopback() throws UnknownHostException {
     return InetAddress.getByAddress(new byte[] {127, 0, 0, 1});
   }
@@ -159,7 +162,7 @@
     return fleet.all().get(number);
   }
 
-  /** Plays the run; returns why it is void, or null if it counts. */
+  /** Executes the run. Returns the reason why it is invalid, or null if it is valid. */
   public String run() throws InterruptedException, IOException {
     try {
       for (int i = 0; i < nodes.size(); i++) {
@@ -172,19 +175,22 @@
       loop.execute(
           () -> {
             start = time.now();
-            time.watch();
-            discoveries.forEach(DiscoverySocket::begin);
-            plan.begin();
+            time.watchLateness();
+            discoveryAgents.forEach(DiscoverySocket::begin);
+            faultPlan.begin();
             clients.begin();
             time.after(scenario.duration, () -> finish(done));
           });
-      long longest =
+      long longestDeadline =
           (long)
-              scenario.workload.classes.stream().mapToDouble(each -> each.deadline).max().orElse(0);
-      if (!done.await((long) scenario.duration + longest + 20_000, TimeUnit.MILLISECONDS)) {
-        return "clients still waited long after the last deadline";
+              scenario.workload.classes.stream()
+                  .mapToDouble(jobClass -> jobClass.deadline)
+                  .max()
+                  .orElse(0);
+      if (!done.await((long) scenario.duration + longestDeadline + 20_000, TimeUnit.MILLISECONDS)) {
+        return "clients were still waiting for answers long after the last deadline";
       }
-      return time.tooBusy();
+      return time.invalidReason();
     } finally {
       for (NodeProcess node : nodes) {
         node.stop();
@@ -201,12 +207,12 @@
     }
   }
 
-  /** When the first arrivals could come; the machine's clock, ms. */
+  /** Returns the time at which arrivals began, in ms of the machine's clock. */
   public double startedAt() {
     return start;
   }
 
-  /** The time that has passed since then, ms. */
+  /** Returns the time since arrivals began, in ms. */
   public double passed() {
     return time.now() - start;
   }
@@ -214,7 +220,7 @@
   private void launch(int node) {
     incarnations[node]++;
     String seed = Long.toHexString(streams.seed("node-" + node + "-" + incarnations[node]));
-    JsonObject known = NodeFile.list(scenario, roll.list(), roll.revision(), true);
+    JsonObject known = NodeFile.list(scenario, discovery.list(), discovery.revision(), true);
     nodes
         .get(node)
         .start(
@@ -223,39 +229,39 @@
                 node,
                 seed,
                 nodes.get(node).listen(),
-                discoveries.get(node).listener().address(),
+                discoveryAgents.get(node).listener().address(),
                 peerListens.get(node),
                 relay == null ? List.of() : relay.peersOf(node),
                 known));
   }
 
   private void awaitReady(NodeProcess node) throws InterruptedException, IOException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS);
     while (System.nanoTime() < until) {
       if (!node.alive()) {
-        throw new IOException("a node ended at its start: " + node.lastLines(5));
+        throw new IOException("a node exited during startup: " + node.lastLines(5));
       }
       try {
-        HttpURLConnection asked =
+        HttpURLConnection connection =
             (HttpURLConnection)
-                URI.create("http://" + NodeFile.text(node.listen()) + "/-/ready")
+                URI.create("http://" + NodeFile.addressText(node.listen()) + "/-/ready")
                     .toURL()
                     .openConnection();
-        asked.setConnectTimeout(1000);
-        asked.setReadTimeout(1000);
-        if (asked.getResponseCode() == 200) {
+        connection.setConnectTimeout(1000);
+        connection.setReadTimeout(1000);
+        if (connection.getResponseCode() == 200) {
           return;
         }
-      } catch (IOException notYet) {
-        // It does not listen yet.
+      } catch (IOException notListening) {
+        // The node is not listening yet.
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
     throw new IOException(
-        "a node was not ready in " + READY_WITHIN_MS + " ms: " + node.lastLines(5));
+        "a node was not ready within " + READY_TIMEOUT_MILLIS + " ms: " + node.lastLines(5));
   }
 
-  // ---- What the stand-ins ask for ----
+  // ---- State shared by the emulated components ----
 
   Request request(String id) {
     return sockets.request(id);
@@ -269,48 +275,49 @@
     return nodes.get(node).listen();
   }
 
-  /** An attempt is out; {@code givenUp} is called when the node gives it up. */
-  void out(String id, EmulatedWorker worker, Runnable givenUp) {
-    attempts.put(id + "@" + worker.number, givenUp);
+  /** Registers an attempt in flight; {@code givenUp} is called when the node gives it up. */
+  void registerAttempt(String id, EmulatedWorker worker, Runnable givenUp) {
+    giveUpCallbacks.put(id + "@" + worker.number, givenUp);
   }
 
-  void givenUp(String id, EmulatedWorker worker) {
-    Runnable attempt = attempts.remove(id + "@" + worker.number);
+  void attemptGivenUp(String id, EmulatedWorker worker) {
+    Runnable attempt = giveUpCallbacks.remove(id + "@" + worker.number);
     if (attempt != null) {
       attempt.run();
     }
   }
 
-  // ---- The front ----
+  // ---- The front load balancer ----
 
   /**
-   * Deals a request out among the nodes of its zone that the front holds for alive, else among all;
-   * -1 for none.
+   * Picks a random node of the request's zone that the front considers up, or of any zone if there
+   * is none. Returns -1 if the front considers all nodes down.
    */
   private int pick(Request request) {
-    List<Integer> near = new ArrayList<>();
-    List<Integer> far = new ArrayList<>();
+    List<Integer> sameZone = new ArrayList<>();
+    List<Integer> otherZones = new ArrayList<>();
     for (int i = 0; i < nodes.size(); i++) {
       if (!believedDown[i]) {
-        (scenario.zoneOfNode(i) == request.zone ? near : far).add(i);
+        (scenario.zoneOfNode(i) == request.zone ? sameZone : otherZones).add(i);
       }
     }
-    List<Integer> from = near.isEmpty() ? far : near;
-    return from.isEmpty() ? -1 : from.get(front.nextInt(from.size()));
+    List<Integer> candidates = sameZone.isEmpty() ? otherZones : sameZone;
+    return candidates.isEmpty() ? -1 : candidates.get(frontRandom.nextInt(candidates.size()));
   }
 
   // ---- Discovery ----
 
   private void spread(
-      EndpointListUpdate news, List<Endpoint> entries, long revision, double spread) {
-    for (int i = 0; i < discoveries.size(); i++) {
-      DiscoverySocket discovery = discoveries.get(i);
+      EndpointListUpdate update, List<Endpoint> entries, long revision, double spread) {
+    for (int i = 0; i < discoveryAgents.size(); i++) {
+      DiscoverySocket agent = discoveryAgents.get(i);
       time.after(
-          spread * (i + 1) / discoveries.size(), () -> discovery.tell(news, entries, revision));
+          spread * (i + 1) / discoveryAgents.size(),
+          () -> agent.publish(update, entries, revision));
     }
   }
 
-  // ---- Levers ----
+  // ---- Fault injection ----
 
   @Override
   public void killNode(int node) {
@@ -329,7 +336,7 @@
     }
   }
 
-  /** The front takes a node in once it says that it is ready. */
+  /** Polls a restarted node until it reports ready, and then marks it as up for the front. */
   private void awaitFront(int node) {
     http.send(
         nodeAddress(node),
@@ -346,7 +353,7 @@
 
           @Override
           public void unreached() {
-            time.after(FRONT_RETRY, () -> awaitFront(node));
+            time.after(FRONT_POLL_MILLIS, () -> awaitFront(node));
           }
 
           @Override
@@ -374,7 +381,7 @@
 
   @Override
   public void workerVanished(EmulatedWorker worker) {
-    // Its connections stay open and silent.
+    // Connections stay open, but no data arrives on them.
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
@@ -20,16 +20,16 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** A connection to an emulated worker: the platform's protocol in front of the model. */
+/** Handles a connection to an emulated worker: translates between HTTP and the worker model. */
 final class WorkerSocket extends SimpleChannelInboundHandler<FullHttpRequest> {
-  private static final int CALLBACK_TRIES = 10;
-  private static final double CALLBACK_AGAIN = 500;
+  private static final int MAX_CALLBACK_RETRIES = 10;
+  private static final double CALLBACK_RETRY_DELAY_MILLIS = 500;
 
   private final SocketRun run;
   private final EmulatedWorker worker;
 
-  /** What this connection carries, until it has its answer. */
-  private Attempt current;
+  /** The attempt on this connection that is not answered yet; null if there is none. */
+  private Attempt unanswered;
 
   WorkerSocket(SocketRun run, EmulatedWorker worker) {
     this.run = run;
@@ -38,7 +38,7 @@
 
   @Override
   public void channelActive(ChannelHandlerContext ctx) {
-    worker.model.burden(worker.handshakeWork());
+    worker.model.addOverhead(worker.handshakeWork());
     ctx.fireChannelActive();
   }
 
@@ -47,7 +47,7 @@
     String path = message.uri();
     if (message.method().equals(HttpMethod.DELETE) && path.startsWith("/jobs/")) {
       worker.model.cancel(path.substring("/jobs/".length()));
-      run.givenUp(path.substring("/jobs/".length()), worker);
+      run.attemptGivenUp(path.substring("/jobs/".length()), worker);
       answer(ctx, HttpResponseStatus.OK, "");
     } else if (path.equals("/-/load") || path.equals("/-/healthy")) {
       LoadReport report = worker.model.report();
@@ -56,11 +56,11 @@
           HttpResponseStatus.OK,
           new JsonObject().add("x0", report.freeSlots()).add("queue", report.queued()).toString());
     } else {
-      job(ctx, message);
+      handleJob(ctx, message);
     }
   }
 
-  private void job(ChannelHandlerContext ctx, FullHttpRequest message) {
+  private void handleJob(ChannelHandlerContext ctx, FullHttpRequest message) {
     Request request = run.request(message.headers().get("Req-Id"));
     if (request == null) {
       answer(ctx, HttpResponseStatus.BAD_REQUEST, "");
@@ -68,10 +68,10 @@
     }
     run.observer.sent(run.time.now(), request.node(), worker, request);
     Attempt attempt = new Attempt(request);
-    current = attempt;
-    double way = run.network.stream(run.zoneOf(request), worker.zone);
+    unanswered = attempt;
+    double delay = run.network.stream(run.zoneOf(request), worker.zone);
     boolean resets = run.network.resets();
-    run.time.after(way, () -> arrive(ctx, attempt, resets));
+    run.time.after(delay, () -> arrive(ctx, attempt, resets));
   }
 
   private void arrive(ChannelHandlerContext ctx, Attempt attempt, boolean resets) {
@@ -82,14 +82,15 @@
       ctx.close();
       return;
     }
-    boolean taken = run.fleet.offer(worker, attempt.request, worker.model.startedAt() > 0, attempt);
-    back(
+    boolean accepted =
+        run.fleet.offer(worker, attempt.request, worker.model.startedAt() > 0, attempt);
+    runAtNode(
         () -> {
-          if (attempt.over && !taken) {
+          if (attempt.over && !accepted) {
             return;
           }
-          current = null;
-          if (taken) {
+          unanswered = null;
+          if (accepted) {
             answer(ctx, HttpResponseStatus.ACCEPTED, "");
           } else {
             attempt.over(AttemptOutcome.FULL);
@@ -101,17 +102,17 @@
         attempt);
   }
 
-  /** Carries out on the node's side, a way later; never where it is cut. */
-  private void back(Runnable task, Attempt attempt) {
+  /** Runs a task after the network delay to the node, or never if the network is cut. */
+  private void runAtNode(Runnable task, Attempt attempt) {
     run.time.after(run.network.stream(worker.zone, run.zoneOf(attempt.request)), task);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    if (current != null) {
-      // Closed before the 202: the node has given it up, or the process has died.
-      current.over(worker.model.up() ? AttemptOutcome.TIMEOUT : AttemptOutcome.RESET);
-      current = null;
+    if (unanswered != null) {
+      // The connection closed before the 202: the node gave up, or the worker's process ended.
+      unanswered.over(worker.model.up() ? AttemptOutcome.TIMEOUT : AttemptOutcome.RESET);
+      unanswered = null;
     }
   }
 
@@ -132,14 +133,14 @@
     ctx.writeAndFlush(response(status, body));
   }
 
-  /** One attempt at this worker, which calls the node back as its job goes on. */
-  private final class Attempt implements WorkerModel.Ear {
+  /** An attempt at this worker, which reports the progress of its job to the node by callbacks. */
+  private final class Attempt implements WorkerModel.JobListener {
     private final Request request;
     private boolean over;
 
     Attempt(Request request) {
       this.request = request;
-      run.out(request.id, worker, () -> over(AttemptOutcome.TIMEOUT));
+      run.registerAttempt(request.id, worker, () -> over(AttemptOutcome.TIMEOUT));
     }
 
     void over(AttemptOutcome outcome) {
@@ -149,22 +150,22 @@
       }
     }
 
-    private void callBack(String state, JsonObject more, AttemptOutcome outcome, int tries) {
+    private void sendCallback(String state, JsonObject body, AttemptOutcome outcome, int retries) {
       if (worker.vanished()) {
         return;
       }
-      double way = run.network.stream(worker.zone, run.zoneOf(request));
-      if (way == Network.NEVER) {
-        again(state, more, outcome, tries);
+      double delay = run.network.stream(worker.zone, run.zoneOf(request));
+      if (delay == Network.NEVER) {
+        retryLater(state, body, outcome, retries);
         return;
       }
       run.time.after(
-          way,
+          delay,
           () -> {
             if (outcome != null) {
               over(outcome);
             }
-            byte[] body = more.toString().getBytes(StandardCharsets.UTF_8);
+            byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
             run.http.send(
                 run.nodeAddress(request.node()),
                 () -> {
@@ -173,72 +174,75 @@
                           HttpVersion.HTTP_1_1,
                           HttpMethod.POST,
                           "/_jobs/news",
-                          Unpooled.wrappedBuffer(body));
+                          Unpooled.wrappedBuffer(bytes));
                   post.headers()
                       .set(HttpHeaderNames.HOST, "node")
-                      .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+                      .set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
                   return post;
                 },
                 new HttpPool.Listener() {
                   @Override
                   public void answered(FullHttpResponse response) {
                     if (response.status().code() / 100 != 2) {
-                      again(state, more, null, tries);
+                      retryLater(state, body, null, retries);
                     }
                   }
 
                   @Override
                   public void unreached() {
-                    again(state, more, null, tries);
+                    retryLater(state, body, null, retries);
                   }
 
                   @Override
                   public void broken() {
-                    again(state, more, null, tries);
+                    retryLater(state, body, null, retries);
                   }
                 });
           });
     }
 
-    private void again(String state, JsonObject more, AttemptOutcome outcome, int tries) {
-      if (tries < CALLBACK_TRIES) {
-        run.time.after(CALLBACK_AGAIN, () -> callBack(state, more, outcome, tries + 1));
+    private void retryLater(String state, JsonObject body, AttemptOutcome outcome, int retries) {
+      if (retries < MAX_CALLBACK_RETRIES) {
+        run.time.after(
+            CALLBACK_RETRY_DELAY_MILLIS, () -> sendCallback(state, body, outcome, retries + 1));
       }
     }
 
-    private JsonObject news(String state) {
+    private JsonObject callbackBody(String state) {
       return new JsonObject().add("id", request.id).add("from", worker.name).add("state", state);
     }
 
     @Override
     public void started() {
       run.observer.started(run.time.now(), worker, request.id);
-      callBack("started", news("started"), null, 0);
+      sendCallback("started", callbackBody("started"), null, 0);
     }
 
     @Override
     public void progress(double share) {
-      callBack("running", news("running").add("share", share), null, CALLBACK_TRIES);
+      sendCallback(
+          "running", callbackBody("running").add("share", share), null, MAX_CALLBACK_RETRIES);
     }
 
     @Override
     public void done() {
-      callBack("done", news("done").add("result", "done " + request.id), AttemptOutcome.OK, 0);
+      sendCallback(
+          "done", callbackBody("done").add("result", "done " + request.id), AttemptOutcome.OK, 0);
     }
 
     @Override
     public void failed() {
-      callBack("failed", news("failed"), AttemptOutcome.ERROR, 0);
+      sendCallback("failed", callbackBody("failed"), AttemptOutcome.ERROR, 0);
     }
 
     @Override
     public void returned() {
-      callBack("returned", news("returned"), AttemptOutcome.FULL, 0);
+      sendCallback("returned", callbackBody("returned"), AttemptOutcome.FULL, 0);
     }
 
     @Override
     public void lost() {
-      callBack("lost", news("lost"), AttemptOutcome.RESET, 0);
+      sendCallback("lost", callbackBody("lost"), AttemptOutcome.RESET, 0);
     }
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -14,7 +14,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A fleet of many dispatchers, most of whose workers are replaced by cold ones, and its figures.
+ * Runs a release on a fleet with many dispatchers, in which most workers are replaced by cold ones,
+ * and collects statistics per second.
  */
 final class ReleaseRun implements Observer {
   static final double RELEASE_AT_MS = 5_000;
@@ -23,7 +24,7 @@
 
   private static final double SECOND_MS = 1_000;
 
-  /** Figures of one second of the run. */
+  /** Statistics of one second of the run. */
   static final class Second {
     int offered;
     int inTime;
@@ -36,23 +37,23 @@
     double busyCores;
   }
 
-  private record Reached(double at, double work) {}
+  private record Arrival(double at, double work) {}
 
   private final Scenario scenario;
   private final List<Second> seconds = new ArrayList<>();
-  private final Map<EmulatedWorker, Deque<Reached>> windows = new HashMap<>();
+  private final Map<EmulatedWorker, Deque<Arrival>> windows = new HashMap<>();
   private final Set<EmulatedWorker> workers = new HashSet<>();
 
-  /** The largest share of the page's bound that a cold worker got in a window. */
+  /** The largest share of the documented bound that a cold worker got in a window. */
   double worstShareOfBound;
 
-  int fallen;
+  int crashedWorkers;
 
   ReleaseRun(Scenario scenario) {
     this.scenario = scenario;
   }
 
-  /** 100 dispatchers with one to three requests a second each; most workers are replaced. */
+  /** 100 dispatchers with one to three requests per second each; most workers are replaced. */
   static Scenario scenario() {
     Scenario scenario = Scenario.standard();
     scenario.nodes = 100;
@@ -71,11 +72,11 @@
   }
 
   static ReleaseRun play(Scenario scenario, long seed, String policy) {
-    ReleaseRun figures = new ReleaseRun(scenario);
+    ReleaseRun statistics = new ReleaseRun(scenario);
     VirtualRun run =
-        new VirtualRun(scenario, seed, Policies.named(policy), Mutation.NONE, List.of(figures));
+        new VirtualRun(scenario, seed, Policies.named(policy), Mutation.NONE, List.of(statistics));
     run.run();
-    return figures;
+    return statistics;
   }
 
   List<Second> seconds() {
@@ -109,19 +110,20 @@
   }
 
   @Override
-  public void reached(double now, EmulatedWorker worker, Request request, boolean informed) {
+  public void reachedColdWorker(
+      double now, EmulatedWorker worker, Request request, boolean informed) {
     double work = request.work;
-    Deque<Reached> window = windows.computeIfAbsent(worker, key -> new ArrayDeque<>());
-    window.add(new Reached(now, work));
+    Deque<Arrival> window = windows.computeIfAbsent(worker, key -> new ArrayDeque<>());
+    window.add(new Arrival(now, work));
     while (window.peek().at() <= now - scenario.tipMs) {
       window.remove();
     }
-    double sum = window.stream().mapToDouble(Reached::work).sum() / scenario.workload.meanWork();
+    double sum = window.stream().mapToDouble(Arrival::work).sum() / scenario.workload.meanWork();
     worstShareOfBound = Math.max(worstShareOfBound, sum / bound(allowed(worker, now)));
     at(now).coldSent += work / scenario.workload.meanWork();
   }
 
-  /** Requests of mean work that the settings allow a cold worker in a window. */
+  /** Returns how many requests of mean work the settings allow a cold worker in a window. */
   private double allowed(EmulatedWorker worker, double now) {
     double age = now - worker.model.startedAt();
     double warmth =
@@ -131,7 +133,7 @@
     return scenario.fallMultiple * capacity * scenario.tipMs;
   }
 
-  /** The page's bound over what the settings allow. */
+  /** Returns the documented bound, which exceeds the number that the settings allow. */
   static double bound(double allowed) {
     return allowed < 30
         ? allowed + 3 * Math.sqrt(allowed) + 3
@@ -139,7 +141,7 @@
   }
 
   @Override
-  public void told(
+  public void workerListed(
       double now, int node, EmulatedWorker worker, WorkerState state, double startedAt) {
     workers.add(worker);
   }
@@ -165,35 +167,40 @@
   }
 
   @Override
-  public void fell(double now, EmulatedWorker worker, double informedShare) {
-    fallen++;
+  public void coldWorkerCrashed(double now, EmulatedWorker worker, double informedShare) {
+    crashedWorkers++;
   }
 
-  /** The share in time of the requests that were due in these seconds. */
+  /** Returns the share of the requests due in these seconds that were served in time. */
   double inTime(int from, int until) {
     return sum(from, until, second -> second.inTime) / sum(from, until, second -> second.offered);
   }
 
   /**
-   * Of what the settings allow all cold workers to get, the share that was sent in the seconds of
-   * these in which at least a tenth of the requests was rejected or late.
+   * Returns the share of the work allowed for all cold workers that was sent to them. Only the
+   * seconds in which at least a tenth of the requests was rejected or late are counted.
    */
   double usedOfAllowed(int from, int until) {
-    ToDoubleFunction<Second> pressed =
+    ToDoubleFunction<Second> overloaded =
         second -> 10 * (second.rejected + second.late) >= second.offered ? 1 : 0;
-    double sent = sum(from, until, second -> pressed.applyAsDouble(second) * second.coldSent);
-    double allowed = sum(from, until, second -> pressed.applyAsDouble(second) * second.coldAllowed);
+    double sent = sum(from, until, second -> overloaded.applyAsDouble(second) * second.coldSent);
+    double allowed =
+        sum(from, until, second -> overloaded.applyAsDouble(second) * second.coldAllowed);
     return sent / allowed;
   }
 
-  /** When the last new worker is warm, ms from the run's start. */
+  /** Returns the time at which the last new worker is warm, in ms from the start of the run. */
   double lastWarmAt() {
-    double last = workers.stream().mapToDouble(each -> each.model.startedAt()).max().orElseThrow();
-    return last - VirtualRun.START + scenario.kinds.get(0).coldMs;
+    double lastStart =
+        workers.stream().mapToDouble(worker -> worker.model.startedAt()).max().orElseThrow();
+    return lastStart - VirtualRun.START + scenario.kinds.get(0).coldMs;
   }
 
-  /** The first second from which on the share in time over three seconds is back to this. */
-  int backAt(double share) {
+  /**
+   * Returns the first second from which on the in-time share, over three seconds each, is at least
+   * {@code share}.
+   */
+  int recoverySecond(double share) {
     int second = (int) (DURATION_MS / SECOND_MS) - 3;
     while (second > 0 && inTime(second - 1, second + 2) >= share) {
       second--;
@@ -201,7 +208,7 @@
     return second;
   }
 
-  private double sum(int from, int until, ToDoubleFunction<Second> figure) {
-    return seconds.subList(from, until).stream().mapToDouble(figure).sum();
+  private double sum(int from, int until, ToDoubleFunction<Second> value) {
+    return seconds.subList(from, until).stream().mapToDouble(value).sum();
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
@@ -8,55 +8,60 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against a release whose new, cold workers stand idle while requests are rejected. */
+/** Guards against a release whose new, cold workers are idle while requests are rejected. */
 @ExtendWith(SkipKnownFailures.class)
 class ReleaseTest {
-  /** The system property that sets how many seeds the bound on cold workers is tried with. */
+  /** The system property with the number of seeds for the test of the bound on cold workers. */
   private static final String SEEDS_PROPERTY = "release.seeds";
 
   private static final int DEFAULT_SEEDS = 3;
   private static final int SECOND_BEFORE_RELEASE = 5;
-  private static final int FIRST_PRESSED_SECOND = 12;
-  private static final int LAST_PRESSED_SECOND = 30;
+  private static final int FIRST_OVERLOADED_SECOND = 12;
+  private static final int LAST_OVERLOADED_SECOND = 30;
 
-  /** Share of the requests in time before the release that must be reached again. */
-  private static final double BACK = 0.9;
+  /** The share of the in-time ratio before the release at which a run counts as recovered. */
+  private static final double RECOVERED_SHARE = 0.9;
 
   private static ReleaseRun play(long seed, String policy) {
     return ReleaseRun.play(ReleaseRun.scenario(), seed, policy);
   }
 
-  private static int backAt(ReleaseRun run) {
-    return run.backAt(BACK * run.inTime(1, SECOND_BEFORE_RELEASE));
+  private static int recoverySecond(ReleaseRun run) {
+    return run.recoverySecond(RECOVERED_SHARE * run.inTime(1, SECOND_BEFORE_RELEASE));
   }
 
-  /** Fails where the fleet waits until its new workers are warm. */
+  /** Fails if the fleet recovers only when its new workers are warm. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void afterAReleaseRequestsAreInTimeBeforeTheLastNewWorkerIsWarm(long seed) {
     ReleaseRun run = play(seed, "module");
-    int backAt = backAt(run);
-    assertTrue(backAt * 1000.0 < run.lastWarmAt(), backAt + " s, warm at " + run.lastWarmAt());
+    int recoverySecond = recoverySecond(run);
+    assertTrue(
+        recoverySecond * 1000.0 < run.lastWarmAt(),
+        recoverySecond + " s until recovery, last worker warm at ms " + run.lastWarmAt());
   }
 
-  /** Fails where grants of cold workers go to dispatchers that do not use them. */
+  /** Fails if the capacity of cold workers is granted to dispatchers that do not use it. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void coldWorkersGetTwoThirdsOfWhatIsAllowedWhileRequestsAreRejected(long seed) {
-    double used = play(seed, "module").usedOfAllowed(FIRST_PRESSED_SECOND, LAST_PRESSED_SECOND);
-    assertTrue(used >= 2.0 / 3, used + " of what is allowed");
+    double used =
+        play(seed, "module").usedOfAllowed(FIRST_OVERLOADED_SECOND, LAST_OVERLOADED_SECOND);
+    assertTrue(used >= 2.0 / 3, used + " of the allowed work was sent");
   }
 
-  /** Fails where the fleet recovers much later than one that knows all loads. */
+  /** Fails if the fleet recovers much later than with a policy that knows all loads. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void afterAReleaseRequestsAreInTimeWithinTwoSecondsOfTheAllSeeingPolicy(long seed) {
-    int backAt = backAt(play(seed, "module"));
-    int possible = backAt(play(seed, "all-seeing"));
-    assertTrue(backAt <= possible + 2, backAt + " s, possible " + possible + " s");
+    int recoverySecond = recoverySecond(play(seed, "module"));
+    int possible = recoverySecond(play(seed, "all-seeing"));
+    assertTrue(
+        recoverySecond <= possible + 2,
+        recoverySecond + " s until recovery, all-seeing policy " + possible + " s");
   }
 
-  /** Fails where the dispatchers together push over a worker that is warming up. */
+  /** Fails if the dispatchers together overload a worker that is warming up. */
   @Test
   void noColdWorkerGetsMoreInAWindowThanItMayBear() {
     for (long seed = 1; seed <= Long.getLong(SEEDS_PROPERTY, DEFAULT_SEEDS); seed++) {
--- a/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
@@ -11,18 +11,18 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Traces of whole runs, to the last bit of each time, against recorded digests: a refactoring
- * changes none of them. A change of behaviour records them anew with {@code
- * -Dgolden.record=traces.txt}, and says so in its commit. Recorded on x86-64: the last bit of
- * {@link Math#exp} and its like may differ on another kind of processor.
+ * Guards against unintended changes of behaviour: compares the traces of complete runs, including
+ * the exact bits of each time, with recorded digests. An intended change records them again with
+ * {@code -Dgolden.record=traces.txt} and states this in its commit. The digests were recorded on
+ * x86-64; the last bit of {@link Math#exp} and similar functions may differ on other processors.
  */
 class TraceGoldenTest {
   private static final GoldenFile GOLDEN = GoldenFile.open("traces.txt");
 
-  /** One run. */
+  /** A run whose trace is recorded under {@code name}. */
   private record Run(String name, Scenario scenario, long seed, String policy) {}
 
-  private static Scenario small() {
+  private static Scenario smallScenario() {
     Scenario scenario = Scenario.standard();
     scenario.duration = 8_000;
     scenario.workers = 10;
@@ -30,45 +30,47 @@
     return scenario;
   }
 
-  private static void add(
+  private static void addFault(
       Scenario scenario, Kind kind, double at, double length, double size, double part) {
     scenario.faults.add(new Fault(kind, at, length, size, part, -1));
   }
 
   private static Scenario overloadWithDeploy() {
-    Scenario scenario = small();
+    Scenario scenario = smallScenario();
     scenario.workload.load = 1.3;
     scenario.workload.impatient = 0.05;
-    add(scenario, Kind.DEPLOY, 1_000, 6_000, 0.3, 0.9);
+    addFault(scenario, Kind.DEPLOY, 1_000, 6_000, 0.3, 0.9);
     return scenario;
   }
 
-  /** Workers that start cold and warm up slowly while a zone's processes restart. */
+  /** Workers restart cold and warm up slowly, first all of one zone and then a single one. */
   private static Scenario warmingUp() {
-    Scenario scenario = small();
+    Scenario scenario = smallScenario();
     scenario.kinds.forEach(kind -> kind.coldMs = 24_000);
-    add(scenario, Kind.ZONE_LOST, 1_500, 800, 1, 0);
-    add(scenario, Kind.WORKER_CRASH, 4_000, 500, 1, 0);
+    addFault(scenario, Kind.ZONE_LOST, 1_500, 800, 1, 0);
+    addFault(scenario, Kind.WORKER_CRASH, 4_000, 500, 1, 0);
     return scenario;
   }
 
   private static Scenario objects() {
-    Scenario scenario = small();
+    Scenario scenario = smallScenario();
     scenario.workload.objects = 40;
     return scenario;
   }
 
-  /** Jobs that may run again: retries within the groups of their keys, and hedged requests. */
+  /**
+   * Jobs may run again: retries within the scope of their idempotency keys, and hedged requests.
+   */
   private static Scenario retries() {
-    Scenario scenario = small();
-    scenario.workload.classes.forEach(each -> each.effect = Idempotency.SAFE);
+    Scenario scenario = smallScenario();
+    scenario.workload.classes.forEach(jobClass -> jobClass.effect = Idempotency.SAFE);
     scenario.workload.classes.get(0).effect = Idempotency.KEYED;
     scenario.workload.classes.get(0).scope = IdempotencyScope.ZONE;
     scenario.network.loss = 0.02;
     scenario.network.reset = 0.02;
     scenario.kinds.forEach(kind -> kind.errorRate = 0.05);
-    add(scenario, Kind.HUNG_WORKER, 2_000, 3_000, 1, 0);
-    add(scenario, Kind.SLOW_WORKER, 3_000, 3_000, 4, 0);
+    addFault(scenario, Kind.HUNG_WORKER, 2_000, 3_000, 1, 0);
+    addFault(scenario, Kind.SLOW_WORKER, 3_000, 3_000, 4, 0);
     return scenario;
   }
 
@@ -79,34 +81,34 @@
   }
 
   private static Scenario liveWeights() {
-    Scenario scenario = small();
+    Scenario scenario = smallScenario();
     scenario.discovery.weightPeriod = 100;
     scenario.discovery.repeats = 0.3;
     scenario.discovery.stale = 0.3;
     scenario.kinds.forEach(kind -> kind.reportsWithAnswers = true);
-    add(scenario, Kind.TENANT_FLOOD, 2_000, 3_000, 4, 0);
+    addFault(scenario, Kind.TENANT_FLOOD, 2_000, 3_000, 4, 0);
     return scenario;
   }
 
   private static Scenario manyNodes() {
-    Scenario scenario = small();
+    Scenario scenario = smallScenario();
     scenario.nodes = 6;
     scenario.workers = 18;
     scenario.workload.load = 1.1;
-    add(scenario, Kind.NODE_KILL, 2_000, 1_500, 1, 0);
-    add(scenario, Kind.ZONE_CUT, 4_000, 1_500, 1, 0);
-    add(scenario, Kind.BURST, 5_000, 1_500, 2, 0);
+    addFault(scenario, Kind.NODE_KILL, 2_000, 1_500, 1, 0);
+    addFault(scenario, Kind.ZONE_CUT, 4_000, 1_500, 1, 0);
+    addFault(scenario, Kind.BURST, 5_000, 1_500, 2, 0);
     return scenario;
   }
 
   private static Scenario everyFault() {
-    Scenario scenario = small();
+    Scenario scenario = smallScenario();
     scenario.duration = 14_000;
     scenario.network.loss = 0.01;
     scenario.network.reset = 0.005;
     double start = 500;
     for (Kind kind : Kind.values()) {
-      add(scenario, kind, start, 2_500, kind == Kind.DEPLOY ? 0.2 : 2, 0.5);
+      addFault(scenario, kind, start, 2_500, kind == Kind.DEPLOY ? 0.2 : 2, 0.5);
       start += 700;
     }
     return scenario;
@@ -114,7 +116,7 @@
 
   private static List<Run> runs() {
     List<Run> runs = new ArrayList<>();
-    runs.add(new Run("steady", small(), 1, "module"));
+    runs.add(new Run("steady", smallScenario(), 1, "module"));
     runs.add(new Run("overload-with-deploy", overloadWithDeploy(), 2, "module"));
     runs.add(new Run("warming-up", warmingUp(), 3, "module"));
     runs.add(new Run("objects", objects(), 4, "module"));
@@ -133,7 +135,7 @@
   }
 
   @TestFactory
-  List<DynamicTest> tracesAreAsRecorded() {
+  List<DynamicTest> tracesMatchRecordedDigests() {
     return runs().stream()
         .map(run -> DynamicTest.dynamicTest(run.name(), () -> verify(run)))
         .toList();
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Whole runs: the program's own node and decisions in the emulated surroundings. */
+/** Tests complete runs of production nodes and dispatchers in the emulated environment. */
 class VirtualRunTest {
-  private static Scenario small() {
+  private static Scenario smallScenario() {
     Scenario scenario = Scenario.standard();
     scenario.duration = 15_000;
     scenario.workers = 10;
@@ -33,17 +33,17 @@
     return new Fault(kind, at, length, size, part, -1);
   }
 
-  /** Overload with a rolling deploy: there is something to refuse, to drain and to push over. */
-  private static Scenario hard() {
-    Scenario scenario = small();
+  /** Overload with a rolling deploy, so that rejections, drains and cold workers occur. */
+  private static Scenario overloadWithDeploy() {
+    Scenario scenario = smallScenario();
     scenario.workload.load = 1.3;
     scenario.workload.impatient = 0.05;
     scenario.faults.add(fault(Kind.DEPLOY, 1000, 9000, 0.3, 0.9));
     return scenario;
   }
 
-  private static Scenario everything() {
-    Scenario scenario = small();
+  private static Scenario scenarioWithEveryFault() {
+    Scenario scenario = smallScenario();
     scenario.network.loss = 0.01;
     scenario.network.reset = 0.005;
     scenario.discovery.repeats = 0.3;
@@ -58,15 +58,15 @@
     return scenario;
   }
 
-  private record Played(
-      InvariantCheckers bench, String trace, Map<Answer, Integer> answers, VirtualRun run) {}
+  private record RunResult(
+      InvariantCheckers checkers, String trace, Map<Answer, Integer> answers, VirtualRun run) {}
 
-  private static Played play(
-      Scenario scenario, long seed, String policy, Mutation mutation, Observer... more) {
-    InvariantCheckers bench = new InvariantCheckers(scenario);
+  private static RunResult play(
+      Scenario scenario, long seed, String policy, Mutation mutation, Observer... extraObservers) {
+    InvariantCheckers checkers = new InvariantCheckers(scenario);
     TraceHash trace = new TraceHash();
     Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
-    List<Observer> observers = new ArrayList<>(bench.judges());
+    List<Observer> observers = new ArrayList<>(checkers.judges());
     observers.add(trace);
     observers.add(
         new Observer() {
@@ -75,42 +75,42 @@
             answers.merge(answer, 1, Integer::sum);
           }
         });
-    observers.addAll(List.of(more));
+    observers.addAll(List.of(extraObservers));
     VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), mutation, observers);
     run.run();
-    bench.finish(VirtualRun.START + run.passed());
-    return new Played(bench, trace.hex(), answers, run);
+    checkers.finish(VirtualRun.START + run.passed());
+    return new RunResult(checkers, trace.hex(), answers, run);
   }
 
-  private static String breaches(Played played) {
-    StringBuilder all = new StringBuilder();
-    for (InvariantChecker judge : played.bench.judges()) {
-      judge.breaches().stream().limit(3).forEach(each -> all.append(each).append('\n'));
+  private static String violationsOf(RunResult result) {
+    StringBuilder lines = new StringBuilder();
+    for (InvariantChecker checker : result.checkers.judges()) {
+      checker.breaches().stream().limit(3).forEach(found -> lines.append(found).append('\n'));
     }
-    return all.toString();
+    return lines.toString();
   }
 
   @Test
-  void theSameSeedGivesTheSameTraceAndAnotherSeedAnother() {
-    Played once = play(everything(), 5, "module", Mutation.NONE);
-    Played again = play(everything(), 5, "module", Mutation.NONE);
-    Played other = play(everything(), 6, "module", Mutation.NONE);
-    assertEquals(once.trace, again.trace);
-    assertEquals(once.run.events(), again.run.events());
-    assertNotEquals(once.trace, other.trace);
-    assertTrue(once.answers.get(Answer.SERVED) > 100, once.answers.toString());
+  void sameSeedGivesSameTraceAndOtherSeedGivesOther() {
+    RunResult first = play(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
+    RunResult second = play(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
+    RunResult other = play(scenarioWithEveryFault(), 6, "module", Mutation.NONE);
+    assertEquals(first.trace, second.trace);
+    assertEquals(first.run.events(), second.run.events());
+    assertNotEquals(first.trace, other.trace);
+    assertTrue(first.answers.get(Answer.SERVED) > 100, first.answers.toString());
   }
 
   @ParameterizedTest
   @EnumSource(Kind.class)
-  void theModuleKeepsTheRulesThroughEachFault(Kind kind) {
+  void moduleKeepsInvariantsDuringEachFault(Kind kind) {
     for (long seed = 1; seed <= 3; seed++) {
-      Scenario scenario = small();
+      Scenario scenario = smallScenario();
       double size = kind == Kind.DEPLOY ? 0.2 : 2;
       scenario.faults.add(fault(kind, 3000, 6000, size, 0.5));
-      Played played = play(scenario, seed, "module", Mutation.NONE);
-      assertEquals("", breaches(played));
-      assertTrue(played.answers.get(Answer.SERVED) > 50, played.answers.toString());
+      RunResult result = play(scenario, seed, "module", Mutation.NONE);
+      assertEquals("", violationsOf(result));
+      assertTrue(result.answers.get(Answer.SERVED) > 50, result.answers.toString());
     }
   }
 
@@ -122,39 +122,38 @@
     "COLD_PUSH,cold-start,",
     "HELD_REFUSAL,prompt-refusal,one-answer"
   })
-  void aJudgeCatchesAProgramThatIsBrokenOnPurpose(
-      Mutation mutation, String rule, String alsoBroken) {
-    // Work sent twice may push a cold worker over as well, and a refusal that is held back miss its
+  void checkerDetectsInjectedDefect(Mutation mutation, String rule, String alsoBroken) {
+    // Duplicate sends may also overload a cold worker, and a delayed rejection may also miss its
     // deadline.
-    Scenario scenario = hard();
+    Scenario scenario = overloadWithDeploy();
     if (mutation == Mutation.COLD_PUSH) {
       scenario.fallMultiple = 1.2;
     }
-    long caught = 0;
+    long violations = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      assertEquals("", breaches(play(scenario, seed, "module", Mutation.NONE)));
-      Played broken = play(scenario, seed, "module", mutation);
-      for (InvariantChecker judge : broken.bench.judges()) {
-        if (judge.rule().equals(rule)) {
-          caught += judge.count();
-        } else if (!judge.rule().equals(alsoBroken)) {
+      assertEquals("", violationsOf(play(scenario, seed, "module", Mutation.NONE)));
+      RunResult broken = play(scenario, seed, "module", mutation);
+      for (InvariantChecker checker : broken.checkers.judges()) {
+        if (checker.rule().equals(rule)) {
+          violations += checker.count();
+        } else if (!checker.rule().equals(alsoBroken)) {
           assertEquals(
               0,
-              judge.count(),
-              mutation + " was taken for " + judge.rule() + ": " + breaches(broken));
+              checker.count(),
+              mutation + " also violates " + checker.rule() + ": " + violationsOf(broken));
         }
       }
     }
-    assertTrue(caught > 0, mutation + " went unseen");
+    assertTrue(violations > 0, mutation + " was not detected");
   }
 
   @Test
-  void theEmulatorsOwnLossesAreNotBlamedOnTheProgram() {
-    Scenario scenario = small();
+  void lossesByTheEmulatorAreNotViolations() {
+    Scenario scenario = smallScenario();
     scenario.faults.add(new Fault(Kind.NODE_KILL, 4000, 3000, 1, 0, 0));
     scenario.faults.add(new Fault(Kind.NODE_KILL, 9000, 1000, 1, 0, 1));
     int[] lost = {0};
-    Played played =
+    RunResult result =
         play(
             scenario,
             2,
@@ -167,20 +166,21 @@
               }
             });
     assertTrue(lost[0] > 0);
-    assertEquals(lost[0], played.answers.getOrDefault(Answer.BROKEN, 0), "each client notices");
-    assertTrue(played.answers.get(Answer.UNREACHED) > 0);
-    assertEquals("", breaches(played));
+    assertEquals(
+        lost[0], result.answers.getOrDefault(Answer.BROKEN, 0), "each client must receive BROKEN");
+    assertTrue(result.answers.get(Answer.UNREACHED) > 0);
+    assertEquals("", violationsOf(result));
   }
 
   @Test
-  void anAnswerThatComesAfterItsRetryIsAStrayAndCountsForNothing() {
-    Scenario scenario = small();
+  void answerAfterRetryIsStrayAndNoViolation() {
+    Scenario scenario = smallScenario();
     scenario.workload.impatient = 0.5;
     scenario.network.client = 40;
     int[] strays = {0};
     int[] retries = {0};
     for (long seed = 1; seed <= 6; seed++) {
-      Played played =
+      RunResult result =
           play(
               scenario,
               seed,
@@ -197,21 +197,22 @@
                   retries[0] += request.first == request ? 0 : 1;
                 }
               });
-      assertEquals("", breaches(played));
+      assertEquals("", violationsOf(result));
     }
-    assertTrue(strays[0] > 0, "no answer crossed its client's leaving");
+    assertTrue(strays[0] > 0, "no answer arrived after its client had given up");
     assertTrue(retries[0] > 0);
   }
 
   @Test
-  void whatAFaultHasSetInMotionGoesOnAfterItsEnd() {
-    Scenario scenario = small();
-    // Shorter than the node waits for a 202: whatever it swallowed is noticed after its end.
+  void consequencesOfAFaultContinueAfterItsEnd() {
+    Scenario scenario = smallScenario();
+    // The hang is shorter than the node's timeout for a 202, so that the node times out the hung
+    // attempts after the fault has ended.
     scenario.faults.add(new Fault(Kind.HUNG_WORKER, 4000, 900, 1, 0, 1));
     scenario.faults.add(new Fault(Kind.ZONE_CUT, 8000, 600, 1, 0, 0));
     List<Double> timeouts = new ArrayList<>();
     for (long seed = 1; seed <= 6; seed++) {
-      Played played =
+      RunResult result =
           play(
               scenario,
               seed,
@@ -230,18 +231,18 @@
                   }
                 }
               });
-      assertEquals("", breaches(played));
+      assertEquals("", violationsOf(result));
     }
     assertTrue(timeouts.stream().anyMatch(at -> at > 4900 && at < 6000), timeouts.toString());
     assertTrue(timeouts.stream().anyMatch(at -> at > 8600), timeouts.toString());
   }
 
   @Test
-  void policiesMeetTheSameArrivals() {
+  void allPoliciesGetTheSameArrivals() {
     List<List<String>> arrivals = new ArrayList<>();
     for (String policy : Policies.names()) {
       List<String> seen = new ArrayList<>();
-      Scenario scenario = small();
+      Scenario scenario = smallScenario();
       scenario.duration = 5000;
       play(
           scenario,
@@ -258,7 +259,7 @@
           });
       arrivals.add(seen);
     }
-    arrivals.forEach(each -> assertEquals(arrivals.get(0), each));
+    arrivals.forEach(ofPolicy -> assertEquals(arrivals.get(0), ofPolicy));
     assertTrue(arrivals.get(0).size() > 50);
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/VirtualTimeTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualTimeTest.java
@@ -12,44 +12,44 @@
 import org.junit.jupiter.api.Test;
 
 class VirtualTimeTest {
-  private record Ran(double at, int order) {}
+  private record Execution(double at, int order) {}
 
   @Property(tries = 200, seed = "20261201")
-  void eventsRunByTimeAndAtOneInstantInTheOrderOfTheCalls(
+  void runsEventsByTimeAndThenInSchedulingOrder(
       @ForAll @Size(max = 60) List<@IntRange(max = 5) Integer> delays) {
     VirtualTime time = new VirtualTime(10);
-    List<Ran> ran = new ArrayList<>();
+    List<Execution> ran = new ArrayList<>();
     for (int i = 0; i < delays.size(); i++) {
       int order = i;
       time.after(
           delays.get(i),
           () -> {
-            ran.add(new Ran(time.now(), order));
-            // Put off for the same instant from within: after all that was put off for it before.
-            time.after(0, () -> ran.add(new Ran(time.now(), delays.size() + order)));
+            ran.add(new Execution(time.now(), order));
+            // Scheduled by an event for the same time: runs after all events scheduled earlier.
+            time.after(0, () -> ran.add(new Execution(time.now(), delays.size() + order)));
           });
     }
     time.run(100);
     for (int i = 1; i < ran.size(); i++) {
-      Ran before = ran.get(i - 1);
-      Ran after = ran.get(i);
+      Execution previous = ran.get(i - 1);
+      Execution after = ran.get(i);
       assertEquals(
           true,
-          before.at < after.at || (before.at == after.at && before.order < after.order),
-          before + " before " + after);
+          previous.at < after.at || (previous.at == after.at && previous.order < after.order),
+          previous + " before " + after);
     }
     assertEquals(2 * delays.size(), ran.size());
     assertEquals(100, time.now());
   }
 
   @Test
-  void whatIsCalledOffDoesNotRunAndTimeThatIsNoNumberIsRefused() {
+  void skipsCancelledTasksAndRejectsNanDelays() {
     VirtualTime time = new VirtualTime(0);
     Scheduler.Handle handle =
         time.after(
             1,
             () -> {
-              throw new IllegalStateException("called off");
+              throw new IllegalStateException("a cancelled task ran");
             });
     handle.cancel();
     time.run(5);
--- a/emulator/src/test/java/ferngrade/emulator/WorkerModelTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/WorkerModelTest.java
@@ -15,12 +15,12 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The model of a worker, against what can be worked out by hand. */
+/** Compares the worker model with results that are calculated by hand. */
 class WorkerModelTest {
   private final VirtualTime time = new VirtualTime(1000);
   private final Map<String, Double> ends = new TreeMap<>();
-  private final List<String> heard = new ArrayList<>();
-  private double fell = Double.NaN;
+  private final List<String> events = new ArrayList<>();
+  private double informedShare = Double.NaN;
 
   private static KindSpec kind() {
     KindSpec kind = new KindSpec();
@@ -35,22 +35,28 @@
 
   private WorkerModel worker(KindSpec kind, double startedAt) {
     return new WorkerModel(
-        time, kind, startedAt, 2.5, 3000, new Streams(1).stream("w"), share -> fell = share);
+        time,
+        kind,
+        startedAt,
+        2.5,
+        3000,
+        new Streams(1).stream("w"),
+        share -> informedShare = share);
   }
 
   private boolean offer(WorkerModel worker, String id, double work, int slots, int priority) {
     return worker.offer(
         new WorkerModel.Work(id, work, slots, priority, 0, 0),
         true,
-        new WorkerModel.Ear() {
+        new WorkerModel.JobListener() {
           @Override
           public void started() {
-            heard.add(id + " started");
+            events.add(id + " started");
           }
 
           @Override
           public void progress(double share) {
-            heard.add(id + " " + Math.round(share * 100));
+            events.add(id + " " + Math.round(share * 100));
           }
 
           @Override
@@ -60,52 +66,55 @@
 
           @Override
           public void failed() {
-            heard.add(id + " failed");
+            events.add(id + " failed");
           }
 
           @Override
           public void returned() {
-            heard.add(id + " returned");
+            events.add(id + " returned");
           }
 
           @Override
           public void lost() {
-            heard.add(id + " lost");
+            events.add(id + " lost");
           }
         });
   }
 
-  private double tookAbout(WorkerModel worker, long object) {
-    double from = time.now();
+  /** Returns how long a job with 100 ms of work and a fetch of 70 ms takes for the object. */
+  private double durationOfJobWithObject(WorkerModel worker, long object) {
+    double start = time.now();
     assertTrue(
         worker.offer(
-            new WorkerModel.Work("o" + from, 100, 1, 0, object, 70),
+            new WorkerModel.Work("o" + start, 100, 1, 0, object, 70),
             true,
-            WorkerModel.ending(silent(), end -> ends.put("o" + from, time.now()))));
-    time.run(from + 1000);
-    return ends.get("o" + from) - from;
+            WorkerModel.notifyingEnd(
+                ignoringListener(), end -> ends.put("o" + start, time.now()))));
+    time.run(start + 1000);
+    return ends.get("o" + start) - start;
   }
 
   @Test
-  void aJobPaysForAFetchUnlessItsObjectIsAmongThoseUsedLast() {
+  void jobFetchesItsObjectUnlessItIsCached() {
     KindSpec kind = kind();
     kind.keptPerSlot = 1;
     WorkerModel worker = worker(kind, 0);
-    assertEquals(170, tookAbout(worker, 1), 1e-6);
-    assertEquals(100, tookAbout(worker, 1), 1e-6);
-    assertEquals(170, tookAbout(worker, 2), 1e-6);
-    assertEquals(100, tookAbout(worker, 1), 1e-6);
-    assertEquals(170, tookAbout(worker, 3), 1e-6);
+    assertEquals(170, durationOfJobWithObject(worker, 1), 1e-6);
+    assertEquals(100, durationOfJobWithObject(worker, 1), 1e-6);
+    assertEquals(170, durationOfJobWithObject(worker, 2), 1e-6);
+    assertEquals(100, durationOfJobWithObject(worker, 1), 1e-6);
+    assertEquals(170, durationOfJobWithObject(worker, 3), 1e-6);
     assertEquals(
         170,
-        tookAbout(worker, 2),
+        durationOfJobWithObject(worker, 2),
         1e-6,
-        "the third took the place of the one not used for longest");
-    assertEquals(100, tookAbout(worker, 0), 1e-6, "a job that is about nothing fetches nothing");
+        "the third object must have evicted the least recently used one");
+    assertEquals(
+        100, durationOfJobWithObject(worker, 0), 1e-6, "a job without an object must not fetch");
   }
 
   @Test
-  void slotsRunSideBySideTheQueueWaitsAndBeyondItIsFull() {
+  void runsJobsInSlotsQueuesMoreAndRejectsWhenTheQueueIsFull() {
     WorkerModel worker = worker(kind(), 0);
     for (int i = 0; i < 6; i++) {
       assertTrue(offer(worker, "j" + i, 100, 1, 0));
@@ -132,7 +141,7 @@
   }
 
   @Test
-  void anOrderIsKeptAndAJobThatDoesNotFitHoldsUpAFifoAlone() {
+  void jobThatDoesNotFitBlocksOnlyAFifoQueue() {
     for (KindSpec.Order order : KindSpec.Order.values()) {
       ends.clear();
       KindSpec kind = kind();
@@ -149,7 +158,7 @@
   }
 
   @Property(tries = 100, seed = "20261201")
-  void allWorkIsServedAtTheSpeedOfTheCores(
+  void completesAllWorkAtTheSpeedOfTheCores(
       @ForAll @Size(min = 1, max = 6) List<@IntRange(min = 1, max = 500) Integer> works,
       @ForAll @DoubleRange(min = 0.05, max = 1) double coldStart,
       @ForAll @IntRange(max = 4000) int age) {
@@ -160,33 +169,35 @@
     kind.queuePerCore = 10;
     kind.coldStart = coldStart;
     kind.coldMs = 3000;
-    double born = 10_000 - age;
+    double startedAt = 10_000 - age;
     WorkerModel worker =
-        new WorkerModel(clock, kind, born, 1e9, 3000, new Streams(1).stream("w"), share -> {});
-    double[] last = {0};
-    double all = 0;
+        new WorkerModel(clock, kind, startedAt, 1e9, 3000, new Streams(1).stream("w"), share -> {});
+    double[] lastEnd = {0};
+    double offered = 0;
     for (int work : works) {
-      all += work;
+      offered += work;
       worker.offer(
           new WorkerModel.Work("x", work, 1, 0, 0, 0),
           true,
-          WorkerModel.ending(silent(), end -> last[0] = clock.now()));
+          WorkerModel.notifyingEnd(ignoringListener(), end -> lastEnd[0] = clock.now()));
     }
     clock.run(1e6);
-    // The integral of the warmth from the offer to the last end, summed in small steps, is the
-    // work.
+    // The integral of the warmth from the offer to the last end, computed in small steps, must
+    // equal
+    // the work.
     double served = 0;
     double step = 0.05;
-    for (double at = 10_000; at < last[0]; at += step) {
+    for (double at = 10_000; at < lastEnd[0]; at += step) {
       double warmth =
-          Math.min(1, coldStart + (1 - coldStart) * Math.min(1, (at + step / 2 - born) / 3000));
-      served += warmth * Math.min(step, last[0] - at);
+          Math.min(
+              1, coldStart + (1 - coldStart) * Math.min(1, (at + step / 2 - startedAt) / 3000));
+      served += warmth * Math.min(step, lastEnd[0] - at);
     }
-    assertEquals(all, served, 0.5);
+    assertEquals(offered, served, 0.5);
   }
 
-  private static WorkerModel.Ear silent() {
-    return new WorkerModel.Ear() {
+  private static WorkerModel.JobListener ignoringListener() {
+    return new WorkerModel.JobListener() {
       @Override
       public void started() {}
 
@@ -208,27 +219,29 @@
   }
 
   @Test
-  void aDrainHandsBackWhatWaitsAndFinishesWhatRuns() {
+  void drainReturnsWaitingJobsAndFinishesRunningJobs() {
     WorkerModel worker = worker(kind(), 0);
     offer(worker, "a", 100, 1, 0);
     offer(worker, "b", 100, 1, 0);
     offer(worker, "c", 100, 1, 0);
-    heard.clear();
+    events.clear();
     worker.drain();
     assertFalse(offer(worker, "d", 100, 1, 0));
     time.run(2000);
-    assertEquals(List.of("c returned"), heard);
+    assertEquals(List.of("c returned"), events);
     assertEquals(2, ends.size());
   }
 
   @Test
-  void aColdWorkerFallsFromThePushOfAWindowAndAWarmOneDoesNot() {
+  void coldWorkerCrashesFromOverloadAndWarmWorkerDoesNot() {
     KindSpec kind = kind();
     kind.queuePerCore = 0;
     kind.coldStart = 0.2;
     kind.coldMs = 20_000;
     WorkerModel cold = worker(kind, time.now());
-    // 2.5 times 0.4 of work a ms for 3 s is 3000: what is turned away counts as well.
+    // The limit is 3000 ms of work: 2.5 times the capacity of 0.4 ms per ms, over 3 s. Rejected
+    // work
+    // counts as well.
     for (int i = 0; i < 29; i++) {
       offer(cold, "j" + i, 100, 1, 0);
     }
@@ -236,8 +249,8 @@
     offer(cold, "k0", 100, 1, 0);
     offer(cold, "k1", 100, 1, 0);
     assertFalse(cold.up());
-    assertEquals(1, fell, 1e-9);
-    assertTrue(heard.contains("j0 lost"));
+    assertEquals(1, informedShare, 1e-9);
+    assertTrue(events.contains("j0 lost"));
     WorkerModel warm = worker(kind, 0);
     for (int i = 0; i < 500; i++) {
       offer(warm, "w" + i, 100, 1, 0);
@@ -246,7 +259,7 @@
   }
 
   @Test
-  void aSlowAndAHungWorkerSayNothingOfIt() {
+  void slowOrHungWorkerReportsNoError() {
     KindSpec kind = kind();
     kind.progressMs = 40;
     WorkerModel worker = worker(kind, 0);
@@ -261,36 +274,39 @@
     worker.hang(false);
     time.run(4000);
     assertEquals(3045, ends.get("a"), 1e-6);
-    assertEquals(List.of("a started", "a 40", "a 53"), heard.subList(0, 3));
+    assertEquals(List.of("a started", "a 40", "a 53"), events.subList(0, 3));
   }
 
   @Test
-  void aLoadReportIsAsOldAsItsPeriodAndNoisy() {
+  void loadReportIsUpdatedOncePerPeriodAndContainsNoise() {
     WorkerModel worker = worker(kind(), 0);
     double before = worker.report().queued();
     for (int i = 0; i < 6; i++) {
       offer(worker, "j" + i, 1000, 1, 0);
     }
-    assertEquals(before, worker.report().queued(), "within the period it is the old one");
+    assertEquals(before, worker.report().queued(), "the report must not change within its period");
     time.run(time.now() + 50);
     double after = worker.report().queued();
-    assertTrue(after != 4 && Math.abs(after - 4) <= 0.2, "strays by a twentieth at most: " + after);
+    assertTrue(
+        after != 4 && Math.abs(after - 4) <= 0.2,
+        "the noise must be at most one twentieth: " + after);
   }
 
   @Test
-  void aRepeatOfAKeyDoesNoWorkAndEndsAsTheFirstDoes() {
+  void repeatedKeyDoesNoWorkAndEndsLikeTheFirst() {
     KeyWindows windows = new KeyWindows(time);
     List<String> ended = new ArrayList<>();
-    assertTrue(windows.first("k", 500, end -> ended.add("first " + end)));
-    assertFalse(windows.first("k", 500, end -> ended.add("second " + end)));
+    assertTrue(windows.registerFirst("k", 500, end -> ended.add("first " + end)));
+    assertFalse(windows.registerFirst("k", 500, end -> ended.add("second " + end)));
     windows.ended("k", KeyWindows.End.DONE);
-    assertFalse(windows.first("k", 500, end -> ended.add("third " + end)));
+    assertFalse(windows.registerFirst("k", 500, end -> ended.add("third " + end)));
     time.run(time.now() + 499);
     assertEquals(List.of("second DONE", "third DONE"), ended);
     time.run(time.now() + 1);
-    assertTrue(windows.first("k", 500, end -> ended.add("anew")));
+    assertTrue(windows.registerFirst("k", 500, end -> ended.add("anew")));
     windows.ended("k", KeyWindows.End.RETURNED);
     assertTrue(
-        windows.first("k", 500, end -> ended.add("again")), "what never ran leaves its key free");
+        windows.registerFirst("k", 500, end -> ended.add("again")),
+        "a returned job must free its key");
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/socket/SocketRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/socket/SocketRunTest.java
@@ -21,10 +21,10 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** The real program as child processes, round the stand-ins on loopback. */
+/** Tests production nodes in child processes with the emulated environment on loopback sockets. */
 @Test(timeOut = 120_000)
 public class SocketRunTest {
-  private static List<String> node() {
+  private static List<String> nodeCommand() {
     String path =
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     return List.of(
@@ -38,7 +38,7 @@
   }
 
   @Test
-  public void realNodesServeThroughADeployAKillAndAPauseAndKeepTheRules() throws Exception {
+  public void realNodesKeepInvariantsDuringDeployKillAndPause() throws Exception {
     Scenario scenario = Scenario.standard();
     scenario.duration = 6000;
     scenario.workers = 6;
@@ -50,9 +50,9 @@
     scenario.faults.add(new Fault(Fault.Kind.DEPLOY, 500, 2000, 0.2, 0.4, -1));
     scenario.faults.add(new Fault(Fault.Kind.NODE_KILL, 2500, 300, 1, 0, 0));
     scenario.faults.add(new Fault(Fault.Kind.NODE_PAUSE, 3500, 700, 1, 0, 1));
-    InvariantCheckers bench = new InvariantCheckers(scenario);
+    InvariantCheckers checkers = new InvariantCheckers(scenario);
     Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
-    List<Observer> observers = new ArrayList<>(bench.judges());
+    List<Observer> observers = new ArrayList<>(checkers.judges());
     observers.add(
         new Observer() {
           @Override
@@ -61,35 +61,35 @@
           }
         });
     Path folder = Files.createTempDirectory("socket-run");
-    SocketRun run = new SocketRun(scenario, 3, node(), folder, observers);
-    String unfit = run.run();
-    bench.finish(run.startedAt() + run.passed());
-    // On a machine that was too busy the run is void, and says nothing about the program.
-    if (unfit == null) {
-      for (InvariantChecker judge : bench.judges()) {
-        assertEquals(judge.breaches().toString(), "[]");
+    SocketRun run = new SocketRun(scenario, 3, nodeCommand(), folder, observers);
+    String invalidReason = run.run();
+    checkers.finish(run.startedAt() + run.passed());
+    // A run on a machine that was too busy is invalid and says nothing about the program.
+    if (invalidReason == null) {
+      for (InvariantChecker checker : checkers.judges()) {
+        assertEquals(checker.breaches().toString(), "[]");
       }
     }
-    assertTrue(answers.get(Answer.SERVED) > 20, answers + " " + unfit);
+    assertTrue(answers.get(Answer.SERVED) > 20, answers + " " + invalidReason);
   }
 
   @Test
-  public void aMachineThatWasTooBusyMakesTheRunVoid() {
-    RealTime calm = new RealTime(null);
-    RealTime hopeless = new RealTime(null);
-    RealTime slow = new RealTime(null);
+  public void busyMachineInvalidatesTheRun() {
+    RealTime withinLimits = new RealTime(null);
+    RealTime blocked = new RealTime(null);
+    RealTime oftenLate = new RealTime(null);
     for (int i = 0; i < 1000; i++) {
-      calm.tick(i % 100 == 0 ? 30 : 0.2);
-      hopeless.tick(i == 500 ? 450 : 0);
-      slow.tick(i % 20 == 0 ? 30 : 0);
+      withinLimits.tick(i % 100 == 0 ? 30 : 0.2);
+      blocked.tick(i == 500 ? 450 : 0);
+      oftenLate.tick(i % 20 == 0 ? 30 : 0);
     }
-    assertNull(calm.tooBusy());
-    assertNotNull(hopeless.tooBusy());
-    assertNotNull(slow.tooBusy());
+    assertNull(withinLimits.invalidReason());
+    assertNotNull(blocked.invalidReason());
+    assertNotNull(oftenLate.invalidReason());
   }
 
   @Test
-  public void aNodeReadsTheSettingsThatVirtualTimeUses() {
+  public void nodeReadsTheSettingsThatVirtualTimeUses() {
     Scenario scenario = Scenario.standard();
     for (int node = 0; node < scenario.nodes; node++) {
       SettingsMapping mapping = new SettingsMapping();
