--- a/emulator/src/main/java/ferngrade/emulator/Clients.java
+++ b/emulator/src/main/java/ferngrade/emulator/Clients.java
@@ -118,7 +118,7 @@
   }
 
   /** Returns the number of requests whose client is waiting for an answer. */
-  public int open() {
+  public int openRequests() {
     return openRequests;
   }
 
@@ -129,14 +129,14 @@
     if (elapsed >= scenario.duration) {
       return;
     }
-    double next = Draw.exponential(arrivals, 1000 / Math.max(1e-9, currentRate(elapsed)));
-    if (next > MAX_RATE_STEP_MILLIS) {
+    double wait = Draw.exponential(arrivals, 1000 / Math.max(1e-9, currentRate(elapsed)));
+    if (wait > MAX_RATE_STEP_MILLIS) {
       // The arrival process is memoryless: after a step in which the rate may have changed, the
       // waiting time can be drawn again.
       time.after(MAX_RATE_STEP_MILLIS, this::scheduleNextArrival);
     } else {
       time.after(
-          next,
+          wait,
           () -> {
             arrive();
             scheduleNextArrival();
@@ -253,14 +253,14 @@
         leavesEarly
             ? behavior.nextDouble() * (request.deadline - now)
             : request.deadline + ANSWER_SLACK_MILLIS - now;
-    request.giveUpTimer = time.after(wait, () -> leave(request, leavesEarly));
+    request.giveUpTimer = time.after(wait, () -> giveUp(request, leavesEarly));
     openRequests++;
     transport.submit(request);
   }
 
-  private void leave(Request request, boolean early) {
+  private void giveUp(Request request, boolean early) {
     openRequests--;
-    request.over = true;
+    request.ended = true;
     observer.ended(time.now(), request, Answer.LEFT);
     transport.disconnect(request);
     if (early && mayRetry(request)) {
@@ -276,13 +276,13 @@
    */
   public void answer(Request request, Answer answer, double retryAfter) {
     double now = time.now();
-    if (request.over) {
+    if (request.ended) {
       observer.stray(now, request, answer);
       return;
     }
     openRequests--;
     request.giveUpTimer.cancel();
-    request.over = true;
+    request.ended = true;
     observer.ended(now, request, answer);
     boolean retryable = answer == Answer.REFUSED || answer == Answer.UNREACHED;
     boolean failed = answer == Answer.FAILED || answer == Answer.BROKEN;
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
@@ -33,7 +33,7 @@
   WorkerState phase = WorkerState.READY;
 
   /** True once the machine is unreachable. */
-  boolean vanished;
+  boolean unreachable;
 
   int connections;
 
@@ -79,8 +79,8 @@
   }
 
   /** Returns true once the machine is unreachable. */
-  public boolean vanished() {
-    return vanished;
+  public boolean unreachable() {
+    return unreachable;
   }
 
   /**
--- a/emulator/src/main/java/ferngrade/emulator/FaultInjector.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultInjector.java
@@ -18,7 +18,7 @@
   void workerDown(EmulatedWorker worker);
 
   /** Makes a worker's machine unreachable without closing its connections. */
-  void workerVanished(EmulatedWorker worker);
+  void workerUnreachable(EmulatedWorker worker);
 
   /** Makes a worker reachable after it was added or its process restarted. */
   void workerUp(EmulatedWorker worker);
--- a/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
@@ -92,9 +92,9 @@
       }
       case WORKER_LOST -> {
         EmulatedWorker worker = worker(fault);
-        worker.vanished = true;
+        worker.unreachable = true;
         worker.model.kill(false);
-        faultInjector.workerVanished(worker);
+        faultInjector.workerUnreachable(worker);
         removeFromList(worker);
         yield () -> {};
       }
--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -53,7 +53,7 @@
   /** The node to which the request is sent; -1 until the front has picked one. */
   int node = -1;
 
-  boolean over;
+  boolean ended;
 
   /** The timer after which the client gives up. */
   Scheduler.Handle giveUpTimer;
@@ -97,8 +97,8 @@
   }
 
   /** Returns true once the client has received an answer or given up. */
-  public boolean over() {
-    return over;
+  public boolean ended() {
+    return ended;
   }
 
   /** Returns the node to which the request was sent; -1 if there is none. */
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -225,7 +225,7 @@
 
   private void answer(Request request, Answer answer, double retryAfter) {
     double now = run.time.now();
-    if (openRequests.remove(request.id) == null && request.over) {
+    if (openRequests.remove(request.id) == null && request.ended) {
       // The client has disconnected: the answer has no receiver.
       return;
     }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -17,13 +17,14 @@
  */
 public final class VirtualRun implements Clients.Transport, FaultInjector {
   /**
-   * The time at the start of a run, in ms. It is above 0, which means 'long ago' in worker lists.
+   * The time at the start of a run, in ms. It is above 0 because 0 means 'long ago' in worker
+   * lists.
    */
   public static final double START = 1_000_000;
 
   private static final double SAMPLE_PERIOD_MILLIS = 500;
 
-  /** The largest fleet of which every worker is sampled. */
+  /** The largest fleet size for which the load of every worker is sampled. */
   private static final int MAX_SAMPLED_WORKERS = 64;
 
   final Scenario scenario;
@@ -42,7 +43,7 @@
   private final List<VirtualNode> nodes = new ArrayList<>();
   private final List<List<VirtualNode>> nodesByZone = new ArrayList<>();
 
-  /** The nodes that the front considers down. */
+  /** The nodes that the front load balancer considers down. */
   private final Set<VirtualNode> believedDown = new HashSet<>();
 
   /** Creates a run that reports its events to {@code observers}. */
@@ -94,7 +95,7 @@
       longestDeadline = Math.max(longestDeadline, jobClass.deadline);
     }
     double end = time.now() + longestDeadline + 1000;
-    while (clients.open() > 0 && time.now() < end) {
+    while (clients.openRequests() > 0 && time.now() < end) {
       time.run(time.now() + 100);
     }
     // Also runs the events that were in flight when the last client received its answer.
@@ -153,7 +154,7 @@
           } else {
             node.inProcess(
                     () -> {
-                      if (!request.over) {
+                      if (!request.ended) {
                         node.accept(request);
                       }
                     })
@@ -200,8 +201,8 @@
   }
 
   /**
-   * Returns true if observers are notified of each entry of an update. Complete lists are reported
-   * only in small fleets. A list that a node starts with contains no worker that drains or is gone.
+   * Returns true if observers are notified of each entry of an update. In large fleets complete
+   * lists are not reported, because the removal of a worker is announced only as a change.
    */
   boolean observesEntries(EndpointListUpdate update, List<Endpoint> entries) {
     return update == EndpointListUpdate.CHANGES || entries.size() <= MAX_SAMPLED_WORKERS;
@@ -266,7 +267,7 @@
   }
 
   @Override
-  public void workerVanished(EmulatedWorker worker) {
+  public void workerUnreachable(EmulatedWorker worker) {
     // No node is notified: connections stay open, but no data arrives on them.
   }
 
@@ -290,7 +291,7 @@
     @Override
     public double estimateCompletionTime(long workerId, double work) {
       EmulatedWorker worker = fleet.byId(workerId);
-      if (worker.vanished || worker.phase != WorkerState.READY) {
+      if (worker.unreachable || worker.phase != WorkerState.READY) {
         return Double.POSITIVE_INFINITY;
       }
       return worker.model.estimateCompletionTime(work)
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -30,7 +30,7 @@
   private final VirtualRun run;
   private final VirtualNode node;
   private final IdentityHashMap<EmulatedWorker, ConnectionPool> pools = new IdentityHashMap<>();
-  private final Set<Transfer> unanswered = new LinkedHashSet<>();
+  private final Set<Transfer> unansweredTransfers = new LinkedHashSet<>();
   private boolean closed;
 
   /** The times at which the idle connections to one worker became idle, the latest last. */
@@ -48,7 +48,7 @@
     closed = true;
     pools.forEach((worker, pool) -> worker.connections -= pool.idle.size());
     pools.clear();
-    for (Transfer transfer : List.copyOf(unanswered)) {
+    for (Transfer transfer : List.copyOf(unansweredTransfers)) {
       transfer.disconnect();
     }
   }
@@ -63,7 +63,7 @@
       worker.connections -= pool.idle.size();
     }
     List<Transfer> affected = new ArrayList<>();
-    unanswered.forEach(
+    unansweredTransfers.forEach(
         transfer -> {
           if (transfer.worker == worker) {
             affected.add(transfer);
@@ -98,14 +98,15 @@
     NetworkSpec spec = run.scenario.network;
     double requestDelay = run.network.stream(node.zone, worker.zone);
     double responseDelay = run.network.stream(worker.zone, node.zone);
-    boolean noResponse = worker.vanished || requestDelay + responseDelay == Network.NEVER;
+    boolean noResponse = worker.unreachable || requestDelay + responseDelay == Network.NEVER;
     if (noResponse) {
       run.time.after(
-          spec.connectTimeout, node.inProcess(() -> transfer.over(AttemptOutcome.CONNECT_FAILED)));
+          spec.connectTimeout,
+          node.inProcess(() -> transfer.reportOutcome(AttemptOutcome.CONNECT_FAILED)));
     } else if (!worker.model.up() || worker.connections >= worker.maxConnections) {
       run.time.after(
           requestDelay + responseDelay,
-          node.inProcess(() -> transfer.over(AttemptOutcome.CONNECT_FAILED)));
+          node.inProcess(() -> transfer.reportOutcome(AttemptOutcome.CONNECT_FAILED)));
     } else {
       worker.connections++;
       transfer.connected = true;
@@ -116,7 +117,7 @@
   }
 
   private void release(EmulatedWorker worker) {
-    if (!closed && worker.model.up() && !worker.vanished) {
+    if (!closed && worker.model.up() && !worker.unreachable) {
       pools.computeIfAbsent(worker, key -> new ConnectionPool()).idle.add(run.time.now());
     } else {
       worker.connections--;
@@ -129,7 +130,7 @@
     double roundTrip =
         run.network.stream(node.zone, worker.zone) + run.network.stream(worker.zone, node.zone);
     boolean noResponse =
-        worker.vanished || worker.model.hung() || roundTrip >= CHECK_TIMEOUT_MILLIS;
+        worker.unreachable || worker.model.hung() || roundTrip >= CHECK_TIMEOUT_MILLIS;
     run.time.after(
         Math.min(roundTrip, CHECK_TIMEOUT_MILLIS),
         node.inProcess(
@@ -152,9 +153,9 @@
     private final Listener listener;
     private boolean connected;
     private boolean written;
-    private boolean taken;
+    private boolean accepted;
     private boolean givenUp;
-    private boolean over;
+    private boolean ended;
     private boolean requestInFlight;
 
     Transfer(EmulatedWorker worker, Request request, Listener listener) {
@@ -172,11 +173,11 @@
       }
       if (!listener.mayStart()) {
         release(worker);
-        over(AttemptOutcome.NEVER_SENT);
+        reportOutcome(AttemptOutcome.NEVER_SENT);
         return;
       }
       written = true;
-      unanswered.add(this);
+      unansweredTransfers.add(this);
       run.observer.sent(run.time.now(), node.number, worker, request);
       listener.written();
       double delay = run.network.stream(node.zone, worker.zone);
@@ -206,29 +207,29 @@
     }
 
     /** Reports the outcome to the node, unless the attempt has ended or the node gave it up. */
-    void over(AttemptOutcome outcome) {
-      if (!over && !givenUp) {
-        end(outcome);
+    void reportOutcome(AttemptOutcome outcome) {
+      if (!ended && !givenUp) {
+        recordOutcome(outcome);
         listener.ended(outcome, LoadReport.NONE);
       }
     }
 
-    private void end(AttemptOutcome outcome) {
-      over = true;
-      unanswered.remove(this);
+    private void recordOutcome(AttemptOutcome outcome) {
+      ended = true;
+      unansweredTransfers.remove(this);
       run.observer.attemptOver(run.time.now(), node.number, worker, request, outcome);
     }
 
     void reset() {
-      if (!taken) {
+      if (!accepted) {
         disconnect();
-        over(AttemptOutcome.RESET);
+        reportOutcome(AttemptOutcome.RESET);
       }
     }
 
     void disconnect() {
-      unanswered.remove(this);
-      if (connected && !taken) {
+      unansweredTransfers.remove(this);
+      if (connected && !accepted) {
         connected = false;
         worker.connections--;
       }
@@ -236,7 +237,7 @@
 
     @Override
     public void giveUp(Runnable onGivenUp) {
-      if (!givenUp && !over) {
+      if (!givenUp && !ended) {
         giveUp();
       }
       onGivenUp.run();
@@ -244,7 +245,7 @@
 
     private void giveUp() {
       givenUp = true;
-      if (taken) {
+      if (accepted) {
         double delay = run.network.stream(node.zone, worker.zone);
         if (delay != Network.NEVER) {
           run.time.after(delay, () -> worker.model.cancel(request.id));
@@ -252,13 +253,13 @@
       } else if (written) {
         disconnect();
       }
-      end(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
+      recordOutcome(written ? AttemptOutcome.TIMEOUT : AttemptOutcome.CONNECT_FAILED);
     }
 
     // -- Worker side --
 
     private void arrive() {
-      if (worker.vanished || worker.model.hung()) {
+      if (worker.unreachable || worker.model.hung()) {
         return;
       }
       if (!worker.model.up()) {
@@ -272,9 +273,9 @@
       if (run.fleet.offer(worker, request, run.informed(node.number, worker), this)) {
         toNode(
             () -> {
-              if (!givenUp && !over) {
-                taken = true;
-                unanswered.remove(this);
+              if (!givenUp && !ended) {
+                accepted = true;
+                unansweredTransfers.remove(this);
                 release(worker);
                 listener.taken();
               }
@@ -282,9 +283,9 @@
       } else {
         toNode(
             () -> {
-              if (!givenUp && !over) {
+              if (!givenUp && !ended) {
                 release(worker);
-                over(AttemptOutcome.FULL);
+                reportOutcome(AttemptOutcome.FULL);
               }
             });
       }
@@ -298,7 +299,7 @@
     }
 
     private void sendCallback(State state, double share, AttemptOutcome outcome, int retries) {
-      if (worker.vanished) {
+      if (worker.unreachable) {
         return;
       }
       double delay = run.network.stream(worker.zone, node.zone);
@@ -323,11 +324,11 @@
           delay,
           node.inProcess(
               () -> {
-                if (outcome != null && !over && !givenUp) {
-                  end(outcome);
-                  if (!taken) {
+                if (outcome != null && !ended && !givenUp) {
+                  recordOutcome(outcome);
+                  if (!accepted) {
                     // The 202 response is still in flight, and the connection is in use by it.
-                    taken = true;
+                    accepted = true;
                     release(worker);
                   }
                 }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
@@ -13,8 +13,8 @@
  */
 public final class FinalAnswerChecker extends InvariantChecker {
   /**
-   * The longest delivery time, in ms, after which a node is still expected to meet the deadline
-   * that the client measures from the time at which the request was due.
+   * The longest time between the due time of a request and its receipt by the node, in ms, for
+   * which the node is expected to meet the client's deadline.
    */
   private static final double MAX_DELIVERY_MILLIS = Clients.ANSWER_SLACK_MILLIS / 2;
 
--- a/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
@@ -56,9 +56,10 @@
     if (answer != Answer.REFUSED || last == null) {
       return;
     }
-    double from = Math.max(last, resumedAt.getOrDefault(node, Double.NEGATIVE_INFINITY));
-    if (now > from + allowedMillis) {
-      reportViolation(now, request + " was rejected " + (now - from) + " ms after its last event");
+    double eventAt = Math.max(last, resumedAt.getOrDefault(node, Double.NEGATIVE_INFINITY));
+    if (now > eventAt + allowedMillis) {
+      reportViolation(
+          now, request + " was rejected " + (now - eventAt) + " ms after its last event");
     }
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
@@ -14,7 +14,8 @@
 
 /**
  * Checks that a job that may have run is retried only if its class allows it, that a worker has at
- * most one attempt of a request at a time, and that a job that may have run is not rejected.
+ * most one attempt of a request at a time, and that a job that may have run is not rejected unless
+ * its class allows a repeat on every worker.
  */
 public final class RetryChecker extends InvariantChecker {
   private final Scenario scenario;
--- a/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
@@ -4,7 +4,7 @@
 
 /** Checks that nodes do not overload a worker that they know to be cold. */
 public final class SlowStartChecker extends InvariantChecker {
-  /** The share of work from informed nodes from which a crash counts as a violation. */
+  /** The smallest share of work from informed nodes for which a crash is a violation. */
   private static final double MIN_VIOLATING_SHARE = 2.0 / 3;
 
   private long crashedWorkers;
--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -15,7 +15,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Maps the names of policies that experiments compare to the policies. */
+/** Looks up policies by name, for experiments that compare them. */
 public final class Policies {
   private static final Map<String, Policy> ALL = new LinkedHashMap<>();
 
--- a/emulator/src/main/java/ferngrade/emulator/socket/ClientSockets.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/ClientSockets.java
@@ -40,7 +40,7 @@
 
   /**
    * Creates a transport. {@code front} picks the node for a request, -1 if there is none; {@code
-   * dead} returns true for a node that was killed.
+   * isKilled} returns true for a node that was killed.
    */
   ClientSockets(
       Scenario scenario,
@@ -83,7 +83,7 @@
     time.after(
         network.client(),
         () -> {
-          if (!request.over()) {
+          if (!request.ended()) {
             observer.accepted(time.now(), node, request);
             openExchanges.put(
                 request,
@@ -138,7 +138,7 @@
       boolean refused = code == 429 || code == 503;
       Answer answer = code == 200 ? Answer.SERVED : refused ? Answer.REFUSED : Answer.FAILED;
       openExchanges.remove(request);
-      if (request.over()) {
+      if (request.ended()) {
         clients.answer(request, answer, 0);
         return;
       }
--- a/emulator/src/main/java/ferngrade/emulator/socket/HttpPool.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/HttpPool.java
@@ -98,7 +98,7 @@
     private final Listener listener;
     private Channel channel;
     private boolean reused;
-    private boolean over;
+    private boolean ended;
 
     Exchange(InetSocketAddress to, Supplier<FullHttpRequest> request, Listener listener) {
       this.to = to;
@@ -111,12 +111,12 @@
           .connect(to)
           .addListener(
               (ChannelFuture connected) -> {
-                if (over) {
+                if (ended) {
                   connected.channel().close();
                 } else if (connected.isSuccess()) {
                   begin(connected.channel());
                 } else {
-                  over = true;
+                  ended = true;
                   listener.unreached();
                 }
               });
@@ -130,8 +130,8 @@
 
     void answered(FullHttpResponse response) {
       Channel used = channel;
-      boolean first = !over;
-      over = true;
+      boolean first = !ended;
+      ended = true;
       if (HttpUtil.isKeepAlive(response)) {
         used.pipeline().get(Handler.class).current = null;
         idleByAddress.computeIfAbsent(to, key -> new ArrayDeque<>()).addLast(used);
@@ -144,7 +144,7 @@
     }
 
     void closed() {
-      if (over) {
+      if (ended) {
         return;
       }
       if (reused) {
@@ -154,14 +154,14 @@
         connect();
         return;
       }
-      over = true;
+      ended = true;
       listener.broken();
     }
 
     @Override
     public void giveUp() {
-      if (!over) {
-        over = true;
+      if (!ended) {
+        ended = true;
         if (channel != null) {
           channel.close();
         }
--- a/emulator/src/main/java/ferngrade/emulator/socket/LoadRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/LoadRun.java
@@ -80,7 +80,7 @@
   }
 
   private void finish(CountDownLatch done) {
-    if (clients.open() > 0) {
+    if (clients.openRequests() > 0) {
       time.after(100, () -> finish(done));
     } else {
       done.countDown();
--- a/emulator/src/main/java/ferngrade/emulator/socket/RealTime.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/RealTime.java
@@ -14,7 +14,7 @@
 final class RealTime implements Scheduler {
   private static final double TICK_MILLIS = 10;
 
-  /** The lateness from which a tick counts as late, in ms. */
+  /** The lateness above which a tick counts as late, in ms. */
   private static final double LATE_TICK_MILLIS = 25;
 
   /** The lateness of a single tick above which a run is invalid, in ms. */
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -200,7 +200,7 @@
   }
 
   private void finish(CountDownLatch done) {
-    if (clients.open() > 0) {
+    if (clients.openRequests() > 0) {
       time.after(100, () -> finish(done));
     } else {
       time.after(500, done::countDown);
@@ -380,7 +380,7 @@
   }
 
   @Override
-  public void workerVanished(EmulatedWorker worker) {
+  public void workerUnreachable(EmulatedWorker worker) {
     // Connections stay open, but no data arrives on them.
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
@@ -75,7 +75,7 @@
   }
 
   private void arrive(ChannelHandlerContext ctx, Attempt attempt, boolean resets) {
-    if (worker.vanished() || worker.model.hung() || attempt.over) {
+    if (worker.unreachable() || worker.model.hung() || attempt.ended) {
       return;
     }
     if (resets || !worker.model.up()) {
@@ -86,14 +86,14 @@
         run.fleet.offer(worker, attempt.request, worker.model.startedAt() > 0, attempt);
     runAtNode(
         () -> {
-          if (attempt.over && !accepted) {
+          if (attempt.ended && !accepted) {
             return;
           }
           unanswered = null;
           if (accepted) {
             answer(ctx, HttpResponseStatus.ACCEPTED, "");
           } else {
-            attempt.over(AttemptOutcome.FULL);
+            attempt.recordOutcome(AttemptOutcome.FULL);
             FullHttpResponse full = response(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
             full.headers().set("Srv-Declined", "1");
             ctx.writeAndFlush(full);
@@ -111,7 +111,7 @@
   public void channelInactive(ChannelHandlerContext ctx) {
     if (unanswered != null) {
       // The connection closed before the 202: the node gave up, or the worker's process ended.
-      unanswered.over(worker.model.up() ? AttemptOutcome.TIMEOUT : AttemptOutcome.RESET);
+      unanswered.recordOutcome(worker.model.up() ? AttemptOutcome.TIMEOUT : AttemptOutcome.RESET);
       unanswered = null;
     }
   }
@@ -136,22 +136,22 @@
   /** An attempt at this worker, which reports the progress of its job to the node by callbacks. */
   private final class Attempt implements WorkerModel.JobListener {
     private final Request request;
-    private boolean over;
+    private boolean ended;
 
     Attempt(Request request) {
       this.request = request;
-      run.registerAttempt(request.id, worker, () -> over(AttemptOutcome.TIMEOUT));
+      run.registerAttempt(request.id, worker, () -> recordOutcome(AttemptOutcome.TIMEOUT));
     }
 
-    void over(AttemptOutcome outcome) {
-      if (!over) {
-        over = true;
+    void recordOutcome(AttemptOutcome outcome) {
+      if (!ended) {
+        ended = true;
         run.observer.attemptOver(run.time.now(), request.node(), worker, request, outcome);
       }
     }
 
     private void sendCallback(String state, JsonObject body, AttemptOutcome outcome, int retries) {
-      if (worker.vanished()) {
+      if (worker.unreachable()) {
         return;
       }
       double delay = run.network.stream(worker.zone, run.zoneOf(request));
@@ -163,7 +163,7 @@
           delay,
           () -> {
             if (outcome != null) {
-              over(outcome);
+              recordOutcome(outcome);
             }
             byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
             run.http.send(
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -53,7 +53,10 @@
     this.scenario = scenario;
   }
 
-  /** 100 dispatchers with one to three requests per second each; most workers are replaced. */
+  /**
+   * Creates a scenario in which 100 dispatchers receive one to three requests per second each and
+   * most workers are replaced.
+   */
   static Scenario scenario() {
     Scenario scenario = Scenario.standard();
     scenario.nodes = 100;
