--- a/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
@@ -63,7 +63,7 @@
 
   /** Fails if the dispatchers together overload a worker that is warming up. */
   @Test
-  void noColdWorkerGetsMoreInAWindowThanItMayBear() {
+  void coldWorkersStayWithinTheBoundOfEveryWindow() {
     for (long seed = 1; seed <= Long.getLong(SEEDS_PROPERTY, DEFAULT_SEEDS); seed++) {
       ReleaseRun run = play(seed, "module");
       assertTrue(run.worstShareOfBound <= 1, run.worstShareOfBound + " of the bound, seed " + seed);
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Tests complete runs of production nodes and dispatchers in the emulated environment. */
+/**
+ * Tests complete runs of production nodes and dispatchers in the emulated environment. Guards
+ * against nodes that violate an invariant, and against checkers that miss a violation.
+ */
 class VirtualRunTest {
   private static Scenario smallScenario() {
     Scenario scenario = Scenario.standard();
--- a/emulator/src/test/java/ferngrade/emulator/VirtualTimeTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualTimeTest.java
@@ -11,6 +11,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Guards against events that run out of order, which would make runs nondeterministic. */
 class VirtualTimeTest {
   private record Execution(double at, int order) {}
 
