--- a/dispatch/src/main/java/ferngrade/dispatch/Job.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Job.java
@@ -1,10 +1,13 @@
 package ferngrade.dispatch;
 
 /**
- * A client's request: {@code due} is the time at which the client gives up, {@code work} the
- * expected ms on a standard core (0 if unknown), {@code slots} and {@code memory} what the job
- * holds while it runs, {@code object} the mark of what a worker must have at hand for it, 0 for
- * nothing.
+ * A client's request.
+ *
+ * @param due time in ms at which the client stops waiting
+ * @param work expected ms on a standard core, 0 if unknown
+ * @param slots slots that the job holds while it runs
+ * @param memory memory that the job holds while it runs
+ * @param object identifies the object that a worker needs to have cached for the job, 0 for none
  */
 public record Job(
     String id,
@@ -16,12 +19,12 @@
     double memory,
     long object) {
   public Job {
-    Preconditions.that(id != null && !id.isEmpty(), "Job.id", id);
-    Preconditions.that(jobClass >= 0, "Job.jobClass", jobClass);
-    Preconditions.that(tenant >= 0, "Job.tenant", tenant);
-    Preconditions.that(!Double.isNaN(due), "Job.due", due);
-    Preconditions.that(work >= 0, "Job.work", work);
-    Preconditions.that(slots >= 0, "Job.slots", slots);
-    Preconditions.that(memory >= 0, "Job.memory", memory);
+    Preconditions.checkRange(id != null && !id.isEmpty(), "Job.id", id);
+    Preconditions.checkRange(jobClass >= 0, "Job.jobClass", jobClass);
+    Preconditions.checkRange(tenant >= 0, "Job.tenant", tenant);
+    Preconditions.checkRange(!Double.isNaN(due), "Job.due", due);
+    Preconditions.checkRange(work >= 0, "Job.work", work);
+    Preconditions.checkRange(slots >= 0, "Job.slots", slots);
+    Preconditions.checkRange(memory >= 0, "Job.memory", memory);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
@@ -3,28 +3,34 @@
 import java.util.Arrays;
 import java.util.stream.IntStream;
 
-/** The graph of peers: a ring with chords, so that spare slots cross a large fleet in few steps. */
+/**
+ * Computes the graph of peers: a ring with chords, in which unused slots cross a large fleet in few
+ * steps.
+ */
 final class PeerGraph {
-  /** Peers a dispatcher has at most; bounds messages and, through 1/(bound + 1), the step. */
+  /**
+   * Maximum number of peers of a dispatcher. It bounds the number of messages and, through 1/(bound
+   * + 1), the change of a slice per link.
+   */
   private static final int MAX_PEERS = 6;
 
   private PeerGraph() {}
 
   /**
-   * The numbers of this dispatcher's peers, ascending; the other end of each link has this one
-   * among its own.
+   * Returns the numbers of this dispatcher's peers, in ascending order. Links are symmetric: each
+   * peer has this dispatcher among its own peers.
    */
-  static int[] links(int me, int dispatchers) {
+  static int[] peersOf(int dispatcherIndex, int dispatchers) {
     if (dispatchers <= MAX_PEERS + 1) {
-      return IntStream.range(0, dispatchers).filter(peer -> peer != me).toArray();
+      return IntStream.range(0, dispatchers).filter(peer -> peer != dispatcherIndex).toArray();
     }
-    int[] links = new int[MAX_PEERS];
+    int[] peers = new int[MAX_PEERS];
     int chords = MAX_PEERS / 2;
     for (int i = 0; i < chords; i++) {
-      int reach = (int) Math.round(Math.pow(dispatchers / 2.0, (double) i / chords));
-      links[2 * i] = Math.floorMod(me + reach, dispatchers);
-      links[2 * i + 1] = Math.floorMod(me - reach, dispatchers);
+      int distance = (int) Math.round(Math.pow(dispatchers / 2.0, (double) i / chords));
+      peers[2 * i] = Math.floorMod(dispatcherIndex + distance, dispatchers);
+      peers[2 * i + 1] = Math.floorMod(dispatcherIndex - distance, dispatchers);
     }
-    return Arrays.stream(links).sorted().distinct().toArray();
+    return Arrays.stream(peers).sorted().distinct().toArray();
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -1,25 +1,28 @@
 package ferngrade.dispatch;
 
 /**
- * Says whether a request may be sent (again), to which workers, until when, and with which final
- * answer it may end. Holds no state.
+ * Decides whether a request may be sent or retried, which workers may receive it, until when, and
+ * which final answers are allowed. Stateless.
  */
 final class RetryPolicy {
   private final DeploymentLimits limits;
   private final double roundMs;
 
-  /** {@code roundMs}: the time between batches of events, kept clear of every deadline. */
+  /**
+   * Creates a policy. {@code roundMs} is the time between batches of events, by which decisions are
+   * made ahead of each deadline.
+   */
   RetryPolicy(DeploymentLimits limits, double roundMs) {
     this.limits = limits;
     this.roundMs = roundMs;
   }
 
-  /** True if the request has attempts left. */
+  /** Returns true if the request has attempts left. */
   boolean attemptsLeft(PendingRequest request) {
     return request.attempts.size() < limits.tries();
   }
 
-  /** True if a further attempt is safe and still of use. */
+  /** Returns true if another attempt is safe and can still be useful to the client. */
   boolean maySend(PendingRequest request, double now) {
     if (request.completed || !attemptsLeft(request) || now >= request.job.due()) {
       return false;
@@ -27,49 +30,57 @@
     if (request.inFlight > 0 && !limits.secondCopies()) {
       return false;
     }
-    Attempt first = request.firstThatMayHaveRun();
-    if (first == null) {
+    Attempt firstAttempt = request.firstThatMayHaveRun();
+    if (firstAttempt == null) {
       return true;
     }
     return switch (request.jobClass.effect()) {
       case SAFE -> true;
-      case KEYED -> now < first.sentAt + request.jobClass.window() - roundMs;
+      case KEYED -> now < firstAttempt.sentAt + request.jobClass.window() - roundMs;
       case UNSAFE -> false;
     };
   }
 
-  /** True if the client may be answered that a retry is harmless. */
+  /** Returns true if the client may be told that a retry is safe. */
   boolean mayReject(PendingRequest request) {
-    Idempotency effect = request.jobClass.effect();
-    boolean keyedEverywhere =
-        effect == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
-    return effect == Idempotency.SAFE || keyedEverywhere || request.firstThatMayHaveRun() == null;
+    Idempotency idempotency = request.jobClass.effect();
+    boolean keyedForAllWorkers =
+        idempotency == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
+    return idempotency == Idempotency.SAFE
+        || keyedForAllWorkers
+        || request.firstThatMayHaveRun() == null;
   }
 
-  /** True if the client is about to give up or has done so. */
+  /**
+   * Returns true if the client has stopped waiting or will do so before the next batch of events.
+   */
   boolean deadlineReached(PendingRequest request, double now) {
     return now >= request.job.due() - roundMs;
   }
 
   /**
-   * The attempt whose idempotency group all further ones must stay in: the first that may have run
-   * a request with a key. Null if the request may go anywhere.
+   * Returns the attempt whose idempotency group all further attempts must stay in, which is the
+   * first attempt that may have run a request with an idempotency key. Null if the request may go
+   * to any group.
    */
   Attempt groupAttempt(PendingRequest request) {
-    boolean keyed =
+    boolean keyedWithinGroup =
         request.jobClass.effect() == Idempotency.KEYED
             && request.jobClass.scope() != IdempotencyScope.ALL;
-    return keyed ? request.firstThatMayHaveRun() : null;
+    return keyedWithinGroup ? request.firstThatMayHaveRun() : null;
   }
 
-  /** True if the worker shares idempotency keys with the one of this attempt, null for any. */
+  /**
+   * Returns true if the worker shares idempotency keys with the worker of this attempt, or if the
+   * attempt is null.
+   */
   boolean sameGroup(Attempt groupAttempt, WorkerStats worker, IdempotencyScope scope) {
     if (groupAttempt == null) {
       return true;
     }
-    Worker first = groupAttempt.worker.entry;
+    Worker firstWorker = groupAttempt.worker.entry;
     return scope == IdempotencyScope.ZONE
-        ? first.zone() == worker.entry.zone()
-        : first.cell() == worker.entry.cell();
+        ? firstWorker.zone() == worker.entry.zone()
+        : firstWorker.cell() == worker.entry.cell();
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
@@ -8,48 +8,54 @@
 
 /**
  * Divides the dispatcher's slice among tenants by weighted water filling, and admits each tenant's
- * requests through a token bucket filled at its level. All rates are slots a second. Event thread
- * only.
+ * requests through a token bucket that is refilled at the rate of its quota. All rates are slots
+ * per second. Event thread only.
  */
 final class TenantQuotas {
   /** Weight of the newest budget cycle in the smoothed demand. */
   private static final double DEMAND_WEIGHT = 0.4;
 
-  /** Seconds of its level that a tenant's token bucket holds. */
-  private static final double BURST_S = 0.25;
+  /** Capacity of a tenant's token bucket, in seconds of its quota. */
+  private static final double BURST_SECONDS = 0.25;
 
   /**
-   * Seconds of its level by which classes that go first may overdraw the bucket; others pay for it.
+   * Amount by which prioritised classes may overdraw the bucket, in seconds of the quota; the other
+   * classes of the tenant get correspondingly less.
    */
-  private static final double OVERDRAFT_S = 1;
+  private static final double OVERDRAFT_SECONDS = 1;
 
-  /** Weight of a tenant with none, so that it gets what nobody else wants. */
+  /** Weight of a tenant with a share of 0, which receives the slots that no other tenant uses. */
   private static final double MIN_WEIGHT = 1e-6;
 
   private final List<TenantShare> shares = new ArrayList<>();
   private final double[] weights;
   private boolean demandKnown;
 
-  /** Quotas of these tenants; without any, one tenant has all. */
+  /**
+   * Creates the quotas of these tenants. If the list is empty, a single tenant receives all slots.
+   */
   TenantQuotas(List<Tenant> tenants) {
-    tenants.forEach(each -> shares.add(new TenantShare(Math.max(each.share(), MIN_WEIGHT))));
+    tenants.forEach(tenant -> shares.add(new TenantShare(Math.max(tenant.share(), MIN_WEIGHT))));
     if (shares.isEmpty()) {
       shares.add(new TenantShare(1));
     }
     this.weights = shares.stream().mapToDouble(share -> share.weight).toArray();
   }
 
-  /** The number of tenants, at least one. */
+  /** Returns the number of tenants, which is at least one. */
   int size() {
     return shares.size();
   }
 
-  /** The smoothed demand of each tenant. */
+  /** Returns the smoothed demand of each tenant. */
   double[] demands() {
     return shares.stream().mapToDouble(share -> share.demand).toArray();
   }
 
-  /** Takes what was requested in the budget cycle that ends, which lasted so many seconds. */
+  /**
+   * Updates the demands from the requests of the budget cycle that ends and that lasted {@code
+   * seconds}.
+   */
   void endCycle(double seconds) {
     double weight = demandKnown ? DEMAND_WEIGHT : 1;
     demandKnown = true;
@@ -59,24 +65,30 @@
     }
   }
 
-  /** Sets the tenants' levels so that together they use the slots. */
+  /**
+   * Sets the tenants' quotas so that they add up to the given slots; they are infinite if all
+   * demands fit.
+   */
   void divide(double slots) {
     double level = waterLevel(slots, demands(), weights);
-    shares.forEach(each -> each.level = level * each.weight);
+    shares.forEach(share -> share.quota = level * share.weight);
   }
 
-  /** Counts the job as demand; true if the tenant's bucket covers it, which then pays for it. */
-  boolean admit(Job job, ClassPriorities priorities, double now) {
+  /**
+   * Counts the job as demand. Returns true, and takes the job's slots from the tenant's bucket, if
+   * the bucket covers the job.
+   */
+  boolean admit(Job job, ClassPriorities classPriorities, double now) {
     TenantShare share = share(job.tenant());
     share.requested += job.slots();
-    if (Double.isInfinite(share.level)) {
+    if (Double.isInfinite(share.quota)) {
       return true;
     }
-    double capacity = Math.max(job.slots(), share.level * BURST_S);
-    share.tokens = Math.min(capacity, share.tokens + share.level * (now - share.tokensAt) / 1000);
+    double capacity = Math.max(job.slots(), share.quota * BURST_SECONDS);
+    share.tokens = Math.min(capacity, share.tokens + share.quota * (now - share.tokensAt) / 1000);
     share.tokensAt = now;
-    boolean overdraws = share.tokens < job.slots() && priorities.goesFirst(job.jobClass());
-    double overdraft = overdraws ? OVERDRAFT_S * share.level : 0;
+    boolean mayOverdraw = share.tokens < job.slots() && classPriorities.hasPriority(job.jobClass());
+    double overdraft = mayOverdraw ? OVERDRAFT_SECONDS * share.quota : 0;
     if (share.tokens + overdraft < job.slots()) {
       return false;
     }
@@ -84,46 +96,49 @@
     return true;
   }
 
-  /** True if the tenant asks for more than its level. */
-  boolean exceedsLevel(int tenant) {
+  /** Returns true if the tenant's demand exceeds its quota. */
+  boolean exceedsQuota(int tenant) {
     TenantShare share = share(tenant);
-    return share.demand > share.level;
+    return share.demand > share.quota;
   }
 
   /**
-   * The part of the demand here that fits if these slots are divided among all these demands, which
-   * include the demand here.
+   * Returns the part of the local demand that fits if the given slots are divided among all the
+   * given demands, which include the local demand.
    */
   double demandWithin(double slots, double[] demands) {
     double level = waterLevel(slots, demands, weights);
-    double fitting = 0;
+    double fittingDemand = 0;
     for (int i = 0; i < demands.length; i++) {
       double quota = level * shares.get(i).weight;
-      fitting += shares.get(i).demand * (quota < demands[i] ? quota / demands[i] : 1);
+      fittingDemand += shares.get(i).demand * (quota < demands[i] ? quota / demands[i] : 1);
     }
-    return fitting;
+    return fittingDemand;
   }
 
-  /** A tenant beyond the settings' list counts as the last one. */
+  /**
+   * Returns the share of a tenant. A tenant number beyond the list of the settings counts as the
+   * last tenant.
+   */
   private TenantShare share(int tenant) {
     return shares.get(Math.min(tenant, shares.size() - 1));
   }
 
   /**
-   * Weighted water filling: the level a unit of weight at which the demands use up the slots;
-   * infinite if all demands fit.
+   * Computes the weighted water level: the rate per unit of weight at which the demands use exactly
+   * the available slots. The level is infinite if all demands fit.
    */
   static double waterLevel(double slots, double[] demands, double[] weights) {
     double slotsLeft = slots;
     double weightLeft = Arrays.stream(weights).sum();
-    Integer[] byNeed = IntStream.range(0, demands.length).boxed().toArray(Integer[]::new);
-    Arrays.sort(byNeed, Comparator.comparingDouble(i -> demands[i] / weights[i]));
-    for (int least : byNeed) {
-      if (demands[least] * weightLeft > slotsLeft * weights[least]) {
+    Integer[] tenantsByDemand = IntStream.range(0, demands.length).boxed().toArray(Integer[]::new);
+    Arrays.sort(tenantsByDemand, Comparator.comparingDouble(i -> demands[i] / weights[i]));
+    for (int tenant : tenantsByDemand) {
+      if (demands[tenant] * weightLeft > slotsLeft * weights[tenant]) {
         return Math.max(0, slotsLeft) / weightLeft;
       }
-      slotsLeft -= demands[least];
-      weightLeft -= weights[least];
+      slotsLeft -= demands[tenant];
+      weightLeft -= weights[tenant];
     }
     return Double.POSITIVE_INFINITY;
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -4,21 +4,25 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of one dispatcher, behind {@link Dispatcher}: passes each event through the parts
- * that own the state. A request passes its tenant's quota of this dispatcher's slot budget, the
- * selection of a worker, and, when an attempt ends badly, the retry policy. Reads no clock; time
- * comes with events, in ms. One instance belongs to one thread.
+ * Implements {@link Dispatcher} by passing each event to the components that own the state. A
+ * request is checked against its tenant's quota of this dispatcher's slot budget, then a worker is
+ * selected, and the retry policy decides whether a failed attempt is repeated. The class reads no
+ * clock: each event carries the time in ms. An instance must be used by one thread only.
  */
 public final class ThrottlingDispatcher implements Dispatcher {
-  private static final long CYCLE_TOKEN = 1;
+  private static final long BUDGET_CYCLE_TOKEN = 1;
   private static final long WATCH_TOKEN = 2;
 
   /**
-   * Span over which the dispatchers' first watches are spread, so that discovery is not flooded.
+   * Interval over which the dispatchers spread their first subscriptions to the endpoint list, so
+   * that they do not overload discovery.
    */
   private static final double FIRST_WATCH_SPREAD_MS = 2000;
 
-  /** Least delay and random addition before the endpoint list is watched again after a failure. */
+  /**
+   * Minimum delay before the endpoint list is watched again after a failure; a random jitter is
+   * added.
+   */
   private static final double MIN_WATCH_BACKOFF_MS = 1000;
 
   private static final double WATCH_BACKOFF_JITTER_MS = 2000;
@@ -36,15 +40,18 @@
   private final StartDeadlines deadlines;
   private final OutlierDetector outliers;
   private final FleetLoadMeter fleetLoad;
-  private final SlowStart grants;
-  private final SlowStartGate slowStart;
+  private final SlowStart slowStart;
+  private final SlowStartGate slowStartGate;
   private final RetryPolicy retries;
   private final HedgingPolicy hedging;
   private final WorkerSelector selector;
-  private final AttemptOutcomeHandler outcomes;
-  private final IdleCapacity idle;
+  private final AttemptOutcomeHandler outcomeHandler;
+  private final IdleCapacity idleCapacity;
 
-  /** Starts a dispatcher's decisions at {@code now}; the seed is its only source of chance. */
+  /**
+   * Creates a dispatcher that starts its timers at {@code now}. The seed determines all random
+   * choices.
+   */
   public ThrottlingDispatcher(DispatcherSettings settings, long seed, double now, Actions actions) {
     this.settings = settings;
     this.actions = actions;
@@ -58,28 +65,33 @@
     waits = new WaitEstimator(registry, serviceTimes, budget, dispatchers);
     deadlines = new StartDeadlines(serviceTimes, waits, budget);
     outliers = new OutlierDetector(registry, serviceTimes, random);
-    grants = new SlowStart(settings.cold(), settings.me(), dispatchers);
-    fleetLoad = new FleetLoadMeter(registry, outliers, grants);
-    slowStart = new SlowStartGate(registry, grants, serviceTimes, budget, fleetLoad);
+    slowStart = new SlowStart(settings.cold(), settings.me(), dispatchers);
+    fleetLoad = new FleetLoadMeter(registry, outliers, slowStart);
+    slowStartGate = new SlowStartGate(registry, slowStart, serviceTimes, budget, fleetLoad);
     retries = new RetryPolicy(settings.limits(), settings.roundMs());
     hedging = new HedgingPolicy(settings, registry, deadlines, retries);
-    CandidateFilter filter = new CandidateFilter(retries, slowStart, outliers, deadlines, budget);
-    CandidateCost cost = new CandidateCost(settings, registry, serviceTimes, waits, slowStart);
-    selector = new WorkerSelector(registry, slowStart, filter, cost, outliers, random);
-    idle = new IdleCapacity(registry, outliers, grants);
-    outcomes = new AttemptOutcomeHandler(registry, outliers, budget, serviceTimes, retries, idle);
+    CandidateFilter filter =
+        new CandidateFilter(retries, slowStartGate, outliers, deadlines, budget);
+    CandidateCost cost = new CandidateCost(settings, registry, serviceTimes, waits, slowStartGate);
+    selector = new WorkerSelector(registry, slowStartGate, filter, cost, outliers, random);
+    idleCapacity = new IdleCapacity(registry, outliers, slowStart);
+    outcomeHandler =
+        new AttemptOutcomeHandler(registry, outliers, budget, serviceTimes, retries, idleCapacity);
     startTimers();
   }
 
   private void startTimers() {
-    actions.timer(random.nextDouble() * BudgetCycle.PERIOD_MS, CYCLE_TOKEN);
+    actions.timer(random.nextDouble() * BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
     if (settings.asks()) {
       double delay = 1 + FIRST_WATCH_SPREAD_MS * settings.me() / settings.dispatchers();
       actions.timer(delay, WATCH_TOKEN);
     }
   }
 
-  /** The slots a second that this dispatcher may start; NaN before its first budget cycle. */
+  /**
+   * Returns the number of slots per second that this dispatcher may start, or NaN before the first
+   * budget cycle.
+   */
   public double slice() {
     return budget.slice();
   }
@@ -95,13 +107,13 @@
   }
 
   @Override
-  public void sharedBy(double now, int count, int index) {
-    grants.sharedBy(count, index);
+  public void sharedBy(double now, int processCount, int processIndex) {
+    slowStart.setProcesses(processCount, processIndex);
   }
 
   @Override
   public void acceptNoMore(double now) {
-    grants.stop();
+    slowStart.stop();
   }
 
   @Override
@@ -119,33 +131,34 @@
     }
   }
 
-  /** Admits a job that the budget does not cover if idle workers can bear it. */
+  /** Returns true if the job exceeds the budget but idle workers have capacity for it. */
   private boolean admitBeyondBudget(Job job) {
-    return !budget.followsLoads() && idle.admit(job);
+    return !budget.followsLoads() && idleCapacity.admit(job);
   }
 
   /**
-   * Sends the request (again) if that is allowed, else answers it unless an attempt is in flight.
+   * Sends or retries the request if that is allowed. Otherwise answers it, unless an attempt is
+   * still in flight.
    */
   private void sendOrAnswer(PendingRequest request, double now) {
     boolean overQuota =
         !request.attempts.isEmpty() && budgetCycle.exceedsQuota(request.job.tenant());
-    boolean maySend = !overQuota && retries.maySend(request, now);
+    boolean sendAllowed = !overQuota && retries.maySend(request, now);
     WorkerStats worker =
-        maySend ? selector.select(request, retries.groupAttempt(request), now) : null;
+        sendAllowed ? selector.select(request, retries.groupAttempt(request), now) : null;
     if (worker != null && !deadlines.wouldStartLate(request, worker, now)) {
       send(request, worker, now);
     } else if (request.inFlight == 0) {
-      answer(request, serviceTimes.mean(), notSentCause(overQuota, maySend, worker));
+      answer(request, serviceTimes.mean(), rejectionCause(overQuota, sendAllowed, worker));
     }
   }
 
-  private static RejectionCause notSentCause(
-      boolean overQuota, boolean maySend, WorkerStats worker) {
+  private static RejectionCause rejectionCause(
+      boolean overQuota, boolean sendAllowed, WorkerStats worker) {
     if (overQuota) {
       return RejectionCause.QUOTA;
     }
-    if (!maySend) {
+    if (!sendAllowed) {
       return RejectionCause.NO_RETRY;
     }
     return worker == null ? RejectionCause.NO_WORKER : RejectionCause.START_TOO_LATE;
@@ -160,7 +173,7 @@
     if (request.attempts.size() == 1) {
       hedging.firstAttemptSent();
     }
-    slowStart.attemptSent(request, worker, now);
+    slowStartGate.attemptSent(request, worker, now);
     outliers.attemptSent(worker, request.job.jobClass(), now);
     actions.send(request.job.id(), worker.id, 0);
     if (settings.tellsStart()) {
@@ -177,15 +190,18 @@
     }
   }
 
-  /** Sends a request that waits in a queue to a second worker; its place in the queue is kept. */
+  /**
+   * Sends a request that is queued at a worker to a second worker. The queued attempt stays in
+   * flight.
+   */
   private void hedge(PendingRequest request, double now) {
-    if (!hedging.stillWaits(request)) {
+    if (!hedging.isWaiting(request)) {
       return;
     }
-    int newestNumber = request.attempts.size() - 1;
-    Attempt newest = request.newest();
-    if (newest.inFlight()) {
-      waits.attemptStillWaits(newest, now);
+    int newestAttemptNumber = request.attempts.size() - 1;
+    Attempt newestAttempt = request.newestAttempt();
+    if (newestAttempt.inFlight()) {
+      waits.attemptStillWaits(newestAttempt, now);
     }
     WorkerStats worker =
         hedging.mayHedge(request, now)
@@ -194,71 +210,74 @@
     if (worker == null) {
       return;
     }
-    if (request.inFlight > 1 && newest.inFlight() && settings.limits().cancel()) {
-      actions.cancel(request.job.id(), newestNumber);
+    if (request.inFlight > 1 && newestAttempt.inFlight() && settings.limits().cancel()) {
+      actions.cancel(request.job.id(), newestAttemptNumber);
     }
     hedging.hedgeSent();
     send(request, worker, now);
   }
 
   @Override
-  public void started(double now, String id, int number) {
-    Attempt attempt = requests.findAttempt(id, number);
+  public void started(double now, String requestId, int attemptNumber) {
+    Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt == null || !attempt.inFlight()) {
       return;
     }
-    PendingRequest request = requests.find(id);
+    PendingRequest request = requests.find(requestId);
     attempt.startedAt = now;
-    cancelWaitingAttempts(request, number);
+    cancelWaitingAttempts(request, attemptNumber);
     outliers.attemptStarted(attempt.worker, request.job.jobClass());
-    outliers.signOfLife(attempt.worker, now);
+    outliers.responseReceived(attempt.worker, now);
     waits.attemptStarted(attempt, now);
-    outcomes.attemptStarted(request, attempt);
+    outcomeHandler.attemptStarted(request, attempt);
   }
 
-  /** Gives up the request's places in other queues, now that the attempt of this number runs. */
-  private void cancelWaitingAttempts(PendingRequest request, int number) {
+  /**
+   * Cancels the attempts that are queued at other workers, now that attempt {@code attemptNumber}
+   * is running.
+   */
+  private void cancelWaitingAttempts(PendingRequest request, int attemptNumber) {
     if (!settings.limits().cancel()) {
       return;
     }
     for (int i = 0; i < request.attempts.size() && request.inFlight > 1; i++) {
-      Attempt other = request.attempts.get(i);
-      if (i != number && other.inFlight() && !other.running()) {
+      Attempt otherAttempt = request.attempts.get(i);
+      if (i != attemptNumber && otherAttempt.inFlight() && !otherAttempt.running()) {
         actions.cancel(request.job.id(), i);
       }
     }
   }
 
   @Override
-  public void progressed(double now, String id, int number, double share) {
-    Attempt attempt = requests.findAttempt(id, number);
+  public void progressed(double now, String requestId, int attemptNumber, double share) {
+    Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt != null) {
-      outliers.signOfLife(attempt.worker, now);
+      outliers.responseReceived(attempt.worker, now);
     }
   }
 
   @Override
   public void ended(
       double now,
-      String id,
-      int number,
+      String requestId,
+      int attemptNumber,
       AttemptOutcome outcome,
-      double took,
-      boolean over,
+      double durationMs,
+      boolean completed,
       LoadReport report) {
-    Attempt attempt = requests.findAttempt(id, number);
+    Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt == null || !attempt.inFlight()) {
       return;
     }
-    PendingRequest request = requests.find(id);
+    PendingRequest request = requests.find(requestId);
     attempt.outcome = outcome;
     request.inFlight--;
     registry.attemptEnded(attempt.worker, request.job);
-    outcomes.attemptEnded(request, attempt, outcome, now);
+    outcomeHandler.attemptEnded(request, attempt, outcome, now);
     reportReceived(attempt.worker, report, now);
-    request.completed |= over;
+    request.completed |= completed;
     if (request.completed) {
-      cancelWaitingAttempts(request, number);
+      cancelWaitingAttempts(request, attemptNumber);
       requests.removeIfDone(request);
     } else {
       retryOrAnswer(request, outcome, now);
@@ -276,22 +295,22 @@
     if (outcome == AttemptOutcome.TIMEOUT && retries.deadlineReached(request, now)) {
       answer(request, 0, RejectionCause.DEADLINE);
     } else if (request.inFlight == 0 && outcome == AttemptOutcome.UNUSABLE) {
-      // Retried, one bad request would bring a worker under suspicion with each attempt.
+      // A retry would make the request fail at further workers and cause their ejection.
       fail(request);
     } else if (request.inFlight == 0) {
       sendOrAnswer(request, now);
     }
   }
 
-  /** Rejects the request if a retry by the client is harmless, else fails it. */
-  private void answer(PendingRequest request, double retryAfter, RejectionCause cause) {
+  /** Rejects the request if the client can safely retry it; otherwise fails it. */
+  private void answer(PendingRequest request, double retryAfterMs, RejectionCause cause) {
     if (!retries.mayReject(request)) {
       fail(request);
       return;
     }
     request.completed = true;
-    double wait = Math.min(retryAfter, settings.limits().retryAfterMax());
-    actions.refuse(request.job.id(), wait, cause);
+    double cappedRetryAfterMs = Math.min(retryAfterMs, settings.limits().retryAfterMax());
+    actions.refuse(request.job.id(), cappedRetryAfterMs, cause);
     requests.removeIfDone(request);
   }
 
@@ -302,8 +321,8 @@
   }
 
   @Override
-  public void abandoned(double now, String id) {
-    PendingRequest request = requests.find(id);
+  public void abandoned(double now, String requestId) {
+    PendingRequest request = requests.find(requestId);
     if (request != null) {
       request.completed = true;
       requests.removeIfDone(request);
@@ -325,11 +344,11 @@
 
   @Override
   public void timer(double now, long token) {
-    if (token == CYCLE_TOKEN) {
+    if (token == BUDGET_CYCLE_TOKEN) {
       budgetCycle.run(fleetLoad, serviceTimes.meanWork(), now);
-      idle.startCycle(now);
-      slowStart.startCycle(now);
-      actions.timer(BudgetCycle.PERIOD_MS, CYCLE_TOKEN);
+      idleCapacity.startCycle(now);
+      slowStartGate.startCycle(now);
+      actions.timer(BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
     } else if (token == WATCH_TOKEN) {
       actions.watch();
     } else {
@@ -338,7 +357,7 @@
   }
 
   @Override
-  public void heard(double now, int from, byte[] message) {
-    budgetCycle.receive(from, message);
+  public void heard(double now, int sender, byte[] message) {
+    budgetCycle.receive(sender, message);
   }
 }
