--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -5,38 +5,48 @@
 import java.util.function.IntSupplier;
 
 /**
- * Estimates since when an accepted connection may have waited in the listener's backlog: the time
- * that a client or an operator waits counts from then. Stands in the listener's pipeline, on the
- * event loop.
+ * Estimates the earliest time at which an accepted connection may have entered the listener's
+ * backlog. The time that a client or an operator waits for an answer counts from there. Part of the
+ * listener's pipeline, on the event loop.
  */
 final class AcceptTimeEstimator extends ChannelInboundHandlerAdapter
     implements AcceptSwitch.PauseListener {
   private final ArrivalClock arrivals;
 
   /**
-   * How many connections one read of the listener accepts at most; after so many, more may wait.
+   * The maximum number of connections that one read of the listener accepts; after that many, more
+   * may be waiting.
    */
   private final IntSupplier acceptsAtOnce;
 
-  /** How long a connection is taken to have waited at most, ms. */
+  /** The maximum time that a connection is assumed to have waited, in ms. */
   private final double maxWait;
 
   private double waitingSince;
   private int acceptedThisTurn;
-  private int limit;
+  private int acceptLimit;
   private boolean paused;
 
-  /** What is accepted up to this turn of the loop may have waited since {@link #waitingSince}. */
+  /**
+   * The last turn of the event loop in which accepted connections may have waited since {@link
+   * #waitingSince}.
+   */
   private long waitedUntilTurn = -1;
 
-  /** An estimator that takes no connection to have waited for more than {@code maxWait} ms. */
+  /**
+   * Creates an estimator that assumes no connection to have waited for more than {@code maxWait}
+   * ms.
+   */
   AcceptTimeEstimator(ArrivalClock arrivals, IntSupplier acceptsAtOnce, double maxWait) {
     this.arrivals = arrivals;
     this.acceptsAtOnce = acceptsAtOnce;
     this.maxWait = maxWait;
   }
 
-  /** The earliest time at which the connection accepted last may have come, ms on the clock. */
+  /**
+   * Returns the earliest time at which the most recently accepted connection may have arrived, in
+   * ms on the node's clock.
+   */
   double waitingSince() {
     return waitingSince;
   }
@@ -52,11 +62,14 @@
   @Override
   public void resumed() {
     paused = false;
-    lookAgainInTheNextTurn();
+    extendWaitToNextTurn();
   }
 
-  /** What waits now is seen by the next select at the latest. */
-  private void lookAgainInTheNextTurn() {
+  /**
+   * Treats connections accepted up to the next turn as having waited: the next select reports all
+   * that wait now.
+   */
+  private void extendWaitToNextTurn() {
     waitedUntilTurn = arrivals.turn() + 1;
   }
 
@@ -67,7 +80,7 @@
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object accepted) {
     if (acceptedThisTurn++ == 0) {
-      limit = acceptsAtOnce.getAsInt();
+      acceptLimit = acceptsAtOnce.getAsInt();
       waitingSince =
           mayHaveWaited() ? Math.max(waitingSince, arrivals.since() - maxWait) : arrivals.since();
     }
@@ -76,10 +89,11 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (acceptedThisTurn >= limit) {
-      lookAgainInTheNextTurn();
+    if (acceptedThisTurn >= acceptLimit) {
+      extendWaitToNextTurn();
     } else if (acceptedThisTurn > 0) {
-      // Nothing waits any more. Where an accept has failed, what has waited still does.
+      // No more connections wait. If an accept failed and none succeeded, the estimate stays,
+      // because the waiting connections still wait.
       waitedUntilTurn = -1;
     }
     acceptedThisTurn = 0;
--- a/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientConnectionHandler.java
@@ -12,59 +12,62 @@
 import java.io.IOException;
 
 /**
- * Reads requests from one connection to the frontend and has them handled one at a time; what is
- * pipelined behind one waits. The connection itself is a {@link ClientConnection}.
+ * Reads requests from one connection to the frontend and has them handled one at a time; pipelined
+ * requests are queued. {@link ClientConnection} represents the connection itself.
  *
- * <p>An error closes the connection: whoever sent something unusable would otherwise repeat it at
- * once, indefinitely. It closes behind the responses to all requests read completely by then, as
- * each of those is owed one. Belongs to the event loop.
+ * <p>An error closes the connection, since a faulty sender would otherwise repeat the error at once
+ * and indefinitely. The connection closes after the responses to all requests that were read
+ * completely before the error. Confined to the event loop.
  */
 final class ClientConnectionHandler extends ChannelInboundHandlerAdapter {
   private final ClientConnection connection;
   private final ClientRequestHandler requests;
   private final RateLimitedLog log;
-  private final RequestBytesReader bytes;
+  private final RequestBytesReader bytesReader;
 
-  /** What has been read behind the request in progress. */
+  /** The requests that have been read behind the request in progress. */
   private final PipelinedRequests pipelined;
 
   private ChannelHandlerContext context;
 
   /**
-   * The reader of a connection that may have waited to be accepted since {@code acceptedSince}, ms
-   * on the clock.
+   * Creates the handler of a connection that may have waited in the backlog since {@code
+   * acceptedSince}, in ms on the node's clock.
    */
   ClientConnectionHandler(
-      HttpFrontend front,
+      HttpFrontend frontend,
       ClientRequestHandler requests,
       RateLimitedLog log,
       RequestPacer pacer,
       double acceptedSince) {
-    this.connection = new ClientConnection(front, requests, this, acceptedSince);
+    this.connection = new ClientConnection(frontend, requests, this, acceptedSince);
     this.requests = requests;
     this.log = log;
-    this.bytes = new RequestBytesReader(connection, pacer, acceptedSince);
-    this.pipelined = new PipelinedRequests(front);
+    this.bytesReader = new RequestBytesReader(connection, pacer, acceptedSince);
+    this.pipelined = new PipelinedRequests(frontend);
   }
 
-  /** Puts the connection's codec and this handler at the end of a pipeline. */
+  /** Adds the connection's codec and this handler to the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(
-        bytes,
-        bytes.decoder(),
+        bytesReader,
+        bytesReader.decoder(),
         new HttpResponseEncoder(),
-        new BodyAggregator(HttpFrontend.MAX_BODY),
+        new BodyAggregator(HttpFrontend.MAX_BODY_BYTES),
         this);
   }
 
-  /** What is read from the connection, ahead of the requests in it. */
-  RequestBytesReader bytes() {
-    return bytes;
+  /** Returns the handler that passes the bytes of the connection to the decoder. */
+  RequestBytesReader bytesReader() {
+    return bytesReader;
   }
 
-  /** True if a request waits behind the one in progress, or may, as not all bytes are decoded. */
+  /**
+   * Returns true if a request is queued behind the one in progress, or may be among the bytes that
+   * are not decoded yet.
+   */
   boolean hasPipelined() {
-    return !pipelined.isEmpty() || bytes.holdsUndecoded();
+    return !pipelined.isEmpty() || bytesReader.holdsUndecoded();
   }
 
   // ---- Events of the connection ----
@@ -82,13 +85,13 @@
         || !(message instanceof FullHttpRequest request)) {
       ReferenceCountUtil.release(message);
     } else if (connection.canBegin() && !connection.closeRequested()) {
-      begin(request, bytes.arrived());
-    } else if (connection.closeRequested() || !pipelined.add(request, bytes.arrived())) {
+      begin(request, bytesReader.arrivedAt());
+    } else if (connection.closeRequested() || !pipelined.add(request, bytesReader.arrivedAt())) {
       connection.requestClose();
       pipelined.reject();
       request.release();
       if (connection.canBegin()) {
-        connection.next();
+        connection.beginNext();
       }
     }
   }
@@ -103,7 +106,7 @@
       pipelined.reject();
     } else {
       connection.requestClose();
-      pipelined.addTooLarge(bytes.arrived());
+      pipelined.addTooLarge(bytesReader.arrivedAt());
     }
   }
 
@@ -112,7 +115,7 @@
     if (cause instanceof IOException || connection.state() == ConnectionState.CLOSING) {
       ctx.close();
     } else {
-      log.line("front failed", "bytes could not be decoded: " + cause);
+      log.line("frontend failed", "bytes could not be decoded: " + cause);
       connection.requestClose();
       if (connection.canBegin()) {
         connection.begin();
@@ -124,7 +127,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     pipelined.release();
-    bytes.endDecoding();
+    bytesReader.endDecoding();
     connection.ended();
   }
 
@@ -137,14 +140,14 @@
         connection.requestClose();
       }
       requests.handle(connection, request, arrivedAt);
-    } catch (BadRequestException bad) {
+    } catch (BadRequestException badRequest) {
       log.line(
           "bad request",
-          "bad request from " + context.channel().remoteAddress() + ": " + bad.getMessage());
-      connection.respondAndClose(HttpResponseStatus.BAD_REQUEST, bad.getMessage());
+          "bad request from " + context.channel().remoteAddress() + ": " + badRequest.getMessage());
+      connection.respondAndClose(HttpResponseStatus.BAD_REQUEST, badRequest.getMessage());
     } catch (RuntimeException fault) {
-      // A response is owed all the same; for a job that has started, the coordinator gives it.
-      log.line("front failed", "request could not be handled: " + fault);
+      // The request still needs a response. If its job has started, the coordinator sends it.
+      log.line("frontend failed", "request could not be handled: " + fault);
       connection.requestClose();
       if (connection.unanswered()) {
         connection.respondAndClose(HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
@@ -155,26 +158,26 @@
   }
 
   /**
-   * Begins the request that has waited longest, in the next turn where this one has done enough;
-   * false if none waits.
+   * Begins the oldest queued request, in the next turn of the event loop if this turn has used up
+   * its share. Returns false if no request is queued.
    */
   boolean beginPipelined() {
     if (pipelined.isEmpty()) {
       return false;
     }
-    if (!bytes.mayBeginNow()) {
+    if (!bytesReader.mayBeginNow()) {
       connection.begin();
       return true;
     }
     PipelinedRequests.Entry first = pipelined.poll();
-    switch (first.kind()) {
-      case HANDLE -> begin(first.request(), first.arrived());
+    switch (first.action()) {
+      case HANDLE -> begin(first.request(), first.arrivedAt());
       case TOO_LARGE -> rejectTooLarge();
       case REJECT -> {
         connection.begin();
         connection.respond(HttpResponseStatus.SERVICE_UNAVAILABLE, "");
       }
-      default -> throw new IllegalStateException("no such kind: " + first.kind());
+      default -> throw new IllegalStateException("unknown action: " + first.action());
     }
     return true;
   }
@@ -183,6 +186,6 @@
     connection.begin();
     connection.respondAndClose(
         HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
-        "a body holds at most " + HttpFrontend.MAX_BODY + " bytes");
+        "a body holds at most " + HttpFrontend.MAX_BODY_BYTES + " bytes");
   }
 }
--- a/node/src/main/java/ferngrade/http/ClientRequestHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -13,22 +13,22 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Handles the requests of all client connections by their path: readiness, workers' callbacks, and
- * jobs. Each ends in one response on the connection that it came on, now or later. Belongs to the
- * event loop.
+ * Dispatches the requests of all client connections by path: readiness checks, workers' callbacks,
+ * and jobs. Each request gets exactly one response on its own connection, at once or later.
+ * Confined to the event loop.
  */
 final class ClientRequestHandler {
   private static final String READY_PATH = "/-/ready";
   private static final String CALLBACK_PATH = "/_jobs/news";
 
-  private final HttpFrontend front;
+  private final HttpFrontend frontend;
   private final RequestCoordinator coordinator;
   private final RequestReader reader;
   private final Clock clock;
 
   ClientRequestHandler(
-      HttpFrontend front, RequestCoordinator coordinator, RequestReader reader, Clock clock) {
-    this.front = front;
+      HttpFrontend frontend, RequestCoordinator coordinator, RequestReader reader, Clock clock) {
+    this.frontend = frontend;
     this.coordinator = coordinator;
     this.reader = reader;
     this.clock = clock;
@@ -37,43 +37,45 @@
   /**
    * Handles a complete request.
    *
-   * @param arrived since when it may have been on this machine, ms on the clock
-   * @throws BadRequestException if it cannot be used; there has been no response then
+   * @param arrivedAt the earliest time at which the request may have arrived on this machine, in ms
+   *     on the node's clock
+   * @throws BadRequestException if the request is invalid; no response has been written then
    */
-  void handle(ClientConnection connection, FullHttpRequest request, double arrived)
+  void handle(ClientConnection connection, FullHttpRequest request, double arrivedAt)
       throws BadRequestException {
     if (request.decoderResult().isFailure()) {
       throw new BadRequestException("not a request in HTTP");
     }
     String path = new QueryStringDecoder(request.uri()).rawPath();
     if (path.equals(READY_PATH)) {
-      boolean ready = coordinator.ready() && !front.draining();
+      boolean ready = coordinator.ready() && !frontend.draining();
       connection.respond(
           ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
     } else if (!request.method().equals(HttpMethod.POST)) {
       connection.respondAndClose(HttpResponseStatus.METHOD_NOT_ALLOWED, "jobs come by POST");
     } else if (path.equals(CALLBACK_PATH)) {
       String body = request.content().toString(StandardCharsets.UTF_8);
-      callback(connection, WorkerCallbackParser.read(body), body);
+      callback(connection, WorkerCallbackParser.parse(body), body);
     } else {
-      job(connection, request, arrived);
+      job(connection, request, arrivedAt);
     }
   }
 
-  /** The client of this job has closed its connection. */
+  /** Reports that the client of a job has closed its connection. */
   void clientGone(String jobId) {
     coordinator.clientGone(jobId);
   }
 
   /**
-   * A worker's callback. While processes share the clients' socket, one for a job that this process
-   * never had is relayed to the others. Where that fails the response is 503 and a close, so that
-   * the worker's retry comes on a new connection, which another process may accept. Where no other
-   * process runs, nobody waits for it any more, and the worker need not send it again.
+   * Handles a worker's callback. While several processes share the client socket, a callback for a
+   * job that this process never had is relayed to the other processes. If no process answers for
+   * it, the response is 503 and closes the connection, so that the worker's retry arrives on a new
+   * connection, which another process may accept. If no other process runs, no process waits for
+   * the callback, and the worker does not have to send it again.
    */
   private void callback(ClientConnection connection, WorkerCallback callback, String body) {
-    if (front.upgradePeers() != null && !coordinator.knowsOf(callback.id())) {
-      front
+    if (frontend.upgradePeers() != null && !coordinator.knowsOf(callback.id())) {
+      frontend
           .upgradePeers()
           .relay(
               body,
@@ -93,27 +95,27 @@
     connection.respond(HttpResponseStatus.NO_CONTENT, "");
   }
 
-  private void job(ClientConnection connection, FullHttpRequest request, double arrived)
+  private void job(ClientConnection connection, FullHttpRequest request, double arrivedAt)
       throws BadRequestException {
-    Job job = reader.job(request, arrived);
+    Job job = reader.job(request, arrivedAt);
     JobResponseHandler response = new JobResponseHandler(connection);
-    ShutdownBudget budget = front.budget();
+    ShutdownBudget budget = frontend.budget();
     if (budget != null) {
-      if (front.finishing() || budget.tooLittleFor(job.due(), clock.now())) {
+      if (frontend.finishing() || budget.tooShortFor(job.due(), clock.now())) {
         coordinator.reject(job, response, 0, RejectionReason.SHUTDOWN);
         return;
       }
-      job = budget.capped(job);
+      job = budget.capDeadline(job);
     }
-    if (front.atJobLimit()) {
+    if (frontend.atJobLimit()) {
       coordinator.rejectForCapacity(job, response);
       return;
     }
-    front.jobStarted();
+    frontend.jobStarted();
     connection.jobStarted(job.id());
-    if (!coordinator.request(job, RequestReader.call(request, job.id()), response)) {
+    if (!coordinator.request(job, RequestReader.jobRequest(request, job.id()), response)) {
       connection.jobNotStarted();
-      front.jobEnded();
+      frontend.jobEnded();
       throw new BadRequestException("Req-Id has been used");
     }
     connection.trust();
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -10,56 +10,62 @@
 import java.util.Map;
 
 /**
- * The connections to workers: how many there are, and which stand idle. One that has stood idle for
- * a good part of the limit is ended: a worker closes it at the limit, and a job written into that
- * close would be reset, with nobody knowing whether it ran. Some machines close them far sooner
- * than they are said to: when one has ended a connection of its own accord, its next ones are kept
- * for half as long as that one lasted.
+ * Pools the connections to workers and limits their number. A connection that has been idle for a
+ * part of the workers' idle limit is closed: a worker closes it at the limit, and a job written at
+ * that moment would be reset, leaving it unknown whether the job ran. Some workers' machines close
+ * idle connections much earlier than configured. When a worker closes a connection, the pool keeps
+ * the next connections to that worker idle for at most half the time that the closed one lasted.
  */
 public final class ConnectionPool {
-  /** Share of the workers' idle limit after which a connection is ended. */
-  private static final double RETIRE = 0.5;
+  /** The share of the workers' idle limit after which an idle connection is closed. */
+  private static final double MAX_IDLE_SHARE = 0.5;
 
-  private static final double SWEEP = 1000;
+  private static final double SWEEP_INTERVAL_MILLIS = 1000;
 
-  /** The least that a learned limit becomes, ms, and the time in which it doubles again. */
-  private static final double MIN_LEARNED_LIMIT = 20;
+  /**
+   * The minimum of a learned idle limit, in ms, and the time after which a learned limit doubles,
+   * in ms.
+   */
+  private static final double MIN_LEARNED_LIMIT_MILLIS = 20;
 
-  private static final double RECOVERY = 10_000;
+  private static final double LEARNED_LIMIT_DOUBLING_MILLIS = 10_000;
 
   /**
-   * How long a connection stands idle before it is used again, ms. A worker's second answer may
-   * come some milliseconds late; on a connection that carries the next request by then it would be
-   * taken for that one's.
+   * The minimum idle time before a connection is used again, in ms. A worker may send a second
+   * answer some milliseconds late; if the connection already carried the next request, that answer
+   * would be taken for the response to it.
    */
-  private static final double SETTLED = 50;
+  private static final double MIN_IDLE_MILLIS = 50;
 
-  /** Idle connections kept for one worker. */
-  private static final int MAX_IDLE = 16;
+  /** The maximum number of idle connections kept for one worker. */
+  private static final int MAX_IDLE_PER_WORKER = 16;
 
   private final Clock clock;
   private final Timers timers;
-  private final double maxIdleMs;
+  private final double maxIdleMillis;
   private int maxOpen;
   private final Map<InetSocketAddress, Deque<WorkerConnection>> idle = new HashMap<>();
-  private final Map<InetSocketAddress, Learned> learned = new HashMap<>();
-  private int open;
+  private final Map<InetSocketAddress, LearnedLimit> learnedLimits = new HashMap<>();
+  private int openConnections;
 
-  /** How long a worker's idle connections were found to last, and when. */
-  private record Learned(double limit, double at) {}
+  /**
+   * The time after which a worker closed its idle connections, and when the pool learned it, both
+   * in ms.
+   */
+  private record LearnedLimit(double limit, double learnedAt) {}
 
   public ConnectionPool(Clock clock, Timers timers, double idleLimit, int maxOpen) {
     this.clock = clock;
     this.timers = timers;
-    this.maxIdleMs = RETIRE * idleLimit;
+    this.maxIdleMillis = MAX_IDLE_SHARE * idleLimit;
     this.maxOpen = maxOpen;
-    timers.after(SWEEP, this::sweep);
+    timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 
   /**
-   * The idle connection used last that is fit for use, or null if there is none. It is read first:
-   * the event loop may not have come to notice that the worker has ended it, and a job written to
-   * it would be reset.
+   * Returns the most recently used idle connection that is usable, or null if there is none. The
+   * connection is read first: the event loop may not have noticed yet that the worker has closed
+   * it, and a job written to it would be reset.
    */
   WorkerConnection take(InetSocketAddress worker) {
     Deque<WorkerConnection> pooled = idle.get(worker);
@@ -70,7 +76,7 @@
       double idleFor = clock.now() - connection.idleSince;
       if (!connection.isActive() || idleFor >= limit(worker)) {
         connection.close();
-      } else if (idleFor >= SETTLED && connection.activeAfterReading()) {
+      } else if (idleFor >= MIN_IDLE_MILLIS && connection.activeAfterReading()) {
         pooled.remove(connection);
         connection.reusedAfter = idleFor;
         return connection;
@@ -80,59 +86,65 @@
   }
 
   private double limit(InetSocketAddress worker) {
-    Learned last = learned.get(worker);
-    return last == null
-        ? maxIdleMs
-        : Math.min(maxIdleMs, last.limit * Math.pow(2, (clock.now() - last.at) / RECOVERY));
+    LearnedLimit learned = learnedLimits.get(worker);
+    return learned == null
+        ? maxIdleMillis
+        : Math.min(
+            maxIdleMillis,
+            learned.limit
+                * Math.pow(2, (clock.now() - learned.learnedAt) / LEARNED_LIMIT_DOUBLING_MILLIS));
   }
 
-  /** The worker's side has ended a connection that had stood idle for so many ms. */
-  private void lasted(InetSocketAddress worker, double millis) {
-    double limit = Math.max(MIN_LEARNED_LIMIT, Math.min(limit(worker), RETIRE * millis));
-    learned.put(worker, new Learned(limit, clock.now()));
+  /** Learns that the worker closed a connection that had been idle for {@code millis} ms. */
+  private void learnLimit(InetSocketAddress worker, double millis) {
+    double limit =
+        Math.max(MIN_LEARNED_LIMIT_MILLIS, Math.min(limit(worker), MAX_IDLE_SHARE * millis));
+    learnedLimits.put(worker, new LearnedLimit(limit, clock.now()));
   }
 
-  /** The connections that stand idle. */
+  /** Returns the number of idle connections. */
   int idle() {
     return idle.values().stream().mapToInt(Deque::size).sum();
   }
 
-  /** Changes how many connections there may be; idle ones close where there are too many now. */
+  /**
+   * Changes the maximum number of connections; idle connections are closed if there are too many.
+   */
   public void limitTo(int connections) {
     maxOpen = connections;
-    for (int excess = open - maxOpen; excess > 0; excess--) {
-      dropOldest();
+    for (int excess = openConnections - maxOpen; excess > 0; excess--) {
+      closeOldestIdle();
     }
   }
 
-  /** Books a place for a new connection; false if there is none. */
+  /** Reserves capacity for a new connection. Returns false if there is none. */
   boolean reserve() {
-    if (open >= maxOpen && !dropOldest()) {
+    if (openConnections >= maxOpen && !closeOldestIdle()) {
       return false;
     }
-    open++;
+    openConnections++;
     return true;
   }
 
-  private boolean dropOldest() {
+  private boolean closeOldestIdle() {
     for (Deque<WorkerConnection> pooled : idle.values()) {
       if (!pooled.isEmpty()) {
         pooled.pollLast().close();
-        return open < maxOpen;
+        return openConnections < maxOpen;
       }
     }
     return false;
   }
 
-  /** The connection that was booked did not come up. */
+  /** Releases the reservation of a connection that could not be opened. */
   void unreserve() {
-    open--;
+    openConnections--;
   }
 
   void release(WorkerConnection connection) {
     Deque<WorkerConnection> pooled =
         idle.computeIfAbsent(connection.worker(), worker -> new ArrayDeque<>());
-    if (!connection.isActive() || pooled.size() >= MAX_IDLE) {
+    if (!connection.isActive() || pooled.size() >= MAX_IDLE_PER_WORKER) {
       connection.close();
       return;
     }
@@ -142,14 +154,14 @@
   }
 
   void ended(WorkerConnection connection) {
-    open--;
+    openConnections--;
     Deque<WorkerConnection> pooled = idle.get(connection.worker());
     boolean wasIdle = pooled != null && pooled.remove(connection);
-    if (!connection.endedHere()) {
+    if (!connection.closedLocally()) {
       if (wasIdle) {
-        lasted(connection.worker(), clock.now() - connection.idleSince);
+        learnLimit(connection.worker(), clock.now() - connection.idleSince);
       } else if (connection.reusedAfter >= 0) {
-        lasted(connection.worker(), connection.reusedAfter);
+        learnLimit(connection.worker(), connection.reusedAfter);
       }
     }
   }
@@ -158,13 +170,13 @@
     double now = clock.now();
     for (Deque<WorkerConnection> pooled : idle.values()) {
       for (WorkerConnection connection : new ArrayList<>(pooled)) {
-        if (now - connection.idleSince >= maxIdleMs) {
+        if (now - connection.idleSince >= maxIdleMillis) {
           connection.close();
         }
       }
     }
     idle.values().removeIf(Deque::isEmpty);
-    learned.keySet().removeIf(worker -> limit(worker) >= maxIdleMs);
-    timers.after(SWEEP, this::sweep);
+    learnedLimits.keySet().removeIf(worker -> limit(worker) >= maxIdleMillis);
+    timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 }
--- a/node/src/main/java/ferngrade/http/ConnectionTable.java
+++ b/node/src/main/java/ferngrade/http/ConnectionTable.java
@@ -12,34 +12,36 @@
 import java.util.stream.Stream;
 
 /**
- * The open connections of one listener, and the one owner of the rule which of them gives way when
- * they are too many or take too long.
+ * Tracks the open connections of one listener and alone decides which of them to close when there
+ * are too many or when a peer exceeds its timeout.
  *
- * <p>No more are accepted than there are places; the rest waits in the listener's backlog, and is
- * not lost. A connection is read before it may have to give way, in the same turn: one with a whole
- * request in its socket is served and not closed. Those that then hold nothing give way first, the
- * oldest before the others, and before those that are trusted: a client that finds its connection
- * closed has to send its request anew.
+ * <p>No more connections are accepted than the limit allows; the others wait in the listener's
+ * backlog and are not lost. Before a connection is evicted, it is read once more in the same turn
+ * of the event loop, so that a connection with a complete request in its socket is served and not
+ * closed. Connections without a request are evicted first: the oldest before newer ones, and
+ * untrusted ones before trusted ones, because a client whose connection is closed has to send its
+ * request again.
  *
- * <p>Belongs to the event loop.
+ * <p>Confined to the event loop.
  */
 final class ConnectionTable<C extends ManagedConnection> {
-  /** The interval between two checks for connections that take too long, ms. */
-  private static final double SWEEP_INTERVAL = 250;
+  /** The interval between two checks for connections that exceed their timeout, in ms. */
+  private static final double SWEEP_INTERVAL_MILLIS = 250;
 
   /**
-   * The share of all places, or one accept's worth of them, which is kept free: with less of them
-   * free no silent connection has that grace.
+   * The share of the connection limit that is kept free, where the reserve is at most the number of
+   * connections that one read of the listener accepts. While less is free, idle untrusted
+   * connections have no grace period.
    */
-  private static final double SCARCE = 0.25;
+  private static final double RESERVED_SHARE = 0.25;
 
   private final Clock clock;
   private final Timers timers;
   private final Executor loop;
   private final AcceptSwitch acceptSwitch;
-  private final ForcedCloses closes;
+  private final ForcedCloses forcedCloses;
 
-  /** How long a connection may be awaited, ms. */
+  /** The maximum time to wait for a peer's input, in ms. */
   private final double timeout;
 
   private Limits limits;
@@ -51,133 +53,149 @@
   private long accepted;
 
   /**
-   * How many connections there may be.
+   * Limits on the number of connections.
    *
-   * @param open those that are open
-   * @param awaited those of them that have sent a part of a request, or nothing
+   * @param open the maximum number of open connections
+   * @param awaited the maximum number of open connections that have sent no request or only a part
+   *     of one
    */
   record Limits(int open, int awaited) {}
 
-  /** What a table works with; {@code loop} runs tasks at the end of the present turn. */
-  record Surroundings(Clock clock, Timers timers, Executor loop, ForcedCloses closes) {}
+  /**
+   * The services that a table uses; {@code loop} runs tasks at the end of the current turn of the
+   * event loop.
+   */
+  record Dependencies(Clock clock, Timers timers, Executor loop, ForcedCloses forcedCloses) {}
 
-  /** Connections that {@code acceptSwitch} lets in; one may be awaited for {@code timeout} ms. */
+  /**
+   * Creates a table of the connections that {@code acceptSwitch} accepts. The table waits for the
+   * input of a peer for at most {@code timeout} ms.
+   */
   ConnectionTable(
-      Limits limits, double timeout, AcceptSwitch acceptSwitch, Surroundings surroundings) {
+      Limits limits, double timeout, AcceptSwitch acceptSwitch, Dependencies dependencies) {
     this.limits = limits;
     this.timeout = timeout;
     this.acceptSwitch = acceptSwitch;
-    this.clock = surroundings.clock();
+    this.clock = dependencies.clock();
     this.awaited = new AwaitedConnections<>(clock);
-    this.timers = surroundings.timers();
-    this.loop = surroundings.loop();
-    this.closes = surroundings.closes();
-    acceptSwitch.places(limits.open());
+    this.timers = dependencies.timers();
+    this.loop = dependencies.loop();
+    this.forcedCloses = dependencies.forcedCloses();
+    acceptSwitch.setCapacity(limits.open());
   }
 
-  /** Begins to check timeouts; it goes on from there by itself. */
+  /** Starts the periodic check for timeouts. */
   void startSweeping() {
-    timers.after(SWEEP_INTERVAL, this::sweep);
+    timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 
   boolean isEmpty() {
     return open.isEmpty();
   }
 
-  /** The open connections as of now: those that close meanwhile do not disturb a loop over it. */
+  /** Returns a snapshot of the open connections, which may be iterated while connections close. */
   List<C> open() {
     return new ArrayList<>(open);
   }
 
-  /** The idle connections as of now. */
+  /** Returns a snapshot of the idle connections. */
   List<C> idle() {
     return new ArrayList<>(idle);
   }
 
-  /** How many connections have been accepted so far. */
+  /** Returns the number of connections accepted so far. */
   long accepted() {
     return accepted;
   }
 
-  /** True while another connection fits without closing others. */
-  boolean hasPlace() {
-    return places() > 0;
+  /** Returns true while another connection fits without closing others. */
+  boolean hasCapacity() {
+    return freeCapacity() > 0;
   }
 
-  private int places() {
+  private int freeCapacity() {
     return limits.open() - open.size();
   }
 
-  /** Changes the limits; connections that carry nothing close where there are too many now. */
+  /**
+   * Changes the limits. If they are exceeded, connections without a request in progress are closed.
+   */
   void limitTo(Limits changed) {
     limits = changed;
-    acceptSwitch.places(places());
-    reviewLater();
+    acceptSwitch.setCapacity(freeCapacity());
+    scheduleReview();
   }
 
-  // ---- What connections report ----
+  // ---- Notifications from connections ----
 
-  /** A connection has been accepted. */
+  /** Adds an accepted connection. */
   void opened(C connection) {
     accepted++;
     open.add(connection);
-    await(connection);
-    acceptSwitch.places(places());
+    awaitPeer(connection);
+    acceptSwitch.setCapacity(freeCapacity());
   }
 
-  /** A connection has ended, from whichever side. */
+  /** Removes a connection that has ended, closed by either side. */
   void closed(C connection) {
     open.remove(connection);
     idle.remove(connection);
     awaited.remove(connection);
-    acceptSwitch.places(places());
+    acceptSwitch.setCapacity(freeCapacity());
   }
 
-  /** From now on its peer is awaited; for one that was before, the timeout starts anew. */
-  void await(C connection) {
+  /**
+   * Starts to wait for the peer of a connection; if the table already waits for it, the timeout
+   * restarts.
+   */
+  void awaitPeer(C connection) {
     idle.remove(connection);
     if (open.contains(connection)) {
       awaited.add(connection);
-      reviewLater();
+      scheduleReview();
     }
   }
 
-  /** The first bytes of a request have arrived. */
+  /** Handles the arrival of the first bytes of a request. */
   void receiving(C connection) {
     if (!awaited.contains(connection)) {
-      await(connection);
+      awaitPeer(connection);
     }
-    reviewLater();
+    scheduleReview();
   }
 
-  /** A complete request has arrived, which is being handled from here on. */
+  /** Handles the arrival of a complete request, which is handled from now on. */
   void busy(C connection) {
     idle.remove(connection);
     awaited.remove(connection);
   }
 
-  /** The connection is between two requests; one that has not been trusted yet is awaited. */
-  void rest(C connection) {
+  /**
+   * Handles the end of a request: a trusted connection becomes idle, for an untrusted one the wait
+   * for its next request begins.
+   */
+  void betweenRequests(C connection) {
     if (!connection.trusted()) {
-      await(connection);
+      awaitPeer(connection);
       return;
     }
     awaited.remove(connection);
     if (open.contains(connection)) {
       idle.add(connection);
-      reviewLater();
+      scheduleReview();
     }
   }
 
   /**
-   * Accepts and reads what has come and the event loop has not come to read. Connections that carry
-   * a request, or close, are left out: what follows on them has to wait in any case.
+   * Accepts the connections and reads the bytes that have arrived but that the event loop has not
+   * read yet. Connections that are handling a request or closing are skipped, since their further
+   * input has to wait in any case.
    */
   void readPending() {
-    acceptSwitch.acceptWaiting(this::accepted, this::hasPlace);
-    for (C each : open()) {
-      if (open.contains(each) && awaitsRequest(each)) {
-        read(each);
+    acceptSwitch.acceptWaiting(this::accepted, this::hasCapacity);
+    for (C connection : open()) {
+      if (open.contains(connection) && awaitsRequest(connection)) {
+        read(connection);
       }
     }
   }
@@ -189,90 +207,101 @@
     };
   }
 
-  // ---- Who gives way ----
+  // ---- Eviction ----
 
   private boolean limitReached() {
-    return awaited.size() > limits.awaited() || !hasPlace();
+    return awaited.size() > limits.awaited() || !hasCapacity();
   }
 
-  private void reviewLater() {
+  private void scheduleReview() {
     if (limitReached() && !reviewScheduled) {
       reviewScheduled = true;
       loop.execute(this::review);
     }
   }
 
-  /** Reads what has been accepted, and then has connections give way where a limit demands it. */
+  /**
+   * Reads the connections that were accepted and not read yet, and then evicts connections if a
+   * limit is exceeded.
+   */
   private void review() {
     reviewScheduled = false;
     if (limitReached()) {
       awaited.unread().forEach(this::read);
       enforceLimits();
     }
-    acceptSwitch.places(places());
+    acceptSwitch.setCapacity(freeCapacity());
   }
 
   private void enforceLimits() {
-    limitReceiving();
-    limitSilent();
-    makePlace();
+    enforceReceivingLimit();
+    enforceAwaitedLimit();
+    evictForNextConnection();
   }
 
-  /** Bodies that are on their way take memory: these are bounded at once. */
-  private void limitReceiving() {
+  /**
+   * Limits the connections that are receiving a request at once, because the bodies take memory.
+   */
+  private void enforceReceivingLimit() {
     int excess = awaited.receiving().size() - limits.awaited();
     if (excess > 0) {
-      giveWay(awaited.receivingUntrusted().stream(), excess, Reason.AWAITED_LIMIT);
+      evictCandidates(awaited.receivingUntrusted().stream(), excess, Reason.AWAITED_LIMIT);
     }
   }
 
-  private void limitSilent() {
-    List<C> silent = awaited.silent();
-    int excess = silent.size() + awaited.receivingUntrusted().size() - limits.awaited();
+  private void enforceAwaitedLimit() {
+    List<C> idleUntrusted = awaited.idleUntrusted();
+    int excess = idleUntrusted.size() + awaited.receivingUntrusted().size() - limits.awaited();
     if (excess > 0) {
-      boolean scarce = places() < Math.min(PendingReads.MAX_ACCEPTS, SCARCE * limits.open());
-      Stream<C> candidates = silent.stream().filter(each -> scarce || awaited.graceOver(each));
-      giveWay(candidates, excess, Reason.AWAITED_LIMIT);
+      boolean capacityScarce =
+          freeCapacity() < Math.min(PendingReads.MAX_ACCEPTS, RESERVED_SHARE * limits.open());
+      Stream<C> candidates =
+          idleUntrusted.stream()
+              .filter(connection -> capacityScarce || awaited.gracePeriodExpired(connection));
+      evictCandidates(candidates, excess, Reason.AWAITED_LIMIT);
     }
   }
 
-  /** Frees a place for the next connection, which may be a callback that a job waits for. */
-  private void makePlace() {
-    if (!hasPlace()) {
+  /** Frees capacity for the next connection, which may carry a callback that a job needs. */
+  private void evictForNextConnection() {
+    if (!hasCapacity()) {
       Stream<C> candidates =
           Stream.of(
-                  awaited.silent().stream().filter(awaited::graceOver),
+                  awaited.idleUntrusted().stream().filter(awaited::gracePeriodExpired),
                   awaited.closing().stream(),
-                  awaited.respondingUntrusted().stream().filter(awaited::graceOver),
-                  awaited.silent().stream(),
+                  awaited.respondingUntrusted().stream().filter(awaited::gracePeriodExpired),
+                  awaited.idleUntrusted().stream(),
                   idle.stream(),
-                  awaited.receivingUntrusted().stream().filter(awaited::graceOver),
-                  awaited.responding().stream().filter(awaited::graceOver))
-              .flatMap(each -> each)
+                  awaited.receivingUntrusted().stream().filter(awaited::gracePeriodExpired),
+                  awaited.responding().stream().filter(awaited::gracePeriodExpired))
+              .flatMap(group -> group)
               .distinct();
-      giveWay(candidates, 1 - places(), Reason.CONNECTION_LIMIT);
+      evictCandidates(candidates, 1 - freeCapacity(), Reason.CONNECTION_LIMIT);
     }
   }
 
-  /** Closes so many of the candidates, but none whose state changes when it is read once more. */
-  private void giveWay(Stream<C> candidates, int count, Reason reason) {
-    int left = count;
-    for (C each : candidates.toList()) {
-      if (left <= 0) {
+  /**
+   * Evicts up to {@code count} of the candidates, but none whose state changes when it is read once
+   * more.
+   */
+  private void evictCandidates(Stream<C> candidates, int count, Reason reason) {
+    int remaining = count;
+    for (C connection : candidates.toList()) {
+      if (remaining <= 0) {
         return;
       }
-      if (stillWaits(each)) {
-        evict(each, reason);
-        left--;
-      } else if (reason == Reason.AWAITED_LIMIT || !open.contains(each)) {
-        left--;
+      if (stillWaiting(connection)) {
+        evict(connection, reason);
+        remaining--;
+      } else if (reason == Reason.AWAITED_LIMIT || !open.contains(connection)) {
+        remaining--;
       }
     }
   }
 
   private void evict(C connection, Reason reason) {
     double limit = reason == Reason.AWAITED_LIMIT ? limits.awaited() : limits.open();
-    closes.record(reason, limit, connection.asClosed(clock.now()));
+    forcedCloses.record(reason, limit, connection.snapshot(clock.now()));
     idle.remove(connection);
     awaited.remove(connection);
     if (connection.state() != ConnectionState.RECEIVING) {
@@ -281,8 +310,8 @@
     connection.evict();
   }
 
-  /** False if something has come on the connection, or its peer has closed it. */
-  private boolean stillWaits(C connection) {
+  /** Returns false if new bytes have arrived on the connection or its peer has closed it. */
+  private boolean stillWaiting(C connection) {
     ConnectionState before = connection.state();
     return open.contains(connection)
         && read(connection)
@@ -290,24 +319,28 @@
         && (awaited.contains(connection) || idle.contains(connection));
   }
 
-  /** Reads what waits on the connection; false if its peer has closed it: its place is free. */
+  /**
+   * Reads the pending bytes of the connection. Returns false if the peer has closed it, which frees
+   * its capacity.
+   */
   private boolean read(C connection) {
     boolean present = connection.readPending();
     if (!present) {
-      // Netty tells of the close at the end of the turn only; others would give way until then.
+      // Netty reports the close only at the end of the turn; until then other connections would be
+      // evicted needlessly.
       closed(connection);
     }
     return present;
   }
 
   private void sweep() {
-    for (C each : awaited.late(timeout)) {
-      if (stillWaits(each) && awaited.awaitedFor(each, timeout)) {
-        closes.record(Reason.TIMEOUT, timeout, each.asClosed(clock.now()));
-        each.timedOut();
+    for (C connection : awaited.expired(timeout)) {
+      if (stillWaiting(connection) && awaited.awaitedFor(connection, timeout)) {
+        forcedCloses.record(Reason.TIMEOUT, timeout, connection.snapshot(clock.now()));
+        connection.timedOut();
       }
     }
     review();
-    timers.after(SWEEP_INTERVAL, this::sweep);
+    timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 }
--- a/node/src/main/java/ferngrade/http/FrontendShutdown.java
+++ b/node/src/main/java/ferngrade/http/FrontendShutdown.java
@@ -6,38 +6,41 @@
 import java.util.function.IntSupplier;
 
 /**
- * The phases of a frontend's graceful shutdown, each entered once, on the event loop. {@link
- * ShutdownBudget} says when each ends at the latest.
+ * Runs the phases of the frontend's graceful shutdown on the event loop, each of them once. {@link
+ * ShutdownBudget} holds the latest end of each phase.
  */
 final class FrontendShutdown {
   /**
-   * How long a node whose last job is answered waits for clients to read their responses and close,
-   * ms; less if the budget ends.
+   * The maximum time after the last job is answered in which clients may read their responses and
+   * close, in ms; shorter if the budget ends earlier.
    */
-  private static final double LINGER = 1000;
+  private static final double MAX_LINGER_MILLIS = 1000;
 
   private final ConnectionTable<ClientConnection> connections;
   private final IntSupplier jobsInFlight;
-  private final Listening listening;
+  private final ListenerControl listener;
   private final Clock clock;
   private final Timers timers;
   private final Executor loop;
   private Phase phase = Phase.SERVING;
 
-  /** Null while no shutdown has been requested. */
+  /** The budget of the shutdown; null until one is requested. */
   private ShutdownBudget budget;
 
   private Runnable whenDone;
 
   /** The frontend's listener. */
-  interface Listening {
-    /** Accepts what waits, as far as there are places; closes behind the last that waits. */
-    void acceptTheRest();
+  interface ListenerControl {
+    /**
+     * Accepts the waiting connections while there is capacity, and closes the listener when none is
+     * left.
+     */
+    void acceptWaiting();
 
-    /** True until the listener is closed. */
-    boolean listens();
+    /** Returns true until the listener is closed. */
+    boolean isListening();
 
-    /** Closes the listener, whatever waits there. */
+    /** Closes the listener, even if connections are waiting. */
     void close();
   }
 
@@ -45,9 +48,9 @@
     SERVING,
     /** Each response closes its connection. */
     DRAINING,
-    /** New jobs are rejected; those in flight wait for the workers' callbacks. */
+    /** New jobs are rejected; jobs in flight wait for the workers' callbacks. */
     FINISHING,
-    /** All jobs are answered; clients may still be reading. */
+    /** All jobs are answered; clients may still be reading responses. */
     LINGERING,
     ENDED
   }
@@ -55,34 +58,37 @@
   FrontendShutdown(
       ConnectionTable<ClientConnection> connections,
       IntSupplier jobsInFlight,
-      Listening listening,
+      ListenerControl listener,
       Clock clock,
       Timers timers,
       Executor loop) {
     this.connections = connections;
     this.jobsInFlight = jobsInFlight;
-    this.listening = listening;
+    this.listener = listener;
     this.clock = clock;
     this.timers = timers;
     this.loop = loop;
   }
 
-  /** True until a shutdown is requested. */
+  /** Returns true until a shutdown is requested. */
   boolean serving() {
     return phase == Phase.SERVING;
   }
 
-  /** True from {@link #finish} on: new jobs are rejected. */
+  /** Returns true after {@link #finish} was called: new jobs are rejected. */
   boolean finishing() {
     return phase.compareTo(Phase.FINISHING) >= 0;
   }
 
-  /** The budget of the shutdown in progress; null if there is none. */
+  /** Returns the budget of the shutdown in progress, or null if there is none. */
   ShutdownBudget budget() {
     return budget;
   }
 
-  /** Requests a shutdown; returns the budget of the first request, which is the one that counts. */
+  /**
+   * Requests a shutdown. Returns the budget of the first request, which later requests do not
+   * change.
+   */
   ShutdownBudget drain(ShutdownBudget requested) {
     if (phase == Phase.SERVING) {
       phase = Phase.DRAINING;
@@ -92,71 +98,80 @@
   }
 
   /**
-   * Rejects new jobs, closes idle connections, and runs {@code done} once all is answered and read,
-   * or the budget has ended. Requires {@link #drain} before.
+   * Rejects new jobs, closes idle connections, and runs {@code done} when all responses are written
+   * and read or when the budget ends. {@link #drain} has to be called first.
    */
   void finish(Runnable done) {
     if (phase.compareTo(Phase.FINISHING) < 0) {
       phase = Phase.FINISHING;
       whenDone = done;
       connections.idle().forEach(ClientConnection::closeGracefully);
-      at(budget.unfinishedUntil(), this::rejectUnfinished);
-      at(budget.end(), this::end);
+      scheduleAt(budget.partialRequestsUntil(), this::rejectPartialRequests);
+      scheduleAt(budget.end(), this::end);
       advance();
     }
   }
 
   /**
-   * Enters the next phase if its time has come: called when a job has been answered or a connection
-   * has closed.
+   * Enters the next phase if its condition holds. Called when a job has been answered or a
+   * connection has closed.
    */
   void advance() {
     if (phase == Phase.FINISHING && jobsInFlight.getAsInt() == 0) {
       linger();
-      at(clock.now() + LINGER - ShutdownBudget.READING_REJECTIONS, this::rejectUnfinished);
-      at(clock.now() + LINGER, this::end);
+      scheduleAt(
+          clock.now() + MAX_LINGER_MILLIS - ShutdownBudget.READ_REJECTION_MILLIS,
+          this::rejectPartialRequests);
+      scheduleAt(clock.now() + MAX_LINGER_MILLIS, this::end);
     }
     if (phase == Phase.LINGERING) {
-      acceptTheRest();
+      acceptWaiting();
       if (connections.isEmpty()) {
         end();
       }
     }
   }
 
-  /** No callback is awaited any more: listening ends, and so do connections between requests. */
+  /**
+   * Closes the listener and the connections without a request in progress, since no callbacks are
+   * expected any more.
+   */
   private void linger() {
     phase = Phase.LINGERING;
     connections.open().forEach(ClientConnection::closeAfterReading);
-    acceptTheRest();
+    acceptWaiting();
   }
 
-  /** What waits to be accepted gets its rejection as soon as there is a place for it. */
-  private void acceptTheRest() {
-    if (listening.listens()) {
-      listening.acceptTheRest();
+  /**
+   * Accepts the waiting connections as capacity allows, so that their requests are rejected and not
+   * reset.
+   */
+  private void acceptWaiting() {
+    if (listener.isListening()) {
+      listener.acceptWaiting();
       connections.open().forEach(ClientConnection::closeAfterReading);
     }
   }
 
-  /** Rejects requests that have arrived in part, so that nothing read goes unanswered. */
-  private void rejectUnfinished() {
+  /** Rejects partially received requests, so that every request that was read gets a response. */
+  private void rejectPartialRequests() {
     if (phase == Phase.FINISHING) {
       linger();
     }
-    connections.open().forEach(ClientConnection::rejectUnfinished);
+    connections.open().forEach(ClientConnection::rejectIfPartial);
   }
 
   private void end() {
     if (phase != Phase.ENDED) {
       phase = Phase.ENDED;
-      listening.close();
-      // In a process that was held up answers are due in this turn, too: they are written first.
+      listener.close();
+      // If the process was held up, answers may be due in this turn as well; they are written
+      // first.
       loop.execute(whenDone);
     }
   }
 
-  private void at(double instant, Runnable task) {
-    timers.after(instant - clock.now(), task);
+  private void scheduleAt(double time, Runnable task) {
+    timers.after(time - clock.now(), task);
   }
 }
--- a/node/src/main/java/ferngrade/http/PipelinedRequests.java
+++ b/node/src/main/java/ferngrade/http/PipelinedRequests.java
@@ -6,85 +6,92 @@
 import java.util.Deque;
 
 /**
- * The requests that one connection has sent behind the one in progress, each of which is owed a
- * response in turn. The first ones are kept; of those behind them only the count is kept, and they
+ * The requests that one connection has sent behind the one in progress; each gets a response in
+ * order. The first requests are kept. Of those beyond the limit only the number is kept, and they
  * are rejected.
  */
 final class PipelinedRequests {
-  /** The most requests kept for one connection. */
-  private static final int MAX_WAITING = 64;
+  /** The maximum number of requests kept for one connection. */
+  private static final int MAX_QUEUED = 64;
 
-  private final HttpFrontend front;
-  private final Deque<Entry> waiting = new ArrayDeque<>();
+  private final HttpFrontend frontend;
+  private final Deque<Entry> queued = new ArrayDeque<>();
   private int rejected;
 
-  /** What is to become of a request when its turn has come. */
-  enum Kind {
+  /** The action to take when it is a request's turn. */
+  enum Action {
     HANDLE,
     TOO_LARGE,
     REJECT
   }
 
   /**
-   * One request, which is null unless it is to be handled, and since when it may have been on this
-   * machine, ms on the clock: its deadline counts from then.
+   * One queued request, which is null unless it is to be handled, and the earliest time at which it
+   * may have arrived on this machine, in ms on the node's clock. The request's deadline counts from
+   * that time.
    */
-  record Entry(Kind kind, FullHttpRequest request, double arrived) {
+  record Entry(Action action, FullHttpRequest request, double arrivedAt) {
     private int bytes() {
       return request == null ? 0 : request.content().readableBytes();
     }
   }
 
-  /** The bytes that wait count against the frontend's limit. */
-  PipelinedRequests(HttpFrontend front) {
-    this.front = front;
+  /** Creates an empty queue, whose bytes count against the limit of {@code frontend}. */
+  PipelinedRequests(HttpFrontend frontend) {
+    this.frontend = frontend;
   }
 
   boolean isEmpty() {
-    return waiting.isEmpty() && rejected == 0;
+    return queued.isEmpty() && rejected == 0;
   }
 
-  /** Queues a request and takes over its reference; false, and neither, without capacity for it. */
-  boolean add(FullHttpRequest request, double arrived) {
+  /**
+   * Queues a request and takes over its reference. Returns false, and does neither, if there is no
+   * capacity.
+   */
+  boolean add(FullHttpRequest request, double arrivedAt) {
     boolean accepted =
-        waiting.size() < MAX_WAITING
-            && front.reserveWaitingBytes(request.content().readableBytes());
+        queued.size() < MAX_QUEUED
+            && frontend.reserveWaitingBytes(request.content().readableBytes());
     if (accepted) {
-      waiting.add(new Entry(Kind.HANDLE, request, arrived));
+      queued.add(new Entry(Action.HANDLE, request, arrivedAt));
     }
     return accepted;
   }
 
-  /** A request with too large a body has its turn here. */
-  void addTooLarge(double arrived) {
-    waiting.add(new Entry(Kind.TOO_LARGE, null, arrived));
+  /** Queues a request whose body is too large. */
+  void addTooLarge(double arrivedAt) {
+    queued.add(new Entry(Action.TOO_LARGE, null, arrivedAt));
   }
 
-  /** A request has arrived that is to be rejected behind all that wait. */
+  /** Queues a request that is rejected after all kept requests. */
   void reject() {
     rejected++;
   }
 
-  /** The request whose turn it is, which the caller takes over; null if there is none. */
+  /**
+   * Removes and returns the next request, whose reference the caller takes over; null if there is
+   * none.
+   */
   Entry poll() {
-    Entry first = waiting.poll();
+    Entry first = queued.poll();
     if (first != null) {
-      front.releaseWaitingBytes(first.bytes());
+      frontend.releaseWaitingBytes(first.bytes());
     } else if (rejected > 0) {
       rejected--;
-      return new Entry(Kind.REJECT, null, 0);
+      return new Entry(Action.REJECT, null, 0);
     }
     return first;
   }
 
-  /** Releases all requests: the client has gone. */
+  /** Releases all requests after the client has disconnected. */
   void release() {
-    waiting.forEach(
-        each -> {
-          front.releaseWaitingBytes(each.bytes());
-          ReferenceCountUtil.release(each.request());
+    queued.forEach(
+        entry -> {
+          frontend.releaseWaitingBytes(entry.bytes());
+          ReferenceCountUtil.release(entry.request());
         });
-    waiting.clear();
+    queued.clear();
     rejected = 0;
   }
 }
--- a/node/src/main/java/ferngrade/http/SingleCallDial.java
+++ b/node/src/main/java/ferngrade/http/SingleCallDial.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Makes one call to another process of this node on a connection of its own. */
+/** Makes one call to another process of this node on a separate connection. */
 final class SingleCallDial implements Dialer.Listener, PeerConnection.Owner {
   private final PeerCall call;
   private final Runnable whenRefused;
@@ -33,7 +33,7 @@
       connection.close();
       return;
     }
-    call.carriedAloneBy(connection);
+    call.setOwnConnection(connection);
     connection.write(call, HttpHeaderValues.CLOSE);
   }
 
@@ -51,12 +51,12 @@
   }
 
   @Override
-  public void answeredLast(PeerCall answered, int status, List<PeerCall> unanswered) {
+  public void answeredAndClosed(PeerCall answered, int status, List<PeerCall> unanswered) {
     call.end(status);
   }
 
   @Override
-  public void broken(List<PeerCall> unanswered) {
+  public void connectionLost(List<PeerCall> unanswered) {
     call.end(PeerCall.NO_ANSWER);
   }
 }
