--- a/node/src/main/java/ferngrade/config/NodeConfig.java
+++ b/node/src/main/java/ferngrade/config/NodeConfig.java
@@ -20,9 +20,9 @@
 /**
  * The configuration of one node. {@code peerListen} and {@code peersAll} are null if nodes exchange
  * no messages; {@code known} is the last endpoint list of this node, null if there is none; {@code
- * writtenSettings} maps the path of each setting to its text in the file; {@code mostOpen} is the
- * maximum number of open requests; {@code admin} is the listening address for operators, null if
- * there is none. Times are in milliseconds, {@code memoryMb} is in megabytes.
+ * writtenSettings} maps the path of each setting to its text in the file; {@code maxOpenRequests}
+ * is the maximum number of open requests; {@code admin} is the listening address for operators,
+ * null if there is none. Times are in milliseconds, {@code memoryMb} is in megabytes.
  */
 public record NodeConfig(
     String name,
@@ -37,10 +37,10 @@
     MemberList known,
     DispatcherSettings settings,
     Map<String, String> writtenSettings,
-    EndpointListParser memberReader,
+    EndpointListParser endpointListParser,
     double connectTimeout,
     double connectionIdle,
-    int mostOpen,
+    int maxOpenRequests,
     InetSocketAddress admin) {
   /**
    * The allowance for a pause of the node between reading its clock and writing a request, ms.
@@ -152,7 +152,7 @@
    * Returns true if the texts of all settings are equal. Unlike the {@code equals} method of
    * records, whose code the runtime generates at its first use, this takes hardly any CPU time.
    */
-  public boolean settingsWrittenAs(NodeConfig other) {
+  public boolean hasSameSettingsText(NodeConfig other) {
     return writtenSettings.equals(other.writtenSettings);
   }
 
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -295,7 +295,7 @@
   private RequestCoordinator.RequestLimits requestLimits() {
     long bytes = ((long) config.memoryMb() << 20) / 16;
     return new RequestCoordinator.RequestLimits(
-        Math.min(config.mostOpen(), REQUESTS_PER_MB * config.memoryMb()),
+        Math.min(config.maxOpenRequests(), REQUESTS_PER_MB * config.memoryMb()),
         bytes,
         Math.min(OVERLOAD_RETRY_AFTER_MILLIS, config.settings().limits().retryAfterMax()));
   }
@@ -435,7 +435,7 @@
     return new DiscoveryWatch(
         group,
         address,
-        config.memberReader(),
+        config.endpointListParser(),
         coordinator,
         timers,
         log,
@@ -463,7 +463,7 @@
    * the next start. Jobs in flight, the current endpoint list and all learned estimates are kept.
    */
   public void reload(NodeConfig changed) {
-    boolean settingsChanged = !changed.settingsWrittenAs(config);
+    boolean settingsChanged = !changed.hasSameSettingsText(config);
     runOnLoop(
         () -> {
           reloadsOk++;
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -57,8 +57,8 @@
             .replace("\"Locality\":1,", "\"Locality\":1,\"Me\":1,")
             .replace("8500", "8501");
     String changed = VALID_CONFIG.replace("\"GoalTime\":750.0", "\"GoalTime\":751.0");
-    assertTrue(NodeConfig.read(Json.parse(reordered).asObject()).settingsWrittenAs(config));
-    assertFalse(NodeConfig.read(Json.parse(changed).asObject()).settingsWrittenAs(config));
+    assertTrue(NodeConfig.read(Json.parse(reordered).asObject()).hasSameSettingsText(config));
+    assertFalse(NodeConfig.read(Json.parse(changed).asObject()).hasSameSettingsText(config));
   }
 
   @Test
