--- a/emulator/src/main/java/ferngrade/emulator/Mutation.java
+++ b/emulator/src/main/java/ferngrade/emulator/Mutation.java
@@ -39,8 +39,8 @@
             }
 
             @Override
-            public void refused(double retryAfter) {
-              time.after(HELD, () -> whole.refused(retryAfter));
+            public void rejected(double retryAfter) {
+              time.after(HELD, () -> whole.rejected(retryAfter));
             }
 
             @Override
@@ -58,7 +58,7 @@
       public void served(String result) {}
 
       @Override
-      public void refused(double retryAfter) {}
+      public void rejected(double retryAfter) {}
 
       @Override
       public void failed() {}
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -71,7 +71,7 @@
     long seed = run.streams.seed("node-" + number + "-" + incarnation);
     node =
         new RequestCoordinator(
-            new RequestCoordinator.Surroundings(
+            new RequestCoordinator.Dependencies(
                 time,
                 timers,
                 task -> time.after(0, here(task)),
@@ -172,7 +172,7 @@
 
   void leave(Request request) {
     if (held.remove(request.id) != null) {
-      node.clientGone(request.id);
+      node.clientDisconnected(request.id);
     }
   }
 
@@ -190,9 +190,9 @@
       }
     }
     if (late) {
-      run.time.after(Mutation.LATE, here(() -> node.members(news, entries)));
+      run.time.after(Mutation.LATE, here(() -> node.updateEndpoints(news, entries)));
     } else {
-      node.members(news, entries);
+      node.updateEndpoints(news, entries);
     }
   }
 
@@ -203,7 +203,7 @@
   }
 
   void hear(int from, byte[] message) {
-    node.heard(from, message);
+    node.peerMessageReceived(from, message);
   }
 
   /** A worker's call-back; false: it fits nothing that this process knows. */
@@ -240,7 +240,7 @@
     }
 
     @Override
-    public void refused(double retryAfter) {
+    public void rejected(double retryAfter) {
       answer(request, Answer.REFUSED, retryAfter);
     }
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -228,11 +228,11 @@
     }
 
     @Override
-    public void giveUp(Runnable told) {
+    public void cancel(Runnable whenNotified) {
       if (!givenUp && !over) {
         giveUp();
       }
-      told.run();
+      whenNotified.run();
     }
 
     private void giveUp() {
@@ -269,7 +269,7 @@
                 taken = true;
                 unanswered.remove(this);
                 release(worker);
-                listener.taken();
+                listener.accepted();
               }
             });
       } else {
--- a/node/src/main/java/ferngrade/config/MaintenanceCodec.java
+++ b/node/src/main/java/ferngrade/config/MaintenanceCodec.java
@@ -20,9 +20,9 @@
   /** Returns the text of the file, with the names in {@code out} sorted. */
   public static String write(MaintenanceOverrides.Saved saved) {
     JsonArray out = new JsonArray();
-    saved.out().stream().sorted().forEach(out::add);
+    saved.inMaintenance().stream().sorted().forEach(out::add);
     JsonObject back = new JsonObject();
-    saved.back().forEach(back::add);
+    saved.returnedAt().forEach(back::add);
     return new JsonObject().add("out", out).add("back", back).toString();
   }
 
--- a/node/src/main/java/ferngrade/config/SharedRecordCodec.java
+++ b/node/src/main/java/ferngrade/config/SharedRecordCodec.java
@@ -26,7 +26,9 @@
     if (record instanceof MaintenanceEntry entry) {
       JsonObject json = new JsonObject().add("worker", entry.worker());
       json.add("version", entry.version());
-      return (entry.out() ? json.add("out", true) : json.add("returned", entry.returnedAt()))
+      return (entry.inMaintenance()
+              ? json.add("out", true)
+              : json.add("returned", entry.returnedAt()))
           .toString();
     }
     if (record instanceof DrainRecord drain) {
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -272,7 +272,7 @@
 
   private void responseIsSlow() {
     if (!stopped) {
-      coordinator.discoverySilent();
+      coordinator.discoveryUnresponsive();
     }
   }
 
@@ -295,7 +295,7 @@
       return;
     }
     log.line("discovery at " + discovery + ": " + reason);
-    coordinator.listFailed();
+    coordinator.endpointWatchFailed();
     timers.after(backoff, this::start);
     backoff = Math.min(mode.maxBackoff, 2 * backoff);
   }
@@ -321,7 +321,7 @@
     if (event instanceof CompleteObject object) {
       applyList(parser.read(Json.parse(object.json())));
     } else {
-      coordinator.listUnchanged();
+      coordinator.endpointsConfirmed();
     }
   }
 
@@ -342,7 +342,7 @@
       wholeListReceived = true;
       onFirstList.run();
     }
-    coordinator.members(
+    coordinator.updateEndpoints(
         list.complete() ? EndpointListUpdate.WHOLE : EndpointListUpdate.CHANGES, list.members());
   }
 
--- a/node/src/main/java/ferngrade/http/AttemptExchange.java
+++ b/node/src/main/java/ferngrade/http/AttemptExchange.java
@@ -98,8 +98,8 @@
     if (client.process() != null) {
       request.headers().set(Headers.PROCESS, client.process());
     }
-    if (job.repeatKey() != null) {
-      request.headers().set(Headers.IDEMPOTENCY_KEY, job.repeatKey());
+    if (job.idempotencyKey() != null) {
+      request.headers().set(Headers.IDEMPOTENCY_KEY, job.idempotencyKey());
     }
     return request;
   }
@@ -128,7 +128,7 @@
     int status = response.status().code();
     if (status == 202) {
       stage = Stage.ACCEPTED;
-      listener.taken();
+      listener.accepted();
     } else if ((status == 503 || status == 504)
         && "1".equals(response.headers().get(Headers.DECLINED))) {
       end(AttemptOutcome.FULL, report);
@@ -185,7 +185,7 @@
    * may already have been sent; hence the DELETE.
    */
   @Override
-  public void giveUp(Runnable whenNotified) {
+  public void cancel(Runnable whenNotified) {
     boolean mayRun = stage == Stage.WRITTEN || stage == Stage.ACCEPTED;
     stage = Stage.ENDED;
     if (connection != null) {
--- a/node/src/main/java/ferngrade/http/ClientRequestHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -63,7 +63,7 @@
 
   /** Reports that the client of a job has closed its connection. */
   void clientGone(String jobId) {
-    coordinator.clientGone(jobId);
+    coordinator.clientDisconnected(jobId);
   }
 
   /**
@@ -74,7 +74,7 @@
    * the callback, and the worker does not have to send it again.
    */
   private void callback(ClientConnection connection, WorkerCallback callback, String body) {
-    if (frontend.upgradePeers() != null && !coordinator.knowsOf(callback.id())) {
+    if (frontend.upgradePeers() != null && !coordinator.isKnownRequest(callback.id())) {
       frontend
           .upgradePeers()
           .relay(
--- a/node/src/main/java/ferngrade/http/ForcedCloses.java
+++ b/node/src/main/java/ferngrade/http/ForcedCloses.java
@@ -69,9 +69,9 @@
             closed.trusted() ? "trusted" : "not trusted",
             closed.bytesRead(),
             closed.age(),
-            loopMonitor.longestLately());
+            loopMonitor.recentMaxMillis());
     if (closed.mayLoseRequest()) {
-      log.loss(line);
+      log.lossLine(line);
     } else {
       log.line(connectionGroup + " closed by " + reason, line);
     }
--- a/node/src/main/java/ferngrade/http/JobResponseHandler.java
+++ b/node/src/main/java/ferngrade/http/JobResponseHandler.java
@@ -23,7 +23,7 @@
   }
 
   @Override
-  public void refused(double retryAfter) {
+  public void rejected(double retryAfter) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
             HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
--- a/node/src/main/java/ferngrade/http/OperatorCalls.java
+++ b/node/src/main/java/ferngrade/http/OperatorCalls.java
@@ -102,7 +102,7 @@
    */
   boolean relayedCallback(String body) throws BadRequestException {
     WorkerCallback callback = WorkerCallbackParser.parse(body);
-    if (!coordinator.knowsOf(callback.id())) {
+    if (!coordinator.isKnownRequest(callback.id())) {
       return false;
     }
     coordinator.callback(callback);
@@ -173,7 +173,7 @@
    */
   boolean mayBeSuperseded(String worker, double arrivedAt) {
     refresh();
-    return state != null && state.decidedElsewhereSince(worker, arrivedAt);
+    return state != null && state.changedByOtherProcessSince(worker, arrivedAt);
   }
 
   /**
--- a/node/src/main/java/ferngrade/node/AttemptRunner.java
+++ b/node/src/main/java/ferngrade/node/AttemptRunner.java
@@ -33,15 +33,15 @@
   }
 
   AttemptRunner(
-      RequestCoordinator.Surroundings surroundings,
+      RequestCoordinator.Dependencies dependencies,
       TurnQueue turns,
       EndpointRegistry endpoints,
       NodeMetrics metrics,
       EndListener listener) {
-    this.clock = surroundings.clock();
-    this.timers = surroundings.timers();
-    this.transport = surroundings.workers();
-    this.log = surroundings.log();
+    this.clock = dependencies.clock();
+    this.timers = dependencies.timers();
+    this.transport = dependencies.workers();
+    this.log = dependencies.log();
     this.turns = turns;
     this.endpoints = endpoints;
     this.metrics = metrics;
@@ -132,7 +132,7 @@
       turns.event(
           () -> {
             if (!attempt.ended) {
-              attempt.handle.giveUp(() -> {});
+              attempt.handle.cancel(() -> {});
               end(
                   attempt,
                   attempt.written ? ifWritten : outcomeIfUnwritten(attempt, ifNotWritten),
@@ -159,7 +159,7 @@
     if (!attempt.ended && !attempt.written && attempt.handle.delayedLocally()) {
       attempt.acceptanceTimer = timers.after(ACCEPTANCE_TIMEOUT_MILLIS, () -> notAccepted(attempt));
     } else if (!hasRespondedAfterRead(attempt)) {
-      attempt.handle.giveUp(
+      attempt.handle.cancel(
           () ->
               turns.event(
                   () ->
@@ -220,7 +220,7 @@
     }
 
     @Override
-    public void taken() {
+    public void accepted() {
       attempt.acceptedAt = clock.now();
       attempt.acceptanceTimer.cancel();
     }
--- a/node/src/main/java/ferngrade/node/EndpointRegistry.java
+++ b/node/src/main/java/ferngrade/node/EndpointRegistry.java
@@ -48,12 +48,12 @@
   }
 
   /** Records that discovery has confirmed the current list. */
-  void unchanged() {
-    startTimes.unchanged();
+  void listConfirmed() {
+    startTimes.listConfirmed();
   }
 
   /** Keeps the list of an earlier process for {@link #useStored}. */
-  void store(List<Endpoint> entries) {
+  void keepStored(List<Endpoint> entries) {
     storedList = entries;
   }
 
@@ -136,12 +136,12 @@
   }
 
   /** Returns the number of listed workers. */
-  int listed() {
+  int listedCount() {
     return maintenance.listedCount();
   }
 
   /** Returns the number of listed workers in maintenance. */
-  int inMaintenance() {
+  int inMaintenanceCount() {
     return maintenance.inMaintenanceCount();
   }
 
--- a/node/src/main/java/ferngrade/node/LoopMonitor.java
+++ b/node/src/main/java/ferngrade/node/LoopMonitor.java
@@ -52,7 +52,7 @@
   }
 
   /** Returns the longest turn or timer delay within the last one to two seconds, ms. */
-  public double longestLately() {
+  public double recentMaxMillis() {
     return Math.max(longestSinceSample, longestBeforeSample);
   }
 
--- a/node/src/main/java/ferngrade/node/MaintenanceEntry.java
+++ b/node/src/main/java/ferngrade/node/MaintenanceEntry.java
@@ -9,15 +9,15 @@
  *
  * @param worker the worker's name in the endpoint list
  * @param version the number of decisions on this worker so far, across all processes of the node
- * @param out true while the worker is in maintenance
+ * @param inMaintenance true while the worker is in maintenance
  * @param returnedAt when the worker's last maintenance ended, in ms; 0 while it is in maintenance
  */
-public record MaintenanceEntry(String worker, long version, boolean out, double returnedAt)
-    implements SharedRecord {
+public record MaintenanceEntry(
+    String worker, long version, boolean inMaintenance, double returnedAt) implements SharedRecord {
   /** The version of entries that an earlier release stored without a version. */
   static final long UNVERSIONED = 0;
 
-  static MaintenanceEntry out(String worker, long version) {
+  static MaintenanceEntry inMaintenance(String worker, long version) {
     return new MaintenanceEntry(worker, version, true, 0);
   }
 
@@ -33,11 +33,11 @@
   boolean supersedes(MaintenanceEntry other) {
     return other == null
         || version > other.version
-        || (version == other.version && out && !other.out);
+        || (version == other.version && inMaintenance && !other.inMaintenance);
   }
 
   /** Returns a copy with its time converted to another clock. */
   MaintenanceEntry translated(DoubleUnaryOperator clock) {
-    return out ? this : returned(worker, version, clock.applyAsDouble(returnedAt));
+    return inMaintenance ? this : returned(worker, version, clock.applyAsDouble(returnedAt));
   }
 }
--- a/node/src/main/java/ferngrade/node/MaintenanceOverrides.java
+++ b/node/src/main/java/ferngrade/node/MaintenanceOverrides.java
@@ -65,7 +65,7 @@
     if (decision == null) {
       return entry;
     }
-    if (decision.out()) {
+    if (decision.inMaintenance()) {
       return entry.with(WorkerState.DRAINING, worker.startedAt());
     }
     if (restartedSinceReturn.contains(entry.name())
@@ -76,16 +76,16 @@
     return entry.startedAt(decision.returnedAt());
   }
 
-  private boolean isOut(String name) {
+  private boolean isInMaintenance(String name) {
     MaintenanceEntry decision = entries.get(name);
-    return decision != null && decision.out();
+    return decision != null && decision.inMaintenance();
   }
 
   /**
    * Returns true if operators may name this worker: the list contains it or it is in maintenance.
    */
   public boolean isKnown(String name) {
-    return listed.containsKey(name) || isOut(name);
+    return listed.containsKey(name) || isInMaintenance(name);
   }
 
   /**
@@ -93,7 +93,7 @@
    * contain the worker at present.
    */
   Endpoint start(String name) {
-    put(MaintenanceEntry.out(name, nextVersion(name)));
+    put(MaintenanceEntry.inMaintenance(name, nextVersion(name)));
     return effectiveEntry(name);
   }
 
@@ -121,7 +121,7 @@
    * does not contain the worker at present.
    */
   Endpoint end(String name, double now) {
-    if (isOut(name)) {
+    if (isInMaintenance(name)) {
       put(MaintenanceEntry.returned(name, nextVersion(name), now));
     }
     return effectiveEntry(name);
@@ -151,7 +151,7 @@
 
   /** Returns the number of listed workers in maintenance. */
   public int inMaintenanceCount() {
-    return (int) listed.keySet().stream().filter(this::isOut).count();
+    return (int) listed.keySet().stream().filter(this::isInMaintenance).count();
   }
 
   /** Returns the number of listed workers in any state. */
@@ -164,32 +164,32 @@
    * returned worker the time at which its maintenance ended. Outside the node, for example in a
    * file, the times are wall clock times.
    */
-  public record Saved(Set<String> out, Map<String, Double> back) {
+  public record Saved(Set<String> inMaintenance, Map<String, Double> returnedAt) {
     public Saved {
-      out = Set.copyOf(out);
-      back = Map.copyOf(back);
+      inMaintenance = Set.copyOf(inMaintenance);
+      returnedAt = Map.copyOf(returnedAt);
     }
 
     /** Returns a copy with its times converted to another clock. */
     Saved translated(DoubleUnaryOperator clock) {
       Map<String, Double> times = new HashMap<>();
-      back.forEach((name, returnedAt) -> times.put(name, clock.applyAsDouble(returnedAt)));
-      return new Saved(out, times);
+      returnedAt.forEach((name, time) -> times.put(name, clock.applyAsDouble(time)));
+      return new Saved(inMaintenance, times);
     }
   }
 
   /** Returns the state for a later process to restore. */
   public Saved saved() {
-    Set<String> out = new HashSet<>();
-    Map<String, Double> back = new HashMap<>();
+    Set<String> inMaintenance = new HashSet<>();
+    Map<String, Double> returnedAt = new HashMap<>();
     for (MaintenanceEntry decision : entries.values()) {
-      if (decision.out()) {
-        out.add(decision.worker());
+      if (decision.inMaintenance()) {
+        inMaintenance.add(decision.worker());
       } else if (!restartedSinceReturn.contains(decision.worker())) {
-        back.put(decision.worker(), decision.returnedAt());
+        returnedAt.put(decision.worker(), decision.returnedAt());
       }
     }
-    return new Saved(out, back);
+    return new Saved(inMaintenance, returnedAt);
   }
 
   /**
@@ -197,9 +197,11 @@
    * version is known.
    */
   public void restore(Saved saved) {
-    saved.out().forEach(name -> merge(MaintenanceEntry.out(name, MaintenanceEntry.UNVERSIONED)));
     saved
-        .back()
+        .inMaintenance()
+        .forEach(name -> merge(MaintenanceEntry.inMaintenance(name, MaintenanceEntry.UNVERSIONED)));
+    saved
+        .returnedAt()
         .forEach(
             (name, at) -> merge(MaintenanceEntry.returned(name, MaintenanceEntry.UNVERSIONED, at)));
   }
--- a/node/src/main/java/ferngrade/node/NodeMetrics.java
+++ b/node/src/main/java/ferngrade/node/NodeMetrics.java
@@ -54,7 +54,7 @@
     served = incremented(served, jobClass);
   }
 
-  void refused(int jobClass, RejectionReason reason) {
+  void rejected(int jobClass, RejectionReason reason) {
     refused = incremented(refused, jobClass);
     rejected.merge(reason, 1L, Long::sum);
   }
--- a/node/src/main/java/ferngrade/node/OperatorState.java
+++ b/node/src/main/java/ferngrade/node/OperatorState.java
@@ -9,16 +9,16 @@
   void refresh();
 
   /**
-   * Stores the latest decision on this worker, and retries until that succeeds. {@code stored} runs
-   * on the event loop once the decision is in effect in every process and is durable.
+   * Stores the latest decision on this worker, and retries until that succeeds. {@code whenStored}
+   * runs on the event loop once the decision is in effect in every process and is durable.
    */
-  void storeMaintenance(String worker, Runnable stored);
+  void storeMaintenance(String worker, Runnable whenStored);
 
   /**
    * Returns true if a decision of another process on this worker was applied here at {@code
    * instant}, ms on the monotonic clock, or later.
    */
-  boolean decidedElsewhereSince(String worker, double instant);
+  boolean changedByOtherProcessSince(String worker, double instant);
 
   /**
    * Drains the node if {@code drained} is true, or ends the drain if it is false, in every process
--- a/node/src/main/java/ferngrade/node/PeerTransport.java
+++ b/node/src/main/java/ferngrade/node/PeerTransport.java
@@ -7,5 +7,5 @@
    * Sends a message of at most 256 bytes to the peer with this number, or to all peers if the
    * number is negative.
    */
-  void tell(int peer, byte[] message);
+  void send(int peer, byte[] message);
 }
--- a/node/src/main/java/ferngrade/node/PendingRequest.java
+++ b/node/src/main/java/ferngrade/node/PendingRequest.java
@@ -90,10 +90,10 @@
     }
   }
 
-  void refused(double retryAfter, RejectionReason reason) {
+  void rejected(double retryAfter, RejectionReason reason) {
     if (complete(FinalAnswer.REJECTED)) {
-      metrics.refused(job.jobClass(), reason);
-      reply.refused(retryAfter);
+      metrics.rejected(job.jobClass(), reason);
+      reply.rejected(retryAfter);
     }
   }
 
@@ -118,7 +118,7 @@
     if (attempts.stream().anyMatch(Attempt::mayHaveRun)) {
       failed();
     } else {
-      refused(0, RejectionReason.SHUTDOWN);
+      rejected(0, RejectionReason.SHUTDOWN);
     }
   }
 
--- a/node/src/main/java/ferngrade/node/RateLimitedLog.java
+++ b/node/src/main/java/ferngrade/node/RateLimitedLog.java
@@ -55,7 +55,7 @@
   }
 
   /** Writes one line that reports a loss; only the limit on losses applies to it. */
-  public void loss(String text) {
+  public void lossLine(String text) {
     startSecondIfDue();
     if (losses++ < MAX_LOSSES_PER_SECOND) {
       sink.accept(text);
--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -53,7 +53,7 @@
 
   private boolean readyLogged;
 
-  private Runnable whenReady = () -> {};
+  private Runnable onReady = () -> {};
 
   /** True once {@link #answerAllBy} has been called because the process shuts down. */
   private boolean shuttingDown;
@@ -62,7 +62,7 @@
    * The collaborators of a coordinator. {@code loop} runs tasks later, in submission order, on the
    * node's thread.
    */
-  public record Surroundings(
+  public record Dependencies(
       Clock clock,
       Timers timers,
       Executor loop,
@@ -82,18 +82,18 @@
    * actions that the dispatcher can request.
    */
   public RequestCoordinator(
-      Surroundings surroundings, RequestLimits limits, Function<Actions, Dispatcher> start) {
-    this.clock = surroundings.clock();
-    this.timers = surroundings.timers();
-    this.workers = surroundings.workers();
-    this.peers = surroundings.peers();
-    this.log = surroundings.log();
+      Dependencies dependencies, RequestLimits limits, Function<Actions, Dispatcher> start) {
+    this.clock = dependencies.clock();
+    this.timers = dependencies.timers();
+    this.workers = dependencies.workers();
+    this.peers = dependencies.peers();
+    this.log = dependencies.log();
     this.limits = limits;
     this.traces = new TraceLog(clock, log);
     this.finished = new RecentIds(limits.requests());
-    this.turns = new TurnQueue(surroundings.loop(), log);
+    this.turns = new TurnQueue(dependencies.loop(), log);
     this.endpoints = new EndpointRegistry(clock, this::endpointsChanged);
-    this.attempts = new AttemptRunner(surroundings, turns, endpoints, metrics, this::attemptEnded);
+    this.attempts = new AttemptRunner(dependencies, turns, endpoints, metrics, this::attemptEnded);
     this.dispatcher = start.apply(new RequestedActions());
     turns.schedule();
   }
@@ -104,12 +104,12 @@
   }
 
   /** Sets the task that runs when an endpoint list first becomes known. */
-  public void whenReady(Runnable task) {
-    whenReady = task;
+  public void onReady(Runnable task) {
+    onReady = task;
   }
 
   /** Returns the number of requests that are unanswered or still have attempts in flight. */
-  public int open() {
+  public int openRequestCount() {
     return pending.size();
   }
 
@@ -147,8 +147,8 @@
    * down. {@code retryAfter} is the Retry-After in ms, or 0 for none.
    */
   public void reject(Job job, ResponseHandler reply, double retryAfter, RejectionReason reason) {
-    metrics.refused(job.jobClass(), reason);
-    reply.refused(retryAfter);
+    metrics.rejected(job.jobClass(), reason);
+    reply.rejected(retryAfter);
   }
 
   /**
@@ -189,7 +189,7 @@
    * Records that the client of this request has disconnected, and cancels the attempts that are not
    * fully written.
    */
-  public void clientGone(String id) {
+  public void clientDisconnected(String id) {
     PendingRequest request = pending.get(id);
     if (request != null && !request.completed()) {
       request.abandoned();
@@ -208,7 +208,7 @@
    * Returns true if the request with this id is pending here or is among the finished requests that
    * this node remembers.
    */
-  public boolean knowsOf(String id) {
+  public boolean isKnownRequest(String id) {
     return pending.containsKey(id) || finished.contains(id);
   }
 
@@ -259,22 +259,22 @@
   /**
    * Applies an update of the endpoint list. The start times of its entries are wall clock times.
    */
-  public void members(EndpointListUpdate updateType, List<Endpoint> entries) {
+  public void updateEndpoints(EndpointListUpdate updateType, List<Endpoint> entries) {
     endpoints.update(updateType, entries);
   }
 
   private void endpointsChanged(EndpointListUpdate updateType, List<Worker> workerUpdates) {
     if (!readyLogged && ready()) {
       readyLogged = true;
-      log.line("ready: a worker list of " + endpoints.listed() + " is known");
-      whenReady.run();
+      log.line("ready: a worker list of " + endpoints.listedCount() + " is known");
+      onReady.run();
     }
     turns.event(() -> dispatcher.members(clock.now(), updateType, workerUpdates));
   }
 
   /** Records that discovery has confirmed the current endpoint list. */
-  public void listUnchanged() {
-    endpoints.unchanged();
+  public void endpointsConfirmed() {
+    endpoints.listConfirmed();
   }
 
   /**
@@ -282,15 +282,15 @@
    * that discovery holds is authoritative from the moment this process starts, so the stored list
    * is used only after discovery could not be reached.
    */
-  public void stored(List<Endpoint> entries) {
-    endpoints.store(entries);
+  public void keepStoredEndpoints(List<Endpoint> entries) {
+    endpoints.keepStored(entries);
   }
 
   /**
    * Puts the stored endpoint list into effect, because discovery has not answered within the time
    * that it takes when it is reachable.
    */
-  public void discoverySilent() {
+  public void discoveryUnresponsive() {
     endpoints.useStored();
   }
 
@@ -298,8 +298,8 @@
    * Reports to the dispatcher that the endpoint list could not be read. The last known list stays
    * in effect.
    */
-  public void listFailed() {
-    discoverySilent();
+  public void endpointWatchFailed() {
+    discoveryUnresponsive();
     turns.event(() -> dispatcher.listFailed(clock.now()));
   }
 
@@ -366,14 +366,16 @@
   public NodeMetrics.Snapshot metrics() {
     int inFlight = (int) pending.values().stream().filter(request -> !request.completed()).count();
     return metrics.snapshot(
-        inFlight, endpoints.listed(), endpoints.inMaintenance() + dispatcher.excluded(clock.now()));
+        inFlight,
+        endpoints.listedCount(),
+        endpoints.inMaintenanceCount() + dispatcher.excluded(clock.now()));
   }
 
   /**
    * Informs the dispatcher that {@code count} processes of the node run now and that this process
    * has the index {@code index} among them, counted from 0.
    */
-  public void sharedBy(int count, int index) {
+  public void setProcessCount(int count, int index) {
     turns.event(() -> dispatcher.sharedBy(clock.now(), count, index));
   }
 
@@ -381,12 +383,12 @@
    * Informs the dispatcher that this process accepts no more requests, so that it leaves the
    * capacity grants for workers that warm up to other processes.
    */
-  public void acceptNoMore() {
+  public void stopAccepting() {
     turns.event(() -> dispatcher.acceptNoMore(clock.now()));
   }
 
   /** Processes a message from another node. */
-  public void heard(int from, byte[] message) {
+  public void peerMessageReceived(int from, byte[] message) {
     turns.event(() -> dispatcher.heard(clock.now(), from, message));
   }
 
@@ -428,7 +430,7 @@
             .toList();
     // No attempt can start or finish its write after this, so only now is it certain which attempts
     // were fully written.
-    inFlight.forEach(attempt -> attempt.handle.giveUp(() -> {}));
+    inFlight.forEach(attempt -> attempt.handle.cancel(() -> {}));
     request.cancelledByShutdown();
     traces.write(request, "cut-short-by-shutdown");
     dispatcher.abandoned(clock.now(), request.job.id());
@@ -513,7 +515,7 @@
 
     @Override
     public void refuse(String id, double retryAfter) {
-      answer(id, request -> request.refused(retryAfter, RejectionReason.DISPATCHER));
+      answer(id, request -> request.rejected(retryAfter, RejectionReason.DISPATCHER));
     }
 
     @Override
@@ -550,7 +552,7 @@
 
     @Override
     public void tell(int peer, byte[] message) {
-      turns.action(() -> peers.tell(peer, message));
+      turns.action(() -> peers.send(peer, message));
     }
 
     @Override
--- a/node/src/main/java/ferngrade/node/ResponseHandler.java
+++ b/node/src/main/java/ferngrade/node/ResponseHandler.java
@@ -9,7 +9,7 @@
    * Rejects the request, which guarantees that a retry is safe. {@code retryAfter} is the
    * Retry-After in ms, 0 for none.
    */
-  void refused(double retryAfter);
+  void rejected(double retryAfter);
 
   /** Reports a failure, which leaves open whether the request had an effect. */
   void failed();
--- a/node/src/main/java/ferngrade/node/SharedLog.java
+++ b/node/src/main/java/ferngrade/node/SharedLog.java
@@ -38,7 +38,7 @@
    * its record after the first successful append of this process: the longest delay between its
    * retries, plus a margin of the same length.
    */
-  public static final double MAX_APPEND_DELAY = 2 * BackgroundWriter.MAX_RETRY_DELAY_MILLIS;
+  public static final double MAX_APPEND_DELAY_MILLIS = 2 * BackgroundWriter.MAX_RETRY_DELAY_MILLIS;
 
   /** The maximum length of a line, in bytes; a longer line is not a record of this log. */
   private static final int MAX_LINE_BYTES = 4096;
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -105,7 +105,7 @@
   }
 
   /** Records that discovery has just confirmed the current list. */
-  void unchanged() {
+  void listConfirmed() {
     if (!Double.isNaN(lastListAt)) {
       lastListAt = clock.now();
     }
--- a/node/src/main/java/ferngrade/node/WorkerTransport.java
+++ b/node/src/main/java/ferngrade/node/WorkerTransport.java
@@ -30,7 +30,7 @@
      * runs once, as soon as the worker has been notified or cannot be reached, and immediately if
      * the worker cannot have started the job.
      */
-    void giveUp(Runnable whenNotified);
+    void cancel(Runnable whenNotified);
 
     /** Reads input from the worker that has arrived but that the event loop has not read yet. */
     default void readPending() {}
@@ -56,7 +56,7 @@
     void written();
 
     /** Called when the worker has accepted the job; the outcome will arrive by callback. */
-    void taken();
+    void accepted();
 
     /**
      * Called when the attempt has ended without being accepted. An accepted job ends by its
--- a/node/src/main/java/ferngrade/peer/UdpPeers.java
+++ b/node/src/main/java/ferngrade/peer/UdpPeers.java
@@ -108,7 +108,7 @@
   }
 
   @Override
-  public void tell(int peer, byte[] message) {
+  public void send(int peer, byte[] message) {
     InetSocketAddress target =
         peer < 0 ? allPeers : peer < addresses.size() ? addresses.get(peer) : null;
     if (handedOver) {
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -311,7 +311,7 @@
     discovery = new Discovery(this::createWatch);
     coordinator =
         new RequestCoordinator(
-            new RequestCoordinator.Surroundings(clock, timers, loop, workers, peers, log),
+            new RequestCoordinator.Dependencies(clock, timers, loop, workers, peers, log),
             requestLimits(),
             actions -> dispatcherFactory.create(config, clock.now(), actions));
     StateFolder folder =
@@ -327,7 +327,7 @@
     }
     List<ChannelFuture> pendingBinds = new ArrayList<>();
     if (config.peerListen() != null) {
-      pendingBinds.add(peers.listen(group, config.peerListen(), coordinator::heard));
+      pendingBinds.add(peers.listen(group, config.peerListen(), coordinator::peerMessageReceived));
     }
     RequestReader reader = new RequestReader(config.settings());
     if (sharedState != null && sharedState.othersRun()) {
@@ -390,7 +390,7 @@
   /** Delays accepting clients until this process is ready, while a predecessor still serves. */
   private void holdAcceptingUntilReady() {
     frontend.holdAccepting(true);
-    coordinator.whenReady(() -> frontend.holdAccepting(false));
+    coordinator.onReady(() -> frontend.holdAccepting(false));
     timers.after(MAX_ACCEPT_HOLD_MILLIS, () -> frontend.holdAccepting(false));
   }
 
@@ -450,11 +450,11 @@
    * and used only if the agent does not answer. If discovery is polled, the answer may take long,
    * so the stored list is used at once.
    */
-  private void useStoredList(List<Endpoint> stored) {
+  private void useStoredList(List<Endpoint> entries) {
     if (config.settings().asks()) {
-      coordinator.members(EndpointListUpdate.STORED, stored);
+      coordinator.updateEndpoints(EndpointListUpdate.STORED, entries);
     } else {
-      coordinator.stored(stored);
+      coordinator.keepStoredEndpoints(entries);
     }
   }
 
@@ -566,7 +566,7 @@
 
   /** Stops accepting jobs and releases this process's share to the other accepting processes. */
   private void stopAccepting() {
-    coordinator.acceptNoMore();
+    coordinator.stopAccepting();
     if (sharedState != null) {
       sharedState.recordFinishing();
     }
--- a/node/src/main/java/ferngrade/server/ProcessLimits.java
+++ b/node/src/main/java/ferngrade/server/ProcessLimits.java
@@ -45,7 +45,7 @@
             + share.accepting()
             + " accept jobs, this one has index "
             + share.index());
-    coordinator.sharedBy(share.accepting(), share.index());
+    coordinator.setProcessCount(share.accepting(), share.index());
     ConnectionLimits limits = limits(share.running());
     frontend.limitTo(limits);
     pool.limitTo(limits.workers());
--- a/node/src/main/java/ferngrade/server/SharedState.java
+++ b/node/src/main/java/ferngrade/server/SharedState.java
@@ -139,7 +139,8 @@
     openedAt = clock.now();
     sharedLog.open(peers != null);
     lastRefreshAt = clock.now();
-    long out = coordinator.maintenanceDecisions().stream().filter(MaintenanceEntry::out).count();
+    long out =
+        coordinator.maintenanceDecisions().stream().filter(MaintenanceEntry::inMaintenance).count();
     if (out > 0) {
       log.line("operators' decisions restored: " + out + " workers are out");
     }
@@ -191,7 +192,7 @@
 
   @Override
   public boolean othersMayRun() {
-    boolean othersRecorded = clock.now() - ownRecordedAt >= SharedLog.MAX_APPEND_DELAY;
+    boolean othersRecorded = clock.now() - ownRecordedAt >= SharedLog.MAX_APPEND_DELAY_MILLIS;
     return othersRun() || !othersRecorded || !sharedLog.current();
   }
 
@@ -283,7 +284,7 @@
       log.line(
           "menu worker "
               + decision.worker()
-              + (decision.out() ? " taken out" : " taken back")
+              + (decision.inMaintenance() ? " taken out" : " taken back")
               + " at another process, version "
               + decision.version());
     }
@@ -310,9 +311,9 @@
   }
 
   @Override
-  public void storeMaintenance(String worker, Runnable stored) {
+  public void storeMaintenance(String worker, Runnable whenStored) {
     MaintenanceEntry decision = coordinator.maintenanceDecision(worker);
-    Runnable countDown = new CountDown(2, stored);
+    Runnable countDown = new CountDown(2, whenStored);
     if (decision == null) {
       // The worker was enabled without having been disabled, so there is no decision to share.
       countDown.run();
@@ -324,7 +325,7 @@
   }
 
   @Override
-  public boolean decidedElsewhereSince(String worker, double instant) {
+  public boolean changedByOtherProcessSince(String worker, double instant) {
     return remoteDecisionTimes.getOrDefault(worker, Double.NEGATIVE_INFINITY) >= instant;
   }
 
@@ -348,9 +349,9 @@
     sharedLog.whenAppended(() -> loop.execute(task));
   }
 
-  private void append(SharedRecord record, Runnable stored) {
+  private void append(SharedRecord record, Runnable whenStored) {
     String text = SharedRecordCodec.write(record);
-    sharedLog.append(text, () -> loop.execute(stored));
+    sharedLog.append(text, () -> loop.execute(whenStored));
     if (peers != null) {
       peers.push(text);
     }
--- a/node/src/test/java/ferngrade/discovery/DiscoveryTestBase.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryTestBase.java
@@ -79,7 +79,7 @@
             () -> now, line -> watchEnded.compareAndSet(false, line.contains("watch ended")));
     RequestCoordinator started =
         new RequestCoordinator(
-            new RequestCoordinator.Surroundings(
+            new RequestCoordinator.Dependencies(
                 () -> now, timers, loop, null, (peer, message) -> {}, log),
             new RequestCoordinator.RequestLimits(1, 1, 0),
             actions -> new ThrottlingDispatcher(settings.build(), 7, now, actions));
--- a/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
@@ -74,7 +74,7 @@
   @Test(timeOut = 30_000)
   public void retriesAfterOneSecondWithoutFirstResponse() throws Exception {
     try (RawHttp unresponsive = accept(WHOLE_LIST_REQUEST)) {
-      loop.submit(() -> node.members(EndpointListUpdate.STORED, List.of())).get();
+      loop.submit(() -> node.updateEndpoints(EndpointListUpdate.STORED, List.of())).get();
       now = 1_100;
       loop.submit(timers::run).get();
       assertNull(unresponsive.read());
--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -101,7 +101,7 @@
     first.write(TAKEN);
     awaitIdleConnection();
     advance(100);
-    loop.submit(() -> attempt.giveUp(() -> {})).get();
+    loop.submit(() -> attempt.cancel(() -> {})).get();
     Message delete = first.read();
     assertEquals(delete.start(), "DELETE /jobs/a HTTP/1.1");
     first.write("HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n");
@@ -109,7 +109,7 @@
     advance(100);
     WorkerTransport.AttemptHandle waiting = send("b");
     assertEquals(first.read().headers().get("Req-Id"), "b");
-    loop.submit(() -> waiting.giveUp(() -> {})).get();
+    loop.submit(() -> waiting.cancel(() -> {})).get();
     assertNull(first.read());
   }
 
@@ -268,7 +268,7 @@
     loop.submit(
             () -> {
               first.end();
-              attempt.giveUp(() -> events.add("deleted"));
+              attempt.cancel(() -> events.add("deleted"));
               return null;
             })
         .get();
@@ -290,7 +290,7 @@
     first.write(TAKEN);
     awaitIdleConnection();
     advance(100);
-    loop.submit(() -> attempt.giveUp(() -> events.add("deleted"))).get();
+    loop.submit(() -> attempt.cancel(() -> events.add("deleted"))).get();
     assertEquals(first.read().start(), "DELETE /jobs/a HTTP/1.1");
     first.end();
     assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
@@ -506,7 +506,7 @@
     }
 
     @Override
-    public void taken() {}
+    public void accepted() {}
 
     @Override
     public void ended(AttemptOutcome outcome, LoadReport report) {
--- a/node/src/test/java/ferngrade/node/MaintenanceOverridesTest.java
+++ b/node/src/test/java/ferngrade/node/MaintenanceOverridesTest.java
@@ -118,11 +118,11 @@
   void decisionsOfTwoProcessesMergeToSameStateInAnyOrder() {
     List<MaintenanceEntry> decisions =
         List.of(
-            MaintenanceEntry.out("s-1", 1),
+            MaintenanceEntry.inMaintenance("s-1", 1),
             MaintenanceEntry.returned("s-1", 2, 500),
-            MaintenanceEntry.out("s-1", 2),
+            MaintenanceEntry.inMaintenance("s-1", 2),
             MaintenanceEntry.returned("s-2", 1, 300),
-            MaintenanceEntry.out("s-2", 2),
+            MaintenanceEntry.inMaintenance("s-2", 2),
             MaintenanceEntry.returned("s-2", 3, 700));
     for (int rotation = 0; rotation < decisions.size(); rotation++) {
       List<MaintenanceEntry> order = new ArrayList<>(decisions);
@@ -133,7 +133,7 @@
           decision ->
               assertFalse(merged.merge(decision), "a repeated decision must not be applied"));
       // Of two concurrent decisions, the one that starts maintenance wins.
-      assertEquals(MaintenanceEntry.out("s-1", 2), merged.decision("s-1"));
+      assertEquals(MaintenanceEntry.inMaintenance("s-1", 2), merged.decision("s-1"));
       assertEquals(MaintenanceEntry.returned("s-2", 3, 700), merged.decision("s-2"));
     }
   }
@@ -143,6 +143,6 @@
     maintenance.restore(new MaintenanceOverrides.Saved(Set.of("s-1"), Map.of()));
     assertTrue(maintenance.merge(MaintenanceEntry.returned("s-1", 1, 500)));
     maintenance.restore(new MaintenanceOverrides.Saved(Set.of("s-1"), Map.of()));
-    assertFalse(maintenance.decision("s-1").out());
+    assertFalse(maintenance.decision("s-1").inMaintenance());
   }
 }
--- a/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
+++ b/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
@@ -50,7 +50,7 @@
     timers = new Timers(clock, (millis, run) -> {});
     coordinator =
         new RequestCoordinator(
-            new RequestCoordinator.Surroundings(
+            new RequestCoordinator.Dependencies(
                 clock,
                 timers,
                 tasks::add,
@@ -62,7 +62,7 @@
               actions = dispatcherActions;
               return new RecordingDispatcher();
             });
-    coordinator.members(
+    coordinator.updateEndpoints(
         EndpointListUpdate.WHOLE,
         List.of(
             endpoint("s-1", 1, WorkerState.READY, 0), endpoint("s-2", 2, WorkerState.READY, 0)));
@@ -77,7 +77,7 @@
     callBack("a", "s-1", WorkerCallback.State.LOST);
     assertEquals(answers, List.of("served r"));
     assertEquals(dispatcherEvents, List.of("arrived a", "ended a/0 OK over"));
-    assertEquals(coordinator.open(), 0);
+    assertEquals(coordinator.openRequestCount(), 0);
   }
 
   @Test
@@ -152,11 +152,11 @@
   @Test
   public void startsNoAttemptAfterClientDisconnected() {
     sendWritten("a", 1);
-    coordinator.clientGone("a");
+    coordinator.clientDisconnected("a");
     callBack("a", "s-1", WorkerCallback.State.RETURNED);
     send("a", 2);
     request("b", 21_000);
-    coordinator.clientGone("b");
+    coordinator.clientDisconnected("b");
     send("b", 2);
     assertEquals(attemptListeners.size(), 1);
     assertEquals(answers, List.of());
@@ -173,7 +173,7 @@
   public void cancelsPartlyWrittenAttemptWhenClientDisconnects() {
     sendWritten("a", 1);
     send("a", 2);
-    coordinator.clientGone("a");
+    coordinator.clientDisconnected("a");
     run();
     assertEquals(
         cancelledIds, List.of("a"), "only the attempt that is not fully written must be cancelled");
@@ -219,7 +219,7 @@
       send(id, 1);
       attemptListeners.get(attemptListeners.size() - 1).written();
     }
-    attemptListeners.get(1).taken();
+    attemptListeners.get(1).accepted();
     advance(1000);
     assertEquals(cancelledIds, List.of("hangs"));
     assertEquals(
@@ -235,7 +235,7 @@
       attemptListeners.get(attemptListeners.size() - 1).written();
       now += 1;
     }
-    pendingInput = () -> attemptListeners.get(0).taken();
+    pendingInput = () -> attemptListeners.get(0).accepted();
     advance(998);
     pendingInput = () -> attemptListeners.get(1).ended(AttemptOutcome.FULL, LoadReport.NONE);
     advance(1);
@@ -295,12 +295,12 @@
   @Test
   public void disconnectedClientGetsNoAnswerAndAttemptEndIsReported() {
     sendWritten("a", 1);
-    coordinator.clientGone("a");
+    coordinator.clientDisconnected("a");
     run();
     callBack("a", "s-1", WorkerCallback.State.DONE);
     assertEquals(answers, List.of());
     assertEquals(dispatcherEvents, List.of("arrived a", "abandoned a", "ended a/0 OK over"));
-    assertEquals(coordinator.open(), 0);
+    assertEquals(coordinator.openRequestCount(), 0);
   }
 
   @Test
@@ -310,7 +310,7 @@
     actions.fail("a");
     runTurn();
     assertEquals(answers, List.of("refused 500.0"));
-    assertEquals(coordinator.open(), 0);
+    assertEquals(coordinator.openRequestCount(), 0);
   }
 
   @Test
@@ -333,7 +333,7 @@
     assertEquals(answers, List.of());
     advance(10);
     assertEquals(answers, List.of("failed"));
-    assertEquals(coordinator.open(), 0);
+    assertEquals(coordinator.openRequestCount(), 0);
   }
 
   @Test
@@ -347,12 +347,12 @@
             endpoint("s-1", 1, WorkerState.GONE, 0),
             endpoint("s-1", 1, WorkerState.READY, 900),
             new Endpoint("s-1", new InetSocketAddress("127.0.0.9", 9), ready.worker()))) {
-      coordinator.members(EndpointListUpdate.CHANGES, List.of(changed));
+      coordinator.updateEndpoints(EndpointListUpdate.CHANGES, List.of(changed));
       assertFalse(attemptListeners.get(0).mayStart(), changed.toString());
-      coordinator.members(EndpointListUpdate.CHANGES, List.of(ready));
+      coordinator.updateEndpoints(EndpointListUpdate.CHANGES, List.of(ready));
       assertTrue(attemptListeners.get(0).mayStart());
     }
-    coordinator.members(
+    coordinator.updateEndpoints(
         EndpointListUpdate.WHOLE, List.of(endpoint("s-2", 2, WorkerState.READY, 0)));
     assertFalse(attemptListeners.get(0).mayStart());
   }
@@ -430,7 +430,7 @@
     callBack("a", "s-1", WorkerCallback.State.DONE);
     advance(10_000);
     assertEquals(answers, List.of("failed"));
-    assertEquals(coordinator.open(), 0);
+    assertEquals(coordinator.openRequestCount(), 0);
   }
 
   /**
@@ -452,7 +452,7 @@
 
   /** Runs a turn, which executes the requested actions; any event triggers a turn. */
   private void runTurn() {
-    coordinator.heard(0, new byte[0]);
+    coordinator.peerMessageReceived(0, new byte[0]);
     run();
   }
 
@@ -490,7 +490,7 @@
     }
 
     @Override
-    public void refused(double retryAfter) {
+    public void rejected(double retryAfter) {
       answers.add("refused " + retryAfter);
     }
 
@@ -507,7 +507,7 @@
       attemptListeners.add(listener);
       return new AttemptHandle() {
         @Override
-        public void giveUp(Runnable whenNotified) {
+        public void cancel(Runnable whenNotified) {
           cancelledIds.add(call.id());
           whenNotified.run();
         }
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
@@ -101,7 +101,7 @@
               .asObject());
       coordinator =
           new RequestCoordinator(
-              new RequestCoordinator.Surroundings(
+              new RequestCoordinator.Dependencies(
                   clock,
                   timers,
                   tasks::add,
@@ -116,17 +116,18 @@
       step = stepMillis;
       this.stepTime = stepTime;
       stepIfDue(StepTime.BEFORE_FIRST_LIST, steppedClocks);
-      coordinator.members(EndpointListUpdate.WHOLE, List.of(entry(1, 0)));
+      coordinator.updateEndpoints(EndpointListUpdate.WHOLE, List.of(entry(1, 0)));
       sendRequests(20_000);
       stepIfDue(StepTime.BEFORE_WORKER_START, steppedClocks);
       double listedStart = clock.now() + workerWallOffset;
       stepIfDue(StepTime.BETWEEN_START_AND_LISTING, steppedClocks);
       sendRequests(100);
       joinedAt = clock.now();
-      coordinator.members(EndpointListUpdate.CHANGES, List.of(entry(2, listedStart)));
+      coordinator.updateEndpoints(EndpointListUpdate.CHANGES, List.of(entry(2, listedStart)));
       sendRequests(1_000);
       stepIfDue(StepTime.DURING_WARM_UP, steppedClocks);
-      coordinator.members(EndpointListUpdate.WHOLE, List.of(entry(1, 0), entry(2, listedStart)));
+      coordinator.updateEndpoints(
+          EndpointListUpdate.WHOLE, List.of(entry(1, 0), entry(2, listedStart)));
       sendRequests(OBSERVED_SECONDS * 1000 - 1_000 - REQUEST_INTERVAL_MILLIS);
       return sentPerSecond;
     }
@@ -167,7 +168,7 @@
         sentPerSecond[(int) ((clock.now() - joinedAt) / 1000)]++;
       }
       listener.written();
-      listener.taken();
+      listener.accepted();
       timers.after(
           SERVICE_TIME_MILLIS,
           () ->
@@ -194,7 +195,7 @@
     public void served(String result) {}
 
     @Override
-    public void refused(double retryAfter) {}
+    public void rejected(double retryAfter) {}
 
     @Override
     public void failed() {}
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
@@ -87,7 +87,7 @@
               .asObject());
       coordinator =
           new RequestCoordinator(
-              new RequestCoordinator.Surroundings(
+              new RequestCoordinator.Dependencies(
                   clock,
                   timers,
                   tasks::add,
@@ -134,7 +134,8 @@
     }
 
     private void updateList(WorkerState state) {
-      coordinator.members(EndpointListUpdate.WHOLE, List.of(entry(1, state), entry(2, state)));
+      coordinator.updateEndpoints(
+          EndpointListUpdate.WHOLE, List.of(entry(1, state), entry(2, state)));
       run();
     }
 
@@ -180,7 +181,7 @@
       event(call.id() + " to " + lastWorker + " for " + timeout);
       lastListener = listener;
       listener.written();
-      listener.taken();
+      listener.accepted();
       return whenNotified -> {
         event(call.id() + " cancelled");
         whenNotified.run();
@@ -206,7 +207,7 @@
       }
 
       @Override
-      public void refused(double retryAfter) {
+      public void rejected(double retryAfter) {
         event(id + " refused for " + retryAfter);
       }
 
--- a/node/src/test/java/ferngrade/node/StartTimesTest.java
+++ b/node/src/test/java/ferngrade/node/StartTimesTest.java
@@ -83,7 +83,7 @@
   public void boundsAgeByEarlierListAfterStepOfWorkersMachineOnly(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
     clock.pass(60_000);
-    startTimes.unchanged();
+    startTimes.listConfirmed();
     clock.pass(300);
     double age = age(EndpointListUpdate.CHANGES, 2, clock.now() - 300 + step);
     assertEquals(age, step > 0 ? 0.0 : Math.min(300 - step, 6_300));
--- a/node/src/test/java/ferngrade/peer/UdpPeersTest.java
+++ b/node/src/test/java/ferngrade/peer/UdpPeersTest.java
@@ -64,11 +64,11 @@
       assertEquals(results.take(), "logged");
       peer.send(new DatagramPacket(new byte[7], 7, ownAddress));
       assertEquals(results.take(), "0:7");
-      group.next().submit(() -> udp.tell(0, new byte[9])).get();
+      group.next().submit(() -> udp.send(0, new byte[9])).get();
       DatagramPacket received = new DatagramPacket(new byte[300], 300);
       peer.receive(received);
       assertEquals(received.getLength(), 9);
-      group.next().submit(() -> udp.tell(0, new byte[257])).get();
+      group.next().submit(() -> udp.send(0, new byte[257])).get();
       assertEquals(results.take(), "logged");
     }
   }
@@ -120,7 +120,7 @@
       channels.fail(null, call, errno, shouldFail);
       for (int i = 1; i <= FAULT_COUNT + 2; i++) {
         int size = i;
-        group.next().submit(() -> udp.tell(0, new byte[size])).get();
+        group.next().submit(() -> udp.send(0, new byte[size])).get();
         peer.send(new DatagramPacket(new byte[size], size, ownAddress));
       }
       // The last datagram must arrive in both directions, which shows that the channel still works.
