--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -72,8 +72,8 @@
 
   /**
    * How long connects that fail for lack of local resources are retried, ms, one retry every {@link
-   * Dialer#BACKOFF}. Such a failure is no sign that discovery is unreachable, so the list counts as
-   * unavailable only after this time.
+   * Dialer#BACKOFF_MILLIS}. Such a failure is no sign that discovery is unreachable, so the list
+   * counts as unavailable only after this time.
    */
   private static final double LOCAL_FAILURE_RETRY_MILLIS = 2500;
 
@@ -199,7 +199,7 @@
   /** Starts the watch on the new connection, or schedules a retry. */
   private final class DialListener implements Dialer.Listener {
     @Override
-    public boolean wanted() {
+    public boolean isStillNeeded() {
       return !stopped;
     }
 
--- a/node/src/main/java/ferngrade/http/AdminHandler.java
+++ b/node/src/main/java/ferngrade/http/AdminHandler.java
@@ -121,7 +121,7 @@
 
   @Override
   public boolean readPending() {
-    return PendingReads.openAfterReading((AbstractNioChannel) channel, () -> bytesRead);
+    return PendingReads.readAndCheckOpen((AbstractNioChannel) channel, () -> bytesRead);
   }
 
   @Override
--- a/node/src/main/java/ferngrade/http/AttemptExchange.java
+++ b/node/src/main/java/ferngrade/http/AttemptExchange.java
@@ -156,7 +156,7 @@
     } else if (stage == Stage.WRITING) {
       stage = Stage.CONNECTING;
       delayedLocally = true;
-      client.timers().after(Dialer.BACKOFF, this::retry);
+      client.timers().after(Dialer.BACKOFF_MILLIS, this::retry);
     }
   }
 
--- a/node/src/main/java/ferngrade/http/ClientConnection.java
+++ b/node/src/main/java/ferngrade/http/ClientConnection.java
@@ -195,7 +195,7 @@
 
   @Override
   public boolean readPending() {
-    return PendingReads.openAfterReading(
+    return PendingReads.readAndCheckOpen(
         (AbstractNioChannel) channel, handler.bytesReader()::bytesRead);
   }
 
--- a/node/src/main/java/ferngrade/http/SingleCallDial.java
+++ b/node/src/main/java/ferngrade/http/SingleCallDial.java
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public boolean wanted() {
+  public boolean isStillNeeded() {
     return !call.ended();
   }
 
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -205,14 +205,14 @@
     }
 
     @Override
-    public boolean wanted() {
+    public boolean isStillNeeded() {
       return state == State.DIALLING && !queued.isEmpty();
     }
 
     @Override
     public void connected(Channel channel) {
       PeerConnection opened = PeerConnection.opened(channel, UpgradePeer.this);
-      if (wanted()) {
+      if (isStillNeeded()) {
         state = State.ASKING;
         connection = opened;
         connection.write(queued.remove(), HttpHeaderValues.KEEP_ALIVE);
--- a/node/src/main/java/ferngrade/http/WorkerClient.java
+++ b/node/src/main/java/ferngrade/http/WorkerClient.java
@@ -149,12 +149,12 @@
     }
 
     @Override
-    public boolean wanted() {
+    public boolean isStillNeeded() {
       return exchange.wanted();
     }
 
     @Override
-    public void delayed() {
+    public void retryScheduled() {
       exchange.delayedLocally = true;
     }
 
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -254,7 +254,7 @@
       try {
         return startOnce(config, platform, clock, log, dispatcherFactory, channels);
       } catch (Exception failed) {
-        if (retries == 0 || !FaultOrigin.isPassingLack(failed)) {
+        if (retries == 0 || !FaultOrigin.isTemporaryShortage(failed)) {
           throw failed;
         }
         log.line(
--- a/node/src/main/java/ferngrade/transport/Dialer.java
+++ b/node/src/main/java/ferngrade/transport/Dialer.java
@@ -14,15 +14,15 @@
 /**
  * Opens outgoing connections for one purpose. A connection attempt that fails for a shortage of
  * this machine's own resources reveals nothing about the peer; it is retried after a short backoff,
- * as long as the connection is wanted and its retry time lasts. Listeners are called on the event
- * loop only, although Netty reports a socket that could not be opened on another thread.
+ * as long as the connection is still needed and its retry time lasts. Listeners are called on the
+ * event loop only, although Netty reports a socket that could not be opened on another thread.
  */
 public final class Dialer {
   /**
    * The backoff before a connection attempt that failed for a local resource shortage is retried,
    * ms.
    */
-  public static final double BACKOFF = 20;
+  public static final double BACKOFF_MILLIS = 20;
 
   private final EventLoop loop;
   private final Timers timers;
@@ -31,13 +31,13 @@
   /** Receives the outcome of one dial: either its connection or its failure, once. */
   public interface Listener {
     /** Called before a retry. Returns false if the connection is no longer needed. */
-    boolean wanted();
+    boolean isStillNeeded();
 
     /**
      * Called when a connection attempt has failed for a local resource shortage and will be
      * retried.
      */
-    default void delayed() {}
+    default void retryScheduled() {}
 
     /** Called when the connection is established. */
     void connected(Channel channel);
@@ -76,7 +76,7 @@
    * {@code retryFor} ms.
    */
   public void dial(InetSocketAddress peer, double retryFor, Listener listener) {
-    new Dial(peer, (int) (retryFor / BACKOFF), listener).attempt();
+    new Dial(peer, (int) (retryFor / BACKOFF_MILLIS), listener).attempt();
   }
 
   /** A connection that is being opened. */
@@ -109,15 +109,15 @@
       }
       FaultOrigin origin = FaultOrigin.of(connectFuture.cause());
       if (origin == FaultOrigin.LOCAL && retriesLeft-- > 0) {
-        listener.delayed();
-        timers.after(BACKOFF, () -> retry(connectFuture.cause()));
+        listener.retryScheduled();
+        timers.after(BACKOFF_MILLIS, () -> retry(connectFuture.cause()));
       } else {
         listener.failed(origin, connectFuture.cause());
       }
     }
 
     private void retry(Throwable cause) {
-      if (listener.wanted()) {
+      if (listener.isStillNeeded()) {
         attempt();
       } else {
         listener.failed(FaultOrigin.LOCAL, cause);
--- a/node/src/main/java/ferngrade/transport/FaultOrigin.java
+++ b/node/src/main/java/ferngrade/transport/FaultOrigin.java
@@ -58,7 +58,7 @@
    * Returns true if the error is a local resource shortage that may pass soon. An address that is
    * in use or not permitted is not a temporary shortage.
    */
-  public static boolean isPassingLack(Throwable error) {
+  public static boolean isTemporaryShortage(Throwable error) {
     for (Throwable cause = error; cause != null; cause = cause.getCause()) {
       if (isLocalShortage(cause)) {
         return true;
--- a/node/src/main/java/ferngrade/transport/PendingReads.java
+++ b/node/src/main/java/ferngrade/transport/PendingReads.java
@@ -55,7 +55,7 @@
    * @param bytesRead returns the number of bytes that have been passed to the pipeline so far
    * @return false if the peer has closed the connection
    */
-  public static boolean openAfterReading(AbstractNioChannel connection, LongSupplier bytesRead) {
+  public static boolean readAndCheckOpen(AbstractNioChannel connection, LongSupplier bytesRead) {
     long limit = bytesRead.getAsLong() + MAX_READ_BYTES;
     long previous;
     do {
--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -450,7 +450,7 @@
     assertEquals(events.take(), "NEVER_SENT");
     assertTrue(attempt.delayedLocally());
     assertTrue(
-        faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF,
+        faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF_MILLIS,
         "attempts within 1000 ms: " + faults.raised);
   }
 
@@ -469,7 +469,7 @@
     while (events.isEmpty()) {
       loop.submit(
               () -> {
-                advance(Dialer.BACKOFF);
+                advance(Dialer.BACKOFF_MILLIS);
                 timers.run();
               })
           .get();
--- a/node/src/test/java/ferngrade/transport/FaultOriginTest.java
+++ b/node/src/test/java/ferngrade/transport/FaultOriginTest.java
@@ -60,8 +60,8 @@
   @Test
   public void addressInUseIsNotTemporaryShortage() {
     assertFalse(
-        FaultOrigin.isPassingLack(
+        FaultOrigin.isTemporaryShortage(
             new ExecutionException(new BindException("Address already in use"))));
-    assertTrue(FaultOrigin.isPassingLack(new ExecutionException(Errno.EMFILE.ofConnect())));
+    assertTrue(FaultOrigin.isTemporaryShortage(new ExecutionException(Errno.EMFILE.ofConnect())));
   }
 }
