--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -54,7 +54,7 @@
   @Override
   public void paused() {
     if (!paused && !mayHaveWaited()) {
-      waitingSince = arrivals.since();
+      waitingSince = arrivals.earliestArrival();
     }
     paused = true;
   }
@@ -82,7 +82,9 @@
     if (acceptedThisTurn++ == 0) {
       acceptLimit = acceptsAtOnce.getAsInt();
       waitingSince =
-          mayHaveWaited() ? Math.max(waitingSince, arrivals.since() - maxWait) : arrivals.since();
+          mayHaveWaited()
+              ? Math.max(waitingSince, arrivals.earliestArrival() - maxWait)
+              : arrivals.earliestArrival();
     }
     ctx.fireChannelRead(accepted);
   }
--- a/node/src/main/java/ferngrade/http/AdminHandler.java
+++ b/node/src/main/java/ferngrade/http/AdminHandler.java
@@ -34,7 +34,7 @@
     implements ManagedConnection {
   private static final String WORKERS_PATH = "/-/menu-workers/";
 
-  private final Admin admin;
+  private final AdminServer admin;
   private final OperatorCalls calls;
   private final double acceptedAt;
   private final double acceptedSince;
@@ -53,7 +53,7 @@
   /** True if another process of this node makes its calls on this connection. */
   private boolean isUpgradePeer;
 
-  AdminHandler(Admin admin) {
+  AdminHandler(AdminServer admin) {
     this.admin = admin;
     this.calls = admin.calls();
     this.acceptedAt = admin.now();
@@ -64,7 +64,10 @@
   /** Adds the connection's codec and this handler to the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
     pipeline.addLast(
-        byteCounter(), new HttpServerCodec(), new HttpObjectAggregator(Admin.MAX_CALL_BYTES), this);
+        byteCounter(),
+        new HttpServerCodec(),
+        new HttpObjectAggregator(AdminServer.MAX_CALL_BYTES),
+        this);
   }
 
   private ChannelInboundHandler byteCounter() {
@@ -92,7 +95,7 @@
 
   private double arrivedSince() {
     ArrivalClock arrivals = calls.arrivals();
-    return arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.since();
+    return arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.earliestArrival();
   }
 
   @Override
--- a/node/src/main/java/ferngrade/http/Admin.java
+++ b/node/src/main/java/ferngrade/http/AdminServer.java
@@ -25,7 +25,7 @@
  * not keep out others. The other processes of the node make calls here, too, and may keep their
  * connections open.
  */
-public final class Admin {
+public final class AdminServer {
   /** The maximum time for a caller to send a whole call, in ms; callers wait 1 s for the answer. */
   static final double CALL_TIMEOUT_MILLIS = 1000;
 
@@ -66,12 +66,13 @@
    * Creates an endpoint for {@code calls}; {@code loop} runs tasks at the end of the current turn
    * of the event loop.
    */
-  public Admin(OperatorCalls calls, Clock clock, Timers timers, Executor loop) {
+  public AdminServer(OperatorCalls calls, Clock clock, Timers timers, Executor loop) {
     this.calls = calls;
     this.clock = clock;
     // A call that has waited longer gets the minimum time for the disk in any case.
     this.acceptTimes =
-        new AcceptTimeEstimator(calls.arrivals(), this::acceptsAtOnce, OperatorCalls.STORE_TIMEOUT);
+        new AcceptTimeEstimator(
+            calls.arrivals(), this::acceptsAtOnce, OperatorCalls.STORE_TIMEOUT_MILLIS);
     this.acceptSwitch = new AcceptSwitch(timers, acceptTimes);
     this.connections =
         new ConnectionTable<>(
@@ -122,7 +123,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    new AdminHandler(Admin.this).addTo(channel.pipeline());
+                    new AdminHandler(AdminServer.this).addTo(channel.pipeline());
                   }
                 })
             .bind(address);
--- a/node/src/main/java/ferngrade/http/ArrivalClock.java
+++ b/node/src/main/java/ferngrade/http/ArrivalClock.java
@@ -38,7 +38,7 @@
   }
 
   /** Sets the listener that receives the time each turn spent working, in ms. */
-  public void onTurn(DoubleConsumer listener) {
+  public void setTurnListener(DoubleConsumer listener) {
     turnListener = listener;
   }
 
@@ -66,7 +66,7 @@
    * Marks that the event loop does work in this turn; the first call in a turn marks the end of its
    * wait.
    */
-  public void working() {
+  public void markWorking() {
     if (Double.isNaN(workStartedAt)) {
       workStartedAt = clock.now();
     }
@@ -81,8 +81,8 @@
    * Returns the earliest time at which the bytes read in this turn may have arrived, in ms on the
    * node's clock.
    */
-  public double since() {
-    working();
+  public double earliestArrival() {
+    markWorking();
     return blocked ? workStartedAt : previousSelectedAt;
   }
 }
--- a/node/src/main/java/ferngrade/http/AttemptExchange.java
+++ b/node/src/main/java/ferngrade/http/AttemptExchange.java
@@ -61,7 +61,7 @@
   }
 
   @Override
-  boolean wanted() {
+  boolean isStillNeeded() {
     return stage != Stage.ENDED && listener.mayStart();
   }
 
@@ -83,10 +83,10 @@
       return null;
     }
     client.beforeStart();
-    boolean wanted = listener.mayStart();
+    boolean mayStart = listener.mayStart();
     // Computed as late as possible, because a dial may have used up the time.
     double remaining = deadline - client.now();
-    if (!wanted || remaining <= 0) {
+    if (!mayStart || remaining <= 0) {
       end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
       return null;
     }
@@ -105,7 +105,7 @@
   }
 
   @Override
-  void carriedBy(WorkerConnection carrier) {
+  void connectionAssigned(WorkerConnection carrier) {
     connection = carrier;
     stage = Stage.WRITING;
   }
@@ -161,7 +161,7 @@
   }
 
   private void retry() {
-    if (wanted()) {
+    if (isStillNeeded()) {
       client.start(worker, this);
     } else {
       end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
--- a/node/src/main/java/ferngrade/http/CancellationExchange.java
+++ b/node/src/main/java/ferngrade/http/CancellationExchange.java
@@ -39,7 +39,7 @@
   }
 
   @Override
-  boolean wanted() {
+  boolean isStillNeeded() {
     return true;
   }
 
@@ -49,7 +49,7 @@
   }
 
   @Override
-  void carriedBy(WorkerConnection carrier) {
+  void connectionAssigned(WorkerConnection carrier) {
     connection = carrier;
     timeout = client.timers().after(TIMEOUT_MILLIS, carrier::close);
   }
--- a/node/src/main/java/ferngrade/http/ClientConnection.java
+++ b/node/src/main/java/ferngrade/http/ClientConnection.java
@@ -74,7 +74,7 @@
   /** Handles the end of the connection, closed by either side. */
   void ended() {
     frontend.closed(this);
-    clientGone();
+    clientDisconnected();
   }
 
   @Override
@@ -188,7 +188,7 @@
   boolean clientPresent() {
     boolean present = readPending();
     if (!present) {
-      clientGone();
+      clientDisconnected();
     }
     return present;
   }
@@ -199,9 +199,9 @@
         (AbstractNioChannel) channel, handler.bytesReader()::bytesRead);
   }
 
-  private void clientGone() {
+  private void clientDisconnected() {
     if (jobId != null) {
-      requests.clientGone(jobId);
+      requests.clientDisconnected(jobId);
       jobId = null;
       frontend.jobEnded();
     }
--- a/node/src/main/java/ferngrade/http/ClientRequestHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -62,7 +62,7 @@
   }
 
   /** Reports that the client of a job has closed its connection. */
-  void clientGone(String jobId) {
+  void clientDisconnected(String jobId) {
     coordinator.clientDisconnected(jobId);
   }
 
--- a/node/src/main/java/ferngrade/http/ConnectionLimits.java
+++ b/node/src/main/java/ferngrade/http/ConnectionLimits.java
@@ -5,11 +5,12 @@
  *
  * @param clients the connections opened by clients and by workers for callbacks
  * @param jobs the client connections with a job in flight
- * @param awaited the client connections whose request or close has not arrived yet
+ * @param awaitedConnections the client connections whose request or close has not arrived yet
  * @param workers the connections opened to workers
  * @param waitingBytes the total size of the bodies of queued pipelined requests, in bytes
  */
-public record ConnectionLimits(int clients, int jobs, int awaited, int workers, long waitingBytes) {
+public record ConnectionLimits(
+    int clients, int jobs, int awaitedConnections, int workers, long waitingBytes) {
   /**
    * The file descriptors of the runtime itself, the listeners, discovery (two while its address
    * changes) and the peers.
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -110,7 +110,7 @@
   /**
    * Changes the maximum number of connections; idle connections are closed if there are too many.
    */
-  public void limitTo(int connections) {
+  public void setMaxConnections(int connections) {
     maxOpen = connections;
     for (int excess = openConnections - maxOpen; excess > 0; excess--) {
       closeOldestIdle();
--- a/node/src/main/java/ferngrade/http/ConnectionTable.java
+++ b/node/src/main/java/ferngrade/http/ConnectionTable.java
@@ -120,7 +120,7 @@
   /**
    * Changes the limits. If they are exceeded, connections without a request in progress are closed.
    */
-  void limitTo(Limits changed) {
+  void setLimits(Limits changed) {
     limits = changed;
     acceptSwitch.setCapacity(freeCapacity());
     scheduleReview();
--- a/node/src/main/java/ferngrade/http/HealthCheckExchange.java
+++ b/node/src/main/java/ferngrade/http/HealthCheckExchange.java
@@ -38,7 +38,7 @@
   }
 
   @Override
-  boolean wanted() {
+  boolean isStillNeeded() {
     return !finished;
   }
 
@@ -48,7 +48,7 @@
   }
 
   @Override
-  void carriedBy(WorkerConnection carrier) {
+  void connectionAssigned(WorkerConnection carrier) {
     connection = carrier;
   }
 
--- a/node/src/main/java/ferngrade/http/HttpExchange.java
+++ b/node/src/main/java/ferngrade/http/HttpExchange.java
@@ -26,13 +26,13 @@
   abstract double dialTimeout();
 
   /** Returns false if the request no longer has to be sent. */
-  abstract boolean wanted();
+  abstract boolean isStillNeeded();
 
   /** Returns the request to write, or null if it no longer has to be sent. */
   abstract FullHttpRequest request();
 
   /** Called with the connection that carries the exchange from now on. */
-  void carriedBy(WorkerConnection connection) {}
+  void connectionAssigned(WorkerConnection connection) {}
 
   /** Called when the last byte of the request is written. */
   void written() {}
--- a/node/src/main/java/ferngrade/http/HttpFrontend.java
+++ b/node/src/main/java/ferngrade/http/HttpFrontend.java
@@ -107,7 +107,7 @@
   }
 
   private static ConnectionTable.Limits tableLimits(ConnectionLimits limits) {
-    return new ConnectionTable.Limits(limits.clients(), limits.awaited());
+    return new ConnectionTable.Limits(limits.clients(), limits.awaitedConnections());
   }
 
   /**
@@ -194,16 +194,16 @@
   }
 
   /** Changes the connection limits. Jobs in flight are not affected. */
-  public void limitTo(ConnectionLimits changed) {
+  public void setLimits(ConnectionLimits changed) {
     limits = changed;
-    connections.limitTo(tableLimits(changed));
+    connections.setLimits(tableLimits(changed));
   }
 
   /**
    * Stops accepting connections while an earlier process serves on the same socket, or resumes
    * accepting.
    */
-  public void holdAccepting(boolean pause) {
+  public void pauseAccepting(boolean pause) {
     acceptSwitch.pause(Reason.NOT_READY, pause);
   }
 
--- a/node/src/main/java/ferngrade/http/OperatorCalls.java
+++ b/node/src/main/java/ferngrade/http/OperatorCalls.java
@@ -23,7 +23,7 @@
    * the caller is notified that it is not stored yet, in ms. A caller waits 1 s, and the node may
    * be held up for 150 ms meanwhile.
    */
-  public static final double STORE_TIMEOUT = 700;
+  public static final double STORE_TIMEOUT_MILLIS = 700;
 
   /**
    * The minimum time for the disk to store the change, in ms: the call may have arrived later than
@@ -117,7 +117,7 @@
     if (upgradePeers == null) {
       return false;
     }
-    upgradePeers.at(EndpointListParser.address(address.trim()));
+    upgradePeers.addAnnounced(EndpointListParser.address(address.trim()));
     return true;
   }
 
@@ -190,8 +190,8 @@
 
   /**
    * Disables or enables a worker. {@code answer} receives the outcome, at the latest {@link
-   * #STORE_TIMEOUT} after {@code arrivedAt}, even if the change is not stored by then. It is called
-   * again if the change is stored later; only the first outcome counts.
+   * #STORE_TIMEOUT_MILLIS} after {@code arrivedAt}, even if the change is not stored by then. It is
+   * called again if the change is stored later; only the first outcome counts.
    *
    * @param arrivedAt the earliest time at which the call may have arrived, in ms on the node's
    *     clock
@@ -213,7 +213,7 @@
       answer.accept(MaintenanceOutcome.STORED);
       return;
     }
-    double remaining = Math.max(MIN_STORE_TIMEOUT, arrivedAt + STORE_TIMEOUT - clock.now());
+    double remaining = Math.max(MIN_STORE_TIMEOUT, arrivedAt + STORE_TIMEOUT_MILLIS - clock.now());
     Timers.Timer timeout =
         timers.after(remaining, () -> answer.accept(MaintenanceOutcome.NOT_STORED_YET));
     state.storeMaintenance(
--- a/node/src/main/java/ferngrade/http/PeerConnection.java
+++ b/node/src/main/java/ferngrade/http/PeerConnection.java
@@ -48,7 +48,8 @@
 
   /** Adds the connection and its codec to the end of a pipeline. */
   void addTo(ChannelPipeline pipeline) {
-    pipeline.addLast(new HttpClientCodec(), new HttpObjectAggregator(Admin.MAX_CALL_BYTES), this);
+    pipeline.addLast(
+        new HttpClientCodec(), new HttpObjectAggregator(AdminServer.MAX_CALL_BYTES), this);
   }
 
   @Override
@@ -64,7 +65,7 @@
   }
 
   /** Returns true if a failed dial shows that no process listens at the address any more. */
-  static boolean refused(FaultOrigin origin, Throwable cause) {
+  static boolean showsNoListener(FaultOrigin origin, Throwable cause) {
     return origin != FaultOrigin.LOCAL && !(cause instanceof ConnectTimeoutException);
   }
 
--- a/node/src/main/java/ferngrade/http/RequestBytesReader.java
+++ b/node/src/main/java/ferngrade/http/RequestBytesReader.java
@@ -168,7 +168,7 @@
     }
     // Bytes that arrived before the connection was accepted are read by the end of the turn after
     // the accept.
-    return arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.since();
+    return arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.earliestArrival();
   }
 
   // ---- Decoding ----
--- a/node/src/main/java/ferngrade/http/SingleCallDial.java
+++ b/node/src/main/java/ferngrade/http/SingleCallDial.java
@@ -39,7 +39,7 @@
 
   @Override
   public void failed(FaultOrigin origin, Throwable cause) {
-    if (PeerConnection.refused(origin, cause)) {
+    if (PeerConnection.showsNoListener(origin, cause)) {
       whenRefused.run();
     }
     call.end(PeerCall.NO_ANSWER);
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -229,7 +229,7 @@
       if (state != State.DIALLING) {
         return;
       }
-      if (PeerConnection.refused(origin, cause)) {
+      if (PeerConnection.showsNoListener(origin, cause)) {
         whenRefused.accept(UpgradePeer.this);
         return;
       }
--- a/node/src/main/java/ferngrade/http/UpgradePeers.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeers.java
@@ -120,7 +120,7 @@
    * Sets the source that shows whether other processes run. If none runs and there is no peer, a
    * relayed callback has the outcome ENDED.
    */
-  public void knownBy(RunningProcesses running) {
+  public void setRunningProcesses(RunningProcesses running) {
     runningProcesses = running;
   }
 
@@ -128,14 +128,14 @@
    * Sets the address at which this process receives calls; an earlier process with that address has
    * ended.
    */
-  public void own(InetSocketAddress address) {
+  public void setOwnAddress(InetSocketAddress address) {
     ownAddress = address;
     unrecorded.remove(address);
     remove(address);
   }
 
   /** Adds the address, taken from the shared log, at which another process receives calls. */
-  public void recorded(InetSocketAddress other) {
+  public void addRecorded(InetSocketAddress other) {
     unrecorded.remove(other);
     add(other);
   }
@@ -144,7 +144,7 @@
    * Adds the address at which another process receives calls; the process may belong to an earlier
    * release.
    */
-  public void at(InetSocketAddress other) {
+  public void addAnnounced(InetSocketAddress other) {
     if (!other.equals(ownAddress) && !peers.containsKey(other)) {
       unrecorded.add(other);
       if (unrecorded.size() > MAX_PEERS) {
--- a/node/src/main/java/ferngrade/http/WorkerClient.java
+++ b/node/src/main/java/ferngrade/http/WorkerClient.java
@@ -59,7 +59,7 @@
    * Sets a task that runs on the event loop right before the node decides whether an attempt may
    * start.
    */
-  public void beforeAttempt(Runnable task) {
+  public void setBeforeAttempt(Runnable task) {
     beforeAttempt = task;
   }
 
@@ -67,7 +67,7 @@
    * Sets a task that reads, on the event loop, the callbacks that have arrived and are not read
    * yet.
    */
-  public void readCallbacksBy(Runnable reader) {
+  public void setCallbackReader(Runnable reader) {
     callbackReader = reader;
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** Sets the identification, name and process id, that attempts carry in a header. */
-  public void identifyAs(String identification) {
+  public void setProcessIdentification(String identification) {
     process = identification;
   }
 
@@ -150,7 +150,7 @@
 
     @Override
     public boolean isStillNeeded() {
-      return exchange.wanted();
+      return exchange.isStillNeeded();
     }
 
     @Override
--- a/node/src/main/java/ferngrade/http/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/http/WorkerConnection.java
@@ -108,7 +108,7 @@
       return;
     }
     exchange = newExchange;
-    newExchange.carriedBy(this);
+    newExchange.connectionAssigned(this);
     context
         .writeAndFlush(request)
         .addListener(
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -162,14 +162,14 @@
             (delayMillis, task) ->
                 loop.schedule(
                     () -> {
-                      arrivalClock.working();
+                      arrivalClock.markWorking();
                       task.run();
                     },
                     (long) Math.ceil(delayMillis * 1000),
                     TimeUnit.MICROSECONDS));
     this.loopMonitor = new LoopMonitor(clock, log);
     this.pauseDetector = new PauseDetector(clock, timers);
-    arrivalClock.onTurn(loopMonitor::turnEnded);
+    arrivalClock.setTurnListener(loopMonitor::turnEnded);
     timers.onDelay(loopMonitor::timerDelayed);
     // Only a process on an inherited socket can run in parallel with other processes of the node.
     this.upgradePeers =
@@ -343,15 +343,15 @@
     if (sharedState != null) {
       sharedState.applyEarlierDecisions();
     }
-    workers.beforeAttempt(
+    workers.setBeforeAttempt(
         () -> {
           discovery.readPending();
           if (sharedState != null && upgradePeers != null) {
             sharedState.refresh();
           }
         });
-    workers.readCallbacksBy(new OncePerTurn(arrivalClock, this::readCallbacks));
-    workers.identifyAs(platform.process());
+    workers.setCallbackReader(new OncePerTurn(arrivalClock, this::readCallbacks));
+    workers.setProcessIdentification(platform.process());
     pauseDetector.start();
     new BudgetReporter(coordinator, timers, log).start();
     return pendingBinds;
@@ -389,9 +389,9 @@
 
   /** Delays accepting clients until this process is ready, while a predecessor still serves. */
   private void holdAcceptingUntilReady() {
-    frontend.holdAccepting(true);
-    coordinator.onReady(() -> frontend.holdAccepting(false));
-    timers.after(MAX_ACCEPT_HOLD_MILLIS, () -> frontend.holdAccepting(false));
+    frontend.pauseAccepting(true);
+    coordinator.onReady(() -> frontend.pauseAccepting(false));
+    timers.after(MAX_ACCEPT_HOLD_MILLIS, () -> frontend.pauseAccepting(false));
   }
 
   /** Follows a move of discovery that another process of the node has recorded. */
--- a/node/src/main/java/ferngrade/server/OperatorsEndpoint.java
+++ b/node/src/main/java/ferngrade/server/OperatorsEndpoint.java
@@ -1,6 +1,6 @@
 package ferngrade.server;
 
-import ferngrade.http.Admin;
+import ferngrade.http.AdminServer;
 import ferngrade.http.OperatorCalls;
 import ferngrade.node.Clock;
 import ferngrade.node.RateLimitedLog;
@@ -34,7 +34,7 @@
 
   private final Clock clock;
   private final Timers timers;
-  private final Admin admin;
+  private final AdminServer admin;
   private Channel channel;
 
   OperatorsEndpoint(
@@ -50,7 +50,7 @@
     this.folder = folder;
     this.clock = clock;
     this.timers = timers;
-    this.admin = new Admin(new OperatorCalls(parts, clock, timers, log), clock, timers, loop);
+    this.admin = new AdminServer(new OperatorCalls(parts, clock, timers, log), clock, timers, loop);
   }
 
   /** Binds to {@code address} and announces the address once the bind has succeeded. */
--- a/node/src/main/java/ferngrade/server/ProcessLimits.java
+++ b/node/src/main/java/ferngrade/server/ProcessLimits.java
@@ -47,7 +47,7 @@
             + share.index());
     coordinator.setProcessCount(share.accepting(), share.index());
     ConnectionLimits limits = limits(share.running());
-    frontend.limitTo(limits);
-    pool.limitTo(limits.workers());
+    frontend.setLimits(limits);
+    pool.setMaxConnections(limits.workers());
   }
 }
--- a/node/src/main/java/ferngrade/server/SharedState.java
+++ b/node/src/main/java/ferngrade/server/SharedState.java
@@ -126,7 +126,7 @@
         new LiveProcesses(
             OWN_PID, folder.scheduler(), loop, SharedState::isAlive, parts.processesChanged());
     if (peers != null) {
-      peers.knownBy(this);
+      peers.setRunningProcesses(this);
     }
   }
 
@@ -200,7 +200,7 @@
   void recordAdminAddress(InetSocketAddress address) {
     ownAddress = address;
     if (peers != null) {
-      peers.own(address);
+      peers.setOwnAddress(address);
       appendProcess();
     }
   }
@@ -252,7 +252,7 @@
       if (process.first() && earlierDecisions != null) {
         discardEarlierDecisions();
       }
-      peers.recorded(process.operators());
+      peers.addRecorded(process.operators());
       processes.started(process.pid());
       if (process.operators().equals(ownAddress)) {
         ownRecordedAt = Math.min(ownRecordedAt, clock.now());
--- a/node/src/main/java/ferngrade/server/StateFolder.java
+++ b/node/src/main/java/ferngrade/server/StateFolder.java
@@ -84,7 +84,7 @@
     try {
       String earlier = adminAddress.read();
       if (earlier != null) {
-        upgradePeers.at(EndpointListParser.address(earlier.trim()));
+        upgradePeers.addAnnounced(EndpointListParser.address(earlier.trim()));
       }
     } catch (IOException | IllegalArgumentException unusable) {
       log.line("address of an earlier process ignored: " + unusable.getMessage());
--- a/node/src/test/java/ferngrade/http/ConnectionTableTest.java
+++ b/node/src/test/java/ferngrade/http/ConnectionTableTest.java
@@ -196,7 +196,7 @@
       idle.add(openIdle());
     }
     idle.get(0).requestUnread = true;
-    table.limitTo(new ConnectionTable.Limits(4, MAX_AWAITED));
+    table.setLimits(new ConnectionTable.Limits(4, MAX_AWAITED));
     endTurn();
     assertFalse(idle.get(0).closed);
     assertEquals(closed(idle), 1);
--- a/node/src/test/java/ferngrade/http/UpgradePeersTest.java
+++ b/node/src/test/java/ferngrade/http/UpgradePeersTest.java
@@ -51,7 +51,7 @@
               timers = new Timers(() -> now, (millis, run) -> {});
               RateLimitedLog log = new RateLimitedLog(() -> now, line -> {});
               peers = new UpgradePeers(group, timers, log, new FaultInjectingChannels());
-              peers.at(new InetSocketAddress(peer.getInetAddress(), peer.getLocalPort()));
+              peers.addAnnounced(new InetSocketAddress(peer.getInetAddress(), peer.getLocalPort()));
             })
         .get();
   }
@@ -203,7 +203,7 @@
     relay("b");
     assertEquals(readKeepAliveCall(connection), "b");
     InetSocketAddress address = new InetSocketAddress(peer.getInetAddress(), peer.getLocalPort());
-    loop.submit(() -> peers.own(address)).get();
+    loop.submit(() -> peers.setOwnAddress(address)).get();
     assertEquals(nextOutcome(), "b UNANSWERED");
     assertNull(connection.read());
     assertEquals(loop.submit(peers::relayed).get().get(RelayOutcome.UNANSWERED).longValue(), 1L);
@@ -216,7 +216,7 @@
       started.setSoTimeout(10_000);
       InetSocketAddress address =
           new InetSocketAddress(started.getInetAddress(), started.getLocalPort());
-      loop.submit(() -> peers.knownBy(logNaming(address))).get();
+      loop.submit(() -> peers.setRunningProcesses(logNaming(address))).get();
       relay("a");
       accept().write(UNKNOWN);
       assertEquals(
@@ -230,7 +230,7 @@
     return new UpgradePeers.RunningProcesses() {
       @Override
       public void refresh() {
-        peers.recorded(address);
+        peers.addRecorded(address);
       }
 
       @Override
--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -46,7 +46,7 @@
   private MultiThreadIoEventLoopGroup group;
   private EventLoop loop;
   private volatile double now;
-  private volatile boolean wanted;
+  private volatile boolean mayStart;
   private ServerSocket worker;
   private Timers timers;
   private ConnectionPool pool;
@@ -60,7 +60,7 @@
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
     now = 0;
-    wanted = true;
+    mayStart = true;
     worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     worker.setSoTimeout(10_000);
     loop.submit(
@@ -220,11 +220,11 @@
 
   @Test
   public void writesNothingWhenTheAttemptIsNoLongerWanted() throws Exception {
-    wanted = false;
+    mayStart = false;
     send("a");
     RawHttp first = new RawHttp(worker.accept());
     assertEquals(events.take(), "NEVER_SENT");
-    wanted = true;
+    mayStart = true;
     awaitIdleConnection();
     advance(100);
     send("b");
@@ -457,7 +457,7 @@
   @Test
   public void doesNotRetryTheDialOfAnAttemptNoLongerWanted() throws Exception {
     faults.fail(Purpose.WORKERS, SystemCall.CONNECT, Errno.ENOBUFS, FaultInjectingChannels.once());
-    wanted = false;
+    mayStart = false;
     send("a");
     advanceUntilEvent();
     assertEquals(events.take(), "NEVER_SENT");
@@ -497,7 +497,7 @@
   private final class RecordingListener implements WorkerTransport.Listener {
     @Override
     public boolean mayStart() {
-      return wanted;
+      return mayStart;
     }
 
     @Override
--- a/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
@@ -311,7 +311,7 @@
   @Test
   public void confirmsChangeOnlyAfterFolderSyncAndReportsFailureWithinOneSecond() throws Exception {
     assertTrue(
-        OperatorCalls.STORE_TIMEOUT + 150 < 1000,
+        OperatorCalls.STORE_TIMEOUT_MILLIS + 150 < 1000,
         "the timeout leaves 150 ms of the caller's second for pauses of the node");
     FaultInjectingFileOperations files = new FaultInjectingFileOperations();
     NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -223,11 +223,14 @@
     ArrivalClock arrivals = new ArrivalClock(() -> now);
     assertEquals(arrivals.calculateStrategy(() -> 0, false), SelectStrategy.SELECT);
     advance(BUSY_MILLIS);
-    assertEquals(arrivals.since(), 1000 + BUSY_MILLIS);
+    assertEquals(arrivals.earliestArrival(), 1000 + BUSY_MILLIS);
     advance(BUSY_MILLIS);
-    assertEquals(arrivals.since(), 1000 + BUSY_MILLIS, "the turn begins when the wait ends");
+    assertEquals(
+        arrivals.earliestArrival(), 1000 + BUSY_MILLIS, "the turn begins when the wait ends");
     assertEquals(arrivals.calculateStrategy(() -> 1, false), 1);
     assertEquals(
-        arrivals.since(), 1000 + BUSY_MILLIS, "input that arrived during the previous turn");
+        arrivals.earliestArrival(),
+        1000 + BUSY_MILLIS,
+        "input that arrived during the previous turn");
   }
 }
--- a/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
@@ -50,7 +50,7 @@
       RawHttp.message("POST /-/menu-workers/s-1/enable HTTP/1.1", "");
 
   private static int awaitedLimit(int sockets) {
-    return ConnectionLimits.within(sockets, MEMORY_MB).awaited();
+    return ConnectionLimits.within(sockets, MEMORY_MB).awaitedConnections();
   }
 
   @DataProvider
