--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
@@ -50,7 +50,8 @@
     NodeServer server =
         NodeServer.start(
             config,
-            SocketHandover.fromEnvironment(System.getenv()).identifiedAs(config.name() + "/" + pid),
+            SocketHandover.fromEnvironment(System.getenv())
+                .withProcessName(config.name() + "/" + pid),
             clock,
             log,
             (started, now, actions) -> dispatcher(mutation, started, now, actions),
--- a/node/src/main/java/ferngrade/cli/Rehearsal.java
+++ b/node/src/main/java/ferngrade/cli/Rehearsal.java
@@ -91,7 +91,7 @@
 
   private void sendJobsOfAllKinds(InetSocketAddress node) throws IOException {
     for (RehearsalPlatform.JobKind kind : RehearsalPlatform.JobKind.values()) {
-      try (RehearsalConnection client = RehearsalConnection.to(node)) {
+      try (RehearsalConnection client = RehearsalConnection.connect(node)) {
         client.write(jobRequest(SHORT_DEADLINE_MILLIS), kind.name()).read();
         String next = jobRequest(LONG_DEADLINE_MILLIS);
         String body = RehearsalPlatform.JobKind.DONE.name();
@@ -118,17 +118,17 @@
             "POST /_jobs/news HTTP/1.1\r\nHost: node\r\nContent-Length: 1\r\n\r\n{",
             "POST /api HTTP/1.1\r\nContent-Length: 1000000000\r\n\r\n",
             "\u0000 no request\r\n\r\n")) {
-      try (RehearsalConnection client = RehearsalConnection.to(node)) {
+      try (RehearsalConnection client = RehearsalConnection.connect(node)) {
         client.write(request).read();
       }
     }
-    try (RehearsalConnection client = RehearsalConnection.to(node)) {
+    try (RehearsalConnection client = RehearsalConnection.connect(node)) {
       client.write("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf").read();
     }
   }
 
   private static void sendPipelinedRequests(InetSocketAddress node) throws IOException {
-    try (RehearsalConnection client = RehearsalConnection.to(node)) {
+    try (RehearsalConnection client = RehearsalConnection.connect(node)) {
       client.write("GET /-/ready HTTP/1.1\r\nHost: node\r\n\r\n".repeat(PIPELINED_REQUESTS));
       for (int i = 0; i < PIPELINED_REQUESTS; i++) {
         client.read();
@@ -137,7 +137,7 @@
   }
 
   private void disconnectDuringJob(InetSocketAddress node) throws IOException {
-    try (RehearsalConnection client = RehearsalConnection.to(node)) {
+    try (RehearsalConnection client = RehearsalConnection.connect(node)) {
       client.write(jobRequest(LONG_DEADLINE_MILLIS), RehearsalPlatform.JobKind.SILENT.name());
     }
   }
@@ -160,7 +160,7 @@
 
   /** Sends a request to the operators' address and returns the first line of the response. */
   private static String call(InetSocketAddress admin, String call) throws IOException {
-    try (RehearsalConnection caller = RehearsalConnection.to(admin)) {
+    try (RehearsalConnection caller = RehearsalConnection.connect(admin)) {
       RehearsalConnection.Message answer =
           caller.write(call + " HTTP/1.1\r\nHost: node", "").read();
       return answer == null ? "" : answer.startLine();
--- a/node/src/main/java/ferngrade/cli/RehearsalConnection.java
+++ b/node/src/main/java/ferngrade/cli/RehearsalConnection.java
@@ -28,7 +28,7 @@
     this.in = new BufferedInputStream(socket.getInputStream());
   }
 
-  static RehearsalConnection to(InetSocketAddress address) throws IOException {
+  static RehearsalConnection connect(InetSocketAddress address) throws IOException {
     return new RehearsalConnection(new Socket(address.getAddress(), address.getPort()));
   }
 
--- a/node/src/main/java/ferngrade/cli/RehearsalPlatform.java
+++ b/node/src/main/java/ferngrade/cli/RehearsalPlatform.java
@@ -100,7 +100,7 @@
   }
 
   private void sendCallback(String id, String state) throws IOException {
-    try (RehearsalConnection connection = RehearsalConnection.to(nodeAddress)) {
+    try (RehearsalConnection connection = RehearsalConnection.connect(nodeAddress)) {
       String body = "{\"id\":\"" + id + "\",\"from\":\"" + WORKER + "\",\"state\":" + state + "}";
       connection.write(CALLBACK_REQUEST, body).read();
     }
--- a/node/src/main/java/ferngrade/cli/Serve.java
+++ b/node/src/main/java/ferngrade/cli/Serve.java
@@ -76,11 +76,11 @@
             line ->
                 System.err.println(
                     String.format("%.3f %s[%d] %s", clock.now() / 1000, config.name(), pid, line)));
-    log.line("starting" + (platform.accepted() != null ? " on a socket handed over" : ""));
+    log.line("starting" + (platform.inheritedListener() != null ? " on a socket handed over" : ""));
     NodeServer server;
     try {
       server =
-          NodeServer.start(config, platform.identifiedAs(config.name() + "/" + pid), clock, log);
+          NodeServer.start(config, platform.withProcessName(config.name() + "/" + pid), clock, log);
     } catch (Exception failed) {
       System.err.println("ferngrade: listen: " + failed.getMessage());
       return 1;
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -70,7 +70,7 @@
    * The maximum time for which a starting process leaves new connections to its predecessor until
    * it is ready, in ms.
    */
-  private static final double MAX_ACCEPT_HOLD_MILLIS = 500;
+  private static final double MAX_ACCEPT_PAUSE_MILLIS = 500;
 
   /**
    * The interval at which a process reads the state shared by the other processes of the node, in
@@ -112,29 +112,32 @@
   /**
    * Holds the inputs that the platform passes to a process in addition to its configuration.
    *
-   * @param accepted the clients' listening socket, or null if the node binds its own
+   * @param inheritedListener the clients' listening socket, or null if the node binds its own
    * @param stateFolder the folder shared by all processes of the node, or null if no state is kept
    * @param files the operations used to read and write files in that folder
    * @param process the process name that attempts carry, or null if they carry none
    */
   public record Platform(
-      ServerSocketChannel accepted, Path stateFolder, FileOperations files, String process) {
+      ServerSocketChannel inheritedListener,
+      Path stateFolder,
+      FileOperations files,
+      String process) {
     /** No platform inputs: the node binds its own socket and keeps no state. */
     public static final Platform NONE = new Platform(null, null);
 
     /** Creates inputs that use the machine's file system. */
-    public Platform(ServerSocketChannel accepted, Path stateFolder) {
-      this(accepted, stateFolder, FileOperations.SYSTEM);
+    public Platform(ServerSocketChannel inheritedListener, Path stateFolder) {
+      this(inheritedListener, stateFolder, FileOperations.SYSTEM);
     }
 
     /** Creates inputs that use the given file operations. */
-    public Platform(ServerSocketChannel accepted, Path stateFolder, FileOperations files) {
-      this(accepted, stateFolder, files, null);
+    public Platform(ServerSocketChannel inheritedListener, Path stateFolder, FileOperations files) {
+      this(inheritedListener, stateFolder, files, null);
     }
 
     /** Returns a copy whose attempts carry the given process name. */
-    public Platform identifiedAs(String processName) {
-      return new Platform(accepted, stateFolder, files, processName);
+    public Platform withProcessName(String processName) {
+      return new Platform(inheritedListener, stateFolder, files, processName);
     }
   }
 
@@ -173,7 +176,9 @@
     timers.onDelay(loopMonitor::timerDelayed);
     // Only a process on an inherited socket can run in parallel with other processes of the node.
     this.upgradePeers =
-        platform.accepted() == null ? null : new UpgradePeers(group, timers, log, channels);
+        platform.inheritedListener() == null
+            ? null
+            : new UpgradePeers(group, timers, log, channels);
     this.processLimits = new ProcessLimits(config, log);
     this.frontend =
         new HttpFrontend(
@@ -250,7 +255,7 @@
       DispatcherFactory dispatcherFactory,
       ChannelProvider channels)
       throws Exception {
-    for (int retries = platform.accepted() == null ? MAX_START_RETRIES : 0; ; retries--) {
+    for (int retries = platform.inheritedListener() == null ? MAX_START_RETRIES : 0; ; retries--) {
       try {
         return startOnce(config, platform, clock, log, dispatcherFactory, channels);
       } catch (Exception failed) {
@@ -280,7 +285,7 @@
       log.line(
           "listening at "
               + server.address()
-              + (platform.accepted() != null ? ", on the socket handed over" : "")
+              + (platform.inheritedListener() != null ? ", on the socket handed over" : "")
               + (config.admin() != null ? "; operators' calls at " + server.adminAddress() : ""));
       return server;
     } catch (Exception failed) {
@@ -334,7 +339,8 @@
       holdAcceptingUntilReady();
     }
     pendingBinds.add(
-        frontend.listen(group, config.listen(), platform.accepted(), coordinator, reader, log));
+        frontend.listen(
+            group, config.listen(), platform.inheritedListener(), coordinator, reader, log));
     if (config.admin() != null) {
       operatorsEndpoint = createOperatorsEndpoint(folder);
       pendingBinds.add(operatorsEndpoint.listen(group, config.admin(), channels));
@@ -391,7 +397,7 @@
   private void holdAcceptingUntilReady() {
     frontend.pauseAccepting(true);
     coordinator.onReady(() -> frontend.pauseAccepting(false));
-    timers.after(MAX_ACCEPT_HOLD_MILLIS, () -> frontend.pauseAccepting(false));
+    timers.after(MAX_ACCEPT_PAUSE_MILLIS, () -> frontend.pauseAccepting(false));
   }
 
   /** Follows a move of discovery that another process of the node has recorded. */
@@ -574,7 +580,7 @@
 
   /** Releases resources that only one process of the node can hold to the other processes. */
   private void handOver() {
-    if (platform.accepted() != null) {
+    if (platform.inheritedListener() != null) {
       peers.handOver();
     }
   }
--- a/node/src/test/java/ferngrade/cli/SocketHandoverTest.java
+++ b/node/src/test/java/ferngrade/cli/SocketHandoverTest.java
@@ -11,7 +11,7 @@
 class SocketHandoverTest {
   @Test
   void returnsNoSocketWhenVariableIsNotSet() throws ConfigException {
-    assertNull(SocketHandover.fromEnvironment(Map.of()).accepted());
+    assertNull(SocketHandover.fromEnvironment(Map.of()).inheritedListener());
   }
 
   @Test
