--- a/node/src/test/java/ferngrade/discovery/DiscoveryTestBase.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryTestBase.java
@@ -164,7 +164,7 @@
 
   RawHttp accept(String request) throws Exception {
     RawHttp watch = new RawHttp(discovery.accept());
-    assertEquals(watch.read().start(), request);
+    assertEquals(watch.read().startLine(), request);
     return watch;
   }
 }
--- a/node/src/test/java/ferngrade/http/RawHttp.java
+++ b/node/src/test/java/ferngrade/http/RawHttp.java
@@ -18,9 +18,9 @@
   private final InputStream in;
 
   /** A received message: its first line, its headers and its body. */
-  public record Message(String start, Map<String, String> headers, String body) {
+  public record Message(String startLine, Map<String, String> headers, String body) {
     public int status() {
-      return Integer.parseInt(start.split(" ", 3)[1]);
+      return Integer.parseInt(startLine.split(" ", 3)[1]);
     }
   }
 
@@ -30,7 +30,7 @@
     in = new BufferedInputStream(socket.getInputStream());
   }
 
-  public static RawHttp to(InetSocketAddress address) throws IOException {
+  public static RawHttp connect(InetSocketAddress address) throws IOException {
     return new RawHttp(new Socket(address.getAddress(), address.getPort()));
   }
 
--- a/node/src/test/java/ferngrade/http/UpgradePeersTest.java
+++ b/node/src/test/java/ferngrade/http/UpgradePeersTest.java
@@ -256,7 +256,7 @@
 
   private static String readKeepAliveCall(RawHttp connection) throws Exception {
     Message call = connection.read();
-    assertEquals(call.start(), "POST /-/news HTTP/1.1");
+    assertEquals(call.startLine(), "POST /-/news HTTP/1.1");
     assertEquals(call.headers().get("Connection"), "keep-alive");
     return call.body();
   }
--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -103,7 +103,7 @@
     advance(100);
     loop.submit(() -> attempt.cancel(() -> {})).get();
     Message delete = first.read();
-    assertEquals(delete.start(), "DELETE /jobs/a HTTP/1.1");
+    assertEquals(delete.startLine(), "DELETE /jobs/a HTTP/1.1");
     first.write("HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n");
     awaitIdleConnection();
     advance(100);
@@ -237,7 +237,7 @@
    */
   @Test
   public void reportsConnectFailedForAResetWhileTheRequestIsWritten() throws Exception {
-    faults.sendBuffer = SMALL_BUFFER_BYTES;
+    faults.sendBufferBytes = SMALL_BUFFER_BYTES;
     try (ServerSocket smallBufferWorker = new ServerSocket()) {
       smallBufferWorker.setReceiveBufferSize(SMALL_BUFFER_BYTES);
       smallBufferWorker.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -272,7 +272,7 @@
               return null;
             })
         .get();
-    assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
+    assertEquals(new RawHttp(worker.accept()).read().startLine(), "DELETE /jobs/a HTTP/1.1");
     assertEquals(events.take(), "written");
     assertEquals(events.take(), "deleted");
     assertTrue(events.isEmpty(), "once");
@@ -291,9 +291,9 @@
     awaitIdleConnection();
     advance(100);
     loop.submit(() -> attempt.cancel(() -> events.add("deleted"))).get();
-    assertEquals(first.read().start(), "DELETE /jobs/a HTTP/1.1");
+    assertEquals(first.read().startLine(), "DELETE /jobs/a HTTP/1.1");
     first.end();
-    assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
+    assertEquals(new RawHttp(worker.accept()).read().startLine(), "DELETE /jobs/a HTTP/1.1");
     assertEquals(events.take(), "written");
     assertEquals(events.take(), "deleted");
     assertTrue(events.isEmpty(), "once");
@@ -450,8 +450,8 @@
     assertEquals(events.take(), "NEVER_SENT");
     assertTrue(attempt.delayedLocally());
     assertTrue(
-        faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF_MILLIS,
-        "attempts within 1000 ms: " + faults.raised);
+        faults.injectedFaults.get() <= 1 + 1000 / Dialer.BACKOFF_MILLIS,
+        "attempts within 1000 ms: " + faults.injectedFaults);
   }
 
   @Test
@@ -461,7 +461,7 @@
     send("a");
     advanceUntilEvent();
     assertEquals(events.take(), "NEVER_SENT");
-    assertEquals(faults.raised.get(), 1);
+    assertEquals(faults.injectedFaults.get(), 1);
   }
 
   /** Advances the clock by one backoff at a time until the attempt or check reports an event. */
--- a/node/src/test/java/ferngrade/node/AtomicFileTest.java
+++ b/node/src/test/java/ferngrade/node/AtomicFileTest.java
@@ -57,7 +57,7 @@
           assertFalse(durable.contains(content), content);
           assertEquals(1, tasks.size(), "exactly one attempt must be scheduled");
         }
-        files.heal();
+        files.clearFault();
         runNextTask();
         assertTrue(durable.contains(content), content);
         assertEquals(content, file.read());
@@ -81,7 +81,7 @@
       runNextTask();
     }
     assertEquals(List.of(0L, 20L, 40L, 80L, 160L, 320L, 500L, 500L), delays);
-    files.heal();
+    files.clearFault();
     runNextTask();
     delays.clear();
     files.fail(Operation.RENAME, FaultInjectingFileOperations.error("Input/output error"));
@@ -98,7 +98,7 @@
     write("second");
     write("third");
     assertEquals(1, tasks.size());
-    files.heal();
+    files.clearFault();
     runNextTask();
     assertEquals("third", file.read());
     assertEquals(List.of("first", "second", "third"), durable);
@@ -118,7 +118,7 @@
         });
     write(NEW_CONTENT);
     runNextTask();
-    files.heal();
+    files.clearFault();
     runNextTask();
     assertEquals(NEW_CONTENT, file.read());
     assertEquals(List.of(NEW_CONTENT), durable);
--- a/node/src/test/java/ferngrade/node/FaultInjectingFileOperations.java
+++ b/node/src/test/java/ferngrade/node/FaultInjectingFileOperations.java
@@ -61,7 +61,7 @@
   }
 
   /** Removes the injected fault, so that all operations succeed. */
-  public synchronized void heal() {
+  public synchronized void clearFault() {
     failing = null;
   }
 
--- a/node/src/test/java/ferngrade/node/SettableClock.java
+++ b/node/src/test/java/ferngrade/node/SettableClock.java
@@ -24,12 +24,12 @@
   }
 
   /** Advances both clocks. */
-  public synchronized void pass(double millis) {
+  public synchronized void advance(double millis) {
     now += millis;
   }
 
   /** Steps the wall clock only. */
-  public synchronized void step(double millis) {
+  public synchronized void stepWallClock(double millis) {
     wallOffset += millis;
   }
 
--- a/node/src/test/java/ferngrade/node/SharedLogTest.java
+++ b/node/src/test/java/ferngrade/node/SharedLogTest.java
@@ -106,7 +106,7 @@
     follower.log.append("a", () -> stored.add("a"));
     runBackgroundTasks();
     assertEquals(List.of(), stored);
-    files.heal();
+    files.clearFault();
     runBackgroundTasks();
     assertEquals(List.of("a"), stored);
     // Bytes written before the error are in the file too: records may repeat, but none is lost.
@@ -209,7 +209,7 @@
     files.fail(Operation.CREATE, FaultInjectingFileOperations.error("No space left on device"));
     Follower follower = new Follower();
     assertFalse(follower.log.complete());
-    files.heal();
+    files.clearFault();
     runBackgroundTasks();
     assertTrue(follower.log.complete());
     assertEquals(1, follower.replacements);
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
@@ -134,7 +134,7 @@
 
     private void stepIfDue(StepTime current, SteppedClocks steppedClocks) {
       if (stepTime == current) {
-        clock.step(step);
+        clock.stepWallClock(step);
         workerWallOffset += steppedClocks == SteppedClocks.ALL_MACHINES ? step : 0;
       }
     }
@@ -148,7 +148,7 @@
 
     private void sendRequests(double millis) {
       for (double elapsed = 0; elapsed < millis; elapsed += REQUEST_INTERVAL_MILLIS) {
-        clock.pass(REQUEST_INTERVAL_MILLIS);
+        clock.advance(REQUEST_INTERVAL_MILLIS);
         timers.run();
         String id = "r" + requests++;
         coordinator.request(
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
@@ -129,7 +129,7 @@
 
     private void stepIfDue() {
       if (stepPointsPassed++ == point) {
-        clock.step(step);
+        clock.stepWallClock(step);
       }
     }
 
@@ -157,7 +157,7 @@
 
     private void advance(double millis) {
       for (double elapsed = 0; elapsed < millis; elapsed += 10) {
-        clock.pass(10);
+        clock.advance(10);
         timers.run();
         run();
       }
--- a/node/src/test/java/ferngrade/node/StartTimesTest.java
+++ b/node/src/test/java/ferngrade/node/StartTimesTest.java
@@ -56,7 +56,7 @@
 
   @Test(dataProvider = "steps")
   public void correctsStepOfBothMachinesBeforeFirstList(double step) {
-    clock.step(step);
+    clock.stepWallClock(step);
     assertEquals(age(EndpointListUpdate.WHOLE, 1, clock.wall() - 2_000), 2_000.0);
     assertEquals(translated(EndpointListUpdate.WHOLE, entry(2, 0)), 0.0);
   }
@@ -64,27 +64,27 @@
   @Test(dataProvider = "steps")
   public void correctsStepOfBothMachinesBetweenTwoLists(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
-    clock.pass(60_000);
-    clock.step(step);
-    clock.pass(60_000);
+    clock.advance(60_000);
+    clock.stepWallClock(step);
+    clock.advance(60_000);
     assertEquals(age(EndpointListUpdate.CHANGES, 2, clock.wall() - 300), 300.0);
   }
 
   @Test(dataProvider = "steps")
   public void ignoresStepOfThisMachineOnly(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
-    clock.pass(60_000);
-    clock.step(step);
-    clock.pass(60_000);
+    clock.advance(60_000);
+    clock.stepWallClock(step);
+    clock.advance(60_000);
     assertEquals(age(EndpointListUpdate.CHANGES, 2, clock.now() - 300), 300.0);
   }
 
   @Test(dataProvider = "steps")
   public void boundsAgeByEarlierListAfterStepOfWorkersMachineOnly(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
-    clock.pass(60_000);
+    clock.advance(60_000);
     startTimes.listConfirmed();
-    clock.pass(300);
+    clock.advance(300);
     double age = age(EndpointListUpdate.CHANGES, 2, clock.now() - 300 + step);
     assertEquals(age, step > 0 ? 0.0 : Math.min(300 - step, 6_300));
   }
@@ -92,10 +92,10 @@
   @Test(dataProvider = "steps")
   public void correctsStepForStartRecordedBeforeIt(double step) {
     translated(EndpointListUpdate.WHOLE, entry(1, 0));
-    clock.pass(60_000);
+    clock.advance(60_000);
     double recordedStart = clock.wall() - 200;
-    clock.step(step);
-    clock.pass(100);
+    clock.stepWallClock(step);
+    clock.advance(100);
     assertEquals(age(EndpointListUpdate.CHANGES, 2, recordedStart), 300.0);
   }
 
@@ -105,8 +105,8 @@
     double start = translated(EndpointListUpdate.STORED, listed);
     for (EndpointListUpdate updateType :
         List.of(EndpointListUpdate.WHOLE, EndpointListUpdate.CHANGES, EndpointListUpdate.WHOLE)) {
-      clock.step(step);
-      clock.pass(10_000);
+      clock.stepWallClock(step);
+      clock.advance(10_000);
       assertEquals(translated(updateType, listed), start, updateType.name());
       translated(EndpointListUpdate.WHOLE, entry(2, 0));
     }
@@ -118,7 +118,7 @@
 
   @Test(dataProvider = "steps")
   public void restartIsDetectedWhenBoundsYieldEqualStarts(double step) {
-    clock.step(step);
+    clock.stepWallClock(step);
     double first = translated(EndpointListUpdate.WHOLE, entry(1, clock.now() + 10 * HOUR_MILLIS));
     assertNotEquals(
         translated(EndpointListUpdate.CHANGES, entry(1, clock.now() + 11 * HOUR_MILLIS)), first);
@@ -126,22 +126,22 @@
 
   @Test(dataProvider = "steps")
   public void startAheadOfBothClocksIsLimitedToTimeOfList(double step) {
-    clock.step(step);
+    clock.stepWallClock(step);
     assertEquals(age(EndpointListUpdate.WHOLE, 1, clock.wall() + 20 * HOUR_MILLIS), 0.0);
   }
 
   @Test
   public void repeatedStepsKeepMatchingOffsets() {
     for (int i = 0; i < 100; i++) {
-      clock.step(i % 2 == 0 ? HOUR_MILLIS : -HOUR_MILLIS);
-      clock.pass(5_000);
+      clock.stepWallClock(i % 2 == 0 ? HOUR_MILLIS : -HOUR_MILLIS);
+      clock.advance(5_000);
       assertEquals(age(EndpointListUpdate.CHANGES, i + 1, clock.wall() - 10), 10.0);
     }
   }
 
   @Test(dataProvider = "steps")
   public void savedTimesAreConvertedBetweenProcessesByWallClock(double step) {
-    clock.step(step);
+    clock.stepWallClock(step);
     double saved = startTimes.toWall(clock.now() - 4_000);
     SettableClock laterClock = new SettableClock(clock.wall() + 1_000);
     assertEquals(new StartTimes(laterClock).toMonotonic(saved), laterClock.now() - 5_000);
--- a/node/src/test/java/ferngrade/peer/UdpPeersTest.java
+++ b/node/src/test/java/ferngrade/peer/UdpPeersTest.java
@@ -132,7 +132,8 @@
         Thread.onSpinWait();
       }
       assertTrue(channel.isOpen());
-      assertTrue(channels.raised.get() > 0, "the fault must have been injected at least once");
+      assertTrue(
+          channels.injectedFaults.get() > 0, "the fault must have been injected at least once");
       assertTrue(lines.get() <= 1, "at most one log line expected: " + lines);
       channel.close().sync();
     }
--- a/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
@@ -108,7 +108,7 @@
     assertEquals(call(node, "POST /-/metrics").status(), 405);
     assertEquals(call(node, "GET /-/drain").status(), 405);
     assertEquals(call(node, "GET /-/menu-workers/s-1/disable").status(), 405);
-    try (RawHttp caller = RawHttp.to(node.adminAddress())) {
+    try (RawHttp caller = RawHttp.connect(node.adminAddress())) {
       assertEquals(caller.write("NONSENSE\r\n\r\n").read().status(), 400);
       assertNull(caller.read());
     }
@@ -123,7 +123,7 @@
     assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
     assertTrue(call(node, "GET /-/metrics").body().contains("menu_workers_excluded=1\n"));
     // The only worker is disabled, so the job is rejected.
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(client.write(RawHttp.message(jobHead("a"), "")).read().status(), 503);
     }
     assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
@@ -135,8 +135,8 @@
   @Test
   public void drainClosesConnectionsAfterTheirJobsAndResumeMakesNodeReady() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
-    try (RawHttp client = RawHttp.to(node.address());
-        RawHttp idle = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address());
+        RawHttp idle = RawHttp.connect(node.address())) {
       assertEquals(idle.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status(), 200);
       client.write(RawHttp.message(jobHead("a"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
@@ -159,7 +159,7 @@
   @Test
   public void resumeDuringDrainKeepsConnectionsOpen() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(call(node, "POST /-/drain").status(), 200);
       assertEquals(call(node, "POST /-/resume").status(), 200);
       assertEquals(call(node, "GET /-/ready").status(), 200);
@@ -188,7 +188,7 @@
     // job is unknown there as well, so the worker receives 204 and stops retrying.
     assertEquals(sendCallback(successor.address(), "nobody"), 204);
     // The other process answers 404 to a relayed callback for an unknown job.
-    try (RawHttp caller = RawHttp.to(predecessor.adminAddress())) {
+    try (RawHttp caller = RawHttp.connect(predecessor.adminAddress())) {
       assertEquals(
           caller
               .write(RawHttp.message("POST /-/news HTTP/1.1", UNKNOWN_JOB_CALLBACK))
@@ -204,7 +204,7 @@
     Files.writeString(
         folder.resolve("ferngrade-admin.txt"), "127.0.0.1:" + unusedAddress().getPort());
     NodeServer node = start(new NodeServer.Platform(clientsSocket(), folder));
-    try (RawHttp caller = RawHttp.to(node.address())) {
+    try (RawHttp caller = RawHttp.connect(node.address())) {
       Message answer =
           caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", UNKNOWN_JOB_CALLBACK)).read();
       assertEquals(answer.status(), 503);
@@ -223,7 +223,7 @@
     awaitCallbackAccepted(node);
     Process other = new ProcessBuilder("cat").start();
     String record = SharedRecordCodec.write(new ProcessRecord(other.pid(), unusedAddress(), false));
-    try (RawHttp caller = RawHttp.to(node.adminAddress())) {
+    try (RawHttp caller = RawHttp.connect(node.adminAddress())) {
       caller.write(RawHttp.message("POST /-/state HTTP/1.1", record)).read();
     }
     assertEquals(
@@ -250,7 +250,7 @@
     files.fail(Operation.WRITE, FaultInjectingFileOperations.error("No space left on device"));
     NodeServer predecessor =
         start(new NodeServer.Platform(clientsSocket(), Path.of("/state"), files));
-    try (RawHttp client = RawHttp.to(predecessor.address())) {
+    try (RawHttp client = RawHttp.connect(predecessor.address())) {
       client.write(RawHttp.message(jobHead("a"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
@@ -317,7 +317,7 @@
     NodeServer node = start(new NodeServer.Platform(null, Path.of("/state"), files));
     files.fail(Operation.SYNC_FOLDER, FaultInjectingFileOperations.error("Input/output error"));
     assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 503);
-    files.heal();
+    files.clearFault();
     assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
     assertEquals(call(node, "POST /-/menu-workers/s-1/enable").status(), 200);
   }
@@ -345,7 +345,7 @@
     files.fail(
         Operation.SYNC_FOLDER,
         () -> {
-          files.heal();
+          files.clearFault();
           throw new FileSystemException("Input/output error");
         });
     assertEquals(call(node, "POST /-/menu-workers/s-1/disable").status(), 200);
@@ -362,7 +362,7 @@
     while (files.failures() < 2) {
       Thread.onSpinWait();
     }
-    files.heal();
+    files.clearFault();
     String own = "127.0.0.1:" + node.adminAddress().getPort();
     while (!own.equals(adminFile(files))) {
       Thread.onSpinWait();
@@ -397,13 +397,13 @@
   }
 
   private static Message call(NodeServer node, String line) throws IOException {
-    try (RawHttp caller = RawHttp.to(node.adminAddress())) {
+    try (RawHttp caller = RawHttp.connect(node.adminAddress())) {
       return caller.write(line + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n").read();
     }
   }
 
   private static int sendCallback(InetSocketAddress address, String id) throws IOException {
-    try (RawHttp caller = RawHttp.to(address)) {
+    try (RawHttp caller = RawHttp.connect(address)) {
       String body =
           "{\"id\":\"" + id + "\",\"from\":\"s-1\",\"state\":\"done\",\"result\":\"soup\"}";
       return caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", body)).read().status();
--- a/node/src/test/java/ferngrade/server/BlockedLoopFixture.java
+++ b/node/src/test/java/ferngrade/server/BlockedLoopFixture.java
@@ -72,7 +72,7 @@
   public void tearDown() throws Exception {
     blockAtLine = "";
     blockReleased.countDown();
-    files.heal();
+    files.clearFault();
     for (RawHttp connection : connections) {
       connection.close();
     }
@@ -106,7 +106,7 @@
   }
 
   RawHttp connect(InetSocketAddress address, String bytes) throws IOException {
-    RawHttp connection = RawHttp.to(address);
+    RawHttp connection = RawHttp.connect(address);
     connections.add(connection);
     return connection.write(bytes);
   }
--- a/node/src/test/java/ferngrade/server/ClockStepsTest.java
+++ b/node/src/test/java/ferngrade/server/ClockStepsTest.java
@@ -29,7 +29,7 @@
   @Test(dataProvider = "steps")
   public void deadlineSentToWorkerIsRemainingElapsedTime(double step) throws Exception {
     start(endpointList(1, "active"), clock);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(
           RawHttp.message(jobHead("POST /api", "a", "order"), "")
               + RawHttp.message(jobHead("POST /api", "b", "order"), ""));
@@ -37,8 +37,8 @@
       workerConnection.read();
       workerConnection.write(ACCEPTED);
       awaitSettled();
-      clock.step(step);
-      clock.pass(3000);
+      clock.stepWallClock(step);
+      clock.advance(3000);
       sendCallback("a", DONE);
       assertEquals(client.read().body(), "soup");
       assertEquals(workerConnection.read().headers().get("Req-Deadline"), "5990m");
@@ -49,16 +49,16 @@
   public void drainingWorkerFinishesItsJobAndGetsNoNewJobUntilListedAsActive(double step)
       throws Exception {
     start(endpointList(1, "active"), clock);
-    try (RawHttp client = RawHttp.to(node.address());
-        RawHttp other = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address());
+        RawHttp other = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
       workerConnection.write(ACCEPTED);
       watch.write(chunk(endpointList(2, "leaving") + "\n"));
       awaitSettled();
-      clock.step(step);
-      clock.pass(100);
+      clock.stepWallClock(step);
+      clock.advance(100);
       assertEquals(
           other.write(RawHttp.message(jobHead("POST /api", "b", "order"), "")).read().status(),
           503);
@@ -66,7 +66,7 @@
       assertEquals(client.read().body(), "soup");
       watch.write(chunk(endpointList(3, "active") + "\n"));
       awaitSettled();
-      clock.pass(100);
+      clock.advance(100);
       other.write(RawHttp.message(jobHead("POST /api", "c", "order"), ""));
       assertEquals(workerConnection.read().headers().get("Req-Id"), "c");
     }
@@ -76,16 +76,16 @@
   public void stopKeepsGracePeriodAndFinishesAcceptedJobs(double step) throws Exception {
     start(endpointList(1, "active"), clock);
     CompletableFuture<Void> stopped;
-    try (RawHttp client = RawHttp.to(node.address());
-        RawHttp other = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address());
+        RawHttp other = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
       workerConnection.write(ACCEPTED);
       stopped = CompletableFuture.runAsync(this::stopWithGrace);
       awaitReadyStatus(other, 503);
-      clock.step(step);
-      clock.pass(GRACE_MILLIS);
+      clock.stepWallClock(step);
+      clock.advance(GRACE_MILLIS);
       assertEquals(sendCallback("a", DONE), 204);
       assertEquals(client.read().body(), "soup");
       assertNull(client.read());
--- a/node/src/test/java/ferngrade/server/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DepartedClientTest.java
@@ -152,7 +152,7 @@
       blockReleased.countDown();
       awaitSettled();
       advance(100);
-      try (RawHttp client = RawHttp.to(node.address())) {
+      try (RawHttp client = RawHttp.connect(node.address())) {
         client.write(RawHttp.message(jobHead("POST /api", "b", "draft"), ""));
         // The connection opened for the abandoned attempt is reused, since nothing was written to
         // it.
@@ -172,7 +172,7 @@
     blockReached = new CountDownLatch(1);
     blockReleased = new CountDownLatch(1);
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "first", "draft"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
--- a/node/src/test/java/ferngrade/server/DiscoveryMovesTest.java
+++ b/node/src/test/java/ferngrade/server/DiscoveryMovesTest.java
@@ -72,8 +72,8 @@
       assertUnwatched(skipped);
     }
     RawHttp last = new RawHttp(addresses.get(2).accept());
-    assertEquals(last.read().start(), FULL_LIST_REQUEST);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    assertEquals(last.read().startLine(), FULL_LIST_REQUEST);
+    try (RawHttp client = RawHttp.connect(node.address())) {
       last.write(RESPONSE_HEAD + chunk(endpointList(3, "left") + "\n"));
       awaitReadyStatus(client, 503);
       assertNull(watch.read(), "the first address is no longer watched");
@@ -96,7 +96,7 @@
     assertUnwatched(addresses.get(0));
     discovery.setSoTimeout(ABSENCE_TIMEOUT_MILLIS);
     assertThrows(SocketTimeoutException.class, discovery::accept);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       watch.write(chunk(endpointList(42, "left") + "\n"));
       awaitReadyStatus(client, 503);
       watch.write(chunk(endpointList(43, "active") + "\n"));
--- a/node/src/test/java/ferngrade/server/HandOverProcessTest.java
+++ b/node/src/test/java/ferngrade/server/HandOverProcessTest.java
@@ -13,12 +13,12 @@
   public void handOverKeepsJobsInFlightAndRejectsNoClient() throws Exception {
     startPlatform();
     ProcessHandle predecessor = startProcess().handle();
-    RawHttp first = RawHttp.to(clients);
+    RawHttp first = RawHttp.connect(clients);
     first.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
     acceptJob("a");
     startProcess();
     // Either process may accept a connection, so callbacks must be relayed to the job's process.
-    try (RawHttp second = RawHttp.to(clients)) {
+    try (RawHttp second = RawHttp.connect(clients)) {
       second.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
       acceptJob("b");
       predecessor.destroy();
@@ -29,7 +29,7 @@
     }
     first.close();
     predecessor.onExit().get(20, TimeUnit.SECONDS);
-    try (RawHttp third = RawHttp.to(clients)) {
+    try (RawHttp third = RawHttp.connect(clients)) {
       third.write(RawHttp.message(jobHead("POST /api", "c", "order"), ""));
       acceptJob("c");
       assertEquals(sendCallback(clients, "c", DONE), 204);
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -143,12 +143,12 @@
       throws Exception {
     RawHttp client = null;
     if (keptOpen) {
-      client = RawHttp.to(node.address());
+      client = RawHttp.connect(node.address());
       client.write(jobRequest("a")).read();
       jobs.take();
     }
     blockLoop();
-    try (RawHttp connection = client == null ? RawHttp.to(node.address()) : client) {
+    try (RawHttp connection = client == null ? RawHttp.connect(node.address()) : client) {
       connection.write(jobRequest("b"));
       advance(BUSY_MILLIS);
       blockReleased.countDown();
@@ -207,7 +207,7 @@
 
   /** Returns once the loop has accepted, read and handled all earlier input. */
   private void awaitLoopTurns(String id) throws IOException {
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       for (int i = 0; i < 4; i++) {
         client.write(jobRequest(id + i)).read();
       }
@@ -215,7 +215,8 @@
   }
 
   private RawHttp call(String line) throws IOException {
-    return RawHttp.to(node.adminAddress()).write(line + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+    return RawHttp.connect(node.adminAddress())
+        .write(line + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
   }
 
   @Test
--- a/node/src/test/java/ferngrade/server/NodeIntegrationFixture.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationFixture.java
@@ -90,7 +90,7 @@
       watch = new RawHttp(discovery.accept());
       watch.read();
       watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list + "\n"));
-      try (RawHttp client = RawHttp.to(node.address())) {
+      try (RawHttp client = RawHttp.connect(node.address())) {
         awaitReadyStatus(client, 200);
       }
     }
@@ -111,7 +111,7 @@
    * work before it reads the second one.
    */
   void awaitSettled() throws IOException {
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       for (int i = 0; i < 3; i++) {
         client.write("GET /-/ready HTTP/1.1\r\n\r\n").read();
       }
@@ -186,7 +186,7 @@
   }
 
   static int sendCallback(InetSocketAddress address, String id, String fields) throws IOException {
-    try (RawHttp caller = RawHttp.to(address)) {
+    try (RawHttp caller = RawHttp.connect(address)) {
       String body = "{\"id\":\"" + id + "\",\"from\":\"s-1\"," + fields + "}";
       return caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", body)).read().status();
     }
--- a/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
@@ -25,13 +25,13 @@
   @Test
   public void forwardsJobUnchangedAndReturnsItsResult() throws Exception {
     start(endpointList(1, "active"));
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(
           RawHttp.message(
               jobHead("POST /api/x?y=%20z", "a", "order") + "\r\nIdempotency-Key: k1", "body"));
       RawHttp workerConnection = new RawHttp(worker.accept());
       Message received = workerConnection.read();
-      assertEquals(received.start(), "POST /api/x?y=%20z HTTP/1.1");
+      assertEquals(received.startLine(), "POST /api/x?y=%20z HTTP/1.1");
       assertEquals(received.body(), "body");
       assertEquals(received.headers().get("Req-Id"), "a");
       assertEquals(received.headers().get("Idempotency-Key"), "k1");
@@ -49,7 +49,7 @@
   @Test
   public void doesNotResendJobAfterItsConnectionBreaks() throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       RawHttp pooled = new RawHttp(worker.accept());
       pooled.read();
@@ -69,7 +69,7 @@
   public void rejectsJobWithRetryAfterWhenWorkerRefusesConnections() throws Exception {
     worker.close();
     start(endpointList(1, "active"));
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       Message answer = client.write(RawHttp.message(jobHead("POST /api", "a", "order"), "")).read();
       assertEquals(answer.status(), 503);
       assertTrue(Double.parseDouble(answer.headers().get("Retry-After")) > 0);
@@ -79,7 +79,7 @@
   @Test
   public void rejectsDeclinedJobAndFailsFailedJob() throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       // The node does not reuse a connection at once, since a second answer may be in flight on it.
       RawHttp workerConnection = null;
@@ -140,8 +140,8 @@
   public void answersBadRequestOnceWithoutAffectingOtherClients(String request, int status)
       throws Exception {
     start(endpointList(1, "active"));
-    try (RawHttp client = RawHttp.to(node.address());
-        RawHttp bad = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address());
+        RawHttp bad = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "c", "order"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
@@ -161,7 +161,7 @@
     start(endpointList(1, "active"));
     List<RawHttp> silentConnections = new ArrayList<>();
     try (RawHttp client =
-            RawHttp.to(node.address())
+            RawHttp.connect(node.address())
                 .write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
         RawHttp workerConnection = new RawHttp(worker.accept())) {
       workerConnection.read();
@@ -171,7 +171,7 @@
       assertEquals(client.read().body(), "one");
       // Exceeds the capacity of the node, which has 64 descriptors in total.
       for (int i = 0; i < 100; i++) {
-        silentConnections.add(RawHttp.to(node.address()));
+        silentConnections.add(RawHttp.connect(node.address()));
       }
       client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
       assertEquals(new RawHttp(worker.accept()).read().headers().get("Req-Id"), "b");
@@ -190,7 +190,7 @@
   @Test
   public void clientThatSendsOversizedBodyReceivesTheErrorStatus() throws Exception {
     start(endpointList(1, "active"));
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(jobHead("POST /api", "a", "order") + "\r\nContent-Length: 60000000\r\n\r\n");
       String part = "x".repeat(1 << 20);
       for (int i = 0; i < 8; i++) {
@@ -204,7 +204,7 @@
   @Test
   public void answersPipelinedRequestsInOrderAndRejectsTooMany() throws Exception {
     start(endpointList(1, "active"));
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       String ready = "GET /-/ready HTTP/1.1\r\n\r\n";
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), "") + ready.repeat(100));
       try (RawHttp workerConnection = new RawHttp(worker.accept())) {
@@ -225,17 +225,17 @@
   @Test
   public void becomesReadyWithFirstListAndKeepsItWhenDiscoveryBreaks() throws Exception {
     start(null);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(client.write("GET /-/ready HTTP/1.1\r\n\r\n").read().status(), 503);
       RawHttp watch = new RawHttp(discovery.accept());
-      assertEquals(watch.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
+      assertEquals(watch.read().startLine(), "GET /api/targets?watch=1 HTTP/1.1");
       watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       // A malformed update may have contained changes, so the node requests the whole list again.
       for (String malformed : List.of("{soup\n\n", "soup\n", "{\"members\":7}\n")) {
         watch.write(chunk(malformed));
         assertNull(watch.read());
         watch = new RawHttp(discovery.accept());
-        assertEquals(watch.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
+        assertEquals(watch.read().startLine(), "GET /api/targets?watch=1 HTTP/1.1");
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
       }
       String list = endpointList(41, "active") + "\n";
@@ -243,7 +243,7 @@
       awaitReadyStatus(client, 200);
       watch.close();
       RawHttp secondWatch = new RawHttp(discovery.accept());
-      assertEquals(secondWatch.read().start(), "GET /api/targets?watch=1&from=41 HTTP/1.1");
+      assertEquals(secondWatch.read().startLine(), "GET /api/targets?watch=1&from=41 HTTP/1.1");
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       assertNotNull(new RawHttp(worker.accept()).read());
       secondWatch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -257,11 +257,11 @@
   @Test
   public void keepsLastListWhenDiscoveryMovesAndRestartsRevisions() throws Exception {
     start(null);
-    try (RawHttp client = RawHttp.to(node.address());
-        RawHttp other = RawHttp.to(node.address());
+    try (RawHttp client = RawHttp.connect(node.address());
+        RawHttp other = RawHttp.connect(node.address());
         ServerSocket moved = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       RawHttp before = new RawHttp(discovery.accept());
-      assertEquals(before.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
+      assertEquals(before.read().startLine(), "GET /api/targets?watch=1 HTTP/1.1");
       before.write(
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
               + chunk(endpointList(41, "active") + "\n"));
@@ -271,7 +271,7 @@
       workerConnection.read();
       node.reload(config(moved.getLocalPort(), null));
       RawHttp after = new RawHttp(moved.accept());
-      assertEquals(after.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
+      assertEquals(after.read().startLine(), "GET /api/targets?watch=1 HTTP/1.1");
       // The old address stays in use until the new one has sent a list, so its change is applied.
       before.write(chunk(endpointList(42, "left").replace("true", "false") + "\n"));
       awaitReadyStatus(other, 503);
@@ -286,7 +286,8 @@
       assertEquals(client.read().body(), "soup");
       after.close();
       assertEquals(
-          new RawHttp(moved.accept()).read().start(), "GET /api/targets?watch=1&from=3 HTTP/1.1");
+          new RawHttp(moved.accept()).read().startLine(),
+          "GET /api/targets?watch=1&from=3 HTTP/1.1");
     }
   }
 
@@ -297,8 +298,8 @@
   @Test
   public void losesNothingInTwoReloadsWithSilentDiscoveryAndStop() throws Exception {
     start(config(discovery.getLocalPort(), endpointList(41, "active")), Clock.system());
-    try (RawHttp client = RawHttp.to(node.address());
-        RawHttp other = RawHttp.to(node.address());
+    try (RawHttp client = RawHttp.connect(node.address());
+        RawHttp other = RawHttp.connect(node.address());
         ServerSocket second = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         ServerSocket third = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       RawHttp silent = new RawHttp(discovery.accept());
@@ -314,7 +315,7 @@
         node.reload(config(third.getLocalPort(), null));
         assertNull(silentToo.read());
         RawHttp watch = new RawHttp(third.accept());
-        assertEquals(watch.read().start(), "GET /api/targets?watch=1 HTTP/1.1");
+        assertEquals(watch.read().startLine(), "GET /api/targets?watch=1 HTTP/1.1");
         awaitReadyStatus(other, 200);
         watch.write(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -332,7 +333,7 @@
   public void stopFinishesAcceptedJobWithLateCallback() throws Exception {
     start(endpointList(1, "active"));
     try (RawHttp client =
-            RawHttp.to(node.address())
+            RawHttp.connect(node.address())
                 .write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
         RawHttp workerConnection = new RawHttp(worker.accept())) {
       // The worker's connection stays referenced: garbage collection would close it and fail the
@@ -347,7 +348,7 @@
               || lateAnswer.status() != 503
               || lateAnswer.headers().containsKey("Retry-After");
           i++) {
-        try (RawHttp other = RawHttp.to(node.address())) {
+        try (RawHttp other = RawHttp.connect(node.address())) {
           String expired = jobHead("POST /api", "n" + i, "order").replace("9000m", "0m");
           lateAnswer = other.write(RawHttp.message(expired, "")).read();
         } catch (ConnectException refused) {
--- a/node/src/test/java/ferngrade/server/RaceConditionTest.java
+++ b/node/src/test/java/ferngrade/server/RaceConditionTest.java
@@ -92,7 +92,7 @@
     awaitSettled();
     emptyAcceptQueue(queuedConnections);
     try (RawHttp workerConnection = new RawHttp(worker.accept());
-        RawHttp client = RawHttp.to(node.address())) {
+        RawHttp client = RawHttp.connect(node.address())) {
       awaitSettled();
       advance(100);
       client.write(RawHttp.message(jobHead("POST /api", "b", "order"), ""));
@@ -105,7 +105,7 @@
   public void startsNoPipelinedRequestOfDisconnectedClient() throws Exception {
     start(endpointList(1, "active"), () -> now);
     RawHttp workerConnection;
-    try (RawHttp departing = RawHttp.to(node.address())) {
+    try (RawHttp departing = RawHttp.connect(node.address())) {
       departing.write(
           RawHttp.message(jobHead("POST /api", "a", "order"), "")
               + RawHttp.message(jobHead("POST /api", "b", "order"), ""));
@@ -117,7 +117,7 @@
     assertEquals(sendCallback("a", DONE), 204);
     awaitSettled();
     advance(100);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "c", "order"), ""));
       assertEquals(workerConnection.read().headers().get("Req-Id"), "c");
     }
@@ -126,7 +126,7 @@
   @Test
   public void deadlineOfPipelinedRequestIsReducedByItsWait() throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(
           RawHttp.message(jobHead("POST /api", "a", "order"), "")
               + RawHttp.message(jobHead("POST /api", "b", "order"), ""));
@@ -152,7 +152,7 @@
   public void leftoverBytesOnWorkerConnectionAreNotReadAsNextAnswer(
       String leftover, boolean inSameWrite) throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
@@ -175,7 +175,7 @@
   @Test
   public void lateSecondAnswerIsNotAssignedToNextRequest() throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
@@ -207,7 +207,7 @@
                       + other.getLocalPort()
                       + "\",\"locality\":\"z\",\"flavor\":\"k\","),
           () -> now);
-      try (RawHttp client = RawHttp.to(node.address())) {
+      try (RawHttp client = RawHttp.connect(node.address())) {
         client.write(RawHttp.message(jobHead("POST /api", "a", "draft"), ""));
         Map.Entry<ServerSocket, RawHttp> accepted = acceptFirst(worker, other);
         ServerSocket first = accepted.getKey();
@@ -217,7 +217,7 @@
         // The timer reads the clock after one second of real time.
         advance(1000);
         RawHttp deletion = new RawHttp(first.accept());
-        assertEquals(deletion.read().start(), "DELETE /jobs/a HTTP/1.1");
+        assertEquals(deletion.read().startLine(), "DELETE /jobs/a HTTP/1.1");
         assertEquals(new RawHttp(second.accept()).read().headers().get("Req-Id"), "a");
         assertNull(hung.read());
       }
@@ -227,7 +227,7 @@
   @Test
   public void timesOutIncompleteAnswerAndDeletesItsJob() throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
@@ -235,7 +235,7 @@
       awaitSettled();
       advance(1000);
       assertNull(workerConnection.read());
-      assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
+      assertEquals(new RawHttp(worker.accept()).read().startLine(), "DELETE /jobs/a HTTP/1.1");
       assertEquals(client.read().status(), 502, "the job may have run and must not run twice");
     }
   }
@@ -250,16 +250,16 @@
     watch.close();
     List<RawHttp> idleClients = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      idleClients.add(RawHttp.to(node.address()));
+      idleClients.add(RawHttp.connect(node.address()));
     }
     awaitSettled();
     advance(100);
     RawHttp secondWatch = new RawHttp(discovery.accept());
-    assertEquals(secondWatch.read().start(), "GET /api/targets?watch=1&from=1 HTTP/1.1");
+    assertEquals(secondWatch.read().startLine(), "GET /api/targets?watch=1&from=1 HTTP/1.1");
     secondWatch.write(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             + chunk(endpointList(2, "active") + "\n"));
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       new RawHttp(worker.accept()).read();
       assertEquals(sendCallback("a", DONE), 204);
@@ -273,7 +273,7 @@
   @Test
   public void readsRequestThatArrivesByteByByteAmongOthers() throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp slow = RawHttp.to(node.address())) {
+    try (RawHttp slow = RawHttp.connect(node.address())) {
       for (byte requestByte :
           RawHttp.message(jobHead("POST /api", "a", "order"), "body")
               .getBytes(StandardCharsets.US_ASCII)) {
@@ -290,7 +290,7 @@
   public void sendsNothingToWorkerThatDrainsDuringConnect() throws Exception {
     List<Socket> queuedConnections = fillAcceptQueue();
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       awaitSettled();
       watch.write(chunk(endpointList(2, "leaving") + "\n"));
@@ -312,8 +312,8 @@
     AtomicBoolean clientHasRead = new AtomicBoolean();
     CompletableFuture<Boolean> stopped;
     RawHttp workerConnection;
-    try (RawHttp client = RawHttp.to(node.address());
-        RawHttp idle = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address());
+        RawHttp idle = RawHttp.connect(node.address())) {
       idle.write(RawHttp.message(jobHead("POST /api", "r", "order"), ""));
       workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
@@ -354,7 +354,7 @@
   public void rejectsRequestThatIsCompletedAfterStop() throws Exception {
     start(endpointList(1, "active"), () -> now);
     String request = RawHttp.message(jobHead("POST /api", "a", "order"), "body");
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       // A known client is not displaced by new clients that connect meanwhile.
       client.write(RawHttp.message(jobHead("POST /api", "known", "order"), ""));
       new RawHttp(worker.accept()).read();
@@ -393,7 +393,7 @@
     node.reload(config(discovery.getLocalPort(), null));
     CompletableFuture<Void> second = CompletableFuture.runAsync(this::stop);
     // The grace period starts only once the stop has begun.
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       awaitReadyStatus(client, 503);
     }
     advance(700);
@@ -409,7 +409,7 @@
     start(config(discovery.getLocalPort(), endpointList(1, "active")), () -> now);
     RawHttp firstWatch = new RawHttp(discovery.accept());
     firstWatch.read();
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(client.write(READY).read().status(), 503);
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       assertEquals(client.read().status(), 503);
@@ -428,7 +428,7 @@
   public void newProcessUsesStoredListWhenDiscoverySendsNothing() throws Exception {
     start(config(discovery.getLocalPort(), endpointList(1, "active")), () -> now);
     new RawHttp(discovery.accept()).read();
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(client.write(READY).read().status(), 503);
       advance(300);
       awaitReadyStatus(client, 200);
@@ -438,7 +438,7 @@
   @Test
   public void newProcessUsesStoredListAtOnceWhenDiscoveryIsPolled() throws Exception {
     start(config(discovery.getLocalPort(), endpointList(1, "active"), "ask"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(client.write(READY).read().status(), 200);
     }
   }
@@ -446,7 +446,7 @@
   @Test
   public void acceptsCallbackWithMalformedLoadReport() throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       new RawHttp(worker.accept()).read();
       assertEquals(
--- a/node/src/test/java/ferngrade/server/ReadRequestTest.java
+++ b/node/src/test/java/ferngrade/server/ReadRequestTest.java
@@ -54,7 +54,7 @@
   public void answersEachRequestBeforeClosing(String input, List<Integer> answers)
       throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(input);
       assertEquals(readStatuses(client), answers);
     }
@@ -64,7 +64,7 @@
   public void answersEachRequestPipelinedAfterAJobBeforeClosing(String input, List<Integer> answers)
       throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "a", "order"), ""));
       new RawHttp(worker.accept()).read();
       client.write(input);
@@ -85,7 +85,7 @@
   @Test
   public void rejectsWaitingRequestsAtStop() throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(
           RawHttp.message(jobHead("POST /api", "a", "order"), "")
               + RawHttp.message(jobHead("POST /api", "b", "order"), ""));
@@ -95,7 +95,7 @@
       // The second client is accepted and read in later turns of the loop than the start of the
       // stop.
       for (int i = 0; i < 2; i++) {
-        try (RawHttp other = RawHttp.to(node.address())) {
+        try (RawHttp other = RawHttp.connect(node.address())) {
           awaitReadyStatus(other, 503);
         }
       }
@@ -126,7 +126,7 @@
   public void partialRequestTimesOutWithinThreeSeconds(String partial, boolean behindAJob)
       throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(
           (behindAJob ? RawHttp.message(jobHead("POST /api", "a", "order"), "") : "") + partial);
       if (behindAJob) {
@@ -146,7 +146,7 @@
     List<RawHttp> clients = new ArrayList<>();
     // Of 64 descriptors 26 are for clients, and a quarter of those may have a request outstanding.
     for (int i = 0; i < 7; i++) {
-      clients.add(RawHttp.to(node.address()).write(PARTIAL_BODY));
+      clients.add(RawHttp.connect(node.address()).write(PARTIAL_BODY));
       awaitSettled();
     }
     assertEquals(readStatuses(clients.get(0)), List.of(503));
--- a/node/src/test/java/ferngrade/server/RelayedCallbackProcessTest.java
+++ b/node/src/test/java/ferngrade/server/RelayedCallbackProcessTest.java
@@ -60,13 +60,13 @@
     List<RawHttp> callers = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
       if (round == 0) {
-        senders.add(RawHttp.to(clients));
+        senders.add(RawHttp.connect(clients));
       }
       senders.get(i).write(RawHttp.message(jobHead("POST /api", jobId(round, i), "order"), ""));
       acceptJob(jobId(round, i));
     }
     for (int i = 0; i < JOBS; i++) {
-      callers.add(RawHttp.to(clients).write(callback(jobId(round, i))));
+      callers.add(RawHttp.connect(clients).write(callback(jobId(round, i))));
     }
     for (int i = 0; i < JOBS; i++) {
       assertEquals(statusAfterRetries(callers.get(i), jobId(round, i)), 204, jobId(round, i));
@@ -102,7 +102,7 @@
   }
 
   private static long metric(ServingProcess process, String name) throws IOException {
-    try (RawHttp operator = RawHttp.to(process.operators())) {
+    try (RawHttp operator = RawHttp.connect(process.operators())) {
       String page = operator.write("GET /-/metrics HTTP/1.1\r\n\r\n").read().body();
       return page.lines()
           .filter(line -> line.startsWith(name + "="))
--- a/node/src/test/java/ferngrade/server/SharedSocketFixture.java
+++ b/node/src/test/java/ferngrade/server/SharedSocketFixture.java
@@ -96,7 +96,7 @@
     }
     String[] address = adminAddress().split(":", 2);
     InetSocketAddress operators = new InetSocketAddress(address[0], Integer.parseInt(address[1]));
-    try (RawHttp operator = RawHttp.to(operators)) {
+    try (RawHttp operator = RawHttp.connect(operators)) {
       awaitReadyStatus(operator, 200);
     }
     return new ServingProcess(process, operators);
@@ -112,7 +112,7 @@
   void acceptJob(String id) throws IOException {
     RawHttp workerConnection = new RawHttp(worker.accept());
     Message message = workerConnection.read();
-    assertEquals(message.headers().get("Req-Id"), id, message.start());
+    assertEquals(message.headers().get("Req-Id"), id, message.startLine());
     workerConnection.write(ACCEPTED_AND_CLOSED);
   }
 }
--- a/node/src/test/java/ferngrade/server/ShortDeadlineTest.java
+++ b/node/src/test/java/ferngrade/server/ShortDeadlineTest.java
@@ -30,7 +30,7 @@
   public void answersRequestDroppedByItsWorkerAtItsDeadline(int remainingMillis, String jobClass)
       throws Exception {
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       String head =
           jobHead("POST /api", "a", jobClass).replace("9000m", remainingMillis + "m")
               + "\r\nIdempotency-Key: k";
--- a/node/src/test/java/ferngrade/server/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/ShutdownTest.java
@@ -104,7 +104,7 @@
   }
 
   private RawHttp connect() throws IOException {
-    RawHttp client = RawHttp.to(node.address());
+    RawHttp client = RawHttp.connect(node.address());
     connections.add(client);
     return client;
   }
--- a/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
@@ -99,17 +99,17 @@
         errno,
         switch (pattern) {
           case ONCE -> FaultInjectingChannels.once();
-          case FOR_A_WHILE -> () -> faults.raised.get() < FAILED_ACCEPTS;
+          case FOR_A_WHILE -> () -> faults.injectedFaults.get() < FAILED_ACCEPTS;
           case EVERY_SECOND_CALL -> FaultInjectingChannels.everySecondCall();
         });
     long startNanos = System.nanoTime();
     for (int i = 0; i < 3; i++) {
-      try (RawHttp client = RawHttp.to(address)) {
+      try (RawHttp client = RawHttp.connect(address)) {
         assertEquals(client.write(READY).read().status(), 200);
       }
     }
     long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-    assertTrue(faults.raised.get() > 0, "no accept has failed");
+    assertTrue(faults.injectedFaults.get() > 0, "no accept has failed");
     assertTrue(millis < 900, "accepts were paused: " + millis + " ms");
   }
 
@@ -127,10 +127,10 @@
   public void startsAfterTransientListenerFailure(Purpose listener, Errno errno) throws Exception {
     faults.fail(listener, SystemCall.SOCKET, errno, FaultInjectingChannels.once());
     start(config(discovery.getLocalPort(), endpointList(1, "active")), Clock.system());
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertNotNull(client.write(READY).read());
     }
-    assertEquals(faults.raised.get(), 1);
+    assertEquals(faults.injectedFaults.get(), 1);
   }
 
   @DataProvider
@@ -192,7 +192,7 @@
       serve(id, faultEnds, affected);
       assertNoWorkerEjected();
     }
-    assertTrue(faults.raised.get() > 0, "the call has not failed");
+    assertTrue(faults.injectedFaults.get() > 0, "the call has not failed");
   }
 
   @Test(dataProvider = "connectFaults")
@@ -201,7 +201,7 @@
     double faultEnds = fail(Purpose.DISCOVERY, call, errno, pattern);
     start(config(discovery.getLocalPort(), endpointList(1, "active")), () -> now);
     awaitSettled();
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(client.write(READY).read().status(), 503, "the stored list must not be used");
     }
     passOutage(faultEnds);
@@ -210,10 +210,10 @@
     watch.write(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             + chunk(endpointList(2, "active") + "\n"));
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       awaitReadyStatus(client, 200);
     }
-    assertTrue(faults.raised.get() > 0, "the call has not failed");
+    assertTrue(faults.injectedFaults.get() > 0, "the call has not failed");
   }
 
   @Test(dataProvider = "connectFaults")
@@ -227,7 +227,7 @@
       passOutage(faultEnds);
       try (RawHttp announcement = new RawHttp(other.accept())) {
         Message message = announcement.read();
-        assertEquals(message.start(), "POST /-/sibling HTTP/1.1");
+        assertEquals(message.startLine(), "POST /-/sibling HTTP/1.1");
         assertTrue(message.body().endsWith(":" + node.adminAddress().getPort()), message.body());
       }
     }
@@ -254,7 +254,7 @@
         relayed.write("HTTP/1.1 204 No Content\r\n\r\n");
       }
       assertEquals(caller.read().status(), 204);
-      assertTrue(faults.raised.get() > 0, "the call has not failed");
+      assertTrue(faults.injectedFaults.get() > 0, "the call has not failed");
     }
   }
 
@@ -275,7 +275,7 @@
             () -> now,
             new RateLimitedLog(() -> now, line -> {}),
             channels);
-    return RawHttp.to(node.address());
+    return RawHttp.connect(node.address());
   }
 
   /**
@@ -283,15 +283,15 @@
    * {@code affected} is true if a system call of this job fails.
    */
   private void serve(String id, double faultEnds, boolean affected) throws Exception {
-    try (RawHttp client = RawHttp.to(node.address())) {
-      int raised = faults.raised.get();
+    try (RawHttp client = RawHttp.connect(node.address())) {
+      int injected = faults.injectedFaults.get();
       client.write(RawHttp.message(jobHead("POST /api", id, "order"), ""));
       awaitSettled();
       // A connect continues after awaitSettled() and fails at a time that depends on the machine.
-      while (affected && faults.raised.get() == raised) {
+      while (affected && faults.injectedFaults.get() == injected) {
         Thread.onSpinWait();
       }
-      if (faults.raised.get() > raised) {
+      if (faults.injectedFaults.get() > injected) {
         passOutage(faultEnds);
       }
       try (RawHttp workerConnection = acceptConnectionWithJob(id)) {
@@ -319,7 +319,7 @@
   }
 
   private void assertNoWorkerEjected() throws Exception {
-    try (RawHttp operator = RawHttp.to(node.adminAddress())) {
+    try (RawHttp operator = RawHttp.connect(node.adminAddress())) {
       String metrics = operator.write("GET /-/metrics HTTP/1.1\r\n\r\n").read().body();
       assertTrue(metrics.contains("menu_workers_excluded=0\n"), metrics);
       assertTrue(metrics.contains("failed.order=0\n"), metrics);
@@ -328,7 +328,7 @@
 
   @Test
   public void transfersWholeRequestsInOneByteReadsAndWrites() throws Exception {
-    faults.oneByte = true;
+    faults.oneByteTransfers = true;
     start(endpointList(1, "active"), () -> now);
     serve("a", now, false);
     serve("b", now, false);
--- a/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
@@ -276,7 +276,7 @@
     }
     blockLoop();
     for (int i = 0; i < PendingReads.MAX_ACCEPTS; i++) {
-      RawHttp.to(node.address()).close();
+      RawHttp.connect(node.address()).close();
     }
     blockReleased.countDown();
     awaitSettled();
--- a/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
@@ -131,11 +131,11 @@
 
   @Test
   public void rejectsRequestsThatWaitInSocketBuffers() throws Exception {
-    try (RawHttp idle = RawHttp.to(node.address())) {
+    try (RawHttp idle = RawHttp.connect(node.address())) {
       idle.write(RawHttp.message("GET /-/ready HTTP/1.1", "")).read();
       stopAndBlockLoopAt(NO_MORE_JOBS_LINE);
       idle.write(jobRequest("a"));
-      try (RawHttp waiting = RawHttp.to(node.address())) {
+      try (RawHttp waiting = RawHttp.connect(node.address())) {
         waiting.write(jobRequest("b"));
         blockReleased.countDown();
         assertRejected(idle);
@@ -153,7 +153,7 @@
   @Test
   public void answersOperatorsCallThatWaitsToBeAccepted() throws Exception {
     stopAndBlockLoopAt(SHUTDOWN_ENDS_LINE);
-    try (RawHttp waiting = RawHttp.to(node.adminAddress())) {
+    try (RawHttp waiting = RawHttp.connect(node.adminAddress())) {
       waiting.write(RawHttp.message("POST /-/menu-workers/s-1/disable HTTP/1.1", ""));
       blockReleased.countDown();
       assertEquals(waiting.read().status(), OK);
@@ -162,7 +162,7 @@
 
   @Test
   public void answersOperatorsCallOnOpenConnection() throws Exception {
-    try (RawHttp open = RawHttp.to(node.adminAddress())) {
+    try (RawHttp open = RawHttp.connect(node.adminAddress())) {
       open.write("POST /-/menu-workers/s-1/disable HTTP/1.1\r\n");
       stopAndBlockLoopAt(SHUTDOWN_ENDS_LINE);
       blockReleased.countDown();
@@ -177,7 +177,7 @@
     CompletableFuture<RawHttp> late = new CompletableFuture<>();
     beforeClose =
         () -> {
-          RawHttp caller = RawHttp.to(node.adminAddress());
+          RawHttp caller = RawHttp.connect(node.adminAddress());
           caller.write(RawHttp.message("POST /-/menu-workers/s-1/disable HTTP/1.1", ""));
           return late.complete(caller);
         };
--- a/node/src/test/java/ferngrade/transport/FaultInjectingChannels.java
+++ b/node/src/test/java/ferngrade/transport/FaultInjectingChannels.java
@@ -37,13 +37,13 @@
   }
 
   /** The number of faults injected so far. */
-  public final AtomicInteger raised = new AtomicInteger();
+  public final AtomicInteger injectedFaults = new AtomicInteger();
 
   /** Limits every read and every write to one byte. */
-  public volatile boolean oneByte;
+  public volatile boolean oneByteTransfers;
 
   /** The send buffer size in bytes of each outgoing connection; 0 for the system default. */
-  public volatile int sendBuffer;
+  public volatile int sendBufferBytes;
 
   private volatile Fault fault;
 
@@ -77,7 +77,7 @@
             && current.call() == call
             && current.shouldFail().getAsBoolean();
     if (injected) {
-      raised.incrementAndGet();
+      injectedFaults.incrementAndGet();
     }
     return injected;
   }
@@ -98,8 +98,8 @@
   public Channel connection(Purpose purpose) {
     failSocket(purpose);
     Connection connection = new Connection(purpose);
-    if (sendBuffer > 0) {
-      connection.config().setSendBufferSize(sendBuffer);
+    if (sendBufferBytes > 0) {
+      connection.config().setSendBufferSize(sendBufferBytes);
     }
     return connection;
   }
@@ -162,7 +162,7 @@
     @Override
     protected int doReadBytes(ByteBuf into) throws Exception {
       throwIfInjected(purpose, SystemCall.READ);
-      if (!oneByte) {
+      if (!oneByteTransfers) {
         return super.doReadBytes(into);
       }
       unsafe().recvBufAllocHandle().attemptedBytesRead(1);
@@ -172,7 +172,7 @@
     @Override
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
       throwIfInjected(purpose, SystemCall.WRITE);
-      if (!oneByte) {
+      if (!oneByteTransfers) {
         super.doWrite(out);
         return;
       }
