--- a/node/src/main/java/ferngrade/config/NodeConfig.java
+++ b/node/src/main/java/ferngrade/config/NodeConfig.java
@@ -140,7 +140,7 @@
         optional(json, "peers_all"),
         known(json, parser),
         settings,
-        mapping.asWritten(),
+        mapping.writtenSettings(),
         parser,
         connectTimeout,
         number(mapping, "Ceilings.ConnIdle", 60000),
--- a/node/src/main/java/ferngrade/config/SettingsMapping.java
+++ b/node/src/main/java/ferngrade/config/SettingsMapping.java
@@ -77,7 +77,7 @@
   }
 
   /** Returns the text of each setting by its path, as added. */
-  Map<String, String> asWritten() {
+  Map<String, String> writtenSettings() {
     return Map.copyOf(values);
   }
 
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -137,7 +137,7 @@
   private boolean stopped;
   private double backoff = INITIAL_BACKOFF_MILLIS;
   private double responseTimeout = INITIAL_RESPONSE_TIMEOUT_MILLIS;
-  private Timers.Timer silenceTimer;
+  private Timers.Timer inactivityTimer;
 
   /**
    * Creates a watch of {@code discovery}, which serves requests as {@code mode} describes. Runs
@@ -246,10 +246,10 @@
   }
 
   private void restartTimer(double timeoutMillis, Runnable onTimeout) {
-    if (silenceTimer != null) {
-      silenceTimer.cancel();
+    if (inactivityTimer != null) {
+      inactivityTimer.cancel();
     }
-    silenceTimer = timers.after(timeoutMillis, () -> timerExpired(onTimeout));
+    inactivityTimer = timers.after(timeoutMillis, () -> timerExpired(onTimeout));
   }
 
   /**
@@ -257,9 +257,9 @@
    * restarts the timer.
    */
   private void timerExpired(Runnable onTimeout) {
-    Timers.Timer expired = silenceTimer;
+    Timers.Timer expired = inactivityTimer;
     readPending();
-    if (channel != null && silenceTimer == expired) {
+    if (channel != null && inactivityTimer == expired) {
       onTimeout.run();
     }
   }
@@ -286,7 +286,7 @@
   /** Handles the end of the connection, whichever side has closed it. */
   private void connectionClosed() {
     channel = null;
-    silenceTimer.cancel();
+    inactivityTimer.cancel();
     scheduleRetry("watch ended");
   }
 
--- a/node/src/main/java/ferngrade/http/AdminHandler.java
+++ b/node/src/main/java/ferngrade/http/AdminHandler.java
@@ -77,7 +77,7 @@
         bytesRead += ((ByteBuf) bytes).readableBytes();
         if (state == ConnectionState.UNREAD || state == ConnectionState.RESTING) {
           state = ConnectionState.RECEIVING;
-          arrivedAt = arrivedSince();
+          arrivedAt = earliestArrival();
           admin.connections().receiving(AdminHandler.this);
         }
         ctx.fireChannelRead(bytes);
@@ -93,7 +93,7 @@
     };
   }
 
-  private double arrivedSince() {
+  private double earliestArrival() {
     ArrivalClock arrivals = calls.arrivals();
     return arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.earliestArrival();
   }
--- a/node/src/main/java/ferngrade/http/CancellationExchange.java
+++ b/node/src/main/java/ferngrade/http/CancellationExchange.java
@@ -71,7 +71,7 @@
   @Override
   void connectionLost(FaultOrigin origin) {
     timeout.cancel();
-    if (!retried && (connection.reusedAfter >= 0 || origin == FaultOrigin.LOCAL)) {
+    if (!retried && (connection.idleBeforeReuse >= 0 || origin == FaultOrigin.LOCAL)) {
       retried = true;
       client.dial(worker, this);
     } else {
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -78,7 +78,7 @@
         connection.close();
       } else if (idleFor >= MIN_IDLE_MILLIS && connection.activeAfterReading()) {
         pooled.remove(connection);
-        connection.reusedAfter = idleFor;
+        connection.idleBeforeReuse = idleFor;
         return connection;
       }
     }
@@ -149,7 +149,7 @@
       return;
     }
     connection.idleSince = clock.now();
-    connection.reusedAfter = -1;
+    connection.idleBeforeReuse = -1;
     pooled.push(connection);
   }
 
@@ -160,8 +160,8 @@
     if (!connection.closedLocally()) {
       if (wasIdle) {
         learnLimit(connection.worker(), clock.now() - connection.idleSince);
-      } else if (connection.reusedAfter >= 0) {
-        learnLimit(connection.worker(), connection.reusedAfter);
+      } else if (connection.idleBeforeReuse >= 0) {
+        learnLimit(connection.worker(), connection.idleBeforeReuse);
       }
     }
   }
--- a/node/src/main/java/ferngrade/http/ConnectionTable.java
+++ b/node/src/main/java/ferngrade/http/ConnectionTable.java
@@ -49,7 +49,7 @@
   private final Set<C> idle = new LinkedHashSet<>();
   private final AwaitedConnections<C> awaited;
 
-  private boolean reviewScheduled;
+  private boolean limitCheckScheduled;
   private long accepted;
 
   /**
@@ -123,7 +123,7 @@
   void setLimits(Limits changed) {
     limits = changed;
     acceptSwitch.setCapacity(freeCapacity());
-    scheduleReview();
+    scheduleLimitCheck();
   }
 
   // ---- Notifications from connections ----
@@ -152,7 +152,7 @@
     idle.remove(connection);
     if (open.contains(connection)) {
       awaited.add(connection);
-      scheduleReview();
+      scheduleLimitCheck();
     }
   }
 
@@ -161,7 +161,7 @@
     if (!awaited.contains(connection)) {
       awaitPeer(connection);
     }
-    scheduleReview();
+    scheduleLimitCheck();
   }
 
   /** Handles the arrival of a complete request, which is handled from now on. */
@@ -182,7 +182,7 @@
     awaited.remove(connection);
     if (open.contains(connection)) {
       idle.add(connection);
-      scheduleReview();
+      scheduleLimitCheck();
     }
   }
 
@@ -213,10 +213,10 @@
     return awaited.size() > limits.awaited() || !hasCapacity();
   }
 
-  private void scheduleReview() {
-    if (limitReached() && !reviewScheduled) {
-      reviewScheduled = true;
-      loop.execute(this::review);
+  private void scheduleLimitCheck() {
+    if (limitReached() && !limitCheckScheduled) {
+      limitCheckScheduled = true;
+      loop.execute(this::checkLimits);
     }
   }
 
@@ -224,8 +224,8 @@
    * Reads the connections that were accepted and not read yet, and then evicts connections if a
    * limit is exceeded.
    */
-  private void review() {
-    reviewScheduled = false;
+  private void checkLimits() {
+    limitCheckScheduled = false;
     if (limitReached()) {
       awaited.unread().forEach(this::read);
       enforceLimits();
@@ -340,7 +340,7 @@
         connection.timedOut();
       }
     }
-    review();
+    checkLimits();
     timers.after(SWEEP_INTERVAL_MILLIS, this::sweep);
   }
 }
--- a/node/src/main/java/ferngrade/http/OperatorCalls.java
+++ b/node/src/main/java/ferngrade/http/OperatorCalls.java
@@ -29,7 +29,7 @@
    * The minimum time for the disk to store the change, in ms: the call may have arrived later than
    * assumed.
    */
-  private static final double MIN_STORE_TIMEOUT = 50;
+  private static final double MIN_STORE_TIMEOUT_MILLIS = 50;
 
   private final RequestCoordinator coordinator;
   private final HttpFrontend frontend;
@@ -213,7 +213,8 @@
       answer.accept(MaintenanceOutcome.STORED);
       return;
     }
-    double remaining = Math.max(MIN_STORE_TIMEOUT, arrivedAt + STORE_TIMEOUT_MILLIS - clock.now());
+    double remaining =
+        Math.max(MIN_STORE_TIMEOUT_MILLIS, arrivedAt + STORE_TIMEOUT_MILLIS - clock.now());
     Timers.Timer timeout =
         timers.after(remaining, () -> answer.accept(MaintenanceOutcome.NOT_STORED_YET));
     state.storeMaintenance(
--- a/node/src/main/java/ferngrade/http/RequestBytesReader.java
+++ b/node/src/main/java/ferngrade/http/RequestBytesReader.java
@@ -128,7 +128,7 @@
     } else if (decoder.paused()) {
       bufferUndecoded(bytes);
     } else {
-      arrivedAt = arrivedSince();
+      arrivedAt = earliestArrival();
       decode(bytes);
     }
   }
@@ -162,7 +162,7 @@
     }
   }
 
-  private double arrivedSince() {
+  private double earliestArrival() {
     if (!Double.isNaN(unreadSince)) {
       return unreadSince;
     }
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -35,8 +35,8 @@
   private final Consumer<UpgradePeer> whenRefused;
   private final Queue<PeerCall> queued = new ArrayDeque<>();
   private State state = State.DISCONNECTED;
-  private int heldCalls;
-  private int heldBytes;
+  private int pendingCalls;
+  private int pendingBytes;
 
   /** The connection that is being negotiated or kept open; null in the other states. */
   private PeerConnection connection;
@@ -74,13 +74,13 @@
   /** Makes a call. If the limits are exceeded, the call ends at once without an answer. */
   void send(PeerCall call) {
     if (state == State.FORGOTTEN
-        || heldCalls >= MAX_CALLS
-        || heldBytes + call.bodySize() > MAX_BYTES) {
+        || pendingCalls >= MAX_CALLS
+        || pendingBytes + call.bodySize() > MAX_BYTES) {
       call.end(PeerCall.NO_ANSWER);
       return;
     }
-    heldCalls++;
-    heldBytes += call.bodySize();
+    pendingCalls++;
+    pendingBytes += call.bodySize();
     call.setTimer(timers.after(call.timeout(), () -> timedOut(call)));
     queued.add(call);
     sendQueued();
@@ -112,10 +112,10 @@
     call.end(PeerCall.NO_ANSWER);
   }
 
-  /** Removes a call from the calls held. */
+  /** Removes a call from the counts of pending calls. */
   private void release(PeerCall call) {
-    heldCalls--;
-    heldBytes -= call.bodySize();
+    pendingCalls--;
+    pendingBytes -= call.bodySize();
   }
 
   /** Sends the queued calls as far as the state allows. */
--- a/node/src/main/java/ferngrade/http/WorkerConnection.java
+++ b/node/src/main/java/ferngrade/http/WorkerConnection.java
@@ -40,7 +40,7 @@
    * How long the connection was idle before its present exchange, in ms; negative if that exchange
    * is its first.
    */
-  double reusedAfter = -1;
+  double idleBeforeReuse = -1;
 
   private boolean closedLocally;
 
--- a/node/src/main/java/ferngrade/node/DurationBuckets.java
+++ b/node/src/main/java/ferngrade/node/DurationBuckets.java
@@ -5,15 +5,15 @@
  * library at startup. Not thread-safe.
  */
 public final class DurationBuckets {
-  private static final int[] BOUNDS_MS = {1, 5, 20, 50, 150, 500, 2000};
+  private static final int[] BOUNDS_MILLIS = {1, 5, 20, 50, 150, 500, 2000};
 
-  private final long[] counts = new long[BOUNDS_MS.length + 1];
+  private final long[] counts = new long[BOUNDS_MILLIS.length + 1];
   private double max;
 
   /** Counts one duration, in ms. */
   void add(double millis) {
     int bucket = 0;
-    while (bucket < BOUNDS_MS.length && millis > BOUNDS_MS[bucket]) {
+    while (bucket < BOUNDS_MILLIS.length && millis > BOUNDS_MILLIS[bucket]) {
       bucket++;
     }
     counts[bucket]++;
@@ -39,7 +39,7 @@
   /** Passes every bucket to {@code visitor}. */
   public void forEach(Visitor visitor) {
     for (int i = 0; i < counts.length; i++) {
-      visitor.bucket(i < BOUNDS_MS.length ? BOUNDS_MS[i] + "ms" : "inf", counts[i]);
+      visitor.bucket(i < BOUNDS_MILLIS.length ? BOUNDS_MILLIS[i] + "ms" : "inf", counts[i]);
     }
   }
 }
--- a/node/src/main/java/ferngrade/node/SharedLog.java
+++ b/node/src/main/java/ferngrade/node/SharedLog.java
@@ -54,7 +54,7 @@
   private final Consumer<String> log;
   private final BackgroundWriter writer;
   private final Consumer<String> records;
-  private final Runnable replaced;
+  private final Runnable onReplaced;
   private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
@@ -103,8 +103,8 @@
    * @param loop runs tasks on the event loop
    * @param log receives a line when an operation fails, on any thread
    * @param records receives each record on the event loop, including the records of this process
-   * @param replaced runs on the event loop when another file is found at the path; the records that
-   *     are still in effect must then be appended again
+   * @param onReplaced runs on the event loop when another file is found at the path; the records
+   *     that are still in effect must then be appended again
    */
   public SharedLog(
       Path path,
@@ -114,7 +114,7 @@
       Executor loop,
       Consumer<String> log,
       Consumer<String> records,
-      Runnable replaced) {
+      Runnable onReplaced) {
     this.path = path;
     this.files = files;
     this.scheduler = scheduler;
@@ -122,7 +122,7 @@
     this.loop = loop;
     this.log = log;
     this.records = records;
-    this.replaced = replaced;
+    this.onReplaced = onReplaced;
     this.writer =
         new BackgroundWriter(path.getFileName().toString(), scheduler, log, this::storePending);
   }
@@ -208,7 +208,7 @@
           path.getFileName() + " was replaced by another file, which is followed from now on");
       close(previous);
     }
-    replaced.run();
+    onReplaced.run();
   }
 
   private static void close(Closeable file) {
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -336,7 +336,7 @@
     }
     RequestReader reader = new RequestReader(config.settings());
     if (sharedState != null && sharedState.othersRun()) {
-      holdAcceptingUntilReady();
+      pauseAcceptingUntilReady();
     }
     pendingBinds.add(
         frontend.listen(
@@ -394,7 +394,7 @@
   }
 
   /** Delays accepting clients until this process is ready, while a predecessor still serves. */
-  private void holdAcceptingUntilReady() {
+  private void pauseAcceptingUntilReady() {
     frontend.pauseAccepting(true);
     coordinator.onReady(() -> frontend.pauseAccepting(false));
     timers.after(MAX_ACCEPT_PAUSE_MILLIS, () -> frontend.pauseAccepting(false));
--- a/node/src/main/java/ferngrade/server/PauseDetector.java
+++ b/node/src/main/java/ferngrade/server/PauseDetector.java
@@ -28,14 +28,14 @@
 
   private final Clock clock;
   private final Timers timers;
-  private double lastRun;
+  private double lastRunAt;
   private double pauseStart = Double.NaN;
   private double pauseEnd = Double.NEGATIVE_INFINITY;
 
   PauseDetector(Clock clock, Timers timers) {
     this.clock = clock;
     this.timers = timers;
-    this.lastRun = clock.now();
+    this.lastRunAt = clock.now();
   }
 
   /** Checks for a gap and schedules the next check. */
@@ -56,12 +56,12 @@
 
   private void checkForGap() {
     double now = clock.now();
-    if (now - lastRun > INTERVAL_MILLIS + TOLERANCE_MILLIS) {
+    if (now - lastRunAt > INTERVAL_MILLIS + TOLERANCE_MILLIS) {
       // A signal that arrived in the first of two gaps may be detected only after the second one
       // if the process ran for hardly any time in between, so the gaps count as one.
-      pauseStart = lastRun - pauseEnd <= TOLERANCE_MILLIS ? pauseStart : lastRun;
+      pauseStart = lastRunAt - pauseEnd <= TOLERANCE_MILLIS ? pauseStart : lastRunAt;
       pauseEnd = now;
     }
-    lastRun = now;
+    lastRunAt = now;
   }
 }
--- a/node/src/main/java/ferngrade/server/StateFolder.java
+++ b/node/src/main/java/ferngrade/server/StateFolder.java
@@ -53,9 +53,16 @@
   }
 
   /** Creates the log shared by all processes of the node; {@link SharedLog} has the parameters. */
-  SharedLog sharedLog(Executor loop, Consumer<String> records, Runnable replaced) {
+  SharedLog sharedLog(Executor loop, Consumer<String> records, Runnable onReplaced) {
     return new SharedLog(
-        folder.resolve(SHARED_LOG_FILE), files, writer, appender, loop, report, records, replaced);
+        folder.resolve(SHARED_LOG_FILE),
+        files,
+        writer,
+        appender,
+        loop,
+        report,
+        records,
+        onReplaced);
   }
 
   /** Returns the scheduler for tasks that must not run on the event loop. */
--- a/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
@@ -51,13 +51,13 @@
                           + chunks(
                               list(41, true, id, WORKERS, "active").toString(layout) + "\n",
                               chunkSize)));
-      awaitMembers(WORKERS);
+      awaitEndpoints(WORKERS);
       written.get();
       watch.write(
           chunks(list(42, false, id, WORKERS - 1, "left").toString(layout) + "\n", chunkSize));
-      awaitMembers(1);
+      awaitEndpoints(1);
       watch.write(chunks(list(43, false, id, 2, "active").toString(layout) + "\n", chunkSize));
-      awaitMembers(3);
+      awaitEndpoints(3);
     }
   }
 
@@ -102,7 +102,7 @@
     }
   }
 
-  private void awaitMembers(int count) throws Exception {
+  private void awaitEndpoints(int count) throws Exception {
     while (loop.submit(() -> node.metrics().known()).get() != count) {
       Thread.onSpinWait();
     }
--- a/node/src/test/java/ferngrade/discovery/DiscoveryAskedTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryPollingTest.java
@@ -12,10 +12,10 @@
  * Tests the watch of a discovery service that serves all nodes, processes requests from a queue,
  * and may be overloaded or down.
  */
-public class DiscoveryAskedTest extends DiscoveryTestBase {
-  private static final double INITIAL_RESPONSE_TIMEOUT = 1_000;
-  private static final double MAX_RESPONSE_TIMEOUT = 3_000;
-  private static final double MAX_BACKOFF = 500;
+public class DiscoveryPollingTest extends DiscoveryTestBase {
+  private static final double INITIAL_RESPONSE_TIMEOUT_MILLIS = 1_000;
+  private static final double MAX_RESPONSE_TIMEOUT_MILLIS = 3_000;
+  private static final double MAX_BACKOFF_MILLIS = 500;
   private static final String SERVICE_UNAVAILABLE =
       "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
@@ -54,9 +54,9 @@
     timeOutRequests(timeouts);
     try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
       double start = now;
-      advanceAndRunTimers(MAX_RESPONSE_TIMEOUT);
+      advanceAndRunTimers(MAX_RESPONSE_TIMEOUT_MILLIS);
       assertNull(request.read());
-      advanceAfterWatchEnds(MAX_BACKOFF);
+      advanceAfterWatchEnds(MAX_BACKOFF_MILLIS);
       accept(WHOLE_LIST_REQUEST).close();
       assertTrue(now - start <= 4_000, "milliseconds until the next request: " + (now - start));
     }
@@ -69,9 +69,9 @@
       request.write(RESPONSE_HEADER + list(41, true, "s-1", "active"));
       awaitReady(true);
     }
-    advanceAfterWatchEnds(MAX_BACKOFF);
+    advanceAfterWatchEnds(MAX_BACKOFF_MILLIS);
     try (RawHttp request = accept("GET /api/targets?watch=1&from=41 HTTP/1.1")) {
-      advanceAndRunTimers(INITIAL_RESPONSE_TIMEOUT);
+      advanceAndRunTimers(INITIAL_RESPONSE_TIMEOUT_MILLIS);
       assertNull(request.read());
     }
     assertTrue(loop.submit(node::ready).get(), "the last list stays in use");
@@ -94,7 +94,7 @@
       try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
         request.write(response);
       }
-      advanceAfterWatchEnds(MAX_BACKOFF);
+      advanceAfterWatchEnds(MAX_BACKOFF_MILLIS);
     }
     assertFalse(loop.submit(node::ready).get());
     try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
@@ -106,7 +106,7 @@
   @Test(timeOut = 5_000)
   public void acceptsLateListSentByteByByte() throws Exception {
     try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
-      advanceAndRunTimers(INITIAL_RESPONSE_TIMEOUT - 150);
+      advanceAndRunTimers(INITIAL_RESPONSE_TIMEOUT_MILLIS - 150);
       request.write(RESPONSE_HEADER);
       String text =
           "{\"revision\":41,\n"
@@ -122,10 +122,10 @@
   private void timeOutRequests(int count) throws Exception {
     for (int i = 0; i < count; i++) {
       try (RawHttp request = accept(WHOLE_LIST_REQUEST)) {
-        advanceAndRunTimers(MAX_RESPONSE_TIMEOUT);
+        advanceAndRunTimers(MAX_RESPONSE_TIMEOUT_MILLIS);
         assertNull(request.read());
       }
-      advanceAfterWatchEnds(MAX_BACKOFF);
+      advanceAfterWatchEnds(MAX_BACKOFF_MILLIS);
     }
   }
 }
--- a/node/src/test/java/ferngrade/http/RawBytes.java
+++ b/node/src/test/java/ferngrade/http/RawBytes.java
@@ -15,13 +15,13 @@
 public final class RawBytes {
   private static final Pattern LENGTH = Pattern.compile("(?i)\r\ncontent-length: *(\\d+)\r\n");
   private static final Pattern PORT = Pattern.compile("127\\.0\\.0\\.1:\\d+|localhost:\\d+");
-  private static final int TIMEOUT_MS = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
 
   private RawBytes() {}
 
   /** Returns the next message of a connection, without reading ahead. */
   public static String read(Socket socket) throws IOException {
-    socket.setSoTimeout(TIMEOUT_MS);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     InputStream in = socket.getInputStream();
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     while (!text(head).endsWith("\r\n\r\n")) {
--- a/node/src/test/java/ferngrade/http/UpgradePeersTest.java
+++ b/node/src/test/java/ferngrade/http/UpgradePeersTest.java
@@ -25,9 +25,9 @@
 /** Tests calls to another process of the node, which the test simulates, with a simulated clock. */
 @Test
 public class UpgradePeersTest {
-  private static final String TAKEN = "HTTP/1.1 204 No Content\r\n\r\n";
+  private static final String ACCEPTED = "HTTP/1.1 204 No Content\r\n\r\n";
   private static final String UNKNOWN = RawHttp.message("HTTP/1.1 404 Not Found", "");
-  private static final String TAKEN_AND_CLOSED =
+  private static final String ACCEPTED_AND_CLOSED =
       "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n";
 
   private BlockingQueue<String> outcomes;
@@ -83,7 +83,7 @@
     assertEquals(nextOutcome(), "a UNKNOWN");
     assertEquals(readKeepAliveCall(connection), "b");
     assertEquals(readKeepAliveCall(connection), "c");
-    connection.write(TAKEN + UNKNOWN);
+    connection.write(ACCEPTED + UNKNOWN);
     assertEquals(nextOutcome(), "b TAKEN");
     assertEquals(nextOutcome(), "c UNKNOWN");
   }
@@ -93,13 +93,13 @@
     relay("a", "b", "c");
     RawHttp first = accept();
     assertEquals(readKeepAliveCall(first), "a");
-    first.write(TAKEN_AND_CLOSED);
+    first.write(ACCEPTED_AND_CLOSED);
     assertEquals(nextOutcome(), "a TAKEN");
     assertNull(first.read());
     for (RawHttp connection : List.of(accept(), accept())) {
       Message call = connection.read();
       assertEquals(call.headers().get("Connection"), "close");
-      connection.write(TAKEN_AND_CLOSED);
+      connection.write(ACCEPTED_AND_CLOSED);
       assertEquals(nextOutcome(), call.body() + " TAKEN");
       assertNull(connection.read());
     }
@@ -114,7 +114,7 @@
     first.close();
     RawHttp second = accept();
     assertEquals(readKeepAliveCall(second), "b");
-    second.write(TAKEN);
+    second.write(ACCEPTED);
     assertEquals(nextOutcome(), "b TAKEN");
     assertEquals(readKeepAliveCall(second), "c");
     relay("d");
@@ -134,7 +134,7 @@
     relay("b", "c");
     first.read();
     first.read();
-    first.write(TAKEN_AND_CLOSED);
+    first.write(ACCEPTED_AND_CLOSED);
     assertEquals(nextOutcome(), "b TAKEN");
     assertEquals(readKeepAliveCall(accept()), "c");
   }
@@ -161,7 +161,7 @@
     assertEquals(nextOutcome(), "b UNANSWERED");
     relay("c");
     assertEquals(readKeepAliveCall(connection), "c");
-    connection.write(TAKEN + UNKNOWN);
+    connection.write(ACCEPTED + UNKNOWN);
     assertEquals(nextOutcome(), "c UNKNOWN");
   }
 
@@ -177,7 +177,7 @@
     advanceTo(900);
     assertEquals(nextOutcome(), "a UNANSWERED");
     assertEquals(nextOutcome(), "b UNANSWERED");
-    connection.write(TAKEN);
+    connection.write(ACCEPTED);
     assertEquals(readKeepAliveCall(connection), "c");
   }
 
@@ -189,7 +189,7 @@
     assertEquals(nextOutcome(), "c UNANSWERED");
     RawHttp connection = accept();
     assertEquals(readKeepAliveCall(connection), large);
-    connection.write(TAKEN);
+    connection.write(ACCEPTED);
     assertEquals(nextOutcome(), large + " TAKEN");
     assertEquals(readKeepAliveCall(connection), "b");
     relay(new String[UpgradePeer.MAX_CALLS]);
@@ -221,7 +221,7 @@
       accept().write(UNKNOWN);
       assertEquals(
           outcomes.poll(1, TimeUnit.SECONDS), null, "the new process has not answered yet");
-      new RawHttp(started.accept()).write(TAKEN);
+      new RawHttp(started.accept()).write(ACCEPTED);
       assertEquals(nextOutcome(), "a TAKEN");
     }
   }
@@ -245,7 +245,7 @@
     relay("a");
     RawHttp connection = accept();
     assertEquals(readKeepAliveCall(connection), "a");
-    connection.write(TAKEN);
+    connection.write(ACCEPTED);
     assertEquals(nextOutcome(), "a TAKEN");
     return connection;
   }
--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -38,7 +38,7 @@
 /** Tests the requests of the worker client with a scripted worker and a simulated clock. */
 @Test(timeOut = 30_000)
 public class WorkerClientTest {
-  private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+  private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
   private static final int SMALL_BUFFER_BYTES = 2048;
 
@@ -98,7 +98,7 @@
     WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
-    first.write(TAKEN);
+    first.write(ACCEPTED);
     awaitIdleConnection();
     advance(100);
     loop.submit(() -> attempt.cancel(() -> {})).get();
@@ -118,7 +118,7 @@
     send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
-    first.write(TAKEN);
+    first.write(ACCEPTED);
     awaitIdleConnection();
     now = 30_000;
     loop.submit(timers::run).get();
@@ -130,7 +130,7 @@
     send("a");
     try (RawHttp first = new RawHttp(worker.accept())) {
       first.read();
-      first.write(TAKEN);
+      first.write(ACCEPTED);
       awaitIdleConnection();
       now = 400;
     }
@@ -140,7 +140,7 @@
     send("b");
     RawHttp second = new RawHttp(worker.accept());
     second.read();
-    second.write(TAKEN);
+    second.write(ACCEPTED);
     awaitIdleConnection();
     // The first connection lasted 400 ms, so this one is not reused after 200 ms.
     now = 650;
@@ -148,7 +148,7 @@
     RawHttp third = new RawHttp(worker.accept());
     assertEquals(third.read().headers().get("Req-Id"), "c");
     assertNull(second.read());
-    third.write(TAKEN);
+    third.write(ACCEPTED);
     awaitIdleConnection();
     now = 700;
     send("d");
@@ -174,7 +174,7 @@
     int idle =
         loop.submit(
                 () -> {
-                  first.write(TAKEN);
+                  first.write(ACCEPTED);
                   attempt.readPending();
                   return pool.idle();
                 })
@@ -262,7 +262,7 @@
     WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
-    first.write(TAKEN);
+    first.write(ACCEPTED);
     awaitIdleConnection();
     advance(100);
     loop.submit(
@@ -287,7 +287,7 @@
     WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
-    first.write(TAKEN);
+    first.write(ACCEPTED);
     awaitIdleConnection();
     advance(100);
     loop.submit(() -> attempt.cancel(() -> events.add("deleted"))).get();
@@ -318,7 +318,7 @@
       {
         "answered again",
         (IdleConnectionFault)
-            connection -> connection.getOutputStream().write(TAKEN.getBytes(US_ASCII))
+            connection -> connection.getOutputStream().write(ACCEPTED.getBytes(US_ASCII))
       }
     };
   }
@@ -334,7 +334,7 @@
     Socket first = worker.accept();
     RawHttp idle = new RawHttp(first);
     idle.read();
-    idle.write(TAKEN);
+    idle.write(ACCEPTED);
     awaitIdleConnection();
     assertEquals(events.take(), "written");
     advance(100);
@@ -347,7 +347,7 @@
         .get();
     RawHttp second = new RawHttp(worker.accept());
     assertEquals(second.read().headers().get("Req-Id"), "b", description);
-    second.write(TAKEN);
+    second.write(ACCEPTED);
     awaitIdleConnection();
     assertEquals(events.take(), "written");
     assertTrue(events.isEmpty(), description + ": " + events);
@@ -419,7 +419,7 @@
     RawHttp first = new RawHttp(worker.accept());
     if (call == SystemCall.READ) {
       first.read();
-      first.write(TAKEN);
+      first.write(ACCEPTED);
     }
     for (String event : expectedEvents) {
       assertEquals(events.take(), event);
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/DurationsAcrossClockStepsTest.java
@@ -28,7 +28,7 @@
  * monotonic time: the same input must lead to the same answers, sends and times when the wall clock
  * is stepped at any point.
  */
-public class SpansAcrossStepsTest {
+public class DurationsAcrossClockStepsTest {
   private static final double START_MILLIS = 1_700_000_000_000.0;
   private static final int STEP_POINTS = 10;
 
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossClockStepsTest.java
@@ -26,7 +26,7 @@
  * A worker that joins and warms up at 200 requests a second must get the same number of requests in
  * each second, whether or not wall clocks were stepped at some earlier time.
  */
-public class SlowStartAcrossStepsTest {
+public class SlowStartAcrossClockStepsTest {
   private static final double START_MILLIS = 1_700_000_000_000.0;
   private static final int OBSERVED_SECONDS = 10;
   private static final double REQUEST_INTERVAL_MILLIS = 5;
--- a/node/src/test/java/ferngrade/server/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
@@ -28,7 +28,7 @@
  * must read pending input before it starts the attempt. The test scripts the dispatcher.
  */
 @Test(timeOut = 30_000)
-public class DepartedClientTest extends NodeIntegrationFixture {
+public class DisconnectedClientTest extends NodeIntegrationFixture {
   private static final String DECLINED =
       "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
--- a/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
@@ -171,7 +171,7 @@
   }
 
   /** Advances the clock past the fault and the time within which service must have recovered. */
-  private void passOutage(double faultEnds) throws Exception {
+  private void advancePastOutage(double faultEnds) throws Exception {
     awaitSettled();
     while (now < faultEnds) {
       advance(MAX_RECOVERY_MILLIS);
@@ -204,7 +204,7 @@
     try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(client.write(READY).read().status(), 503, "the stored list must not be used");
     }
-    passOutage(faultEnds);
+    advancePastOutage(faultEnds);
     watch = new RawHttp(discovery.accept());
     watch.read();
     watch.write(
@@ -224,7 +224,7 @@
         RawHttp client = startAfterPredecessor(other)) {
       other.setSoTimeout(5_000);
       client.write(READY).read();
-      passOutage(faultEnds);
+      advancePastOutage(faultEnds);
       try (RawHttp announcement = new RawHttp(other.accept())) {
         Message message = announcement.read();
         assertEquals(message.startLine(), "POST /-/sibling HTTP/1.1");
@@ -248,7 +248,7 @@
               pattern == Pattern.FOR_A_WHILE ? Pattern.ONCE : pattern);
       String callback = "{\"id\":\"a\",\"from\":\"s-1\"," + DONE + "}";
       caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", callback));
-      passOutage(faultEnds);
+      advancePastOutage(faultEnds);
       try (RawHttp relayed = new RawHttp(other.accept())) {
         assertEquals(relayed.read().body(), callback);
         relayed.write("HTTP/1.1 204 No Content\r\n\r\n");
@@ -292,7 +292,7 @@
         Thread.onSpinWait();
       }
       if (faults.injectedFaults.get() > injected) {
-        passOutage(faultEnds);
+        advancePastOutage(faultEnds);
       }
       try (RawHttp workerConnection = acceptConnectionWithJob(id)) {
         workerConnection.write(ACCEPTED);
