--- a/emulator/src/main/java/ferngrade/emulator/Mutation.java
+++ b/emulator/src/main/java/ferngrade/emulator/Mutation.java
@@ -41,8 +41,8 @@
             }
 
             @Override
-            public void refused(double retryAfter) {
-              time.after(REJECTION_DELAY_MILLIS, () -> delegate.refused(retryAfter));
+            public void rejected(double retryAfter) {
+              time.after(REJECTION_DELAY_MILLIS, () -> delegate.rejected(retryAfter));
             }
 
             @Override
@@ -60,7 +60,7 @@
       public void served(String result) {}
 
       @Override
-      public void refused(double retryAfter) {}
+      public void rejected(double retryAfter) {}
 
       @Override
       public void failed() {}
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -236,7 +236,7 @@
     }
 
     @Override
-    public void giveUp(Runnable onGivenUp) {
+    public void cancel(Runnable onGivenUp) {
       if (!givenUp && !ended) {
         giveUp();
       }
@@ -277,7 +277,7 @@
                 accepted = true;
                 unansweredTransfers.remove(this);
                 release(worker);
-                listener.taken();
+                listener.accepted();
               }
             });
       } else {
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -72,8 +72,8 @@
 
   /**
    * How long connects that fail for lack of local resources are retried, ms, one retry every {@link
-   * Dialer#BACKOFF}. Such a failure is no sign that discovery is unreachable, so the list counts as
-   * unavailable only after this time.
+   * Dialer#BACKOFF_MILLIS}. Such a failure is no sign that discovery is unreachable, so the list
+   * counts as unavailable only after this time.
    */
   private static final double LOCAL_FAILURE_RETRY_MILLIS = 2500;
 
@@ -137,7 +137,7 @@
   private boolean stopped;
   private double backoff = INITIAL_BACKOFF_MILLIS;
   private double responseTimeout = INITIAL_RESPONSE_TIMEOUT_MILLIS;
-  private Timers.Timer silenceTimer;
+  private Timers.Timer inactivityTimer;
 
   /**
    * Creates a watch of {@code discovery}, which serves requests as {@code mode} describes. Runs
@@ -199,7 +199,7 @@
   /** Starts the watch on the new connection, or schedules a retry. */
   private final class DialListener implements Dialer.Listener {
     @Override
-    public boolean wanted() {
+    public boolean isStillNeeded() {
       return !stopped;
     }
 
@@ -246,10 +246,10 @@
   }
 
   private void restartTimer(double timeoutMillis, Runnable onTimeout) {
-    if (silenceTimer != null) {
-      silenceTimer.cancel();
+    if (inactivityTimer != null) {
+      inactivityTimer.cancel();
     }
-    silenceTimer = timers.after(timeoutMillis, () -> timerExpired(onTimeout));
+    inactivityTimer = timers.after(timeoutMillis, () -> timerExpired(onTimeout));
   }
 
   /**
@@ -257,9 +257,9 @@
    * restarts the timer.
    */
   private void timerExpired(Runnable onTimeout) {
-    Timers.Timer expired = silenceTimer;
+    Timers.Timer expired = inactivityTimer;
     readPending();
-    if (channel != null && silenceTimer == expired) {
+    if (channel != null && inactivityTimer == expired) {
       onTimeout.run();
     }
   }
@@ -272,7 +272,7 @@
 
   private void responseIsSlow() {
     if (!stopped) {
-      coordinator.discoverySilent();
+      coordinator.discoveryUnresponsive();
     }
   }
 
@@ -286,7 +286,7 @@
   /** Handles the end of the connection, whichever side has closed it. */
   private void connectionClosed() {
     channel = null;
-    silenceTimer.cancel();
+    inactivityTimer.cancel();
     scheduleRetry("watch ended");
   }
 
@@ -295,7 +295,7 @@
       return;
     }
     log.line("discovery at " + discovery + ": " + reason);
-    coordinator.listFailed();
+    coordinator.endpointWatchFailed();
     timers.after(backoff, this::start);
     backoff = Math.min(mode.maxBackoff, 2 * backoff);
   }
@@ -321,7 +321,7 @@
     if (event instanceof CompleteObject object) {
       applyList(parser.read(Json.parse(object.json())));
     } else {
-      coordinator.listUnchanged();
+      coordinator.endpointsConfirmed();
     }
   }
 
@@ -342,7 +342,7 @@
       wholeListReceived = true;
       onFirstList.run();
     }
-    coordinator.members(
+    coordinator.updateEndpoints(
         list.complete() ? EndpointListUpdate.WHOLE : EndpointListUpdate.CHANGES, list.members());
   }
 
--- a/node/src/main/java/ferngrade/http/AttemptExchange.java
+++ b/node/src/main/java/ferngrade/http/AttemptExchange.java
@@ -61,7 +61,7 @@
   }
 
   @Override
-  boolean wanted() {
+  boolean isStillNeeded() {
     return stage != Stage.ENDED && listener.mayStart();
   }
 
@@ -83,10 +83,10 @@
       return null;
     }
     client.beforeStart();
-    boolean wanted = listener.mayStart();
+    boolean mayStart = listener.mayStart();
     // Computed as late as possible, because a dial may have used up the time.
     double remaining = deadline - client.now();
-    if (!wanted || remaining <= 0) {
+    if (!mayStart || remaining <= 0) {
       end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
       return null;
     }
@@ -98,14 +98,14 @@
     if (client.process() != null) {
       request.headers().set(Headers.PROCESS, client.process());
     }
-    if (job.repeatKey() != null) {
-      request.headers().set(Headers.IDEMPOTENCY_KEY, job.repeatKey());
+    if (job.idempotencyKey() != null) {
+      request.headers().set(Headers.IDEMPOTENCY_KEY, job.idempotencyKey());
     }
     return request;
   }
 
   @Override
-  void carriedBy(WorkerConnection carrier) {
+  void connectionAssigned(WorkerConnection carrier) {
     connection = carrier;
     stage = Stage.WRITING;
   }
@@ -128,7 +128,7 @@
     int status = response.status().code();
     if (status == 202) {
       stage = Stage.ACCEPTED;
-      listener.taken();
+      listener.accepted();
     } else if ((status == 503 || status == 504)
         && "1".equals(response.headers().get(Headers.DECLINED))) {
       end(AttemptOutcome.FULL, report);
@@ -156,12 +156,12 @@
     } else if (stage == Stage.WRITING) {
       stage = Stage.CONNECTING;
       delayedLocally = true;
-      client.timers().after(Dialer.BACKOFF, this::retry);
+      client.timers().after(Dialer.BACKOFF_MILLIS, this::retry);
     }
   }
 
   private void retry() {
-    if (wanted()) {
+    if (isStillNeeded()) {
       client.start(worker, this);
     } else {
       end(AttemptOutcome.NEVER_SENT, LoadReport.NONE);
@@ -185,7 +185,7 @@
    * may already have been sent; hence the DELETE.
    */
   @Override
-  public void giveUp(Runnable whenNotified) {
+  public void cancel(Runnable whenNotified) {
     boolean mayRun = stage == Stage.WRITTEN || stage == Stage.ACCEPTED;
     stage = Stage.ENDED;
     if (connection != null) {
--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -38,7 +38,7 @@
 /** Tests the requests of the worker client with a scripted worker and a simulated clock. */
 @Test(timeOut = 30_000)
 public class WorkerClientTest {
-  private static final String TAKEN = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+  private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
   private static final int SMALL_BUFFER_BYTES = 2048;
 
@@ -46,7 +46,7 @@
   private MultiThreadIoEventLoopGroup group;
   private EventLoop loop;
   private volatile double now;
-  private volatile boolean wanted;
+  private volatile boolean mayStart;
   private ServerSocket worker;
   private Timers timers;
   private ConnectionPool pool;
@@ -60,7 +60,7 @@
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     loop = group.next();
     now = 0;
-    wanted = true;
+    mayStart = true;
     worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     worker.setSoTimeout(10_000);
     loop.submit(
@@ -98,18 +98,18 @@
     WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
-    first.write(TAKEN);
+    first.write(ACCEPTED);
     awaitIdleConnection();
     advance(100);
-    loop.submit(() -> attempt.giveUp(() -> {})).get();
+    loop.submit(() -> attempt.cancel(() -> {})).get();
     Message delete = first.read();
-    assertEquals(delete.start(), "DELETE /jobs/a HTTP/1.1");
+    assertEquals(delete.startLine(), "DELETE /jobs/a HTTP/1.1");
     first.write("HTTP/1.1 404 Unknown\r\nContent-Length: 0\r\n\r\n");
     awaitIdleConnection();
     advance(100);
     WorkerTransport.AttemptHandle waiting = send("b");
     assertEquals(first.read().headers().get("Req-Id"), "b");
-    loop.submit(() -> waiting.giveUp(() -> {})).get();
+    loop.submit(() -> waiting.cancel(() -> {})).get();
     assertNull(first.read());
   }
 
@@ -118,7 +118,7 @@
     send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
-    first.write(TAKEN);
+    first.write(ACCEPTED);
     awaitIdleConnection();
     now = 30_000;
     loop.submit(timers::run).get();
@@ -130,7 +130,7 @@
     send("a");
     try (RawHttp first = new RawHttp(worker.accept())) {
       first.read();
-      first.write(TAKEN);
+      first.write(ACCEPTED);
       awaitIdleConnection();
       now = 400;
     }
@@ -140,7 +140,7 @@
     send("b");
     RawHttp second = new RawHttp(worker.accept());
     second.read();
-    second.write(TAKEN);
+    second.write(ACCEPTED);
     awaitIdleConnection();
     // The first connection lasted 400 ms, so this one is not reused after 200 ms.
     now = 650;
@@ -148,7 +148,7 @@
     RawHttp third = new RawHttp(worker.accept());
     assertEquals(third.read().headers().get("Req-Id"), "c");
     assertNull(second.read());
-    third.write(TAKEN);
+    third.write(ACCEPTED);
     awaitIdleConnection();
     now = 700;
     send("d");
@@ -174,7 +174,7 @@
     int idle =
         loop.submit(
                 () -> {
-                  first.write(TAKEN);
+                  first.write(ACCEPTED);
                   attempt.readPending();
                   return pool.idle();
                 })
@@ -220,11 +220,11 @@
 
   @Test
   public void writesNothingWhenTheAttemptIsNoLongerWanted() throws Exception {
-    wanted = false;
+    mayStart = false;
     send("a");
     RawHttp first = new RawHttp(worker.accept());
     assertEquals(events.take(), "NEVER_SENT");
-    wanted = true;
+    mayStart = true;
     awaitIdleConnection();
     advance(100);
     send("b");
@@ -237,7 +237,7 @@
    */
   @Test
   public void reportsConnectFailedForAResetWhileTheRequestIsWritten() throws Exception {
-    faults.sendBuffer = SMALL_BUFFER_BYTES;
+    faults.sendBufferBytes = SMALL_BUFFER_BYTES;
     try (ServerSocket smallBufferWorker = new ServerSocket()) {
       smallBufferWorker.setReceiveBufferSize(SMALL_BUFFER_BYTES);
       smallBufferWorker.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -262,17 +262,17 @@
     WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
-    first.write(TAKEN);
+    first.write(ACCEPTED);
     awaitIdleConnection();
     advance(100);
     loop.submit(
             () -> {
               first.end();
-              attempt.giveUp(() -> events.add("deleted"));
+              attempt.cancel(() -> events.add("deleted"));
               return null;
             })
         .get();
-    assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
+    assertEquals(new RawHttp(worker.accept()).read().startLine(), "DELETE /jobs/a HTTP/1.1");
     assertEquals(events.take(), "written");
     assertEquals(events.take(), "deleted");
     assertTrue(events.isEmpty(), "once");
@@ -287,13 +287,13 @@
     WorkerTransport.AttemptHandle attempt = send("a");
     RawHttp first = new RawHttp(worker.accept());
     first.read();
-    first.write(TAKEN);
+    first.write(ACCEPTED);
     awaitIdleConnection();
     advance(100);
-    loop.submit(() -> attempt.giveUp(() -> events.add("deleted"))).get();
-    assertEquals(first.read().start(), "DELETE /jobs/a HTTP/1.1");
+    loop.submit(() -> attempt.cancel(() -> events.add("deleted"))).get();
+    assertEquals(first.read().startLine(), "DELETE /jobs/a HTTP/1.1");
     first.end();
-    assertEquals(new RawHttp(worker.accept()).read().start(), "DELETE /jobs/a HTTP/1.1");
+    assertEquals(new RawHttp(worker.accept()).read().startLine(), "DELETE /jobs/a HTTP/1.1");
     assertEquals(events.take(), "written");
     assertEquals(events.take(), "deleted");
     assertTrue(events.isEmpty(), "once");
@@ -318,7 +318,7 @@
       {
         "answered again",
         (IdleConnectionFault)
-            connection -> connection.getOutputStream().write(TAKEN.getBytes(US_ASCII))
+            connection -> connection.getOutputStream().write(ACCEPTED.getBytes(US_ASCII))
       }
     };
   }
@@ -334,7 +334,7 @@
     Socket first = worker.accept();
     RawHttp idle = new RawHttp(first);
     idle.read();
-    idle.write(TAKEN);
+    idle.write(ACCEPTED);
     awaitIdleConnection();
     assertEquals(events.take(), "written");
     advance(100);
@@ -347,7 +347,7 @@
         .get();
     RawHttp second = new RawHttp(worker.accept());
     assertEquals(second.read().headers().get("Req-Id"), "b", description);
-    second.write(TAKEN);
+    second.write(ACCEPTED);
     awaitIdleConnection();
     assertEquals(events.take(), "written");
     assertTrue(events.isEmpty(), description + ": " + events);
@@ -419,7 +419,7 @@
     RawHttp first = new RawHttp(worker.accept());
     if (call == SystemCall.READ) {
       first.read();
-      first.write(TAKEN);
+      first.write(ACCEPTED);
     }
     for (String event : expectedEvents) {
       assertEquals(events.take(), event);
@@ -450,18 +450,18 @@
     assertEquals(events.take(), "NEVER_SENT");
     assertTrue(attempt.delayedLocally());
     assertTrue(
-        faults.raised.get() <= 1 + 1000 / Dialer.BACKOFF,
-        "attempts within 1000 ms: " + faults.raised);
+        faults.injectedFaults.get() <= 1 + 1000 / Dialer.BACKOFF_MILLIS,
+        "attempts within 1000 ms: " + faults.injectedFaults);
   }
 
   @Test
   public void doesNotRetryTheDialOfAnAttemptNoLongerWanted() throws Exception {
     faults.fail(Purpose.WORKERS, SystemCall.CONNECT, Errno.ENOBUFS, FaultInjectingChannels.once());
-    wanted = false;
+    mayStart = false;
     send("a");
     advanceUntilEvent();
     assertEquals(events.take(), "NEVER_SENT");
-    assertEquals(faults.raised.get(), 1);
+    assertEquals(faults.injectedFaults.get(), 1);
   }
 
   /** Advances the clock by one backoff at a time until the attempt or check reports an event. */
@@ -469,7 +469,7 @@
     while (events.isEmpty()) {
       loop.submit(
               () -> {
-                advance(Dialer.BACKOFF);
+                advance(Dialer.BACKOFF_MILLIS);
                 timers.run();
               })
           .get();
@@ -497,7 +497,7 @@
   private final class RecordingListener implements WorkerTransport.Listener {
     @Override
     public boolean mayStart() {
-      return wanted;
+      return mayStart;
     }
 
     @Override
@@ -506,7 +506,7 @@
     }
 
     @Override
-    public void taken() {}
+    public void accepted() {}
 
     @Override
     public void ended(AttemptOutcome outcome, LoadReport report) {
--- a/node/src/test/java/ferngrade/node/SpansAcrossStepsTest.java
+++ b/node/src/test/java/ferngrade/node/DurationsAcrossClockStepsTest.java
@@ -28,7 +28,7 @@
  * monotonic time: the same input must lead to the same answers, sends and times when the wall clock
  * is stepped at any point.
  */
-public class SpansAcrossStepsTest {
+public class DurationsAcrossClockStepsTest {
   private static final double START_MILLIS = 1_700_000_000_000.0;
   private static final int STEP_POINTS = 10;
 
@@ -87,7 +87,7 @@
               .asObject());
       coordinator =
           new RequestCoordinator(
-              new RequestCoordinator.Surroundings(
+              new RequestCoordinator.Dependencies(
                   clock,
                   timers,
                   tasks::add,
@@ -129,12 +129,13 @@
 
     private void stepIfDue() {
       if (stepPointsPassed++ == point) {
-        clock.step(step);
+        clock.stepWallClock(step);
       }
     }
 
     private void updateList(WorkerState state) {
-      coordinator.members(EndpointListUpdate.WHOLE, List.of(entry(1, state), entry(2, state)));
+      coordinator.updateEndpoints(
+          EndpointListUpdate.WHOLE, List.of(entry(1, state), entry(2, state)));
       run();
     }
 
@@ -156,7 +157,7 @@
 
     private void advance(double millis) {
       for (double elapsed = 0; elapsed < millis; elapsed += 10) {
-        clock.pass(10);
+        clock.advance(10);
         timers.run();
         run();
       }
@@ -180,7 +181,7 @@
       event(call.id() + " to " + lastWorker + " for " + timeout);
       lastListener = listener;
       listener.written();
-      listener.taken();
+      listener.accepted();
       return whenNotified -> {
         event(call.id() + " cancelled");
         whenNotified.run();
@@ -206,7 +207,7 @@
       }
 
       @Override
-      public void refused(double retryAfter) {
+      public void rejected(double retryAfter) {
         event(id + " refused for " + retryAfter);
       }
 
--- a/node/src/test/java/ferngrade/server/DepartedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
@@ -28,7 +28,7 @@
  * must read pending input before it starts the attempt. The test scripts the dispatcher.
  */
 @Test(timeOut = 30_000)
-public class DepartedClientTest extends NodeIntegrationFixture {
+public class DisconnectedClientTest extends NodeIntegrationFixture {
   private static final String DECLINED =
       "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
@@ -152,7 +152,7 @@
       blockReleased.countDown();
       awaitSettled();
       advance(100);
-      try (RawHttp client = RawHttp.to(node.address())) {
+      try (RawHttp client = RawHttp.connect(node.address())) {
         client.write(RawHttp.message(jobHead("POST /api", "b", "draft"), ""));
         // The connection opened for the abandoned attempt is reused, since nothing was written to
         // it.
@@ -172,7 +172,7 @@
     blockReached = new CountDownLatch(1);
     blockReleased = new CountDownLatch(1);
     start(endpointList(1, "active"), () -> now);
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       client.write(RawHttp.message(jobHead("POST /api", "first", "draft"), ""));
       RawHttp workerConnection = new RawHttp(worker.accept());
       workerConnection.read();
