--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -5,7 +5,7 @@
 import ferngrade.membership.MemberStatus;
 import ferngrade.membership.MembershipUpdate;
 import ferngrade.membership.Message;
-import ferngrade.membership.Message.Letter;
+import ferngrade.membership.Message.Envelope;
 import ferngrade.membership.MessageAuthenticator;
 import ferngrade.membership.Peer;
 import ferngrade.membership.SwimProtocol;
@@ -190,7 +190,8 @@
         }
       }
     }
-    if (widest > SwimProtocol.Terms.LOCAL.bytes() + MessageAuthenticator.BYTES) {
+    if (widest
+        > SwimProtocol.Settings.LOCAL.maxEnvelopeBytes() + MessageAuthenticator.OVERHEAD_BYTES) {
       addViolation("bounded", "a datagram of " + widest + " bytes");
     }
   }
@@ -263,12 +264,13 @@
     }
     to.process.execute(
         () -> {
-          MessageAuthenticator.Opened opened = to.authenticator.open("intruder", replayed);
-          if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
+          MessageAuthenticator.UnsealResult unsealed =
+              to.authenticator.unseal("intruder", replayed);
+          if (unsealed.verdict() == MessageAuthenticator.Verdict.TAKEN) {
             addViolation(
                 forged ? "forged" : "replayed",
                 to.name + " accepted a replayed or forged datagram of " + old.from());
-            to.accept("intruder", opened.content());
+            to.accept("intruder", unsealed.content());
           } else {
             refused++;
           }
@@ -294,7 +296,7 @@
   // ---- Members ----
 
   /** One process of a member. */
-  private final class SimulatedMember implements SwimProtocol.Out {
+  private final class SimulatedMember implements SwimProtocol.Callbacks {
     final String name;
     final long run = ++runs * 0x9E3779B97F4A7C15L | 1;
     final double startedAt = time.now();
@@ -312,7 +314,7 @@
               name,
               run,
               names.subList(0, Math.min(3, names.size())),
-              SwimProtocol.Terms.LOCAL,
+              SwimProtocol.Settings.LOCAL,
               new SplittableRandom(random.nextLong()),
               this);
       swim.start(0);
@@ -324,14 +326,14 @@
     }
 
     private void tick() {
-      swim.run(now());
-      time.after(Math.max(0.01, swim.next() - now()), () -> process.execute(this::tick));
+      swim.runDueTasks(now());
+      time.after(Math.max(0.01, swim.nextTaskAt() - now()), () -> process.execute(this::tick));
     }
 
     MemberStatus statusOf(String other) {
       return swim.peers().stream()
           .filter(peer -> peer.name().equals(other))
-          .map(Peer::standing)
+          .map(Peer::status)
           .findFirst()
           .orElse(null);
     }
@@ -339,16 +341,16 @@
     long runOf(String other) {
       return swim.peers().stream()
           .filter(peer -> peer.name().equals(other))
-          .map(peer -> peer.news().run())
+          .map(peer -> peer.update().run())
           .findFirst()
           .orElse(0L);
     }
 
     @Override
-    public void send(String to, String address, Letter letter) {
+    public void send(String to, String address, Envelope envelope) {
       transmit(
           to == null ? address : to,
-          authenticator.close(to == null ? address : to, codec.write(letter)));
+          authenticator.seal(to == null ? address : to, codec.write(envelope)));
     }
 
     private void transmit(String to, byte[] datagram) {
@@ -380,28 +382,28 @@
     }
 
     private void handle(String from, byte[] datagram) {
-      MessageAuthenticator.Opened opened = authenticator.open(from, datagram);
-      if (opened.answer() != null) {
-        transmit(from, opened.answer());
+      MessageAuthenticator.UnsealResult unsealed = authenticator.unseal(from, datagram);
+      if (unsealed.answer() != null) {
+        transmit(from, unsealed.answer());
       }
-      if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
-        accept(from, opened.content());
+      if (unsealed.verdict() == MessageAuthenticator.Verdict.TAKEN) {
+        accept(from, unsealed.content());
       }
     }
 
     void accept(String from, byte[] content) {
       try {
-        if (codec.read(content, 0, content.length) instanceof Letter letter) {
+        if (codec.read(content, 0, content.length) instanceof Envelope envelope) {
           if (mutant == Mutant.NO_DENIAL) {
-            letter =
-                new Letter(
-                    letter.self(),
-                    letter.message() instanceof Message.Sync sync
+            envelope =
+                new Envelope(
+                    envelope.self(),
+                    envelope.message() instanceof Message.Sync sync
                         ? new Message.Sync(others(sync.all()), sync.asks())
-                        : letter.message(),
-                    others(letter.news()));
+                        : envelope.message(),
+                    others(envelope.news()));
           }
-          swim.received(now(), from, letter);
+          swim.received(now(), from, envelope);
         }
       } catch (IOException malformed) {
         addViolation(
@@ -415,31 +417,31 @@
     }
 
     @Override
-    public void changed(Peer before, Peer after) {
+    public void statusChanged(Peer before, Peer after) {
       SimulatedMember other = members.get(after.name());
-      suspicions += after.standing() == MemberStatus.SUSPECT ? 1 : 0;
-      if (after.standing() == MemberStatus.FAILED
+      suspicions += after.status() == MemberStatus.SUSPECT ? 1 : 0;
+      if (after.status() == MemberStatus.FAILED
           && other != null
           && other.process.alive()
           && !other.process.paused()
           && !process.paused()
           && cuts.isEmpty()
-          && after.news().run() == other.run) {
+          && after.update().run() == other.run) {
         falseEnds++;
         if (lossOnly) {
           addViolation("no false end", name + " declared " + after.name() + " failed, which is up");
         }
       }
       if (before != null
-          && before.standing() == MemberStatus.LEFT
-          && after.standing() == MemberStatus.FAILED
-          && before.news().run() == after.news().run()) {
+          && before.status() == MemberStatus.LEFT
+          && after.status() == MemberStatus.FAILED
+          && before.update().run() == after.update().run()) {
         addViolation("left", after.name() + " has left and is declared failed");
       }
     }
 
     @Override
-    public void clash(MembershipUpdate other) {
+    public void nameConflict(MembershipUpdate other) {
       if (members.get(name) == this) {
         addViolation(
             "one process",
--- a/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
@@ -139,7 +139,7 @@
 
     void send(byte[] message) {
       if (channel != null && channel.isWritable()) {
-        write(channel, authenticator.close(name, content(message)));
+        write(channel, authenticator.seal(name, content(message)));
       }
     }
 
@@ -164,7 +164,7 @@
                       .addLast(
                           new LengthFieldPrepender(4),
                           new LengthFieldBasedFrameDecoder(
-                              4 + MessageAuthenticator.BYTES, 0, 4, 0, 4),
+                              4 + MessageAuthenticator.OVERHEAD_BYTES, 0, 4, 0, 4),
                           new ReplyHandler(name));
                 }
               })
@@ -215,9 +215,9 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-      MessageAuthenticator.Opened opened = authenticator.open(name, bytes(frame));
-      if (opened.answer() != null) {
-        write(ctx.channel(), opened.answer());
+      MessageAuthenticator.UnsealResult unsealed = authenticator.unseal(name, bytes(frame));
+      if (unsealed.answer() != null) {
+        write(ctx.channel(), unsealed.answer());
       }
     }
 
@@ -231,12 +231,12 @@
   private final class InboundHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-      MessageAuthenticator.Opened opened = authenticator.open(null, bytes(frame));
-      if (opened.answer() != null) {
-        write(ctx.channel(), opened.answer());
-      } else if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN
-          && opened.content().length > 0) {
-        deliver(opened.content());
+      MessageAuthenticator.UnsealResult unsealed = authenticator.unseal(null, bytes(frame));
+      if (unsealed.answer() != null) {
+        write(ctx.channel(), unsealed.answer());
+      } else if (unsealed.verdict() == MessageAuthenticator.Verdict.TAKEN
+          && unsealed.content().length > 0) {
+        deliver(unsealed.content());
       } else {
         ctx.close();
       }
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -429,7 +429,8 @@
                             Stream.of(new Peer(membership.self(), clock.now())),
                             membership.peers().stream())
                         .map(
-                            peer -> new MembersStatus.Line(peer.news(), clock.now() - peer.since()))
+                            peer ->
+                                new MembersStatus.Line(peer.update(), clock.now() - peer.since()))
                         .toList(),
                     membership.refused()),
         loop);
--- a/fleet/src/main/java/ferngrade/fleet/Membership.java
+++ b/fleet/src/main/java/ferngrade/fleet/Membership.java
@@ -4,7 +4,7 @@
 import ferngrade.config.EndpointListParser;
 import ferngrade.membership.MembershipUpdate;
 import ferngrade.membership.Message;
-import ferngrade.membership.Message.Letter;
+import ferngrade.membership.Message.Envelope;
 import ferngrade.membership.MessageAuthenticator;
 import ferngrade.membership.Peer;
 import ferngrade.membership.SwimProtocol;
@@ -99,9 +99,9 @@
             hostAndPort(address()),
             processNumber,
             gossipAddresses.values().stream().map(Membership::hostAndPort).toList(),
-            SwimProtocol.Terms.LOCAL,
+            SwimProtocol.Settings.LOCAL,
             new SplittableRandom(environment.seed()),
-            new ProtocolOutput());
+            new ProtocolCallbacks());
   }
 
   private static String hostAndPort(InetSocketAddress address) {
@@ -125,9 +125,9 @@
     }
     timer =
         timers.after(
-            Math.max(0, swim.next() - clock.now()),
+            Math.max(0, swim.nextTaskAt() - clock.now()),
             () -> {
-              swim.run(clock.now());
+              swim.runDueTasks(clock.now());
               scheduleNextRun();
             });
   }
@@ -168,17 +168,18 @@
   /** Handles a datagram on the member's thread. */
   private void handleDatagram(InetSocketAddress from, byte[] datagram) {
     String source = hostAndPort(from);
-    MessageAuthenticator.Opened opened = authenticator.open(source, datagram);
-    if (opened.answer() != null) {
-      send(from, opened.answer());
+    MessageAuthenticator.UnsealResult unsealed = authenticator.unseal(source, datagram);
+    if (unsealed.answer() != null) {
+      send(from, unsealed.answer());
     }
-    if (opened.verdict() == MessageAuthenticator.Verdict.FORGED
-        || opened.verdict() == MessageAuthenticator.Verdict.REPLAYED) {
-      countRejected(from + " " + opened.verdict());
-    } else if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
+    if (unsealed.verdict() == MessageAuthenticator.Verdict.FORGED
+        || unsealed.verdict() == MessageAuthenticator.Verdict.REPLAYED) {
+      countRejected(from + " " + unsealed.verdict());
+    } else if (unsealed.verdict() == MessageAuthenticator.Verdict.TAKEN) {
       try {
-        if (codec.read(opened.content(), 0, opened.content().length) instanceof Letter letter) {
-          swim.received(clock.now(), source, letter);
+        if (codec.read(unsealed.content(), 0, unsealed.content().length)
+            instanceof Envelope envelope) {
+          swim.received(clock.now(), source, envelope);
           scheduleNextRun();
         }
       } catch (IOException malformed) {
@@ -202,33 +203,34 @@
         new DatagramPacket(Unpooled.wrappedBuffer(datagram), to), channel.voidPromise());
   }
 
-  private final class ProtocolOutput implements SwimProtocol.Out {
+  private final class ProtocolCallbacks implements SwimProtocol.Callbacks {
     @Override
-    public void send(String name, String address, Letter letter) {
+    public void send(String name, String address, Envelope envelope) {
       // The address in this member's file takes precedence over the address that gossip carries.
       InetSocketAddress to = name == null ? null : gossipAddresses.get(name);
       try {
         InetSocketAddress target = to != null ? to : EndpointListParser.address(address);
-        Membership.this.send(target, authenticator.close(hostAndPort(target), codec.write(letter)));
+        Membership.this.send(
+            target, authenticator.seal(hostAndPort(target), codec.write(envelope)));
       } catch (IllegalArgumentException invalid) {
         countRejected(name + ", which announces the invalid address " + address);
       }
     }
 
     @Override
-    public void changed(Peer before, Peer after) {
+    public void statusChanged(Peer before, Peer after) {
       log.accept(
           "seems member="
               + after.name()
               + " standing="
-              + after.standing().name().toLowerCase(Locale.ROOT)
+              + after.status().name().toLowerCase(Locale.ROOT)
               + " incarnation="
-              + after.news().incarnation()
-              + (after.news().by().equals(after.name()) ? "" : " by=" + after.news().by()));
+              + after.update().incarnation()
+              + (after.update().by().equals(after.name()) ? "" : " by=" + after.update().by()));
     }
 
     @Override
-    public void clash(MembershipUpdate other) {
+    public void nameConflict(MembershipUpdate other) {
       log.accept("clash: another process with this member's name runs at " + other.address());
     }
   }
--- a/membership/src/main/java/ferngrade/membership/Message.java
+++ b/membership/src/main/java/ferngrade/membership/Message.java
@@ -9,10 +9,10 @@
       List.of(
           MembershipUpdate.class,
           MemberStatus.class,
-          Letter.class,
+          Envelope.class,
           Ping.class,
           Ack.class,
-          PingFor.class,
+          PingRequest.class,
           Nack.class,
           Digest.class,
           Sync.class);
@@ -20,7 +20,7 @@
   /**
    * A message with its sender's own status and some of the updates that the sender has received.
    */
-  record Letter(MembershipUpdate self, Message message, List<MembershipUpdate> news) {
+  record Envelope(MembershipUpdate self, Message message, List<MembershipUpdate> news) {
     boolean isValid() {
       return self != null
           && message != null
@@ -30,7 +30,7 @@
           && (!(message instanceof Sync sync)
               || (sync.all() != null
                   && sync.all().stream().allMatch(update -> update != null && update.isValid())))
-          && (!(message instanceof PingFor request)
+          && (!(message instanceof PingRequest request)
               || (request.name() != null && request.address() != null));
     }
   }
@@ -44,7 +44,7 @@
   /**
    * Asks the receiver to ping the member of this name, at this address, on behalf of the sender.
    */
-  record PingFor(long number, String name, String address) implements Message {}
+  record PingRequest(long number, String name, String address) implements Message {}
 
   /** Reports that the helper is reachable but the target of a ping request has not answered yet. */
   record Nack(long number) implements Message {}
--- a/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
+++ b/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
@@ -33,7 +33,7 @@
   private static final int MAX_RETAINED_BYTES = 4_096;
 
   /** The overhead of a sealed message over its content, bytes. */
-  public static final int BYTES = HEADER_BYTES + TAG_BYTES;
+  public static final int OVERHEAD_BYTES = HEADER_BYTES + TAG_BYTES;
 
   private final byte[] fleet;
   private final List<HmacUtils> keys;
@@ -68,10 +68,10 @@
   }
 
   /**
-   * The result of {@link #open}: the content if the message was accepted, else null, and the answer
-   * to send, null for none.
+   * The result of {@link #unseal}: the content if the message was accepted, else null, and the
+   * answer to send, null for none.
    */
-  public record Opened(Verdict verdict, byte[] content, byte[] answer) {}
+  public record UnsealResult(Verdict verdict, byte[] content, byte[] answer) {}
 
   /**
    * Creates the authenticator of one process of a fleet's member; {@code processId} is unique to
@@ -97,7 +97,7 @@
   }
 
   /** Seals a message to an endpoint, which is identified by any stable name. */
-  public byte[] close(String to, byte[] content) {
+  public byte[] seal(String to, byte[] content) {
     Endpoint endpoint = endpoints.computeIfAbsent(to, key -> new Endpoint());
     endpoint.sequence = ++sequence;
     // The message is sent again if the process at the endpoint is not the expected one.
@@ -131,11 +131,11 @@
   }
 
   /**
-   * Checks a message and opens it; {@code from} is the endpoint that it came from, null if unknown.
+   * Checks and unseals a message; {@code from} is the endpoint that it came from, null if unknown.
    */
-  public Opened open(String from, byte[] frame) {
-    if (frame.length < BYTES || !hasValidTag(frame)) {
-      return new Opened(Verdict.FORGED, null, null);
+  public UnsealResult unseal(String from, byte[] frame) {
+    if (frame.length < OVERHEAD_BYTES || !hasValidTag(frame)) {
+      return new UnsealResult(Verdict.FORGED, null, null);
     }
     ByteBuffer input = ByteBuffer.wrap(frame);
     byte type = input.get();
@@ -146,16 +146,16 @@
       return handleProcessId(from, sender, to, sequence);
     }
     if (to != processId) {
-      return new Opened(
+      return new UnsealResult(
           Verdict.GREETED, null, frame(TYPE_PROCESS_ID, sender, sequence, new byte[0]));
     }
     if (!windows.computeIfAbsent(sender, key -> new ReplayWindow()).accept(sequence)) {
-      return new Opened(Verdict.REPLAYED, null, null);
+      return new UnsealResult(Verdict.REPLAYED, null, null);
     }
     if (from != null) {
       endpoints.computeIfAbsent(from, key -> new Endpoint()).processId = sender;
     }
-    return new Opened(
+    return new UnsealResult(
         Verdict.TAKEN, Arrays.copyOfRange(frame, HEADER_BYTES, frame.length - TAG_BYTES), null);
   }
 
@@ -163,16 +163,16 @@
    * Handles the process id sent by a remote process. Only an answer to the last message counts: an
    * older answer may be a replay.
    */
-  private Opened handleProcessId(String from, long sender, long to, long answeredSequence) {
+  private UnsealResult handleProcessId(String from, long sender, long to, long answeredSequence) {
     Endpoint endpoint = from == null ? null : endpoints.get(from);
     if (to != processId
         || endpoint == null
         || endpoint.lastContent == null
         || endpoint.sequence != answeredSequence
         || endpoint.processId == sender) {
-      return new Opened(Verdict.REPLAYED, null, null);
+      return new UnsealResult(Verdict.REPLAYED, null, null);
     }
     endpoint.processId = sender;
-    return new Opened(Verdict.GREETED, null, close(from, endpoint.lastContent));
+    return new UnsealResult(Verdict.GREETED, null, seal(from, endpoint.lastContent));
   }
 }
--- a/membership/src/main/java/ferngrade/membership/SwimProtocol.java
+++ b/membership/src/main/java/ferngrade/membership/SwimProtocol.java
@@ -2,10 +2,10 @@
 
 import ferngrade.membership.Message.Ack;
 import ferngrade.membership.Message.Digest;
-import ferngrade.membership.Message.Letter;
+import ferngrade.membership.Message.Envelope;
 import ferngrade.membership.Message.Nack;
 import ferngrade.membership.Message.Ping;
-import ferngrade.membership.Message.PingFor;
+import ferngrade.membership.Message.PingRequest;
 import ferngrade.membership.Message.Sync;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -32,9 +32,9 @@
  * <p>The result is fast but sometimes wrong. It must not be used to decide anything that has to
  * happen exactly once.
  *
- * <p>Reads no clock and sends nothing by itself: {@link #run} performs the tasks that are due,
- * {@link #next} returns the time of the next one. Times are ms of the member's monotonic clock.
- * Confined to one thread.
+ * <p>Reads no clock and sends nothing by itself: {@link #runDueTasks} performs the tasks that are
+ * due, {@link #nextTaskAt} returns the time of the next one. Times are ms of the member's monotonic
+ * clock. Confined to one thread.
  */
 public final class SwimProtocol {
   private static final int MAX_HELPERS = 4;
@@ -55,11 +55,11 @@
   private static final double MAX_SUSPICION_FACTOR = 5;
   private static final int MAX_HEALTH_SCORE = 8;
   private static final int MAX_PEERS = 10_000;
-  private static final int LETTER_OVERHEAD_BYTES = 64;
+  private static final int ENVELOPE_OVERHEAD_BYTES = 64;
   private static final int LEAVE_FANOUT_FACTOR = 4;
 
-  private final Terms terms;
-  private final Out out;
+  private final Settings settings;
+  private final Callbacks callbacks;
   private final RandomGenerator random;
   private final List<String> seeds;
   private final Gossip gossip = new Gossip();
@@ -84,31 +84,35 @@
    * @param digestPeriod the mean interval between two digests sent to reachable members, ms
    * @param retryPeriod the mean interval between two attempts to reach a failed member or an
    *     unknown seed, ms
-   * @param bytes the maximum size of a letter, bytes
+   * @param maxEnvelopeBytes the maximum size of an envelope, bytes
    */
-  public record Terms(
-      double probePeriod, double ackTimeout, double digestPeriod, double retryPeriod, int bytes) {
+  public record Settings(
+      double probePeriod,
+      double ackTimeout,
+      double digestPeriod,
+      double retryPeriod,
+      int maxEnvelopeBytes) {
     /**
      * The timing for a fleet on a local network; datagrams are small enough to avoid fragmentation.
      */
-    public static final Terms LOCAL = new Terms(500, 200, 5_000, 2_000, 1_100);
+    public static final Settings LOCAL = new Settings(500, 200, 5_000, 2_000, 1_100);
   }
 
   /** The operations that the member performs for the protocol. */
-  public interface Out {
+  public interface Callbacks {
     /**
-     * Sends a letter to an address, without a guarantee of delivery; {@code name} is the name of
+     * Sends an envelope to an address, without a guarantee of delivery; {@code name} is the name of
      * the member there, null if it is unknown.
      */
-    void send(String name, String address, Letter letter);
+    void send(String name, String address, Envelope envelope);
 
     /**
      * Reports that another member's status has changed; {@code before} is null for a new member.
      */
-    void changed(Peer before, Peer after);
+    void statusChanged(Peer before, Peer after);
 
     /** Reports that another process uses this member's name. */
-    void clash(MembershipUpdate other);
+    void nameConflict(MembershipUpdate other);
   }
 
   private record ScheduledTask(double at, long sequence, Runnable task)
@@ -147,14 +151,14 @@
       String address,
       long run,
       List<String> seeds,
-      Terms terms,
+      Settings settings,
       RandomGenerator random,
-      Out out) {
+      Callbacks callbacks) {
     this.self = new MembershipUpdate(name, address, run, 0, MemberStatus.ALIVE, name);
     this.seeds = seeds.stream().filter(seed -> !seed.equals(address)).toList();
-    this.terms = terms;
+    this.settings = settings;
     this.random = random;
-    this.out = out;
+    this.callbacks = callbacks;
   }
 
   /** Joins the fleet: contacts the seeds and schedules the periodic tasks. */
@@ -162,13 +166,13 @@
     now = at;
     gossip.add(self);
     seeds.forEach(this::sendDigest);
-    schedule(terms.probePeriod() * random.nextDouble(), this::probe);
-    schedule(terms.digestPeriod() * random.nextDouble(), this::compareDigests);
-    schedule(terms.retryPeriod() * (0.5 + random.nextDouble()), this::retryUnreachable);
+    schedule(settings.probePeriod() * random.nextDouble(), this::probe);
+    schedule(settings.digestPeriod() * random.nextDouble(), this::compareDigests);
+    schedule(settings.retryPeriod() * (0.5 + random.nextDouble()), this::retryUnreachable);
   }
 
   /** Performs all tasks that are due at this time. */
-  public void run(double at) {
+  public void runDueTasks(double at) {
     now = Math.max(now, at);
     while (!tasks.isEmpty() && tasks.peek().at() <= now) {
       tasks.poll().task().run();
@@ -176,7 +180,7 @@
   }
 
   /** Returns the time of the next task, or infinity if there is none. */
-  public double next() {
+  public double nextTaskAt() {
     return tasks.isEmpty() ? Double.POSITIVE_INFINITY : tasks.peek().at();
   }
 
@@ -216,7 +220,7 @@
           (int) Math.ceil(LEAVE_FANOUT_FACTOR * Math.log10(presentPeers.size() + 10.0));
       presentPeers.stream()
           .limit(recipients)
-          .forEach(peer -> send(peer.news(), new Sync(List.of(self), false)));
+          .forEach(peer -> send(peer.update(), new Sync(List.of(self), false)));
       tasks.clear();
     }
   }
@@ -251,20 +255,21 @@
 
   private void sendTo(String address, String name, Message message) {
     List<MembershipUpdate> updates = new ArrayList<>();
-    int remainingBytes = terms.bytes() - LETTER_OVERHEAD_BYTES - self.maxEncodedBytes();
+    int remainingBytes =
+        settings.maxEnvelopeBytes() - ENVELOPE_OVERHEAD_BYTES - self.maxEncodedBytes();
     if (message instanceof Sync sync) {
       remainingBytes -= sync.all().stream().mapToInt(MembershipUpdate::maxEncodedBytes).sum();
     }
     // A suspicion or failure of the receiver is sent first, so that the receiver can refute it.
     Peer receiver = name == null ? null : peers.get(name);
     if (receiver != null
-        && receiver.standing() != MemberStatus.ALIVE
-        && receiver.news().maxEncodedBytes() <= remainingBytes) {
-      updates.add(receiver.news());
-      remainingBytes -= receiver.news().maxEncodedBytes();
+        && receiver.status() != MemberStatus.ALIVE
+        && receiver.update().maxEncodedBytes() <= remainingBytes) {
+      updates.add(receiver.update());
+      remainingBytes -= receiver.update().maxEncodedBytes();
     }
     updates.addAll(gossip.take(remainingBytes, presentCount()));
-    out.send(name, address, new Letter(self, message, updates));
+    callbacks.send(name, address, new Envelope(self, message, updates));
   }
 
   private void sendDigest(String address) {
@@ -275,7 +280,7 @@
 
   private void probe() {
     double healthFactor = 1 + health;
-    schedule(terms.probePeriod() * healthFactor, this::probe);
+    schedule(settings.probePeriod() * healthFactor, this::probe);
     MembershipUpdate target = nextProbeTarget();
     if (target == null) {
       return;
@@ -283,7 +288,7 @@
     Probe probe = new Probe(target);
     long pingNumber = ++lastPingNumber;
     probes.put(pingNumber, probe);
-    double timeout = terms.ackTimeout() * healthFactor;
+    double timeout = settings.ackTimeout() * healthFactor;
     for (int i = 0; i < PINGS_PER_PROBE; i++) {
       schedule(
           timeout * i / PINGS_PER_PROBE,
@@ -294,7 +299,7 @@
           });
     }
     schedule(timeout, () -> askHelpers(probe, pingNumber));
-    schedule(terms.probePeriod() * healthFactor - 1e-3, () -> finishProbe(probe, pingNumber));
+    schedule(settings.probePeriod() * healthFactor - 1e-3, () -> finishProbe(probe, pingNumber));
   }
 
   private MembershipUpdate nextProbeTarget() {
@@ -308,7 +313,7 @@
       }
       Peer peer = peers.get(probeOrder.remove(probeOrder.size() - 1));
       if (peer != null && peer.present()) {
-        return peer.news();
+        return peer.update();
       }
     }
   }
@@ -320,9 +325,11 @@
     List<Peer> candidates = presentPeers(probe.target.name());
     for (int i = 0; i < MAX_HELPERS && !candidates.isEmpty(); i++) {
       Peer helper = candidates.remove(random.nextInt(candidates.size()));
-      if (helper.standing() == MemberStatus.ALIVE) {
+      if (helper.status() == MemberStatus.ALIVE) {
         probe.helpers++;
-        send(helper.news(), new PingFor(pingNumber, probe.target.name(), probe.target.address()));
+        send(
+            helper.update(),
+            new PingRequest(pingNumber, probe.target.name(), probe.target.address()));
       }
     }
   }
@@ -338,7 +345,7 @@
     adjustHealth(probe.helpers == 0 ? 1 : probe.helpers - probe.nacks);
     Peer peer = peers.get(probe.target.name());
     if (peer != null && peer.present()) {
-      applyUpdate(peer.news().withStatus(MemberStatus.SUSPECT, self.name()));
+      applyUpdate(peer.update().withStatus(MemberStatus.SUSPECT, self.name()));
     }
   }
 
@@ -346,10 +353,10 @@
     health = Math.max(0, Math.min(MAX_HEALTH_SCORE, health + change));
   }
 
-  private void relayPing(MembershipUpdate from, PingFor request) {
+  private void relayPing(MembershipUpdate from, PingRequest request) {
     long pingNumber = ++lastPingNumber;
     relayedPings.put(pingNumber, new RelayedPing(from, request.number()));
-    double timeout = terms.ackTimeout();
+    double timeout = settings.ackTimeout();
     sendTo(request.address(), request.name(), new Ping(pingNumber));
     schedule(
         timeout / 2,
@@ -370,27 +377,27 @@
 
   // ---- Receiving ----
 
-  /** Handles a letter that has arrived from this address. */
-  public void received(double at, String address, Letter letter) {
-    run(at);
-    if (left || !letter.isValid()) {
+  /** Handles an envelope that has arrived from this address. */
+  public void received(double at, String address, Envelope envelope) {
+    runDueTasks(at);
+    if (left || !envelope.isValid()) {
       return;
     }
-    MembershipUpdate from = letter.self();
+    MembershipUpdate from = envelope.self();
     if (from.name().equals(self.name())) {
       if (from.run() != self.run()) {
-        out.clash(from);
+        callbacks.nameConflict(from);
       }
       return;
     }
     applyUpdate(from);
-    letter.news().forEach(this::applyUpdate);
-    Message message = letter.message();
+    envelope.news().forEach(this::applyUpdate);
+    Message message = envelope.message();
     if (message instanceof Ping ping) {
       sendTo(address, from.name(), new Ack(ping.number()));
     } else if (message instanceof Ack ack) {
       handleAck(ack.number());
-    } else if (message instanceof PingFor request) {
+    } else if (message instanceof PingRequest request) {
       relayPing(from, request);
     } else if (message instanceof Nack nack) {
       Probe probe = probes.get(nack.number());
@@ -430,14 +437,14 @@
     if (known != null
         && suspicion != null
         && update.standing() == MemberStatus.SUSPECT
-        && update.incarnation() == known.news().incarnation()) {
+        && update.incarnation() == known.update().incarnation()) {
       if (suspicion.confirm(update.by())) {
         gossip.add(update);
         scheduleFailure(update, suspicion);
       }
       return;
     }
-    if (known == null ? peers.size() >= MAX_PEERS : !update.supersedes(known.news())) {
+    if (known == null ? peers.size() >= MAX_PEERS : !update.supersedes(known.update())) {
       return;
     }
     Peer updated = new Peer(update, now);
@@ -445,7 +452,7 @@
     suspicions.remove(update.name());
     if (update.standing() == MemberStatus.SUSPECT) {
       double minSuspicion =
-          MIN_SUSPICION_PERIODS * terms.probePeriod() * Math.max(1, Math.log10(presentCount()));
+          MIN_SUSPICION_PERIODS * settings.probePeriod() * Math.max(1, Math.log10(presentCount()));
       Suspicion suspected =
           new Suspicion(
               now, minSuspicion, MAX_SUSPICION_FACTOR * minSuspicion, presentCount(), update.by());
@@ -453,7 +460,7 @@
       scheduleFailure(update, suspected);
     }
     gossip.add(update);
-    out.changed(known, updated);
+    callbacks.statusChanged(known, updated);
   }
 
   /**
@@ -466,7 +473,7 @@
         () -> {
           if (suspicions.get(update.name()) == suspicion && suspicion.endsAt() <= now) {
             applyUpdate(
-                peers.get(update.name()).news().withStatus(MemberStatus.FAILED, self.name()));
+                peers.get(update.name()).update().withStatus(MemberStatus.FAILED, self.name()));
           }
         });
   }
@@ -501,7 +508,7 @@
   private long digest() {
     long hash = hash(self);
     for (Peer peer : peers.values()) {
-      hash ^= hash(peer.news());
+      hash ^= hash(peer.update());
     }
     return hash;
   }
@@ -521,10 +528,10 @@
   }
 
   private void compareDigests() {
-    schedule(terms.digestPeriod() * (0.5 + random.nextDouble()), this::compareDigests);
+    schedule(settings.digestPeriod() * (0.5 + random.nextDouble()), this::compareDigests);
     List<Peer> presentPeers = presentPeers(null);
     if (!presentPeers.isEmpty()) {
-      send(presentPeers.get(random.nextInt(presentPeers.size())).news(), new Digest(digest()));
+      send(presentPeers.get(random.nextInt(presentPeers.size())).update(), new Digest(digest()));
     }
   }
 
@@ -533,12 +540,12 @@
    * partition may have healed.
    */
   private void retryUnreachable() {
-    schedule(terms.retryPeriod() * (0.5 + random.nextDouble()), this::retryUnreachable);
+    schedule(settings.retryPeriod() * (0.5 + random.nextDouble()), this::retryUnreachable);
     List<String> addresses = new ArrayList<>(seeds);
     for (Peer peer : peers.values()) {
-      addresses.remove(peer.news().address());
-      if (peer.standing() == MemberStatus.FAILED) {
-        addresses.add(peer.news().address());
+      addresses.remove(peer.update().address());
+      if (peer.status() == MemberStatus.FAILED) {
+        addresses.add(peer.update().address());
       }
     }
     if (!addresses.isEmpty()) {
@@ -548,13 +555,15 @@
 
   private void sendFullState(String address, String name, boolean requestReply) {
     List<MembershipUpdate> chunk = new ArrayList<>();
-    int remainingBytes = terms.bytes() - LETTER_OVERHEAD_BYTES - self.maxEncodedBytes();
+    int remainingBytes =
+        settings.maxEnvelopeBytes() - ENVELOPE_OVERHEAD_BYTES - self.maxEncodedBytes();
     for (Peer peer : peers.values()) {
-      MembershipUpdate update = peer.news();
+      MembershipUpdate update = peer.update();
       if (update.maxEncodedBytes() > remainingBytes) {
         sendTo(address, name, new Sync(List.copyOf(chunk), false));
         chunk.clear();
-        remainingBytes = terms.bytes() - LETTER_OVERHEAD_BYTES - self.maxEncodedBytes();
+        remainingBytes =
+            settings.maxEnvelopeBytes() - ENVELOPE_OVERHEAD_BYTES - self.maxEncodedBytes();
       }
       chunk.add(update);
       remainingBytes -= update.maxEncodedBytes();
--- a/membership/src/test/java/ferngrade/membership/DatagramGoldenTest.java
+++ b/membership/src/test/java/ferngrade/membership/DatagramGoldenTest.java
@@ -5,7 +5,7 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.golden.GoldenFile;
-import ferngrade.membership.Message.Letter;
+import ferngrade.membership.Message.Envelope;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
@@ -47,14 +47,14 @@
         List.of(
             new Message.Ping(5),
             new Message.Ack(6),
-            new Message.PingFor(7, "m5", "127.0.0.5:1"),
+            new Message.PingRequest(7, "m5", "127.0.0.5:1"),
             new Message.Nack(8),
             new Message.Digest(-9),
             new Message.Sync(List.of(self, other), true));
     List<String> names = List.of("ping", "ack", "ping-for", "nack", "digest", "sync");
     for (int i = 0; i < messages.size(); i++) {
       values.put(names.get(i), messages.get(i));
-      values.put("letter-" + names.get(i), new Letter(self, messages.get(i), List.of(other)));
+      values.put("letter-" + names.get(i), new Envelope(self, messages.get(i), List.of(other)));
     }
     return values;
   }
@@ -76,23 +76,24 @@
   }
 
   @Test
-  void sealsAndOpensDatagramsAsRecorded() {
+  void sealsAndUnsealsDatagramsAsRecorded() {
     byte[] content = codec.write(new Message.Ping(5));
     MessageAuthenticator sender = new MessageAuthenticator("kandy members", KEYS, PROCESS_ID);
     MessageAuthenticator receiver =
         new MessageAuthenticator("kandy members", KEYS, OTHER_PROCESS_ID);
 
-    GOLDEN.verify("sealed-to-unknown-process", sender.close("b", content));
-    MessageAuthenticator.Opened greeting =
-        receiver.open("a", GOLDEN.bytes("sealed-to-unknown-process"));
+    GOLDEN.verify("sealed-to-unknown-process", sender.seal("b", content));
+    MessageAuthenticator.UnsealResult greeting =
+        receiver.unseal("a", GOLDEN.bytes("sealed-to-unknown-process"));
     GOLDEN.verify("sealed-greeting", greeting.answer());
-    MessageAuthenticator.Opened greeted = sender.open("b", GOLDEN.bytes("sealed-greeting"));
+    MessageAuthenticator.UnsealResult greeted = sender.unseal("b", GOLDEN.bytes("sealed-greeting"));
     GOLDEN.verify("sealed-sent-again", greeted.answer());
-    MessageAuthenticator.Opened opened = receiver.open("a", GOLDEN.bytes("sealed-sent-again"));
-    assertEquals(MessageAuthenticator.Verdict.TAKEN, opened.verdict());
-    assertArrayEquals(content, opened.content());
+    MessageAuthenticator.UnsealResult unsealed =
+        receiver.unseal("a", GOLDEN.bytes("sealed-sent-again"));
+    assertEquals(MessageAuthenticator.Verdict.TAKEN, unsealed.verdict());
+    assertArrayEquals(content, unsealed.content());
     GOLDEN.verify(
         "sealed-without-keys",
-        new MessageAuthenticator("kandy members", List.of(), PROCESS_ID).close("b", content));
+        new MessageAuthenticator("kandy members", List.of(), PROCESS_ID).seal("b", content));
   }
 }
--- a/membership/src/test/java/ferngrade/membership/MessageAuthenticatorTest.java
+++ b/membership/src/test/java/ferngrade/membership/MessageAuthenticatorTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ferngrade.membership.MessageAuthenticator.Opened;
+import ferngrade.membership.MessageAuthenticator.UnsealResult;
 import ferngrade.membership.MessageAuthenticator.Verdict;
 import java.nio.charset.StandardCharsets;
 import java.util.HashSet;
@@ -34,34 +34,34 @@
    * Sends a message, including the exchange in which the receiver answers with its process id if
    * the sender does not know it.
    */
-  private static Opened transmit(
+  private static UnsealResult transmit(
       MessageAuthenticator from, MessageAuthenticator to, byte[] content) {
-    Opened first = to.open("from", from.close("to", content));
+    UnsealResult first = to.unseal("from", from.seal("to", content));
     return first.answer() == null
         ? first
-        : to.open("from", from.open("to", first.answer()).answer());
+        : to.unseal("from", from.unseal("to", first.answer()).answer());
   }
 
   @Test
   void deliversMessageAfterReceiverHasSentItsProcessId() {
-    Opened challenge = b.open("a", a.close("b", CONTENT));
+    UnsealResult challenge = b.unseal("a", a.seal("b", CONTENT));
     assertEquals(Verdict.GREETED, challenge.verdict());
     assertNull(challenge.content());
-    Opened greeted = a.open("b", challenge.answer());
-    Opened taken = b.open("a", greeted.answer());
+    UnsealResult greeted = a.unseal("b", challenge.answer());
+    UnsealResult taken = b.unseal("a", greeted.answer());
     assertEquals(Verdict.TAKEN, taken.verdict());
     assertArrayEquals(CONTENT, taken.content());
-    assertEquals(Verdict.TAKEN, a.open("b", b.close("a", CONTENT)).verdict());
+    assertEquals(Verdict.TAKEN, a.unseal("b", b.seal("a", CONTENT)).verdict());
   }
 
   @Test
   void rejectsReplayedMessageAlsoAfterRestart() {
     transmit(a, b, CONTENT);
-    byte[] frame = a.close("to", CONTENT);
-    assertEquals(Verdict.TAKEN, b.open("from", frame).verdict());
-    assertEquals(Verdict.REPLAYED, b.open("from", frame).verdict());
+    byte[] frame = a.seal("to", CONTENT);
+    assertEquals(Verdict.TAKEN, b.unseal("from", frame).verdict());
+    assertEquals(Verdict.REPLAYED, b.unseal("from", frame).verdict());
     MessageAuthenticator restarted = new MessageAuthenticator("f", List.of(OLD_KEY), 23);
-    Opened late = restarted.open("somebody", frame);
+    UnsealResult late = restarted.unseal("somebody", frame);
     assertEquals(Verdict.GREETED, late.verdict());
     assertNull(late.content());
   }
@@ -69,13 +69,13 @@
   @Test
   void detectsEveryFlippedBit() {
     transmit(a, b, CONTENT);
-    byte[] frame = a.close("to", CONTENT);
+    byte[] frame = a.seal("to", CONTENT);
     for (int bit = 0; bit < 8 * frame.length; bit++) {
       byte[] corrupted = frame.clone();
       corrupted[bit / 8] ^= (byte) (1 << bit % 8);
-      assertEquals(Verdict.FORGED, b.open("from", corrupted).verdict(), "bit " + bit);
+      assertEquals(Verdict.FORGED, b.unseal("from", corrupted).verdict(), "bit " + bit);
     }
-    assertEquals(Verdict.FORGED, b.open("from", new byte[3]).verdict());
+    assertEquals(Verdict.FORGED, b.unseal("from", new byte[3]).verdict());
   }
 
   @Test
@@ -85,9 +85,9 @@
             new MessageAuthenticator("f", List.of(NEW_KEY), 33),
             new MessageAuthenticator("g", List.of(OLD_KEY), 33),
             new MessageAuthenticator("f", List.of(), 33))) {
-      Opened opened = b.open("x", other.close("b", CONTENT));
-      assertEquals(Verdict.FORGED, opened.verdict());
-      assertNull(opened.answer());
+      UnsealResult unsealed = b.unseal("x", other.seal("b", CONTENT));
+      assertEquals(Verdict.FORGED, unsealed.verdict());
+      assertNull(unsealed.answer());
     }
   }
 
@@ -96,7 +96,7 @@
     MessageAuthenticator changing = new MessageAuthenticator("f", List.of(NEW_KEY, OLD_KEY), 44);
     MessageAuthenticator changed = new MessageAuthenticator("f", List.of(NEW_KEY), 55);
     assertEquals(Verdict.TAKEN, transmit(changed, changing, CONTENT).verdict());
-    assertEquals(Verdict.FORGED, changed.open("a", a.close("changed", CONTENT)).verdict());
+    assertEquals(Verdict.FORGED, changed.unseal("a", a.seal("changed", CONTENT)).verdict());
     MessageAuthenticator before = new MessageAuthenticator("f", List.of(OLD_KEY, NEW_KEY), 66);
     assertEquals(Verdict.TAKEN, transmit(before, changing, CONTENT).verdict());
     assertEquals(Verdict.TAKEN, transmit(changing, before, CONTENT).verdict());
@@ -104,12 +104,12 @@
 
   @Test
   void replayedAnswerDoesNotRedirectSenderToFormerProcess() {
-    byte[] oldAnswer = b.open("a", a.close("b", CONTENT)).answer();
+    byte[] oldAnswer = b.unseal("a", a.seal("b", CONTENT)).answer();
     MessageAuthenticator restarted = new MessageAuthenticator("f", List.of(OLD_KEY), 23);
-    Opened greeted = a.open("b", restarted.open("a", a.close("b", CONTENT)).answer());
-    assertEquals(Verdict.TAKEN, restarted.open("a", greeted.answer()).verdict());
-    assertEquals(Verdict.REPLAYED, a.open("b", oldAnswer).verdict());
-    assertEquals(Verdict.TAKEN, restarted.open("a", a.close("b", CONTENT)).verdict());
+    UnsealResult greeted = a.unseal("b", restarted.unseal("a", a.seal("b", CONTENT)).answer());
+    assertEquals(Verdict.TAKEN, restarted.unseal("a", greeted.answer()).verdict());
+    assertEquals(Verdict.REPLAYED, a.unseal("b", oldAnswer).verdict());
+    assertEquals(Verdict.TAKEN, restarted.unseal("a", a.seal("b", CONTENT)).verdict());
   }
 
   @Property
--- a/membership/src/test/java/ferngrade/membership/SwimProtocolTest.java
+++ b/membership/src/test/java/ferngrade/membership/SwimProtocolTest.java
@@ -5,45 +5,45 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ferngrade.membership.Message.Ack;
-import ferngrade.membership.Message.Letter;
+import ferngrade.membership.Message.Envelope;
 import ferngrade.membership.Message.Nack;
 import ferngrade.membership.Message.Ping;
-import ferngrade.membership.Message.PingFor;
+import ferngrade.membership.Message.PingRequest;
 import ferngrade.membership.Message.Sync;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Guards against wrong states of members. Each test passes individual letters to one member. */
+/** Guards against wrong states of members. Each test passes individual envelopes to one member. */
 class SwimProtocolTest {
-  private final List<Letter> sent = new ArrayList<>();
+  private final List<Envelope> sent = new ArrayList<>();
   private final List<String> recipients = new ArrayList<>();
   private final List<String> statusChanges = new ArrayList<>();
-  private int clashes;
+  private int nameConflicts;
   private final SwimProtocol swim =
       new SwimProtocol(
           "me",
           "me:1",
           7,
           List.of(),
-          SwimProtocol.Terms.LOCAL,
+          SwimProtocol.Settings.LOCAL,
           new SplittableRandom(1),
-          new SwimProtocol.Out() {
+          new SwimProtocol.Callbacks() {
             @Override
-            public void send(String name, String address, Letter letter) {
+            public void send(String name, String address, Envelope envelope) {
               recipients.add(name);
-              sent.add(letter);
+              sent.add(envelope);
             }
 
             @Override
-            public void changed(Peer before, Peer after) {
-              statusChanges.add(after.name() + " " + after.standing());
+            public void statusChanged(Peer before, Peer after) {
+              statusChanges.add(after.name() + " " + after.status());
             }
 
             @Override
-            public void clash(MembershipUpdate other) {
-              clashes++;
+            public void nameConflict(MembershipUpdate other) {
+              nameConflicts++;
             }
           });
 
@@ -57,17 +57,17 @@
   }
 
   private void receive(double at, MembershipUpdate self, MembershipUpdate... updates) {
-    swim.received(at, self.address(), new Letter(self, new Nack(-1), List.of(updates)));
+    swim.received(at, self.address(), new Envelope(self, new Nack(-1), List.of(updates)));
   }
 
   private void advance(double from, double until) {
     for (double at = from; at <= until; at += 10) {
-      swim.run(at);
+      swim.runDueTasks(at);
     }
   }
 
-  private List<Letter> sentOfType(Class<? extends Message> type) {
-    return sent.stream().filter(letter -> type.isInstance(letter.message())).toList();
+  private List<Envelope> sentOfType(Class<? extends Message> type) {
+    return sent.stream().filter(envelope -> type.isInstance(envelope.message())).toList();
   }
 
   @Test
@@ -77,21 +77,23 @@
     double at = 0;
     while (at < 60_000 && !statusChanges.contains("b FAILED")) {
       at += 10;
-      for (Letter letter : List.copyOf(sent)) {
-        if (letter.message() instanceof Ping ping
-            && !"b".equals(recipients.get(sent.indexOf(letter)))) {
-          String name = recipients.get(sent.indexOf(letter));
+      for (Envelope envelope : List.copyOf(sent)) {
+        if (envelope.message() instanceof Ping ping
+            && !"b".equals(recipients.get(sent.indexOf(envelope)))) {
+          String name = recipients.get(sent.indexOf(envelope));
           swim.received(
-              at, name + ":1", new Letter(alive(name), new Ack(ping.number()), List.of()));
-        } else if (letter.message() instanceof PingFor request) {
-          String helper = recipients.get(sent.indexOf(letter));
+              at, name + ":1", new Envelope(alive(name), new Ack(ping.number()), List.of()));
+        } else if (envelope.message() instanceof PingRequest request) {
+          String helper = recipients.get(sent.indexOf(envelope));
           swim.received(
-              at, helper + ":1", new Letter(alive(helper), new Nack(request.number()), List.of()));
+              at,
+              helper + ":1",
+              new Envelope(alive(helper), new Nack(request.number()), List.of()));
         }
       }
       sent.clear();
       recipients.clear();
-      swim.run(at);
+      swim.runDueTasks(at);
     }
     assertEquals(List.of("b ALIVE", "c ALIVE", "d ALIVE", "b SUSPECT", "b FAILED"), statusChanges);
     assertEquals(
@@ -135,15 +137,15 @@
     assertEquals(1, swim.self().incarnation(), "this update was already refuted");
     receive(0, alive("b"), new MembershipUpdate("me", "me:1", 6, 4, MemberStatus.ALIVE, "me"));
     assertEquals(5, swim.self().incarnation(), "an update about an earlier process is refuted too");
-    assertEquals(0, clashes);
+    assertEquals(0, nameConflicts);
     swim.received(
         0,
         "x",
-        new Letter(
+        new Envelope(
             new MembershipUpdate("me", "x", 9, 0, MemberStatus.ALIVE, "me"),
             new Ping(1),
             List.of()));
-    assertEquals(1, clashes);
+    assertEquals(1, nameConflicts);
   }
 
   @Test
@@ -168,11 +170,11 @@
     swim.received(
         0,
         "b:1",
-        new Letter(
+        new Envelope(
             new MembershipUpdate("b", "b:1", 6, 0, MemberStatus.ALIVE, "b"),
             new Ping(1),
             List.of()));
-    Letter answer = sentOfType(Ack.class).get(0);
+    Envelope answer = sentOfType(Ack.class).get(0);
     assertEquals(
         MemberStatus.LEFT,
         answer.news().get(0).standing(),
@@ -182,37 +184,37 @@
   }
 
   @Test
-  void dropsInvalidLetters() {
+  void dropsInvalidEnvelopes() {
     swim.start(0);
     receive(0, update("b", -1, MemberStatus.ALIVE, "b"));
     receive(0, update("x".repeat(65), 0, MemberStatus.ALIVE, "b"));
-    swim.received(0, "b", new Letter(alive("b"), null, List.of()));
-    swim.received(0, "b", new Letter(alive("b"), new Sync(null, true), List.of()));
-    swim.received(0, "b", new Letter(alive("b"), new PingFor(1, "c", null), List.of()));
+    swim.received(0, "b", new Envelope(alive("b"), null, List.of()));
+    swim.received(0, "b", new Envelope(alive("b"), new Sync(null, true), List.of()));
+    swim.received(0, "b", new Envelope(alive("b"), new PingRequest(1, "c", null), List.of()));
     assertEquals(0, swim.peers().size());
   }
 
   @Test
-  void sendsStateOfLargeFleetInLettersOfBoundedSize() {
+  void sendsStateOfLargeFleetInEnvelopesOfBoundedSize() {
     swim.start(0);
     for (int i = 0; i < 500; i++) {
       receive(0, alive("member-with-a-long-name-" + i));
     }
     sent.clear();
-    swim.received(0, "q:1", new Letter(alive("q"), new Message.Digest(1), List.of()));
+    swim.received(0, "q:1", new Envelope(alive("q"), new Message.Digest(1), List.of()));
     assertEquals(
         501,
         sentOfType(Sync.class).stream()
-            .mapToInt(letter -> ((Sync) letter.message()).all().size())
+            .mapToInt(envelope -> ((Sync) envelope.message()).all().size())
             .sum());
-    for (Letter letter : sent) {
+    for (Envelope envelope : sent) {
       int bytes =
-          letter.self().maxEncodedBytes()
-              + letter.news().stream().mapToInt(MembershipUpdate::maxEncodedBytes).sum()
-              + (letter.message() instanceof Sync sync
+          envelope.self().maxEncodedBytes()
+              + envelope.news().stream().mapToInt(MembershipUpdate::maxEncodedBytes).sum()
+              + (envelope.message() instanceof Sync sync
                   ? sync.all().stream().mapToInt(MembershipUpdate::maxEncodedBytes).sum()
                   : 0);
-      assertTrue(bytes <= SwimProtocol.Terms.LOCAL.bytes(), "bytes " + bytes);
+      assertTrue(bytes <= SwimProtocol.Settings.LOCAL.maxEnvelopeBytes(), "bytes " + bytes);
     }
     swim.leave(1);
     assertFalse(swim.alive("me"));
