--- a/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
@@ -111,7 +111,7 @@
           "m" + number,
           "life" + incarnation,
           shards,
-          new LeaseHolder.Terms(LEASE_MILLIS, driftBound),
+          new LeaseHolder.Timing(LEASE_MILLIS, driftBound),
           command ->
               proposals.add(new Proposal(number, incarnation, clock(), command, false, null)));
     }
@@ -274,7 +274,7 @@
     Proposal proposal = proposals.remove(index);
     Member member = members.get(proposal.member());
     if (member.incarnation == proposal.incarnation()) {
-      member.holder.answered(
+      member.holder.commandAnswered(
           mutant == Mutant.HOLD_FROM_ANSWER ? member.clock() : proposal.proposedAt(),
           proposal.command(),
           proposal.result());
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -98,7 +98,7 @@
     // Jobs that are skipped when late are always late at this delay.
     fleet.checkOwned(
         fleet.jobs.stream()
-            .filter(RecurringSchedule::missed)
+            .filter(RecurringSchedule::runMissed)
             .map(RecurringSchedule::shard)
             .toList());
     return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
@@ -353,7 +353,7 @@
                       + " was executed after "
                       + previous);
             }
-            if (!effects.add(shard + "@" + due) && !job.repeat()) {
+            if (!effects.add(shard + "@" + due) && !job.repeatable()) {
               addViolation("once", shard + " was executed twice for due time " + due);
             }
           } else {
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
@@ -95,7 +95,7 @@
             name,
             Long.toHexString(seed),
             fleet.shards,
-            new LeaseHolder.Terms(
+            new LeaseHolder.Timing(
                 fleet.leaseDuration,
                 fleet.mutant == Mutant.NO_DRIFT_BOUND ? 0 : fleet.maxClockDrift),
             this::propose);
@@ -219,18 +219,18 @@
         PROPOSAL_TIMEOUT_MILLIS,
         ProposalOutcome.of(
             result ->
-                holder.answered(
+                holder.commandAnswered(
                     fleet.mutant == Mutant.HOLD_FROM_ANSWER ? now() : proposedAt, command, result),
             failure -> {}));
   }
 
   private void tick() {
     holder.tick(now(), fleet.wallClock(name), table);
-    timers.after(holder.period(), this::tick);
+    timers.after(holder.tickIntervalMillis(), this::tick);
   }
 
   private void runJobs() {
-    jobRunners.forEach(runner -> runner.look(now(), fleet.wallClock(name)));
+    jobRunners.forEach(runner -> runner.tick(now(), fleet.wallClock(name)));
     timers.after(JOB_CHECK_INTERVAL_MILLIS, this::runJobs);
   }
 
@@ -253,13 +253,17 @@
               }
 
               @Override
-              public void put(long due, long epoch) {
+              public void submit(long due, long epoch) {
                 if (holder.epoch(job.shard(), now(), table).equals(OptionalLong.of(epoch))) {
                   fleet.checkSingleOwner(VirtualMember.this, job.shard());
                   fleet.effect(
-                      name, job, epoch, due, result -> execute(() -> self[0].came(result)));
+                      name,
+                      job,
+                      epoch,
+                      due,
+                      result -> execute(() -> self[0].resultReceived(result)));
                 } else {
-                  self[0].notPut();
+                  self[0].notSubmitted();
                 }
               }
             });
--- a/fleet/src/main/java/ferngrade/fleet/EndpointListCopy.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListCopy.java
@@ -38,7 +38,7 @@
   }
 
   /** Returns the whole list as one line; null until a line with the whole list was applied. */
-  String whole() {
+  String fullList() {
     if (!initialized) {
       return null;
     }
--- a/fleet/src/main/java/ferngrade/fleet/EndpointListRelayTransport.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListRelayTransport.java
@@ -2,8 +2,8 @@
 
 import ferngrade.codec.Codec;
 import ferngrade.lease.EndpointListRelay;
-import ferngrade.lease.EndpointListRelay.Fed;
-import ferngrade.lease.EndpointListRelay.Whole;
+import ferngrade.lease.EndpointListRelay.FullListRequest;
+import ferngrade.lease.EndpointListRelay.RelayedLine;
 import ferngrade.node.Clock;
 import java.io.IOException;
 import java.util.List;
@@ -17,7 +17,8 @@
  * and relays it to the other members. All methods belong to the member's thread.
  */
 final class EndpointListRelayTransport implements AutoCloseable {
-  private final Codec codec = new Codec(List.of(Fed.class, Whole.class, Answer.class));
+  private final Codec codec =
+      new Codec(List.of(RelayedLine.class, FullListRequest.class, FullListResponse.class));
   private final EndpointListCopy copy = new EndpointListCopy();
   private final Clock clock;
   private final List<String> otherMembers;
@@ -26,10 +27,10 @@
   private final EndpointListServer server;
   private final EndpointListWatch watch;
   private final EndpointListRelay relay;
-  private String feeder;
+  private String relayingMember;
 
-  /** The reply to a {@link Whole} request. */
-  record Answer(Fed fed) {}
+  /** The reply to a {@link FullListRequest} request. */
+  record FullListResponse(RelayedLine fed) {}
 
   /**
    * The environment of the transport.
@@ -64,10 +65,10 @@
    */
   void poll(OptionalLong ownedEpoch) {
     double now = clock.now();
-    relay.look(now, ownedEpoch);
+    relay.tick(now, ownedEpoch);
     watch.poll(now);
     if (server != null) {
-      server.setAge(relay.age(now));
+      server.setAge(relay.ageMillis(now));
     }
   }
 
@@ -80,7 +81,7 @@
 
   private void lineReceived(String line) {
     watch.lineReceived(clock.now());
-    relay.told(clock.now(), line);
+    relay.discoveryLineReceived(clock.now(), line);
   }
 
   /** Handles a message of another member; a malformed one is ignored. */
@@ -91,17 +92,17 @@
     } catch (IOException malformed) {
       return;
     }
-    if (decoded instanceof Fed fed && fed.line() != null) {
-      feeder = from;
-      relay.fed(clock.now(), fed);
-    } else if (decoded instanceof Answer answer
-        && answer.fed() != null
-        && answer.fed().line() != null) {
-      relay.fedWhole(clock.now(), answer.fed());
-    } else if (decoded instanceof Whole request) {
-      Fed whole = relay.whole(clock.now(), request);
-      if (whole != null) {
-        sendToMember.accept(from, codec.write(new Answer(whole)));
+    if (decoded instanceof RelayedLine relayed && relayed.line() != null) {
+      relayingMember = from;
+      relay.relayedLineReceived(clock.now(), relayed);
+    } else if (decoded instanceof FullListResponse response
+        && response.fed() != null
+        && response.fed().line() != null) {
+      relay.fullListReceived(clock.now(), response.fed());
+    } else if (decoded instanceof FullListRequest request) {
+      RelayedLine fullList = relay.fullListFor(clock.now(), request);
+      if (fullList != null) {
+        sendToMember.accept(from, codec.write(new FullListResponse(fullList)));
       }
     }
   }
@@ -116,19 +117,19 @@
 
   private final class RelayActions implements EndpointListRelay.Actions {
     @Override
-    public void ask() {
+    public void startWatch() {
       log.accept("list asking=yes");
       watch.setEnabled(true);
     }
 
     @Override
-    public void stopAsking() {
-      log.accept("list asking=no fed by=" + feeder);
+    public void stopWatch() {
+      log.accept("list asking=no fed by=" + relayingMember);
       watch.setEnabled(false);
     }
 
     @Override
-    public void pass(String line) {
+    public void deliver(String line) {
       try {
         copy.apply(line);
       } catch (RuntimeException invalid) {
@@ -136,25 +137,25 @@
         return;
       }
       if (server != null) {
-        server.publish(line, copy.whole());
+        server.publish(line, copy.fullList());
       }
     }
 
     @Override
-    public String whole() {
-      return copy.whole();
+    public String fullList() {
+      return copy.fullList();
     }
 
     @Override
-    public void feed(Fed fed) {
-      byte[] bytes = codec.write(fed);
+    public void broadcast(RelayedLine relayed) {
+      byte[] bytes = codec.write(relayed);
       otherMembers.forEach(member -> sendToMember.accept(member, bytes));
     }
 
     @Override
-    public void askWhole(Whole request) {
-      if (feeder != null) {
-        sendToMember.accept(feeder, codec.write(request));
+    public void requestFullList(FullListRequest request) {
+      if (relayingMember != null) {
+        sendToMember.accept(relayingMember, codec.write(request));
       }
     }
   }
--- a/fleet/src/main/java/ferngrade/fleet/EndpointListServer.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListServer.java
@@ -29,7 +29,7 @@
   private final ExecutorService threads = Executors.newFixedThreadPool(MAX_WATCHES);
   private final Set<BlockingQueue<String>> watches = ConcurrentHashMap.newKeySet();
   private final HttpServer server;
-  private volatile String whole;
+  private volatile String fullList;
   private volatile double ageMillis;
 
   EndpointListServer(InetSocketAddress address) throws IOException {
@@ -49,7 +49,7 @@
    */
   void publish(String line, String wholeList) {
     synchronized (watches) {
-      whole = wholeList;
+      fullList = wholeList;
       // The watch of a node that reads too slowly is closed; the node then requests the whole list.
       watches.removeIf(watch -> !watch.offer(line));
     }
@@ -67,7 +67,7 @@
       boolean watching = query != null && query.contains("watch=1");
       String firstLine;
       synchronized (watches) {
-        firstLine = whole;
+        firstLine = fullList;
         if (firstLine != null && watching) {
           watches.add(lines);
         }
--- a/fleet/src/main/java/ferngrade/fleet/FleetFile.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetFile.java
@@ -23,7 +23,7 @@
  * reach the others at different addresses.
  *
  * @param name the fleet's name; messages of fleets with other names are rejected
- * @param terms the duration of a lease and the maximum drift of a member's clock
+ * @param leaseTiming the duration of a lease and the maximum drift of a member's clock
  * @param heartbeat the interval between two heartbeats of the Raft leader, ms
  * @param keys the keys that authenticate messages between members: the first one signs, the second
  *     one is accepted too; if empty, messages are not authenticated
@@ -36,7 +36,7 @@
  */
 public record FleetFile(
     String name,
-    LeaseHolder.Terms terms,
+    LeaseHolder.Timing leaseTiming,
     double heartbeat,
     List<byte[]> keys,
     List<Member> members,
@@ -141,7 +141,7 @@
     top.end();
     return new FleetFile(
         name,
-        new LeaseHolder.Terms(hold, drift),
+        new LeaseHolder.Timing(hold, drift),
         heartbeat,
         keys,
         List.copyOf(members),
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -169,7 +169,8 @@
                 codec, (to, message) -> connections.send(to, tagged(RAFT_COMPONENT, message))),
             table);
     this.leaseHolder =
-        new LeaseHolder(name, Long.toHexString(seed), file.shards(), file.terms(), this::propose);
+        new LeaseHolder(
+            name, Long.toHexString(seed), file.shards(), file.leaseTiming(), this::propose);
     this.membership =
         file.member(name).gossip() == null
             ? null
@@ -299,7 +300,7 @@
         command,
         PROPOSAL_TIMEOUT_MILLIS,
         ProposalOutcome.of(
-            result -> leaseHolder.answered(proposedAt, command, result), reason -> {}));
+            result -> leaseHolder.commandAnswered(proposedAt, command, result), reason -> {}));
   }
 
   private void renewSession() {
@@ -313,7 +314,7 @@
       admitted = !admitted;
       log.accept(admitted ? "taken in" : "not taken in yet: asking the other members");
     }
-    boolean confirmed = leaseHolder.holds(clock.now());
+    boolean confirmed = leaseHolder.leaseValid(clock.now());
     if (confirmed != sessionConfirmed) {
       sessionConfirmed = confirmed;
       log.accept(
@@ -321,14 +322,14 @@
               ? "session confirmed by a majority"
               : "no majority confirms this member: it owns nothing");
     }
-    timers.after(leaseHolder.period(), () -> runGuarded(this::renewSession));
+    timers.after(leaseHolder.tickIntervalMillis(), () -> runGuarded(this::renewSession));
   }
 
   private void checkDuties() {
     for (Job job : file.jobs()) {
       Shard shard = job.schedule().shard();
       logOwnershipChange(shard, leaseHolder.epoch(shard, clock.now(), table));
-      jobRunners.get(shard).look(clock.now(), wallClock.getAsLong());
+      jobRunners.get(shard).tick(clock.now(), wallClock.getAsLong());
     }
     if (listRelay != null) {
       OptionalLong epoch = leaseHolder.epoch(EndpointListRelay.SHARD, clock.now(), table);
@@ -370,7 +371,7 @@
       }
 
       @Override
-      public void put(long due, long epoch) {
+      public void submit(long due, long epoch) {
         jobSender.send(
             job,
             due,
@@ -389,7 +390,8 @@
                               + " result="
                               + result.orElse("not put in"));
                       result.ifPresentOrElse(
-                          jobRunners.get(shard)::came, jobRunners.get(shard)::notPut);
+                          jobRunners.get(shard)::resultReceived,
+                          jobRunners.get(shard)::notSubmitted);
                     }));
       }
     };
@@ -407,7 +409,7 @@
               name,
               view.leader(),
               view.term(),
-              leaseHolder.holds(clock.now()),
+              leaseHolder.leaseValid(clock.now()),
               table.index(),
               List.copyOf(table.sessions()),
               table.slots().stream()
@@ -512,7 +514,7 @@
   private void pollHandover() {
     // Polled every few ms: each step of the handover waits until the step before it is committed.
     leaseHolder.tick(clock.now(), wallClock.getAsLong(), table);
-    if (!leaseHolder.left()) {
+    if (!leaseHolder.closed()) {
       timers.after(5, this::pollHandover);
     } else if (name.equals(raftMember.view().leader())) {
       // If the leader ended before a successor is in place, the fleet would wait for an election.
--- a/fleet/src/test/java/ferngrade/fleet/EndpointListCopyTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/EndpointListCopyTest.java
@@ -34,18 +34,18 @@
     copy.apply(line(3, false, "{\"id\":\"a\",\"phase\":\"left\"}"));
     assertEquals(
         line(3, true, "{\"id\":\"b\",\"phase\":\"leaving\"},{\"id\":\"c\",\"phase\":\"active\"}"),
-        copy.whole());
+        copy.fullList());
     copy.apply(line(1, true, "{\"id\":\"z\"}"));
     assertEquals(
         line(1, true, "{\"id\":\"z\"}"),
-        copy.whole(),
+        copy.fullList(),
         "a complete list replaces the list even if its revision is lower");
   }
 
   @Test
   void returnsNullBeforeCompleteListIsApplied() {
     copy.apply(line(2, false, "{\"id\":\"b\"}"));
-    assertNull(copy.whole());
+    assertNull(copy.fullList());
   }
 
   @ParameterizedTest
@@ -61,6 +61,6 @@
     String before = line(1, true, "{\"id\":\"a\"}");
     copy.apply(before);
     assertThrows(RuntimeException.class, () -> copy.apply(invalid));
-    assertEquals(before, copy.whole());
+    assertEquals(before, copy.fullList());
   }
 }
--- a/fleet/src/test/java/ferngrade/fleet/FleetFileTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetFileTest.java
@@ -45,9 +45,9 @@
   @Test
   void readsFileAndDeployedFile() throws IOException, FileException {
     FleetFile file = read(VALID);
-    assertEquals(86_400_000, file.jobs().get(0).schedule().every());
+    assertEquals(86_400_000, file.jobs().get(0).schedule().periodMillis());
     assertTrue(
-        file.jobs().get(0).schedule().repeat()
+        file.jobs().get(0).schedule().repeatable()
             && file.member("a").voter()
             && !file.member("b").voter());
     assertEquals(3, FleetFile.read(Path.of("../deploy/fleet.toml")).members().size());
--- a/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
@@ -76,8 +76,8 @@
   }
 
   /** Returns a list line as its owner sends it to the other members, after verifying its bytes. */
-  private static byte[] encoded(String name, EndpointListRelay.Fed line) {
-    GOLDEN.verify(name, new Codec(List.of(EndpointListRelay.Fed.class)).write(line));
+  private static byte[] encoded(String name, EndpointListRelay.RelayedLine line) {
+    GOLDEN.verify(name, new Codec(List.of(EndpointListRelay.RelayedLine.class)).write(line));
     return GOLDEN.bytes(name);
   }
 
@@ -90,13 +90,16 @@
     owner.verifySent("list-sign-of-life");
     owner.transport.poll(OptionalLong.empty());
     owner.transport.handleMessage(
-        "b", encoded("list-line", new EndpointListRelay.Fed(EPOCH + 1, 1, WHOLE_LIST, 3.5)));
+        "b",
+        encoded("list-line", new EndpointListRelay.RelayedLine(EPOCH + 1, 1, WHOLE_LIST, 3.5)));
     owner.transport.poll(OptionalLong.of(NEXT_EPOCH));
     owner.verifySent("list-whole-fed");
 
     // A gap in the line numbers makes a member request the whole list.
     other.transport.handleMessage(
-        "a", encoded("list-later-line", new EndpointListRelay.Fed(NEXT_EPOCH, 3, WHOLE_LIST, 0)));
+        "a",
+        encoded(
+            "list-later-line", new EndpointListRelay.RelayedLine(NEXT_EPOCH, 3, WHOLE_LIST, 0)));
     other.verifySent("list-ask-whole");
     owner.transport.handleMessage("b", GOLDEN.bytes("list-ask-whole"));
     owner.verifySent("list-answer");
--- a/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
+++ b/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
@@ -32,7 +32,7 @@
   private boolean owner;
   private long epoch;
   private long lastNumber;
-  private double lastFedAt;
+  private double lastRelayedAt;
   private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
   private double confirmedAt = Double.NEGATIVE_INFINITY;
 
@@ -40,27 +40,27 @@
   public interface Actions {
     /**
      * Opens a watch of the list and keeps it open; each line is passed to {@link
-     * EndpointListRelay#told}.
+     * EndpointListRelay#discoveryLineReceived}.
      */
-    void ask();
+    void startWatch();
 
     /** Closes the watch. */
-    void stopAsking();
+    void stopWatch();
 
-    /** Passes a line to this member's own node: a change, or the whole list. */
-    void pass(String line);
+    /** Delivers a line to this member's own node: a change, or the whole list. */
+    void deliver(String line);
 
-    /** Returns the whole list with all lines passed so far, or null if there is none yet. */
-    String whole();
+    /** Returns the whole list with all lines delivered so far, or null if there is none yet. */
+    String fullList();
 
     /** Sends a line to all other members. */
-    void feed(Fed line);
+    void broadcast(RelayedLine line);
 
     /**
      * Requests the whole list from the owner of this epoch, whose address is known from its
      * messages.
      */
-    void askWhole(Whole request);
+    void requestFullList(FullListRequest request);
   }
 
   /**
@@ -71,22 +71,22 @@
    * @param line the line, empty for a heartbeat
    * @param age the age of the owner's list, ms
    */
-  public record Fed(long epoch, long number, String line, double age) {}
+  public record RelayedLine(long epoch, long number, String line, double age) {}
 
   /** A request for the whole list from a member that has missed a line under this epoch. */
-  public record Whole(long epoch) {}
+  public record FullListRequest(long epoch) {}
 
   /** Creates the relay of a member that has just started. */
   public EndpointListRelay(double now, Actions actions) {
     this.actions = actions;
-    this.lastFedAt = now;
+    this.lastRelayedAt = now;
   }
 
   /**
    * Starts or stops watching discovery and sends due heartbeats; {@code heldEpoch} is the epoch
    * under which this member owns the shard, empty if it does not.
    */
-  public void look(double now, OptionalLong heldEpoch) {
+  public void tick(double now, OptionalLong heldEpoch) {
     if (heldEpoch.isPresent() && (!owner || epoch != heldEpoch.getAsLong())) {
       owner = true;
       epoch = heldEpoch.getAsLong();
@@ -97,61 +97,61 @@
       // watching discovery until it receives a message from the next owner.
       owner = false;
     }
-    boolean mustWatch = owner || now - lastFedAt > OWNER_TIMEOUT_MILLIS;
-    if (mustWatch != watching && (mustWatch || now - lastFedAt < HEARTBEAT_INTERVAL_MILLIS)) {
+    boolean mustWatch = owner || now - lastRelayedAt > OWNER_TIMEOUT_MILLIS;
+    if (mustWatch != watching && (mustWatch || now - lastRelayedAt < HEARTBEAT_INTERVAL_MILLIS)) {
       watching = mustWatch;
       if (mustWatch) {
-        actions.ask();
+        actions.startWatch();
       } else {
-        actions.stopAsking();
+        actions.stopWatch();
       }
     }
     if (owner && now - lastHeartbeatAt >= HEARTBEAT_INTERVAL_MILLIS) {
       lastHeartbeatAt = now;
-      String whole = lastNumber == 0 ? actions.whole() : null;
-      if (whole != null) {
+      String fullList = lastNumber == 0 ? actions.fullList() : null;
+      if (fullList != null) {
         lastNumber = 1;
-        actions.feed(new Fed(epoch, lastNumber, whole, age(now)));
+        actions.broadcast(new RelayedLine(epoch, lastNumber, fullList, ageMillis(now)));
       } else {
-        actions.feed(new Fed(epoch, lastNumber, "", age(now)));
+        actions.broadcast(new RelayedLine(epoch, lastNumber, "", ageMillis(now)));
       }
     }
   }
 
   /** Handles a line from discovery; an empty line is a heartbeat of discovery. */
-  public void told(double now, String line) {
+  public void discoveryLineReceived(double now, String line) {
     if (!watching) {
       return;
     }
     confirmedAt = now;
     if (!line.isEmpty()) {
-      actions.pass(line);
+      actions.deliver(line);
       if (owner) {
-        actions.feed(new Fed(epoch, ++lastNumber, line, 0));
+        actions.broadcast(new RelayedLine(epoch, ++lastNumber, line, 0));
       }
     }
   }
 
   /** Handles a line or a heartbeat from an owner. */
-  public void fed(double now, Fed fed) {
-    if (fed.epoch() < epoch || owner) {
+  public void relayedLineReceived(double now, RelayedLine relayed) {
+    if (relayed.epoch() < epoch || owner) {
       return;
     }
-    if (fed.epoch() > epoch) {
-      epoch = fed.epoch();
+    if (relayed.epoch() > epoch) {
+      epoch = relayed.epoch();
       lastNumber = 0;
     }
-    lastFedAt = now;
-    confirmedAt = Math.max(confirmedAt, now - Math.max(0, fed.age()));
-    if (fed.line().isEmpty()) {
-      if (fed.number() != lastNumber) {
-        actions.askWhole(new Whole(epoch));
+    lastRelayedAt = now;
+    confirmedAt = Math.max(confirmedAt, now - Math.max(0, relayed.age()));
+    if (relayed.line().isEmpty()) {
+      if (relayed.number() != lastNumber) {
+        actions.requestFullList(new FullListRequest(epoch));
       }
-    } else if (fed.number() == lastNumber + 1) {
-      lastNumber = fed.number();
-      actions.pass(fed.line());
-    } else if (fed.number() > lastNumber) {
-      actions.askWhole(new Whole(epoch));
+    } else if (relayed.number() == lastNumber + 1) {
+      lastNumber = relayed.number();
+      actions.deliver(relayed.line());
+    } else if (relayed.number() > lastNumber) {
+      actions.requestFullList(new FullListRequest(epoch));
     }
   }
 
@@ -159,17 +159,17 @@
    * Answers the request of a member that has missed a line: returns the whole list, numbered like
    * the last line that it contains, or null if this member cannot answer under that epoch.
    */
-  public Fed whole(double now, Whole request) {
-    String list = owner && request.epoch() == epoch && lastNumber > 0 ? actions.whole() : null;
-    return list == null ? null : new Fed(epoch, lastNumber, list, age(now));
+  public RelayedLine fullListFor(double now, FullListRequest request) {
+    String list = owner && request.epoch() == epoch && lastNumber > 0 ? actions.fullList() : null;
+    return list == null ? null : new RelayedLine(epoch, lastNumber, list, ageMillis(now));
   }
 
   /** Handles the whole list that this member has requested. */
-  public void fedWhole(double now, Fed fed) {
-    if (!owner && fed.epoch() == epoch && fed.number() >= lastNumber) {
-      lastNumber = fed.number();
-      lastFedAt = now;
-      actions.pass(fed.line());
+  public void fullListReceived(double now, RelayedLine relayed) {
+    if (!owner && relayed.epoch() == epoch && relayed.number() >= lastNumber) {
+      lastNumber = relayed.number();
+      lastRelayedAt = now;
+      actions.deliver(relayed.line());
     }
   }
 
@@ -177,7 +177,7 @@
    * Returns the time in ms since this list was confirmed by discovery, either by this member or by
    * the owner; infinite before the first message.
    */
-  public double age(double now) {
+  public double ageMillis(double now) {
     return now - confirmedAt;
   }
 
--- a/lease/src/main/java/ferngrade/lease/LeaseHolder.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseHolder.java
@@ -25,7 +25,7 @@
   private final String member;
   private final String nonce;
   private final List<Shard> shards;
-  private final Terms terms;
+  private final Timing timing;
   private final Proposer proposer;
   private final Map<Long, ObservedSession> observedSessions = new HashMap<>();
   private final Map<Shard, ReleasedShard> releasedShards = new HashMap<>();
@@ -43,9 +43,9 @@
    * @param leaseMillis how long a lease lasts without a renewal
    * @param maxClockDrift the maximum relative error of a clock
    */
-  public record Terms(double leaseMillis, double maxClockDrift) {}
+  public record Timing(double leaseMillis, double maxClockDrift) {}
 
-  /** Proposes a command to the log; its result is reported by {@link #answered}. */
+  /** Proposes a command to the log; its result is reported by {@link #commandAnswered}. */
   @FunctionalInterface
   public interface Proposer {
     /** Proposes a command. */
@@ -72,11 +72,11 @@
    * processes of the same member.
    */
   public LeaseHolder(
-      String member, String nonce, List<Shard> shards, Terms terms, Proposer proposer) {
+      String member, String nonce, List<Shard> shards, Timing timing, Proposer proposer) {
     this.member = member;
     this.nonce = nonce;
     this.shards = List.copyOf(shards);
-    this.terms = terms;
+    this.timing = timing;
     this.proposer = proposer;
   }
 
@@ -84,8 +84,8 @@
    * Returns the interval between two calls of {@link #tick} in ms, several of which fit into a
    * lease.
    */
-  public double period() {
-    return terms.leaseMillis() / RENEWALS_PER_LEASE / 4;
+  public double tickIntervalMillis() {
+    return timing.leaseMillis() / RENEWALS_PER_LEASE / 4;
   }
 
   /** Proposes the commands that are due now; {@code wall} is the member's wall clock, Unix ms. */
@@ -102,7 +102,8 @@
       nextRenewalAt = now;
     }
     if (now >= nextRenewalAt) {
-      nextRenewalAt = now + (draining ? period() : terms.leaseMillis() / RENEWALS_PER_LEASE);
+      nextRenewalAt =
+          now + (draining ? tickIntervalMillis() : timing.leaseMillis() / RENEWALS_PER_LEASE);
       proposer.propose(
           session == 0
               ? new Command.Open(member, nonce + "-" + reopenCount, wall, shards)
@@ -128,7 +129,7 @@
         // The shard is not used under this epoch any more, whether or not the proposal succeeds.
         releasedShards.put(
             slot.shard(),
-            new ReleasedShard(slot.epoch(), now + terms.leaseMillis() / RENEWALS_PER_LEASE));
+            new ReleasedShard(slot.epoch(), now + timing.leaseMillis() / RENEWALS_PER_LEASE));
         proposer.propose(new Command.Release(session, slot.shard(), slot.epoch()));
       }
     }
@@ -153,8 +154,8 @@
       if (last == null || last.renewals() != other.renewals()) {
         observedSessions.put(
             other.id(), new ObservedSession(other.renewals(), now, Double.NEGATIVE_INFINITY));
-      } else if (now - last.unchangedSince() > terms.leaseMillis() * (1 + terms.maxClockDrift())
-          && now - last.expiryProposedAt() > terms.leaseMillis() / RENEWALS_PER_LEASE) {
+      } else if (now - last.unchangedSince() > timing.leaseMillis() * (1 + timing.maxClockDrift())
+          && now - last.expiryProposedAt() > timing.leaseMillis() / RENEWALS_PER_LEASE) {
         observedSessions.put(
             other.id(), new ObservedSession(other.renewals(), last.unchangedSince(), now));
         proposer.propose(new Command.Expire(other.id(), other.renewals()));
@@ -166,7 +167,7 @@
    * Handles the result of a command that was proposed at {@code proposedAt}. Not called for a
    * proposal whose outcome is unknown.
    */
-  public void answered(double proposedAt, Command command, Object result) {
+  public void commandAnswered(double proposedAt, Command command, Object result) {
     if (command instanceof Command.Open
         && result instanceof Command.Opened answer
         && session == 0) {
@@ -181,7 +182,7 @@
 
   private void extendLease(double proposedAt) {
     leaseExpiresAt =
-        Math.max(leaseExpiresAt, proposedAt + terms.leaseMillis() * (1 - terms.maxClockDrift()));
+        Math.max(leaseExpiresAt, proposedAt + timing.leaseMillis() * (1 - timing.maxClockDrift()));
   }
 
   /**
@@ -204,12 +205,13 @@
    * Returns whether the lease is valid: less than the lease time has passed since the last
    * successful renewal was proposed.
    */
-  public boolean holds(double now) {
+  public boolean leaseValid(double now) {
     return now < leaseExpiresAt;
   }
 
   /**
-   * Stops taking new shards and releases those held; {@link #left} returns true when this is done.
+   * Stops taking new shards and releases those held; {@link #closed} returns true when this is
+   * done.
    */
   public void drain() {
     draining = true;
@@ -217,7 +219,7 @@
   }
 
   /** Returns whether all shards were released and the close of the session was proposed. */
-  public boolean left() {
+  public boolean closed() {
     return closed;
   }
 }
--- a/lease/src/main/java/ferngrade/lease/LeaseTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -350,7 +350,7 @@
    * or the median of the members' clocks if the two are far apart. The median is as old as the
    * members' last renewals.
    */
-  public long wall(long own) {
+  public long correctedWallClock(long own) {
     return Math.abs(own - medianWallClock()) > MAX_AHEAD_MILLIS ? medianWallClock() : own;
   }
 
--- a/lease/src/main/java/ferngrade/lease/RecurringJobRunner.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringJobRunner.java
@@ -28,10 +28,10 @@
     void propose(Command command, Consumer<Object> done, Runnable unknown);
 
     /**
-     * Submits the job; the outcome is reported by {@link RecurringJobRunner#came} or {@link
-     * RecurringJobRunner#notPut}.
+     * Submits the job; the outcome is reported by {@link RecurringJobRunner#resultReceived} or
+     * {@link RecurringJobRunner#notSubmitted}.
      */
-    void put(long due, long epoch);
+    void submit(long due, long epoch);
   }
 
   /** Creates the runner of one job. */
@@ -47,7 +47,7 @@
    * Performs the next step, if one is due at this time of the member's monotonic clock, ms, and its
    * wall clock, Unix ms.
    */
-  public void look(double now, long wall) {
+  public void tick(double now, long wall) {
     OptionalLong heldEpoch = holder.epoch(schedule.shard(), now, table);
     if (pending || heldEpoch.isEmpty()) {
       return;
@@ -59,7 +59,7 @@
       return;
     }
     RecurringSchedule.Decision decision =
-        schedule.decide(table.wall(wall), slot, heldEpoch.getAsLong());
+        schedule.decide(table.correctedWallClock(wall), slot, heldEpoch.getAsLong());
     switch (decision.step()) {
       case BEGIN, SKIP -> proposeDueTime(decision, heldEpoch.getAsLong());
       case BEGUN, REPEAT -> {
@@ -101,11 +101,11 @@
     result = null;
     due = dueTime;
     epoch = heldEpoch;
-    actions.put(dueTime, heldEpoch);
+    actions.submit(dueTime, heldEpoch);
   }
 
   /** Handles the result of the job that was submitted. */
-  public void came(String outcome) {
+  public void resultReceived(String outcome) {
     result = outcome;
     proposeResult();
   }
@@ -114,7 +114,7 @@
    * Handles a job that was certainly not submitted. It is submitted again as long as the shard is
    * held under the same epoch.
    */
-  public void notPut() {
+  public void notSubmitted() {
     pending = false;
   }
 
--- a/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
@@ -13,12 +13,13 @@
  * wall clock.
  *
  * @param name the name of the job and of its duty
- * @param every the period, ms
- * @param missed whether a due time that was missed in an outage is run late, once for all missed
+ * @param periodMillis the period, ms
+ * @param runMissed whether a due time that was missed in an outage is run late, once for all missed
  *     ones
- * @param repeat whether a job that an earlier owner may have submitted may be submitted again
+ * @param repeatable whether a job that an earlier owner may have submitted may be submitted again
  */
-public record RecurringSchedule(String name, long every, boolean missed, boolean repeat) {
+public record RecurringSchedule(
+    String name, long periodMillis, boolean runMissed, boolean repeatable) {
   /**
    * The maximum delay of a run, as a fraction of the period, for schedules that do not run missed
    * due times.
@@ -58,14 +59,14 @@
    */
   public Decision decide(long wall, Slot slot, long epoch) {
     if (slot.open()) {
-      Step interrupted = repeat ? Step.REPEAT : Step.DOUBT;
+      Step interrupted = repeatable ? Step.REPEAT : Step.DOUBT;
       return new Decision(slot.begunBy() == epoch ? Step.BEGUN : interrupted, slot.due());
     }
-    long due = Math.floorDiv(wall, every) * every;
+    long due = Math.floorDiv(wall, periodMillis) * periodMillis;
     if (due <= slot.due()) {
       return new Decision(Step.WAIT, slot.due());
     }
-    boolean late = wall - due > MAX_DELAY_FRACTION * every;
-    return new Decision(slot.due() == 0 || (late && !missed) ? Step.SKIP : Step.BEGIN, due);
+    boolean late = wall - due > MAX_DELAY_FRACTION * periodMillis;
+    return new Decision(slot.due() == 0 || (late && !runMissed) ? Step.SKIP : Step.BEGIN, due);
   }
 }
--- a/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
@@ -11,7 +11,7 @@
 /** Guards against a lease that outlasts its session. The test sets the clock. */
 class LeaseHolderTest {
   private static final Shard SHARD = new Shard("sweep", 0);
-  private static final LeaseHolder.Terms TERMS = new LeaseHolder.Terms(1_000, 0.02);
+  private static final LeaseHolder.Timing TERMS = new LeaseHolder.Timing(1_000, 0.02);
 
   private final LeaseTable table = new LeaseTable();
   private final List<Command> proposed = new ArrayList<>();
@@ -28,7 +28,7 @@
   private void tick(LeaseHolder holder, double now) {
     holder.tick(now, 0, table);
     for (Command command : List.copyOf(proposed)) {
-      holder.answered(now, command, table.apply(++index, command));
+      holder.commandAnswered(now, command, table.apply(++index, command));
     }
     proposed.clear();
   }
@@ -119,10 +119,10 @@
     tick(a, 0);
     tick(b, 0);
     a.drain();
-    for (double now = 10; now < 100 && !a.left(); now += 10) {
+    for (double now = 10; now < 100 && !a.closed(); now += 10) {
       tick(a, now);
     }
-    assertTrue(a.left());
+    assertTrue(a.closed());
     assertEquals("b", table.owner(table.slot(SHARD)));
     assertEquals(1, table.sessions().size());
   }
--- a/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
@@ -20,7 +20,7 @@
   private static final long MINUTE = 60_000;
   private static final long HOUR = 60 * MINUTE;
   private static final long START = 20_000L * 24 * HOUR;
-  private static final LeaseHolder.Terms TERMS = new LeaseHolder.Terms(4_000, 0.02);
+  private static final LeaseHolder.Timing TERMS = new LeaseHolder.Timing(4_000, 0.02);
   private static final RecurringSchedule JOB = new RecurringSchedule("sweep", MINUTE, true, false);
   private static final long STEP_AT = 10 * MINUTE + 7_000;
   private static final long END = 2 * HOUR + 30 * MINUTE;
@@ -46,7 +46,7 @@
     }
 
     private void propose(Command command) {
-      holder.answered((double) now, command, table.apply(++index, command));
+      holder.commandAnswered((double) now, command, table.apply(++index, command));
     }
 
     @Override
@@ -55,9 +55,9 @@
     }
 
     @Override
-    public void put(long due, long epoch) {
+    public void submit(long due, long epoch) {
       runs.add(due);
-      runner.came("served");
+      runner.resultReceived("served");
     }
 
     long wall() {
@@ -66,7 +66,7 @@
 
     void tick() {
       holder.tick((double) now, wall(), table);
-      runner.look((double) now, wall());
+      runner.tick((double) now, wall());
     }
   }
 
@@ -131,7 +131,8 @@
       members.forEach(
           member ->
               assertTrue(
-                  now < 1_000 || member.holder.holds((double) now), "the lease ended at " + now));
+                  now < 1_000 || member.holder.leaseValid((double) now),
+                  "the lease ended at " + now));
     }
   }
 }
--- a/lease/src/test/java/ferngrade/lease/RecurringJobRunnerTest.java
+++ b/lease/src/test/java/ferngrade/lease/RecurringJobRunnerTest.java
@@ -23,7 +23,7 @@
   private final List<Long> submitted = new ArrayList<>();
   private final LeaseHolder holder =
       new LeaseHolder(
-          "a", "a", List.of(JOB.shard()), new LeaseHolder.Terms(1_000, 0.02), command -> {});
+          "a", "a", List.of(JOB.shard()), new LeaseHolder.Timing(1_000, 0.02), command -> {});
   private final RecurringJobRunner runner =
       new RecurringJobRunner(
           JOB,
@@ -38,7 +38,7 @@
             }
 
             @Override
-            public void put(long due, long epoch) {
+            public void submit(long due, long epoch) {
               submitted.add(due);
             }
           });
@@ -46,9 +46,9 @@
 
   RecurringJobRunnerTest() {
     Command open = new Command.Open("a", "a-0", START, List.of(JOB.shard()));
-    holder.answered(0, open, table.apply(++index, open));
+    holder.commandAnswered(0, open, table.apply(++index, open));
     // The first due time of a job is skipped.
-    runner.look(1, START);
+    runner.tick(1, START);
     answer(0, apply(0));
     answer(1, apply(1));
     assertEquals(List.of(), submitted);
@@ -67,18 +67,18 @@
 
   @Test
   void submitsOnceAfterLostAnswerAndRepeatsResultUntilRecorded() {
-    runner.look(2, START + 100);
+    runner.tick(2, START + 100);
     unknown.get(0).run();
     apply(0);
-    runner.look(3, START + 150);
+    runner.tick(3, START + 150);
     assertEquals(List.of(START + 100), submitted, "the table shows that the due time was begun");
-    runner.came("served");
+    runner.resultReceived("served");
     unknown.get(1).run();
-    runner.look(4, START + 160);
+    runner.tick(4, START + 160);
     assertEquals(new Command.Finish(JOB.shard(), 1, START + 100, "served"), proposed.get(2));
     answer(2, apply(2));
     assertEquals("served", table.slot(JOB.shard()).result());
-    runner.look(5, START + 199);
+    runner.tick(5, START + 199);
     assertEquals(1, submitted.size());
   }
 
@@ -90,9 +90,9 @@
     // The leader has applied two due times from begin to result; this member's table shows neither
     // yet.
     for (long due = START + 100; due <= START + 200; due += 100) {
-      runner.look(2, due);
+      runner.tick(2, due);
       answer(done.size() - 1, leaderTable.apply(++leaderIndex, proposed.get(proposed.size() - 1)));
-      runner.came("served");
+      runner.resultReceived("served");
       answer(done.size() - 1, leaderTable.apply(++leaderIndex, proposed.get(proposed.size() - 1)));
       if (due == START + 100) {
         table.apply(++index, proposed.get(0));
@@ -101,25 +101,25 @@
     }
     assertEquals(2, submitted.size());
     table.restore(index, table.snapshot());
-    runner.look(3, START + 250);
+    runner.tick(3, START + 250);
     assertEquals(2, submitted.size(), "the table still shows an outdated state");
     assertTrue(proposed.size() == 4, "no command must be proposed: " + proposed);
   }
 
   @Test
   void retriesJobThatWasCertainlyNotSubmitted() {
-    runner.look(2, START + 100);
+    runner.tick(2, START + 100);
     answer(0, apply(0));
-    runner.notPut();
-    runner.look(3, START + 120);
+    runner.notSubmitted();
+    runner.tick(3, START + 120);
     assertEquals(List.of(START + 100, START + 100), submitted);
   }
 
   @Test
   void finishesOneDueTimeBeforeBeginningTheNext() {
-    runner.look(2, START + 100);
+    runner.tick(2, START + 100);
     answer(0, apply(0));
-    runner.look(3, START + 200);
+    runner.tick(3, START + 200);
     assertEquals(1, proposed.size(), "the previous due time is still pending");
   }
 }
