--- a/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
@@ -2,7 +2,7 @@
 
 import ferngrade.fleet.FleetFile;
 import ferngrade.fleet.MemberProcess;
-import ferngrade.fleet.MemberProcess.Empty;
+import ferngrade.fleet.MemberProcess.EmptyFolderPolicy;
 import ferngrade.jobstore.Storage;
 import ferngrade.node.Clock;
 import ferngrade.toml.FileException;
@@ -34,18 +34,18 @@
     List<String> options = Arrays.asList(arguments);
     String name = options.get(options.indexOf("--name") + 1);
     Path data = Path.of(options.get(options.indexOf("--data") + 1));
-    Empty empty =
+    EmptyFolderPolicy emptyFolderPolicy =
         options.contains("--found")
-            ? Empty.FOUND
-            : options.contains("--rejoin") ? Empty.REJOIN : Empty.STOP;
+            ? EmptyFolderPolicy.FOUND
+            : options.contains("--rejoin") ? EmptyFolderPolicy.REJOIN : EmptyFolderPolicy.STOP;
     Clocks clocks = new Clocks();
     MemberProcess member =
         new MemberProcess(
             FleetFile.read(Path.of(options.get(2))),
             name,
-            new MemberProcess.Start(
+            new MemberProcess.Environment(
                 data,
-                empty,
+                emptyFolderPolicy,
                 FaultInjectingMember::injectFaults,
                 clocks::monotonic,
                 clocks::wall,
--- a/fleet/src/main/java/ferngrade/fleet/EndpointListWatch.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListWatch.java
@@ -28,7 +28,7 @@
   private final Executor loop;
   private final Consumer<String> lineListener;
   private boolean enabled;
-  private LineSubscriber open;
+  private LineSubscriber openSubscriber;
   private double lastLineAt;
   private double openedAt = Double.NEGATIVE_INFINITY;
 
@@ -51,9 +51,9 @@
   /** Enables the watch, which the next {@link #poll} opens, or closes it. */
   void setEnabled(boolean enabled) {
     this.enabled = enabled;
-    if (!enabled && open != null) {
-      open.cancel();
-      open = null;
+    if (!enabled && openSubscriber != null) {
+      openSubscriber.cancel();
+      openSubscriber = null;
     }
   }
 
@@ -62,14 +62,15 @@
    * member's clock.
    */
   void poll(double now) {
-    if (open != null && (open.ended || now - Math.max(lastLineAt, openedAt) > MAX_SILENCE_MILLIS)) {
-      open.cancel();
-      open = null;
+    if (openSubscriber != null
+        && (openSubscriber.ended || now - Math.max(lastLineAt, openedAt) > MAX_SILENCE_MILLIS)) {
+      openSubscriber.cancel();
+      openSubscriber = null;
     }
-    if (enabled && open == null && now - openedAt >= REOPEN_DELAY_MILLIS) {
+    if (enabled && openSubscriber == null && now - openedAt >= REOPEN_DELAY_MILLIS) {
       openedAt = now;
       LineSubscriber subscriber = new LineSubscriber();
-      open = subscriber;
+      openSubscriber = subscriber;
       subscriber.response =
           client.sendAsync(
               HttpRequest.newBuilder(uri).build(),
@@ -102,7 +103,7 @@
     public void onNext(String line) {
       loop.execute(
           () -> {
-            if (open == this) {
+            if (openSubscriber == this) {
               lineListener.accept(line);
             }
           });
--- a/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import ferngrade.cli.Cli;
-import ferngrade.fleet.MemberProcess.Empty;
+import ferngrade.fleet.MemberProcess.EmptyFolderPolicy;
 import ferngrade.node.Clock;
 import ferngrade.toml.FileException;
 import java.io.IOException;
@@ -120,7 +120,10 @@
             "ferngrade: --found and --rejoin exclude each other: a new fleet or an existing one");
         return Cli.BAD_CONFIG;
       }
-      Empty empty = found ? Empty.FOUND : rejoin ? Empty.REJOIN : Empty.STOP;
+      EmptyFolderPolicy emptyFolderPolicy =
+          found
+              ? EmptyFolderPolicy.FOUND
+              : rejoin ? EmptyFolderPolicy.REJOIN : EmptyFolderPolicy.STOP;
       long startNanos = System.nanoTime();
       Clock clock = () -> (System.nanoTime() - startNanos) / 1e6;
       Clock systemClock = Clock.system();
@@ -128,9 +131,9 @@
               new MemberProcess(
                   file,
                   name,
-                  new MemberProcess.Start(
+                  new MemberProcess.Environment(
                       data,
-                      empty,
+                      emptyFolderPolicy,
                       UnaryOperator.identity(),
                       clock,
                       () -> (long) systemClock.wall(),
--- a/fleet/src/main/java/ferngrade/fleet/FleetFile.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetFile.java
@@ -75,7 +75,7 @@
   }
 
   /** The handling of due times that were missed in an outage. */
-  public enum Missed {
+  public enum MissedRunPolicy {
     /** The job runs late, once for all missed due times. */
     ONCE,
     /** Missed due times are skipped. */
@@ -102,13 +102,13 @@
     if (name == null || name.isEmpty()) {
       throw top.bad("name", "is missing");
     }
-    double hold = top.time("hold", 1500);
-    double drift = top.number("drift", 0.02);
+    double leaseMillis = top.time("hold", 1500);
+    double maxClockDrift = top.number("drift", 0.02);
     double heartbeat = top.time("heartbeat", 100);
-    if (drift >= 0.2) {
+    if (maxClockDrift >= 0.2) {
       throw top.bad("drift", "must be a fraction of the time, below 0.2");
     }
-    if (heartbeat <= 0 || hold < 4 * heartbeat) {
+    if (heartbeat <= 0 || leaseMillis < 4 * heartbeat) {
       throw top.bad("hold", "must be at least four heartbeats");
     }
     List<byte[]> keys =
@@ -141,7 +141,7 @@
     top.end();
     return new FleetFile(
         name,
-        new LeaseHolder.Timing(hold, drift),
+        new LeaseHolder.Timing(leaseMillis, maxClockDrift),
         heartbeat,
         keys,
         List.copyOf(members),
@@ -194,16 +194,20 @@
 
   private static Job job(Section section, Set<String> usedNames) throws FileException {
     String name = name(section, usedNames);
-    double every = section.time("every", 0);
-    if (every < MIN_PERIOD_MILLIS || every != Math.rint(every)) {
+    double periodMillis = section.time("every", 0);
+    if (periodMillis < MIN_PERIOD_MILLIS || periodMillis != Math.rint(periodMillis)) {
       throw section.bad("every", "must be a time of whole ms, 100ms or more");
     }
     Effect effect = section.word("effect", Effect.class, Effect.UNSAFE);
-    Missed missed = section.word("missed", Missed.class, Missed.ONCE);
+    MissedRunPolicy missedRunPolicy =
+        section.word("missed", MissedRunPolicy.class, MissedRunPolicy.ONCE);
     Job job =
         new Job(
             new RecurringSchedule(
-                name, (long) every, missed == Missed.ONCE, effect != Effect.UNSAFE),
+                name,
+                (long) periodMillis,
+                missedRunPolicy == MissedRunPolicy.ONCE,
+                effect != Effect.UNSAFE),
             effect,
             section.text("class", ""),
             section.text("tenant", ""),
--- a/fleet/src/main/java/ferngrade/fleet/FleetStatus.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetStatus.java
@@ -12,7 +12,7 @@
  *
  * @param leader the name of the Raft leader; null if none is known
  * @param term the Raft term
- * @param holds whether a majority confirms the session of this member
+ * @param leaseValid whether a majority confirms the session of this member
  * @param index the index of the last applied log entry
  * @param sessions the sessions of all members
  * @param duties all shards with their owners
@@ -22,7 +22,7 @@
     String member,
     String leader,
     int term,
-    boolean holds,
+    boolean leaseValid,
     long index,
     List<Session> sessions,
     List<Duty> duties) {
@@ -62,7 +62,7 @@
         .add("member", member)
         .add("leader", leader)
         .add("term", term)
-        .add("holds", holds)
+        .add("holds", leaseValid)
         .add("index", index)
         .add("sessions", members)
         .add("duties", shards);
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -81,7 +81,7 @@
   private boolean admitted = true;
 
   /** The way a voter starts if its data folder is empty. */
-  public enum Empty {
+  public enum EmptyFolderPolicy {
     /** Refuses to start: an earlier process may have cast votes that are no longer recorded. */
     STOP,
     /** Founds a new fleet together with the other voters. */
@@ -93,48 +93,51 @@
   /**
    * The environment in which a process is started.
    *
-   * @param data the data folder, used by this process alone
-   * @param empty the way a voter starts if the folder is empty
-   * @param disk wraps the storage of the folder; tests inject faults with it
+   * @param dataFolder the data folder, used by this process alone
+   * @param emptyFolderPolicy the way a voter starts if the folder is empty
+   * @param storageWrapper wraps the storage of the folder; tests inject faults with it
    * @param clock the monotonic clock
-   * @param wall the wall clock, ms since 1970
+   * @param wallClock the wall clock, ms since 1970
    * @param log receives each log line
    */
-  public record Start(
-      Path data,
-      Empty empty,
-      UnaryOperator<Storage> disk,
+  public record Environment(
+      Path dataFolder,
+      EmptyFolderPolicy emptyFolderPolicy,
+      UnaryOperator<Storage> storageWrapper,
       Clock clock,
-      LongSupplier wall,
+      LongSupplier wallClock,
       Consumer<String> log) {}
 
   /**
    * Opens the data folder and creates the member without starting it.
    *
-   * @throws IOException if the folder cannot be used, or if it is empty and {@link Empty#STOP} is
-   *     set for a voter
+   * @throws IOException if the folder cannot be used, or if it is empty and {@link
+   *     EmptyFolderPolicy#STOP} is set for a voter
    */
-  public MemberProcess(FleetFile file, String name, Start start)
+  public MemberProcess(FleetFile file, String name, Environment environment)
       throws IOException, InterruptedException {
     this.file = file;
     this.name = name;
-    this.clock = start.clock();
-    this.wallClock = start.wall();
-    this.log = start.log();
+    this.clock = environment.clock();
+    this.wallClock = environment.wallClock();
+    this.log = environment.log();
     this.timers =
         new Timers(
             clock,
             (delayMillis, run) ->
                 loop.schedule(run, (long) Math.ceil(delayMillis * 1000), TimeUnit.MICROSECONDS));
-    this.disk = FileSystemStorage.openExclusive(start.data());
+    this.disk = FileSystemStorage.openExclusive(environment.dataFolder());
     Codec codec = LogFormat.codec(Command.CLASSES);
     this.raftLog =
-        RaftLogStore.open(start.disk().apply(disk), codec, MAX_LOG_FILE_BYTES, this::diskFailed);
+        RaftLogStore.open(
+            environment.storageWrapper().apply(disk), codec, MAX_LOG_FILE_BYTES, this::diskFailed);
     Optional<RestoredRaftState> restored = raftLog.restored();
-    if (restored.isEmpty() && file.member(name).voter() && start.empty() == Empty.STOP) {
+    if (restored.isEmpty()
+        && file.member(name).voter()
+        && environment.emptyFolderPolicy() == EmptyFolderPolicy.STOP) {
       disk.close();
       throw new IOException(
-          start.data()
+          environment.dataFolder()
               + " holds no data of this fleet: a voter without its data must not vote. Start each"
               + " voter of a new fleet with --found, and a voter that has lost its disk with"
               + " --rejoin");
@@ -160,7 +163,7 @@
             new RaftMember.Persistence(
                 raftLog,
                 restored,
-                start.empty() == Empty.REJOIN
+                environment.emptyFolderPolicy() == EmptyFolderPolicy.REJOIN
                     ? Optional.of(Long.toHexString(seed))
                     : Optional.empty()),
             new RaftMember.Environment(
--- a/fleet/src/main/java/ferngrade/fleet/MembersStatus.java
+++ b/fleet/src/main/java/ferngrade/fleet/MembersStatus.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 
 /** The gossip status of all members as one member sees it, and its count of rejected datagrams. */
-record MembersStatus(String member, List<Line> members, long refused) {
+record MembersStatus(String member, List<Line> members, long rejected) {
   /** The latest update about a member and the time for which its status has been unchanged, ms. */
   record Line(MembershipUpdate update, double sinceMillis) {}
 
@@ -27,6 +27,6 @@
               .add("by", update.by())
               .add("since_ms", Math.round(line.sinceMillis())));
     }
-    return Json.object().add("member", member).add("refused", refused).add("members", lines);
+    return Json.object().add("member", member).add("refused", rejected).add("members", lines);
   }
 }
