--- a/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
@@ -97,7 +97,7 @@
     while (offset < content.length) {
       int length = LogBatch.lengthAt(buffer, offset);
       if (length < 0) {
-        if (offset == 0 || LogBatch.followed(buffer, offset, batchNumber)) {
+        if (offset == 0 || LogBatch.isFollowedByBatch(buffer, offset, batchNumber)) {
           throw new CorruptLogException(name, offset, "a synced batch cannot be read");
         }
         return;
@@ -239,7 +239,7 @@
       fileBytes = 0;
       write(rewritten, state.items());
       storage.rename(unfinished, next);
-      storage.syncNames();
+      storage.syncDirectory();
     } catch (IOException | RuntimeException failure) {
       closeQuietly(rewritten);
       throw failure;
--- a/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
@@ -76,7 +76,7 @@
     RaftLogStore log = open(disk);
     assertTrue(log.restored().isEmpty());
     begin(log);
-    disk.powerUp();
+    disk.restorePower();
     assertEquals(
         "a",
         open(disk)
@@ -124,7 +124,7 @@
         assertThrows(IOException.class, log::flush, "nothing is written after a failure");
       }
       failures.clear();
-      disk.powerUp();
+      disk.restorePower();
       RestoredRaftState restored = open(disk).restored().orElseThrow();
       List<String> entries =
           restored.getLogEntries().stream().map(entry -> (String) entry.getOperation()).toList();
@@ -163,7 +163,7 @@
         log.flush();
       }
     }
-    disk.powerUp();
+    disk.restorePower();
     assertTrue(!disk.list().get(0).endsWith("001"), disk.list().toString());
     RestoredRaftState restored = open(disk).restored().orElseThrow();
     assertEquals(1, disk.list().size(), "earlier files are deleted");
@@ -177,12 +177,12 @@
     FaultInjectingStorage disk = new FaultInjectingStorage(4, 0);
     RaftLogStore log = open(disk);
     begin(log);
-    disk.fill(true);
+    disk.setFull(true);
     assertThrows(IOException.class, () -> vote(log, 5, "b"));
-    disk.fill(false);
+    disk.setFull(false);
     assertThrows(IOException.class, () -> vote(log, 6, "b"));
     assertEquals(1, failures.size());
-    disk.powerUp();
+    disk.restorePower();
     assertEquals(0, open(disk).restored().orElseThrow().getTermPersistentState().getTerm());
   }
 
@@ -250,13 +250,13 @@
         log.flush();
         disk.fail(operation, errno, run / 8, 1 + run % 8);
         append(log, 1, 12);
-        disk.heal();
+        disk.clearFaults();
         String context = operation + " " + errno + " run " + run;
         if (run % 2 == 0) {
-          disk.powerUp();
+          disk.restorePower();
         }
         assertHolds(disk, 12, context);
-        disk.powerUp();
+        disk.restorePower();
         assertHolds(disk, 12, context + ", later");
       }
     }
@@ -283,8 +283,8 @@
       } catch (FaultInjectingStorage.PowerLost lost) {
         assertTrue(flushed < 10, "all entries were flushed before the power loss");
       }
-      disk.heal();
-      disk.powerUp();
+      disk.clearFaults();
+      disk.restorePower();
       RestoredRaftState restored = open(disk).restored().orElseThrow();
       int entries = restored.getLogEntries().size();
       int term = restored.getTermPersistentState().getTerm();
@@ -309,11 +309,11 @@
         assertHolds(disk, 3, "torn at " + torn);
       } else {
         assertThrows(DiskFault.class, () -> vote(log, 3, "b"));
-        disk.heal();
+        disk.clearFaults();
         disk.restartProcess();
         int term = open(disk).restored().orElseThrow().getTermPersistentState().getTerm();
         assertTrue(term == 2 || term == 3, torn + ": " + term);
-        disk.powerUp();
+        disk.restorePower();
         assertEquals(
             term,
             open(disk).restored().orElseThrow().getTermPersistentState().getTerm(),
@@ -335,7 +335,7 @@
         log.flush();
       }
       String file = disk.list().get(0);
-      if (disk.flip(file, offset)) {
+      if (disk.flipBit(file, offset)) {
         CorruptLogException damage = assertThrows(CorruptLogException.class, () -> open(disk));
         assertEquals(file, damage.file());
         detected++;
--- a/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
@@ -153,7 +153,7 @@
             "first done", "rejected unknown: " + RaftMember.DISK_FAILS, "waits done", "last done"),
         outcomes);
     assertEquals(List.of("first", "waits", "last"), only.applied);
-    only.disk.powerUp();
+    only.disk.restorePower();
     assertEquals(
         List.of("first", "waits", "last"),
         RaftLogStore.open(only.disk, LogFormat.codec(List.of()), 1 << 16, failure -> {})
@@ -179,7 +179,7 @@
       first.disk.fail(Operation.SYNC, Errno.EIO, 0, Long.MAX_VALUE);
       first.propose("unsure");
       run(failing);
-      first.disk.heal();
+      first.disk.clearFaults();
       run(20_000);
       Member later = leader();
       later.propose("after");
--- a/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
@@ -130,8 +130,8 @@
       }
 
       @Override
-      public void syncNames() throws IOException {
-        disk.syncNames();
+      public void syncDirectory() throws IOException {
+        disk.syncDirectory();
       }
     };
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -120,7 +120,7 @@
     for (String name : names) {
       VirtualMember member = members.get(name);
       member.setPaused(false);
-      disks.get(name).heal();
+      disks.get(name).clearFaults();
       if (!member.alive() || drained.contains(name)) {
         member.kill();
         start(name);
@@ -162,7 +162,7 @@
       return;
     }
     FaultInjectingStorage disk = disks.get(name);
-    disk.powerUp();
+    disk.restorePower();
     try {
       members.put(
           name,
@@ -255,7 +255,7 @@
     switch (random.nextInt(3)) {
       case 0 -> {
         failDisk(disks.get(name), (long) length % 2 == 0);
-        time.after(length, () -> disks.get(name).heal());
+        time.after(length, () -> disks.get(name).clearFaults());
       }
       case 1 -> loseDisk(name, length);
       default -> {
@@ -270,7 +270,7 @@
   /** Makes a disk full, or makes its syncs and renames fail. */
   private static void failDisk(FaultInjectingStorage disk, boolean full) {
     if (full) {
-      disk.fill(true);
+      disk.setFull(true);
       return;
     }
     for (FaultInjectingStorage.Operation operation :
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -108,8 +108,8 @@
   }
 
   /** Sets whether the disk is full: if so, every write fails after half of its bytes. */
-  public void fill(boolean nowFull) {
-    full = nowFull;
+  public void setFull(boolean isFull) {
+    full = isFull;
   }
 
   /**
@@ -121,7 +121,7 @@
   }
 
   /** Clears all scheduled faults and frees a full disk. */
-  public synchronized void heal() {
+  public synchronized void clearFaults() {
     schedule.clear();
     full = false;
   }
@@ -164,7 +164,7 @@
   }
 
   /** Restores power: a random part of the data that was not durable survives. */
-  public synchronized void powerUp() {
+  public synchronized void restorePower() {
     stepsUntilPowerLoss = Long.MAX_VALUE;
     Map<String, InMemoryFile> found = new TreeMap<>(syncedNames);
     // Each name change since the last sync of the directory survives or is undone at random.
@@ -187,7 +187,7 @@
   }
 
   /** Flips a random bit of the synced byte at an offset; returns false if there is none. */
-  public boolean flip(String name, int offset) {
+  public boolean flipBit(String name, int offset) {
     return names.get(name).flipBit(offset, random);
   }
 
@@ -267,7 +267,7 @@
   }
 
   @Override
-  public synchronized void syncNames() throws IOException {
+  public synchronized void syncDirectory() throws IOException {
     step();
     Optional<DiskFault> fault = schedule.next(Operation.SYNC_NAMES);
     if (fault.isPresent()) {
--- a/jobstore/src/main/java/ferngrade/jobstore/FileSystemStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FileSystemStorage.java
@@ -109,7 +109,7 @@
   }
 
   @Override
-  public void syncNames() throws IOException {
+  public void syncDirectory() throws IOException {
     try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
       directory.force(true);
     }
--- a/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
@@ -54,7 +54,7 @@
    * Returns whether a batch with a number above {@code number} + 1 is readable after an offset,
    * which shows that the data at the offset was synced.
    */
-  public static boolean followed(ByteBuffer in, int from, long number) {
+  public static boolean isFollowedByBatch(ByteBuffer in, int from, long number) {
     for (int offset = from + 1; offset <= in.capacity() - HEADER_BYTES; offset++) {
       long foundNumber = numberAt(in, offset);
       if (foundNumber > number + 1
--- a/jobstore/src/main/java/ferngrade/jobstore/LogCompactor.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogCompactor.java
@@ -41,7 +41,7 @@
       writeSnapshot(file, table.snapshot(), reader.batchNumber());
     }
     storage.rename(unfinished, name);
-    storage.syncNames();
+    storage.syncDirectory();
     for (String obsolete : replaced) {
       storage.delete(obsolete);
     }
--- a/jobstore/src/main/java/ferngrade/jobstore/Storage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Storage.java
@@ -16,7 +16,7 @@
 
   /**
    * Renames a file atomically and replaces any file of the new name. The new name is durable once
-   * {@link #syncNames} has returned.
+   * {@link #syncDirectory} has returned.
    */
   void rename(String from, String to) throws IOException;
 
@@ -24,7 +24,7 @@
   void delete(String name) throws IOException;
 
   /** Makes creations, renames and deletions durable with an fsync of the directory. */
-  void syncNames() throws IOException;
+  void syncDirectory() throws IOException;
 
   /** An append-only file. */
   interface Appender extends AutoCloseable {
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
@@ -63,7 +63,7 @@
     Optional<String> withoutHeader = reader.lastWithoutHeader();
     if (withoutHeader.isPresent()) {
       storage.delete(withoutHeader.get());
-      storage.syncNames();
+      storage.syncDirectory();
     }
     rewriteLastLog(storage, reader);
     WriteAheadLog opened = new WriteAheadLog(storage, maxLogBytes, reader);
@@ -89,7 +89,7 @@
       copy.sync();
     }
     storage.rename(unfinished, name);
-    storage.syncNames();
+    storage.syncDirectory();
   }
 
   /**
@@ -164,7 +164,7 @@
       file.append(batch, batch.length);
       file.sync();
       storage.rename(unfinished, name);
-      storage.syncNames();
+      storage.syncDirectory();
     } catch (IOException | RuntimeException failure) {
       LogFiles.closeQuietly(file);
       throw failure;
@@ -189,7 +189,7 @@
     Storage.Appender file = LogFiles.create(storage, LogFiles.logName(next), next);
     try {
       file.sync();
-      storage.syncNames();
+      storage.syncDirectory();
     } catch (IOException | RuntimeException failure) {
       LogFiles.closeQuietly(file);
       throw failure;
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
@@ -265,7 +265,7 @@
   private void handleUnreadable(String name, ByteBuffer in, int offset, boolean isLast)
       throws CorruptLogException {
     CorruptLogException damage = new CorruptLogException(name, offset, UNREADABLE);
-    if (LogBatch.followed(in, offset, batchNumber)) {
+    if (LogBatch.isFollowedByBatch(in, offset, batchNumber)) {
       throw damage;
     }
     if (isLast) {
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -110,7 +110,7 @@
       }
     }
 
-    void play(int stepCount) throws IOException {
+    void runSteps(int stepCount) throws IOException {
       for (int i = 0; i < stepCount; i++) {
         // The clock jumps at random, by up to an hour forward or back.
         clock +=
@@ -243,7 +243,7 @@
     FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
     StoreProcess process =
         new StoreProcess(disk, new ExternalState(), new SplittableRandom(seed), 1e12, 0, faults);
-    process.play(60);
+    process.runSteps(60);
     return disk.steps();
   }
 
@@ -265,14 +265,14 @@
         recoveries++;
         nextJobNumber = 1000 * (i + 1);
         check(process, external);
-        process.play(60);
+        process.runSteps(60);
         break;
       } catch (PowerLost | DiskFault crash) {
-        disk.heal();
+        disk.clearFaults();
         if (faults && random.nextBoolean()) {
           disk.restartProcess();
         } else {
-          disk.powerUp();
+          disk.restorePower();
         }
         disk.losePowerAfter(random.nextInt(40));
       } catch (AssertionError | RuntimeException failure) {
@@ -280,8 +280,8 @@
             "seed " + seed + ", power lost at step " + step + ", process " + i, failure);
       }
     }
-    disk.heal();
-    disk.powerUp();
+    disk.clearFaults();
+    disk.restorePower();
     StoreProcess last = new StoreProcess(disk, external, random, 2e12, 9000);
     check(last, external);
     return recoveries + 1;
@@ -294,13 +294,13 @@
       FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
       StoreProcess process =
           new StoreProcess(disk, new ExternalState(), new SplittableRandom(seed), 1e12, 0);
-      process.play(40);
+      process.runSteps(40);
       long last = lastBatch(disk);
       SplittableRandom damageRandom = new SplittableRandom(seed);
       List<String> files = disk.list().stream().filter(name -> !name.endsWith(".tmp")).toList();
       String file = files.get(damageRandom.nextInt(files.size()));
       int offset = damageRandom.nextInt(disk.read(file).length);
-      disk.flip(file, offset);
+      disk.flipBit(file, offset);
       try {
         JobTable recovered = new JobTable(SETTINGS);
         WriteAheadLog.inspect(disk, recovered::replay);
@@ -360,9 +360,9 @@
       try {
         StoreProcess process = new StoreProcess(disk, external, random, 1e12, 0);
         disk.losePowerAfter(20 + random.nextInt(80));
-        process.play(200);
+        process.runSteps(200);
       } catch (PowerLost crash) {
-        disk.powerUp();
+        disk.restorePower();
       }
       try {
         check(new StoreProcess(disk, external, random, 2e12, 9000), external);
@@ -382,24 +382,24 @@
     FaultInjectingStorage disk = new FaultInjectingStorage(1, 0);
     ExternalState external = new ExternalState();
     StoreProcess process = new StoreProcess(disk, external, new SplittableRandom(1), 1e12, 0);
-    process.play(50);
+    process.runSteps(50);
     JobChange change =
         process.table.accept(
             new JobSubmission("late", Idempotency.UNSAFE, "", 0, new byte[9]), 1e12);
     long before = process.log.logNumber();
-    disk.fill(true);
+    disk.setFull(true);
     for (int i = 0; i < 3; i++) {
       assertThrows(IOException.class, () -> process.log.commit(change.records()));
     }
-    disk.fill(false);
+    disk.setFull(false);
     process.log.commit(change.records());
     external.accepted.add("late");
     assertEquals(
         before + 1,
         process.log.logNumber(),
         "the file of the failed write must not be written again");
-    process.play(50);
-    disk.powerUp();
+    process.runSteps(50);
+    disk.restorePower();
     check(new StoreProcess(disk, external, new SplittableRandom(2), 2e12, 9000), external);
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
@@ -139,7 +139,7 @@
     }
     assertEquals(List.of("a", "b", "a leased", "c"), stored);
     assertEquals(List.of(20.0, 40.0, 80.0, 160.0), delays);
-    disk.powerUp();
+    disk.restorePower();
     try (JobStore reopened = open(1 << 20, 2)) {
       assertEquals(3, reopened.table().jobs().size());
       assertEquals(JobState.LEASED, reopened.table().job("a").orElseThrow().state());
@@ -155,8 +155,8 @@
     runOwnerTask();
     assertThrows(IOException.class, store::close);
     assertEquals(List.of(), stored);
-    disk.heal();
-    disk.powerUp();
+    disk.clearFaults();
+    disk.restorePower();
     open(1 << 20, 2).close();
   }
 
@@ -167,7 +167,7 @@
     disk.fail(Operation.SYNC, Errno.EIO, 0, 1);
     accept(store, "a", stored);
     store.close();
-    disk.powerUp();
+    disk.restorePower();
     try (JobStore reopened = open(1 << 20, 2)) {
       assertEquals(1, reopened.table().jobs().size());
     }
--- a/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
@@ -88,13 +88,13 @@
             compact(log, failing);
           }
         }
-        failing.heal();
+        failing.clearFaults();
         LogCompactor.compact(failing, log.logNumber());
         if (run % 2 == 0) {
-          failing.powerUp();
+          failing.restorePower();
         }
         assertEquals(acknowledged, recovered(failing), operation + " " + errno + " run " + run);
-        failing.powerUp();
+        failing.restorePower();
         assertEquals(
             acknowledged,
             recovered(failing),
@@ -118,7 +118,7 @@
       assertTrue(
           recoveredJobs.equals(List.of("a")) || recoveredJobs.equals(List.of("a", "b")),
           tornAt + ": " + recoveredJobs);
-      killed.powerUp();
+      killed.restorePower();
       assertEquals(recoveredJobs, recovered(killed), "a second recovery finds the same jobs");
 
       FaultInjectingStorage continuing = new FaultInjectingStorage(tornAt, 0);
@@ -130,7 +130,7 @@
       assertEquals(2, commit(other, "b"));
       commit(other, "c");
       assertEquals(acknowledged, recovered(continuing), "torn at " + tornAt);
-      continuing.powerUp();
+      continuing.restorePower();
       assertEquals(acknowledged, recovered(continuing), "torn at " + tornAt);
     }
   }
@@ -155,7 +155,7 @@
     }
     commit(log, "last");
     String first = LogFiles.logName(1);
-    disk.flip(first, disk.read(first).length - 1);
+    disk.flipBit(first, disk.read(first).length - 1);
     CorruptLogException damage = assertThrows(CorruptLogException.class, () -> recovered(disk));
     assertEquals(first, damage.file());
   }
@@ -167,7 +167,7 @@
     assertThrows(DiskFault.class, () -> log.commit(job("a")));
     disk.restartProcess();
     assertEquals(List.of("a"), recovered(disk), "the page cache still has the record");
-    disk.powerUp();
+    disk.restorePower();
     assertEquals(List.of("a"), recovered(disk), "the recovery has made the record durable");
   }
 
