--- a/experiment/src/main/java/ferngrade/experiment/ExperimentReader.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentReader.java
@@ -36,7 +36,7 @@
 
   /** Reads the experiment in this file. */
   public static Experiment read(Path path) throws FileException {
-    return read(path.toString(), path.toAbsolutePath().getParent(), Section.text(path));
+    return read(path.toString(), path.toAbsolutePath().getParent(), Section.readText(path));
   }
 
   /**
@@ -58,10 +58,10 @@
 
   private Experiment experiment(JsonNode root) throws FileException {
     Section top = new Section(file, lines, "", root);
-    List<String> policies = top.texts("policies", List.of("module"));
+    List<String> policies = top.strings("policies", List.of("module"));
     for (String policy : policies) {
       if (!Policies.names().contains(policy)) {
-        throw top.bad(
+        throw top.error(
             "policies",
             "contains an unknown policy: \""
                 + policy
@@ -70,7 +70,7 @@
       }
     }
     List<Long> seeds = seeds(top);
-    Mutation mutation = top.word("mutation", Mutation.class, Mutation.NONE);
+    Mutation mutation = top.enumValue("mutation", Mutation.class, Mutation.NONE);
     List<Experiment.Point> points = new ArrayList<>();
     for (Map<String, JsonNode> combination : combinations(top)) {
       JsonNode modifiedRoot = root.deepCopy();
@@ -87,8 +87,8 @@
       points.add(new Experiment.Point(parameters, scenario(section)));
     }
     return new Experiment(
-        top.text("name", "experiment"),
-        top.text("title", ""),
+        top.string("name", "experiment"),
+        top.string("title", ""),
         points,
         policies,
         seeds,
@@ -98,10 +98,10 @@
 
   private static List<Long> seeds(Section top) throws FileException {
     List<Long> seeds = new ArrayList<>();
-    if (top.numeric("seeds")) {
+    if (top.isNumber("seeds")) {
       double count = top.number("seeds", 1);
       if (count < 1 || count != Math.rint(count) || count > 10_000) {
-        throw top.bad("seeds", "must be a list, or a whole number from 1 to 10000");
+        throw top.error("seeds", "must be a list, or a whole number from 1 to 10000");
       }
       for (long seed = 1; seed <= count; seed++) {
         seeds.add(seed);
@@ -113,7 +113,7 @@
     }
     for (JsonNode seed : top.values("seeds")) {
       if (!seed.canConvertToLong() || !seed.isIntegralNumber()) {
-        throw top.bad("seeds", "contains a value that is not an integer: " + seed);
+        throw top.error("seeds", "contains a value that is not an integer: " + seed);
       }
       seeds.add(seed.asLong());
     }
@@ -149,7 +149,7 @@
       throws FileException {
     String[] pathList = paths.split("\\s*,\\s*", 0);
     if (pathList.length > 1 && (!value.isArray() || value.size() != pathList.length)) {
-      throw top.bad(
+      throw top.error(
           "sweep." + paths, "needs a list of " + pathList.length + " values for each point");
     }
     for (int i = 0; i < pathList.length; i++) {
@@ -178,14 +178,14 @@
         child = ((ObjectNode) current).putObject(keys[i]);
       }
       if (child == null || !child.isContainerNode()) {
-        throw top.bad(
+        throw top.error(
             "sweep." + path,
             "cannot be resolved at " + keys[i + (child == null && !inArray ? 1 : 0)]);
       }
       current = child;
     }
     if (!current.isObject()) {
-      throw top.bad("sweep." + path, "does not end at a key of a table");
+      throw top.error("sweep." + path, "does not end at a key of a table");
     }
     ((ObjectNode) current).set(keys[keys.length - 1], value);
   }
@@ -194,13 +194,13 @@
     try {
       return Integer.parseInt(key);
     } catch (NumberFormatException e) {
-      throw top.bad("sweep." + path, "needs the index of a list element, not " + key);
+      throw top.error("sweep." + path, "needs the index of a list element, not " + key);
     }
   }
 
   private Scenario scenario(Section top) throws FileException {
     Scenario scenario = Scenario.standard();
-    scenario.duration = top.time("duration", scenario.duration);
+    scenario.duration = top.durationMillis("duration", scenario.duration);
     Section fleet = top.section("fleet");
     Fields.fill(fleet, scenario);
     scenario.zones = zones(fleet, scenario.zones);
@@ -209,38 +209,38 @@
       scenario.kinds.clear();
       for (Section kind : kinds) {
         scenario.kinds.add(Fields.fill(kind, new KindSpec()));
-        kind.end();
+        kind.rejectUnknownKeys();
       }
     }
-    fleet.end();
+    fleet.rejectUnknownKeys();
     workload(top.section("workload"), scenario.workload);
     Section network = top.section("network");
     Fields.fill(network, scenario.network);
-    network.end();
+    network.rejectUnknownKeys();
     Section discovery = top.section("discovery");
     Fields.fill(discovery, scenario.discovery);
-    discovery.end();
+    discovery.rejectUnknownKeys();
     if (scenario.discovery.noticeMost < scenario.discovery.noticeLeast) {
-      throw discovery.bad("notice-most", "is less than notice-least");
+      throw discovery.error("notice-most", "is less than notice-least");
     }
     for (Section fault : top.sections("fault")) {
       scenario.faults.add(fault(fault, scenario));
     }
-    top.end();
+    top.rejectUnknownKeys();
     if (scenario.duration <= 0) {
-      throw top.bad("duration", "must be above 0");
+      throw top.error("duration", "must be above 0");
     }
     return scenario;
   }
 
   /** Reads the zones: either a list of names, or a number of zones to be named z0, z1 and so on. */
   private static List<String> zones(Section fleet, List<String> defaults) throws FileException {
-    if (!fleet.numeric("zones")) {
-      return new ArrayList<>(fleet.texts("zones", defaults));
+    if (!fleet.isNumber("zones")) {
+      return new ArrayList<>(fleet.strings("zones", defaults));
     }
     double count = fleet.number("zones", 0);
     if (count < 1 || count != Math.rint(count) || count > 10_000) {
-      throw fleet.bad("zones", "must be a list of names, or a whole number from 1 to 10000");
+      throw fleet.error("zones", "must be a list of names, or a whole number from 1 to 10000");
     }
     return new ArrayList<>(IntStream.range(0, (int) count).mapToObj(zone -> "z" + zone).toList());
   }
@@ -248,14 +248,15 @@
   private void workload(Section section, WorkloadSpec workload) throws FileException {
     Fields.fill(section, workload);
     if (section.has("rate") && section.has("load")) {
-      throw section.bad("rate", "and load are both set; only one of them may define the arrivals");
+      throw section.error(
+          "rate", "and load are both set; only one of them may define the arrivals");
     }
     List<Section> classes = section.sections("class");
     if (!classes.isEmpty()) {
       workload.classes.clear();
       for (Section classSection : classes) {
         workload.classes.add(Fields.fill(classSection, new ClassSpec()));
-        classSection.end();
+        classSection.rejectUnknownKeys();
       }
     }
     List<Section> tenants = section.sections("tenant");
@@ -265,16 +266,16 @@
         TenantSpec tenant = new TenantSpec();
         tenant.share = tenantSection.number("share", 1);
         tenant.usage = tenantSection.number("usage", tenant.share);
-        tenant.name = tenantSection.text("name", "tenant-" + workload.tenants.size());
+        tenant.name = tenantSection.string("name", "tenant-" + workload.tenants.size());
         workload.tenants.add(tenant);
-        tenantSection.end();
+        tenantSection.rejectUnknownKeys();
       }
     }
-    String trace = section.text("trace", null);
+    String trace = section.string("trace", null);
     if (trace != null) {
       workload.trace = trace(section, trace, workload);
     }
-    section.end();
+    section.rejectUnknownKeys();
   }
 
   /**
@@ -290,7 +291,7 @@
     try {
       rows = Files.readAllLines(folder.resolve(name));
     } catch (IOException e) {
-      throw section.bad("trace", "cannot be read: " + e.getMessage());
+      throw section.error("trace", "cannot be read: " + e.getMessage());
     }
     double previousMillis = 0;
     for (int i = 0; i < rows.size(); i++) {
@@ -326,28 +327,28 @@
   }
 
   private static Fault fault(Section section, Scenario scenario) throws FileException {
-    Fault.Kind kind = section.word("kind", Fault.Kind.class, null);
+    Fault.Kind kind = section.enumValue("kind", Fault.Kind.class, null);
     if (kind == null) {
-      throw section.bad("kind", "is missing");
+      throw section.error("kind", "is missing");
     }
     double size = section.number("size", defaultSize(kind));
     double part = section.number("part", kind == Fault.Kind.ZONE_CUT ? 0 : 0.5);
     double target = section.has("target") ? section.number("target", 0) : -1;
     if (size <= 0) {
-      throw section.bad("size", "must be above 0");
+      throw section.error("size", "must be above 0");
     }
     if (part > 1) {
-      throw section.bad("part", "must be between 0 and 1");
+      throw section.error("part", "must be between 0 and 1");
     }
     Fault fault =
         new Fault(
             kind,
-            section.time("at", scenario.duration / 3),
-            section.time("length", scenario.duration / 3),
+            section.durationMillis("at", scenario.duration / 3),
+            section.durationMillis("length", scenario.duration / 3),
             size,
             part,
             (int) target);
-    section.end();
+    section.rejectUnknownKeys();
     return fault;
   }
 
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
@@ -132,7 +132,7 @@
       return runProcesses(
           shipped != null
               ? shipped
-              : TrialFile.read(nameOrFile, Section.text(Path.of(nameOrFile))));
+              : TrialFile.read(nameOrFile, Section.readText(Path.of(nameOrFile))));
     } catch (FileException e) {
       System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
--- a/experiment/src/main/java/ferngrade/experiment/Fields.java
+++ b/experiment/src/main/java/ferngrade/experiment/Fields.java
@@ -51,14 +51,14 @@
       return null;
     }
     if (type == String.class) {
-      return section.text(key, null);
+      return section.string(key, null);
     }
     if (type.isEnum()) {
-      return section.word(key, (Class) type, null);
+      return section.enumValue(key, (Class) type, null);
     }
     if (type == boolean.class) {
       if (!value.isBoolean()) {
-        throw section.bad(key, "is not true or false: " + value);
+        throw section.error(key, "is not true or false: " + value);
       }
       return value.asBoolean();
     }
@@ -66,7 +66,7 @@
     double number = readNumber(section, key, value, quantity == null ? null : quantity.value());
     if (type == int.class) {
       if (number != Math.rint(number) || number > 1e9) {
-        throw section.bad(key, "is not a whole number: " + value);
+        throw section.error(key, "is not a whole number: " + value);
       }
       return (int) number;
     }
@@ -76,17 +76,17 @@
   private static double readNumber(Section section, String key, JsonNode value, Measure measure)
       throws FileException {
     if (measure == Measure.TIME) {
-      return section.time(key, value);
+      return section.durationMillis(key, value);
     }
     if (measure == Measure.RATE) {
       return parseRate(section, key, value);
     }
     double number = section.number(key, value);
     if (measure == Measure.SHARE && number > 1) {
-      throw section.bad(key, "must be between 0 and 1: " + value);
+      throw section.error(key, "must be between 0 and 1: " + value);
     }
     if (measure == Measure.POSITIVE && number == 0) {
-      throw section.bad(key, "must be above 0");
+      throw section.error(key, "must be above 0");
     }
     return number;
   }
@@ -95,7 +95,7 @@
       throws FileException {
     Matcher matcher = RATE.matcher(value.isTextual() ? value.asText() : "");
     if (!matcher.matches()) {
-      throw section.bad(key, "is not a rate such as \"52/s\": " + value);
+      throw section.error(key, "is not a rate such as \"52/s\": " + value);
     }
     return Double.parseDouble(matcher.group(1)) / (matcher.group(2).equals("s") ? 1 : 60);
   }
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -200,7 +200,7 @@
     figures.put("retries", (double) (tries - firstTries));
     figures.put("in time", (double) inTime);
     for (Answer answer : Answer.values()) {
-      figures.put(Section.kebab(answer.name()), (double) answers.getOrDefault(answer, 0L));
+      figures.put(Section.toKebabCase(answer.name()), (double) answers.getOrDefault(answer, 0L));
     }
     figures.put("attempts a try", tries == 0 ? 0 : (double) attempts / tries);
     figures.put("wasted work", sentWork <= 0 ? 0 : Math.max(0, 1 - usefulWork / sentWork));
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -161,43 +161,43 @@
     Section top = new Section(file, new TomlLines(text), "", Section.parse(file, text));
     List<Step> steps = new ArrayList<>();
     for (Section table : top.sections("step")) {
-      StepAction action = table.word("do", StepAction.class, null);
+      StepAction action = table.enumValue("do", StepAction.class, null);
       if (action == null) {
-        throw table.bad("do", "is missing");
+        throw table.error("do", "is missing");
       }
-      String who = table.text("who", null);
+      String who = table.string("who", null);
       if (who == null) {
-        throw table.bad("who", "is missing");
+        throw table.error("who", "is missing");
       }
       steps.add(
           new Step(
-              table.time("at", 0),
-              table.word("when", Condition.class, Condition.NONE),
+              table.durationMillis("at", 0),
+              table.enumValue("when", Condition.class, Condition.NONE),
               action,
               who,
-              table.number("by", 0) * (table.text("back", "no").equals("yes") ? -1 : 1),
-              table.time("for", 0),
-              table.word("until", Condition.class, Condition.NONE)));
-      table.end();
+              table.number("by", 0) * (table.string("back", "no").equals("yes") ? -1 : 1),
+              table.durationMillis("for", 0),
+              table.enumValue("until", Condition.class, Condition.NONE)));
+      table.rejectUnknownKeys();
     }
     double members = top.number("members", 3);
     if (members < 1 || members > 9 || members != Math.rint(members)) {
-      throw top.bad("members", "must be a whole number from 1 to 9");
+      throw top.error("members", "must be a whole number from 1 to 9");
     }
     TrialFile trial =
         new TrialFile(
-            top.text("name", file),
-            top.text("title", ""),
+            top.string("name", file),
+            top.string("title", ""),
             (int) members,
-            top.time("hold", 1500),
-            top.time("every", 200),
-            top.text("keeps", "no").equals("yes"),
-            top.text("stranger", "no").equals("yes"),
-            top.text("list", "no").equals("yes"),
-            top.texts("says", List.of()),
-            top.texts("never", List.of()),
+            top.durationMillis("hold", 1500),
+            top.durationMillis("every", 200),
+            top.string("keeps", "no").equals("yes"),
+            top.string("stranger", "no").equals("yes"),
+            top.string("list", "no").equals("yes"),
+            top.strings("says", List.of()),
+            top.strings("never", List.of()),
             List.copyOf(steps));
-    top.end();
+    top.rejectUnknownKeys();
     return trial;
   }
 
--- a/fleet/src/main/java/ferngrade/fleet/FleetFile.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetFile.java
@@ -97,38 +97,40 @@
    * @throws FileException if a value cannot be used; it names the file, the line and the key
    */
   public static FleetFile read(Path path) throws FileException {
-    Section top = Section.file(path);
-    String name = top.text("name", null);
+    Section top = Section.readFile(path);
+    String name = top.string("name", null);
     if (name == null || name.isEmpty()) {
-      throw top.bad("name", "is missing");
+      throw top.error("name", "is missing");
     }
-    double leaseMillis = top.time("hold", 1500);
+    double leaseMillis = top.durationMillis("hold", 1500);
     double maxClockDrift = top.number("drift", 0.02);
-    double heartbeat = top.time("heartbeat", 100);
+    double heartbeat = top.durationMillis("heartbeat", 100);
     if (maxClockDrift >= 0.2) {
-      throw top.bad("drift", "must be a fraction of the time, below 0.2");
+      throw top.error("drift", "must be a fraction of the time, below 0.2");
     }
     if (heartbeat <= 0 || leaseMillis < 4 * heartbeat) {
-      throw top.bad("hold", "must be at least four heartbeats");
+      throw top.error("hold", "must be at least four heartbeats");
     }
     List<byte[]> keys =
-        top.has("key-file") ? keys(top, path.resolveSibling(top.text("key-file", ""))) : List.of();
+        top.has("key-file")
+            ? keys(top, path.resolveSibling(top.string("key-file", "")))
+            : List.of();
     List<Member> members = new ArrayList<>();
     Set<String> usedNames = new HashSet<>();
     for (Section section : top.sections("member")) {
       members.add(member(section, usedNames));
     }
     if (members.stream().noneMatch(Member::voter)) {
-      throw top.bad("member", "is missing: a fleet needs at least one voter");
+      throw top.error("member", "is missing: a fleet needs at least one voter");
     }
     List<InetSocketAddress> targets = new ArrayList<>();
-    for (String target : top.texts("targets", List.of())) {
+    for (String target : top.strings("targets", List.of())) {
       targets.add(address(top, "targets", target));
     }
     InetSocketAddress discovery =
-        top.has("discovery") ? address(top, "discovery", top.text("discovery", "")) : null;
+        top.has("discovery") ? address(top, "discovery", top.string("discovery", "")) : null;
     if (discovery == null && members.stream().anyMatch(member -> member.list() != null)) {
-      throw top.bad("discovery", "is missing: members with a list address need it");
+      throw top.error("discovery", "is missing: members with a list address need it");
     }
     List<Job> jobs = new ArrayList<>();
     Set<String> usedJobNames = new HashSet<>();
@@ -136,9 +138,9 @@
       jobs.add(job(section, usedJobNames));
     }
     if (!jobs.isEmpty() && targets.isEmpty()) {
-      throw top.bad("targets", "is missing: recurring jobs need a target");
+      throw top.error("targets", "is missing: recurring jobs need a target");
     }
-    top.end();
+    top.rejectUnknownKeys();
     return new FleetFile(
         name,
         new LeaseHolder.Timing(leaseMillis, maxClockDrift),
@@ -160,12 +162,12 @@
         }
       }
     } catch (IOException unreadable) {
-      throw top.bad("key-file", "cannot be read: " + unreadable);
+      throw top.error("key-file", "cannot be read: " + unreadable);
     }
     if (keys.isEmpty()
         || keys.size() > MAX_KEYS
         || keys.stream().anyMatch(key -> key.length < MIN_KEY_LENGTH)) {
-      throw top.bad(
+      throw top.error(
           "key-file",
           "must hold one key or two, one per line, of " + MIN_KEY_LENGTH + " characters or more");
     }
@@ -175,32 +177,32 @@
   private static Member member(Section section, Set<String> usedNames) throws FileException {
     String name = name(section, usedNames);
     if (!section.has("address")) {
-      throw section.bad("address", "is missing");
+      throw section.error("address", "is missing");
     }
-    InetSocketAddress address = address(section, "address", section.text("address", ""));
+    InetSocketAddress address = address(section, "address", section.string("address", ""));
     InetSocketAddress admin =
-        section.has("admin") ? address(section, "admin", section.text("admin", "")) : null;
+        section.has("admin") ? address(section, "admin", section.string("admin", "")) : null;
     InetSocketAddress gossip =
-        section.has("gossip") ? address(section, "gossip", section.text("gossip", "")) : null;
+        section.has("gossip") ? address(section, "gossip", section.string("gossip", "")) : null;
     InetSocketAddress list =
-        section.has("list") ? address(section, "list", section.text("list", "")) : null;
-    String part = section.text("part", "voter");
+        section.has("list") ? address(section, "list", section.string("list", "")) : null;
+    String part = section.string("part", "voter");
     if (!part.equals("voter") && !part.equals("learner")) {
-      throw section.bad("part", "is neither \"voter\" nor \"learner\": \"" + part + "\"");
+      throw section.error("part", "is neither \"voter\" nor \"learner\": \"" + part + "\"");
     }
-    section.end();
+    section.rejectUnknownKeys();
     return new Member(name, address, admin, gossip, list, part.equals("voter"));
   }
 
   private static Job job(Section section, Set<String> usedNames) throws FileException {
     String name = name(section, usedNames);
-    double periodMillis = section.time("every", 0);
+    double periodMillis = section.durationMillis("every", 0);
     if (periodMillis < MIN_PERIOD_MILLIS || periodMillis != Math.rint(periodMillis)) {
-      throw section.bad("every", "must be a time of whole ms, 100ms or more");
+      throw section.error("every", "must be a time of whole ms, 100ms or more");
     }
-    Effect effect = section.word("effect", Effect.class, Effect.UNSAFE);
+    Effect effect = section.enumValue("effect", Effect.class, Effect.UNSAFE);
     MissedRunPolicy missedRunPolicy =
-        section.word("missed", MissedRunPolicy.class, MissedRunPolicy.ONCE);
+        section.enumValue("missed", MissedRunPolicy.class, MissedRunPolicy.ONCE);
     Job job =
         new Job(
             new RecurringSchedule(
@@ -209,27 +211,27 @@
                 missedRunPolicy == MissedRunPolicy.ONCE,
                 effect != Effect.UNSAFE),
             effect,
-            section.text("class", ""),
-            section.text("tenant", ""),
-            section.text("payload", ""),
-            section.time("deadline", 5_000));
+            section.string("class", ""),
+            section.string("tenant", ""),
+            section.string("payload", ""),
+            section.durationMillis("deadline", 5_000));
     if (job.jobClass().isEmpty() || job.tenant().isEmpty()) {
-      throw section.bad(job.jobClass().isEmpty() ? "class" : "tenant", "is missing");
+      throw section.error(job.jobClass().isEmpty() ? "class" : "tenant", "is missing");
     }
-    section.end();
+    section.rejectUnknownKeys();
     return job;
   }
 
   private static String name(Section section, Set<String> usedNames) throws FileException {
-    String name = section.text("name", "");
+    String name = section.string("name", "");
     if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-      throw section.bad("name", "must be 1 to 64 letters, digits, dots, dashes or underscores");
+      throw section.error("name", "must be 1 to 64 letters, digits, dots, dashes or underscores");
     }
     if (name.equals(EndpointListRelay.SHARD.duty()) && section.has("every")) {
-      throw section.bad("name", "is reserved for the endpoint list: list");
+      throw section.error("name", "is reserved for the endpoint list: list");
     }
     if (!usedNames.add(name)) {
-      throw section.bad("name", "is a duplicate: " + name);
+      throw section.error("name", "is a duplicate: " + name);
     }
     return name;
   }
@@ -239,7 +241,7 @@
     try {
       return EndpointListParser.address(text);
     } catch (IllegalArgumentException malformed) {
-      throw section.bad(key, "is not an address: \"" + text + "\"");
+      throw section.error(key, "is not an address: \"" + text + "\"");
     }
   }
 
--- a/toml/src/main/java/ferngrade/toml/Section.java
+++ b/toml/src/main/java/ferngrade/toml/Section.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads one table of a TOML file. Each key that is read counts as known; {@link #end} rejects the
- * others. Error messages name the file, the line and the key.
+ * Reads one table of a TOML file. Each key that is read counts as known; {@link #rejectUnknownKeys}
+ * rejects the others. Error messages name the file, the line and the key.
  */
 public final class Section {
   private static final Pattern DURATION =
@@ -45,7 +45,7 @@
   }
 
   /** Returns an exception that reports why the value of this key cannot be used. */
-  public FileException bad(String key, String problem) {
+  public FileException error(String key, String problem) {
     String fullKey = path.isEmpty() ? key : path + "." + key;
     int line = lines.lineOf(fullKey);
     return new FileException(file + (line > 0 ? ":" + line : ""), fullKey + " " + problem);
@@ -64,19 +64,19 @@
   }
 
   /** Returns whether the key is present with a number. */
-  public boolean numeric(String key) {
+  public boolean isNumber(String key) {
     JsonNode value = get(key);
     return value != null && value.isNumber();
   }
 
   /** Returns the string under a key, or the default if the key is absent. */
-  public String text(String key, String defaultValue) throws FileException {
+  public String string(String key, String defaultValue) throws FileException {
     JsonNode value = get(key);
     if (value == null) {
       return defaultValue;
     }
     if (!value.isTextual()) {
-      throw bad(key, "is not a string: " + value);
+      throw error(key, "is not a string: " + value);
     }
     return value.asText();
   }
@@ -90,66 +90,66 @@
   /** Returns a value as a number, 0 or more. */
   public double number(String key, JsonNode value) throws FileException {
     if (!value.isNumber()) {
-      throw bad(key, "is not a number: " + value);
+      throw error(key, "is not a number: " + value);
     }
     if (!(value.asDouble() >= 0) || Double.isInfinite(value.asDouble())) {
-      throw bad(key, "must be 0 or more: " + value);
+      throw error(key, "must be 0 or more: " + value);
     }
     return value.asDouble();
   }
 
   /** Returns the duration under a key in ms, or the default if the key is absent. */
-  public double time(String key, double defaultValue) throws FileException {
+  public double durationMillis(String key, double defaultValue) throws FileException {
     JsonNode value = get(key);
-    return value == null ? defaultValue : time(key, value);
+    return value == null ? defaultValue : durationMillis(key, value);
   }
 
   /** Returns a value as a duration in ms. */
-  public double time(String key, JsonNode value) throws FileException {
-    Matcher time = DURATION.matcher(value.isTextual() ? value.asText() : "");
-    if (!time.matches()) {
-      throw bad(key, "is not a time such as \"250ms\" or \"10s\": " + value);
+  public double durationMillis(String key, JsonNode value) throws FileException {
+    Matcher duration = DURATION.matcher(value.isTextual() ? value.asText() : "");
+    if (!duration.matches()) {
+      throw error(key, "is not a time such as \"250ms\" or \"10s\": " + value);
     }
     double unitMillis =
-        switch (time.group(2)) {
+        switch (duration.group(2)) {
           case "us" -> 0.001;
           case "ms" -> 1;
           case "s" -> 1000;
           case "min" -> 60_000;
           default -> 3_600_000;
         };
-    return Double.parseDouble(time.group(1)) * unitMillis;
+    return Double.parseDouble(duration.group(1)) * unitMillis;
   }
 
   /**
    * Returns the enum constant under a key, which is written in kebab case, or the default if the
    * key is absent.
    */
-  public <E extends Enum<E>> E word(String key, Class<E> type, E defaultValue)
+  public <E extends Enum<E>> E enumValue(String key, Class<E> type, E defaultValue)
       throws FileException {
-    String word = text(key, null);
-    if (word == null) {
+    String text = string(key, null);
+    if (text == null) {
       return defaultValue;
     }
     for (E constant : type.getEnumConstants()) {
-      if (kebab(constant.name()).equals(word)) {
+      if (toKebabCase(constant.name()).equals(text)) {
         return constant;
       }
     }
-    throw bad(
+    throw error(
         key,
         "is unknown: \""
-            + word
+            + text
             + "\"; there are "
             + String.join(
                 ", ",
                 Arrays.stream(type.getEnumConstants())
-                    .map(constant -> kebab(constant.name()))
+                    .map(constant -> toKebabCase(constant.name()))
                     .toList()));
   }
 
   /** Converts the name of an enum constant to kebab case. */
-  public static String kebab(String constant) {
+  public static String toKebabCase(String constant) {
     return constant.toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
@@ -157,19 +157,19 @@
    * Returns the non-empty list of non-empty strings under a key, or the default if the key is
    * absent.
    */
-  public List<String> texts(String key, List<String> defaultValue) throws FileException {
+  public List<String> strings(String key, List<String> defaultValue) throws FileException {
     JsonNode value = get(key);
     if (value == null) {
       return defaultValue;
     }
-    List<String> texts = new ArrayList<>();
+    List<String> strings = new ArrayList<>();
     for (JsonNode item : nonEmptyList(key, value)) {
       if (!item.isTextual() || item.asText().isEmpty()) {
-        throw bad(key, "contains an item that is not a non-empty string: " + item);
+        throw error(key, "contains an item that is not a non-empty string: " + item);
       }
-      texts.add(item.asText());
+      strings.add(item.asText());
     }
-    return texts;
+    return strings;
   }
 
   /** Returns the values of a non-empty list, or an empty list if the key is absent. */
@@ -180,7 +180,7 @@
 
   private List<JsonNode> nonEmptyList(String key, JsonNode value) throws FileException {
     if (!value.isArray() || value.isEmpty()) {
-      throw bad(key, "is not a non-empty list: " + value);
+      throw error(key, "is not a non-empty list: " + value);
     }
     List<JsonNode> items = new ArrayList<>();
     value.forEach(items::add);
@@ -191,7 +191,7 @@
   public Section section(String key) throws FileException {
     JsonNode value = get(key);
     if (value != null && !value.isObject()) {
-      throw bad(key, "is not a table");
+      throw error(key, "is not a table");
     }
     String innerPath = path.isEmpty() ? key : path + "." + key;
     return new Section(
@@ -206,7 +206,7 @@
       String innerPath = path.isEmpty() ? key : path + "." + key;
       for (JsonNode item : nonEmptyList(key, value)) {
         if (!item.isObject()) {
-          throw bad(key, "contains an item that is not a table");
+          throw error(key, "contains an item that is not a table");
         }
         sections.add(new Section(file, lines, innerPath + "[" + sections.size() + "]", item));
       }
@@ -226,13 +226,13 @@
   }
 
   /** Reads the root table of a file. */
-  public static Section file(Path path) throws FileException {
-    String text = text(path);
+  public static Section readFile(Path path) throws FileException {
+    String text = readText(path);
     return new Section(path.toString(), new TomlLines(text), "", parse(path.toString(), text));
   }
 
   /** Reads the content of a file. */
-  public static String text(Path path) throws FileException {
+  public static String readText(Path path) throws FileException {
     try {
       return Files.readString(path);
     } catch (IOException unreadable) {
@@ -253,11 +253,11 @@
   }
 
   /** Finishes reading: throws an exception if the table has a key that was not read. */
-  public void end() throws FileException {
+  public void rejectUnknownKeys() throws FileException {
     for (Iterator<String> names = table.fieldNames(); names.hasNext(); ) {
       String name = names.next();
       if (!known.contains(name)) {
-        throw bad(name, "is unknown here");
+        throw error(name, "is unknown here");
       }
     }
   }
