--- a/experiment/src/main/java/ferngrade/experiment/FaultTestChurnCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestChurnCommand.java
@@ -50,7 +50,7 @@
       paramLabel = "WORD",
       arity = "1..*",
       description = "The command that starts a process of the node; by default this program.")
-  private List<String> program = UpgradeRun.thisProgram();
+  private List<String> program = UpgradeRun.currentProgramCommand();
 
   @Option(
       names = "--out",
@@ -63,7 +63,7 @@
     List<String> command = mutation == null ? program : MutantNode.command(mutation);
     int failed = 0;
     for (long seed = from; seed < from + seeds; seed++) {
-      ChurnRun.Result result = ChurnRun.play(ChurnPlan.of(seed, upgrades), command);
+      ChurnRun.Result result = ChurnRun.run(ChurnPlan.of(seed, upgrades), command);
       System.out.println(summary(result));
       result.violations().stream()
           .limit(5)
@@ -105,7 +105,7 @@
             + " ms;%s; %s",
         result.plan().seed(),
         result.plan().clients(),
-        result.plan().crowd(),
+        result.plan().idleConnections(),
         result.plan().share(),
         result.plan().longestPause(),
         outcomes,
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestLoadShiftCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestLoadShiftCommand.java
@@ -40,7 +40,7 @@
   public Integer call() throws IOException, InterruptedException {
     int failed = 0;
     for (long seed = from; seed < from + seeds; seed++) {
-      LoadShiftRun.Result result = LoadShiftRun.play(UpgradeRun.thisProgram(), busy, seed);
+      LoadShiftRun.Result result = LoadShiftRun.run(UpgradeRun.currentProgramCommand(), busy, seed);
       Observations observations = result.observations();
       System.out.println("seed " + seed + ", served: " + bySecond(observations, Outcome.SERVED));
       System.out.println("seed " + seed + ", rejected: " + bySecond(observations, Outcome.REFUSED));
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
@@ -170,11 +170,11 @@
         counts,
         HistoryChecker.longestGap(events, "once/0"),
         HistoryChecker.longestGap(events, "keyed/0"));
-    result.breaches().forEach(violation -> System.out.println("BROKEN " + violation));
+    result.violations().forEach(violation -> System.out.println("BROKEN " + violation));
     System.out.printf(
         "%s: %s; files in %s; repeat with --seed %d%n",
-        trial.name(), result.breaches().isEmpty() ? "held" : "broken", folder, seed);
-    return result.breaches().isEmpty() ? 0 : VIOLATED;
+        trial.name(), result.violations().isEmpty() ? "held" : "broken", folder, seed);
+    return result.violations().isEmpty() ? 0 : VIOLATED;
   }
 
   private static String details(Event event) {
@@ -225,18 +225,18 @@
 
   private int runVirtualFleet() {
     AtomicLong effects = new AtomicLong();
-    AtomicLong refused = new AtomicLong();
+    AtomicLong rejected = new AtomicLong();
     Map<Long, List<Violation>> violatingSeeds = new TreeMap<>();
     LongStream.range(seed, seed + virtualSeeds)
         .parallel()
         .forEach(
             trialSeed -> {
-              VirtualFleet.Result result = VirtualFleet.play(members, trialSeed, mutant);
+              VirtualFleet.Result result = VirtualFleet.run(members, trialSeed, mutant);
               effects.addAndGet(result.effects());
-              refused.addAndGet(result.refused());
-              if (!result.breaches().isEmpty()) {
+              rejected.addAndGet(result.rejected());
+              if (!result.violations().isEmpty()) {
                 synchronized (violatingSeeds) {
-                  violatingSeeds.put(trialSeed, result.breaches());
+                  violatingSeeds.put(trialSeed, result.violations());
                 }
               }
             });
@@ -257,7 +257,7 @@
         violatingSeeds.size(),
         seedsByRule,
         effects.get(),
-        refused.get());
+        rejected.get());
     violatingSeeds.entrySet().stream()
         .limit(5)
         .forEach(
@@ -271,17 +271,17 @@
   }
 
   private int runVirtualSwarm() {
-    AtomicLong refused = new AtomicLong();
+    AtomicLong rejected = new AtomicLong();
     Map<Long, List<Violation>> violatingSeeds = new TreeMap<>();
     LongStream.range(seed, seed + swarmSeeds)
         .parallel()
         .forEach(
             trialSeed -> {
-              VirtualSwarm.Result result = VirtualSwarm.play(members, trialSeed, mutant);
-              refused.addAndGet(result.refused());
-              if (!result.breaches().isEmpty()) {
+              VirtualSwarm.Result result = VirtualSwarm.run(members, trialSeed, mutant);
+              rejected.addAndGet(result.rejected());
+              if (!result.violations().isEmpty()) {
                 synchronized (violatingSeeds) {
-                  violatingSeeds.put(trialSeed, result.breaches());
+                  violatingSeeds.put(trialSeed, result.violations());
                 }
               }
             });
@@ -291,7 +291,7 @@
         members,
         mutant.name().toLowerCase(Locale.ROOT),
         violatingSeeds.size(),
-        refused.get());
+        rejected.get());
     violatingSeeds.entrySet().stream()
         .limit(5)
         .forEach(
@@ -308,9 +308,9 @@
         mutant.name().toLowerCase(Locale.ROOT),
         result.states(),
         result.depth(),
-        result.broken() == null
+        result.violatedRule() == null
             ? "none broken"
-            : "BROKEN " + result.broken() + " by " + Arrays.toString(result.steps()));
-    return result.broken() == null ? 0 : VIOLATED;
+            : "BROKEN " + result.violatedRule() + " by " + Arrays.toString(result.steps()));
+    return result.violatedRule() == null ? 0 : VIOLATED;
   }
 }
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestSwarmCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestSwarmCommand.java
@@ -69,7 +69,7 @@
     List<Double> medianDetectionMillis = new ArrayList<>();
     for (int size : sizes) {
       long startNanos = System.nanoTime();
-      VirtualSwarm.Result steady = VirtualSwarm.playLoss(size, 1, 0, STEADY_MILLIS);
+      VirtualSwarm.Result steady = VirtualSwarm.runWithLoss(size, 1, 0, STEADY_MILLIS);
       // The run in virtual time uses one thread, and includes the ten seconds in which all members
       // join.
       double cpuMillis =
@@ -77,7 +77,7 @@
       double[] detectionMillis =
           LongStream.rangeClosed(1, seeds)
               .parallel()
-              .mapToDouble(seed -> VirtualSwarm.playKill(size, seed).lastFound())
+              .mapToDouble(seed -> VirtualSwarm.runWithCrash(size, seed).detectionMillis())
               .sorted()
               .toArray();
       medianDetectionMillis.add(detectionMillis[detectionMillis.length / 2]);
@@ -102,7 +102,7 @@
                 .mapToObj(
                     seed -> {
                       VirtualSwarm.Result lossRun =
-                          VirtualSwarm.playLoss(size, seed, loss, HOUR_MILLIS);
+                          VirtualSwarm.runWithLoss(size, seed, loss, HOUR_MILLIS);
                       return String.format(
                           Locale.ROOT,
                           "%d,%d,%.2f,%d,%d",
@@ -110,7 +110,7 @@
                           seed,
                           loss,
                           lossRun.suspicions(),
-                          lossRun.falseEnds());
+                          lossRun.falseFailures());
                     })
                 .forEachOrdered(lossRows::add));
     write("loss.csv", lossRows);
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestUpgradeCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestUpgradeCommand.java
@@ -41,7 +41,7 @@
       paramLabel = "WORD",
       arity = "1..*",
       description = "The command that starts a process of the node; by default this program.")
-  private List<String> program = UpgradeRun.thisProgram();
+  private List<String> program = UpgradeRun.currentProgramCommand();
 
   @Option(
       names = "--out",
@@ -54,7 +54,7 @@
   public Integer call() throws IOException, InterruptedException {
     int failed = 0;
     for (long seed = from; seed < from + seeds; seed++) {
-      SoakRun.Result result = SoakRun.play(SoakPlan.of(seed, episodes), program);
+      SoakRun.Result result = SoakRun.run(SoakPlan.of(seed, episodes), program);
       System.out.println(summary(result));
       result.violations().stream()
           .limit(10)
@@ -86,7 +86,7 @@
         result.plan().seed(),
         result.plan().episodes().stream().map(episode -> episode.kind().name()).toList(),
         result.plan().clients(),
-        result.plan().crowd(),
+        result.plan().idleConnections(),
         observations.results().size(),
         outcomes(observations.results()),
         observations.sends().size(),
--- a/experiment/src/main/java/ferngrade/experiment/Search.java
+++ b/experiment/src/main/java/ferngrade/experiment/Search.java
@@ -31,7 +31,7 @@
    * The result of a search: an experiment with one seed and one policy that can be replayed, its
    * result, and the number of trials that the search ran.
    */
-  public record Found(JsonNode source, ExperimentRun.Result result, int runs) {
+  public record Result(JsonNode source, ExperimentRun.Result result, int runs) {
     /** Returns true if the trial violates an invariant, false if it has the lowest goodput. */
     public boolean violatesInvariant() {
       return result.totalViolations() > 0;
@@ -49,7 +49,7 @@
   }
 
   /** Searches with this number of threads, then minimizes the worst trial on the calling thread. */
-  public Found run(int threads) throws InterruptedException, FileException {
+  public Result run(int threads) throws InterruptedException, FileException {
     List<ExperimentRun.Result> results =
         new ExperimentRunner(threads).run(experiment, result -> {});
     runs = results.size();
@@ -108,7 +108,7 @@
     throw new FileException(experiment.name(), "has no point " + worst.point());
   }
 
-  private Found shrink(JsonNode source, ExperimentRun.Result original) throws FileException {
+  private Result shrink(JsonNode source, ExperimentRun.Result original) throws FileException {
     JsonNode best = source;
     ExperimentRun.Result result = original;
     for (int round = 0; round < MAX_ROUNDS; round++) {
@@ -134,7 +134,7 @@
         break;
       }
     }
-    return new Found(best, result, runs);
+    return new Result(best, result, runs);
   }
 
   private static boolean reproduces(ExperimentRun.Result attempt, ExperimentRun.Result original) {
--- a/experiment/src/main/java/ferngrade/experiment/SearchCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/SearchCommand.java
@@ -46,7 +46,7 @@
       source.put("seeds", seeds);
       Path folder = file.toAbsolutePath().getParent();
       Experiment allSeeds = ExperimentReader.read(file.toString(), folder, source);
-      Search.Found found =
+      Search.Result found =
           new Search(allSeeds, folder, System.out::println).run(Math.max(1, threads));
       String toml = new TomlMapper().writeValueAsString(found.source());
       if (out == null) {
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -263,12 +263,12 @@
     return series;
   }
 
-  private interface WindowFigure {
+  private interface WindowMetric {
     double of(Window window);
   }
 
-  private void put(Map<String, double[]> series, String name, WindowFigure figure) {
-    series.put(name, windows.stream().mapToDouble(figure::of).toArray());
+  private void put(Map<String, double[]> series, String name, WindowMetric metric) {
+    series.put(name, windows.stream().mapToDouble(metric::of).toArray());
   }
 
   private static double percentile(Window window, double percentile) {
--- a/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
@@ -123,7 +123,7 @@
                 "mutation = \"double-send\"\n"
                     + SMALL.replace("[\"module\", \"random\"]", "[\"module\"]")));
     List<String> progressLines = new ArrayList<>();
-    Search.Found found = new Search(experiment, folder, progressLines::add).run(4);
+    Search.Result found = new Search(experiment, folder, progressLines::add).run(4);
     assertTrue(found.violatesInvariant());
     assertTrue(found.result().breaches().get("no-repeat") > 0);
     // The violation does not depend on the faults: two workers and one second reproduce it.
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
@@ -23,7 +23,7 @@
    * The number of states visited, the depth in steps, the violated rule, null for none, and the
    * steps that lead to the violation.
    */
-  public record Result(long states, int depth, String broken, int[] steps) {}
+  public record Result(long states, int depth, String violatedRule, int[] steps) {}
 
   /**
    * Explores a model of this many members and shards; stops at the first state that violates a
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
@@ -52,7 +52,7 @@
   private String lastAffected;
 
   /** The violations found in a trial, and the history that they were found in. */
-  public record Result(List<Violation> breaches, History history) {}
+  public record Result(List<Violation> violations, History history) {}
 
   /**
    * Creates a trial of the program that {@code program} starts; its files are written to {@code
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -60,13 +60,13 @@
   private double loss;
   private double meanDelayMillis;
   private long processes;
-  private long refused;
+  private long rejected;
 
   /**
    * The violations of a run, and the number of effects executed, of effects rejected, and of events
    * in virtual time.
    */
-  public record Result(List<Violation> breaches, long effects, long refused, long events) {}
+  public record Result(List<Violation> violations, long effects, long rejected, long events) {}
 
   private VirtualFleet(int size, long seed, Mutant mutant) {
     this.mutant = mutant;
@@ -80,17 +80,17 @@
   }
 
   /** Runs one fleet of {@code size} members. */
-  public static Result play(int size, long seed, Mutant mutant) {
+  public static Result run(int size, long seed, Mutant mutant) {
     VirtualFleet fleet = new VirtualFleet(size, seed, mutant);
     fleet.run();
-    return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
+    return new Result(fleet.violations, fleet.effects.size(), fleet.rejected, fleet.time.ran());
   }
 
   /**
    * Runs without faults, with message delays between 0.5 and 1.5 times {@code millis}, as on an
    * overloaded machine; checks that the job of each shard is executed.
    */
-  public static Result playSlow(int size, long seed, double millis) {
+  public static Result runWithDelays(int size, long seed, double millis) {
     VirtualFleet fleet = new VirtualFleet(size, seed, Mutant.NONE);
     fleet.meanDelayMillis = millis;
     fleet.names.forEach(fleet::start);
@@ -101,7 +101,7 @@
             .filter(RecurringSchedule::runMissed)
             .map(RecurringSchedule::shard)
             .toList());
-    return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
+    return new Result(fleet.violations, fleet.effects.size(), fleet.rejected, fleet.time.ran());
   }
 
   private void run() {
@@ -357,7 +357,7 @@
               addViolation("once", shard + " was executed twice for due time " + due);
             }
           } else {
-            refused++;
+            rejected++;
           }
           time.after(1, () -> result.accept(admitted ? "served" : "failed"));
         });
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -45,9 +45,9 @@
   private long bytes;
   private long datagrams;
   private long suspicions;
-  private long falseEnds;
-  private long refused;
-  private int widest;
+  private long falseFailures;
+  private long rejected;
+  private int maxDatagramBytes;
   private long runs = 1;
 
   /** A datagram recorded for a replay. */
@@ -58,23 +58,23 @@
    *
    * @param bytes the number of sealed bytes sent
    * @param datagrams the number of datagrams sent
-   * @param widest the size of the largest datagram, bytes
+   * @param maxDatagramBytes the size of the largest datagram, bytes
    * @param suspicions how often a member suspected another member
-   * @param falseEnds how often a member declared a member failed that was up, running and not
+   * @param falseFailures how often a member declared a member failed that was up, running and not
    *     partitioned
-   * @param refused the number of replayed or forged datagrams that were rejected
-   * @param lastFound the time until the last member detected the crash of the killed member, ms;
-   *     NaN if no member was killed
+   * @param rejected the number of replayed or forged datagrams that were rejected
+   * @param detectionMillis the time until the last member detected the crash of the killed member,
+   *     ms; NaN if no member was killed
    */
   public record Result(
-      List<Violation> breaches,
+      List<Violation> violations,
       long bytes,
       long datagrams,
-      int widest,
+      int maxDatagramBytes,
       long suspicions,
-      long falseEnds,
-      long refused,
-      double lastFound) {}
+      long falseFailures,
+      long rejected,
+      double detectionMillis) {}
 
   private VirtualSwarm(int size, long seed, Mutant mutant) {
     this.random = new SplittableRandom(seed);
@@ -87,7 +87,7 @@
   /**
    * Runs faults drawn from the seed; at the end all running members must agree on the membership.
    */
-  public static Result play(int size, long seed, Mutant mutant) {
+  public static Result run(int size, long seed, Mutant mutant) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, mutant);
     int initialSize = Math.max(2, size / 2);
     swarm.names.subList(0, initialSize).forEach(swarm::start);
@@ -105,7 +105,7 @@
   /**
    * Runs for {@code millis} with the share {@code loss} of the datagrams lost and no other fault.
    */
-  public static Result playLoss(int size, long seed, double loss, double millis) {
+  public static Result runWithLoss(int size, long seed, double loss, double millis) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, Mutant.NONE);
     swarm.lossOnly = true;
     swarm.names.forEach(swarm::start);
@@ -118,7 +118,7 @@
   }
 
   /** Crashes one member, and measures the time until the last of the others detects it. */
-  public static Result playKill(int size, long seed) {
+  public static Result runWithCrash(int size, long seed) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, Mutant.NONE);
     swarm.names.forEach(swarm::start);
     swarm.time.run(10_000 + swarm.random.nextDouble() * 500);
@@ -133,9 +133,16 @@
     return swarm.result(swarm.time.now() - killed);
   }
 
-  private Result result(double detectionTime) {
+  private Result result(double detectionMillis) {
     return new Result(
-        violations, bytes, datagrams, widest, suspicions, falseEnds, refused, detectionTime);
+        violations,
+        bytes,
+        datagrams,
+        maxDatagramBytes,
+        suspicions,
+        falseFailures,
+        rejected,
+        detectionMillis);
   }
 
   // ---- Faults ----
@@ -190,9 +197,9 @@
         }
       }
     }
-    if (widest
+    if (maxDatagramBytes
         > SwimProtocol.Settings.LOCAL.maxEnvelopeBytes() + MessageAuthenticator.OVERHEAD_BYTES) {
-      addViolation("bounded", "a datagram of " + widest + " bytes");
+      addViolation("bounded", "a datagram of " + maxDatagramBytes + " bytes");
     }
   }
 
@@ -272,7 +279,7 @@
                 to.name + " accepted a replayed or forged datagram of " + old.from());
             to.accept("intruder", unsealed.content());
           } else {
-            refused++;
+            rejected++;
           }
         });
   }
@@ -356,7 +363,7 @@
     private void transmit(String to, byte[] datagram) {
       bytes += datagram.length;
       datagrams++;
-      widest = Math.max(widest, datagram.length);
+      maxDatagramBytes = Math.max(maxDatagramBytes, datagram.length);
       if (cuts.contains(name + ">" + to) || random.nextDouble() < loss) {
         return;
       }
@@ -427,7 +434,7 @@
           && !process.paused()
           && cuts.isEmpty()
           && after.update().run() == other.run) {
-        falseEnds++;
+        falseFailures++;
         if (lossOnly) {
           addViolation("no false end", name + " declared " + after.name() + " failed, which is up");
         }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
@@ -10,7 +10,7 @@
  * @param seed the seed
  * @param clients the number of clients
  * @param behaviour the behaviour of the clients
- * @param crowd the number of idle connections
+ * @param idleConnections the number of idle connections
  * @param share the share of the time that processes run
  * @param longestPause the maximum time for which processes are stopped, ms
  * @param steps the upgrades, in order
@@ -19,20 +19,20 @@
     long seed,
     int clients,
     ClientBehaviour behaviour,
-    int crowd,
+    int idleConnections,
     double share,
     int longestPause,
     List<Step> steps) {
-  /** The number of workers; the first {@link #FAULTY} of them misbehave. */
+  /** The number of workers; the first {@link #FAULTY_WORKERS} of them misbehave. */
   static final int WORKERS = 8;
 
   /** The number of workers that misbehave in each step, a quarter. */
-  static final int FAULTY = 2;
+  static final int FAULTY_WORKERS = 2;
 
   /** The longest pause that the platform's documentation requires a node to tolerate, ms. */
   private static final int MAX_PAUSE_MILLIS = 150;
 
-  private static final int CROWD_SIZE = 400;
+  private static final int IDLE_CONNECTIONS = 400;
 
   /**
    * One upgrade.
@@ -50,19 +50,19 @@
     int clients = 8 + random.nextInt(12);
     ClientBehaviour behaviour =
         new ClientBehaviour(30 + random.nextInt(60), 2000, 0.02 + 0.1 * random.nextDouble());
-    int crowd = random.nextInt(4) == 0 ? CROWD_SIZE : 0;
+    int idleConnections = random.nextInt(4) == 0 ? IDLE_CONNECTIONS : 0;
     double share = 0.3 + 0.3 * random.nextDouble();
     int maxPause = MAX_PAUSE_MILLIS - random.nextInt(MAX_PAUSE_MILLIS / 2);
     List<Step> steps = new ArrayList<>();
     for (int i = 0; i < upgrades; i++) {
       List<WorkerFault> faults = new ArrayList<>();
-      for (int worker = 0; worker < FAULTY; worker++) {
+      for (int worker = 0; worker < FAULTY_WORKERS; worker++) {
         faults.add(WorkerFault.values()[random.nextInt(WorkerFault.values().length)]);
       }
       steps.add(
           new Step(
               500 + random.nextInt(1000), random.nextInt(3) == 0, 1 + random.nextInt(3), faults));
     }
-    return new ChurnPlan(seed, clients, behaviour, crowd, share, maxPause, steps);
+    return new ChurnPlan(seed, clients, behaviour, idleConnections, share, maxPause, steps);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
@@ -43,7 +43,7 @@
   }
 
   /** Runs a plan with processes that {@code command} starts. */
-  public static Result play(ChurnPlan plan, List<String> command)
+  public static Result run(ChurnPlan plan, List<String> command)
       throws IOException, InterruptedException {
     try (UpgradeRun run = new UpgradeRun(command, SETTINGS)) {
       ServingProcess first = run.start();
@@ -53,11 +53,11 @@
       List<BackgroundLoop> loops =
           List.of(
               new UtilisationSampler(run),
-              new IdleCrowd(run.clients(), plan.crowd()),
+              new IdleConnections(run.clients(), plan.idleConnections()),
               new DutyCycle(run, plan.share(), plan.longestPause(), plan.seed()));
       loops.forEach(BackgroundLoop::start);
       for (Step step : plan.steps()) {
-        churn.play(step);
+        churn.runStep(step);
       }
       Thread.sleep(SETTLE_TIME_MILLIS);
       load.stop();
@@ -69,14 +69,15 @@
       // may know the job.
       churn.violations.addAll(UpgradeChecker.sendsToDisabledWorkers(observations));
       churn.violations.addAll(UpgradeChecker.repeatedJobs(observations));
-      churn.violations.addAll(UpgradeChecker.unansweredJobs(observations, plan.crowd() > 0));
+      churn.violations.addAll(
+          UpgradeChecker.unansweredJobs(observations, plan.idleConnections() > 0));
       churn.violations.addAll(DepartureChecker.check(observations));
       churn.violations.addAll(IdleCapacityChecker.check(observations));
       return new Result(plan, observations, List.copyOf(churn.violations));
     }
   }
 
-  private void play(Step step) throws IOException, InterruptedException {
+  private void runStep(Step step) throws IOException, InterruptedException {
     Thread.sleep(step.pause());
     for (int worker = 0; worker < step.faults().size(); worker++) {
       run.setFault(worker, step.faults().get(worker));
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCrowd.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleConnections.java
@@ -9,7 +9,7 @@
  * A set of client connections that send nothing. A connection that the node closes is reopened at
  * the next step.
  */
-final class IdleCrowd extends BackgroundLoop {
+final class IdleConnections extends BackgroundLoop {
   private static final long INTERVAL_MILLIS = 100;
   private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
@@ -17,7 +17,7 @@
   private final int size;
   private final List<HttpConnection> open = new ArrayList<>();
 
-  IdleCrowd(InetSocketAddress address, int size) {
+  IdleConnections(InetSocketAddress address, int size) {
     super("crowd");
     this.address = address;
     this.size = size;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/LoadShiftRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/LoadShiftRun.java
@@ -40,7 +40,7 @@
    * Runs one upgrade with processes that {@code command} starts, beside {@code busy} busy
    * processes.
    */
-  public static Result play(List<String> command, int busy, long seed)
+  public static Result run(List<String> command, int busy, long seed)
       throws IOException, InterruptedException {
     try (UpgradeRun run = new UpgradeRun(command, SETTINGS)) {
       ServingProcess old = run.start();
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
@@ -30,7 +30,7 @@
    * Returns the command that starts a node with this mutation, with the classes of this program.
    */
   public static List<String> command(Mutation mutation) {
-    List<String> command = new ArrayList<>(UpgradeRun.thisProgram());
+    List<String> command = new ArrayList<>(UpgradeRun.currentProgramCommand());
     int main = command.indexOf("ferngrade.Main");
     command.set(main, MutantNode.class.getName());
     command.set(main + 1, mutation.name());
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakPlan.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakPlan.java
@@ -10,11 +10,11 @@
  * @param seed the seed
  * @param clients the number of clients
  * @param meanPause the mean pause of a client between two requests, ms
- * @param crowd the number of idle connections
+ * @param idleConnections the number of idle connections
  * @param episodes the episodes, in order
  */
 public record SoakPlan(
-    long seed, int clients, double meanPause, int crowd, List<Episode> episodes) {
+    long seed, int clients, double meanPause, int idleConnections, List<Episode> episodes) {
   /**
    * The number of workers that the background operator disables and enables, starting with the
    * first worker.
@@ -27,14 +27,14 @@
   /** The number of workers; the last ones are never disabled. */
   static final int WORKERS = 8;
 
-  private static final int CROWD_SIZE = 400;
+  private static final int IDLE_CONNECTIONS = 400;
 
   /** Returns the plan of a seed with this number of episodes. */
   public static SoakPlan of(long seed, int episodes) {
     Random random = new Random(seed);
     int clients = 10 + random.nextInt(20);
     double meanPause = 20 + random.nextInt(60);
-    int crowd = random.nextInt(4) == 0 ? CROWD_SIZE : 0;
+    int idleConnections = random.nextInt(4) == 0 ? IDLE_CONNECTIONS : 0;
     List<Episode> drawn = new ArrayList<>();
     for (int i = 0; i < episodes; i++) {
       EpisodeKind kind = EpisodeKind.values()[random.nextInt(EpisodeKind.values().length)];
@@ -48,6 +48,6 @@
               random.nextBoolean(),
               worker));
     }
-    return new SoakPlan(seed, clients, meanPause, crowd, drawn);
+    return new SoakPlan(seed, clients, meanPause, idleConnections, drawn);
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakRun.java
@@ -49,7 +49,7 @@
   }
 
   /** Runs a plan with processes that {@code command} starts. */
-  public static Result play(SoakPlan plan, List<String> command)
+  public static Result run(SoakPlan plan, List<String> command)
       throws IOException, InterruptedException {
     try (UpgradeRun run = new UpgradeRun(command, RunSettings.ordinary(LIMITS, SoakPlan.WORKERS))) {
       ServingProcess first = run.start();
@@ -58,7 +58,10 @@
       SoakRun soak = new SoakRun(plan, run, operator, first);
       ClientLoad load = run.load(plan.clients(), plan.meanPause(), DEADLINE_MILLIS, plan.seed());
       List<BackgroundLoop> loops =
-          List.of(operator, new ResourceSampler(run), new IdleCrowd(run.clients(), plan.crowd()));
+          List.of(
+              operator,
+              new ResourceSampler(run),
+              new IdleConnections(run.clients(), plan.idleConnections()));
       loops.forEach(BackgroundLoop::start);
       soak.runEpisodes();
       for (BackgroundLoop loop : loops) {
@@ -69,7 +72,7 @@
         run.signal(servingProcess, "TERM");
         soak.violations.addAll(awaitOrderlyEnd(run, servingProcess));
       }
-      soak.violations.addAll(UpgradeChecker.check(run.observations(), plan.crowd() > 0));
+      soak.violations.addAll(UpgradeChecker.check(run.observations(), plan.idleConnections() > 0));
       soak.violations.addAll(UpgradeChecker.limits(run.observations(), LIMITS));
       return new Result(plan, run.observations(), List.copyOf(soak.violations));
     }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
@@ -35,14 +35,14 @@
   private UpgradeChecker() {}
 
   /**
-   * Returns the violations of all rules. If a {@code crowd} exhausts the node's descriptors, the
-   * node may close new connections without reading the request.
+   * Returns the violations of all rules. With {@code idleConnections}, which may exhaust the node's
+   * descriptors, the node may close new connections without reading the request.
    */
-  public static List<Violation> check(Observations observations, boolean crowd) {
+  public static List<Violation> check(Observations observations, boolean idleConnections) {
     List<Violation> violations = new ArrayList<>();
     violations.addAll(sendsToDisabledWorkers(observations));
     violations.addAll(repeatedJobs(observations));
-    violations.addAll(unansweredJobs(observations, crowd));
+    violations.addAll(unansweredJobs(observations, idleConnections));
     violations.addAll(lostCallbacks(observations));
     return violations;
   }
@@ -195,9 +195,9 @@
   }
 
   /** Returns a violation for each request that the node has read and not answered. */
-  static List<Violation> unansweredJobs(Observations observations, boolean crowd) {
+  static List<Violation> unansweredJobs(Observations observations, boolean idleConnections) {
     Set<String> excused = excusedJobs(observations);
-    if (crowd) {
+    if (idleConnections) {
       Set<String> sent = new HashSet<>();
       observations.sends().forEach(send -> sent.add(send.job()));
       observations.results().stream()
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
@@ -77,7 +77,7 @@
    * Returns the command that starts {@code serve} with the classes of this program, within the
    * limits of the deploy file and, like there, with a class archive if the build has created one.
    */
-  public static List<String> thisProgram() {
+  public static List<String> currentProgramCommand() {
     String classPath = System.getProperty("java.class.path");
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
--- a/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
@@ -15,13 +15,13 @@
   @Test
   void noReachableStateViolatesARule() {
     ModelChecker.Result result = ModelChecker.explore(2, 1, 7, false, Mutant.NONE);
-    assertNull(result.broken());
+    assertNull(result.violatedRule());
     assertTrue(result.states() > 1_000, "states " + result.states());
   }
 
   @ParameterizedTest
   @CsvSource({"NO_EPOCH_CHECK,fenced", "HOLD_FROM_ANSWER,one owner", "NO_DRIFT_BOUND,one owner"})
   void detectsMissingSafetyCheck(Mutant mutant, String rule) {
-    assertEquals(rule, ModelChecker.explore(2, 1, 10, true, mutant).broken());
+    assertEquals(rule, ModelChecker.explore(2, 1, 10, true, mutant).violatedRule());
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/TrialRunTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/TrialRunTest.java
@@ -27,7 +27,7 @@
   @TempDir private Path folder;
 
   private List<Violation> runTrial(String name, Mutant mutant) throws Exception {
-    return new TrialRun(TrialFile.shipped(name), 1, mutant, PROGRAM, folder).run().breaches();
+    return new TrialRun(TrialFile.shipped(name), 1, mutant, PROGRAM, folder).run().violations();
   }
 
   @ParameterizedTest
--- a/faulttest/src/test/java/ferngrade/faulttest/VirtualFleetTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/VirtualFleetTest.java
@@ -25,7 +25,7 @@
               .boxed()
               .flatMap(
                   seed ->
-                      VirtualFleet.play(size, seed, Mutant.NONE).breaches().stream()
+                      VirtualFleet.run(size, seed, Mutant.NONE).violations().stream()
                           .map(violation -> size + " members, seed " + seed + ": " + violation))
               .limit(5)
               .toList();
@@ -43,7 +43,7 @@
             .boxed()
             .flatMap(
                 seed ->
-                    VirtualFleet.playSlow(3, seed, 80).breaches().stream()
+                    VirtualFleet.runWithDelays(3, seed, 80).violations().stream()
                         .map(violation -> "seed " + seed + ": " + violation))
             .limit(5)
             .toList();
@@ -52,7 +52,7 @@
 
   @Test
   void sameSeedGivesTheSameResult() {
-    assertEquals(VirtualFleet.play(3, 7, Mutant.NONE), VirtualFleet.play(3, 7, Mutant.NONE));
+    assertEquals(VirtualFleet.run(3, 7, Mutant.NONE), VirtualFleet.run(3, 7, Mutant.NONE));
   }
 
   @ParameterizedTest
@@ -69,7 +69,7 @@
             .parallel()
             .anyMatch(
                 seed ->
-                    VirtualFleet.play(3, seed, mutant).breaches().stream()
+                    VirtualFleet.run(3, seed, mutant).violations().stream()
                         .anyMatch(violation -> violation.rule().equals(rule))),
         mutant + " was not detected");
   }
--- a/faulttest/src/test/java/ferngrade/faulttest/VirtualSwarmTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/VirtualSwarmTest.java
@@ -17,26 +17,26 @@
       List<VirtualSwarm.Result> results =
           LongStream.rangeClosed(1, SEEDS / 2)
               .parallel()
-              .mapToObj(seed -> VirtualSwarm.play(size, seed, Mutant.NONE))
+              .mapToObj(seed -> VirtualSwarm.run(size, seed, Mutant.NONE))
               .toList();
       assertEquals(
           List.of(),
-          results.stream().flatMap(result -> result.breaches().stream()).limit(5).toList());
-      assertTrue(results.stream().mapToLong(VirtualSwarm.Result::refused).sum() > 10L * SEEDS);
+          results.stream().flatMap(result -> result.violations().stream()).limit(5).toList());
+      assertTrue(results.stream().mapToLong(VirtualSwarm.Result::rejected).sum() > 10L * SEEDS);
     }
   }
 
   @Test
   void lossAloneMarksNoMemberAsFailed() {
-    VirtualSwarm.Result result = VirtualSwarm.playLoss(10, 1, 0.05, 600_000);
-    assertEquals(List.of(), result.breaches());
-    assertEquals(0, result.falseEnds());
+    VirtualSwarm.Result result = VirtualSwarm.runWithLoss(10, 1, 0.05, 600_000);
+    assertEquals(List.of(), result.violations());
+    assertEquals(0, result.falseFailures());
   }
 
   @Test
   void allMembersDetectACrash() {
     for (long seed = 1; seed <= 10; seed++) {
-      assertTrue(VirtualSwarm.playKill(10, seed).lastFound() < 20_000, "seed " + seed);
+      assertTrue(VirtualSwarm.runWithCrash(10, seed).detectionMillis() < 20_000, "seed " + seed);
     }
   }
 
@@ -47,7 +47,7 @@
             .parallel()
             .anyMatch(
                 seed ->
-                    VirtualSwarm.play(7, seed, Mutant.NO_DENIAL).breaches().stream()
+                    VirtualSwarm.run(7, seed, Mutant.NO_DENIAL).violations().stream()
                         .anyMatch(violation -> violation.rule().equals("agreed"))));
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/ChurnTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/ChurnTest.java
@@ -18,7 +18,8 @@
 
   @Test
   void nothingIsLostOrRejectedBesideIdleWorkers() throws Exception {
-    ChurnRun.Result result = ChurnRun.play(ChurnPlan.of(SEED, 2), UpgradeRun.thisProgram());
+    ChurnRun.Result result =
+        ChurnRun.run(ChurnPlan.of(SEED, 2), UpgradeRun.currentProgramCommand());
     String timeline =
         result.observations().steps().stream()
             .map(Observations.Step::toString)
@@ -31,7 +32,7 @@
       value = Mutation.class,
       names = {"BUDGET_NEVER_GROWS", "HALF_WRITTEN_ANSWER"})
   void detectsMutation(Mutation mutation) throws Exception {
-    ChurnRun.Result result = ChurnRun.play(ChurnPlan.of(SEED, 1), MutantNode.command(mutation));
+    ChurnRun.Result result = ChurnRun.run(ChurnPlan.of(SEED, 1), MutantNode.command(mutation));
     assertFalse(result.violations().isEmpty(), mutation.name());
   }
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/DrainedUpgradeTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/DrainedUpgradeTest.java
@@ -24,7 +24,8 @@
   @BeforeEach
   void startRun() throws Exception {
     run =
-        new UpgradeRun(UpgradeRun.thisProgram(), RunSettings.ordinary(new NodeLimits(256, 384), 2));
+        new UpgradeRun(
+            UpgradeRun.currentProgramCommand(), RunSettings.ordinary(new NodeLimits(256, 384), 2));
   }
 
   @AfterEach
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
@@ -45,7 +45,7 @@
         new WorkerBehaviour(RUNTIME_MILLIS, RUNTIME_MILLIS, Integer.MAX_VALUE, 0, false);
     run =
         new UpgradeRun(
-            UpgradeRun.thisProgram(),
+            UpgradeRun.currentProgramCommand(),
             new RunSettings(new NodeLimits(256, 384), WORKERS, slow, 1000));
   }
 
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/MaintenanceDuringUpgradeTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/MaintenanceDuringUpgradeTest.java
@@ -34,7 +34,8 @@
   void startRun() throws Exception {
     run =
         new UpgradeRun(
-            UpgradeRun.thisProgram(), RunSettings.ordinary(new NodeLimits(256, 1024), WORKERS));
+            UpgradeRun.currentProgramCommand(),
+            RunSettings.ordinary(new NodeLimits(256, 1024), WORKERS));
   }
 
   @AfterEach
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/UpgradeSoakTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/UpgradeSoakTest.java
@@ -17,7 +17,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 4, 8})
   void losesNothingAndSendsNothingToDisabledWorkers(long seed) throws Exception {
-    SoakRun.Result result = SoakRun.play(SoakPlan.of(seed, EPISODES), UpgradeRun.thisProgram());
+    SoakRun.Result result =
+        SoakRun.run(SoakPlan.of(seed, EPISODES), UpgradeRun.currentProgramCommand());
     String timeline =
         result.observations().steps().stream()
             .map(Observations.Step::toString)
