--- a/consensus/src/main/java/ferngrade/consensus/MicroRaftTransport.java
+++ b/consensus/src/main/java/ferngrade/consensus/MicroRaftTransport.java
@@ -9,17 +9,17 @@
 
 /** Sends the messages of the algorithm over the member's connections. */
 final class MicroRaftTransport implements Transport {
-  private final RaftMember.Links links;
+  private final RaftMember.MessageSender sender;
   private final Codec codec;
   private final StorageSuspension suspension;
   private final ElectionMonitor elections;
 
   MicroRaftTransport(
-      RaftMember.Links links,
+      RaftMember.MessageSender sender,
       Codec codec,
       StorageSuspension suspension,
       ElectionMonitor elections) {
-    this.links = links;
+    this.sender = sender;
     this.codec = codec;
     this.suspension = suspension;
     this.elections = elections;
@@ -34,7 +34,7 @@
       elections.campaigning();
     }
     RaftMemberId id = (RaftMemberId) target;
-    links.send(id.member(), codec.write(new MemberMessage.Addressed(id.name(), message)));
+    sender.send(id.member(), codec.write(new MemberMessage.Addressed(id.name(), message)));
   }
 
   @Override
--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -56,7 +56,7 @@
   private final Settings settings;
   private final Environment environment;
   private final Codec codec;
-  private final Links links;
+  private final MessageSender sender;
   private final StorageSuspension suspension;
   private final ElectionMonitor elections;
   private final ForwardedProposals forwarded;
@@ -106,7 +106,7 @@
 
   /** Sends bytes to other members, with any delay or loss. */
   @FunctionalInterface
-  public interface Links {
+  public interface MessageSender {
     /** Sends a message; drops it if it cannot be sent immediately. */
     void send(String to, byte[] message);
   }
@@ -115,9 +115,9 @@
    * The member's means of communication.
    *
    * @param codec a codec of {@link LogFormat#codec} that includes the classes of the commands
-   * @param links the connections to the other members
+   * @param sender sends messages to the other members
    */
-  public record Messaging(Codec codec, Links links) {}
+  public record Messaging(Codec codec, MessageSender sender) {}
 
   /**
    * The current term and the name of the leader, as known to this member; the leader is null if
@@ -135,7 +135,7 @@
     this.settings = settings;
     this.environment = environment;
     this.codec = messaging.codec();
-    this.links = messaging.links();
+    this.sender = messaging.sender();
     this.suspension = new StorageSuspension(environment.timers(), environment.executor());
     this.elections = new ElectionMonitor(environment.clock(), environment.seed());
     this.forwarded = new ForwardedProposals(environment.timers());
@@ -163,7 +163,7 @@
             .setGroupId(group.fleet())
             .setConfig(config(settings.entriesPerSnapshot()))
             .setExecutor(new MicroRaftExecutor(environment, scale, suspension, elections))
-            .setTransport(new MicroRaftTransport(links, codec, suspension, elections))
+            .setTransport(new MicroRaftTransport(sender, codec, suspension, elections))
             .setStateMachine(new MicroRaftStateMachine(machine))
             .setStore(persistence.store())
             .setRandom(new Random(environment.seed()))
@@ -241,7 +241,7 @@
       byte[] join = codec.write(new MemberMessage.Join(self.name()));
       settings.group().members().stream()
           .filter(member -> !member.equals(settings.name()))
-          .forEach(member -> links.send(member, join));
+          .forEach(member -> sender.send(member, join));
       environment
           .timers()
           .after(JOIN_HEARTBEATS * settings.heartbeatMillis(), this::requestAdmission);
@@ -259,7 +259,7 @@
   private void watchForStuckElection() {
     double timeout = STUCK_FACTOR * MISSED_HEARTBEATS * settings.heartbeatMillis();
     Collection<RaftEndpoint> voters = node.getEffectiveMembers().getVotingMembers();
-    if (!suspended() && voters.contains(self) && !leads() && elections.idleLongerThan(timeout)) {
+    if (!suspended() && voters.contains(self) && !isLeader() && elections.idleLongerThan(timeout)) {
       elections.resetLeaderContact();
       RaftEndpoint other =
           voters.stream().filter(voter -> !voter.equals(self)).findFirst().orElse(self);
@@ -276,7 +276,7 @@
     node.getCommittedMembers().getVotingMembers().stream()
         .filter(voter -> !voter.equals(self) && up.test(((RaftMemberId) voter).member()))
         .findFirst()
-        .filter(other -> leads())
+        .filter(other -> isLeader())
         .ifPresent(node::transferLeadership);
   }
 
@@ -302,7 +302,7 @@
     return new View(term.getTerm(), leader == null ? null : ((RaftMemberId) leader).member());
   }
 
-  private boolean leads() {
+  private boolean isLeader() {
     return !suspended() && self.equals(node.getTerm().getLeaderEndpoint());
   }
 
@@ -349,15 +349,15 @@
 
   private void handle(String from, MemberMessage.Join join) {
     RaftMemberId endpoint = new RaftMemberId(String.valueOf(join.endpoint()));
-    if (endpoint.member().equals(from) && !endpoint.name().equals(from) && leads()) {
+    if (endpoint.member().equals(from) && !endpoint.name().equals(from) && isLeader()) {
       membership.admit(endpoint);
     }
   }
 
   private ProposalOutcome answerTo(String member, long id) {
     return ProposalOutcome.of(
-        result -> links.send(member, codec.write(new MemberMessage.Answered(id, true, result))),
-        reason -> links.send(member, codec.write(new MemberMessage.Answered(id, false, reason))));
+        result -> sender.send(member, codec.write(new MemberMessage.Answered(id, true, result))),
+        reason -> sender.send(member, codec.write(new MemberMessage.Answered(id, false, reason))));
   }
 
   /**
@@ -368,14 +368,14 @@
   public void propose(Object command, double timeoutMillis, ProposalOutcome outcome) {
     Timers timers = environment.timers();
     String leader = view().leader();
-    if (leads()) {
+    if (isLeader()) {
       String reason = "no majority answered in time";
       replicate(command, new TimedOutcome(outcome, timers, timeoutMillis, reason));
     } else if (leader == null) {
       timers.after(0, () -> outcome.unknown(suspended() ? DISK_FAILS : "no leader is known"));
     } else {
       long id = forwarded.add(outcome, timeoutMillis);
-      links.send(leader, codec.write(new MemberMessage.Forward(id, command)));
+      sender.send(leader, codec.write(new MemberMessage.Forward(id, command)));
     }
   }
 
--- a/experiment/src/main/java/ferngrade/experiment/BenchTable.java
+++ b/experiment/src/main/java/ferngrade/experiment/BenchTable.java
@@ -67,7 +67,7 @@
         entry.path("figures").has("gate")
             ? entry.path("figures").path("gate").asDouble() == 1 ? "passed" : "failed"
             : "";
-    JsonNode played = entry.path("days");
+    JsonNode playedDays = entry.path("days");
     panels
         .computeIfAbsent(
             site + " | " + entry.path("panel").asText().replaceAll("^real:[^:]*:[^:]*:", ""),
@@ -78,8 +78,8 @@
                 build,
                 entry.path("figures").path("real_score").asDouble(),
                 gate,
-                played.size()));
-    for (JsonNode day : played) {
+                playedDays.size()));
+    for (JsonNode day : playedDays) {
       days.computeIfAbsent(site + " | " + day.path("name").asText(), key -> new ArrayList<>())
           .add(
               new DayPlay(
--- a/experiment/src/main/java/ferngrade/experiment/CompareCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/CompareCommand.java
@@ -38,7 +38,7 @@
           "%-30s %-14s %-14s %20s -> %-20s %s%s%n",
           row.cell().point(),
           row.cell().policy(),
-          row.figure(),
+          row.metric(),
           row.before(),
           row.after(),
           row.difference(),
--- a/experiment/src/main/java/ferngrade/experiment/Comparison.java
+++ b/experiment/src/main/java/ferngrade/experiment/Comparison.java
@@ -10,7 +10,7 @@
  * interval.
  */
 public record Comparison(Results before, Results after) {
-  private static final List<String> FIGURES =
+  private static final List<String> METRICS =
       List.of(
           "goodput",
           "worst class",
@@ -22,11 +22,11 @@
           "attempts a try");
 
   /**
-   * One figure of a cell that both results have. {@code difference} is the after value minus the
+   * One metric of a cell that both results have. {@code difference} is the after value minus the
    * before value.
    */
   public record Row(
-      Results.Cell cell, String figure, Estimate before, Estimate after, Estimate difference) {}
+      Results.Cell cell, String metric, Estimate before, Estimate after, Estimate difference) {}
 
   /** Returns all rows; empty if the two results have no cell and seed in common. */
   public List<Row> rows() {
@@ -34,17 +34,17 @@
     sharedCells.retainAll(after.cells());
     List<Row> rows = new ArrayList<>();
     for (Results.Cell cell : sharedCells) {
-      for (String figure : FIGURES) {
+      for (String metric : METRICS) {
         Estimate difference =
             Results.difference(
-                after.of(cell), before.of(cell), trial -> trial.figures().get(figure));
+                after.of(cell), before.of(cell), trial -> trial.figures().get(metric));
         if (difference.count() > 0) {
           rows.add(
               new Row(
                   cell,
-                  figure,
-                  before.estimate(cell, trial -> trial.figures().get(figure)),
-                  after.estimate(cell, trial -> trial.figures().get(figure)),
+                  metric,
+                  before.estimate(cell, trial -> trial.figures().get(metric)),
+                  after.estimate(cell, trial -> trial.figures().get(metric)),
                   difference));
         }
       }
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
@@ -138,7 +138,7 @@
         point,
         policy,
         seed,
-        statistics.figures(),
+        statistics.metrics(),
         statistics.byClass(),
         statistics.byTenant(),
         statistics.series(),
--- a/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/FaultTestRunCommand.java
@@ -97,7 +97,7 @@
       names = "--calm",
       description =
           "In the model, no member fails and no message is lost; messages are only delayed.")
-  private boolean calm;
+  private boolean faultFree;
 
   @Option(
       names = "--members",
@@ -300,7 +300,8 @@
   }
 
   private int checkModel() {
-    ModelChecker.Result result = ModelChecker.explore(members, shards, modelSteps, calm, mutant);
+    ModelChecker.Result result =
+        ModelChecker.explore(members, shards, modelSteps, faultFree, mutant);
     System.out.printf(
         "%d members, %d shards, mutant %s: %d states within %d steps, %s%n",
         members,
--- a/experiment/src/main/java/ferngrade/experiment/LoadCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/LoadCommand.java
@@ -55,7 +55,7 @@
     }
     Statistics statistics = new Statistics(scenario, Double.NaN);
     String invalidReason = new LoadRun(scenario, seed, addresses, List.of(statistics)).run();
-    statistics.figures().forEach((name, value) -> System.out.printf("%-22s %.4f%n", name, value));
+    statistics.metrics().forEach((name, value) -> System.out.printf("%-22s %.4f%n", name, value));
     if (invalidReason != null) {
       System.err.println("ferngrade: invalid run, the machine was too busy: " + invalidReason);
       return RunCommand.RUN_INVALID;
--- a/experiment/src/main/java/ferngrade/experiment/ReplayCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/ReplayCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Runs the first trial of an experiment again and prints all its figures. */
+/** Runs the first trial of an experiment again and prints all its metrics. */
 @Command(
     name = "replay",
     description = "Runs the first trial of an experiment again and prints all its figures.",
--- a/experiment/src/main/java/ferngrade/experiment/Results.java
+++ b/experiment/src/main/java/ferngrade/experiment/Results.java
@@ -112,25 +112,25 @@
     return bySeed;
   }
 
-  /** Returns the estimate of a figure over the seeds of a cell. */
-  public Estimate estimate(Cell cell, ToDoubleFunction<ExperimentRun.Result> figure) {
-    return Estimate.of(of(cell).values().stream().mapToDouble(figure).toArray());
+  /** Returns the estimate of a metric over the seeds of a cell. */
+  public Estimate estimate(Cell cell, ToDoubleFunction<ExperimentRun.Result> metric) {
+    return Estimate.of(of(cell).values().stream().mapToDouble(metric).toArray());
   }
 
   /**
-   * Returns the estimate of a figure's difference, left minus right, paired over the seeds that
+   * Returns the estimate of a metric's difference, left minus right, paired over the seeds that
    * both cells have.
    */
   public static Estimate difference(
       Map<Long, ExperimentRun.Result> left,
       Map<Long, ExperimentRun.Result> right,
-      ToDoubleFunction<ExperimentRun.Result> figure) {
+      ToDoubleFunction<ExperimentRun.Result> metric) {
     return Estimate.of(
         left.keySet().stream()
             .filter(right::containsKey)
             .mapToDouble(
                 seed ->
-                    figure.applyAsDouble(left.get(seed)) - figure.applyAsDouble(right.get(seed)))
+                    metric.applyAsDouble(left.get(seed)) - metric.applyAsDouble(right.get(seed)))
             .toArray());
   }
 
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -17,7 +17,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Computes the figures of one run from the events of the emulator. Goodput is the worth served
+ * Computes the metrics of one run from the events of the emulator. Goodput is the worth served
  * within the latency objective of each class, divided by the worth requested in first tries. The
  * answer to a retry counts for its first try, and latency is measured from the time at which the
  * first try was due. A late answer counts for {@link ClassSpec#lateWorth} of its worth. Times are
@@ -187,26 +187,26 @@
     return requested == 0 ? 1 : Arrays.stream(servedByClass).sum() / requested;
   }
 
-  /** Returns all figures by name; latencies are in milliseconds. */
-  public Map<String, Double> figures() {
-    Map<String, Double> figures = new LinkedHashMap<>();
-    figures.put("goodput", goodput());
-    figures.put("worst class", minShare(requestedByClass, servedByClass));
-    figures.put("worst tenant", minShare(requestedByTenant, servedByTenant));
-    figures.put("p50 ms", latency.getValueAtPercentile(50) / 1000.0);
-    figures.put("p90 ms", latency.getValueAtPercentile(90) / 1000.0);
-    figures.put("p99 ms", latency.getValueAtPercentile(99) / 1000.0);
-    figures.put("first tries", (double) firstTries);
-    figures.put("retries", (double) (tries - firstTries));
-    figures.put("in time", (double) inTime);
+  /** Returns all metrics by name; latencies are in milliseconds. */
+  public Map<String, Double> metrics() {
+    Map<String, Double> metrics = new LinkedHashMap<>();
+    metrics.put("goodput", goodput());
+    metrics.put("worst class", minShare(requestedByClass, servedByClass));
+    metrics.put("worst tenant", minShare(requestedByTenant, servedByTenant));
+    metrics.put("p50 ms", latency.getValueAtPercentile(50) / 1000.0);
+    metrics.put("p90 ms", latency.getValueAtPercentile(90) / 1000.0);
+    metrics.put("p99 ms", latency.getValueAtPercentile(99) / 1000.0);
+    metrics.put("first tries", (double) firstTries);
+    metrics.put("retries", (double) (tries - firstTries));
+    metrics.put("in time", (double) inTime);
     for (Answer answer : Answer.values()) {
-      figures.put(Section.toKebabCase(answer.name()), (double) answers.getOrDefault(answer, 0L));
+      metrics.put(Section.toKebabCase(answer.name()), (double) answers.getOrDefault(answer, 0L));
     }
-    figures.put("attempts a try", tries == 0 ? 0 : (double) attempts / tries);
-    figures.put("wasted work", sentWork <= 0 ? 0 : Math.max(0, 1 - usefulWork / sentWork));
-    figures.put("strays", (double) strays);
-    figures.put("lost by the emulator", (double) lost);
-    return figures;
+    metrics.put("attempts a try", tries == 0 ? 0 : (double) attempts / tries);
+    metrics.put("wasted work", sentWork <= 0 ? 0 : Math.max(0, 1 - usefulWork / sentWork));
+    metrics.put("strays", (double) strays);
+    metrics.put("lost by the emulator", (double) lost);
+    return metrics;
   }
 
   /** Returns the goodput of each class by name. */
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
@@ -27,12 +27,13 @@
 
   /**
    * Explores a model of this many members and shards; stops at the first state that violates a
-   * rule. If {@code calm}, no member crashes and no message is lost, but messages may be late.
+   * rule. If {@code faultFree}, no member crashes and no message is lost, but messages may be late.
    */
-  public static Result explore(int members, int shards, int depth, boolean calm, Mutant mutant) {
+  public static Result explore(
+      int members, int shards, int depth, boolean faultFree, Mutant mutant) {
     Set<StateHash> visited = ConcurrentHashMap.newKeySet();
     List<int[]> frontier = List.of(new int[0]);
-    visited.add(hash(new ModelState(members, shards, calm, mutant)));
+    visited.add(hash(new ModelState(members, shards, faultFree, mutant)));
     AtomicReference<Result> firstViolation = new AtomicReference<>();
     for (int level = 1; level <= depth; level++) {
       int currentDepth = level;
@@ -42,10 +43,10 @@
                   path -> {
                     List<int[]> next = new ArrayList<>();
                     if (firstViolation.get() == null) {
-                      for (int step : replay(members, shards, calm, mutant, path).steps()) {
+                      for (int step : replay(members, shards, faultFree, mutant, path).steps()) {
                         int[] extended = Arrays.copyOf(path, path.length + 1);
                         extended[path.length] = step;
-                        ModelState state = replay(members, shards, calm, mutant, extended);
+                        ModelState state = replay(members, shards, faultFree, mutant, extended);
                         if (state.violatedRule() != null) {
                           firstViolation.compareAndSet(
                               null,
@@ -67,8 +68,8 @@
   }
 
   private static ModelState replay(
-      int members, int shards, boolean calm, Mutant mutant, int[] path) {
-    ModelState state = new ModelState(members, shards, calm, mutant);
+      int members, int shards, boolean faultFree, Mutant mutant, int[] path) {
+    ModelState state = new ModelState(members, shards, faultFree, mutant);
     for (int step : path) {
       state.step(step);
     }
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
@@ -68,7 +68,7 @@
   private record Effect(Shard shard, long epoch) {}
 
   private final Mutant mutant;
-  private final boolean calm;
+  private final boolean faultFree;
   private final List<Shard> shards = new ArrayList<>();
   private final List<Member> members = new ArrayList<>();
   private final List<Command> log = new ArrayList<>();
@@ -141,12 +141,12 @@
   }
 
   /**
-   * Creates members that have sessions and own the shards. If {@code calm}, no member crashes and
-   * no proposal is lost.
+   * Creates members that have sessions and own the shards. If {@code faultFree}, no member crashes
+   * and no proposal is lost.
    */
-  ModelState(int size, int shardCount, boolean calm, Mutant mutant) {
+  ModelState(int size, int shardCount, boolean faultFree, Mutant mutant) {
     this.mutant = mutant;
-    this.calm = calm;
+    this.faultFree = faultFree;
     for (int i = 0; i < shardCount; i++) {
       shards.add(new Shard("d" + i, 0));
     }
@@ -186,7 +186,7 @@
       if (member.applied < log.size()) {
         steps.add(code(StepType.CATCH_UP, member.number));
       }
-      if (!calm && crashes < MAX_CRASHES) {
+      if (!faultFree && crashes < MAX_CRASHES) {
         steps.add(code(StepType.CRASH, member.number));
       }
       for (int i = 0; i < shards.size(); i++) {
@@ -201,7 +201,7 @@
       } else {
         steps.add(code(StepType.COMMIT, i));
       }
-      if (!calm) {
+      if (!faultFree) {
         steps.add(code(StepType.LOSE, i));
       }
     }
--- a/lease/src/main/java/ferngrade/lease/LeaseTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -102,7 +102,7 @@
 
   private final TreeMap<Long, Session> sessions = new TreeMap<>();
   private final TreeMap<Shard, Slot> slots = new TreeMap<>();
-  private final TreeMap<String, Long> walls = new TreeMap<>();
+  private final TreeMap<String, Long> wallClocks = new TreeMap<>();
   private long lastEpoch;
   private long index;
 
@@ -150,7 +150,7 @@
           sessions.computeIfPresent(
               renew.session(), (id, session) -> session.withRenewal(renew.wall()));
       if (renewed != null) {
-        walls.put(renewed.member(), renew.wall());
+        wallClocks.put(renewed.member(), renew.wall());
       }
       return renewed != null;
     } else if (command instanceof Command.Expire expire) {
@@ -161,7 +161,7 @@
     } else if (command instanceof Command.Close close) {
       Session session = sessions.get(close.session());
       if (session != null) {
-        walls.remove(session.member());
+        wallClocks.remove(session.member());
       }
       return session != null && endSession(session, "left");
     } else if (command instanceof Command.Release release) {
@@ -194,7 +194,7 @@
   }
 
   private Opened open(Command.Open open) {
-    walls.put(open.member(), open.wall());
+    wallClocks.put(open.member(), open.wall());
     for (Session session : sessions.values()) {
       if (session.member().equals(open.member()) && session.nonce().equals(open.nonce())) {
         // The request was repeated, and the member counts its lease from the repeated request, so
@@ -341,7 +341,7 @@
    * median.
    */
   private long medianWallClock() {
-    List<Long> sorted = walls.values().stream().sorted().toList();
+    List<Long> sorted = wallClocks.values().stream().sorted().toList();
     return sorted.isEmpty() ? 0 : sorted.get((sorted.size() - 1) / 2);
   }
 
@@ -374,7 +374,7 @@
         new ArrayList<>(sessions.values()),
         new ArrayList<>(slots.values()),
         new ArrayList<>(
-            walls.entrySet().stream()
+            wallClocks.entrySet().stream()
                 .map(entry -> new WallClock(entry.getKey(), entry.getValue()))
                 .toList()));
   }
@@ -388,7 +388,7 @@
     restored.sessions().forEach(session -> sessions.put(session.id(), session));
     slots.clear();
     restored.slots().forEach(slot -> slots.put(slot.shard(), slot));
-    walls.clear();
-    restored.walls().forEach(wall -> walls.put(wall.member(), wall.time()));
+    wallClocks.clear();
+    restored.walls().forEach(wall -> wallClocks.put(wall.member(), wall.time()));
   }
 }
