--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -269,12 +269,12 @@
   }
 
   /**
-   * Transfers leadership to another voter for which {@code up} holds, if this member leads. Without
-   * a transfer, the stop of a leader makes all members wait for an election.
+   * Transfers leadership to another voter for which {@code isAlive} holds, if this member leads.
+   * Without a transfer, the stop of a leader makes all members wait for an election.
    */
-  public void transferLeadership(Predicate<String> up) {
+  public void transferLeadership(Predicate<String> isAlive) {
     node.getCommittedMembers().getVotingMembers().stream()
-        .filter(voter -> !voter.equals(self) && up.test(((RaftMemberId) voter).member()))
+        .filter(voter -> !voter.equals(self) && isAlive.test(((RaftMemberId) voter).member()))
         .findFirst()
         .filter(other -> isLeader())
         .ifPresent(node::transferLeadership);
--- a/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/StoreCommand.java
@@ -118,7 +118,7 @@
                 disk,
                 new JobStore.Settings(SETTINGS, 256 << 20, 1 << 20),
                 0,
-                new JobStore.Owner(
+                new JobStore.OwnerThread(
                     owner,
                     (delayMillis, task) ->
                         owner.schedule(
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/MaintenanceDuringUpgradeTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/MaintenanceDuringUpgradeTest.java
@@ -21,8 +21,8 @@
 class MaintenanceDuringUpgradeTest {
   private static final int WORKERS = 4;
   private static final int CLIENTS = 12;
-  private static final double MEAN_PAUSE = 20;
-  private static final double DEADLINE = 2000;
+  private static final double MEAN_PAUSE_MILLIS = 20;
+  private static final double DEADLINE_MILLIS = 2000;
 
   /** The number of jobs after which each worker has been selected several times by each process. */
   private static final int JOBS_TO_OBSERVE = 150;
@@ -51,7 +51,7 @@
 
   /** Starts clients, and returns once the node has served some of their requests. */
   private void startLoad() throws Exception {
-    load = run.load(CLIENTS, MEAN_PAUSE, DEADLINE, 1);
+    load = run.load(CLIENTS, MEAN_PAUSE_MILLIS, DEADLINE_MILLIS, 1);
     awaitSends(JOBS_TO_OBSERVE);
   }
 
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -437,7 +437,7 @@
                             peer ->
                                 new MembersStatus.Line(peer.update(), clock.now() - peer.since()))
                         .toList(),
-                    membership.refused()),
+                    membership.rejected()),
         loop);
   }
 
--- a/fleet/src/main/java/ferngrade/fleet/Membership.java
+++ b/fleet/src/main/java/ferngrade/fleet/Membership.java
@@ -151,7 +151,7 @@
   }
 
   /** The number of datagrams rejected because they were forged, of another fleet or replayed. */
-  long refused() {
+  long rejected() {
     return rejected;
   }
 
--- a/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
@@ -12,7 +12,8 @@
  * <p>While the disk fails, no callback is called, new jobs are rejected, and pending changes are
  * written again with backoff, each time to a new file, until they are durable.
  *
- * <p>All methods belong to the owner's thread, on which {@link Owner#executor} runs its tasks.
+ * <p>All methods belong to the owner's thread, on which {@link OwnerThread#executor} runs its
+ * tasks.
  */
 public final class JobStore implements AutoCloseable {
   /** The bounds of the backoff before a failed write is retried. */
@@ -35,25 +36,29 @@
    * @param executor runs tasks on that thread; called from any thread
    * @param timer runs tasks on that thread after a delay
    */
-  public record Owner(Executor executor, RetryTimer timer) {}
+  public record OwnerThread(Executor executor, RetryTimer timer) {}
 
   private final JobTable table;
   private final RecoveryReport recovery;
   private final GroupCommitWriter writer;
   private final BackgroundCompactor compactor;
-  private final Owner owner;
+  private final OwnerThread ownerThread;
   private final int maxPendingChanges;
   private final Backoff backoff = new Backoff(FIRST_RETRY_MILLIS, MAX_RETRY_MILLIS);
   private int pendingChanges;
   private Optional<IOException> fault = Optional.empty();
 
   private JobStore(
-      Storage storage, JobTable table, WriteAheadLog log, int maxPendingChanges, Owner owner) {
+      Storage storage,
+      JobTable table,
+      WriteAheadLog log,
+      int maxPendingChanges,
+      OwnerThread ownerThread) {
     this.table = table;
     this.recovery = log.recovery();
     this.compactor = new BackgroundCompactor(storage);
     this.writer = new GroupCommitWriter(log, compactor, new OwnerNotifier());
-    this.owner = owner;
+    this.ownerThread = ownerThread;
     this.maxPendingChanges = maxPendingChanges;
   }
 
@@ -64,12 +69,13 @@
    * @throws CorruptLogException if stored data is damaged
    * @throws IOException if the storage cannot be read or written
    */
-  public static JobStore open(Storage storage, Settings settings, double monotonic, Owner owner)
+  public static JobStore open(
+      Storage storage, Settings settings, double monotonic, OwnerThread ownerThread)
       throws IOException {
     JobTable table = new JobTable(settings.table());
     WriteAheadLog log = WriteAheadLog.open(storage, settings.maxLogBytes(), table::replay);
     table.recovered(monotonic);
-    JobStore store = new JobStore(storage, table, log, settings.maxPendingChanges(), owner);
+    JobStore store = new JobStore(storage, table, log, settings.maxPendingChanges(), ownerThread);
     store.writer.start();
     return store;
   }
@@ -149,7 +155,7 @@
 
   private void failed(IOException failure) {
     fault = Optional.of(failure);
-    owner.timer().after(backoff.next(), writer::retry);
+    ownerThread.timer().after(backoff.next(), writer::retry);
   }
 
   /**
@@ -167,12 +173,12 @@
   private final class OwnerNotifier implements GroupCommitWriter.Listener {
     @Override
     public void stored(List<PendingChange> changes) {
-      owner.executor().execute(() -> JobStore.this.stored(changes));
+      ownerThread.executor().execute(() -> JobStore.this.stored(changes));
     }
 
     @Override
     public void failed(IOException failure) {
-      owner.executor().execute(() -> JobStore.this.failed(failure));
+      ownerThread.executor().execute(() -> JobStore.this.failed(failure));
     }
   }
 }
--- a/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobStoreTest.java
@@ -42,7 +42,7 @@
         disk,
         new JobStore.Settings(SETTINGS, logBytes, maxPendingChanges),
         0,
-        new JobStore.Owner(ownerTasks::add, timer));
+        new JobStore.OwnerThread(ownerTasks::add, timer));
   }
 
   private void runOwnerTask() throws InterruptedException {
--- a/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
@@ -11,14 +11,14 @@
 /** Guards against a lease that outlasts its session. The test sets the clock. */
 class LeaseHolderTest {
   private static final Shard SHARD = new Shard("sweep", 0);
-  private static final LeaseHolder.Timing TERMS = new LeaseHolder.Timing(1_000, 0.02);
+  private static final LeaseHolder.Timing TIMING = new LeaseHolder.Timing(1_000, 0.02);
 
   private final LeaseTable table = new LeaseTable();
   private final List<Command> proposed = new ArrayList<>();
   private long index;
 
   private LeaseHolder holder(String name) {
-    return new LeaseHolder(name, name, List.of(SHARD), TERMS, proposed::add);
+    return new LeaseHolder(name, name, List.of(SHARD), TIMING, proposed::add);
   }
 
   /**
--- a/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
@@ -20,7 +20,7 @@
   private static final long MINUTE = 60_000;
   private static final long HOUR = 60 * MINUTE;
   private static final long START = 20_000L * 24 * HOUR;
-  private static final LeaseHolder.Timing TERMS = new LeaseHolder.Timing(4_000, 0.02);
+  private static final LeaseHolder.Timing TIMING = new LeaseHolder.Timing(4_000, 0.02);
   private static final RecurringSchedule JOB = new RecurringSchedule("sweep", MINUTE, true, false);
   private static final long STEP_AT = 10 * MINUTE + 7_000;
   private static final long END = 2 * HOUR + 30 * MINUTE;
@@ -41,7 +41,7 @@
     private long wallAhead;
 
     Member(String name) {
-      holder = new LeaseHolder(name, name, List.of(JOB.shard()), TERMS, this::propose);
+      holder = new LeaseHolder(name, name, List.of(JOB.shard()), TIMING, this::propose);
       runner = new RecurringJobRunner(JOB, holder, table, this);
     }
 
