--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -5,7 +5,7 @@
 import ferngrade.membership.MemberStatus;
 import ferngrade.membership.MembershipUpdate;
 import ferngrade.membership.Message;
-import ferngrade.membership.Message.Letter;
+import ferngrade.membership.Message.Envelope;
 import ferngrade.membership.MessageAuthenticator;
 import ferngrade.membership.Peer;
 import ferngrade.membership.SwimProtocol;
@@ -45,9 +45,9 @@
   private long bytes;
   private long datagrams;
   private long suspicions;
-  private long falseEnds;
-  private long refused;
-  private int widest;
+  private long falseFailures;
+  private long rejected;
+  private int maxDatagramBytes;
   private long runs = 1;
 
   /** A datagram recorded for a replay. */
@@ -58,23 +58,23 @@
    *
    * @param bytes the number of sealed bytes sent
    * @param datagrams the number of datagrams sent
-   * @param widest the size of the largest datagram, bytes
+   * @param maxDatagramBytes the size of the largest datagram, bytes
    * @param suspicions how often a member suspected another member
-   * @param falseEnds how often a member declared a member failed that was up, running and not
+   * @param falseFailures how often a member declared a member failed that was up, running and not
    *     partitioned
-   * @param refused the number of replayed or forged datagrams that were rejected
-   * @param lastFound the time until the last member detected the crash of the killed member, ms;
-   *     NaN if no member was killed
+   * @param rejected the number of replayed or forged datagrams that were rejected
+   * @param detectionMillis the time until the last member detected the crash of the killed member,
+   *     ms; NaN if no member was killed
    */
   public record Result(
-      List<Violation> breaches,
+      List<Violation> violations,
       long bytes,
       long datagrams,
-      int widest,
+      int maxDatagramBytes,
       long suspicions,
-      long falseEnds,
-      long refused,
-      double lastFound) {}
+      long falseFailures,
+      long rejected,
+      double detectionMillis) {}
 
   private VirtualSwarm(int size, long seed, Mutant mutant) {
     this.random = new SplittableRandom(seed);
@@ -87,7 +87,7 @@
   /**
    * Runs faults drawn from the seed; at the end all running members must agree on the membership.
    */
-  public static Result play(int size, long seed, Mutant mutant) {
+  public static Result run(int size, long seed, Mutant mutant) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, mutant);
     int initialSize = Math.max(2, size / 2);
     swarm.names.subList(0, initialSize).forEach(swarm::start);
@@ -105,7 +105,7 @@
   /**
    * Runs for {@code millis} with the share {@code loss} of the datagrams lost and no other fault.
    */
-  public static Result playLoss(int size, long seed, double loss, double millis) {
+  public static Result runWithLoss(int size, long seed, double loss, double millis) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, Mutant.NONE);
     swarm.lossOnly = true;
     swarm.names.forEach(swarm::start);
@@ -118,7 +118,7 @@
   }
 
   /** Crashes one member, and measures the time until the last of the others detects it. */
-  public static Result playKill(int size, long seed) {
+  public static Result runWithCrash(int size, long seed) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, Mutant.NONE);
     swarm.names.forEach(swarm::start);
     swarm.time.run(10_000 + swarm.random.nextDouble() * 500);
@@ -133,9 +133,16 @@
     return swarm.result(swarm.time.now() - killed);
   }
 
-  private Result result(double detectionTime) {
+  private Result result(double detectionMillis) {
     return new Result(
-        violations, bytes, datagrams, widest, suspicions, falseEnds, refused, detectionTime);
+        violations,
+        bytes,
+        datagrams,
+        maxDatagramBytes,
+        suspicions,
+        falseFailures,
+        rejected,
+        detectionMillis);
   }
 
   // ---- Faults ----
@@ -190,8 +197,9 @@
         }
       }
     }
-    if (widest > SwimProtocol.Terms.LOCAL.bytes() + MessageAuthenticator.BYTES) {
-      addViolation("bounded", "a datagram of " + widest + " bytes");
+    if (maxDatagramBytes
+        > SwimProtocol.Settings.LOCAL.maxEnvelopeBytes() + MessageAuthenticator.OVERHEAD_BYTES) {
+      addViolation("bounded", "a datagram of " + maxDatagramBytes + " bytes");
     }
   }
 
@@ -263,14 +271,15 @@
     }
     to.process.execute(
         () -> {
-          MessageAuthenticator.Opened opened = to.authenticator.open("intruder", replayed);
-          if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
+          MessageAuthenticator.UnsealResult unsealed =
+              to.authenticator.unseal("intruder", replayed);
+          if (unsealed.verdict() == MessageAuthenticator.Verdict.TAKEN) {
             addViolation(
                 forged ? "forged" : "replayed",
                 to.name + " accepted a replayed or forged datagram of " + old.from());
-            to.accept("intruder", opened.content());
+            to.accept("intruder", unsealed.content());
           } else {
-            refused++;
+            rejected++;
           }
         });
   }
@@ -294,7 +303,7 @@
   // ---- Members ----
 
   /** One process of a member. */
-  private final class SimulatedMember implements SwimProtocol.Out {
+  private final class SimulatedMember implements SwimProtocol.Callbacks {
     final String name;
     final long run = ++runs * 0x9E3779B97F4A7C15L | 1;
     final double startedAt = time.now();
@@ -312,7 +321,7 @@
               name,
               run,
               names.subList(0, Math.min(3, names.size())),
-              SwimProtocol.Terms.LOCAL,
+              SwimProtocol.Settings.LOCAL,
               new SplittableRandom(random.nextLong()),
               this);
       swim.start(0);
@@ -324,14 +333,14 @@
     }
 
     private void tick() {
-      swim.run(now());
-      time.after(Math.max(0.01, swim.next() - now()), () -> process.execute(this::tick));
+      swim.runDueTasks(now());
+      time.after(Math.max(0.01, swim.nextTaskAt() - now()), () -> process.execute(this::tick));
     }
 
     MemberStatus statusOf(String other) {
       return swim.peers().stream()
           .filter(peer -> peer.name().equals(other))
-          .map(Peer::standing)
+          .map(Peer::status)
           .findFirst()
           .orElse(null);
     }
@@ -339,22 +348,22 @@
     long runOf(String other) {
       return swim.peers().stream()
           .filter(peer -> peer.name().equals(other))
-          .map(peer -> peer.news().run())
+          .map(peer -> peer.update().run())
           .findFirst()
           .orElse(0L);
     }
 
     @Override
-    public void send(String to, String address, Letter letter) {
+    public void send(String to, String address, Envelope envelope) {
       transmit(
           to == null ? address : to,
-          authenticator.close(to == null ? address : to, codec.write(letter)));
+          authenticator.seal(to == null ? address : to, codec.write(envelope)));
     }
 
     private void transmit(String to, byte[] datagram) {
       bytes += datagram.length;
       datagrams++;
-      widest = Math.max(widest, datagram.length);
+      maxDatagramBytes = Math.max(maxDatagramBytes, datagram.length);
       if (cuts.contains(name + ">" + to) || random.nextDouble() < loss) {
         return;
       }
@@ -380,28 +389,28 @@
     }
 
     private void handle(String from, byte[] datagram) {
-      MessageAuthenticator.Opened opened = authenticator.open(from, datagram);
-      if (opened.answer() != null) {
-        transmit(from, opened.answer());
+      MessageAuthenticator.UnsealResult unsealed = authenticator.unseal(from, datagram);
+      if (unsealed.answer() != null) {
+        transmit(from, unsealed.answer());
       }
-      if (opened.verdict() == MessageAuthenticator.Verdict.TAKEN) {
-        accept(from, opened.content());
+      if (unsealed.verdict() == MessageAuthenticator.Verdict.TAKEN) {
+        accept(from, unsealed.content());
       }
     }
 
     void accept(String from, byte[] content) {
       try {
-        if (codec.read(content, 0, content.length) instanceof Letter letter) {
+        if (codec.read(content, 0, content.length) instanceof Envelope envelope) {
           if (mutant == Mutant.NO_DENIAL) {
-            letter =
-                new Letter(
-                    letter.self(),
-                    letter.message() instanceof Message.Sync sync
+            envelope =
+                new Envelope(
+                    envelope.self(),
+                    envelope.message() instanceof Message.Sync sync
                         ? new Message.Sync(others(sync.all()), sync.asks())
-                        : letter.message(),
-                    others(letter.news()));
+                        : envelope.message(),
+                    others(envelope.news()));
           }
-          swim.received(now(), from, letter);
+          swim.received(now(), from, envelope);
         }
       } catch (IOException malformed) {
         addViolation(
@@ -415,31 +424,31 @@
     }
 
     @Override
-    public void changed(Peer before, Peer after) {
+    public void statusChanged(Peer before, Peer after) {
       SimulatedMember other = members.get(after.name());
-      suspicions += after.standing() == MemberStatus.SUSPECT ? 1 : 0;
-      if (after.standing() == MemberStatus.FAILED
+      suspicions += after.status() == MemberStatus.SUSPECT ? 1 : 0;
+      if (after.status() == MemberStatus.FAILED
           && other != null
           && other.process.alive()
           && !other.process.paused()
           && !process.paused()
           && cuts.isEmpty()
-          && after.news().run() == other.run) {
-        falseEnds++;
+          && after.update().run() == other.run) {
+        falseFailures++;
         if (lossOnly) {
           addViolation("no false end", name + " declared " + after.name() + " failed, which is up");
         }
       }
       if (before != null
-          && before.standing() == MemberStatus.LEFT
-          && after.standing() == MemberStatus.FAILED
-          && before.news().run() == after.news().run()) {
+          && before.status() == MemberStatus.LEFT
+          && after.status() == MemberStatus.FAILED
+          && before.update().run() == after.update().run()) {
         addViolation("left", after.name() + " has left and is declared failed");
       }
     }
 
     @Override
-    public void clash(MembershipUpdate other) {
+    public void nameConflict(MembershipUpdate other) {
       if (members.get(name) == this) {
         addViolation(
             "one process",
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -81,7 +81,7 @@
   private boolean admitted = true;
 
   /** The way a voter starts if its data folder is empty. */
-  public enum Empty {
+  public enum EmptyFolderPolicy {
     /** Refuses to start: an earlier process may have cast votes that are no longer recorded. */
     STOP,
     /** Founds a new fleet together with the other voters. */
@@ -93,48 +93,51 @@
   /**
    * The environment in which a process is started.
    *
-   * @param data the data folder, used by this process alone
-   * @param empty the way a voter starts if the folder is empty
-   * @param disk wraps the storage of the folder; tests inject faults with it
+   * @param dataFolder the data folder, used by this process alone
+   * @param emptyFolderPolicy the way a voter starts if the folder is empty
+   * @param storageWrapper wraps the storage of the folder; tests inject faults with it
    * @param clock the monotonic clock
-   * @param wall the wall clock, ms since 1970
+   * @param wallClock the wall clock, ms since 1970
    * @param log receives each log line
    */
-  public record Start(
-      Path data,
-      Empty empty,
-      UnaryOperator<Storage> disk,
+  public record Environment(
+      Path dataFolder,
+      EmptyFolderPolicy emptyFolderPolicy,
+      UnaryOperator<Storage> storageWrapper,
       Clock clock,
-      LongSupplier wall,
+      LongSupplier wallClock,
       Consumer<String> log) {}
 
   /**
    * Opens the data folder and creates the member without starting it.
    *
-   * @throws IOException if the folder cannot be used, or if it is empty and {@link Empty#STOP} is
-   *     set for a voter
+   * @throws IOException if the folder cannot be used, or if it is empty and {@link
+   *     EmptyFolderPolicy#STOP} is set for a voter
    */
-  public MemberProcess(FleetFile file, String name, Start start)
+  public MemberProcess(FleetFile file, String name, Environment environment)
       throws IOException, InterruptedException {
     this.file = file;
     this.name = name;
-    this.clock = start.clock();
-    this.wallClock = start.wall();
-    this.log = start.log();
+    this.clock = environment.clock();
+    this.wallClock = environment.wallClock();
+    this.log = environment.log();
     this.timers =
         new Timers(
             clock,
             (delayMillis, run) ->
                 loop.schedule(run, (long) Math.ceil(delayMillis * 1000), TimeUnit.MICROSECONDS));
-    this.disk = FileSystemStorage.openExclusive(start.data());
+    this.disk = FileSystemStorage.openExclusive(environment.dataFolder());
     Codec codec = LogFormat.codec(Command.CLASSES);
     this.raftLog =
-        RaftLogStore.open(start.disk().apply(disk), codec, MAX_LOG_FILE_BYTES, this::diskFailed);
+        RaftLogStore.open(
+            environment.storageWrapper().apply(disk), codec, MAX_LOG_FILE_BYTES, this::diskFailed);
     Optional<RestoredRaftState> restored = raftLog.restored();
-    if (restored.isEmpty() && file.member(name).voter() && start.empty() == Empty.STOP) {
+    if (restored.isEmpty()
+        && file.member(name).voter()
+        && environment.emptyFolderPolicy() == EmptyFolderPolicy.STOP) {
       disk.close();
       throw new IOException(
-          start.data()
+          environment.dataFolder()
               + " holds no data of this fleet: a voter without its data must not vote. Start each"
               + " voter of a new fleet with --found, and a voter that has lost its disk with"
               + " --rejoin");
@@ -160,7 +163,7 @@
             new RaftMember.Persistence(
                 raftLog,
                 restored,
-                start.empty() == Empty.REJOIN
+                environment.emptyFolderPolicy() == EmptyFolderPolicy.REJOIN
                     ? Optional.of(Long.toHexString(seed))
                     : Optional.empty()),
             new RaftMember.Environment(
@@ -169,7 +172,8 @@
                 codec, (to, message) -> connections.send(to, tagged(RAFT_COMPONENT, message))),
             table);
     this.leaseHolder =
-        new LeaseHolder(name, Long.toHexString(seed), file.shards(), file.terms(), this::propose);
+        new LeaseHolder(
+            name, Long.toHexString(seed), file.shards(), file.leaseTiming(), this::propose);
     this.membership =
         file.member(name).gossip() == null
             ? null
@@ -299,7 +303,7 @@
         command,
         PROPOSAL_TIMEOUT_MILLIS,
         ProposalOutcome.of(
-            result -> leaseHolder.answered(proposedAt, command, result), reason -> {}));
+            result -> leaseHolder.commandAnswered(proposedAt, command, result), reason -> {}));
   }
 
   private void renewSession() {
@@ -313,7 +317,7 @@
       admitted = !admitted;
       log.accept(admitted ? "taken in" : "not taken in yet: asking the other members");
     }
-    boolean confirmed = leaseHolder.holds(clock.now());
+    boolean confirmed = leaseHolder.leaseValid(clock.now());
     if (confirmed != sessionConfirmed) {
       sessionConfirmed = confirmed;
       log.accept(
@@ -321,14 +325,14 @@
               ? "session confirmed by a majority"
               : "no majority confirms this member: it owns nothing");
     }
-    timers.after(leaseHolder.period(), () -> runGuarded(this::renewSession));
+    timers.after(leaseHolder.tickIntervalMillis(), () -> runGuarded(this::renewSession));
   }
 
   private void checkDuties() {
     for (Job job : file.jobs()) {
       Shard shard = job.schedule().shard();
       logOwnershipChange(shard, leaseHolder.epoch(shard, clock.now(), table));
-      jobRunners.get(shard).look(clock.now(), wallClock.getAsLong());
+      jobRunners.get(shard).tick(clock.now(), wallClock.getAsLong());
     }
     if (listRelay != null) {
       OptionalLong epoch = leaseHolder.epoch(EndpointListRelay.SHARD, clock.now(), table);
@@ -370,7 +374,7 @@
       }
 
       @Override
-      public void put(long due, long epoch) {
+      public void submit(long due, long epoch) {
         jobSender.send(
             job,
             due,
@@ -389,7 +393,8 @@
                               + " result="
                               + result.orElse("not put in"));
                       result.ifPresentOrElse(
-                          jobRunners.get(shard)::came, jobRunners.get(shard)::notPut);
+                          jobRunners.get(shard)::resultReceived,
+                          jobRunners.get(shard)::notSubmitted);
                     }));
       }
     };
@@ -407,7 +412,7 @@
               name,
               view.leader(),
               view.term(),
-              leaseHolder.holds(clock.now()),
+              leaseHolder.leaseValid(clock.now()),
               table.index(),
               List.copyOf(table.sessions()),
               table.slots().stream()
@@ -429,9 +434,10 @@
                             Stream.of(new Peer(membership.self(), clock.now())),
                             membership.peers().stream())
                         .map(
-                            peer -> new MembersStatus.Line(peer.news(), clock.now() - peer.since()))
+                            peer ->
+                                new MembersStatus.Line(peer.update(), clock.now() - peer.since()))
                         .toList(),
-                    membership.refused()),
+                    membership.rejected()),
         loop);
   }
 
@@ -511,7 +517,7 @@
   private void pollHandover() {
     // Polled every few ms: each step of the handover waits until the step before it is committed.
     leaseHolder.tick(clock.now(), wallClock.getAsLong(), table);
-    if (!leaseHolder.left()) {
+    if (!leaseHolder.closed()) {
       timers.after(5, this::pollHandover);
     } else if (name.equals(raftMember.view().leader())) {
       // If the leader ended before a successor is in place, the fleet would wait for an election.
