--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -73,7 +73,7 @@
     long seed = run.streams.seed("node-" + number + "-" + incarnation);
     coordinator =
         new RequestCoordinator(
-            new RequestCoordinator.Surroundings(
+            new RequestCoordinator.Dependencies(
                 time,
                 timers,
                 task -> time.after(0, inProcess(task)),
@@ -178,7 +178,7 @@
 
   void clientDisconnected(Request request) {
     if (openRequests.remove(request.id) != null) {
-      coordinator.clientGone(request.id);
+      coordinator.clientDisconnected(request.id);
     }
   }
 
@@ -197,9 +197,10 @@
     }
     if (late) {
       run.time.after(
-          Mutation.LIST_DELAY_MILLIS, inProcess(() -> coordinator.members(update, entries)));
+          Mutation.LIST_DELAY_MILLIS,
+          inProcess(() -> coordinator.updateEndpoints(update, entries)));
     } else {
-      coordinator.members(update, entries);
+      coordinator.updateEndpoints(update, entries);
     }
   }
 
@@ -210,7 +211,7 @@
   }
 
   void receivePeerMessage(int from, byte[] message) {
-    coordinator.heard(from, message);
+    coordinator.peerMessageReceived(from, message);
   }
 
   /** Passes on a worker's callback; returns false if it matches no attempt of this process. */
@@ -247,7 +248,7 @@
     }
 
     @Override
-    public void refused(double retryAfter) {
+    public void rejected(double retryAfter) {
       answer(request, Answer.REFUSED, retryAfter);
     }
 
--- a/node/src/main/java/ferngrade/http/RequestBytesReader.java
+++ b/node/src/main/java/ferngrade/http/RequestBytesReader.java
@@ -128,7 +128,7 @@
     } else if (decoder.paused()) {
       bufferUndecoded(bytes);
     } else {
-      arrivedAt = arrivedSince();
+      arrivedAt = earliestArrival();
       decode(bytes);
     }
   }
@@ -162,13 +162,13 @@
     }
   }
 
-  private double arrivedSince() {
+  private double earliestArrival() {
     if (!Double.isNaN(unreadSince)) {
       return unreadSince;
     }
     // Bytes that arrived before the connection was accepted are read by the end of the turn after
     // the accept.
-    return arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.since();
+    return arrivals.turn() <= acceptTurn + 1 ? acceptedSince : arrivals.earliestArrival();
   }
 
   // ---- Decoding ----
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -70,7 +70,7 @@
    * The maximum time for which a starting process leaves new connections to its predecessor until
    * it is ready, in ms.
    */
-  private static final double MAX_ACCEPT_HOLD_MILLIS = 500;
+  private static final double MAX_ACCEPT_PAUSE_MILLIS = 500;
 
   /**
    * The interval at which a process reads the state shared by the other processes of the node, in
@@ -112,29 +112,32 @@
   /**
    * Holds the inputs that the platform passes to a process in addition to its configuration.
    *
-   * @param accepted the clients' listening socket, or null if the node binds its own
+   * @param inheritedListener the clients' listening socket, or null if the node binds its own
    * @param stateFolder the folder shared by all processes of the node, or null if no state is kept
    * @param files the operations used to read and write files in that folder
    * @param process the process name that attempts carry, or null if they carry none
    */
   public record Platform(
-      ServerSocketChannel accepted, Path stateFolder, FileOperations files, String process) {
+      ServerSocketChannel inheritedListener,
+      Path stateFolder,
+      FileOperations files,
+      String process) {
     /** No platform inputs: the node binds its own socket and keeps no state. */
     public static final Platform NONE = new Platform(null, null);
 
     /** Creates inputs that use the machine's file system. */
-    public Platform(ServerSocketChannel accepted, Path stateFolder) {
-      this(accepted, stateFolder, FileOperations.SYSTEM);
+    public Platform(ServerSocketChannel inheritedListener, Path stateFolder) {
+      this(inheritedListener, stateFolder, FileOperations.SYSTEM);
     }
 
     /** Creates inputs that use the given file operations. */
-    public Platform(ServerSocketChannel accepted, Path stateFolder, FileOperations files) {
-      this(accepted, stateFolder, files, null);
+    public Platform(ServerSocketChannel inheritedListener, Path stateFolder, FileOperations files) {
+      this(inheritedListener, stateFolder, files, null);
     }
 
     /** Returns a copy whose attempts carry the given process name. */
-    public Platform identifiedAs(String processName) {
-      return new Platform(accepted, stateFolder, files, processName);
+    public Platform withProcessName(String processName) {
+      return new Platform(inheritedListener, stateFolder, files, processName);
     }
   }
 
@@ -162,18 +165,20 @@
             (delayMillis, task) ->
                 loop.schedule(
                     () -> {
-                      arrivalClock.working();
+                      arrivalClock.markWorking();
                       task.run();
                     },
                     (long) Math.ceil(delayMillis * 1000),
                     TimeUnit.MICROSECONDS));
     this.loopMonitor = new LoopMonitor(clock, log);
     this.pauseDetector = new PauseDetector(clock, timers);
-    arrivalClock.onTurn(loopMonitor::turnEnded);
+    arrivalClock.setTurnListener(loopMonitor::turnEnded);
     timers.onDelay(loopMonitor::timerDelayed);
     // Only a process on an inherited socket can run in parallel with other processes of the node.
     this.upgradePeers =
-        platform.accepted() == null ? null : new UpgradePeers(group, timers, log, channels);
+        platform.inheritedListener() == null
+            ? null
+            : new UpgradePeers(group, timers, log, channels);
     this.processLimits = new ProcessLimits(config, log);
     this.frontend =
         new HttpFrontend(
@@ -250,11 +255,11 @@
       DispatcherFactory dispatcherFactory,
       ChannelProvider channels)
       throws Exception {
-    for (int retries = platform.accepted() == null ? MAX_START_RETRIES : 0; ; retries--) {
+    for (int retries = platform.inheritedListener() == null ? MAX_START_RETRIES : 0; ; retries--) {
       try {
         return startOnce(config, platform, clock, log, dispatcherFactory, channels);
       } catch (Exception failed) {
-        if (retries == 0 || !FaultOrigin.isPassingLack(failed)) {
+        if (retries == 0 || !FaultOrigin.isTemporaryShortage(failed)) {
           throw failed;
         }
         log.line(
@@ -280,7 +285,7 @@
       log.line(
           "listening at "
               + server.address()
-              + (platform.accepted() != null ? ", on the socket handed over" : "")
+              + (platform.inheritedListener() != null ? ", on the socket handed over" : "")
               + (config.admin() != null ? "; operators' calls at " + server.adminAddress() : ""));
       return server;
     } catch (Exception failed) {
@@ -295,7 +300,7 @@
   private RequestCoordinator.RequestLimits requestLimits() {
     long bytes = ((long) config.memoryMb() << 20) / 16;
     return new RequestCoordinator.RequestLimits(
-        Math.min(config.mostOpen(), REQUESTS_PER_MB * config.memoryMb()),
+        Math.min(config.maxOpenRequests(), REQUESTS_PER_MB * config.memoryMb()),
         bytes,
         Math.min(OVERLOAD_RETRY_AFTER_MILLIS, config.settings().limits().retryAfterMax()));
   }
@@ -311,7 +316,7 @@
     discovery = new Discovery(this::createWatch);
     coordinator =
         new RequestCoordinator(
-            new RequestCoordinator.Surroundings(clock, timers, loop, workers, peers, log),
+            new RequestCoordinator.Dependencies(clock, timers, loop, workers, peers, log),
             requestLimits(),
             actions -> dispatcherFactory.create(config, clock.now(), actions));
     StateFolder folder =
@@ -327,14 +332,15 @@
     }
     List<ChannelFuture> pendingBinds = new ArrayList<>();
     if (config.peerListen() != null) {
-      pendingBinds.add(peers.listen(group, config.peerListen(), coordinator::heard));
+      pendingBinds.add(peers.listen(group, config.peerListen(), coordinator::peerMessageReceived));
     }
     RequestReader reader = new RequestReader(config.settings());
     if (sharedState != null && sharedState.othersRun()) {
-      holdAcceptingUntilReady();
+      pauseAcceptingUntilReady();
     }
     pendingBinds.add(
-        frontend.listen(group, config.listen(), platform.accepted(), coordinator, reader, log));
+        frontend.listen(
+            group, config.listen(), platform.inheritedListener(), coordinator, reader, log));
     if (config.admin() != null) {
       operatorsEndpoint = createOperatorsEndpoint(folder);
       pendingBinds.add(operatorsEndpoint.listen(group, config.admin(), channels));
@@ -343,15 +349,15 @@
     if (sharedState != null) {
       sharedState.applyEarlierDecisions();
     }
-    workers.beforeAttempt(
+    workers.setBeforeAttempt(
         () -> {
           discovery.readPending();
           if (sharedState != null && upgradePeers != null) {
             sharedState.refresh();
           }
         });
-    workers.readCallbacksBy(new OncePerTurn(arrivalClock, this::readCallbacks));
-    workers.identifyAs(platform.process());
+    workers.setCallbackReader(new OncePerTurn(arrivalClock, this::readCallbacks));
+    workers.setProcessIdentification(platform.process());
     pauseDetector.start();
     new BudgetReporter(coordinator, timers, log).start();
     return pendingBinds;
@@ -388,10 +394,10 @@
   }
 
   /** Delays accepting clients until this process is ready, while a predecessor still serves. */
-  private void holdAcceptingUntilReady() {
-    frontend.holdAccepting(true);
-    coordinator.whenReady(() -> frontend.holdAccepting(false));
-    timers.after(MAX_ACCEPT_HOLD_MILLIS, () -> frontend.holdAccepting(false));
+  private void pauseAcceptingUntilReady() {
+    frontend.pauseAccepting(true);
+    coordinator.onReady(() -> frontend.pauseAccepting(false));
+    timers.after(MAX_ACCEPT_PAUSE_MILLIS, () -> frontend.pauseAccepting(false));
   }
 
   /** Follows a move of discovery that another process of the node has recorded. */
@@ -435,7 +441,7 @@
     return new DiscoveryWatch(
         group,
         address,
-        config.memberReader(),
+        config.endpointListParser(),
         coordinator,
         timers,
         log,
@@ -450,11 +456,11 @@
    * and used only if the agent does not answer. If discovery is polled, the answer may take long,
    * so the stored list is used at once.
    */
-  private void useStoredList(List<Endpoint> stored) {
+  private void useStoredList(List<Endpoint> entries) {
     if (config.settings().asks()) {
-      coordinator.members(EndpointListUpdate.STORED, stored);
+      coordinator.updateEndpoints(EndpointListUpdate.STORED, entries);
     } else {
-      coordinator.stored(stored);
+      coordinator.keepStoredEndpoints(entries);
     }
   }
 
@@ -463,7 +469,7 @@
    * the next start. Jobs in flight, the current endpoint list and all learned estimates are kept.
    */
   public void reload(NodeConfig changed) {
-    boolean settingsChanged = !changed.settingsWrittenAs(config);
+    boolean settingsChanged = !changed.hasSameSettingsText(config);
     runOnLoop(
         () -> {
           reloadsOk++;
@@ -566,7 +572,7 @@
 
   /** Stops accepting jobs and releases this process's share to the other accepting processes. */
   private void stopAccepting() {
-    coordinator.acceptNoMore();
+    coordinator.stopAccepting();
     if (sharedState != null) {
       sharedState.recordFinishing();
     }
@@ -574,7 +580,7 @@
 
   /** Releases resources that only one process of the node can hold to the other processes. */
   private void handOver() {
-    if (platform.accepted() != null) {
+    if (platform.inheritedListener() != null) {
       peers.handOver();
     }
   }
--- a/node/src/main/java/ferngrade/server/StateFolder.java
+++ b/node/src/main/java/ferngrade/server/StateFolder.java
@@ -53,9 +53,16 @@
   }
 
   /** Creates the log shared by all processes of the node; {@link SharedLog} has the parameters. */
-  SharedLog sharedLog(Executor loop, Consumer<String> records, Runnable replaced) {
+  SharedLog sharedLog(Executor loop, Consumer<String> records, Runnable onReplaced) {
     return new SharedLog(
-        folder.resolve(SHARED_LOG_FILE), files, writer, appender, loop, report, records, replaced);
+        folder.resolve(SHARED_LOG_FILE),
+        files,
+        writer,
+        appender,
+        loop,
+        report,
+        records,
+        onReplaced);
   }
 
   /** Returns the scheduler for tasks that must not run on the event loop. */
@@ -84,7 +91,7 @@
     try {
       String earlier = adminAddress.read();
       if (earlier != null) {
-        upgradePeers.at(EndpointListParser.address(earlier.trim()));
+        upgradePeers.addAnnounced(EndpointListParser.address(earlier.trim()));
       }
     } catch (IOException | IllegalArgumentException unusable) {
       log.line("address of an earlier process ignored: " + unusable.getMessage());
--- a/node/src/test/java/ferngrade/peer/UdpPeersTest.java
+++ b/node/src/test/java/ferngrade/peer/UdpPeersTest.java
@@ -64,11 +64,11 @@
       assertEquals(results.take(), "logged");
       peer.send(new DatagramPacket(new byte[7], 7, ownAddress));
       assertEquals(results.take(), "0:7");
-      group.next().submit(() -> udp.tell(0, new byte[9])).get();
+      group.next().submit(() -> udp.send(0, new byte[9])).get();
       DatagramPacket received = new DatagramPacket(new byte[300], 300);
       peer.receive(received);
       assertEquals(received.getLength(), 9);
-      group.next().submit(() -> udp.tell(0, new byte[257])).get();
+      group.next().submit(() -> udp.send(0, new byte[257])).get();
       assertEquals(results.take(), "logged");
     }
   }
@@ -120,7 +120,7 @@
       channels.fail(null, call, errno, shouldFail);
       for (int i = 1; i <= FAULT_COUNT + 2; i++) {
         int size = i;
-        group.next().submit(() -> udp.tell(0, new byte[size])).get();
+        group.next().submit(() -> udp.send(0, new byte[size])).get();
         peer.send(new DatagramPacket(new byte[size], size, ownAddress));
       }
       // The last datagram must arrive in both directions, which shows that the channel still works.
@@ -132,7 +132,8 @@
         Thread.onSpinWait();
       }
       assertTrue(channel.isOpen());
-      assertTrue(channels.raised.get() > 0, "the fault must have been injected at least once");
+      assertTrue(
+          channels.injectedFaults.get() > 0, "the fault must have been injected at least once");
       assertTrue(lines.get() <= 1, "at most one log line expected: " + lines);
       channel.close().sync();
     }
--- a/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
@@ -99,17 +99,17 @@
         errno,
         switch (pattern) {
           case ONCE -> FaultInjectingChannels.once();
-          case FOR_A_WHILE -> () -> faults.raised.get() < FAILED_ACCEPTS;
+          case FOR_A_WHILE -> () -> faults.injectedFaults.get() < FAILED_ACCEPTS;
           case EVERY_SECOND_CALL -> FaultInjectingChannels.everySecondCall();
         });
     long startNanos = System.nanoTime();
     for (int i = 0; i < 3; i++) {
-      try (RawHttp client = RawHttp.to(address)) {
+      try (RawHttp client = RawHttp.connect(address)) {
         assertEquals(client.write(READY).read().status(), 200);
       }
     }
     long millis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-    assertTrue(faults.raised.get() > 0, "no accept has failed");
+    assertTrue(faults.injectedFaults.get() > 0, "no accept has failed");
     assertTrue(millis < 900, "accepts were paused: " + millis + " ms");
   }
 
@@ -127,10 +127,10 @@
   public void startsAfterTransientListenerFailure(Purpose listener, Errno errno) throws Exception {
     faults.fail(listener, SystemCall.SOCKET, errno, FaultInjectingChannels.once());
     start(config(discovery.getLocalPort(), endpointList(1, "active")), Clock.system());
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertNotNull(client.write(READY).read());
     }
-    assertEquals(faults.raised.get(), 1);
+    assertEquals(faults.injectedFaults.get(), 1);
   }
 
   @DataProvider
@@ -171,7 +171,7 @@
   }
 
   /** Advances the clock past the fault and the time within which service must have recovered. */
-  private void passOutage(double faultEnds) throws Exception {
+  private void advancePastOutage(double faultEnds) throws Exception {
     awaitSettled();
     while (now < faultEnds) {
       advance(MAX_RECOVERY_MILLIS);
@@ -192,7 +192,7 @@
       serve(id, faultEnds, affected);
       assertNoWorkerEjected();
     }
-    assertTrue(faults.raised.get() > 0, "the call has not failed");
+    assertTrue(faults.injectedFaults.get() > 0, "the call has not failed");
   }
 
   @Test(dataProvider = "connectFaults")
@@ -201,19 +201,19 @@
     double faultEnds = fail(Purpose.DISCOVERY, call, errno, pattern);
     start(config(discovery.getLocalPort(), endpointList(1, "active")), () -> now);
     awaitSettled();
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       assertEquals(client.write(READY).read().status(), 503, "the stored list must not be used");
     }
-    passOutage(faultEnds);
+    advancePastOutage(faultEnds);
     watch = new RawHttp(discovery.accept());
     watch.read();
     watch.write(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             + chunk(endpointList(2, "active") + "\n"));
-    try (RawHttp client = RawHttp.to(node.address())) {
+    try (RawHttp client = RawHttp.connect(node.address())) {
       awaitReadyStatus(client, 200);
     }
-    assertTrue(faults.raised.get() > 0, "the call has not failed");
+    assertTrue(faults.injectedFaults.get() > 0, "the call has not failed");
   }
 
   @Test(dataProvider = "connectFaults")
@@ -224,10 +224,10 @@
         RawHttp client = startAfterPredecessor(other)) {
       other.setSoTimeout(5_000);
       client.write(READY).read();
-      passOutage(faultEnds);
+      advancePastOutage(faultEnds);
       try (RawHttp announcement = new RawHttp(other.accept())) {
         Message message = announcement.read();
-        assertEquals(message.start(), "POST /-/sibling HTTP/1.1");
+        assertEquals(message.startLine(), "POST /-/sibling HTTP/1.1");
         assertTrue(message.body().endsWith(":" + node.adminAddress().getPort()), message.body());
       }
     }
@@ -248,13 +248,13 @@
               pattern == Pattern.FOR_A_WHILE ? Pattern.ONCE : pattern);
       String callback = "{\"id\":\"a\",\"from\":\"s-1\"," + DONE + "}";
       caller.write(RawHttp.message("POST /_jobs/news HTTP/1.1", callback));
-      passOutage(faultEnds);
+      advancePastOutage(faultEnds);
       try (RawHttp relayed = new RawHttp(other.accept())) {
         assertEquals(relayed.read().body(), callback);
         relayed.write("HTTP/1.1 204 No Content\r\n\r\n");
       }
       assertEquals(caller.read().status(), 204);
-      assertTrue(faults.raised.get() > 0, "the call has not failed");
+      assertTrue(faults.injectedFaults.get() > 0, "the call has not failed");
     }
   }
 
@@ -275,7 +275,7 @@
             () -> now,
             new RateLimitedLog(() -> now, line -> {}),
             channels);
-    return RawHttp.to(node.address());
+    return RawHttp.connect(node.address());
   }
 
   /**
@@ -283,16 +283,16 @@
    * {@code affected} is true if a system call of this job fails.
    */
   private void serve(String id, double faultEnds, boolean affected) throws Exception {
-    try (RawHttp client = RawHttp.to(node.address())) {
-      int raised = faults.raised.get();
+    try (RawHttp client = RawHttp.connect(node.address())) {
+      int injected = faults.injectedFaults.get();
       client.write(RawHttp.message(jobHead("POST /api", id, "order"), ""));
       awaitSettled();
       // A connect continues after awaitSettled() and fails at a time that depends on the machine.
-      while (affected && faults.raised.get() == raised) {
+      while (affected && faults.injectedFaults.get() == injected) {
         Thread.onSpinWait();
       }
-      if (faults.raised.get() > raised) {
-        passOutage(faultEnds);
+      if (faults.injectedFaults.get() > injected) {
+        advancePastOutage(faultEnds);
       }
       try (RawHttp workerConnection = acceptConnectionWithJob(id)) {
         workerConnection.write(ACCEPTED);
@@ -319,7 +319,7 @@
   }
 
   private void assertNoWorkerEjected() throws Exception {
-    try (RawHttp operator = RawHttp.to(node.adminAddress())) {
+    try (RawHttp operator = RawHttp.connect(node.adminAddress())) {
       String metrics = operator.write("GET /-/metrics HTTP/1.1\r\n\r\n").read().body();
       assertTrue(metrics.contains("menu_workers_excluded=0\n"), metrics);
       assertTrue(metrics.contains("failed.order=0\n"), metrics);
@@ -328,7 +328,7 @@
 
   @Test
   public void transfersWholeRequestsInOneByteReadsAndWrites() throws Exception {
-    faults.oneByte = true;
+    faults.oneByteTransfers = true;
     start(endpointList(1, "active"), () -> now);
     serve("a", now, false);
     serve("b", now, false);
--- a/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
@@ -50,7 +50,7 @@
       RawHttp.message("POST /-/menu-workers/s-1/enable HTTP/1.1", "");
 
   private static int awaitedLimit(int sockets) {
-    return ConnectionLimits.within(sockets, MEMORY_MB).awaited();
+    return ConnectionLimits.within(sockets, MEMORY_MB).awaitedConnections();
   }
 
   @DataProvider
@@ -276,7 +276,7 @@
     }
     blockLoop();
     for (int i = 0; i < PendingReads.MAX_ACCEPTS; i++) {
-      RawHttp.to(node.address()).close();
+      RawHttp.connect(node.address()).close();
     }
     blockReleased.countDown();
     awaitSettled();
