--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -60,13 +60,13 @@
   private double loss;
   private double meanDelayMillis;
   private long processes;
-  private long refused;
+  private long rejected;
 
   /**
    * The violations of a run, and the number of effects executed, of effects rejected, and of events
    * in virtual time.
    */
-  public record Result(List<Violation> breaches, long effects, long refused, long events) {}
+  public record Result(List<Violation> violations, long effects, long rejected, long events) {}
 
   private VirtualFleet(int size, long seed, Mutant mutant) {
     this.mutant = mutant;
@@ -80,17 +80,17 @@
   }
 
   /** Runs one fleet of {@code size} members. */
-  public static Result play(int size, long seed, Mutant mutant) {
+  public static Result run(int size, long seed, Mutant mutant) {
     VirtualFleet fleet = new VirtualFleet(size, seed, mutant);
     fleet.run();
-    return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
+    return new Result(fleet.violations, fleet.effects.size(), fleet.rejected, fleet.time.ran());
   }
 
   /**
    * Runs without faults, with message delays between 0.5 and 1.5 times {@code millis}, as on an
    * overloaded machine; checks that the job of each shard is executed.
    */
-  public static Result playSlow(int size, long seed, double millis) {
+  public static Result runWithDelays(int size, long seed, double millis) {
     VirtualFleet fleet = new VirtualFleet(size, seed, Mutant.NONE);
     fleet.meanDelayMillis = millis;
     fleet.names.forEach(fleet::start);
@@ -98,10 +98,10 @@
     // Jobs that are skipped when late are always late at this delay.
     fleet.checkOwned(
         fleet.jobs.stream()
-            .filter(RecurringSchedule::missed)
+            .filter(RecurringSchedule::runMissed)
             .map(RecurringSchedule::shard)
             .toList());
-    return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
+    return new Result(fleet.violations, fleet.effects.size(), fleet.rejected, fleet.time.ran());
   }
 
   private void run() {
@@ -120,7 +120,7 @@
     for (String name : names) {
       VirtualMember member = members.get(name);
       member.setPaused(false);
-      disks.get(name).heal();
+      disks.get(name).clearFaults();
       if (!member.alive() || drained.contains(name)) {
         member.kill();
         start(name);
@@ -162,7 +162,7 @@
       return;
     }
     FaultInjectingStorage disk = disks.get(name);
-    disk.powerUp();
+    disk.restorePower();
     try {
       members.put(
           name,
@@ -255,7 +255,7 @@
     switch (random.nextInt(3)) {
       case 0 -> {
         failDisk(disks.get(name), (long) length % 2 == 0);
-        time.after(length, () -> disks.get(name).heal());
+        time.after(length, () -> disks.get(name).clearFaults());
       }
       case 1 -> loseDisk(name, length);
       default -> {
@@ -270,7 +270,7 @@
   /** Makes a disk full, or makes its syncs and renames fail. */
   private static void failDisk(FaultInjectingStorage disk, boolean full) {
     if (full) {
-      disk.fill(true);
+      disk.setFull(true);
       return;
     }
     for (FaultInjectingStorage.Operation operation :
@@ -353,11 +353,11 @@
                       + " was executed after "
                       + previous);
             }
-            if (!effects.add(shard + "@" + due) && !job.repeat()) {
+            if (!effects.add(shard + "@" + due) && !job.repeatable()) {
               addViolation("once", shard + " was executed twice for due time " + due);
             }
           } else {
-            refused++;
+            rejected++;
           }
           time.after(1, () -> result.accept(admitted ? "served" : "failed"));
         });
