--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -57,10 +57,10 @@
   /**
    * Returns the expected wait for a start. For a worker that is warming up it follows the listed
    * load alone: only a few dispatchers have a grant for the worker, so they cannot overload it, and
-   * none of them has observed waits there. For other workers the slots held by this dispatcher come
-   * first, each worth a mean service time divided by the worker's slots, if reports include the
-   * number of slots. If many dispatchers relied on the listed sizes, they would overload the large
-   * workers.
+   * none of them has observed waits there. For other workers it is the time to complete the slots
+   * held by this dispatcher, each of which takes a mean service time divided by the worker's slots
+   * (if reports include that number), plus the estimated wait. If many dispatchers relied on the
+   * listed sizes, they would overload the large workers.
    */
   private double queueingDelay(WorkerStats worker, double now) {
     if (slowStartGate.warmingUp(worker, now) && waits.followsLoads()) {
--- a/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
@@ -24,7 +24,10 @@
     this.recentWork = new double[classes.size()];
   }
 
-  /** Adds a request's work, in ms on a standard core times slots. */
+  /**
+   * Adds a request's work to the recent work of its class. The work is in ms on a standard core
+   * times slots.
+   */
   void requestArrived(int jobClass, double work) {
     recentWork[jobClass] += work;
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
@@ -12,7 +12,7 @@
   /** Maximum number of hedges in the budget. */
   private static final double MAX_HEDGE_BUDGET = 3;
 
-  /** Fraction of its spare time after which a job that has not started is hedged. */
+  /** Fraction of a job's spare time after which the job is hedged if it has not started. */
   private static final double DELAY_FRACTION = 0.2;
 
   private final DispatcherSettings settings;
--- a/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
@@ -2,9 +2,9 @@
 
 /**
  * Decides whether workers have idle cores for a request that the slot budget does not cover. The
- * slice is learned from admitted requests, so a slice that is too small cannot reveal unused
- * capacity. The jobs in flight compared with this dispatcher's part of the cores reveal it
- * directly. Only warm workers are counted that have completed jobs for this dispatcher and have not
+ * slice is derived from admitted requests, so a slice that is too small cannot reveal unused
+ * capacity. This class therefore compares the jobs in flight with this dispatcher's part of the
+ * cores. It counts only warm workers that have completed jobs for this dispatcher and have not
  * rejected an attempt recently. Event thread only.
  */
 final class IdleCapacity {
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
@@ -4,8 +4,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Computes the graph of peers: a ring with chords, in which unused slots cross a large fleet in few
- * steps.
+ * Computes the graph of peers: a ring with chords, over which unused slots reach any dispatcher of
+ * a large fleet in few steps.
  */
 final class PeerGraph {
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -22,8 +22,8 @@
   private static final double QUEUED_HEADROOM_REDUCTION = 0.55;
 
   /**
-   * Fraction of the difference to its share by which a slice changes in a cycle. With the whole
-   * difference it would oscillate with each update of the endpoint list.
+   * Fraction of its difference to the fleet share by which a slice changes in a cycle. With a
+   * fraction of 1 the slice would oscillate with each update of the endpoint list.
    */
   private static final double SHARE_GAIN = 0.6;
 
@@ -60,14 +60,15 @@
   private static final double MIN_SLICE = 1;
 
   /**
-   * Weight of the newest cycle in the counts that decide about cuts. Of a small number of jobs some
-   * are late by chance.
+   * Weight of the newest cycle in the smoothed numbers of sent and rejected attempts, which decide
+   * about cuts. The numbers are smoothed because among few jobs the share of late ones varies by
+   * chance.
    */
   private static final double COUNT_WEIGHT = 0.2;
 
   private final boolean loadsListed;
 
-  /** NaN before the first cycle. */
+  /** The slice in slots per second; NaN before the first cycle. */
   private double slice = Double.NaN;
 
   private double lastCutAt = Double.NEGATIVE_INFINITY;
@@ -138,9 +139,9 @@
   }
 
   /**
-   * Counts an attempt as rejected if it has not started by its start deadline: with long queues a
-   * worker rejects attempts too late. The attempt is counted at the deadline and not at its start,
-   * because the queue would grow for as long again until then.
+   * Counts an attempt as rejected if it has not started by its start deadline, because a worker
+   * with a long queue rejects attempts too late. The attempt is counted at the deadline and not at
+   * its start: until the start, the queue would keep growing for as long again.
    */
   void startDeadlinePassed(Attempt attempt) {
     if (attempt.inFlight() && !attempt.hasStarted() && sentSinceLastCut(attempt)) {
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -21,12 +21,15 @@
   private static final double LIMIT_SHARE = 0.35;
 
   /**
-   * Share of the tolerance for random variation that is granted per window in addition; the grants
-   * of two windows can coincide here as well.
+   * Share of the tolerance for random variation that is granted per window in addition to {@link
+   * #LIMIT_SHARE}. As with the limit, the grants of two windows can be used within one window.
    */
   private static final double TOLERANCE_SHARE = 0.25;
 
-  /** Limit above which the smaller formula for the tolerance applies. */
+  /**
+   * Number of requests per window from which the tolerance is two standard deviations plus 2. Below
+   * it, the tolerance is three standard deviations plus 3.
+   */
   private static final double LARGE_LIMIT = 30;
 
   /**
@@ -56,7 +59,7 @@
   private final int dispatcherIndex;
   private final int dispatchers;
 
-  /** Number of concurrent processes of this dispatcher. */
+  /** Number of processes of this dispatcher that run at the same time. */
   private int processCount = 1;
 
   /** Zero-based number of this process. */
@@ -88,8 +91,8 @@
   }
 
   /**
-   * Returns the number of processes of all dispatchers, among which the grants of a worker are
-   * divided.
+   * Returns the total number of processes of all dispatchers; the grants of a worker are divided
+   * among them.
    */
   int participants() {
     return dispatchers * processCount;
--- a/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
@@ -6,8 +6,8 @@
  */
 final class StartDeadlines {
   /**
-   * Fraction of its spare time after which a waiting job counts as rejected, because queues have
-   * begun to grow.
+   * Fraction of a job's spare time after which the waiting job counts as rejected: a wait of this
+   * length shows that queues have begun to grow.
    */
   private static final double LATE_FRACTION = 0.75;
 
--- a/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
@@ -59,9 +59,10 @@
   }
 
   /**
-   * Returns the expected wait: the observed wait, adjusted towards the wait derived from the listed
-   * load by this dispatcher's fraction of all dispatchers. If every dispatcher relied on the list
-   * alone, all would send to the same few workers until the next update of the list.
+   * Returns the expected wait: the observed wait plus a fraction of its difference from the wait
+   * derived from the listed load. The fraction is 1 divided by the number of dispatchers, and at
+   * most a half. If every dispatcher relied on the list alone, all would send to the same few
+   * workers until the next update of the list.
    */
   double expected(WorkerStats worker, double now) {
     double observedWait = observed(worker, now);
--- a/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
@@ -88,7 +88,7 @@
     }
     exchange(pair, recorders);
     double before = pair.get(0).slice() + pair.get(1).slice();
-    // Both slices are at their maximum relative to the demand, where nothing grows. The second
+    // Both slices are at their maximum relative to the demand and do not grow. The second
     // dispatcher then receives more requests, the first receives as many as before.
     sendRequests(pair.get(0), recorders.get(0), 20, 0, 600, AttemptOutcome.OK);
     sendRequests(pair.get(1), recorders.get(1), 20, 0, 600, AttemptOutcome.OK);
--- a/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
@@ -10,11 +10,12 @@
 import org.junit.jupiter.api.extension.ExtendWith;
 
 /**
- * Guards against rejections while workers are idle. Late starts on a machine short of processor
- * time cut the slice of a process that has served few requests to the minimum. Growth by a fifth
- * per half second then rejects requests for ten seconds: a log had slice=1.7 at demand=203.2 (279
- * of 281 rejected by quota) and a second later slice=7.4 at 307.9 (286 of 292), with accepted=1.0
- * and 3.6, held=0, size=3.0 and rejected_share=0, so the slice was the only limit.
+ * Guards against rejections while workers are idle. On a machine short of processor time, late
+ * starts cut the slice of a process that has served few requests to the minimum. The slice then
+ * grows by only a fifth per half second, so requests are rejected for ten seconds. A log showed
+ * slice=1.7 at demand=203.2 (279 of 281 requests rejected by quota) and one second later slice=7.4
+ * at demand=307.9 (286 of 292 rejected). The same lines had accepted=1.0 and 3.6, held=0, size=3.0
+ * and rejected_share=0: only the slice limited the process.
  */
 @ExtendWith(SkipKnownFailures.class)
 class IdleCapacityTest {
--- a/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
@@ -121,7 +121,7 @@
     load[3] = 3;
     updateList();
     // None of these jobs starts, so the other workers soon hold several jobs of this dispatcher
-    // each and the one with the long queue holds none.
+    // each, while the worker with the long queue holds none.
     for (int i = 0; i < 20; i++) {
       dispatcher.arrived(now + 10 * i, Fixture.job("h" + i, 0, now + 10_000));
     }
--- a/dispatch/src/test/java/ferngrade/dispatch/SlotBudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlotBudgetTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks the slice without loads in the endpoint list (growth and cuts) and with them (share of the
- * fleet).
+ * Checks the growth and the cuts of a slice if the endpoint list contains no loads, and the share
+ * of the fleet if it contains them.
  */
 class SlotBudgetTest {
   private static final FleetLoad UNKNOWN_LOAD = new FleetLoad(0, 0, 0, 0, false);
