--- a/node/src/main/java/ferngrade/http/OperatorCalls.java
+++ b/node/src/main/java/ferngrade/http/OperatorCalls.java
@@ -199,9 +199,9 @@
   void setMaintenance(
       String worker, boolean disable, double arrivedAt, Consumer<MaintenanceOutcome> answer) {
     refresh();
-    boolean known =
+    boolean found =
         disable ? coordinator.startMaintenance(worker) : coordinator.endMaintenance(worker);
-    if (!known) {
+    if (!found) {
       answer.accept(MaintenanceOutcome.UNKNOWN_WORKER);
       return;
     }
--- a/node/src/main/java/ferngrade/server/LiveProcesses.java
+++ b/node/src/main/java/ferngrade/server/LiveProcesses.java
@@ -93,14 +93,14 @@
   private void scheduleCheck() {
     if (!checkScheduled) {
       checkScheduled = true;
-      List<Long> known = List.copyOf(otherPids);
-      scheduler.schedule(() -> check(known), CHECK_INTERVAL_MILLIS);
+      List<Long> pids = List.copyOf(otherPids);
+      scheduler.schedule(() -> check(pids), CHECK_INTERVAL_MILLIS);
     }
   }
 
   /** Finds ended processes; runs on the scheduler's thread. */
-  private void check(List<Long> known) {
-    List<Long> ended = known.stream().filter(pid -> !isAlive.test(pid)).toList();
+  private void check(List<Long> pids) {
+    List<Long> ended = pids.stream().filter(pid -> !isAlive.test(pid)).toList();
     loop.execute(() -> removeEnded(ended));
   }
 
--- a/node/src/main/java/ferngrade/server/SharedState.java
+++ b/node/src/main/java/ferngrade/server/SharedState.java
@@ -142,7 +142,7 @@
     long out =
         coordinator.maintenanceDecisions().stream().filter(MaintenanceEntry::inMaintenance).count();
     if (out > 0) {
-      log.line("operators' decisions restored: " + out + " workers are out");
+      log.line("operators' decisions restored: " + out + " workers are in maintenance");
     }
   }
 
@@ -167,7 +167,7 @@
    */
   private void endEarlierDrain(DrainRecord earlier) {
     if (drain.equals(earlier)) {
-      log.line("resuming: the drain was decided before this process started, which now takes over");
+      log.line("resuming: this process takes over, and the drain was decided before it started");
       frontend.resume();
     }
   }
--- a/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/AdminIntegrationTest.java
@@ -87,14 +87,16 @@
   @Test
   public void closesSilentConnectionsWithoutAffectingOtherCallers() throws Exception {
     NodeServer node = start(NodeServer.Platform.NONE);
-    List<Socket> silent = new ArrayList<>();
+    List<Socket> silentConnections = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      silent.add(new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort()));
+      silentConnections.add(
+          new Socket(InetAddress.getLoopbackAddress(), node.adminAddress().getPort()));
     }
     assertEquals(call(node, "GET /-/ready").status(), 200);
-    for (Socket connection : silent) {
+    for (Socket connection : silentConnections) {
       connection.setSoTimeout(5_000);
-      // The node closes the oldest ones when others connect and the rest after their 1 s timeout.
+      // The node closes the oldest connections when others arrive, and the rest after their 1 s
+      // timeout.
       assertEquals(connection.getInputStream().read(), -1);
       connection.close();
     }
--- a/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
@@ -81,7 +81,7 @@
   public void closesSilentConnectionsInsteadOfThoseWithUnreadRequests(int sockets, int clients)
       throws Exception {
     start(sockets);
-    List<RawHttp> silent = connect(awaitedLimit(sockets) - 1, node.address(), "");
+    List<RawHttp> silentConnections = connect(awaitedLimit(sockets) - 1, node.address(), "");
     awaitSettled();
     blockLoop();
     List<RawHttp> callers = connect(clients, node.address(), request("ID"));
@@ -89,7 +89,7 @@
     blockReleased.countDown();
     assertAllReceive(REJECTED, callers);
     advance(SENDING_GRACE_MILLIS);
-    assertEquals(outcome(silent.get(0)), "closed");
+    assertEquals(outcome(silentConnections.get(0)), "closed");
   }
 
   @DataProvider
@@ -136,7 +136,10 @@
     };
   }
 
-  /** The bytes after {@code prefixLength} arrive while the connection's timer is about to run. */
+  /**
+   * The bytes of a request after {@code prefixLength} arrive while the connection's timer is about
+   * to run.
+   */
   @Test(dataProvider = "timeouts")
   public void readsRequestThatArrivedBeforeItsConnectionTimerRuns(
       boolean operators, int prefixLength) throws Exception {
@@ -244,12 +247,12 @@
   @Test
   public void limitsPartialRequestsThatArriveAtOnce() throws Exception {
     start(64);
-    List<RawHttp> silent = connect(2 * awaitedLimit(64), node.address(), "");
+    List<RawHttp> silentConnections = connect(2 * awaitedLimit(64), node.address(), "");
     awaitSettled();
-    for (RawHttp connection : silent) {
+    for (RawHttp connection : silentConnections) {
       connection.write(request("a").substring(0, PARTIAL_HEAD_LENGTH));
     }
-    assertEquals(outcome(silent.get(0)), "503");
+    assertEquals(outcome(silentConnections.get(0)), "503");
   }
 
   /** Guards against operators' calls that wait for the disk and block all other calls. */
