--- a/node/src/main/java/ferngrade/cli/SocketHandover.java
+++ b/node/src/main/java/ferngrade/cli/SocketHandover.java
@@ -20,7 +20,7 @@
   private SocketHandover() {}
 
   /**
-   * Reads the environment variables.
+   * Returns the resources that these environment variables describe.
    *
    * @throws ConfigException if {@code LB_ACCEPT_FD} names a descriptor other than 0, or descriptor
    *     0 is not a listening TCP socket
--- a/node/src/main/java/ferngrade/config/SettingsMapping.java
+++ b/node/src/main/java/ferngrade/config/SettingsMapping.java
@@ -209,7 +209,7 @@
         return number;
       }
     } catch (NumberFormatException notANumber) {
-      // Reported below, like an infinite number.
+      // Reported below with the same message as an infinite number.
     }
     throw new IllegalArgumentException("setting " + path + " is not a number: " + value);
   }
--- a/node/src/main/java/ferngrade/discovery/Discovery.java
+++ b/node/src/main/java/ferngrade/discovery/Discovery.java
@@ -36,8 +36,8 @@
     }
     retireCurrent();
     if (previous != null && previous.address().equals(address)) {
-      // The address changes back before the one in between has sent a whole list: the watch of the
-      // old address is still open.
+      // The configuration returns to the previous address. Its watch is still open, because the
+      // address in between has not sent a whole list.
       current = previous;
       previous = null;
       return;
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -48,9 +48,9 @@
 public final class DiscoveryWatch {
   /**
    * The longest time without data on an open watch, ms. Discovery sends an empty line every 2 s, so
-   * one missing line means that the connection is dead. A change made in the meantime counts as
-   * delivered after a few seconds in any case, so a longer timeout would send jobs to draining
-   * workers.
+   * one missing line means that the connection is dead. A change that discovery makes meanwhile
+   * counts as delivered after a few seconds, even on a dead connection, so with a longer timeout
+   * the node would send jobs to draining workers.
    */
   private static final double KEEP_ALIVE_TIMEOUT_MILLIS = 2500;
 
@@ -87,18 +87,18 @@
   /** How discovery serves requests, which determines the backoff and the response timeout. */
   public enum Mode {
     /**
-     * An agent on the node's own machine, which responds immediately: a watch without a response is
-     * dead. Requests to the agent are free, and an update counts as delivered at the moment the
-     * agent receives it after an outage. A backoff close to the 250 ms of the drain rule would send
-     * jobs to draining workers.
+     * An agent on the node's own machine. It responds immediately, so a watch without a response is
+     * dead, and requests to it cost nothing. After an outage, an update counts as delivered as soon
+     * as the agent has received it. With a backoff close to the 250 ms of the drain rule, the node
+     * would send jobs to draining workers.
      */
     PUSHED(100, INITIAL_RESPONSE_TIMEOUT_MILLIS),
     /**
      * One service for all nodes, which processes requests from a queue. Each request has a cost,
-     * and its list counts from the moment of the response. An abandoned request goes back to the
-     * end of the queue, so the next one gets a longer timeout. A change must be in effect 6 s after
-     * discovery becomes reachable: a request of 3 s sent just before that moment, its backoff, a
-     * hanging connect and another backoff take 5 s.
+     * and a list counts as delivered at the moment of the response. A request that replaces an
+     * abandoned one starts at the end of the queue, so it gets a longer timeout. A change must be
+     * in effect 6 s after discovery becomes reachable. The worst case takes 5 s: a request of 3 s
+     * sent just before that moment, its backoff, a hanging connect and another backoff.
      */
     ASKED(500, 3000);
 
--- a/node/src/main/java/ferngrade/http/AcceptSwitch.java
+++ b/node/src/main/java/ferngrade/http/AcceptSwitch.java
@@ -46,7 +46,10 @@
     ACCEPT_FAILED
   }
 
-  /** Is notified of pauses that leave connections waiting while no other process accepts them. */
+  /**
+   * Receives notifications of pauses during which connections wait and no other process accepts
+   * them.
+   */
   interface PauseListener {
     /** Ignores all notifications. */
     PauseListener NONE =
@@ -70,7 +73,10 @@
     this.pauseListener = pauseListener;
   }
 
-  /** Sets the number of further connections that fit; the channel pauses while there is none. */
+  /**
+   * Sets the number of further connections that may be accepted; the channel pauses while there is
+   * no capacity.
+   */
   void setCapacity(int free) {
     maxAccepts = Math.max(1, Math.min(free, PendingReads.MAX_ACCEPTS));
     limitAccepts();
--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -94,8 +94,8 @@
     if (acceptedThisTurn >= acceptLimit) {
       extendWaitToNextTurn();
     } else if (acceptedThisTurn > 0) {
-      // No more connections wait. If an accept failed and none succeeded, the estimate stays,
-      // because the waiting connections still wait.
+      // All waiting connections are accepted. If an accept failed and none succeeded, the estimate
+      // stays, because connections are still waiting.
       waitedUntilTurn = -1;
     }
     acceptedThisTurn = 0;
--- a/node/src/main/java/ferngrade/http/AttemptExchange.java
+++ b/node/src/main/java/ferngrade/http/AttemptExchange.java
@@ -181,8 +181,8 @@
   }
 
   /**
-   * Gives the attempt up. Closing the connection before the 202 cancels the attempt, but the 202
-   * may already have been sent; hence the DELETE.
+   * Cancels the attempt. Closing the connection before the 202 cancels it at the worker. The worker
+   * may already have sent the 202, so a DELETE is sent as well.
    */
   @Override
   public void cancel(Runnable whenNotified) {
--- a/node/src/main/java/ferngrade/http/AwaitedConnections.java
+++ b/node/src/main/java/ferngrade/http/AwaitedConnections.java
@@ -7,9 +7,9 @@
 import java.util.stream.Stream;
 
 /**
- * The connections of a {@link ConnectionTable} whose peer has to act next, by sending the rest of a
- * request, reading a response or closing, with the time since when. Lists are ordered by that time,
- * oldest first. Confined to the event loop.
+ * Tracks the connections of a {@link ConnectionTable} whose peers have to act next, by sending the
+ * rest of a request, reading a response or closing. Records the start of each wait; lists are
+ * ordered by that time, oldest first. Confined to the event loop.
  */
 final class AwaitedConnections<C extends ManagedConnection> {
   /**
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -33,7 +33,7 @@
   /**
    * The minimum idle time before a connection is used again, in ms. A worker may send a second
    * answer some milliseconds late; if the connection already carried the next request, that answer
-   * would be taken for the response to it.
+   * would be mistaken for the response to that request.
    */
   private static final double MIN_IDLE_MILLIS = 50;
 
--- a/node/src/main/java/ferngrade/http/FrontendShutdown.java
+++ b/node/src/main/java/ferngrade/http/FrontendShutdown.java
@@ -165,8 +165,8 @@
     if (phase != Phase.ENDED) {
       phase = Phase.ENDED;
       listener.close();
-      // If the process was held up, answers may be due in this turn as well; they are written
-      // first.
+      // After a pause of the process, answers may be due in this turn too. The task is deferred so
+      // that they are written first.
       loop.execute(whenDone);
     }
   }
--- a/node/src/main/java/ferngrade/http/HealthCheckExchange.java
+++ b/node/src/main/java/ferngrade/http/HealthCheckExchange.java
@@ -76,7 +76,7 @@
 
   private void timedOut() {
     if (connection != null) {
-      // After a delay, the event loop runs this timer before it reads a response that has already
+      // An event loop that was held up runs due timers before it reads responses that have already
       // arrived.
       connection.readPending();
     }
--- a/node/src/main/java/ferngrade/http/HttpFrontend.java
+++ b/node/src/main/java/ferngrade/http/HttpFrontend.java
@@ -44,8 +44,8 @@
   private static final int MAX_READ_BUFFER_BYTES = 16 << 10;
 
   /**
-   * The maximum time to wait for a peer's input, in ms. Together with the time for the response, a
-   * connection ends well within 3 s.
+   * The maximum time to wait for a peer's input, in ms. A connection whose input times out ends
+   * well within 3 s, including the time for the response.
    */
   private static final double INPUT_TIMEOUT_MILLIS = 1500;
 
--- a/node/src/main/java/ferngrade/http/OncePerTurn.java
+++ b/node/src/main/java/ferngrade/http/OncePerTurn.java
@@ -2,8 +2,8 @@
 
 /**
  * Runs a task at most once per turn of the event loop, however often it is requested. Timers of the
- * same turn that read pending input share one read: input that arrives after this read arrived
- * after the time at which each of the timers was due. Confined to the event loop.
+ * same turn that read pending input share one read: any input that the read misses has arrived
+ * after all of these timers were due. Confined to the event loop.
  */
 public final class OncePerTurn implements Runnable {
   private final ArrivalClock arrivals;
--- a/node/src/main/java/ferngrade/http/PeerConnection.java
+++ b/node/src/main/java/ferngrade/http/PeerConnection.java
@@ -26,7 +26,7 @@
   private boolean ended;
 
   /**
-   * Is notified of the answers on a connection. The last notification of a connection is {@link
+   * Receives the answers on a connection. The last notification of a connection is {@link
    * #answeredAndClosed} or {@link #connectionLost}.
    */
   interface Owner {
--- a/node/src/main/java/ferngrade/http/RequestReader.java
+++ b/node/src/main/java/ferngrade/http/RequestReader.java
@@ -78,7 +78,8 @@
     int jobClass = index(classes, headers, Headers.KIND);
     String key = singleValue(headers, Headers.IDEMPOTENCY_KEY);
     boolean keyed = settings.classes().get(jobClass).effect() == Idempotency.KEYED;
-    // Without a key, workers could not detect a repeated job, and the dispatcher relies on that.
+    // Without a key, workers could not detect a repeated job; the dispatcher relies on this
+    // detection.
     if (key == null ? keyed : !KEY.matcher(key).matches()) {
       throw new BadRequestException(Headers.IDEMPOTENCY_KEY + " is missing or not plain");
     }
--- a/node/src/main/java/ferngrade/http/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -20,8 +20,8 @@
 public record ShutdownBudget(
     double acceptUntil, double answersBy, double partialRequestsUntil, double end) {
   /**
-   * The minimum time between the signal and the kill by the platform, beyond the longest deadline,
-   * in ms.
+   * The minimum time by which the platform's wait between the signal and the kill exceeds the
+   * longest deadline, in ms.
    */
   private static final double MIN_KILL_DELAY_MILLIS = 700;
 
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -26,7 +26,7 @@
    */
   static final int MAX_CALLS = 1024;
 
-  /** The maximum total size of the bodies of these calls, in bytes. */
+  /** The maximum total size of the bodies of the calls held for one process, in bytes. */
   static final int MAX_BYTES = 1 << 20;
 
   private final InetSocketAddress address;
--- a/node/src/main/java/ferngrade/node/LoopMonitor.java
+++ b/node/src/main/java/ferngrade/node/LoopMonitor.java
@@ -23,8 +23,8 @@
   private final DurationBuckets timerDelays = new DurationBuckets();
 
   /**
-   * The longest turn or timer delay since the last sample, and between the two samples before that,
-   * ms.
+   * The longest turn or timer delay since the last sample, in ms. {@link #longestBeforeSample} is
+   * the one between the two samples before.
    */
   private double longestSinceSample;
 
--- a/node/src/main/java/ferngrade/node/ResponseHandler.java
+++ b/node/src/main/java/ferngrade/node/ResponseHandler.java
@@ -1,6 +1,9 @@
 package ferngrade.node;
 
-/** Sends the answer of one client. The node calls exactly one of the answering methods, once. */
+/**
+ * Sends the answer to one client request. The node calls exactly one of the answering methods,
+ * once.
+ */
 public interface ResponseHandler {
   /** Sends the result of a worker. */
   void served(String result);
--- a/node/src/main/java/ferngrade/node/TraceLog.java
+++ b/node/src/main/java/ferngrade/node/TraceLog.java
@@ -1,8 +1,8 @@
 package ferngrade.node;
 
 /**
- * Writes traces of requests to the log at a limited rate. Once the second is over, the next trace
- * is preceded by a line with the number of traces that were dropped. Confined to the event loop's
+ * Writes traces of requests to the log at a limited rate. After a second in which traces were
+ * dropped, the next trace is preceded by a line with their number. Confined to the event loop's
  * thread.
  */
 final class TraceLog {
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -400,7 +400,7 @@
     timers.after(MAX_ACCEPT_PAUSE_MILLIS, () -> frontend.pauseAccepting(false));
   }
 
-  /** Follows a move of discovery that another process of the node has recorded. */
+  /** Switches to the discovery address that another process of the node has recorded. */
   private void discoveryMoved(DiscoveryRecord move) {
     if (move.former().equals(discovery.address())) {
       log.line("another process has moved discovery to " + move.current());
--- a/node/src/test/java/ferngrade/discovery/DiscoveryPollingTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryPollingTest.java
@@ -25,8 +25,8 @@
   }
 
   /**
-   * The number of requests without a response, and the response time of the next request, ms. The
-   * clock may be up to half a second past that next request when the test accepts it.
+   * Rows with the number of requests that time out, and the response time of the request after
+   * them, in ms. The test may accept that request up to half a second after the node has sent it.
    */
   @DataProvider
   public Object[][] slowResponses() {
--- a/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
@@ -157,8 +157,8 @@
   }
 
   /**
-   * Guards against jobs for draining workers: an update counts as delivered when the agent receives
-   * it after an outage, so the backoff must stay well below the 250 ms of the drain rule.
+   * Guards against sending jobs to draining workers: an update counts as delivered when the agent
+   * receives it after an outage, so the backoff must stay well below the 250 ms of the drain rule.
    */
   @Test(timeOut = 30_000)
   public void retriesUnresponsiveAgentWithinHundredMillis() throws Exception {
--- a/node/src/test/java/ferngrade/http/AcceptTimeEstimatorTest.java
+++ b/node/src/test/java/ferngrade/http/AcceptTimeEstimatorTest.java
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Guards against increasingly early estimates for the connections accepted by a process that is
-   * at its limit for a long time.
+   * Guards against estimates that move further and further into the past while a process is at its
+   * connection limit for a long time.
    */
   @Test
   public void limitsTheEstimatedWaitOfConnectionsAcceptedAtTheLimit() throws Exception {
--- a/node/src/test/java/ferngrade/http/ConnectionTableTest.java
+++ b/node/src/test/java/ferngrade/http/ConnectionTableTest.java
@@ -240,8 +240,8 @@
   }
 
   /**
-   * Guards against evicting connections while others, already closed by their peers, count until
-   * the end of the turn.
+   * Guards against evicting open connections because connections that their peers have closed are
+   * still counted until the end of the turn.
    */
   @Test
   public void removesConnectionsClosedByTheirPeersBeforeEvictingOthers() {
--- a/node/src/test/java/ferngrade/node/SharedLogTest.java
+++ b/node/src/test/java/ferngrade/node/SharedLogTest.java
@@ -25,7 +25,7 @@
   private final Queue<Runnable> appendTasks = new ArrayDeque<>();
   private final List<String> logLines = new ArrayList<>();
 
-  /** The log as one process opens and follows it. */
+  /** A process that opens and follows the log. */
   private final class Follower {
     final List<String> records = new ArrayList<>();
     int replacements;
--- a/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
@@ -33,7 +33,7 @@
       "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
 
-  /** Exceeds the pipelined requests that may wait, and those dropped before reading stops. */
+  /** More requests than the node queues for a connection and drops before it stops reading. */
   private static final int FLOOD_REQUESTS = 14_000;
 
   /** The event that triggers the attempt and during which the event loop is blocked. */
@@ -60,7 +60,9 @@
         config, clock, log, (nodeConfig, startTime, actions) -> scriptedDispatcher(actions));
   }
 
-  /** Sends each request to the first worker, and "a" a second time if {@link #cause} says so. */
+  /**
+   * Sends each request to the first worker, and "a" a second time if {@link #cause} requires it.
+   */
   private Dispatcher scriptedDispatcher(Actions actions) {
     return (Dispatcher)
         Proxy.newProxyInstance(
@@ -181,8 +183,8 @@
       assertEquals(client.read().body(), "soup");
       awaitSettled();
       advance(100);
-      // The worker's connection is idle, so the next attempt is written in the turn that decides
-      // it.
+      // The worker's connection is idle, so the next attempt is written in the turn in which the
+      // dispatcher requests it.
       client.write(RawHttp.message(jobHead("POST /api", "a", "draft"), ""));
       blockReached.await();
       watch.write(chunk(endpointList(2, "leaving") + "\n"));
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -157,7 +157,10 @@
     }
   }
 
-  /** Guards against a store timeout that starts when a late call is read: its caller gives up. */
+  /**
+   * Guards against a store timeout that starts when a late call is read: the caller times out
+   * before the answer.
+   */
   @Test
   public void answersOperatorsCallThatIsReadLateWithinCallerTimeout() throws Exception {
     while (!call("GET /-/metrics").read().body().contains("menu_workers_known=1\n")) {
--- a/node/src/test/java/ferngrade/server/LiveProcessesTest.java
+++ b/node/src/test/java/ferngrade/server/LiveProcessesTest.java
@@ -11,7 +11,7 @@
 
 /**
  * Guards against counting a process that has stopped accepting jobs until it exits. During upgrades
- * that took 3.5 s, in which the new process had only half of the quota for cold workers.
+ * this lasted 3.5 s, in which the new process had only half of the quota for cold workers.
  */
 public class LiveProcessesTest {
   private static final long OWN_PID = 1;
--- a/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
@@ -272,7 +272,8 @@
       node.reload(config(moved.getLocalPort(), null));
       RawHttp after = new RawHttp(moved.accept());
       assertEquals(after.read().startLine(), "GET /api/targets?watch=1 HTTP/1.1");
-      // The old address stays in use until the new one has sent a list, so its change is applied.
+      // The old address stays in use until the new one has sent a list, so a change from the old
+      // address is still applied.
       before.write(chunk(endpointList(42, "left").replace("true", "false") + "\n"));
       awaitReadyStatus(other, 503);
       after.write(
--- a/node/src/test/java/ferngrade/server/RaceConditionTest.java
+++ b/node/src/test/java/ferngrade/server/RaceConditionTest.java
@@ -355,7 +355,7 @@
     start(endpointList(1, "active"), () -> now);
     String request = RawHttp.message(jobHead("POST /api", "a", "order"), "body");
     try (RawHttp client = RawHttp.connect(node.address())) {
-      // A known client is not displaced by new clients that connect meanwhile.
+      // The connection of a known client is not evicted when new clients connect meanwhile.
       client.write(RawHttp.message(jobHead("POST /api", "known", "order"), ""));
       new RawHttp(worker.accept()).read();
       sendCallback("known", DONE);
--- a/node/src/test/java/ferngrade/server/UnreadCallbacksTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadCallbacksTest.java
@@ -20,7 +20,10 @@
 public class UnreadCallbacksTest extends BlockedLoopFixture {
   private static final double DEADLINE_MILLIS = 9000;
 
-  /** The delay after a deadline at which the node answers a request itself, plus 1, in ms. */
+  /**
+   * A time in ms after a deadline by which the node itself has answered the request: the delay of
+   * that answer plus 1.
+   */
   private static final double ANSWER_GUARD_MILLIS = 11;
 
   private static final double ACCEPTANCE_TIMEOUT_MILLIS = 1001;
--- a/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
@@ -171,7 +171,7 @@
     }
   }
 
-  /** Guards against a call after the last accept that is answered as done, or that hangs. */
+  /** Guards against a call that arrives after the last accept and is answered as done, or hangs. */
   @Test
   public void resetsOperatorsCallAfterTheLastAccept() throws Exception {
     CompletableFuture<RawHttp> late = new CompletableFuture<>();
