--- a/node/src/main/java/ferngrade/transport/PendingReads.java
+++ b/node/src/main/java/ferngrade/transport/PendingReads.java
@@ -5,9 +5,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads a connection immediately, ahead of the event loop's next select. The loop detects that a
- * connection was closed when it selects; between two selects it may be held up, by its own work or
- * by the machine, for longer than a close may remain undetected.
+ * Reads a connection immediately, ahead of the event loop's next select. The loop detects only in a
+ * select that a connection was closed. Its own work or the machine may delay the next select for
+ * longer than the node may take to notice a close.
  */
 public final class PendingReads {
   /**
