--- a/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
@@ -15,27 +15,27 @@
    * Reports a new client request. The dispatcher must give it exactly one final answer unless an
    * attempt completes it or the client abandons it.
    */
-  void arrived(double now, Job job);
+  void requestArrived(double now, Job job);
 
   /** Reports that the worker has started to run this attempt. */
-  void started(double now, String requestId, int attemptNumber);
+  void attemptStarted(double now, String requestId, int attemptNumber);
 
   /** Reports that the worker has completed this share (0 to 1) of the attempt. */
-  void progressed(double now, String requestId, int attemptNumber, double share);
+  void attemptProgressed(double now, String requestId, int attemptNumber, double share);
 
   /**
    * Reports that the attempt's answer has started to stream to the client; no deadline applies to
    * it from then on.
    */
-  default void streaming(double now, String requestId, int attemptNumber) {
-    started(now, requestId, attemptNumber);
+  default void attemptStreaming(double now, String requestId, int attemptNumber) {
+    attemptStarted(now, requestId, attemptNumber);
   }
 
   /**
    * Reports that the attempt has ended after {@code durationMs} ms. {@code completed} is true if
    * the request no longer needs an answer.
    */
-  void ended(
+  void attemptEnded(
       double now,
       String requestId,
       int attemptNumber,
@@ -48,46 +48,46 @@
    * Reports that the client no longer waits for this request. The host still reports the end of
    * attempts that are in flight.
    */
-  void abandoned(double now, String requestId);
+  void requestAbandoned(double now, String requestId);
 
   /**
    * Reports the complete endpoint list or only its changed entries, depending on {@code update}.
    */
-  void members(double now, EndpointListUpdate update, List<Worker> workers);
+  void endpointsUpdated(double now, EndpointListUpdate update, List<Worker> workers);
 
   /**
    * Reports that the endpoint list could not be fetched or that the subscription to it has failed.
    */
-  void listFailed(double now);
+  void endpointWatchFailed(double now);
 
   /** Reports the result of a health check requested by {@link Actions#check}. */
-  default void checked(
+  default void healthCheckCompleted(
       double now, long workerId, AttemptOutcome outcome, double durationMs, LoadReport report) {}
 
   /** Reports a message from another dispatcher. */
-  void heard(double now, int sender, byte[] message);
+  void peerMessageReceived(double now, int sender, byte[] message);
 
   /**
    * Reports that {@code processCount} processes of this dispatcher are running and that this host
    * is the one with the zero-based number {@code processIndex}. The processes share the capacity
    * granted to the dispatcher.
    */
-  default void sharedBy(double now, int processCount, int processIndex) {}
+  default void processesChanged(double now, int processCount, int processIndex) {}
 
   /**
    * Reports that the host has stopped accepting requests. The capacity granted to the dispatcher is
    * left to its other processes, and pending requests must not use it.
    */
-  default void acceptNoMore(double now) {}
+  default void drainingStarted(double now) {}
 
   /** Reports that a timer set by {@link Actions#timer} has expired. */
-  void timer(double now, long token);
+  void timerExpired(double now, long token);
 
   /**
    * Returns the number of listed workers that the dispatcher itself excludes, for example those
    * ejected after failures.
    */
-  default int excluded(double now) {
+  default int ejectedWorkerCount(double now) {
     return 0;
   }
 
@@ -134,7 +134,8 @@
     void tell(int peer, byte[] message);
 
     /**
-     * Sets a timer that calls {@link Dispatcher#timer} with {@code token} after {@code delayMs} ms.
+     * Sets a timer that calls {@link Dispatcher#timerExpired} with {@code token} after {@code
+     * delayMs} ms.
      */
     void timer(double delayMs, long token);
 
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -102,22 +102,22 @@
   }
 
   @Override
-  public int excluded(double now) {
+  public int ejectedWorkerCount(double now) {
     return outliers.ejectedCount(now);
   }
 
   @Override
-  public void sharedBy(double now, int processCount, int processIndex) {
+  public void processesChanged(double now, int processCount, int processIndex) {
     slowStart.setProcesses(processCount, processIndex);
   }
 
   @Override
-  public void acceptNoMore(double now) {
+  public void drainingStarted(double now) {
     slowStart.stop();
   }
 
   @Override
-  public void arrived(double now, Job job) {
+  public void requestArrived(double now, Job job) {
     if (job.jobClass() >= settings.classes().size()) {
       throw new IllegalArgumentException("Job.jobClass is out of range: " + job.jobClass());
     }
@@ -218,7 +218,7 @@
   }
 
   @Override
-  public void started(double now, String requestId, int attemptNumber) {
+  public void attemptStarted(double now, String requestId, int attemptNumber) {
     Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt == null || !attempt.inFlight()) {
       return;
@@ -249,7 +249,7 @@
   }
 
   @Override
-  public void progressed(double now, String requestId, int attemptNumber, double share) {
+  public void attemptProgressed(double now, String requestId, int attemptNumber, double share) {
     Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt != null) {
       outliers.responseReceived(attempt.worker, now);
@@ -257,7 +257,7 @@
   }
 
   @Override
-  public void ended(
+  public void attemptEnded(
       double now,
       String requestId,
       int attemptNumber,
@@ -321,7 +321,7 @@
   }
 
   @Override
-  public void abandoned(double now, String requestId) {
+  public void requestAbandoned(double now, String requestId) {
     PendingRequest request = requests.find(requestId);
     if (request != null) {
       request.completed = true;
@@ -330,12 +330,12 @@
   }
 
   @Override
-  public void members(double now, EndpointListUpdate update, List<Worker> workers) {
+  public void endpointsUpdated(double now, EndpointListUpdate update, List<Worker> workers) {
     registry.update(update, workers);
   }
 
   @Override
-  public void listFailed(double now) {
+  public void endpointWatchFailed(double now) {
     if (settings.asks()) {
       double backoff = MIN_WATCH_BACKOFF_MS + WATCH_BACKOFF_JITTER_MS * random.nextDouble();
       actions.timer(backoff, WATCH_TOKEN);
@@ -343,7 +343,7 @@
   }
 
   @Override
-  public void timer(double now, long token) {
+  public void timerExpired(double now, long token) {
     if (token == BUDGET_CYCLE_TOKEN) {
       budgetCycle.run(fleetLoad, serviceTimes.meanWork(), now);
       idleCapacity.startCycle(now);
@@ -357,7 +357,7 @@
   }
 
   @Override
-  public void heard(double now, int sender, byte[] message) {
+  public void peerMessageReceived(double now, int sender, byte[] message) {
     budgetCycle.receive(sender, message);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
@@ -26,7 +26,7 @@
             index,
             0,
             actions);
-    dispatcher.members(
+    dispatcher.endpointsUpdated(
         0, EndpointListUpdate.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
     return dispatcher;
   }
@@ -41,9 +41,10 @@
     for (int i = 0; i < count; i++) {
       String id = "r" + nextId++;
       int sendsBefore = actions.sends.size();
-      dispatcher.arrived(now, Fixture.job(id, tenant, now + 5_000));
+      dispatcher.requestArrived(now, Fixture.job(id, tenant, now + 5_000));
       for (int n = 0; actions.sends.size() > sendsBefore + n; n++) {
-        dispatcher.ended(now, id, n, outcome, 1, outcome == AttemptOutcome.OK, LoadReport.NONE);
+        dispatcher.attemptEnded(
+            now, id, n, outcome, 1, outcome == AttemptOutcome.OK, LoadReport.NONE);
       }
     }
   }
@@ -68,7 +69,7 @@
     double now = 0;
     for (int cycle = 0; cycle < 40; cycle++) {
       now += 500;
-      dispatcher.timer(now, BUDGET_CYCLE_TOKEN);
+      dispatcher.timerExpired(now, BUDGET_CYCLE_TOKEN);
       if (cycle >= 8) {
         sendRequests(dispatcher, actions, cycle, 0, now + 1, AttemptOutcome.OK);
       }
@@ -84,7 +85,7 @@
     for (int index = 0; index < 2; index++) {
       pair.add(dispatcher(index, 2, recorders.get(index), tenants));
       sendRequests(pair.get(index), recorders.get(index), 20, 0, 100, AttemptOutcome.OK);
-      pair.get(index).timer(500, BUDGET_CYCLE_TOKEN);
+      pair.get(index).timerExpired(500, BUDGET_CYCLE_TOKEN);
     }
     exchange(pair, recorders);
     double before = pair.get(0).slice() + pair.get(1).slice();
@@ -92,15 +93,15 @@
     // dispatcher then receives more requests, the first receives as many as before.
     sendRequests(pair.get(0), recorders.get(0), 20, 0, 600, AttemptOutcome.OK);
     sendRequests(pair.get(1), recorders.get(1), 20, 0, 600, AttemptOutcome.OK);
-    pair.forEach(dispatcher -> dispatcher.timer(1_000, BUDGET_CYCLE_TOKEN));
+    pair.forEach(dispatcher -> dispatcher.timerExpired(1_000, BUDGET_CYCLE_TOKEN));
     assertEquals(before, pair.get(0).slice() + pair.get(1).slice(), before * 0.25);
     exchange(pair, recorders);
     double first = pair.get(0).slice();
     double second = pair.get(1).slice();
     sendRequests(pair.get(1), recorders.get(1), 30, 0, 1_100, AttemptOutcome.OK);
-    pair.forEach(dispatcher -> dispatcher.timer(1_500, BUDGET_CYCLE_TOKEN));
+    pair.forEach(dispatcher -> dispatcher.timerExpired(1_500, BUDGET_CYCLE_TOKEN));
     exchange(pair, recorders);
-    pair.forEach(dispatcher -> dispatcher.timer(2_000, BUDGET_CYCLE_TOKEN));
+    pair.forEach(dispatcher -> dispatcher.timerExpired(2_000, BUDGET_CYCLE_TOKEN));
     assertTrue(
         pair.get(1).slice() - second > pair.get(0).slice() - first,
         "slots must move to the dispatcher with more demand");
@@ -110,7 +111,7 @@
     for (int index = 0; index < 2; index++) {
       byte[] message = recorders.get(index).messages.get(recorders.get(index).messages.size() - 1);
       assertTrue(message.length <= 256);
-      pair.get(1 - index).heard(0, index, message);
+      pair.get(1 - index).peerMessageReceived(0, index, message);
     }
   }
 
@@ -120,11 +121,11 @@
     ThrottlingDispatcher dispatcher = dispatcher(0, 3, actions, List.of(new Tenant("a", 1, 10)));
     for (int cycle = 1; cycle < 60; cycle++) {
       sendRequests(dispatcher, actions, 20, 0, cycle * 500 - 10, AttemptOutcome.OK);
-      dispatcher.heard(cycle * 500 - 5, 1, new byte[] {1, 2, 3});
-      dispatcher.heard(cycle * 500 - 5, 99, new byte[16]);
-      dispatcher.heard(
+      dispatcher.peerMessageReceived(cycle * 500 - 5, 1, new byte[] {1, 2, 3});
+      dispatcher.peerMessageReceived(cycle * 500 - 5, 99, new byte[16]);
+      dispatcher.peerMessageReceived(
           cycle * 500 - 5, 2, java.util.Base64.getDecoder().decode("AAAAAX/AAAB/wAAAf8AAAA=="));
-      dispatcher.timer(cycle * 500, BUDGET_CYCLE_TOKEN);
+      dispatcher.timerExpired(cycle * 500, BUDGET_CYCLE_TOKEN);
     }
     assertTrue(dispatcher.slice() > 40 && dispatcher.slice() < 100, "slice " + dispatcher.slice());
   }
@@ -134,15 +135,15 @@
     Fixture.Recorder actions = new Fixture.Recorder();
     ThrottlingDispatcher dispatcher = dispatcher(0, 1, actions, List.of(new Tenant("a", 1, 10)));
     sendRequests(dispatcher, actions, 50, 0, 10, AttemptOutcome.OK);
-    dispatcher.timer(500, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(500, BUDGET_CYCLE_TOKEN);
     double initial = dispatcher.slice();
     assertTrue(initial > 100, "the initial slice must exceed the demand");
     sendRequests(dispatcher, actions, 50, 0, 510, AttemptOutcome.FULL);
-    dispatcher.timer(1_000, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(1_000, BUDGET_CYCLE_TOKEN);
     double cut = dispatcher.slice();
     assertTrue(cut < initial / 2, "rejections must cut the slice");
     sendRequests(dispatcher, actions, 50, 0, 1_010, AttemptOutcome.OK);
-    dispatcher.timer(1_500, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(1_500, BUDGET_CYCLE_TOKEN);
     assertTrue(dispatcher.slice() > cut, "accepted attempts must grow the slice");
   }
 
@@ -155,16 +156,16 @@
     Fixture.Recorder actions = new Fixture.Recorder();
     ThrottlingDispatcher dispatcher = dispatcher(0, 1, actions, List.of(new Tenant("a", 1, 10)));
     for (int i = 0; i < 6; i++) {
-      dispatcher.arrived(10, Fixture.job("old" + i, 0, 9_000));
+      dispatcher.requestArrived(10, Fixture.job("old" + i, 0, 9_000));
     }
     sendRequests(dispatcher, actions, 50, 0, 20, AttemptOutcome.FULL);
-    dispatcher.timer(500, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(500, BUDGET_CYCLE_TOKEN);
     double cut = dispatcher.slice();
     sendRequests(dispatcher, actions, 50, 0, 600, AttemptOutcome.OK);
     for (int i = 0; i < 6; i++) {
-      dispatcher.started(900, "old" + i, 0);
+      dispatcher.attemptStarted(900, "old" + i, 0);
     }
-    dispatcher.timer(1_000, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(1_000, BUDGET_CYCLE_TOKEN);
     assertTrue(dispatcher.slice() > cut, dispatcher.slice() + " after " + cut);
   }
 
@@ -173,14 +174,14 @@
     Fixture.Recorder actions = new Fixture.Recorder();
     ThrottlingDispatcher dispatcher = dispatcher(0, 1, actions, List.of(new Tenant("a", 1, 10)));
     sendRequests(dispatcher, actions, 50, 0, 10, AttemptOutcome.OK);
-    dispatcher.timer(500, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(500, BUDGET_CYCLE_TOKEN);
     double before = dispatcher.slice();
     for (int i = 0; i < 50; i++) {
-      dispatcher.arrived(510, Fixture.job("stuck" + i, 0, 9_000));
+      dispatcher.requestArrived(510, Fixture.job("stuck" + i, 0, 9_000));
     }
     List<long[]> due = actions.timers.stream().filter(timer -> timer[1] >= 16).toList();
-    due.forEach(timer -> dispatcher.timer((double) (510 + timer[0]), timer[1]));
-    dispatcher.timer(1_000, BUDGET_CYCLE_TOKEN);
+    due.forEach(timer -> dispatcher.timerExpired((double) (510 + timer[0]), timer[1]));
+    dispatcher.timerExpired(1_000, BUDGET_CYCLE_TOKEN);
     assertTrue(dispatcher.slice() < before, dispatcher.slice() + " after " + before);
   }
 
@@ -190,14 +191,14 @@
     ThrottlingDispatcher dispatcher = dispatcher(0, 1, actions, List.of(new Tenant("a", 1, 10)));
     for (int cycle = 1; cycle <= 10; cycle++) {
       sendRequests(dispatcher, actions, 20, 0, cycle * 500 - 10, AttemptOutcome.OK);
-      dispatcher.timer(cycle * 500, BUDGET_CYCLE_TOKEN);
+      dispatcher.timerExpired(cycle * 500, BUDGET_CYCLE_TOKEN);
     }
     double before = dispatcher.slice();
     sendRequests(dispatcher, actions, 2, 0, 5_010, AttemptOutcome.OK);
-    dispatcher.arrived(5_020, Fixture.job("late", 0, 14_000));
+    dispatcher.requestArrived(5_020, Fixture.job("late", 0, 14_000));
     long token = actions.timers.get(actions.timers.size() - 1)[1];
-    dispatcher.timer(5_400, token);
-    dispatcher.timer(5_500, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(5_400, token);
+    dispatcher.timerExpired(5_500, BUDGET_CYCLE_TOKEN);
     assertTrue(dispatcher.slice() > 0.75 * before, dispatcher.slice() + " after " + before);
   }
 
@@ -215,7 +216,7 @@
           cycle * 500 - 20,
           cycle < 3 ? AttemptOutcome.FULL : AttemptOutcome.OK);
       sendRequests(dispatcher, actions, 5, 1, cycle * 500 - 10, AttemptOutcome.OK);
-      dispatcher.timer(cycle * 500, BUDGET_CYCLE_TOKEN);
+      dispatcher.timerExpired(cycle * 500, BUDGET_CYCLE_TOKEN);
     }
     actions.rejected.clear();
     int sendsBefore = actions.sends.size();
@@ -241,7 +242,7 @@
       for (int index = 0; index < dispatchers; index++) {
         Fixture.Recorder actions = new Fixture.Recorder();
         dispatcher(index, dispatchers, actions, List.of(new Tenant("a", 1, 10)))
-            .timer(500, BUDGET_CYCLE_TOKEN);
+            .timerExpired(500, BUDGET_CYCLE_TOKEN);
         links.add(actions.messagedPeers.stream().sorted().toList());
         assertTrue(links.get(index).size() <= 6 && !links.get(index).contains(index));
         assertTrue(dispatchers == 1 || !links.get(index).isEmpty());
--- a/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
@@ -36,7 +36,7 @@
     for (int id = 1; id <= WORKERS; id++) {
       workers.add(new Worker(id, WorkerState.READY, 0, 0, 0, 0, CORES));
     }
-    created.members(0, EndpointListUpdate.STORED, workers);
+    created.endpointsUpdated(0, EndpointListUpdate.STORED, workers);
     return created;
   }
 
@@ -47,16 +47,16 @@
   private void sendRequest(boolean late) {
     String id = "r" + nextId++;
     int sendsBefore = actions.sends.size();
-    dispatcher.arrived(now, Fixture.job(id, 0, now + 5_000));
+    dispatcher.requestArrived(now, Fixture.job(id, 0, now + 5_000));
     if (actions.sends.size() > sendsBefore) {
       if (late) {
         actions.timers.stream()
             .filter(timer -> timer[1] > BUDGET_CYCLE_TOKEN + 1)
             .reduce((first, second) -> second)
-            .ifPresent(timer -> dispatcher.timer(now + timer[0], timer[1]));
+            .ifPresent(timer -> dispatcher.timerExpired(now + timer[0], timer[1]));
       }
-      dispatcher.started(now + 1, id, 0);
-      dispatcher.ended(now + 20, id, 0, AttemptOutcome.OK, 20, true, LoadReport.NONE);
+      dispatcher.attemptStarted(now + 1, id, 0);
+      dispatcher.attemptEnded(now + 20, id, 0, AttemptOutcome.OK, 20, true, LoadReport.NONE);
     }
   }
 
@@ -72,7 +72,7 @@
       sendRequest(late);
     }
     now = cycleStart + BUDGET_CYCLE_MS;
-    dispatcher.timer(now, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(now, BUDGET_CYCLE_TOKEN);
     return actions.rejected.size() - rejectedBefore;
   }
 
@@ -99,16 +99,16 @@
       now += 5;
       String id = "full" + i;
       int sendsBefore = actions.sends.size();
-      dispatcher.arrived(now, Fixture.job(id, 0, now + 5_000));
+      dispatcher.requestArrived(now, Fixture.job(id, 0, now + 5_000));
       for (int n = 0; actions.sends.size() > sendsBefore + n; n++) {
-        dispatcher.ended(now + 1, id, n, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
+        dispatcher.attemptEnded(now + 1, id, n, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
       }
     }
     now += BUDGET_CYCLE_MS;
-    dispatcher.timer(now, BUDGET_CYCLE_TOKEN);
+    dispatcher.timerExpired(now, BUDGET_CYCLE_TOKEN);
     int sendsBefore = actions.sends.size();
     for (int i = 0; i < 100; i++) {
-      dispatcher.arrived(now + 1, Fixture.job("burst" + i, 0, now + 5_000));
+      dispatcher.requestArrived(now + 1, Fixture.job("burst" + i, 0, now + 5_000));
     }
     assertTrue(
         actions.sends.size() - sendsBefore < 60, "sent " + (actions.sends.size() - sendsBefore));
@@ -122,7 +122,7 @@
     }
     int sendsBefore = actions.sends.size();
     for (int i = 0; i < 100; i++) {
-      dispatcher.arrived(now + 1, Fixture.job("held" + i, 0, now + 5_000));
+      dispatcher.requestArrived(now + 1, Fixture.job("held" + i, 0, now + 5_000));
     }
     int attemptsInFlight = actions.sends.size() - sendsBefore;
     assertTrue(attemptsInFlight <= WORKERS * CORES, "attempts in flight: " + attemptsInFlight);
--- a/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
@@ -45,7 +45,7 @@
       WorkerState state = removed.contains(i) ? WorkerState.GONE : WorkerState.READY;
       entries.add(new Worker(i, state, 0, 0, 0, 0, CORES / (1 + load[i])));
     }
-    dispatcher.members(now, EndpointListUpdate.CHANGES, entries);
+    dispatcher.endpointsUpdated(now, EndpointListUpdate.CHANGES, entries);
   }
 
   /**
@@ -60,16 +60,17 @@
         now += 500.0 / jobs;
         String id = "r" + nextId++;
         int sendsBefore = actions.sends.size();
-        dispatcher.arrived(now, Fixture.job(id, 0, now + 10_000));
+        dispatcher.requestArrived(now, Fixture.job(id, 0, now + 10_000));
         if (actions.sends.size() > sendsBefore) {
-          dispatcher.started(now + 1, id, 0);
+          dispatcher.attemptStarted(now + 1, id, 0);
           running.add(id);
         }
         if (running.size() > 5) {
-          dispatcher.ended(now + 1, running.poll(), 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
+          dispatcher.attemptEnded(
+              now + 1, running.poll(), 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
         }
       }
-      dispatcher.timer(now, BUDGET_CYCLE_TOKEN);
+      dispatcher.timerExpired(now, BUDGET_CYCLE_TOKEN);
     }
     return actions.rejected.size() - rejectedBefore;
   }
@@ -123,7 +124,7 @@
     // None of these jobs starts, so the other workers soon hold several jobs of this dispatcher
     // each and the one with the long queue holds none.
     for (int i = 0; i < 20; i++) {
-      dispatcher.arrived(now + 10 * i, Fixture.job("h" + i, 0, now + 10_000));
+      dispatcher.requestArrived(now + 10 * i, Fixture.job("h" + i, 0, now + 10_000));
     }
     assertTrue(
         actions.rejected.stream().noneMatch(id -> id.startsWith("h")),
@@ -149,7 +150,7 @@
       Arrays.fill(load, 1.95);
       load[3] = 0.2;
       updateList();
-      dispatcher.arrived(now, Fixture.job("c" + number, 0, now + 10_000));
+      dispatcher.requestArrived(now, Fixture.job("c" + number, 0, now + 10_000));
       sentToIdleWorker += actions.lastSend().workerId() == 3 ? 1 : 0;
       Arrays.fill(load, 0);
     }
@@ -164,18 +165,18 @@
     for (int i = 0; i < WORKERS; i++) {
       entries.add(new Worker(i, WorkerState.READY, 0, i % 2, 0, 0, CORES));
     }
-    dispatcher.members(now, EndpointListUpdate.STORED, entries);
+    dispatcher.endpointsUpdated(now, EndpointListUpdate.STORED, entries);
     for (int i = 0; i < 40; i++) {
       String id = "w" + i;
-      dispatcher.arrived(now, new Job(id, 0, 0, now + 10_000, 1000, 1, 0, 0));
-      dispatcher.started(now, id, 0);
+      dispatcher.requestArrived(now, new Job(id, 0, 0, now + 10_000, 1000, 1, 0, 0));
+      dispatcher.attemptStarted(now, id, 0);
       double durationMs = actions.lastSend().workerId() % 2 == 0 ? 500 : 1000;
       now += durationMs;
-      dispatcher.ended(now, id, 0, AttemptOutcome.OK, durationMs, true, LoadReport.NONE);
+      dispatcher.attemptEnded(now, id, 0, AttemptOutcome.OK, durationMs, true, LoadReport.NONE);
     }
     int firstNewSend = actions.sends.size();
     for (int i = 0; i < WORKERS; i++) {
-      dispatcher.arrived(now, new Job("b" + i, 0, 0, now + 10_000, 1000, 1, 0, 0));
+      dispatcher.requestArrived(now, new Job("b" + i, 0, 0, now + 10_000, 1000, 1, 0, 0));
     }
     long usedWorkers =
         actions.sends.stream().skip(firstNewSend).map(Fixture.Send::workerId).distinct().count();
--- a/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
@@ -39,19 +39,19 @@
             7 + index,
             0,
             actions);
-    dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
+    dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, FLEET);
     return dispatcher;
   }
 
   /** Submits a job and returns the worker that it is sent to. */
   private long submit(ThrottlingDispatcher dispatcher, long object) {
-    dispatcher.arrived(now, new Job("r" + nextId++, 0, 0, now + 5_000, WORK, 1, 0, object));
+    dispatcher.requestArrived(now, new Job("r" + nextId++, 0, 0, now + 5_000, WORK, 1, 0, object));
     return actions.lastSend().workerId();
   }
 
   private void complete(ThrottlingDispatcher dispatcher, LoadReport report) {
     now += WORK;
-    dispatcher.ended(now, "r" + (nextId - 1), 0, AttemptOutcome.OK, WORK, true, report);
+    dispatcher.attemptEnded(now, "r" + (nextId - 1), 0, AttemptOutcome.OK, WORK, true, report);
   }
 
   /**
@@ -109,7 +109,7 @@
     complete(dispatcher, FOUR_SLOTS);
     Worker entry =
         FLEET.stream().filter(worker -> worker.id() == cachingWorker).findFirst().orElseThrow();
-    dispatcher.members(
+    dispatcher.endpointsUpdated(
         now,
         EndpointListUpdate.CHANGES,
         List.of(Fixture.withState(entry, WorkerState.DRAINING, 0)));
@@ -145,10 +145,10 @@
             7,
             0,
             actions);
-    dispatcher.members(
+    dispatcher.endpointsUpdated(
         0, EndpointListUpdate.STORED, List.of(Fixture.worker(1, 0, 0), Fixture.worker(4, 1, 2)));
     long first = submit(dispatcher, 5);
-    dispatcher.ended(now + 5, "r0", 0, AttemptOutcome.RESET, 5, false, LoadReport.NONE);
+    dispatcher.attemptEnded(now + 5, "r0", 0, AttemptOutcome.RESET, 5, false, LoadReport.NONE);
     assertTrue(
         actions.sends.stream().allMatch(send -> send.workerId() == first), "" + actions.sends);
   }
@@ -180,8 +180,8 @@
     // queue.
     for (int i = firstId; i < firstId + 32; i++) {
       if (i < firstId + 24) {
-        dispatcher.started(now + 1000, "r" + i, 0);
-        dispatcher.ended(
+        dispatcher.attemptStarted(now + 1000, "r" + i, 0);
+        dispatcher.attemptEnded(
             now + 1000 + 4 * WORK,
             "r" + i,
             0,
@@ -190,11 +190,11 @@
             true,
             FOUR_SLOTS);
       } else {
-        dispatcher.ended(
+        dispatcher.attemptEnded(
             now + 5_000, "r" + i, 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
       }
     }
-    assertEquals(0, dispatcher.excluded(now + 5_000));
+    assertEquals(0, dispatcher.ejectedWorkerCount(now + 5_000));
   }
 
   /**
@@ -229,7 +229,7 @@
             7,
             0,
             recorder);
-    dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
+    dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, FLEET);
     double[] shares = new double[2];
     double time = 0;
     for (int cycle = 0; cycle < 20; cycle++) {
@@ -237,12 +237,13 @@
         time += 25;
         String id = "j" + cycle + "-" + i;
         int sendsBefore = recorder.sends.size();
-        dispatcher.arrived(time, new Job(id, i % 4 == 0 ? 1 : 0, 0, time + 5_000, WORK, 1, 0, 0));
+        dispatcher.requestArrived(
+            time, new Job(id, i % 4 == 0 ? 1 : 0, 0, time + 5_000, WORK, 1, 0, 0));
         boolean sent = recorder.sends.size() > sendsBefore;
         // The workers reject two of three attempts, so that the slice settles below the demand.
         boolean full = i % 3 != 0;
         for (int n = 0; recorder.sends.size() > sendsBefore + n; n++) {
-          dispatcher.ended(
+          dispatcher.attemptEnded(
               time,
               id,
               n,
@@ -253,7 +254,7 @@
         }
         shares[i % 4 == 0 ? 1 : 0] += cycle >= 10 && sent ? 1.0 / (i % 4 == 0 ? 50 : 150) : 0;
       }
-      dispatcher.timer(time, 1);
+      dispatcher.timerExpired(time, 1);
     }
     return shares;
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
@@ -232,7 +232,7 @@
       int jobClass = random.nextInt(classes.size());
       double due = now + 50 + random.nextInt((int) DEADLINE - 50);
       requests.put(id, new RequestRecord(classes.get(jobClass), due));
-      dispatcher.arrived(
+      dispatcher.requestArrived(
           now,
           new Job(
               id,
@@ -253,7 +253,7 @@
     } else {
       byte[] randomMessage = new byte[random.nextInt(24)];
       random.nextBytes(randomMessage);
-      dispatcher.heard(now, random.nextInt(12), randomMessage);
+      dispatcher.peerMessageReceived(now, random.nextInt(12), randomMessage);
     }
   }
 
@@ -270,10 +270,10 @@
     RequestRecord request = requests.get(id);
     int attempt = request.outcomes.indexOf(null);
     if (random.nextInt(4) == 0) {
-      dispatcher.started(now, id, attempt);
+      dispatcher.attemptStarted(now, id, attempt);
     } else if (random.nextInt(12) == 0 && !request.answered) {
       request.answered = true;
-      dispatcher.abandoned(now, id);
+      dispatcher.requestAbandoned(now, id);
     } else {
       AttemptOutcome[] allOutcomes = AttemptOutcome.values();
       endAttempt(dispatcher, id, attempt, allOutcomes[random.nextInt(allOutcomes.length)]);
@@ -286,7 +286,7 @@
     request.outcomes.set(attempt, outcome);
     boolean completed = request.answered || outcome == AttemptOutcome.OK;
     request.answered = completed;
-    dispatcher.ended(
+    dispatcher.attemptEnded(
         now, id, attempt, outcome, now - request.sentAt.get(attempt), completed, LoadReport.NONE);
   }
 
@@ -307,7 +307,7 @@
   private void fireTimers(ThrottlingDispatcher dispatcher) {
     List<double[]> due = timers.stream().filter(timer -> timer[0] <= now).toList();
     timers.removeAll(due);
-    due.forEach(timer -> dispatcher.timer(now, (long) timer[1]));
+    due.forEach(timer -> dispatcher.timerExpired(now, (long) timer[1]));
   }
 
   private void updateEndpoints(
@@ -339,6 +339,6 @@
       entries.add(worker);
       workers.put(id, worker);
     }
-    dispatcher.members(now, update, entries);
+    dispatcher.endpointsUpdated(now, update, entries);
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
@@ -58,7 +58,7 @@
             Fixture.worker(2, 0, 0),
             Fixture.worker(3, 0, 1),
             Fixture.worker(4, 0, 2));
-    dispatcher.members(0, EndpointListUpdate.STORED, fleet);
+    dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, fleet);
   }
 
   /**
@@ -77,13 +77,13 @@
           new Event(
               nextArrival,
               () -> {
-                dispatcher.arrived(time, job);
+                dispatcher.requestArrived(time, job);
                 deliverSends(time, work);
               }));
     }
     for (double cycle = startTime; cycle < endTime; cycle += 500) {
       double time = cycle;
-      events.add(new Event(cycle, () -> dispatcher.timer(time, 1)));
+      events.add(new Event(cycle, () -> dispatcher.timerExpired(time, 1)));
     }
     while (!events.isEmpty() && events.peek().time < endTime) {
       events.poll().action.run();
@@ -111,12 +111,12 @@
       events.add(
           new Event(
               startedAt,
-              () -> dispatcher.started(startedAt, send.requestId(), (int) attemptNumber)));
+              () -> dispatcher.attemptStarted(startedAt, send.requestId(), (int) attemptNumber)));
       events.add(
           new Event(
               endedAt,
               () -> {
-                dispatcher.ended(
+                dispatcher.attemptEnded(
                     endedAt,
                     send.requestId(),
                     (int) attemptNumber,
@@ -150,7 +150,7 @@
   void neitherEjectsNorRejectsBecauseOfFewExpensiveJobsOnIdleFleet() {
     createDispatcher(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
     simulate(0, 30_000, 60, 0.02, 20);
-    assertEquals(0, dispatcher.excluded(30_000));
+    assertEquals(0, dispatcher.ejectedWorkerCount(30_000));
     assertTrue(
         actions.rejected.size() < 0.02 * actions.sends.size(),
         actions.rejected.size() + " rejected of " + actions.sends.size());
@@ -165,18 +165,18 @@
   void avoidsWorkerWithoutFreeMemoryBriefly() {
     createDispatcher(Fixture.jobClass(Idempotency.UNSAFE, IdempotencyScope.ALL));
     double now = 100;
-    dispatcher.arrived(now, new Job("first", 0, 0, now + 5_000, WORK, 1, 0, 0));
+    dispatcher.requestArrived(now, new Job("first", 0, 0, now + 5_000, WORK, 1, 0, 0));
     long full = actions.lastSend().workerId();
     now += 100;
-    dispatcher.ended(
+    dispatcher.attemptEnded(
         now, "first", 0, AttemptOutcome.OK, 100, true, new LoadReport(SLOTS - 1, 0, Double.NaN, 1));
     for (int i = 0; i < 12; i++) {
-      dispatcher.arrived(now, new Job("next" + i, 0, 0, now + 5_000, WORK, 1, 0, 0));
+      dispatcher.requestArrived(now, new Job("next" + i, 0, 0, now + 5_000, WORK, 1, 0, 0));
       assertFalse(
           actions.lastSend().workerId() == full,
           "a job was sent to the worker without free memory");
     }
-    dispatcher.arrived(now + 1_000, new Job("later", 0, 0, now + 6_000, WORK, 1, 0, 0));
+    dispatcher.requestArrived(now + 1_000, new Job("later", 0, 0, now + 6_000, WORK, 1, 0, 0));
     assertEquals(
         full, actions.lastSend().workerId(), "after the backoff the worker holds the fewest slots");
   }
@@ -213,10 +213,10 @@
 
   private boolean submit(String id, int jobClass, double now, boolean accepted) {
     int sendsBefore = actions.sends.size();
-    dispatcher.arrived(now, new Job(id, jobClass, 0, now + 5_000, WORK, 1, 0, 0));
+    dispatcher.requestArrived(now, new Job(id, jobClass, 0, now + 5_000, WORK, 1, 0, 0));
     boolean sent = actions.sends.size() > sendsBefore;
     for (int n = 0; actions.sends.size() > sendsBefore + n; n++) {
-      dispatcher.ended(
+      dispatcher.attemptEnded(
           now,
           id,
           n,
@@ -226,7 +226,7 @@
           LoadReport.NONE);
     }
     if (now % 500 < 10) {
-      dispatcher.timer(now, 1);
+      dispatcher.timerExpired(now, 1);
     }
     return sent;
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -41,7 +41,7 @@
             7,
             0,
             actions);
-    dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
+    dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, FLEET);
     return dispatcher;
   }
 
@@ -53,13 +53,13 @@
   void boundsHedgesByBudgetWhenAllQueuesAreLong() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.KEYED, IdempotencyScope.ALL, true);
     for (int i = 0; i < 100; i++) {
-      dispatcher.arrived(10 + i, Fixture.job("r" + i, 0, 5_000));
+      dispatcher.requestArrived(10 + i, Fixture.job("r" + i, 0, 5_000));
     }
     assertEquals(100, actions.sends.size());
     // No job has started at the hedging delay of the first attempt, nor at that of the second.
     for (int i = 0; i < actions.timers.size(); i++) {
       if (actions.timers.get(i)[1] >= 16) {
-        dispatcher.timer(200, actions.timers.get(i)[1]);
+        dispatcher.timerExpired(200, actions.timers.get(i)[1]);
       }
     }
     int hedges = actions.sends.size() - 100;
@@ -69,13 +69,13 @@
   @Test
   void failsUnusableRequestWithoutRetryAndKeepsWorkerEligible() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.KEYED, IdempotencyScope.ALL, true);
-    dispatcher.arrived(10, Fixture.job("bad", 0, 5_000));
-    dispatcher.ended(12, "bad", 0, AttemptOutcome.UNUSABLE, 2, false, LoadReport.NONE);
+    dispatcher.requestArrived(10, Fixture.job("bad", 0, 5_000));
+    dispatcher.attemptEnded(12, "bad", 0, AttemptOutcome.UNUSABLE, 2, false, LoadReport.NONE);
     assertEquals(List.of("bad"), actions.failed);
     assertEquals(1, actions.sends.size());
     long worker = actions.lastSend().workerId();
     for (int i = 0; i < 100; i++) {
-      dispatcher.arrived(20, Fixture.job("r" + i, 0, 5_000));
+      dispatcher.requestArrived(20, Fixture.job("r" + i, 0, 5_000));
     }
     assertTrue(actions.sends.stream().skip(1).anyMatch(send -> send.workerId() == worker));
   }
@@ -105,13 +105,14 @@
             7,
             0,
             actions);
-    dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
-    dispatcher.arrived(10, Fixture.job("hangs", 0, 5_010));
+    dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, FLEET);
+    dispatcher.requestArrived(10, Fixture.job("hangs", 0, 5_010));
     long worker = actions.lastSend().workerId();
-    dispatcher.progressed(500, "hangs", 0, 0.1);
-    dispatcher.ended(1_010, "hangs", 0, AttemptOutcome.TIMEOUT, 1_000, false, LoadReport.NONE);
+    dispatcher.attemptProgressed(500, "hangs", 0, 0.1);
+    dispatcher.attemptEnded(
+        1_010, "hangs", 0, AttemptOutcome.TIMEOUT, 1_000, false, LoadReport.NONE);
     for (int i = 0; i < 60; i++) {
-      dispatcher.arrived(1_020, new Job("r" + i, i % 2, 0, 6_000, 0, 1, 0, 0));
+      dispatcher.requestArrived(1_020, new Job("r" + i, i % 2, 0, 6_000, 0, 1, 0, 0));
     }
     List<Fixture.Send> sendsToWorker =
         actions.sends.stream().skip(1).filter(send -> send.workerId() == worker).toList();
@@ -125,15 +126,16 @@
   @Test
   void keepsRespondingWorkerWhenQueuedJobTimesOut() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
-    dispatcher.members(5, EndpointListUpdate.WHOLE, FLEET.subList(0, 1));
-    dispatcher.arrived(10, Fixture.job("waits", 0, 5_010));
-    dispatcher.arrived(20, Fixture.job("runs", 0, 5_020));
-    dispatcher.started(4_000, "runs", 0);
-    dispatcher.members(5_000, EndpointListUpdate.WHOLE, FLEET.subList(0, 2));
-    dispatcher.ended(5_010, "waits", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
-    dispatcher.ended(5_011, "runs", 0, AttemptOutcome.OK, 5_000, true, LoadReport.NONE);
+    dispatcher.endpointsUpdated(5, EndpointListUpdate.WHOLE, FLEET.subList(0, 1));
+    dispatcher.requestArrived(10, Fixture.job("waits", 0, 5_010));
+    dispatcher.requestArrived(20, Fixture.job("runs", 0, 5_020));
+    dispatcher.attemptStarted(4_000, "runs", 0);
+    dispatcher.endpointsUpdated(5_000, EndpointListUpdate.WHOLE, FLEET.subList(0, 2));
+    dispatcher.attemptEnded(
+        5_010, "waits", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
+    dispatcher.attemptEnded(5_011, "runs", 0, AttemptOutcome.OK, 5_000, true, LoadReport.NONE);
     for (int i = 0; i < 20; i++) {
-      dispatcher.arrived(5_020 + i, Fixture.job("next" + i, 0, 9_000));
+      dispatcher.requestArrived(5_020 + i, Fixture.job("next" + i, 0, 9_000));
     }
     long sendsToFirst =
         actions.sends.stream()
@@ -162,9 +164,9 @@
     actions.failed.clear();
     actions.rejected.clear();
     ThrottlingDispatcher dispatcher = dispatcher(idempotency, scope, false);
-    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
+    dispatcher.requestArrived(10, Fixture.job("r", 0, 5_010));
     Worker firstWorker = entry(actions.lastSend().workerId());
-    dispatcher.ended(20, "r", 0, outcome, 10, false, LoadReport.NONE);
+    dispatcher.attemptEnded(20, "r", 0, outcome, 10, false, LoadReport.NONE);
     boolean provenNotRun =
         outcome == AttemptOutcome.FULL
             || outcome == AttemptOutcome.CONNECT_FAILED
@@ -184,9 +186,9 @@
               : firstWorker.cell() == secondWorker.cell();
       assertTrue(sameGroup, testCase + " left its group: " + secondWorker);
     }
-    dispatcher.ended(30, "r", 1, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
+    dispatcher.attemptEnded(30, "r", 1, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
     if (actions.sends.size() == 3) {
-      dispatcher.ended(40, "r", 2, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
+      dispatcher.attemptEnded(40, "r", 2, AttemptOutcome.FULL, 10, false, LoadReport.NONE);
     }
     boolean mayReject =
         provenNotRun
@@ -199,8 +201,8 @@
   @Test
   void doesNotRetryKeyedRequestAfterItsWindow() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.KEYED, IdempotencyScope.ZONE, false);
-    dispatcher.arrived(10, Fixture.job("r", 0, 60_000));
-    dispatcher.ended(7_600, "r", 0, AttemptOutcome.RESET, 7_590, false, LoadReport.NONE);
+    dispatcher.requestArrived(10, Fixture.job("r", 0, 60_000));
+    dispatcher.attemptEnded(7_600, "r", 0, AttemptOutcome.RESET, 7_590, false, LoadReport.NONE);
     assertEquals(1, actions.sends.size());
     assertEquals(List.of("r"), actions.failed);
   }
@@ -208,11 +210,11 @@
   @Test
   void answersTimeoutAtDeadlineImmediatelyAndOnce() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
-    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
-    dispatcher.ended(5_010, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
+    dispatcher.requestArrived(10, Fixture.job("r", 0, 5_010));
+    dispatcher.attemptEnded(5_010, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
     assertEquals(1, actions.rejected.size() + actions.failed.size());
-    dispatcher.ended(5_012, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
-    dispatcher.abandoned(5_014, "r");
+    dispatcher.attemptEnded(5_012, "r", 0, AttemptOutcome.TIMEOUT, 5_000, false, LoadReport.NONE);
+    dispatcher.requestAbandoned(5_014, "r");
     assertEquals(1, actions.rejected.size() + actions.failed.size());
     assertEquals(1, actions.sends.size());
   }
@@ -220,9 +222,9 @@
   @Test
   void neitherRetriesNorAnswersAbandonedRequest() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
-    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
-    dispatcher.abandoned(20, "r");
-    dispatcher.ended(30, "r", 0, AttemptOutcome.FULL, 20, true, LoadReport.NONE);
+    dispatcher.requestArrived(10, Fixture.job("r", 0, 5_010));
+    dispatcher.requestAbandoned(20, "r");
+    dispatcher.attemptEnded(30, "r", 0, AttemptOutcome.FULL, 20, true, LoadReport.NONE);
     assertEquals(1, actions.sends.size());
     assertEquals(0, actions.rejected.size() + actions.failed.size());
   }
@@ -230,7 +232,7 @@
   @Test
   void sendsNothingToDrainingOrUnlistedWorkers() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
-    dispatcher.members(
+    dispatcher.endpointsUpdated(
         5,
         EndpointListUpdate.CHANGES,
         List.of(
@@ -238,10 +240,10 @@
             Fixture.withState(entry(2), WorkerState.GONE, 0)));
     Set<Long> used = workersUsed(dispatcher, 60, 10);
     assertFalse(used.contains(1L) || used.contains(2L), "used " + used);
-    dispatcher.members(6, EndpointListUpdate.WHOLE, List.of(entry(5), entry(6)));
+    dispatcher.endpointsUpdated(6, EndpointListUpdate.WHOLE, List.of(entry(5), entry(6)));
     used = workersUsed(dispatcher, 60, 20);
     assertEquals(Set.of(5L, 6L), used);
-    dispatcher.members(7, EndpointListUpdate.WHOLE, List.of());
+    dispatcher.endpointsUpdated(7, EndpointListUpdate.WHOLE, List.of());
     actions.rejected.clear();
     assertEquals(Set.of(), workersUsed(dispatcher, 3, 30));
     assertEquals(3, actions.rejected.size());
@@ -253,7 +255,7 @@
     Set<Long> used = new HashSet<>();
     for (int i = 0; i < jobs; i++) {
       int before = actions.sends.size();
-      dispatcher.arrived(now, Fixture.job("u" + nextId++, 0, now + 5_000));
+      dispatcher.requestArrived(now, Fixture.job("u" + nextId++, 0, now + 5_000));
       if (actions.sends.size() > before) {
         used.add(actions.lastSend().workerId());
       }
@@ -283,33 +285,33 @@
                 recorder);
         List<Worker> fleet =
             new ArrayList<>(List.of(Fixture.worker(1, 0, 0), Fixture.worker(2, 0, 0)));
-        dispatcher.members(0, EndpointListUpdate.STORED, fleet);
+        dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, fleet);
         // Each dispatcher sends 40/dispatchers jobs per second for 10 s, so the estimated capacity
         // of each of the two workers is 20 per second.
         double interval = 1_000.0 * dispatchers / 40;
         int jobs = 0;
         double nextCycle = 500;
         for (double now = interval; now < 10_000; now += interval, jobs++) {
-          dispatcher.arrived(now, Fixture.job("w" + jobs, 0, now + 5_000));
-          dispatcher.ended(now, "w" + jobs, 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
+          dispatcher.requestArrived(now, Fixture.job("w" + jobs, 0, now + 5_000));
+          dispatcher.attemptEnded(now, "w" + jobs, 0, AttemptOutcome.OK, 1, true, LoadReport.NONE);
           while (nextCycle < now) {
-            dispatcher.timer(now, 1);
+            dispatcher.timerExpired(now, 1);
             nextCycle += 500;
           }
         }
         served += jobs;
-        dispatcher.members(
+        dispatcher.endpointsUpdated(
             10_000,
             EndpointListUpdate.CHANGES,
             List.of(new Worker(9, WorkerState.READY, 0, 0, 0, 10_000, 1)));
         recorder.sends.clear();
         for (double now = 10_000; now < 13_000; now += 20) {
           String id = "c" + now;
-          dispatcher.arrived(now, Fixture.job(id, 0, now + 5_000));
+          dispatcher.requestArrived(now, Fixture.job(id, 0, now + 5_000));
           if (!recorder.sends.isEmpty()
               && recorder.lastSend().requestId().equals(id)
               && recorder.lastSend().workerId() == 9) {
-            dispatcher.ended(now, id, 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
+            dispatcher.attemptEnded(now, id, 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
           }
         }
         sentToWarmingWorker += recorder.sends.stream().filter(send -> send.workerId() == 9).count();
@@ -332,11 +334,11 @@
   @Test
   void avoidsFullWorkerEvenWithoutHeldSlots() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
-    dispatcher.arrived(10, Fixture.job("a", 0, 5_010));
+    dispatcher.requestArrived(10, Fixture.job("a", 0, 5_010));
     long full = actions.lastSend().workerId();
-    dispatcher.ended(10, "a", 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
+    dispatcher.attemptEnded(10, "a", 0, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
     for (int i = 0; i < 5; i++) {
-      dispatcher.arrived(11, Fixture.job("b" + i, 0, 5_011));
+      dispatcher.requestArrived(11, Fixture.job("b" + i, 0, 5_011));
       assertNotEquals(full, actions.lastSend().workerId());
     }
   }
@@ -348,9 +350,9 @@
             new LoadReport(0, Double.NaN, Double.NaN, Double.NaN),
             new LoadReport(Double.NaN, 0, Double.NaN, Double.NaN))) {
       ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
-      dispatcher.arrived(10, Fixture.job("a", 0, 5_010));
+      dispatcher.requestArrived(10, Fixture.job("a", 0, 5_010));
       long exhausted = actions.lastSend().workerId();
-      dispatcher.ended(200, "a", 0, AttemptOutcome.OK, 190, true, report);
+      dispatcher.attemptEnded(200, "a", 0, AttemptOutcome.OK, 190, true, report);
       assertFalse(workersUsed(dispatcher, 20, 201).contains(exhausted));
       assertTrue(workersUsed(dispatcher, 40, 400).contains(exhausted));
     }
@@ -369,8 +371,8 @@
                 seed,
                 0,
                 recorder);
-        dispatcher.members(0, EndpointListUpdate.STORED, FLEET);
-        dispatcher.arrived(10, Fixture.job("a", 0, 5_010));
+        dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, FLEET);
+        dispatcher.requestArrived(10, Fixture.job("a", 0, 5_010));
         runs.add(recorder.lastSend().workerId());
       }
       assertEquals(runs.get(0), runs.get(1));
@@ -382,9 +384,9 @@
   @Test
   void ejectsFailingWorkerAndReadmitsItByProbe() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, false);
-    dispatcher.arrived(10, Fixture.job("a", 0, 5_010));
+    dispatcher.requestArrived(10, Fixture.job("a", 0, 5_010));
     long failing = actions.lastSend().workerId();
-    dispatcher.ended(12, "a", 0, AttemptOutcome.ERROR, 2, false, LoadReport.NONE);
+    dispatcher.attemptEnded(12, "a", 0, AttemptOutcome.ERROR, 2, false, LoadReport.NONE);
     assertFalse(workersUsed(dispatcher, 30, 20).contains(failing));
     assertTrue(workersUsed(dispatcher, 30, 3_000).contains(failing));
   }
@@ -400,18 +402,19 @@
     for (int i = 0; i < 40; i++) {
       fleet.add(Fixture.worker(100 + i, i % 2, 0));
     }
-    dispatcher.members(1, EndpointListUpdate.WHOLE, fleet);
+    dispatcher.endpointsUpdated(1, EndpointListUpdate.WHOLE, fleet);
     int connections = 0;
     for (int i = 0; i < 60; i++) {
       String id = "z" + i;
-      dispatcher.arrived(10 + i, Fixture.job(id, 0, 5_010));
+      dispatcher.requestArrived(10 + i, Fixture.job(id, 0, 5_010));
       for (int n = 0;
           n < 3
               && actions.lastSend().requestId().equals(id)
               && actions.lastSend().workerId() % 2 == 0;
           n++) {
         connections++;
-        dispatcher.ended(10 + i, id, n, AttemptOutcome.CONNECT_FAILED, 1, false, LoadReport.NONE);
+        dispatcher.attemptEnded(
+            10 + i, id, n, AttemptOutcome.CONNECT_FAILED, 1, false, LoadReport.NONE);
       }
     }
     assertTrue(
@@ -421,26 +424,26 @@
   @Test
   void hedgesQueuedJobAndCancelsTheAttemptThatHasNotStarted() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.SAFE, IdempotencyScope.ALL, true);
-    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
+    dispatcher.requestArrived(10, Fixture.job("r", 0, 5_010));
     long token = actions.timers.get(actions.timers.size() - 1)[1];
     long first = actions.lastSend().workerId();
-    dispatcher.timer(200, token);
+    dispatcher.timerExpired(200, token);
     assertEquals(2, actions.sends.size());
     assertNotEquals(first, actions.lastSend().workerId());
-    dispatcher.started(205, "r", 1);
+    dispatcher.attemptStarted(205, "r", 1);
     assertEquals(List.of("r/0"), actions.cancelled);
-    dispatcher.ended(205, "r", 0, AttemptOutcome.CANCELLED, 195, false, LoadReport.NONE);
+    dispatcher.attemptEnded(205, "r", 0, AttemptOutcome.CANCELLED, 195, false, LoadReport.NONE);
     assertEquals(2, actions.sends.size(), "a cancelled attempt is not retried");
-    dispatcher.ended(300, "r", 1, AttemptOutcome.OK, 100, true, LoadReport.NONE);
+    dispatcher.attemptEnded(300, "r", 1, AttemptOutcome.OK, 100, true, LoadReport.NONE);
     assertEquals(0, actions.rejected.size() + actions.failed.size());
   }
 
   @Test
   void neverHedgesUnsafeJob() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, true);
-    dispatcher.arrived(10, Fixture.job("r", 0, 5_010));
+    dispatcher.requestArrived(10, Fixture.job("r", 0, 5_010));
     for (long[] timer : new ArrayList<>(actions.timers)) {
-      dispatcher.timer(400, timer[1]);
+      dispatcher.timerExpired(400, timer[1]);
     }
     assertEquals(1, actions.sends.size());
   }
@@ -458,7 +461,7 @@
     Exception invalidClass =
         assertThrows(
             IllegalArgumentException.class,
-            () -> dispatcher.arrived(1, new Job("x", 9, 0, 10, 0, 1, 0, 0)));
+            () -> dispatcher.requestArrived(1, new Job("x", 9, 0, 10, 0, 1, 0, 0)));
     assertTrue(invalidClass.getMessage().contains("Job.jobClass"));
   }
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -104,14 +104,15 @@
           new ThrottlingDispatcher(settings, index, 0, new Host(this, index));
       dispatchers.add(dispatcher);
       double notifiedAt = RESTART_TIME + (0.9 + 0.1 * random.nextDouble()) * notifiedAfter;
-      dispatcher.members(0, EndpointListUpdate.STORED, list(0));
+      dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, list(0));
       schedule(random.nextDouble() * 500, () -> notifyDispatcher(dispatcher, notifiedAt));
       schedule(random.nextDouble() * arrivalInterval(), () -> arrive(index));
     }
 
     private void notifyDispatcher(ThrottlingDispatcher dispatcher, double notifiedAt) {
       boolean notified = now >= notifiedAt;
-      dispatcher.members(now, EndpointListUpdate.CHANGES, list(notified ? RESTART_TIME : 0));
+      dispatcher.endpointsUpdated(
+          now, EndpointListUpdate.CHANGES, list(notified ? RESTART_TIME : 0));
       schedule(
           notified || now + 500 < notifiedAt ? 500 : notifiedAt - now,
           () -> notifyDispatcher(dispatcher, notifiedAt));
@@ -144,7 +145,7 @@
       double rateFactor = now < RESTART_TIME ? 1 : BURST_FACTOR;
       double work = deployment.meanWork() * jobWorkFactor * (0.2 + 1.6 * random.nextDouble());
       String id = work + "/" + order;
-      dispatchers.get(index).arrived(now, new Job(id, 0, 0, now + 20_000, work, 1, 0, 0));
+      dispatchers.get(index).requestArrived(now, new Job(id, 0, 0, now + 20_000, work, 1, 0, 0));
       schedule(
           -jobWorkFactor / rateFactor * arrivalInterval() * Math.log(1 - random.nextDouble()),
           () -> arrive(index));
@@ -166,17 +167,19 @@
       ThrottlingDispatcher dispatcher = dispatchers.get(index);
       int variant = attempts++ % 10;
       if (variant == 0) {
-        dispatcher.ended(now, id, attempt, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
+        dispatcher.attemptEnded(now, id, attempt, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
         return;
       }
       jobsHeld[worker]++;
       schedule(
-          variant == 1 ? deployment.meanWork() : 0, () -> dispatcher.started(now, id, attempt));
+          variant == 1 ? deployment.meanWork() : 0,
+          () -> dispatcher.attemptStarted(now, id, attempt));
       schedule(
           (variant == 1 ? deployment.meanWork() : 0) + work,
           () -> {
             jobsHeld[worker]--;
-            dispatcher.ended(now, id, attempt, AttemptOutcome.OK, work, true, LoadReport.NONE);
+            dispatcher.attemptEnded(
+                now, id, attempt, AttemptOutcome.OK, work, true, LoadReport.NONE);
           });
     }
 
@@ -232,7 +235,7 @@
 
     @Override
     public void timer(double delayMs, long token) {
-      fleet.schedule(delayMs, () -> fleet.dispatchers.get(index).timer(fleet.now, token));
+      fleet.schedule(delayMs, () -> fleet.dispatchers.get(index).timerExpired(fleet.now, token));
     }
 
     @Override
--- a/emulator/src/main/java/ferngrade/emulator/MutantDispatcher.java
+++ b/emulator/src/main/java/ferngrade/emulator/MutantDispatcher.java
@@ -44,36 +44,36 @@
   }
 
   @Override
-  public void sharedBy(double now, int count, int index) {
-    delegate.sharedBy(now, count, index);
+  public void processesChanged(double now, int count, int index) {
+    delegate.processesChanged(now, count, index);
   }
 
   @Override
-  public void arrived(double now, Job job) {
-    delegate.arrived(now, job);
+  public void requestArrived(double now, Job job) {
+    delegate.requestArrived(now, job);
   }
 
   @Override
-  public void started(double now, String id, int attempt) {
+  public void attemptStarted(double now, String id, int attempt) {
     if (sendsTwice && sendCounts.getOrDefault(id, 0) == 1 && attempt == 0) {
       sendCounts.put(id, 2);
       actions.send(id, secondSendTarget, 0);
     }
-    delegate.started(now, id, attempt);
+    delegate.attemptStarted(now, id, attempt);
   }
 
   @Override
-  public void progressed(double now, String id, int attempt, double share) {
-    delegate.progressed(now, id, attempt, share);
+  public void attemptProgressed(double now, String id, int attempt, double share) {
+    delegate.attemptProgressed(now, id, attempt, share);
   }
 
   @Override
-  public void streaming(double now, String id, int attempt) {
-    delegate.streaming(now, id, attempt);
+  public void attemptStreaming(double now, String id, int attempt) {
+    delegate.attemptStreaming(now, id, attempt);
   }
 
   @Override
-  public void ended(
+  public void attemptEnded(
       double now,
       String id,
       int attempt,
@@ -84,21 +84,21 @@
     if (attempt == 0) {
       sendCounts.remove(id);
     }
-    delegate.ended(now, id, attempt, outcome, took, over, report);
+    delegate.attemptEnded(now, id, attempt, outcome, took, over, report);
   }
 
   @Override
-  public void abandoned(double now, String id) {
-    delegate.abandoned(now, id);
+  public void requestAbandoned(double now, String id) {
+    delegate.requestAbandoned(now, id);
   }
 
   @Override
-  public void members(double now, EndpointListUpdate update, List<Worker> workers) {
+  public void endpointsUpdated(double now, EndpointListUpdate update, List<Worker> workers) {
     workers.stream()
         .filter(worker -> worker.state() == WorkerState.READY)
         .findFirst()
         .ifPresent(worker -> secondSendTarget = worker.id());
-    delegate.members(
+    delegate.endpointsUpdated(
         now,
         update,
         !ignoresStartTime
@@ -118,23 +118,23 @@
   }
 
   @Override
-  public void listFailed(double now) {
-    delegate.listFailed(now);
+  public void endpointWatchFailed(double now) {
+    delegate.endpointWatchFailed(now);
   }
 
   @Override
-  public void checked(
+  public void healthCheckCompleted(
       double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {
-    delegate.checked(now, worker, outcome, took, report);
+    delegate.healthCheckCompleted(now, worker, outcome, took, report);
   }
 
   @Override
-  public void heard(double now, int from, byte[] message) {
-    delegate.heard(now, from, message);
+  public void peerMessageReceived(double now, int from, byte[] message) {
+    delegate.peerMessageReceived(now, from, message);
   }
 
   @Override
-  public void timer(double now, long token) {
-    delegate.timer(now, token);
+  public void timerExpired(double now, long token) {
+    delegate.timerExpired(now, token);
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -59,7 +59,7 @@
   }
 
   @Override
-  public final void arrived(double now, Job job) {
+  public final void requestArrived(double now, Job job) {
     PendingJob pending = new PendingJob(job);
     pendingJobs.put(job.id(), pending);
     send(pending, now);
@@ -97,7 +97,7 @@
   }
 
   @Override
-  public final void ended(
+  public final void attemptEnded(
       double now,
       String id,
       int attempt,
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public final void members(double now, EndpointListUpdate update, List<Worker> workers) {
+  public final void endpointsUpdated(double now, EndpointListUpdate update, List<Worker> workers) {
     if (update != EndpointListUpdate.CHANGES) {
       workersById.clear();
     }
@@ -134,27 +134,27 @@
   }
 
   @Override
-  public final void abandoned(double now, String id) {}
+  public final void requestAbandoned(double now, String id) {}
 
   @Override
-  public final void started(double now, String id, int attempt) {}
+  public final void attemptStarted(double now, String id, int attempt) {}
 
   @Override
-  public final void progressed(double now, String id, int attempt, double share) {}
+  public final void attemptProgressed(double now, String id, int attempt, double share) {}
 
   @Override
-  public final void streaming(double now, String id, int attempt) {}
+  public final void attemptStreaming(double now, String id, int attempt) {}
 
   @Override
-  public final void listFailed(double now) {}
+  public final void endpointWatchFailed(double now) {}
 
   @Override
-  public final void checked(
+  public final void healthCheckCompleted(
       double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {}
 
   @Override
-  public final void heard(double now, int from, byte[] message) {}
+  public final void peerMessageReceived(double now, int from, byte[] message) {}
 
   @Override
-  public final void timer(double now, long token) {}
+  public final void timerExpired(double now, long token) {}
 }
--- a/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
@@ -164,7 +164,7 @@
               @Override
               public void log(String line) {}
             });
-    module.timer(1000, timers.get(0));
+    module.timerExpired(1000, timers.get(0));
     return recipients;
   }
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
@@ -93,7 +93,7 @@
             MutantNode.class.getClassLoader(),
             new Class<?>[] {Dispatcher.class},
             (proxy, method, invocationArguments) -> {
-              if (method.getName().equals("arrived")) {
+              if (method.getName().equals("requestArrived")) {
                 double now = (Double) invocationArguments[0];
                 if (now < nextAt[0]) {
                   actions.refuse(((Job) invocationArguments[1]).id(), 0);
--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -133,7 +133,7 @@
     pendingBytes += call.body().length;
     request.overdueTimer =
         timers.after(job.due() - clock.now() + FINAL_ANSWER_GRACE_MILLIS, () -> overdue(request));
-    turns.event(() -> dispatcher.arrived(clock.now(), job));
+    turns.event(() -> dispatcher.requestArrived(clock.now(), job));
     return true;
   }
 
@@ -195,7 +195,7 @@
       request.abandoned();
       turns.event(
           () -> {
-            dispatcher.abandoned(clock.now(), id);
+            dispatcher.requestAbandoned(clock.now(), id);
             release(request);
           });
       // A worker starts a job once it has received the last byte, so attempts that are not fully
@@ -230,12 +230,13 @@
           switch (callback.state()) {
             case STARTED -> {
               if (!attempt.ended) {
-                dispatcher.started(clock.now(), callback.id(), attempt.number);
+                dispatcher.attemptStarted(clock.now(), callback.id(), attempt.number);
               }
             }
             case RUNNING -> {
               if (!attempt.ended) {
-                dispatcher.progressed(clock.now(), callback.id(), attempt.number, callback.share());
+                dispatcher.attemptProgressed(
+                    clock.now(), callback.id(), attempt.number, callback.share());
               }
             }
             case DONE -> {
@@ -269,7 +270,7 @@
       log.line("ready: a worker list of " + endpoints.listedCount() + " is known");
       onReady.run();
     }
-    turns.event(() -> dispatcher.members(clock.now(), updateType, workerUpdates));
+    turns.event(() -> dispatcher.endpointsUpdated(clock.now(), updateType, workerUpdates));
   }
 
   /** Records that discovery has confirmed the current endpoint list. */
@@ -300,7 +301,7 @@
    */
   public void endpointWatchFailed() {
     discoveryUnresponsive();
-    turns.event(() -> dispatcher.listFailed(clock.now()));
+    turns.event(() -> dispatcher.endpointWatchFailed(clock.now()));
   }
 
   // ---- Operators and peers ----
@@ -368,7 +369,7 @@
     return metrics.snapshot(
         inFlight,
         endpoints.listedCount(),
-        endpoints.inMaintenanceCount() + dispatcher.excluded(clock.now()));
+        endpoints.inMaintenanceCount() + dispatcher.ejectedWorkerCount(clock.now()));
   }
 
   /**
@@ -376,7 +377,7 @@
    * has the index {@code index} among them, counted from 0.
    */
   public void setProcessCount(int count, int index) {
-    turns.event(() -> dispatcher.sharedBy(clock.now(), count, index));
+    turns.event(() -> dispatcher.processesChanged(clock.now(), count, index));
   }
 
   /**
@@ -384,12 +385,12 @@
    * capacity grants for workers that warm up to other processes.
    */
   public void stopAccepting() {
-    turns.event(() -> dispatcher.acceptNoMore(clock.now()));
+    turns.event(() -> dispatcher.drainingStarted(clock.now()));
   }
 
   /** Processes a message from another node. */
   public void peerMessageReceived(int from, byte[] message) {
-    turns.event(() -> dispatcher.heard(clock.now(), from, message));
+    turns.event(() -> dispatcher.peerMessageReceived(clock.now(), from, message));
   }
 
   // ---- Completion of requests and attempts ----
@@ -411,7 +412,7 @@
   private void failOverdue(PendingRequest request) {
     if (request.failed()) {
       traces.write(request, "no-answer-at-deadline");
-      dispatcher.abandoned(clock.now(), request.job.id());
+      dispatcher.requestAbandoned(clock.now(), request.job.id());
       release(request);
     }
   }
@@ -433,7 +434,7 @@
     inFlight.forEach(attempt -> attempt.handle.cancel(() -> {}));
     request.cancelledByShutdown();
     traces.write(request, "cut-short-by-shutdown");
-    dispatcher.abandoned(clock.now(), request.job.id());
+    dispatcher.requestAbandoned(clock.now(), request.job.id());
     inFlight.forEach(
         attempt ->
             attempts.end(
@@ -459,7 +460,7 @@
   private void attemptEnded(Attempt attempt, AttemptOutcome outcome, LoadReport report) {
     PendingRequest request = attempt.request;
     double now = clock.now();
-    dispatcher.ended(
+    dispatcher.attemptEnded(
         now,
         request.job.id(),
         attempt.number,
@@ -498,7 +499,8 @@
               turns.event(
                   () -> {
                     double now = clock.now();
-                    dispatcher.checked(now, worker, outcome, now - requestedAt, report);
+                    dispatcher.healthCheckCompleted(
+                        now, worker, outcome, now - requestedAt, report);
                   }));
     }
   }
@@ -558,7 +560,9 @@
     @Override
     public void timer(double after, long token) {
       turns.action(
-          () -> timers.after(after, () -> turns.event(() -> dispatcher.timer(clock.now(), token))));
+          () ->
+              timers.after(
+                  after, () -> turns.event(() -> dispatcher.timerExpired(clock.now(), token))));
     }
 
     @Override
--- a/node/src/main/java/ferngrade/simulator/SimulatorHost.java
+++ b/node/src/main/java/ferngrade/simulator/SimulatorHost.java
@@ -114,10 +114,10 @@
       case "RESOLVED" -> resolved();
       case "BEGUN" -> {
         String id = in.text("Id");
-        dispatcher().streaming(now, id, in.nonNegativeInt("N"));
+        dispatcher().attemptStreaming(now, id, in.nonNegativeInt("N"));
       }
-      case "GONE" -> dispatcher().abandoned(now, in.text("Id"));
-      case "REMINDER" -> dispatcher().timer(now, in.integer("Token"));
+      case "GONE" -> dispatcher().requestAbandoned(now, in.text("Id"));
+      case "REMINDER" -> dispatcher().timerExpired(now, in.integer("Token"));
       case "MEMBERS" -> members();
       case "HEARD" -> peerMessage();
       case "SAMPLED" -> sampled();
@@ -158,7 +158,7 @@
     try {
       Job job =
           new Job(id, jobClass, tenant, due, (flags & 1) == 0 ? 0 : work, slots, memory, object);
-      dispatcher().arrived(now, job);
+      dispatcher().requestArrived(now, job);
     } catch (IllegalArgumentException invalid) {
       throw in.malformed("fields", invalid.getMessage());
     }
@@ -171,9 +171,9 @@
     long sort = in.integer("Sort", 0);
     double level = in.number("Level", 0);
     if (sort == 1) {
-      dispatcher().started(now, id, attempt);
+      dispatcher().attemptStarted(now, id, attempt);
     } else if (sort == 2) {
-      dispatcher().progressed(now, id, attempt, level);
+      dispatcher().attemptProgressed(now, id, attempt, level);
     }
   }
 
@@ -185,13 +185,13 @@
     AttemptOutcome outcome = outcome();
     double durationMillis = in.number("TimeTaken", 0);
     boolean finalOutcome = in.flag("Over");
-    dispatcher().ended(now, id, attempt, outcome, durationMillis, finalOutcome, report());
+    dispatcher().attemptEnded(now, id, attempt, outcome, durationMillis, finalOutcome, report());
   }
 
   private void sampled() {
     long worker = in.integer("Runner");
     AttemptOutcome outcome = outcome();
-    dispatcher().checked(now, worker, outcome, in.number("TimeTaken", 0), report());
+    dispatcher().healthCheckCompleted(now, worker, outcome, in.number("TimeTaken", 0), report());
   }
 
   private AttemptOutcome outcome() {
@@ -280,7 +280,7 @@
     String mode = in.text("Mode");
     in.integer("Version", 0);
     if (mode.equals("Error")) {
-      dispatcher().listFailed(now);
+      dispatcher().endpointWatchFailed(now);
       return;
     }
     EndpointListUpdate updateType =
@@ -294,14 +294,16 @@
     if (workers == null) {
       throw in.malformed("Ref", "names a list that was never sent");
     }
-    dispatcher().members(now, updateType, workers);
+    dispatcher().endpointsUpdated(now, updateType, workers);
   }
 
   private void peerMessage() {
     int from = in.nonNegativeInt("Author");
     String body = in.text();
     try {
-      dispatcher().heard(now, from, body == null ? new byte[0] : Base64.getDecoder().decode(body));
+      dispatcher()
+          .peerMessageReceived(
+              now, from, body == null ? new byte[0] : Base64.getDecoder().decode(body));
     } catch (IllegalArgumentException notBase64) {
       throw in.malformed("Body", "is not base64");
     }
--- a/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
+++ b/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
@@ -527,23 +527,23 @@
 
   private final class RecordingDispatcher implements Dispatcher {
     @Override
-    public void arrived(double time, Job job) {
+    public void requestArrived(double time, Job job) {
       dispatcherEvents.add("arrived " + job.id());
     }
 
     @Override
-    public void started(double time, String id, int attempt) {
+    public void attemptStarted(double time, String id, int attempt) {
       dispatcherEvents.add("started " + id + "/" + attempt);
     }
 
     @Override
-    public void progressed(double time, String id, int attempt, double share) {}
+    public void attemptProgressed(double time, String id, int attempt, double share) {}
 
     @Override
-    public void streaming(double time, String id, int attempt) {}
+    public void attemptStreaming(double time, String id, int attempt) {}
 
     @Override
-    public void ended(
+    public void attemptEnded(
         double time,
         String id,
         int attempt,
@@ -556,18 +556,19 @@
     }
 
     @Override
-    public void abandoned(double time, String id) {
+    public void requestAbandoned(double time, String id) {
       dispatcherEvents.add("abandoned " + id);
     }
 
     @Override
-    public void members(double time, EndpointListUpdate updateType, List<Worker> workers) {}
+    public void endpointsUpdated(
+        double time, EndpointListUpdate updateType, List<Worker> workers) {}
 
     @Override
-    public void listFailed(double time) {}
+    public void endpointWatchFailed(double time) {}
 
     @Override
-    public void checked(
+    public void healthCheckCompleted(
         double time,
         long worker,
         AttemptOutcome outcome,
@@ -575,9 +576,9 @@
         LoadReport report) {}
 
     @Override
-    public void heard(double time, int from, byte[] message) {}
+    public void peerMessageReceived(double time, int from, byte[] message) {}
 
     @Override
-    public void timer(double time, long token) {}
+    public void timerExpired(double time, long token) {}
   }
 }
--- a/node/src/test/java/ferngrade/server/BlockedLoopFixture.java
+++ b/node/src/test/java/ferngrade/server/BlockedLoopFixture.java
@@ -54,7 +54,7 @@
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
-              if (method.getName().equals("arrived")) {
+              if (method.getName().equals("requestArrived")) {
                 actions.refuse(((Job) arguments[1]).id(), 0);
               }
               return method.getReturnType() == int.class ? 0 : null;
--- a/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
@@ -68,12 +68,12 @@
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
               switch (method.getName()) {
-                case "members" -> {
+                case "endpointsUpdated" -> {
                   workers.clear();
                   ((List<?>) arguments[2]).forEach(entry -> workers.add(((Worker) entry).id()));
                 }
-                case "arrived" -> sendRequest(((Job) arguments[1]).id(), actions);
-                case "ended" -> {
+                case "requestArrived" -> sendRequest(((Job) arguments[1]).id(), actions);
+                case "attemptEnded" -> {
                   if (arguments[3] == AttemptOutcome.NEVER_SENT) {
                     actions.refuse((String) arguments[1], 0);
                   }
@@ -82,7 +82,7 @@
                     actions.send("a", workers.get(0), 0);
                   }
                 }
-                case "timer" -> {
+                case "timerExpired" -> {
                   blockLoop();
                   actions.send("a", workers.get(1), 0);
                 }
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -91,7 +91,7 @@
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
-              if (method.getName().equals("arrived")) {
+              if (method.getName().equals("requestArrived")) {
                 Job job = (Job) arguments[1];
                 jobs.add(job);
                 actions.refuse(job.id(), 0);
--- a/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
+++ b/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
@@ -86,7 +86,7 @@
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
-              if (method.getName().equals("arrived")) {
+              if (method.getName().equals("requestArrived")) {
                 arrivedJobs.add((Job) arguments[1]);
               }
               return method.invoke(rejecting, arguments);
--- a/node/src/test/java/ferngrade/server/UnreadCallbacksTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadCallbacksTest.java
@@ -37,8 +37,9 @@
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
               switch (method.getName()) {
-                case "members" -> workerId = ((Worker) ((List<?>) arguments[2]).get(0)).id();
-                case "arrived" -> actions.send(((Job) arguments[1]).id(), workerId, 0);
+                case "endpointsUpdated" ->
+                    workerId = ((Worker) ((List<?>) arguments[2]).get(0)).id();
+                case "requestArrived" -> actions.send(((Job) arguments[1]).id(), workerId, 0);
                 default -> {}
               }
               return method.getReturnType() == int.class ? 0 : null;
