--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
@@ -90,7 +90,7 @@
     budget.adjust(diffusion.sliceChange());
     byte[] message = diffusion.message(budget.slice());
     for (int peer : diffusion.peers()) {
-      actions.tell(peer, message);
+      actions.sendToPeer(peer, message);
     }
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/DeferredChecks.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DeferredChecks.java
@@ -21,7 +21,7 @@
   /** Calls {@code check} with the current time once {@code delay} ms have passed. */
   void schedule(double delay, DoubleConsumer check) {
     byToken.put(nextToken, check);
-    actions.timer(delay, nextToken++);
+    actions.scheduleTimer(delay, nextToken++);
   }
 
   /** Runs the check of an expired timer; ignores an unknown token. */
--- a/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
@@ -60,7 +60,7 @@
    */
   void endpointWatchFailed(double now);
 
-  /** Reports the result of a health check requested by {@link Actions#check}. */
+  /** Reports the result of a health check requested by {@link Actions#checkHealth}. */
   default void healthCheckCompleted(
       double now, long workerId, AttemptOutcome outcome, double durationMs, LoadReport report) {}
 
@@ -80,7 +80,7 @@
    */
   default void drainingStarted(double now) {}
 
-  /** Reports that a timer set by {@link Actions#timer} has expired. */
+  /** Reports that a timer set by {@link Actions#scheduleTimer} has expired. */
   void timerExpired(double now, long token);
 
   /**
@@ -111,14 +111,14 @@
      * Rejects the request as its final answer and tells the client that a retry is safe. {@code
      * retryAfterMs} is the delay in ms suggested to the client, or 0 for none.
      */
-    void refuse(String requestId, double retryAfterMs);
+    void reject(String requestId, double retryAfterMs);
 
     /**
-     * Rejects the request like {@link #refuse(String, double)}. The host may count rejections by
+     * Rejects the request like {@link #reject(String, double)}. The host may count rejections by
      * {@code cause}.
      */
-    default void refuse(String requestId, double retryAfterMs, RejectionCause cause) {
-      refuse(requestId, retryAfterMs);
+    default void reject(String requestId, double retryAfterMs, RejectionCause cause) {
+      reject(requestId, retryAfterMs);
     }
 
     /** Fails the request as its final answer; the client cannot tell whether the job has run. */
@@ -128,19 +128,19 @@
     void cancel(String requestId, int attemptNumber);
 
     /** Requests a health check of a worker. */
-    void check(long workerId);
+    void checkHealth(long workerId);
 
     /** Sends a message of at most 256 bytes to another dispatcher. */
-    void tell(int peer, byte[] message);
+    void sendToPeer(int peer, byte[] message);
 
     /**
      * Sets a timer that calls {@link Dispatcher#timerExpired} with {@code token} after {@code
      * delayMs} ms.
      */
-    void timer(double delayMs, long token);
+    void scheduleTimer(double delayMs, long token);
 
     /** Subscribes to changes of the endpoint list. */
-    void watch();
+    void watchEndpoints();
 
     /** Writes one line to the operators' log. */
     void log(String line);
--- a/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
@@ -14,7 +14,7 @@
  * @param limits the operations that the deployment permits
  * @param cold the behaviour of workers that are warming up
  * @param asks true if the dispatcher receives the endpoint list only after it calls {@link
- *     Dispatcher.Actions#watch}
+ *     Dispatcher.Actions#watchEndpoints}
  * @param tellsStart true if workers report the start of each job
  * @param liveWeights true if the endpoint list's weight of a worker is its size divided by 1 + its
  *     jobs per core
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -81,10 +81,10 @@
   }
 
   private void startTimers() {
-    actions.timer(random.nextDouble() * BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
+    actions.scheduleTimer(random.nextDouble() * BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
     if (settings.asks()) {
       double delay = 1 + FIRST_WATCH_SPREAD_MS * settings.me() / settings.dispatchers();
-      actions.timer(delay, WATCH_TOKEN);
+      actions.scheduleTimer(delay, WATCH_TOKEN);
     }
   }
 
@@ -310,7 +310,7 @@
     }
     request.completed = true;
     double cappedRetryAfterMs = Math.min(retryAfterMs, settings.limits().retryAfterMax());
-    actions.refuse(request.job.id(), cappedRetryAfterMs, cause);
+    actions.reject(request.job.id(), cappedRetryAfterMs, cause);
     requests.removeIfDone(request);
   }
 
@@ -338,7 +338,7 @@
   public void endpointWatchFailed(double now) {
     if (settings.asks()) {
       double backoff = MIN_WATCH_BACKOFF_MS + WATCH_BACKOFF_JITTER_MS * random.nextDouble();
-      actions.timer(backoff, WATCH_TOKEN);
+      actions.scheduleTimer(backoff, WATCH_TOKEN);
     }
   }
 
@@ -348,9 +348,9 @@
       budgetCycle.run(fleetLoad, serviceTimes.meanWork(), now);
       idleCapacity.startCycle(now);
       slowStartGate.startCycle(now);
-      actions.timer(BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
+      actions.scheduleTimer(BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
     } else if (token == WATCH_TOKEN) {
-      actions.watch();
+      actions.watchEndpoints();
     } else {
       checks.timerExpired(now, token);
     }
--- a/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void refuse(String requestId, double retryAfterMs) {
+    public void reject(String requestId, double retryAfterMs) {
       rejected.add(requestId);
     }
 
@@ -106,21 +106,21 @@
     }
 
     @Override
-    public void check(long workerId) {}
+    public void checkHealth(long workerId) {}
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       messagedPeers.add(peer);
       messages.add(message);
     }
 
     @Override
-    public void timer(double delayMs, long token) {
+    public void scheduleTimer(double delayMs, long token) {
       timers.add(new long[] {Math.round(delayMs), token});
     }
 
     @Override
-    public void watch() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String line) {}
--- a/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void refuse(String id, double retryAfter) {
+    public void reject(String id, double retryAfter) {
       digest.add(2, id, 0, retryAfter);
       RequestRecord request = requests.get(id);
       answer(request, id);
@@ -135,24 +135,24 @@
     }
 
     @Override
-    public void check(long worker) {
+    public void checkHealth(long worker) {
       digest.add(5, "", worker, 0);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       digest.add(6, HexFormat.of().formatHex(message), peer, 0);
       assertTrue(peer >= 0 && peer < 9 && peer != 0 && message.length <= 256);
     }
 
     @Override
-    public void timer(double delayMs, long token) {
+    public void scheduleTimer(double delayMs, long token) {
       digest.add(7, "", token, delayMs);
       timers.add(new double[] {now + delayMs, token});
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
       digest.add(8, "", 0, 0);
     }
 
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -234,12 +234,12 @@
     }
 
     @Override
-    public void timer(double delayMs, long token) {
+    public void scheduleTimer(double delayMs, long token) {
       fleet.schedule(delayMs, () -> fleet.dispatchers.get(index).timerExpired(fleet.now, token));
     }
 
     @Override
-    public void refuse(String id, double retryAfter) {}
+    public void reject(String id, double retryAfter) {}
 
     @Override
     public void fail(String id) {}
@@ -248,13 +248,13 @@
     public void cancel(String id, int attempt) {}
 
     @Override
-    public void check(long worker) {}
+    public void checkHealth(long worker) {}
 
     @Override
-    public void tell(int peer, byte[] message) {}
+    public void sendToPeer(int peer, byte[] message) {}
 
     @Override
-    public void watch() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String line) {}
--- a/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
+++ b/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
@@ -16,8 +16,8 @@
   }
 
   @Override
-  public void refuse(String id, double retryAfter) {
-    delegate.refuse(id, retryAfter);
+  public void reject(String id, double retryAfter) {
+    delegate.reject(id, retryAfter);
   }
 
   @Override
@@ -31,23 +31,23 @@
   }
 
   @Override
-  public void check(long worker) {
-    delegate.check(worker);
+  public void checkHealth(long worker) {
+    delegate.checkHealth(worker);
   }
 
   @Override
-  public void tell(int peer, byte[] message) {
-    delegate.tell(peer, message);
+  public void sendToPeer(int peer, byte[] message) {
+    delegate.sendToPeer(peer, message);
   }
 
   @Override
-  public void timer(double after, long token) {
-    delegate.timer(after, token);
+  public void scheduleTimer(double after, long token) {
+    delegate.scheduleTimer(after, token);
   }
 
   @Override
-  public void watch() {
-    delegate.watch();
+  public void watchEndpoints() {
+    delegate.watchEndpoints();
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -90,7 +90,7 @@
         jobClass.effect() == Idempotency.SAFE
             || (jobClass.effect() == Idempotency.KEYED && jobClass.scope() == IdempotencyScope.ALL);
     if (mayRunAgain || !pending.mayHaveRun) {
-      actions.refuse(pending.job.id(), 0);
+      actions.reject(pending.job.id(), 0);
     } else {
       actions.fail(pending.job.id());
     }
--- a/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
@@ -137,7 +137,7 @@
               public void send(String id, long worker, double timeout) {}
 
               @Override
-              public void refuse(String id, double retryAfter) {}
+              public void reject(String id, double retryAfter) {}
 
               @Override
               public void fail(String id) {}
@@ -146,20 +146,20 @@
               public void cancel(String id, int attempt) {}
 
               @Override
-              public void check(long worker) {}
+              public void checkHealth(long worker) {}
 
               @Override
-              public void tell(int peer, byte[] message) {
+              public void sendToPeer(int peer, byte[] message) {
                 recipients.add(peer);
               }
 
               @Override
-              public void timer(double after, long token) {
+              public void scheduleTimer(double after, long token) {
                 timers.add(token);
               }
 
               @Override
-              public void watch() {}
+              public void watchEndpoints() {}
 
               @Override
               public void log(String line) {}
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
@@ -96,7 +96,7 @@
               if (method.getName().equals("requestArrived")) {
                 double now = (Double) invocationArguments[0];
                 if (now < nextAt[0]) {
-                  actions.refuse(((Job) invocationArguments[1]).id(), 0);
+                  actions.reject(((Job) invocationArguments[1]).id(), 0);
                   return null;
                 }
                 nextAt[0] = now + 1000 / FIXED_REQUESTS_PER_SECOND;
--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -516,14 +516,14 @@
     }
 
     @Override
-    public void refuse(String id, double retryAfter) {
+    public void reject(String id, double retryAfter) {
       answer(id, request -> request.rejected(retryAfter, RejectionReason.DISPATCHER));
     }
 
     @Override
-    public void refuse(String id, double retryAfter, RejectionCause cause) {
+    public void reject(String id, double retryAfter, RejectionCause cause) {
       metrics.rejectedFor(cause);
-      refuse(id, retryAfter);
+      reject(id, retryAfter);
     }
 
     @Override
@@ -548,17 +548,17 @@
     }
 
     @Override
-    public void check(long worker) {
+    public void checkHealth(long worker) {
       turns.action(() -> RequestCoordinator.this.check(worker));
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       turns.action(() -> peers.send(peer, message));
     }
 
     @Override
-    public void timer(double after, long token) {
+    public void scheduleTimer(double after, long token) {
       turns.action(
           () ->
               timers.after(
@@ -566,7 +566,7 @@
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
       // Nothing to do: the discovery watch is always open.
     }
 
--- a/node/src/main/java/ferngrade/simulator/WireWriter.java
+++ b/node/src/main/java/ferngrade/simulator/WireWriter.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void refuse(String id, double retryAfter) {
+    public void reject(String id, double retryAfter) {
       begin("PUSH_BACK ").put(id);
       if (retryAfter > 0) {
         space().millis(retryAfter);
@@ -59,23 +59,23 @@
     }
 
     @Override
-    public void check(long worker) {
+    public void checkHealth(long worker) {
       begin("SOUND_OUT ").put(worker).line();
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       String body = message.length == 0 ? "-" : Base64.getEncoder().encodeToString(message);
       begin("SIGNAL ").put(peer).space().put(body).line();
     }
 
     @Override
-    public void timer(double after, long token) {
+    public void scheduleTimer(double after, long token) {
       begin("WAKE_AT ").millis(after).space().put(token).line();
     }
 
     @Override
-    public void watch() {
+    public void watchEndpoints() {
       begin("FOLLOW 1").line();
     }
 
--- a/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
+++ b/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
@@ -306,7 +306,7 @@
   @Test
   public void sendsFinalAnswerOnceAndImmediately() {
     request("a", 5000);
-    actions.refuse("a", 500);
+    actions.reject("a", 500);
     actions.fail("a");
     runTurn();
     assertEquals(answers, List.of("refused 500.0"));
@@ -317,7 +317,7 @@
   public void rejectsIdOfFinishedRequestUntilItIsEvicted() {
     for (String id : List.of("a", "b", "c")) {
       request(id, 5000);
-      actions.refuse(id, 0);
+      actions.reject(id, 0);
       runTurn();
       assertFalse(coordinator.request(job(id, 5000), call(id), new AnswerRecorder()), id);
     }
@@ -442,7 +442,7 @@
     for (double late : new double[] {90, 110}) {
       request("a" + late, now + 5_000);
       now += 5_000 + late;
-      actions.refuse("a" + late, 0);
+      actions.reject("a" + late, 0);
       runTurn();
     }
     List<String> traced = log.stream().filter(line -> line.contains("answered-late")).toList();
--- a/node/src/test/java/ferngrade/server/BlockedLoopFixture.java
+++ b/node/src/test/java/ferngrade/server/BlockedLoopFixture.java
@@ -55,7 +55,7 @@
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
               if (method.getName().equals("requestArrived")) {
-                actions.refuse(((Job) arguments[1]).id(), 0);
+                actions.reject(((Job) arguments[1]).id(), 0);
               }
               return method.getReturnType() == int.class ? 0 : null;
             });
--- a/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
@@ -75,7 +75,7 @@
                 case "requestArrived" -> sendRequest(((Job) arguments[1]).id(), actions);
                 case "attemptEnded" -> {
                   if (arguments[3] == AttemptOutcome.NEVER_SENT) {
-                    actions.refuse((String) arguments[1], 0);
+                    actions.reject((String) arguments[1], 0);
                   }
                   if (cause == Cause.DECLINED_ATTEMPT && arguments[3] == AttemptOutcome.FULL) {
                     blockLoop();
@@ -99,7 +99,7 @@
     }
     actions.send(id, workers.get(hedged && id.equals("b") ? 1 : 0), 0);
     if (id.equals("a") && hedged) {
-      actions.timer(100, 1);
+      actions.scheduleTimer(100, 1);
     }
   }
 
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -94,7 +94,7 @@
               if (method.getName().equals("requestArrived")) {
                 Job job = (Job) arguments[1];
                 jobs.add(job);
-                actions.refuse(job.id(), 0);
+                actions.reject(job.id(), 0);
               }
               return method.getReturnType() == int.class ? 0 : null;
             });
