--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
@@ -29,12 +29,13 @@
 
   /** Creates a budget without a slice; the first cycle after {@code now} sets it. */
   BudgetCycle(DispatcherSettings settings, SlotBudget budget, double now, Actions actions) {
-    this.exchangesWithPeers = settings.limits().peers();
+    this.exchangesWithPeers = settings.limits().peerMessages();
     this.actions = actions;
     this.budget = budget;
     this.quotas = new TenantQuotas(settings.tenants());
-    this.classPriorities = new ClassPriorities(settings.classes(), settings.goal());
-    this.diffusion = new BudgetDiffusion(settings.me(), settings.dispatchers(), quotas);
+    this.classPriorities = new ClassPriorities(settings.classes(), settings.objective());
+    this.diffusion =
+        new BudgetDiffusion(settings.dispatcherIndex(), settings.dispatcherCount(), quotas);
     this.cycleStartedAt = now;
   }
 
--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetDiffusion.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetDiffusion.java
@@ -20,8 +20,8 @@
   private double sentExcessDemand;
   private int cycle;
 
-  BudgetDiffusion(int dispatcherIndex, int dispatchers, TenantQuotas quotas) {
-    this.peers = PeerGraph.peersOf(dispatcherIndex, dispatchers);
+  BudgetDiffusion(int dispatcherIndex, int dispatcherCount, TenantQuotas quotas) {
+    this.peers = PeerGraph.peersOf(dispatcherIndex, dispatcherCount);
     this.quotas = quotas;
   }
 
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -49,7 +49,7 @@
     if (!registry.isLocal(worker)) {
       double latencyObjective =
           request.jobClass.aim() + request.jobClass.stretch() * serviceTimes.mean();
-      cost += CROSS_ZONE_DELAY_FACTOR * settings.crossCharge() * latencyObjective;
+      cost += CROSS_ZONE_DELAY_FACTOR * settings.crossZoneCost() * latencyObjective;
     }
     return cost + registry.roundTripTime(worker);
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
@@ -46,6 +46,6 @@
       totalWork += recentWork[i];
     }
     double gain = classes.get(jobClass).worth() * totalWork - totalValue;
-    return objective.whole() * gain > objective.worstClass() * totalValue;
+    return objective.totalValueWeight() * gain > objective.worstClassWeight() * totalValue;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
@@ -43,7 +43,7 @@
    */
   boolean appliesTo(PendingRequest request) {
     return request.jobClass.effect() != Idempotency.UNSAFE
-        && settings.limits().secondCopies()
+        && settings.limits().hedging()
         && retries.attemptsLeft(request);
   }
 
@@ -52,7 +52,7 @@
    * started.
    */
   double delay(PendingRequest request, WorkerStats worker) {
-    double minDelay = 2 * settings.roundMs() + 2 * registry.roundTripTime(worker);
+    double minDelay = 2 * settings.eventBatchIntervalMs() + 2 * registry.roundTripTime(worker);
     return Math.max(minDelay, DELAY_FRACTION * deadlines.spareTime(request, worker));
   }
 
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
@@ -20,16 +20,16 @@
    * Returns the numbers of this dispatcher's peers, in ascending order. Links are symmetric: each
    * peer has this dispatcher among its own peers.
    */
-  static int[] peersOf(int dispatcherIndex, int dispatchers) {
-    if (dispatchers <= MAX_PEERS + 1) {
-      return IntStream.range(0, dispatchers).filter(peer -> peer != dispatcherIndex).toArray();
+  static int[] peersOf(int dispatcherIndex, int dispatcherCount) {
+    if (dispatcherCount <= MAX_PEERS + 1) {
+      return IntStream.range(0, dispatcherCount).filter(peer -> peer != dispatcherIndex).toArray();
     }
     int[] peers = new int[MAX_PEERS];
     int chords = MAX_PEERS / 2;
     for (int i = 0; i < chords; i++) {
-      int distance = (int) Math.round(Math.pow(dispatchers / 2.0, (double) i / chords));
-      peers[2 * i] = Math.floorMod(dispatcherIndex + distance, dispatchers);
-      peers[2 * i + 1] = Math.floorMod(dispatcherIndex - distance, dispatchers);
+      int distance = (int) Math.round(Math.pow(dispatcherCount / 2.0, (double) i / chords));
+      peers[2 * i] = Math.floorMod(dispatcherIndex + distance, dispatcherCount);
+      peers[2 * i + 1] = Math.floorMod(dispatcherIndex - distance, dispatcherCount);
     }
     return Arrays.stream(peers).sorted().distinct().toArray();
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -6,20 +6,20 @@
  */
 final class RetryPolicy {
   private final DeploymentLimits limits;
-  private final double roundMs;
+  private final double eventBatchIntervalMs;
 
   /**
-   * Creates a policy. {@code roundMs} is the time between batches of events, by which decisions are
-   * made ahead of each deadline.
+   * Creates a policy. {@code eventBatchIntervalMs} is the time between batches of events, by which
+   * decisions are made ahead of each deadline.
    */
-  RetryPolicy(DeploymentLimits limits, double roundMs) {
+  RetryPolicy(DeploymentLimits limits, double eventBatchIntervalMs) {
     this.limits = limits;
-    this.roundMs = roundMs;
+    this.eventBatchIntervalMs = eventBatchIntervalMs;
   }
 
   /** Returns true if the request has attempts left. */
   boolean attemptsLeft(PendingRequest request) {
-    return request.attempts.size() < limits.tries();
+    return request.attempts.size() < limits.maxAttempts();
   }
 
   /** Returns true if another attempt is safe and can still be useful to the client. */
@@ -27,7 +27,7 @@
     if (request.completed || !attemptsLeft(request) || now >= request.job.due()) {
       return false;
     }
-    if (request.inFlight > 0 && !limits.secondCopies()) {
+    if (request.inFlight > 0 && !limits.hedging()) {
       return false;
     }
     Attempt firstAttempt = request.firstThatMayHaveRun();
@@ -36,7 +36,7 @@
     }
     return switch (request.jobClass.effect()) {
       case SAFE -> true;
-      case KEYED -> now < firstAttempt.sentAt + request.jobClass.window() - roundMs;
+      case KEYED -> now < firstAttempt.sentAt + request.jobClass.window() - eventBatchIntervalMs;
       case UNSAFE -> false;
     };
   }
@@ -55,7 +55,7 @@
    * Returns true if the client has stopped waiting or will do so before the next batch of events.
    */
   boolean deadlineReached(PendingRequest request, double now) {
-    return now >= request.job.due() - roundMs;
+    return now >= request.job.due() - eventBatchIntervalMs;
   }
 
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/ServiceObjective.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ServiceObjective.java
@@ -3,12 +3,12 @@
 /**
  * The service objective. A weight is 0 if it is not configured.
  *
- * @param whole weight of the total value served
- * @param worstClass weight of the served share of the worst class
+ * @param totalValueWeight weight of the total value served
+ * @param worstClassWeight weight of the served share of the worst class
  */
-public record ServiceObjective(double whole, double worstClass) {
+public record ServiceObjective(double totalValueWeight, double worstClassWeight) {
   public ServiceObjective {
-    Preconditions.checkRange(whole >= 0, "Goal.whole", whole);
-    Preconditions.checkRange(worstClass >= 0, "Goal.worstClass", worstClass);
+    Preconditions.checkRange(totalValueWeight >= 0, "Goal.whole", totalValueWeight);
+    Preconditions.checkRange(worstClassWeight >= 0, "Goal.worstClass", worstClassWeight);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -54,7 +54,7 @@
 
   private final SlowStartPolicy policy;
   private final int dispatcherIndex;
-  private final int dispatchers;
+  private final int dispatcherCount;
 
   /** Number of concurrent processes of this dispatcher. */
   private int processCount = 1;
@@ -65,10 +65,10 @@
   private boolean stopped;
   private final Map<Long, Account> accounts = new HashMap<>();
 
-  SlowStart(SlowStartPolicy policy, int dispatcherIndex, int dispatchers) {
+  SlowStart(SlowStartPolicy policy, int dispatcherIndex, int dispatcherCount) {
     this.policy = policy;
     this.dispatcherIndex = dispatcherIndex;
-    this.dispatchers = dispatchers;
+    this.dispatcherCount = dispatcherCount;
   }
 
   /**
@@ -92,7 +92,7 @@
    * divided.
    */
   int participants() {
-    return dispatchers * processCount;
+    return dispatcherCount * processCount;
   }
 
   /** A request sent to a worker at time {@code at} (ms). The cost is in requests of mean work. */
@@ -117,12 +117,12 @@
 
   /** Returns true while the worker may fail under a load that it can sustain once it is warm. */
   boolean warmingUp(Worker worker, double now) {
-    return worker.startedAt() > 0 && now - worker.startedAt() < policy.coldMs();
+    return worker.startedAt() > 0 && now - worker.startedAt() < policy.warmUpMs();
   }
 
   /** Returns the minimum share of its capacity that a worker of this age has. */
   double capacityShare(Worker worker, double now) {
-    return policy.coldMs() == 0 ? 1 : capacityShareAt(age(worker, now));
+    return policy.warmUpMs() == 0 ? 1 : capacityShareAt(age(worker, now));
   }
 
   /**
@@ -146,13 +146,13 @@
    * have restarted without this dispatcher being notified yet.
    */
   void requestSent(Worker worker, double cost, double now) {
-    if (policy.coldMs() == 0) {
+    if (policy.warmUpMs() == 0) {
       return;
     }
     Account account = account(worker);
     account.usedGrants += cost;
     account.recentRequests.add(new SentRequest(now, cost));
-    while (account.recentRequests.peek().at() <= now - policy.tipMs()) {
+    while (account.recentRequests.peek().at() <= now - policy.overloadWindowMs()) {
       account.recentRequests.remove();
     }
   }
@@ -173,7 +173,8 @@
     }
     double elapsed = now - account.receivedAt;
     double meanAge = (age(worker, now) + age(worker, account.receivedAt)) / 2;
-    account.receivedGrants += grantsPerWindow(capacity, meanAge) * elapsed / policy.tipMs();
+    account.receivedGrants +=
+        grantsPerWindow(capacity, meanAge) * elapsed / policy.overloadWindowMs();
     account.receivedAt = now;
     double unexpiredGrants = grantsPerWindow(capacity, age(worker, now)) * GRANT_LIFETIME_WINDOWS;
     account.usedGrants =
@@ -191,11 +192,12 @@
     long processNumber = (long) dispatcherIndex * processCount + processIndex;
     double offset = Math.floorMod(processNumber + worker.id() * OFFSET_STRIDE, (long) participants);
     account.receivedGrants =
-        offset / participants + grantsPerWindow(capacity, age / 2) * age / policy.tipMs();
+        offset / participants
+            + grantsPerWindow(capacity, age / 2) * age / policy.overloadWindowMs();
     account.receivedAt = now;
     double alreadySent =
         account.recentRequests.stream()
-            .filter(sent -> sent.at() > now - policy.tipMs())
+            .filter(sent -> sent.at() > now - policy.overloadWindowMs())
             .filter(sent -> sent.at() >= worker.startedAt())
             .mapToDouble(SentRequest::cost)
             .sum();
@@ -206,7 +208,12 @@
 
   /** Returns the number of grants of this process per window for a worker of this age. */
   private double grantsPerWindow(double capacity, double age) {
-    double limit = policy.fallMultiple() * capacityShareAt(age) * capacity * policy.tipMs() / 1000;
+    double limit =
+        policy.overloadFactor()
+            * capacityShareAt(age)
+            * capacity
+            * policy.overloadWindowMs()
+            / 1000;
     double granted = LIMIT_SHARE * limit + TOLERANCE_SHARE * tolerance(limit);
     return Math.max(MIN_GRANTS, granted) / participants();
   }
@@ -222,7 +229,7 @@
 
   private double capacityShareAt(double age) {
     return policy.startCapacity()
-        + (1 - policy.startCapacity()) * Math.min(1, age / policy.coldMs());
+        + (1 - policy.startCapacity()) * Math.min(1, age / policy.warmUpMs());
   }
 
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -55,20 +55,20 @@
   public ThrottlingDispatcher(DispatcherSettings settings, long seed, double now, Actions actions) {
     this.settings = settings;
     this.actions = actions;
-    int dispatchers = settings.dispatchers();
+    int dispatcherCount = settings.dispatcherCount();
     random = new SplittableRandom(seed);
     checks = new DeferredChecks(actions);
     registry = new WorkerRegistry(settings.zone(), settings.classes().size());
     serviceTimes = new ServiceTimeEstimator(settings.classes().size());
-    budget = new SlotBudget(settings.liveWeights());
+    budget = new SlotBudget(settings.weightsIncludeLoad());
     budgetCycle = new BudgetCycle(settings, budget, now, actions);
-    waits = new WaitEstimator(registry, serviceTimes, budget, dispatchers);
+    waits = new WaitEstimator(registry, serviceTimes, budget, dispatcherCount);
     deadlines = new StartDeadlines(serviceTimes, waits, budget);
     outliers = new OutlierDetector(registry, serviceTimes, random);
-    slowStart = new SlowStart(settings.cold(), settings.me(), dispatchers);
+    slowStart = new SlowStart(settings.slowStart(), settings.dispatcherIndex(), dispatcherCount);
     fleetLoad = new FleetLoadMeter(registry, outliers, slowStart);
     slowStartGate = new SlowStartGate(registry, slowStart, serviceTimes, budget, fleetLoad);
-    retries = new RetryPolicy(settings.limits(), settings.roundMs());
+    retries = new RetryPolicy(settings.limits(), settings.eventBatchIntervalMs());
     hedging = new HedgingPolicy(settings, registry, deadlines, retries);
     CandidateFilter filter =
         new CandidateFilter(retries, slowStartGate, outliers, deadlines, budget);
@@ -82,8 +82,9 @@
 
   private void startTimers() {
     actions.scheduleTimer(random.nextDouble() * BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
-    if (settings.asks()) {
-      double delay = 1 + FIRST_WATCH_SPREAD_MS * settings.me() / settings.dispatchers();
+    if (settings.watchesEndpoints()) {
+      double delay =
+          1 + FIRST_WATCH_SPREAD_MS * settings.dispatcherIndex() / settings.dispatcherCount();
       actions.scheduleTimer(delay, WATCH_TOKEN);
     }
   }
@@ -176,7 +177,7 @@
     slowStartGate.attemptSent(request, worker, now);
     outliers.attemptSent(worker, request.job.jobClass(), now);
     actions.send(request.job.id(), worker.id, 0);
-    if (settings.tellsStart()) {
+    if (settings.workersReportStart()) {
       scheduleStartChecks(request, attempt);
     }
   }
@@ -210,7 +211,7 @@
     if (worker == null) {
       return;
     }
-    if (request.inFlight > 1 && newestAttempt.inFlight() && settings.limits().cancel()) {
+    if (request.inFlight > 1 && newestAttempt.inFlight() && settings.limits().cancellation()) {
       actions.cancel(request.job.id(), newestAttemptNumber);
     }
     hedging.hedgeSent();
@@ -237,7 +238,7 @@
    * is running.
    */
   private void cancelWaitingAttempts(PendingRequest request, int attemptNumber) {
-    if (!settings.limits().cancel()) {
+    if (!settings.limits().cancellation()) {
       return;
     }
     for (int i = 0; i < request.attempts.size() && request.inFlight > 1; i++) {
@@ -285,7 +286,7 @@
   }
 
   private void reportReceived(WorkerStats worker, LoadReport report, double now) {
-    if (!settings.liveWeights()) {
+    if (!settings.weightsIncludeLoad()) {
       registry.learnSlots(worker, report);
     }
     outliers.reportReceived(worker, report, now);
@@ -309,7 +310,7 @@
       return;
     }
     request.completed = true;
-    double cappedRetryAfterMs = Math.min(retryAfterMs, settings.limits().retryAfterMax());
+    double cappedRetryAfterMs = Math.min(retryAfterMs, settings.limits().maxRetryAfterMs());
     actions.reject(request.job.id(), cappedRetryAfterMs, cause);
     requests.removeIfDone(request);
   }
@@ -336,7 +337,7 @@
 
   @Override
   public void endpointWatchFailed(double now) {
-    if (settings.asks()) {
+    if (settings.watchesEndpoints()) {
       double backoff = MIN_WATCH_BACKOFF_MS + WATCH_BACKOFF_JITTER_MS * random.nextDouble();
       actions.scheduleTimer(backoff, WATCH_TOKEN);
     }
--- a/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
@@ -21,17 +21,17 @@
   private final WorkerRegistry registry;
   private final ServiceTimeEstimator serviceTimes;
   private final SlotBudget budget;
-  private final int dispatchers;
+  private final int dispatcherCount;
 
   WaitEstimator(
       WorkerRegistry registry,
       ServiceTimeEstimator serviceTimes,
       SlotBudget budget,
-      int dispatchers) {
+      int dispatcherCount) {
     this.registry = registry;
     this.serviceTimes = serviceTimes;
     this.budget = budget;
-    this.dispatchers = dispatchers;
+    this.dispatcherCount = dispatcherCount;
   }
 
   /** Updates the round-trip time and the wait from an attempt's start. */
@@ -66,7 +66,7 @@
   double expected(WorkerStats worker, double now) {
     double observedWait = observed(worker, now);
     return budget.followsLoads()
-        ? observedWait + (byListedLoad(worker, now) - observedWait) / Math.max(2, dispatchers)
+        ? observedWait + (byListedLoad(worker, now) - observedWait) / Math.max(2, dispatcherCount)
         : observedWait;
   }
 
--- a/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
@@ -26,8 +26,8 @@
       int dispatchers,
       JobClass jobClass,
       List<Tenant> tenants,
-      boolean secondCopies) {
-    return settings(dispatcherIndex, dispatchers, jobClass, tenants, secondCopies, false);
+      boolean hedging) {
+    return settings(dispatcherIndex, dispatchers, jobClass, tenants, hedging, false);
   }
 
   static DispatcherSettings settings(
@@ -35,9 +35,9 @@
       int dispatchers,
       JobClass jobClass,
       List<Tenant> tenants,
-      boolean secondCopies,
+      boolean hedging,
       boolean loadsListed) {
-    DeploymentLimits limits = new DeploymentLimits(3, secondCopies, true, true, true, 1_000);
+    DeploymentLimits limits = new DeploymentLimits(3, hedging, true, true, true, 1_000);
     return new DispatcherSettings(
         dispatcherIndex,
         dispatchers,
--- a/dispatch/src/test/java/ferngrade/dispatch/HedgingPolicyTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/HedgingPolicyTest.java
@@ -23,7 +23,7 @@
     SlotBudget budget = new SlotBudget(false);
     WaitEstimator waits = new WaitEstimator(registry, serviceTimes, budget, 1);
     StartDeadlines deadlines = new StartDeadlines(serviceTimes, waits, budget);
-    RetryPolicy retries = new RetryPolicy(settings.limits(), settings.roundMs());
+    RetryPolicy retries = new RetryPolicy(settings.limits(), settings.eventBatchIntervalMs());
     hedging = new HedgingPolicy(settings, registry, deadlines, retries);
   }
 
--- a/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
@@ -220,7 +220,7 @@
                 classes,
                 base.tenants(),
                 base.limits(),
-                base.cold(),
+                base.slowStart(),
                 false,
                 true,
                 false,
--- a/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
@@ -43,7 +43,7 @@
                 List.of(classes),
                 base.tenants(),
                 base.limits(),
-                base.cold(),
+                base.slowStart(),
                 false,
                 true,
                 false,
--- a/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -318,7 +318,7 @@
       }
       double ratePerWorker = served / 10 / 2;
       double budget =
-          Fixture.SLOW_START.fallMultiple()
+          Fixture.SLOW_START.overloadFactor()
               * Fixture.SLOW_START.startCapacity()
               * ratePerWorker
               * 3;
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -189,7 +189,7 @@
      */
     double maxShareOfLimit() {
       double maxShare = 0;
-      double windowMs = deployment.policy().tipMs();
+      double windowMs = deployment.policy().overloadWindowMs();
       for (int last = 0; last < arrivals.size(); last++) {
         double windowEnd = arrivals.get(last).time();
         double work = 0;
@@ -206,12 +206,12 @@
       SlowStartPolicy policy = deployment.policy();
       double capacityShare =
           policy.startCapacity()
-              + (1 - policy.startCapacity()) * (time - RESTART_TIME) / policy.coldMs();
+              + (1 - policy.startCapacity()) * (time - RESTART_TIME) / policy.warmUpMs();
       double limit =
-          policy.fallMultiple()
+          policy.overloadFactor()
               * capacityShare
               * deployment.size()
-              * policy.tipMs()
+              * policy.overloadWindowMs()
               / deployment.meanWork();
       return limit < 30 ? limit + 3 * Math.sqrt(limit) + 3 : limit + 2 * Math.sqrt(limit) + 2;
     }
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartTest.java
@@ -27,8 +27,8 @@
   }
 
   private static double limit(double capacity, double time) {
-    double capacityShare = Math.min(1, 0.2 + 0.8 * (time - START) / POLICY.coldMs());
-    return POLICY.fallMultiple() * capacityShare * capacity * POLICY.tipMs() / 1000;
+    double capacityShare = Math.min(1, 0.2 + 0.8 * (time - START) / POLICY.warmUpMs());
+    return POLICY.overloadFactor() * capacityShare * capacity * POLICY.overloadWindowMs() / 1000;
   }
 
   private static double sum(List<SentRequest> sends, double after, double until) {
@@ -55,7 +55,7 @@
     SplittableRandom random = new SplittableRandom(3);
     List<SentRequest> sends = new ArrayList<>();
     List<SlowStart> running = fleet;
-    for (double now = START; now < START + POLICY.coldMs(); now += STEP) {
+    for (double now = START; now < START + POLICY.warmUpMs(); now += STEP) {
       if (now == restartAt) {
         running = fleet(fleet.size());
       }
@@ -75,7 +75,7 @@
     for (SentRequest latest : sends) {
       double limit = limit(capacity, latest.at());
       double tolerance = limit < 30 ? 3 * Math.sqrt(limit) + 3 : 2 * Math.sqrt(limit) + 2;
-      double sent = sum(sends, latest.at() - POLICY.tipMs(), latest.at());
+      double sent = sum(sends, latest.at() - POLICY.overloadWindowMs(), latest.at());
       assertTrue(sent <= limit + tolerance, sent + " of " + limit + " at " + latest.at());
     }
   }
@@ -88,7 +88,10 @@
   void staysWithinLimitInEveryWindowAndUsesBudget(int dispatchers, double capacity) {
     List<SentRequest> steady = sendGreedily(fleet(dispatchers), capacity, 6_000, 0);
     assertWithinLimit(steady, capacity);
-    double mean = limit(capacity, START + POLICY.coldMs() / 2) * POLICY.coldMs() / POLICY.tipMs();
+    double mean =
+        limit(capacity, START + POLICY.warmUpMs() / 2)
+            * POLICY.warmUpMs()
+            / POLICY.overloadWindowMs();
     double used = sum(steady, 0, Double.MAX_VALUE);
     assertTrue(used >= 0.3 * mean, used + " of " + mean);
     assertWithinLimit(sendGreedily(fleet(dispatchers), capacity, 3_000, 0), capacity);
@@ -133,7 +136,7 @@
   void hasNoLimitForWarmWorkersOrWithoutSlowStart() {
     SlowStart slowStart = new SlowStart(POLICY, 0, 100);
     assertTrue(slowStart.allows(worker(0), 1e6, 0, START));
-    assertTrue(slowStart.allows(worker(START), 1e6, 0, START + POLICY.coldMs()));
+    assertTrue(slowStart.allows(worker(START), 1e6, 0, START + POLICY.warmUpMs()));
     SlowStart disabled = new SlowStart(new SlowStartPolicy(1, 0, 1, 1_000), 0, 100);
     assertTrue(disabled.allows(worker(START), 1e6, 0, START));
     assertEquals(1, disabled.capacityShare(worker(START), START));
--- a/dispatch/src/test/java/ferngrade/dispatch/WorkerSelectorTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/WorkerSelectorTest.java
@@ -34,10 +34,10 @@
     budget = new SlotBudget(true);
     WaitEstimator waits = new WaitEstimator(registry, serviceTimes, budget, DISPATCHERS);
     StartDeadlines deadlines = new StartDeadlines(serviceTimes, waits, budget);
-    SlowStart slowStart = new SlowStart(settings.cold(), 0, 1);
+    SlowStart slowStart = new SlowStart(settings.slowStart(), 0, 1);
     FleetLoadMeter fleetLoad = new FleetLoadMeter(registry, outliers, slowStart);
     slowStartGate = new SlowStartGate(registry, slowStart, serviceTimes, budget, fleetLoad);
-    RetryPolicy retries = new RetryPolicy(settings.limits(), settings.roundMs());
+    RetryPolicy retries = new RetryPolicy(settings.limits(), settings.eventBatchIntervalMs());
     CandidateFilter filter =
         new CandidateFilter(retries, slowStartGate, outliers, deadlines, budget);
     CandidateCost cost = new CandidateCost(settings, registry, serviceTimes, waits, slowStartGate);
@@ -93,7 +93,7 @@
         .ready()
         .filter(worker -> worker.id != WARMING_ID)
         .forEach(worker -> addAttempt(worker, now));
-    double oneWindowLater = now + Fixture.SLOW_START.tipMs();
+    double oneWindowLater = now + Fixture.SLOW_START.overloadWindowMs();
     slowStartGate.startCycle(now);
     slowStartGate.startCycle(oneWindowLater);
     assertEquals(WARMING_ID, selector.select(request, null, oneWindowLater).id);
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -72,7 +72,7 @@
       candidates = ready.stream().filter(worker -> !tried.contains(worker.id())).toList();
     }
     boolean exhausted =
-        pending.tried.size() >= settings.limits().tries() || now >= pending.job.due();
+        pending.tried.size() >= settings.limits().maxAttempts() || now >= pending.job.due();
     Worker worker = exhausted || candidates.isEmpty() ? null : pick(candidates, pending.job);
     if (worker == null) {
       answer(pending);
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -302,7 +302,7 @@
     return new RequestCoordinator.RequestLimits(
         Math.min(config.maxOpenRequests(), REQUESTS_PER_MB * config.memoryMb()),
         bytes,
-        Math.min(OVERLOAD_RETRY_AFTER_MILLIS, config.settings().limits().retryAfterMax()));
+        Math.min(OVERLOAD_RETRY_AFTER_MILLIS, config.settings().limits().maxRetryAfterMs()));
   }
 
   /** Wires the components together on the event loop and returns the pending binds. */
@@ -437,7 +437,9 @@
 
   private DiscoveryWatch createWatch(InetSocketAddress address, Runnable whenListed) {
     DiscoveryWatch.Mode mode =
-        config.settings().asks() ? DiscoveryWatch.Mode.ASKED : DiscoveryWatch.Mode.PUSHED;
+        config.settings().watchesEndpoints()
+            ? DiscoveryWatch.Mode.ASKED
+            : DiscoveryWatch.Mode.PUSHED;
     return new DiscoveryWatch(
         group,
         address,
@@ -457,7 +459,7 @@
    * so the stored list is used at once.
    */
   private void useStoredList(List<Endpoint> entries) {
-    if (config.settings().asks()) {
+    if (config.settings().watchesEndpoints()) {
       coordinator.updateEndpoints(EndpointListUpdate.STORED, entries);
     } else {
       coordinator.keepStoredEndpoints(entries);
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -36,7 +36,7 @@
     assertEquals(config.settings().classes().size(), 2);
     assertEquals(config.settings().classes().get(0).effect(), Idempotency.KEYED);
     assertEquals(config.settings().classes().get(1).stretch(), 1.75);
-    assertEquals(config.settings().limits().retryAfterMax(), 2000.0);
+    assertEquals(config.settings().limits().maxRetryAfterMs(), 2000.0);
     assertEquals(config.connectionIdle(), 60000.0);
     assertEquals(config.sockets(), 512);
     assertEquals(config.peers().size(), 2);
