--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
@@ -72,16 +72,16 @@
   }
 
   /**
-   * Returns the budget as of the last cycle, with {@code heldSlots} as the slots of the attempts in
-   * flight.
+   * Returns the budget as of the last cycle, with {@code slotsInFlight} as the slots of the
+   * attempts in flight.
    */
-  BudgetState state(double heldSlots) {
+  BudgetState state(double slotsInFlight) {
     return new BudgetState(
         budget.slice(),
         demand,
         budget.acceptedRate(),
         budget.rejectedShare(),
-        heldSlots,
+        slotsInFlight,
         lastLoad.size(),
         lastLoad.busy(),
         budget.followsLoads());
--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetState.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetState.java
@@ -8,7 +8,7 @@
  * @param demand smoothed rate of slots that clients request
  * @param accepted smoothed rate of slots that workers accepted in time
  * @param rejectedShare smoothed share of attempts that workers rejected or started late
- * @param heldSlots slots of the attempts from this dispatcher that are in flight
+ * @param slotsInFlight slots of the attempts from this dispatcher that are in flight
  * @param fleetSize number of ready and reachable cores, or of workers if no sizes are listed
  * @param fleetBusy part of {@code fleetSize} that is busy according to the endpoint list
  * @param followsLoads true if the slice follows the loads in the endpoint list
@@ -18,7 +18,7 @@
     double demand,
     double accepted,
     double rejectedShare,
-    double heldSlots,
+    double slotsInFlight,
     double fleetSize,
     double fleetBusy,
     boolean followsLoads) {}
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -48,7 +48,8 @@
             + FETCH_COST * serviceTimes.meanWork() * fetchFraction;
     if (!registry.isLocal(worker)) {
       double latencyObjective =
-          request.jobClass.aim() + request.jobClass.stretch() * serviceTimes.mean();
+          request.jobClass.latencyObjectiveMs()
+              + request.jobClass.latencyObjectiveFactor() * serviceTimes.mean();
       cost += CROSS_ZONE_DELAY_FACTOR * settings.crossZoneCost() * latencyObjective;
     }
     return cost + registry.roundTripTime(worker);
@@ -57,16 +58,16 @@
   /**
    * Returns the expected wait for a start. For a worker that is warming up it follows the listed
    * load alone: only a few dispatchers have a grant for the worker, so they cannot overload it, and
-   * none of them has observed waits there. For other workers the slots held by this dispatcher come
-   * first, each worth a mean service time divided by the worker's slots, if reports include the
-   * number of slots. If many dispatchers relied on the listed sizes, they would overload the large
-   * workers.
+   * none of them has observed waits there. For other workers this dispatcher's slots in flight come
+   * first, each counted as a mean service time divided by the worker's slots, if reports include
+   * the number of slots. If many dispatchers relied on the listed sizes, they would overload the
+   * large workers.
    */
   private double queueingDelay(WorkerStats worker, double now) {
     if (slowStartGate.warmingUp(worker, now) && waits.followsLoads()) {
       return waits.byListedLoad(worker, now);
     }
-    return registry.effectiveHeldSlots(worker) * serviceTimes.mean() / worker.group.slots
+    return registry.effectiveSlotsInFlight(worker) * serviceTimes.mean() / worker.group.slots
         + waits.expected(worker, now);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
@@ -25,14 +25,14 @@
   }
 
   /**
-   * Returns true if the request may be sent to the worker at all: checks readiness, kind,
+   * Returns true if the request may be sent to the worker at all: checks readiness, worker type,
    * idempotency group and slow start.
    */
   boolean permits(PendingRequest request, Attempt groupAttempt, WorkerStats worker, double now) {
-    int kind = request.jobClass.kind();
+    int workerType = request.jobClass.workerType();
     return worker.entry.state() == WorkerState.READY
-        && (kind < 0 || kind == worker.entry.kind())
-        && retries.sameGroup(groupAttempt, worker, request.jobClass.scope())
+        && (workerType < 0 || workerType == worker.entry.workerType())
+        && retries.sameGroup(groupAttempt, worker, request.jobClass.idempotencyScope())
         && slowStartGate.allows(request, worker, now);
   }
 
--- a/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
@@ -42,10 +42,10 @@
     double totalValue = 0;
     double totalWork = 0;
     for (int i = 0; i < recentWork.length; i++) {
-      totalValue += recentWork[i] * classes.get(i).worth();
+      totalValue += recentWork[i] * classes.get(i).value();
       totalWork += recentWork[i];
     }
-    double gain = classes.get(jobClass).worth() * totalWork - totalValue;
+    double gain = classes.get(jobClass).value() * totalWork - totalValue;
     return objective.totalValueWeight() * gain > objective.worstClassWeight() * totalValue;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
@@ -6,9 +6,9 @@
  * Decides for one dispatcher which jobs to admit, where to send them and when to retry. The host
  * reports events by calling these methods and performs the {@link Actions} that the implementation
  * requests. All times are milliseconds on the host's clock and never decrease; rates are per
- * second; zones, kinds, classes and tenants are indices into the lists of the settings. An instance
- * must be used by one thread only; the implementation calls {@link Actions} from within the event
- * methods.
+ * second; zones, worker types, classes and tenants are indices into the lists of the settings. An
+ * instance must be used by one thread only; the implementation calls {@link Actions} from within
+ * the event methods.
  */
 public interface Dispatcher {
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
@@ -42,7 +42,7 @@
    * permit a hedge.
    */
   boolean appliesTo(PendingRequest request) {
-    return request.jobClass.effect() != Idempotency.UNSAFE
+    return request.jobClass.idempotency() != Idempotency.UNSAFE
         && settings.limits().hedging()
         && retries.attemptsLeft(request);
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
@@ -83,7 +83,7 @@
    * free core for the job beside the jobs in flight.
    */
   boolean admit(Job job) {
-    boolean coreFree = registry.heldSlots() + job.slots() <= cores;
+    boolean coreFree = registry.slotsInFlight() + job.slots() <= cores;
     boolean admitted = coreFree && allowance >= 1;
     allowance -= admitted ? 1 : 0;
     return admitted;
--- a/dispatch/src/main/java/ferngrade/dispatch/Job.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Job.java
@@ -3,7 +3,7 @@
 /**
  * A client's request.
  *
- * @param due time in ms at which the client stops waiting
+ * @param deadline time in ms at which the client stops waiting
  * @param work expected ms on a standard core, 0 if unknown
  * @param slots slots that the job holds while it runs
  * @param memory memory that the job holds while it runs
@@ -13,7 +13,7 @@
     String id,
     int jobClass,
     int tenant,
-    double due,
+    double deadline,
     double work,
     double slots,
     double memory,
@@ -22,7 +22,7 @@
     Preconditions.checkRange(id != null && !id.isEmpty(), "Job.id", id);
     Preconditions.checkRange(jobClass >= 0, "Job.jobClass", jobClass);
     Preconditions.checkRange(tenant >= 0, "Job.tenant", tenant);
-    Preconditions.checkRange(!Double.isNaN(due), "Job.due", due);
+    Preconditions.checkRange(!Double.isNaN(deadline), "Job.due", deadline);
     Preconditions.checkRange(work >= 0, "Job.work", work);
     Preconditions.checkRange(slots >= 0, "Job.slots", slots);
     Preconditions.checkRange(memory >= 0, "Job.memory", memory);
--- a/dispatch/src/main/java/ferngrade/dispatch/LoadReport.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/LoadReport.java
@@ -6,9 +6,9 @@
  * @param freeSlots number of free slots
  * @param freeMemory free memory
  * @param queued number of requests that wait, from all dispatchers
- * @param held number of requests that wait or run, from all dispatchers
+ * @param jobs number of requests that wait or run, from all dispatchers
  */
-public record LoadReport(double freeSlots, double freeMemory, double queued, double held) {
+public record LoadReport(double freeSlots, double freeMemory, double queued, double jobs) {
   /** Stands for an event without a report. */
   public static final LoadReport NONE =
       new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
@@ -23,7 +23,7 @@
     freeSlots = validOrNaN(freeSlots);
     freeMemory = validOrNaN(freeMemory);
     queued = validOrNaN(queued);
-    held = validOrNaN(held);
+    jobs = validOrNaN(jobs);
   }
 
   private static double validOrNaN(double reported) {
--- a/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
@@ -66,7 +66,7 @@
    * interval.
    */
   boolean accepts(WorkerStats worker, int jobClass, double now) {
-    boolean probeInFlight = worker.ejectionMs > 0 && worker.heldSlots > 0;
+    boolean probeInFlight = worker.ejectionMs > 0 && worker.slotsInFlight > 0;
     if (probeInFlight || blockedUntil(worker, jobClass) > now) {
       return false;
     }
@@ -141,7 +141,7 @@
    * not report the number of jobs that it holds.
    */
   void reportReceived(WorkerStats worker, LoadReport report, double now) {
-    if (report.freeMemory() <= 0 || (Double.isNaN(report.held()) && report.freeSlots() < 1)) {
+    if (report.freeMemory() <= 0 || (Double.isNaN(report.jobs()) && report.freeSlots() < 1)) {
       double backoffUntil = now + serviceTimes.mean() * EXHAUSTED_BACKOFF_FRACTION;
       worker.backoffUntil = Math.max(worker.backoffUntil, backoffUntil);
     }
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -24,7 +24,7 @@
 
   /** Returns true if another attempt is safe and can still be useful to the client. */
   boolean maySend(PendingRequest request, double now) {
-    if (request.completed || !attemptsLeft(request) || now >= request.job.due()) {
+    if (request.completed || !attemptsLeft(request) || now >= request.job.deadline()) {
       return false;
     }
     if (request.inFlight > 0 && !limits.hedging()) {
@@ -34,18 +34,20 @@
     if (firstAttempt == null) {
       return true;
     }
-    return switch (request.jobClass.effect()) {
+    return switch (request.jobClass.idempotency()) {
       case SAFE -> true;
-      case KEYED -> now < firstAttempt.sentAt + request.jobClass.window() - eventBatchIntervalMs;
+      case KEYED ->
+          now < firstAttempt.sentAt + request.jobClass.keyWindowMs() - eventBatchIntervalMs;
       case UNSAFE -> false;
     };
   }
 
   /** Returns true if the client may be told that a retry is safe. */
   boolean mayReject(PendingRequest request) {
-    Idempotency idempotency = request.jobClass.effect();
+    Idempotency idempotency = request.jobClass.idempotency();
     boolean keyedForAllWorkers =
-        idempotency == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
+        idempotency == Idempotency.KEYED
+            && request.jobClass.idempotencyScope() == IdempotencyScope.ALL;
     return idempotency == Idempotency.SAFE
         || keyedForAllWorkers
         || request.firstThatMayHaveRun() == null;
@@ -55,7 +57,7 @@
    * Returns true if the client has stopped waiting or will do so before the next batch of events.
    */
   boolean deadlineReached(PendingRequest request, double now) {
-    return now >= request.job.due() - eventBatchIntervalMs;
+    return now >= request.job.deadline() - eventBatchIntervalMs;
   }
 
   /**
@@ -65,8 +67,8 @@
    */
   Attempt groupAttempt(PendingRequest request) {
     boolean keyedWithinGroup =
-        request.jobClass.effect() == Idempotency.KEYED
-            && request.jobClass.scope() != IdempotencyScope.ALL;
+        request.jobClass.idempotency() == Idempotency.KEYED
+            && request.jobClass.idempotencyScope() != IdempotencyScope.ALL;
     return keyedWithinGroup ? request.firstThatMayHaveRun() : null;
   }
 
--- a/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
@@ -24,14 +24,15 @@
   /** Returns the time that a job can wait and still meet its objective if this worker runs it. */
   double spareTime(PendingRequest request, WorkerStats worker) {
     JobClass jobClass = request.jobClass;
-    return jobClass.aim()
-        + jobClass.stretch() * serviceTimes.standardTime(request)
+    return jobClass.latencyObjectiveMs()
+        + jobClass.latencyObjectiveFactor() * serviceTimes.standardTime(request)
         - serviceTimes.timeAt(request, worker);
   }
 
   /** Returns the time without a start after which a job counts as rejected. */
   double lateAfter(PendingRequest request, WorkerStats worker) {
-    return LATE_FRACTION * Math.max(spareTime(request, worker), request.jobClass.aim());
+    return LATE_FRACTION
+        * Math.max(spareTime(request, worker), request.jobClass.latencyObjectiveMs());
   }
 
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -99,7 +99,7 @@
 
   @Override
   public BudgetState budgetState() {
-    return budgetCycle.state(registry.heldSlots());
+    return budgetCycle.state(registry.slotsInFlight());
   }
 
   @Override
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerGroup.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerGroup.java
@@ -1,6 +1,6 @@
 package ferngrade.dispatch;
 
-/** The estimates for the workers of one kind in one zone. */
+/** The estimates for the workers of one type in one zone. */
 final class WorkerGroup {
   /** Smoothed wait for a start, ms. */
   double wait;
@@ -11,10 +11,10 @@
   boolean slownessKnown;
 
   /**
-   * Number of slots of a worker of this kind according to load reports; 1 if no report includes it.
+   * Number of slots of a worker of this type according to load reports; 1 if no report includes it.
    */
   double slots = 1;
 
-  /** The weight of an idle worker of this kind, which is its size in cores. */
+  /** The weight of an idle worker of this type, which is its size in cores. */
   double size;
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
@@ -31,7 +31,7 @@
   private final Map<Integer, ZoneStats> zones = new HashMap<>();
   private List<WorkerStats> local = new ArrayList<>();
   private List<WorkerStats> remote = new ArrayList<>();
-  private double heldSlots;
+  private double slotsInFlight;
 
   /** Creates an empty registry for a dispatcher in this zone and for this number of job classes. */
   WorkerRegistry(int ownZone, int classes) {
@@ -66,7 +66,7 @@
     worker.entry = entry;
     worker.listed = entry.state() != WorkerState.GONE;
     Map<Integer, WorkerGroup> groups = zone(entry.zone()).groups;
-    worker.group = groups.computeIfAbsent(entry.kind(), kind -> new WorkerGroup());
+    worker.group = groups.computeIfAbsent(entry.workerType(), workerType -> new WorkerGroup());
     worker.group.size = Math.max(worker.group.size, entry.weight());
     worker.load = entry.weight() > 0 ? worker.group.size / entry.weight() - 1 : 0;
   }
@@ -113,8 +113,8 @@
   }
 
   /** Returns the slots of all attempts from this dispatcher that are in flight. */
-  double heldSlots() {
-    return heldSlots;
+  double slotsInFlight() {
+    return slotsInFlight;
   }
 
   /** Returns the statistics of the worker's zone. */
@@ -142,8 +142,8 @@
 
   /** Counts an attempt that is being sent to the worker. */
   void attemptSent(WorkerStats worker, Job job, double now) {
-    worker.heldSlots += job.slots();
-    heldSlots += job.slots();
+    worker.slotsInFlight += job.slots();
+    slotsInFlight += job.slots();
     worker.recentSlots = recentSlots(worker, now) + job.slots();
     worker.recentAt = now;
     worker.cachedObjects.recordUse(job.object(), Math.max(worker.group.size, worker.group.slots));
@@ -156,12 +156,12 @@
 
   /** Counts an attempt that has ended. */
   void attemptEnded(WorkerStats worker, Job job) {
-    worker.heldSlots -= job.slots();
-    heldSlots -= job.slots();
+    worker.slotsInFlight -= job.slots();
+    slotsInFlight -= job.slots();
   }
 
   /**
-   * Records that an attempt at this worker has succeeded or failed, so that its held slots are
+   * Records that an attempt at this worker has succeeded or failed, so that its slots in flight are
    * meaningful.
    */
   void markObserved(WorkerStats worker) {
@@ -169,12 +169,14 @@
   }
 
   /**
-   * Returns the slots held at a worker. A worker without any outcome so far counts as holding at
-   * least the mean.
+   * Returns the slots in flight at a worker. A worker without any outcome so far counts as having
+   * at least the mean.
    */
-  double effectiveHeldSlots(WorkerStats worker) {
-    double meanHeldSlots = heldSlots / readyCount();
-    return worker.observed ? worker.heldSlots : Math.max(worker.heldSlots, meanHeldSlots);
+  double effectiveSlotsInFlight(WorkerStats worker) {
+    double meanSlotsInFlight = slotsInFlight / readyCount();
+    return worker.observed
+        ? worker.slotsInFlight
+        : Math.max(worker.slotsInFlight, meanSlotsInFlight);
   }
 
   /** Returns the slots recently sent to the worker that the endpoint list cannot include yet. */
@@ -188,8 +190,8 @@
    * idle at that time.
    */
   void learnSlots(WorkerStats worker, LoadReport report) {
-    if (report.held() >= 0 && report.freeSlots() >= MIN_FREE_SLOTS) {
-      double reportedSlots = report.freeSlots() + report.held();
+    if (report.jobs() >= 0 && report.freeSlots() >= MIN_FREE_SLOTS) {
+      double reportedSlots = report.freeSlots() + report.jobs();
       double oldSlots = worker.group.slots;
       double weight = oldSlots == 1 ? 1 : SLOTS_SAMPLE_WEIGHT;
       worker.group.slots = Math.max(1, oldSlots + weight * (reportedSlots - oldSlots));
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
@@ -15,7 +15,7 @@
   boolean listed;
 
   /** Slots of the attempts from this dispatcher that are in flight. */
-  double heldSlots;
+  double slotsInFlight;
 
   /** Jobs per core from all dispatchers, according to the last update of the endpoint list. */
   double load;
--- a/dispatch/src/main/java/ferngrade/dispatch/ZoneStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ZoneStats.java
@@ -28,6 +28,6 @@
   /** Time from which another attempt may probe the zone while it is unreachable. */
   double nextProbeAt;
 
-  /** The zone's workers grouped by kind. */
+  /** The zone's workers grouped by type. */
   final Map<Integer, WorkerGroup> groups = new HashMap<>();
 }
--- a/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
@@ -179,8 +179,8 @@
     for (int i = 0; i < 50; i++) {
       dispatcher.requestArrived(510, Fixture.job("stuck" + i, 0, 9_000));
     }
-    List<long[]> due = actions.timers.stream().filter(timer -> timer[1] >= 16).toList();
-    due.forEach(timer -> dispatcher.timerExpired((double) (510 + timer[0]), timer[1]));
+    List<long[]> dueTimers = actions.timers.stream().filter(timer -> timer[1] >= 16).toList();
+    dueTimers.forEach(timer -> dispatcher.timerExpired((double) (510 + timer[0]), timer[1]));
     dispatcher.timerExpired(1_000, BUDGET_CYCLE_TOKEN);
     assertTrue(dispatcher.slice() < before, dispatcher.slice() + " after " + before);
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
@@ -13,8 +13,8 @@
 
   private Fixture() {}
 
-  static JobClass jobClass(Idempotency effect, IdempotencyScope scope) {
-    return new JobClass("job", effect, scope, 7_500, 100, 2, 5_000, 1, 0, -1, 0);
+  static JobClass jobClass(Idempotency idempotency, IdempotencyScope scope) {
+    return new JobClass("job", idempotency, scope, 7_500, 100, 2, 5_000, 1, 0, -1, 0);
   }
 
   static DispatcherSettings settings(int dispatcherIndex, int dispatchers, JobClass jobClass) {
@@ -63,14 +63,14 @@
         worker.id(),
         state,
         worker.zone(),
-        worker.kind(),
+        worker.workerType(),
         worker.cell(),
         startedAt,
         worker.weight());
   }
 
-  static Job job(String id, int tenant, double due) {
-    return new Job(id, 0, tenant, due, 0, 1, 0, 0);
+  static Job job(String id, int tenant, double deadline) {
+    return new Job(id, 0, tenant, deadline, 0, 1, 0, 0);
   }
 
   record Send(String requestId, long workerId) {}
--- a/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
@@ -158,7 +158,7 @@
     for (double invalid :
         new double[] {-1, Double.NEGATIVE_INFINITY, Double.POSITIVE_INFINITY, Double.NaN, 1e300}) {
       LoadReport report = new LoadReport(invalid, invalid, invalid, invalid);
-      assertTrue(Double.isNaN(report.held()) && Double.isNaN(report.freeSlots()), "" + report);
+      assertTrue(Double.isNaN(report.jobs()) && Double.isNaN(report.freeSlots()), "" + report);
       actions.sends.clear();
       ThrottlingDispatcher dispatcher = dispatcher(0, Idempotency.SAFE);
       for (int i = 0; i < 40; i++) {
--- a/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RandomStreamTest.java
@@ -32,15 +32,15 @@
   /** The checker's record of a request. */
   private static final class RequestRecord {
     private final JobClass jobClass;
-    private final double due;
+    private final double deadline;
     private final List<Long> workerIds = new ArrayList<>();
     private final List<Double> sentAt = new ArrayList<>();
     private final List<AttemptOutcome> outcomes = new ArrayList<>();
     private boolean answered;
 
-    RequestRecord(JobClass jobClass, double due) {
+    RequestRecord(JobClass jobClass, double deadline) {
       this.jobClass = jobClass;
-      this.due = due;
+      this.deadline = deadline;
     }
 
     int firstThatMayHaveRun() {
@@ -71,11 +71,11 @@
       assertTrue(request.workerIds.size() < 3, "too many attempts");
       int firstAttempt = request.firstThatMayHaveRun();
       if (firstAttempt >= 0) {
-        assertTrue(request.jobClass.effect() != Idempotency.UNSAFE, "unsafe request retried");
+        assertTrue(request.jobClass.idempotency() != Idempotency.UNSAFE, "unsafe request retried");
         assertTrue(
             hedgingAllowed || !request.outcomes.contains(null),
             "two attempts in flight without hedging");
-        if (request.jobClass.effect() == Idempotency.KEYED) {
+        if (request.jobClass.idempotency() == Idempotency.KEYED) {
           checkGroup(request, firstAttempt, workerId);
         }
       }
@@ -88,7 +88,7 @@
     private void checkGroup(RequestRecord request, int firstAttempt, long workerId) {
       Worker firstWorker = workers.get(request.workerIds.get(firstAttempt));
       Worker nextWorker = workers.get(workerId);
-      IdempotencyScope scope = request.jobClass.scope();
+      IdempotencyScope scope = request.jobClass.idempotencyScope();
       boolean sameGroup =
           scope == IdempotencyScope.ALL
               || (scope == IdempotencyScope.ZONE
@@ -96,7 +96,7 @@
                   : firstWorker.cell() == nextWorker.cell());
       assertTrue(sameGroup, "keyed request retried outside its group");
       assertTrue(
-          now <= request.sentAt.get(firstAttempt) + request.jobClass.window(),
+          now <= request.sentAt.get(firstAttempt) + request.jobClass.keyWindowMs(),
           "keyed request retried after its window");
     }
 
@@ -106,11 +106,11 @@
       RequestRecord request = requests.get(id);
       answer(request, id);
       boolean keyedForAllWorkers =
-          request.jobClass.effect() == Idempotency.KEYED
-              && request.jobClass.scope() == IdempotencyScope.ALL;
+          request.jobClass.idempotency() == Idempotency.KEYED
+              && request.jobClass.idempotencyScope() == IdempotencyScope.ALL;
       assertTrue(
           request.firstThatMayHaveRun() < 0
-              || request.jobClass.effect() == Idempotency.SAFE
+              || request.jobClass.idempotency() == Idempotency.SAFE
               || keyedForAllWorkers,
           "rejected although the job may have run");
     }
@@ -123,7 +123,7 @@
 
     private void answer(RequestRecord request, String id) {
       assertTrue(!request.answered, "answered twice: " + id);
-      assertTrue(now <= request.due + 8, "answered late: " + id);
+      assertTrue(now <= request.deadline + 8, "answered late: " + id);
       request.answered = true;
     }
 
@@ -230,15 +230,15 @@
     int eventType = random.nextInt(20);
     if (eventType < 9) {
       int jobClass = random.nextInt(classes.size());
-      double due = now + 50 + random.nextInt((int) DEADLINE - 50);
-      requests.put(id, new RequestRecord(classes.get(jobClass), due));
+      double deadline = now + 50 + random.nextInt((int) DEADLINE - 50);
+      requests.put(id, new RequestRecord(classes.get(jobClass), deadline));
       dispatcher.requestArrived(
           now,
           new Job(
               id,
               jobClass,
               random.nextInt(2),
-              due,
+              deadline,
               random.nextInt(3) * 10.0,
               1,
               0,
@@ -294,9 +294,9 @@
     for (String id : requests.keySet().stream().sorted().toList()) {
       RequestRecord request = requests.get(id);
       for (int i = 0; i < request.outcomes.size(); i++) {
-        if (now >= request.due && request.outcomes.get(i) == null) {
+        if (now >= request.deadline && request.outcomes.get(i) == null) {
           double actualNow = now;
-          now = Math.min(now, request.due + 2);
+          now = Math.min(now, request.deadline + 2);
           endAttempt(dispatcher, id, i, AttemptOutcome.TIMEOUT);
           now = actualNow;
         }
@@ -305,9 +305,9 @@
   }
 
   private void fireTimers(ThrottlingDispatcher dispatcher) {
-    List<double[]> due = timers.stream().filter(timer -> timer[0] <= now).toList();
-    timers.removeAll(due);
-    due.forEach(timer -> dispatcher.timerExpired(now, (long) timer[1]));
+    List<double[]> dueTimers = timers.stream().filter(timer -> timer[0] <= now).toList();
+    timers.removeAll(dueTimers);
+    dueTimers.forEach(timer -> dispatcher.timerExpired(now, (long) timer[1]));
   }
 
   private void updateEndpoints(
--- a/dispatch/src/test/java/ferngrade/dispatch/TenantQuotasTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/TenantQuotasTest.java
@@ -11,9 +11,9 @@
 class TenantQuotasTest {
   private static final ServiceObjective TOTAL_VALUE_ONLY = new ServiceObjective(1, 0);
 
-  private static JobClass jobClass(double worth) {
+  private static JobClass jobClass(double value) {
     return new JobClass(
-        "job", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, worth, 0, -1, 0);
+        "job", Idempotency.SAFE, IdempotencyScope.ALL, 0, 100, 2, 5_000, value, 0, -1, 0);
   }
 
   private static Job job(int jobClass, int tenant) {
--- a/dispatch/src/test/java/ferngrade/dispatch/WorkerRegistryTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/WorkerRegistryTest.java
@@ -47,11 +47,11 @@
     WorkerStats second = registry.local().get(1);
     Job job = Fixture.job("r", 0, 5_000);
     registry.attemptSent(first, job, 0);
-    assertEquals(0.5, registry.effectiveHeldSlots(second));
+    assertEquals(0.5, registry.effectiveSlotsInFlight(second));
     registry.markObserved(second);
-    assertEquals(0, registry.effectiveHeldSlots(second));
+    assertEquals(0, registry.effectiveSlotsInFlight(second));
     registry.attemptEnded(first, job);
-    assertEquals(0, registry.effectiveHeldSlots(first));
+    assertEquals(0, registry.effectiveSlotsInFlight(first));
     assertEquals(Math.exp(-1), registry.recentSlots(first, 1_000), 1e-9);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
@@ -19,7 +19,7 @@
   public final long id;
 
   public final int zone;
-  public final int kind;
+  public final int workerType;
   public final int cell;
   public final WorkerModel model;
   final int maxConnections;
@@ -44,7 +44,7 @@
       int number,
       long id,
       int zone,
-      int kind,
+      int workerType,
       int cell,
       KindSpec spec,
       InetSocketAddress address,
@@ -53,7 +53,7 @@
     this.name = "w" + number;
     this.id = id;
     this.zone = zone;
-    this.kind = kind;
+    this.workerType = workerType;
     this.cell = cell;
     this.model = model;
     this.address = address;
@@ -90,7 +90,8 @@
   Endpoint entry() {
     int jobsHeld = model.up() ? model.running() + model.waiting() : 0;
     Worker worker =
-        new Worker(id, phase, zone, kind, cell, model.startedAt(), size / (1 + jobsHeld / cores));
+        new Worker(
+            id, phase, zone, workerType, cell, model.startedAt(), size / (1 + jobsHeld / cores));
     return new Endpoint(name, address, worker);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
@@ -228,7 +228,7 @@
     faultInjector.workerDown(worker);
     removeFromList(worker);
     if (replace) {
-      EmulatedWorker replacement = fleet.add(worker.kind, worker.zone, time.now());
+      EmulatedWorker replacement = fleet.add(worker.workerType, worker.zone, time.now());
       faultInjector.workerUp(replacement);
       discovery.changed(replacement, true);
     }
--- a/emulator/src/main/java/ferngrade/emulator/MutantDispatcher.java
+++ b/emulator/src/main/java/ferngrade/emulator/MutantDispatcher.java
@@ -110,7 +110,7 @@
                             worker.id(),
                             worker.state(),
                             worker.zone(),
-                            worker.kind(),
+                            worker.workerType(),
                             worker.cell(),
                             0,
                             worker.weight()))
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -72,7 +72,7 @@
       candidates = ready.stream().filter(worker -> !tried.contains(worker.id())).toList();
     }
     boolean exhausted =
-        pending.tried.size() >= settings.limits().maxAttempts() || now >= pending.job.due();
+        pending.tried.size() >= settings.limits().maxAttempts() || now >= pending.job.deadline();
     Worker worker = exhausted || candidates.isEmpty() ? null : pick(candidates, pending.job);
     if (worker == null) {
       answer(pending);
@@ -87,8 +87,9 @@
     pendingJobs.remove(pending.job.id());
     JobClass jobClass = settings.classes().get(pending.job.jobClass());
     boolean mayRunAgain =
-        jobClass.effect() == Idempotency.SAFE
-            || (jobClass.effect() == Idempotency.KEYED && jobClass.scope() == IdempotencyScope.ALL);
+        jobClass.idempotency() == Idempotency.SAFE
+            || (jobClass.idempotency() == Idempotency.KEYED
+                && jobClass.idempotencyScope() == IdempotencyScope.ALL);
     if (mayRunAgain || !pending.mayHaveRun) {
       actions.reject(pending.job.id(), 0);
     } else {
--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -160,7 +160,9 @@
         }
       }
       JobClass jobClass = settings.classes().get(job.jobClass());
-      return minTime > jobClass.aim() + jobClass.stretch() * work ? null : best;
+      return minTime > jobClass.latencyObjectiveMs() + jobClass.latencyObjectiveFactor() * work
+          ? null
+          : best;
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
@@ -59,23 +59,23 @@
   /** Returns a node's settings in the JSON format that {@code SettingsMapping} reads. */
   public static JsonObject settings(Scenario scenario, int node) {
     JsonArray classes = new JsonArray();
-    JsonArray kinds = new JsonArray();
+    JsonArray workerTypes = new JsonArray();
     JsonArray priorities = new JsonArray();
-    JsonArray stretches = new JsonArray();
+    JsonArray latencyFactors = new JsonArray();
     for (ClassSpec jobClass : scenario.workload.classes) {
       classes.add(
           new JsonObject()
               .add("Name", jobClass.name)
-              .add("Effect", effect(jobClass.effect))
+              .add("Effect", idempotency(jobClass.effect))
               .add("KeyScope", jobClass.scope.name().toLowerCase(Locale.ROOT))
               .add("Window", jobClass.window)
               .add("GoalTime", jobClass.aim)
               .add("Deadline", jobClass.deadline)
               .add("Worth", jobClass.worth)
               .add("LateWorth", jobClass.lateWorth));
-      kinds.add(-1);
+      workerTypes.add(-1);
       priorities.add(jobClass.priority);
-      stretches.add(jobClass.stretch);
+      latencyFactors.add(jobClass.stretch);
     }
     JsonArray tenants = new JsonArray();
     double[] allowances = scenario.allowances();
@@ -122,13 +122,13 @@
             "Extra",
             new JsonObject()
                 .add("TellsStart", true)
-                .add("ClassStretch", stretches)
-                .add("ClassKind", kinds)
+                .add("ClassStretch", latencyFactors)
+                .add("ClassKind", workerTypes)
                 .add("ClassPriority", priorities));
   }
 
-  private static String effect(Idempotency effect) {
-    return switch (effect) {
+  private static String idempotency(Idempotency idempotency) {
+    return switch (idempotency) {
       case SAFE -> "idempotent";
       case KEYED -> "deduplicated";
       case UNSAFE -> "at_most_once";
@@ -152,7 +152,7 @@
               .add("id", member.name())
               .add("host_port", addressText(member.address()))
               .add("locality", scenario.zones.get(worker.zone()))
-              .add("flavor", scenario.kinds.get(worker.kind()).name)
+              .add("flavor", scenario.kinds.get(worker.workerType()).name)
               .add("cell", worker.cell())
               .add("phase", phase(worker.state()))
               .add("size", worker.weight())
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -131,7 +131,7 @@
     double age = now - worker.model.startedAt();
     double warmth =
         scenario.startCapacity + (1 - scenario.startCapacity) * Math.min(1, age / scenario.coldMs);
-    KindSpec kind = scenario.kinds.get(worker.kind);
+    KindSpec kind = scenario.kinds.get(worker.workerType);
     double capacity = warmth * kind.cores * kind.speed / scenario.workload.meanWork();
     return scenario.fallMultiple * capacity * scenario.tipMs;
   }
@@ -166,7 +166,7 @@
   }
 
   private double busyShare(EmulatedWorker worker) {
-    return Math.min(1, worker.model.running() / scenario.kinds.get(worker.kind).cores);
+    return Math.min(1, worker.model.running() / scenario.kinds.get(worker.workerType).cores);
   }
 
   @Override
--- a/node/src/main/java/ferngrade/config/EndpointListParser.java
+++ b/node/src/main/java/ferngrade/config/EndpointListParser.java
@@ -15,7 +15,7 @@
   private static final double MAX_WORKER_CORES = 10_000;
 
   private final List<String> zones;
-  private final List<String> kinds;
+  private final List<String> workerTypes;
 
   /**
    * One revision of the list, whole if {@code complete}, otherwise only the changes since the last
@@ -25,9 +25,9 @@
       long revision, boolean complete, List<Endpoint> members, List<String> faults) {}
 
   /** Creates a parser that accepts these names of zones and worker types, any name if empty. */
-  public EndpointListParser(List<String> zones, List<String> kinds) {
+  public EndpointListParser(List<String> zones, List<String> workerTypes) {
     this.zones = zones;
-    this.kinds = kinds;
+    this.workerTypes = workerTypes;
   }
 
   /**
@@ -83,7 +83,7 @@
             hash(name),
             state(required(entry, "phase").asString()),
             position(zones, entry.getString("locality", ""), "locality"),
-            position(kinds, entry.getString("flavor", ""), "flavor"),
+            position(workerTypes, entry.getString("flavor", ""), "flavor"),
             entry.getInt("cell", 0),
             entry.getDouble("up_since_ms", 0),
             size);
--- a/node/src/main/java/ferngrade/config/SettingsMapping.java
+++ b/node/src/main/java/ferngrade/config/SettingsMapping.java
@@ -139,9 +139,9 @@
   }
 
   private List<JobClass> classes(double sendDelay) {
-    String[] kinds = values.getOrDefault("Extra.ClassKind", "").split(",");
+    String[] workerTypes = values.getOrDefault("Extra.ClassKind", "").split(",");
     String[] priorities = values.getOrDefault("Extra.ClassPriority", "").split(",");
-    String[] stretches = values.getOrDefault("Extra.ClassStretch", "").split(",");
+    String[] latencyFactors = values.getOrDefault("Extra.ClassStretch", "").split(",");
     List<JobClass> classes = new ArrayList<>();
     int count = (int) number("Classes.count", 0);
     for (int i = 0; i < count; i++) {
@@ -149,15 +149,15 @@
       classes.add(
           new JobClass(
               values.getOrDefault(prefix + "Name", ""),
-              effect(prefix + "Effect"),
-              scope(prefix + "KeyScope"),
+              idempotency(prefix + "Effect"),
+              idempotencyScope(prefix + "KeyScope"),
               Math.max(0, number(prefix + "Window", 0) - sendDelay),
               number(prefix + "GoalTime", 1000),
-              item("Extra.ClassStretch", stretches, i, number(prefix + "AimStretch", 0)),
+              item("Extra.ClassStretch", latencyFactors, i, number(prefix + "AimStretch", 0)),
               number(prefix + "Deadline", 1000),
               number(prefix + "Worth", 1),
               number(prefix + "LateWorth", 0),
-              (int) item("Extra.ClassKind", kinds, i, -1),
+              (int) item("Extra.ClassKind", workerTypes, i, -1),
               (int) item("Extra.ClassPriority", priorities, i, 0)));
     }
     return classes;
@@ -177,7 +177,7 @@
     return tenants;
   }
 
-  private Idempotency effect(String path) {
+  private Idempotency idempotency(String path) {
     String text = values.getOrDefault(path, "at_most_once");
     return switch (text) {
       case "idempotent" -> Idempotency.SAFE;
@@ -187,7 +187,7 @@
     };
   }
 
-  private IdempotencyScope scope(String path) {
+  private IdempotencyScope idempotencyScope(String path) {
     String text = values.getOrDefault(path, "cell");
     return switch (text) {
       case "all" -> IdempotencyScope.ALL;
--- a/node/src/main/java/ferngrade/http/ClientRequestHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -101,7 +101,7 @@
     JobResponseHandler response = new JobResponseHandler(connection);
     ShutdownBudget budget = frontend.budget();
     if (budget != null) {
-      if (frontend.finishing() || budget.tooShortFor(job.due(), clock.now())) {
+      if (frontend.finishing() || budget.tooShortFor(job.deadline(), clock.now())) {
         coordinator.reject(job, response, 0, RejectionReason.SHUTDOWN);
         return;
       }
--- a/node/src/main/java/ferngrade/http/RequestReader.java
+++ b/node/src/main/java/ferngrade/http/RequestReader.java
@@ -77,7 +77,7 @@
     }
     int jobClass = index(classes, headers, Headers.KIND);
     String key = singleValue(headers, Headers.IDEMPOTENCY_KEY);
-    boolean keyed = settings.classes().get(jobClass).effect() == Idempotency.KEYED;
+    boolean keyed = settings.classes().get(jobClass).idempotency() == Idempotency.KEYED;
     // Without a key, workers could not detect a repeated job, and the dispatcher relies on that.
     if (key == null ? keyed : !KEY.matcher(key).matches()) {
       throw new BadRequestException(Headers.IDEMPOTENCY_KEY + " is missing or not plain");
@@ -86,7 +86,7 @@
     String deadlineText = singleValue(headers, Headers.DEADLINE);
     // No client waits longer than the deadline of its job class; an extreme value must not occupy a
     // table entry for days.
-    double maxDeadline = settings.classes().get(jobClass).deadline();
+    double maxDeadline = settings.classes().get(jobClass).deadlineMs();
     double deadline =
         deadlineText == null ? maxDeadline : Math.min(maxDeadline, deadline(deadlineText));
     String costText = singleValue(headers, Headers.COST);
--- a/node/src/main/java/ferngrade/http/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -68,9 +68,10 @@
    */
   public static ShutdownBudget of(
       double earliestSignal, double noticedAt, DispatcherSettings settings) {
-    double deadline = settings.classes().stream().mapToDouble(JobClass::deadline).max().orElse(0);
+    double longestDeadline =
+        settings.classes().stream().mapToDouble(JobClass::deadlineMs).max().orElse(0);
     double earliestKill =
-        earliestSignal + Math.min(MAX_DEADLINE_MILLIS, deadline) + MIN_KILL_DELAY_MILLIS;
+        earliestSignal + Math.min(MAX_DEADLINE_MILLIS, longestDeadline) + MIN_KILL_DELAY_MILLIS;
     double end = earliestKill - MAX_PAUSE_MILLIS - WRITE_MILLIS;
     double answersBy = end - READ_MILLIS;
     double acceptUntil = Math.min(noticedAt + NEW_CONNECTIONS_MILLIS + MAX_PAUSE_MILLIS, answersBy);
@@ -78,11 +79,11 @@
   }
 
   /**
-   * Returns true if a job due at {@code due} cannot be answered within the budget, or would have
+   * Returns true if a job with this deadline cannot be answered within the budget, or would have
    * too little time.
    */
-  boolean tooShortFor(double due, double now) {
-    return due > answersBy && answersBy - now < MIN_REMAINING_MILLIS;
+  boolean tooShortFor(double deadline, double now) {
+    return deadline > answersBy && answersBy - now < MIN_REMAINING_MILLIS;
   }
 
   /** Returns the job with its deadline limited to the budget. */
@@ -91,7 +92,7 @@
         job.id(),
         job.jobClass(),
         job.tenant(),
-        Math.min(job.due(), answersBy),
+        Math.min(job.deadline(), answersBy),
         job.work(),
         job.slots(),
         job.memory(),
--- a/node/src/main/java/ferngrade/node/AttemptRunner.java
+++ b/node/src/main/java/ferngrade/node/AttemptRunner.java
@@ -60,7 +60,7 @@
     Attempt attempt = new Attempt(request, worker, endpoint, now);
     request.attempts.add(attempt);
     request.attemptsInFlight++;
-    double remaining = request.job.due() - now;
+    double remaining = request.job.deadline() - now;
     WithheldReason reason = null;
     if (request.completed()) {
       reason = WithheldReason.REQUEST_COMPLETED;
--- a/node/src/main/java/ferngrade/node/BudgetReporter.java
+++ b/node/src/main/java/ferngrade/node/BudgetReporter.java
@@ -70,7 +70,7 @@
         budget.demand(),
         budget.accepted(),
         budget.rejectedShare(),
-        budget.heldSlots(),
+        budget.slotsInFlight(),
         budget.fleetSize(),
         budget.fleetBusy(),
         budget.followsLoads() ? "listed-loads" : "own-attempts");
--- a/node/src/main/java/ferngrade/node/Endpoint.java
+++ b/node/src/main/java/ferngrade/node/Endpoint.java
@@ -23,7 +23,7 @@
             worker.id(),
             state,
             worker.zone(),
-            worker.kind(),
+            worker.workerType(),
             worker.cell(),
             startedAt,
             worker.weight()));
--- a/node/src/main/java/ferngrade/node/PendingRequest.java
+++ b/node/src/main/java/ferngrade/node/PendingRequest.java
@@ -63,7 +63,8 @@
    * written.
    */
   boolean answeredLate() {
-    return answer != FinalAnswer.ABANDONED && answeredAt > job.due() + MIN_TRACED_LATENESS_MILLIS;
+    return answer != FinalAnswer.ABANDONED
+        && answeredAt > job.deadline() + MIN_TRACED_LATENESS_MILLIS;
   }
 
   boolean completed() {
--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -132,7 +132,8 @@
     pending.put(job.id(), request);
     pendingBytes += call.body().length;
     request.overdueTimer =
-        timers.after(job.due() - clock.now() + FINAL_ANSWER_GRACE_MILLIS, () -> overdue(request));
+        timers.after(
+            job.deadline() - clock.now() + FINAL_ANSWER_GRACE_MILLIS, () -> overdue(request));
     turns.event(() -> dispatcher.requestArrived(clock.now(), job));
     return true;
   }
@@ -159,7 +160,7 @@
     shuttingDown = true;
     double remaining = end - clock.now();
     pending.values().stream()
-        .filter(request -> !request.completed() && request.job.due() > end)
+        .filter(request -> !request.completed() && request.job.deadline() > end)
         .forEach(
             request -> {
               request.overdueTimer.cancel();
--- a/node/src/main/java/ferngrade/node/RequestTrace.java
+++ b/node/src/main/java/ferngrade/node/RequestTrace.java
@@ -20,7 +20,7 @@
     line.append(" class=").append(request.job.jobClass());
     line.append(" state=").append(state(request));
     line.append(" now=").append(since(request, now));
-    line.append(" due=").append(since(request, request.job.due()));
+    line.append(" due=").append(since(request, request.job.deadline()));
     line.append(" answer=").append(request.answer() == null ? "none" : request.answer());
     line.append(" answered=").append(since(request, request.answeredAt()));
     for (Attempt attempt : request.attempts) {
--- a/node/src/main/java/ferngrade/simulator/SimulatorHost.java
+++ b/node/src/main/java/ferngrade/simulator/SimulatorHost.java
@@ -150,14 +150,15 @@
     int jobClass = in.nonNegativeInt("Class");
     int tenant = (int) in.integer("Customer", 0);
     long object = in.integer("TargetKey", 0);
-    double due = in.number("Due");
+    double deadline = in.number("Due");
     double work = in.number("Predicted", 0);
     double slots = in.number("CoresNeeded", 1);
     double memory = in.number("Memory", 0);
     long flags = in.integer("Attrs", 0);
     try {
       Job job =
-          new Job(id, jobClass, tenant, due, (flags & 1) == 0 ? 0 : work, slots, memory, object);
+          new Job(
+              id, jobClass, tenant, deadline, (flags & 1) == 0 ? 0 : work, slots, memory, object);
       dispatcher().requestArrived(now, job);
     } catch (IllegalArgumentException invalid) {
       throw in.malformed("fields", invalid.getMessage());
@@ -217,7 +218,7 @@
     double slots = Double.NaN;
     double memory = Double.NaN;
     double queued = Double.NaN;
-    double held = Double.NaN;
+    double jobs = Double.NaN;
     for (String pair : gauge.split(",", 0)) {
       int colon = pair.indexOf(':');
       String name = pair.substring(0, Math.max(colon, 0));
@@ -225,11 +226,11 @@
         case "x0" -> slots = gaugeValue(pair, colon);
         case "x1" -> memory = gaugeValue(pair, colon);
         case "pending" -> queued = gaugeValue(pair, colon);
-        case "busy_reqs" -> held = gaugeValue(pair, colon);
+        case "busy_reqs" -> jobs = gaugeValue(pair, colon);
         default -> {}
       }
     }
-    return new LoadReport(slots, memory, queued, held);
+    return new LoadReport(slots, memory, queued, jobs);
   }
 
   private double gaugeValue(String pair, int colon) {
@@ -251,10 +252,10 @@
       double startedAt = in.number("ReadyAt", 0);
       WorkerState state = state(in.text("Status"));
       int cell = (int) in.integer("Cohort", 0);
-      int kind = (int) in.integer("Kind", 0);
+      int workerType = (int) in.integer("Kind", 0);
       long id = in.integer("Runner");
       int zone = (int) in.integer("Area", 0);
-      workers.add(new Worker(id, state, zone, kind, cell, startedAt, in.number("Weight", 1)));
+      workers.add(new Worker(id, state, zone, workerType, cell, startedAt, in.number("Weight", 1)));
     }
     lists.set(listNumber, workers);
   }
--- a/node/src/test/java/ferngrade/config/NodeConfigTest.java
+++ b/node/src/test/java/ferngrade/config/NodeConfigTest.java
@@ -34,8 +34,8 @@
   public void mapsNestedSettingsToDispatcherSettings() throws ConfigException {
     NodeConfig config = NodeConfig.read(Json.parse(VALID_CONFIG).asObject());
     assertEquals(config.settings().classes().size(), 2);
-    assertEquals(config.settings().classes().get(0).effect(), Idempotency.KEYED);
-    assertEquals(config.settings().classes().get(1).stretch(), 1.75);
+    assertEquals(config.settings().classes().get(0).idempotency(), Idempotency.KEYED);
+    assertEquals(config.settings().classes().get(1).latencyObjectiveFactor(), 1.75);
     assertEquals(config.settings().limits().maxRetryAfterMs(), 2000.0);
     assertEquals(config.connectionIdle(), 60000.0);
     assertEquals(config.sockets(), 512);
@@ -43,7 +43,7 @@
     var member = config.known().members().get(0);
     assertEquals(member.worker().state(), WorkerState.DRAINING);
     assertEquals(member.worker().zone(), 1);
-    assertEquals(member.worker().kind(), 1);
+    assertEquals(member.worker().workerType(), 1);
     assertEquals(member.worker().startedAt(), 7.0);
   }
 
@@ -144,8 +144,8 @@
                     "{\"Ceilings\":{\"ConnectTimeout\":250},"
                         + "\"Classes\":[{\"Name\":\"x\",\"Effect\":\"deduplicated\",\"Window\":1800},"
                         + "{\"Name\":\"y\",\"Effect\":\"deduplicated\",\"Window\":100}]}"));
-    assertEquals(NodeConfig.read(json).settings().classes().get(0).window(), 1400.0);
-    assertEquals(NodeConfig.read(json).settings().classes().get(1).window(), 0.0);
+    assertEquals(NodeConfig.read(json).settings().classes().get(0).keyWindowMs(), 1400.0);
+    assertEquals(NodeConfig.read(json).settings().classes().get(1).keyWindowMs(), 0.0);
   }
 
   @Test
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -153,7 +153,7 @@
       advance(BUSY_MILLIS);
       blockReleased.countDown();
       connection.read();
-      assertEquals(jobs.take().due(), 1000 + DEADLINE_MILLIS, state);
+      assertEquals(jobs.take().deadline(), 1000 + DEADLINE_MILLIS, state);
     }
   }
 
--- a/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
+++ b/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
@@ -75,7 +75,7 @@
     awaitSettled();
     client.write(request("late"));
     assertEquals(outcome(client), "503");
-    assertTrue(arrivedJobs.take().due() > now, "the deadline is before the arrival");
+    assertTrue(arrivedJobs.take().deadline() > now, "the deadline is before the arrival");
   }
 
   @Override
