--- a/emulator/src/main/java/ferngrade/emulator/Clients.java
+++ b/emulator/src/main/java/ferngrade/emulator/Clients.java
@@ -247,7 +247,7 @@
 
   private void submit(Request request) {
     double now = time.now();
-    observer.due(now, request);
+    observer.requestDue(now, request);
     boolean leavesEarly = behavior.nextDouble() < spec.impatient;
     double wait =
         leavesEarly
@@ -261,7 +261,7 @@
   private void giveUp(Request request, boolean early) {
     openRequests--;
     request.ended = true;
-    observer.ended(time.now(), request, Answer.LEFT);
+    observer.requestEnded(time.now(), request, Answer.LEFT);
     transport.disconnect(request);
     if (early && mayRetry(request)) {
       retry(request, 0);
@@ -277,13 +277,13 @@
   public void answer(Request request, Answer answer, double retryAfter) {
     double now = time.now();
     if (request.ended) {
-      observer.stray(now, request, answer);
+      observer.lateAnswer(now, request, answer);
       return;
     }
     openRequests--;
     request.giveUpTimer.cancel();
     request.ended = true;
-    observer.ended(now, request, answer);
+    observer.requestEnded(now, request, answer);
     boolean retryable = answer == Answer.REFUSED || answer == Answer.UNREACHED;
     boolean failed = answer == Answer.FAILED || answer == Answer.BROKEN;
     if (retryable || (failed && mayRetry(request))) {
@@ -301,12 +301,12 @@
   }
 
   private void retry(Request last, double retryAfter) {
-    if (last.tries >= spec.retries) {
+    if (last.retryNumber >= spec.retries) {
       return;
     }
     double backoff =
         spec.backoff
-            * (spec.exponential ? Math.scalb(1, last.tries) : 1)
+            * (spec.exponential ? Math.scalb(1, last.retryNumber) : 1)
             * (0.5 + behavior.nextDouble());
     double wait = retryAfter > 0 && behavior.nextDouble() < spec.honour ? retryAfter : backoff;
     if (time.now() + wait >= last.first.deadline) {
--- a/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
@@ -49,13 +49,13 @@
             time.after(
                 fault.at(),
                 () -> {
-                  observer.fault(time.now(), fault, true);
+                  observer.faultChanged(time.now(), fault, true);
                   Runnable end = start(fault);
                   time.after(
                       fault.length(),
                       () -> {
                         end.run();
-                        observer.fault(time.now(), fault, false);
+                        observer.faultChanged(time.now(), fault, false);
                       });
                 }));
   }
--- a/emulator/src/main/java/ferngrade/emulator/Observer.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observer.java
@@ -11,30 +11,31 @@
  */
 public interface Observer {
   /** Called when a client's request is due, which is when it is sent. */
-  default void due(double now, Request request) {}
+  default void requestDue(double now, Request request) {}
 
   /** Called when the node has received the whole request and owes exactly one answer to it. */
-  default void accepted(double now, int node, Request request) {}
+  default void requestAccepted(double now, int node, Request request) {}
 
   /** Called when the emulator loses the request or its answer, which is no fault of the node. */
-  default void lost(double now, Request request, String why) {}
+  default void requestLost(double now, Request request, String why) {}
 
   /** Called when the node sends its answer. */
-  default void answered(double now, int node, Request request, Answer answer, double retryAfter) {}
+  default void requestAnswered(
+      double now, int node, Request request, Answer answer, double retryAfter) {}
 
   /** Called when the client learns the outcome of its request. */
-  default void ended(double now, Request request, Answer answer) {}
+  default void requestEnded(double now, Request request, Answer answer) {}
 
   /** Called when an answer reaches a client that has already retried or given up. */
-  default void stray(double now, Request request, Answer answer) {}
+  default void lateAnswer(double now, Request request, Answer answer) {}
 
   /** Called when the node sends the first byte of an attempt. */
-  default void sent(double now, int node, EmulatedWorker worker, Request request) {}
+  default void attemptSent(double now, int node, EmulatedWorker worker, Request request) {}
 
   /**
    * Called when the node learns the outcome of an attempt or gives it up (TIMEOUT or CANCELLED).
    */
-  default void attemptOver(
+  default void attemptEnded(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {}
 
   /**
@@ -45,7 +46,7 @@
       double now, EmulatedWorker worker, Request request, boolean informed) {}
 
   /** Called when a worker starts a job. */
-  default void started(double now, EmulatedWorker worker, String id) {}
+  default void jobStarted(double now, EmulatedWorker worker, String id) {}
 
   /** Called when a node receives a worker's entry in a list update. */
   default void workerListed(
@@ -58,17 +59,17 @@
   default void coldWorkerCrashed(double now, EmulatedWorker worker, double informedShare) {}
 
   /** Called when a node's process starts or ends. */
-  default void node(double now, int node, boolean up) {}
+  default void nodeStateChanged(double now, int node, boolean up) {}
 
   /** Called when a node's process is paused or resumed. */
-  default void paused(double now, int node, boolean begins) {}
+  default void nodePauseChanged(double now, int node, boolean begins) {}
 
   /** Called when a fault begins or ends. */
-  default void fault(double now, Fault fault, boolean begins) {}
+  default void faultChanged(double now, Fault fault, boolean begins) {}
 
   /** Called periodically with a node's slice of the budget. */
-  default void slice(double now, int node, double slots) {}
+  default void sliceSampled(double now, int node, double slots) {}
 
   /** Called periodically with the numbers of running and waiting jobs of a worker. */
-  default void depth(double now, EmulatedWorker worker, int running, int waiting) {}
+  default void queueSampled(double now, EmulatedWorker worker, int running, int waiting) {}
 }
--- a/emulator/src/main/java/ferngrade/emulator/Observers.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observers.java
@@ -15,59 +15,60 @@
   }
 
   @Override
-  public void due(double now, Request request) {
+  public void requestDue(double now, Request request) {
     for (Observer observer : observers) {
-      observer.due(now, request);
+      observer.requestDue(now, request);
     }
   }
 
   @Override
-  public void accepted(double now, int node, Request request) {
+  public void requestAccepted(double now, int node, Request request) {
     for (Observer observer : observers) {
-      observer.accepted(now, node, request);
+      observer.requestAccepted(now, node, request);
     }
   }
 
   @Override
-  public void lost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String why) {
     for (Observer observer : observers) {
-      observer.lost(now, request, why);
+      observer.requestLost(now, request, why);
     }
   }
 
   @Override
-  public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
+  public void requestAnswered(
+      double now, int node, Request request, Answer answer, double retryAfter) {
     for (Observer observer : observers) {
-      observer.answered(now, node, request, answer, retryAfter);
+      observer.requestAnswered(now, node, request, answer, retryAfter);
     }
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     for (Observer observer : observers) {
-      observer.ended(now, request, answer);
+      observer.requestEnded(now, request, answer);
     }
   }
 
   @Override
-  public void stray(double now, Request request, Answer answer) {
+  public void lateAnswer(double now, Request request, Answer answer) {
     for (Observer observer : observers) {
-      observer.stray(now, request, answer);
+      observer.lateAnswer(now, request, answer);
     }
   }
 
   @Override
-  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+  public void attemptSent(double now, int node, EmulatedWorker worker, Request request) {
     for (Observer observer : observers) {
-      observer.sent(now, node, worker, request);
+      observer.attemptSent(now, node, worker, request);
     }
   }
 
   @Override
-  public void attemptOver(
+  public void attemptEnded(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     for (Observer observer : observers) {
-      observer.attemptOver(now, node, worker, request, outcome);
+      observer.attemptEnded(now, node, worker, request, outcome);
     }
   }
 
@@ -80,9 +81,9 @@
   }
 
   @Override
-  public void started(double now, EmulatedWorker worker, String id) {
+  public void jobStarted(double now, EmulatedWorker worker, String id) {
     for (Observer observer : observers) {
-      observer.started(now, worker, id);
+      observer.jobStarted(now, worker, id);
     }
   }
 
@@ -102,37 +103,37 @@
   }
 
   @Override
-  public void node(double now, int node, boolean up) {
+  public void nodeStateChanged(double now, int node, boolean up) {
     for (Observer observer : observers) {
-      observer.node(now, node, up);
+      observer.nodeStateChanged(now, node, up);
     }
   }
 
   @Override
-  public void paused(double now, int node, boolean begins) {
+  public void nodePauseChanged(double now, int node, boolean begins) {
     for (Observer observer : observers) {
-      observer.paused(now, node, begins);
+      observer.nodePauseChanged(now, node, begins);
     }
   }
 
   @Override
-  public void fault(double now, Fault fault, boolean begins) {
+  public void faultChanged(double now, Fault fault, boolean begins) {
     for (Observer observer : observers) {
-      observer.fault(now, fault, begins);
+      observer.faultChanged(now, fault, begins);
     }
   }
 
   @Override
-  public void slice(double now, int node, double slots) {
+  public void sliceSampled(double now, int node, double slots) {
     for (Observer observer : observers) {
-      observer.slice(now, node, slots);
+      observer.sliceSampled(now, node, slots);
     }
   }
 
   @Override
-  public void depth(double now, EmulatedWorker worker, int running, int waiting) {
+  public void queueSampled(double now, EmulatedWorker worker, int running, int waiting) {
     for (Observer observer : observers) {
-      observer.depth(now, worker, running, waiting);
+      observer.queueSampled(now, worker, running, waiting);
     }
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -37,12 +37,11 @@
   /** The time at which the client gives up, in ms. */
   public final double deadline;
 
-  /**
-   * The first request, of which this is a retry or which this is; {@link #tries} counts retries.
-   */
+  /** The first request, of which this is a retry, or this request if it is the first. */
   public final Request first;
 
-  public final int tries;
+  /** The number of this retry, from 1; 0 for the first request. */
+  public final int retryNumber;
 
   /** The object that the job refers to; 0 if there is none. */
   public final long object;
@@ -83,13 +82,14 @@
     this.worth = worth;
     this.object = object;
     this.first = first == null ? this : first;
-    this.tries = first == null ? 0 : first.retries + 1;
+    this.retryNumber = first == null ? 0 : first.retryCount + 1;
     if (first != null) {
-      first.retries = tries;
+      first.retryCount = retryNumber;
     }
   }
 
-  private int retries;
+  /** The number of retries of the first request; unused in its retries. */
+  private int retryCount;
 
   /** Sets the node that the front has picked; -1 if there is none. */
   public void setNode(int picked) {
--- a/emulator/src/main/java/ferngrade/emulator/TraceHash.java
+++ b/emulator/src/main/java/ferngrade/emulator/TraceHash.java
@@ -61,43 +61,44 @@
   }
 
   @Override
-  public void due(double now, Request request) {
+  public void requestDue(double now, Request request) {
     record(1, now, request.id, request.jobClass * 64L + request.tenant, request.work);
   }
 
   @Override
-  public void accepted(double now, int node, Request request) {
+  public void requestAccepted(double now, int node, Request request) {
     record(2, now, request.id, node, 0);
   }
 
   @Override
-  public void lost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String why) {
     record(3, now, request.id, 0, 0);
   }
 
   @Override
-  public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
+  public void requestAnswered(
+      double now, int node, Request request, Answer answer, double retryAfter) {
     record(4, now, request.id, ordinalOf(answer), retryAfter);
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     record(5, now, request.id, ordinalOf(answer), 0);
   }
 
   @Override
-  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+  public void attemptSent(double now, int node, EmulatedWorker worker, Request request) {
     record(6, now, request.id, worker.id, node);
   }
 
   @Override
-  public void attemptOver(
+  public void attemptEnded(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     record(7, now, request.id, worker.id, ordinalOf(outcome));
   }
 
   @Override
-  public void started(double now, EmulatedWorker worker, String id) {
+  public void jobStarted(double now, EmulatedWorker worker, String id) {
     record(8, now, id, worker.id, 0);
   }
 
@@ -113,7 +114,7 @@
   }
 
   @Override
-  public void slice(double now, int node, double slots) {
+  public void sliceSampled(double now, int node, double slots) {
     record(11, now, "", node, slots);
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -82,7 +82,7 @@
                 new RateLimitedLog(time, line -> {})),
             REQUEST_LIMITS,
             actions -> createDispatcher(actions, seed));
-    run.observer.node(time.now(), number, true);
+    run.observer.nodeStateChanged(time.now(), number, true);
     receiveEndpoints(EndpointListUpdate.STORED, known);
   }
 
@@ -111,9 +111,9 @@
     up = false;
     incarnation++;
     double now = run.time.now();
-    run.observer.node(now, number, false);
+    run.observer.nodeStateChanged(now, number, false);
     for (Request request : new ArrayList<>(openRequests.values())) {
-      run.observer.lost(now, request, "its node was killed");
+      run.observer.requestLost(now, request, "its node was killed");
       run.time.after(run.network.client(), () -> run.clients.answer(request, Answer.BROKEN, 0));
     }
     openRequests.clear();
@@ -123,10 +123,10 @@
   /** Pauses or resumes the process. Tasks that arrive meanwhile run in order on resumption. */
   void pause(boolean begins) {
     if (begins && openPauses++ == 0) {
-      run.observer.paused(run.time.now(), number, true);
+      run.observer.nodePauseChanged(run.time.now(), number, true);
     }
     if (!begins && --openPauses == 0) {
-      run.observer.paused(run.time.now(), number, false);
+      run.observer.nodePauseChanged(run.time.now(), number, false);
       while (!deferred.isEmpty()) {
         deferred.poll().run();
       }
@@ -156,7 +156,7 @@
   void accept(Request request) {
     double now = run.time.now();
     openRequests.put(request.id, request);
-    run.observer.accepted(now, number, request);
+    run.observer.requestAccepted(now, number, request);
     ClassSpec spec = run.scenario.workload.classes.get(request.jobClass);
     Job job =
         new Job(
@@ -230,7 +230,7 @@
       // The client has disconnected: the answer has no receiver.
       return;
     }
-    run.observer.answered(now, number, request, answer, retryAfter);
+    run.observer.requestAnswered(now, number, request, answer, retryAfter);
     run.time.after(run.network.client(), () -> run.clients.answer(request, answer, retryAfter));
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -20,7 +20,7 @@
    * The time at the start of a run, in ms. It is above 0 because 0 means 'long ago' in worker
    * lists.
    */
-  public static final double START = 1_000_000;
+  public static final double START_MILLIS = 1_000_000;
 
   private static final double SAMPLE_PERIOD_MILLIS = 500;
 
@@ -32,7 +32,7 @@
   final Policy policy;
   final Mutation mutation;
   final Observer observer;
-  final VirtualTime time = new VirtualTime(START);
+  final VirtualTime time = new VirtualTime(START_MILLIS);
   final Network network;
   final double[] allowances;
   final Fleet fleet;
@@ -89,7 +89,7 @@
     time.after(SAMPLE_PERIOD_MILLIS, this::sample);
     faultPlan.begin();
     clients.begin();
-    time.run(START + scenario.duration);
+    time.run(START_MILLIS + scenario.duration);
     double longestDeadline = 0;
     for (ClassSpec jobClass : scenario.workload.classes) {
       longestDeadline = Math.max(longestDeadline, jobClass.deadline);
@@ -103,13 +103,13 @@
   }
 
   /** Returns the virtual time that has elapsed since the start of the run, in ms. */
-  public double passed() {
-    return time.now() - START;
+  public double elapsedMillis() {
+    return time.now() - START_MILLIS;
   }
 
   /** Returns the number of events that the run has executed. */
   public long events() {
-    return time.ran();
+    return time.eventCount();
   }
 
   /** Returns the number of jobs that workers dropped because their key was a repeat. */
@@ -122,13 +122,13 @@
     for (VirtualNode node : nodes) {
       double slice = node.slice();
       if (!Double.isNaN(slice)) {
-        observer.slice(now, node.number, slice);
+        observer.sliceSampled(now, node.number, slice);
       }
     }
     if (fleet.all().size() <= MAX_SAMPLED_WORKERS) {
       for (EmulatedWorker worker : fleet.all()) {
         if (worker.model.up()) {
-          observer.depth(now, worker, worker.model.running(), worker.model.waiting());
+          observer.queueSampled(now, worker, worker.model.running(), worker.model.waiting());
         }
       }
     }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualTime.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualTime.java
@@ -27,7 +27,7 @@
 
   private double now;
   private long order;
-  private long ran;
+  private long eventCount;
 
   private static final class Event implements Handle, Comparable<Event> {
     final double at;
@@ -97,7 +97,7 @@
       if (event.task != null) {
         Runnable task = event.task;
         event.task = null;
-        ran++;
+        eventCount++;
         task.run();
       }
     }
@@ -116,7 +116,7 @@
   }
 
   /** Returns the number of events that have run. */
-  public long ran() {
-    return ran;
+  public long eventCount() {
+    return eventCount;
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -178,7 +178,7 @@
       }
       written = true;
       unansweredTransfers.add(this);
-      run.observer.sent(run.time.now(), node.number, worker, request);
+      run.observer.attemptSent(run.time.now(), node.number, worker, request);
       listener.written();
       double delay = run.network.stream(node.zone, worker.zone);
       if (delay == Network.NEVER) {
@@ -217,7 +217,7 @@
     private void recordOutcome(AttemptOutcome outcome) {
       ended = true;
       unansweredTransfers.remove(this);
-      run.observer.attemptOver(run.time.now(), node.number, worker, request, outcome);
+      run.observer.attemptEnded(run.time.now(), node.number, worker, request, outcome);
     }
 
     void reset() {
@@ -338,7 +338,7 @@
 
     @Override
     public void started() {
-      run.observer.started(run.time.now(), worker, request.id);
+      run.observer.jobStarted(run.time.now(), worker, request.id);
       sendCallback(State.STARTED, 0, null, 0);
     }
 
--- a/emulator/src/main/java/ferngrade/emulator/invariant/DrainChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/DrainChecker.java
@@ -35,12 +35,12 @@
   }
 
   @Override
-  public void node(double now, int node, boolean up) {
+  public void nodeStateChanged(double now, int node, boolean up) {
     notifiedAt.keySet().removeIf(key -> key.node() == node);
   }
 
   @Override
-  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+  public void attemptSent(double now, int node, EmulatedWorker worker, Request request) {
     if (notifiedAt.isEmpty()) {
       return;
     }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
@@ -42,7 +42,7 @@
   }
 
   @Override
-  public void accepted(double now, int node, Request request) {
+  public void requestAccepted(double now, int node, Request request) {
     if (openRequests.put(
             request, now - request.due > MAX_DELIVERY_MILLIS ? State.HELD_UP : State.OWED)
         != null) {
@@ -51,13 +51,14 @@
   }
 
   @Override
-  public void lost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String why) {
     // The emulator lost the request or its answer: a missing answer is not the node's fault.
     openRequests.remove(request);
   }
 
   @Override
-  public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
+  public void requestAnswered(
+      double now, int node, Request request, Answer answer, double retryAfter) {
     State state = openRequests.remove(request);
     if (state == null) {
       reportViolation(now, request + " was answered " + answer + " although no answer was owed");
@@ -68,7 +69,7 @@
   }
 
   @Override
-  public void paused(double now, int node, boolean begins) {
+  public void nodePauseChanged(double now, int node, boolean begins) {
     if (begins) {
       pausedNodes.add(node);
     } else {
@@ -77,7 +78,7 @@
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     if (answer != Answer.LEFT) {
       return;
     }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
@@ -18,7 +18,7 @@
   private long count;
 
   /** A violation of a rule. */
-  public record Violation(String rule, double at, String what) {}
+  public record Violation(String rule, double at, String message) {}
 
   InvariantChecker(String rule) {
     this.rule = rule;
@@ -37,7 +37,7 @@
   }
 
   /** Returns the first violations, with their messages. */
-  public List<Violation> breaches() {
+  public List<Violation> violations() {
     return Collections.unmodifiableList(violations);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
@@ -20,7 +20,7 @@
   }
 
   /** Returns the checkers, which must observe the run. */
-  public List<InvariantChecker> judges() {
+  public List<InvariantChecker> all() {
     return checkers;
   }
 
@@ -30,12 +30,12 @@
   }
 
   /** Returns the number of violations of all rules. */
-  public long breaches() {
+  public long violationCount() {
     return checkers.stream().mapToLong(InvariantChecker::count).sum();
   }
 
   /** Returns the number of workers that crashed from overload while cold, whatever the cause. */
-  public long fallen() {
-    return slowStart.fallen();
+  public long crashedWorkers() {
+    return slowStart.crashedWorkers();
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
@@ -28,30 +28,31 @@
   }
 
   @Override
-  public void accepted(double now, int node, Request request) {
+  public void requestAccepted(double now, int node, Request request) {
     lastEvent.put(request, now);
   }
 
   @Override
-  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+  public void attemptSent(double now, int node, EmulatedWorker worker, Request request) {
     lastEvent.computeIfPresent(request, (key, before) -> now);
   }
 
   @Override
-  public void attemptOver(
+  public void attemptEnded(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     lastEvent.computeIfPresent(request, (key, before) -> now);
   }
 
   @Override
-  public void paused(double now, int node, boolean begins) {
+  public void nodePauseChanged(double now, int node, boolean begins) {
     if (!begins) {
       resumedAt.put(node, now);
     }
   }
 
   @Override
-  public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
+  public void requestAnswered(
+      double now, int node, Request request, Answer answer, double retryAfter) {
     Double last = lastEvent.remove(request);
     if (answer != Answer.REFUSED || last == null) {
       return;
@@ -64,12 +65,12 @@
   }
 
   @Override
-  public void lost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String why) {
     lastEvent.remove(request);
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     if (answer == Answer.LEFT) {
       lastEvent.remove(request);
     }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
@@ -40,7 +40,7 @@
   }
 
   @Override
-  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+  public void attemptSent(double now, int node, EmulatedWorker worker, Request request) {
     List<Attempt> earlierAttempts = sent.computeIfAbsent(request, key -> new ArrayList<>(2));
     ClassSpec spec = scenario.workload.classes.get(request.jobClass);
     Attempt possiblyRan = null;
@@ -82,7 +82,7 @@
   }
 
   @Override
-  public void attemptOver(
+  public void attemptEnded(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     for (Attempt attempt : sent.getOrDefault(request, List.of())) {
       if (attempt.worker == worker && attempt.inFlight) {
@@ -94,7 +94,8 @@
   }
 
   @Override
-  public void answered(double now, int node, Request request, Answer answer, double retryAfter) {
+  public void requestAnswered(
+      double now, int node, Request request, Answer answer, double retryAfter) {
     List<Attempt> earlierAttempts = sent.remove(request);
     ClassSpec spec = scenario.workload.classes.get(request.jobClass);
     boolean mayRunAgain =
@@ -109,12 +110,12 @@
   }
 
   @Override
-  public void lost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String why) {
     sent.remove(request);
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     if (answer == Answer.LEFT) {
       sent.remove(request);
     }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
@@ -28,7 +28,7 @@
   }
 
   /** Returns the number of workers that crashed from overload while cold, whatever the cause. */
-  public long fallen() {
+  public long crashedWorkers() {
     return crashedWorkers;
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -53,7 +53,7 @@
    *
    * @throws IllegalArgumentException if there is none; the message lists the known names
    */
-  public static Policy named(String name) {
+  public static Policy byName(String name) {
     Policy policy = ALL.get(name);
     if (policy == null) {
       throw new IllegalArgumentException(
--- a/emulator/src/main/java/ferngrade/emulator/socket/ClientSockets.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/ClientSockets.java
@@ -84,7 +84,7 @@
         network.client(),
         () -> {
           if (!request.ended()) {
-            observer.accepted(time.now(), node, request);
+            observer.requestAccepted(time.now(), node, request);
             openExchanges.put(
                 request,
                 http.send(
@@ -143,7 +143,7 @@
         return;
       }
       double retryAfter = refused ? retryAfter(response) : 0;
-      observer.answered(time.now(), request.node(), request, answer, retryAfter);
+      observer.requestAnswered(time.now(), request.node(), request, answer, retryAfter);
       time.after(network.client(), () -> clients.answer(request, answer, retryAfter));
     }
 
@@ -159,7 +159,7 @@
     @Override
     public void unreached() {
       openExchanges.remove(request);
-      observer.lost(time.now(), request, "its node could not be reached");
+      observer.requestLost(time.now(), request, "its node could not be reached");
       time.after(UNREACHED_DELAY_MILLIS, () -> clients.answer(request, Answer.UNREACHED, 0));
     }
 
@@ -167,7 +167,7 @@
     public void broken() {
       openExchanges.remove(request);
       if (isKilled.test(request.node())) {
-        observer.lost(time.now(), request, "its node was killed");
+        observer.requestLost(time.now(), request, "its node was killed");
       }
       clients.answer(request, Answer.BROKEN, 0);
     }
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -213,7 +213,7 @@
   }
 
   /** Returns the time since arrivals began, in ms. */
-  public double passed() {
+  public double elapsedMillis() {
     return time.now() - start;
   }
 
@@ -322,7 +322,7 @@
   @Override
   public void killNode(int node) {
     nodes.get(node).kill();
-    observer.node(time.now(), node, false);
+    observer.nodeStateChanged(time.now(), node, false);
     time.after(scenario.frontNotice, () -> believedDown[node] = !nodes.get(node).alive());
   }
 
@@ -330,7 +330,7 @@
   public void startNode(int node) {
     if (!nodes.get(node).alive()) {
       launch(node);
-      observer.node(time.now(), node, true);
+      observer.nodeStateChanged(time.now(), node, true);
       believedDown[node] = true;
       awaitFront(node);
     }
@@ -366,7 +366,7 @@
   @Override
   public void pauseNode(int node, boolean begins) {
     nodes.get(node).pause(begins);
-    observer.paused(time.now(), node, begins);
+    observer.nodePauseChanged(time.now(), node, begins);
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
@@ -66,7 +66,7 @@
       answer(ctx, HttpResponseStatus.BAD_REQUEST, "");
       return;
     }
-    run.observer.sent(run.time.now(), request.node(), worker, request);
+    run.observer.attemptSent(run.time.now(), request.node(), worker, request);
     Attempt attempt = new Attempt(request);
     unanswered = attempt;
     double delay = run.network.stream(run.zoneOf(request), worker.zone);
@@ -146,7 +146,7 @@
     void recordOutcome(AttemptOutcome outcome) {
       if (!ended) {
         ended = true;
-        run.observer.attemptOver(run.time.now(), request.node(), worker, request, outcome);
+        run.observer.attemptEnded(run.time.now(), request.node(), worker, request, outcome);
       }
     }
 
@@ -214,7 +214,7 @@
 
     @Override
     public void started() {
-      run.observer.started(run.time.now(), worker, request.id);
+      run.observer.jobStarted(run.time.now(), worker, request.id);
       sendCallback("started", callbackBody("started"), null, 0);
     }
 
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -77,7 +77,7 @@
   static ReleaseRun play(Scenario scenario, long seed, String policy) {
     ReleaseRun statistics = new ReleaseRun(scenario);
     VirtualRun run =
-        new VirtualRun(scenario, seed, Policies.named(policy), Mutation.NONE, List.of(statistics));
+        new VirtualRun(scenario, seed, Policies.byName(policy), Mutation.NONE, List.of(statistics));
     run.run();
     return statistics;
   }
@@ -87,7 +87,7 @@
   }
 
   private Second at(double now) {
-    int index = (int) ((now - VirtualRun.START) / SECOND_MS);
+    int index = (int) ((now - VirtualRun.START_MILLIS) / SECOND_MS);
     while (seconds.size() <= index) {
       seconds.add(new Second());
     }
@@ -95,12 +95,12 @@
   }
 
   @Override
-  public void due(double now, Request request) {
+  public void requestDue(double now, Request request) {
     at(now).offered++;
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     ClassSpec jobClass = scenario.workload.classes.get(request.jobClass);
     Second second = at(request.due);
     if (answer == Answer.SERVED) {
@@ -150,7 +150,7 @@
   }
 
   @Override
-  public void slice(double now, int node, double slots) {
+  public void sliceSampled(double now, int node, double slots) {
     if (node != 0) {
       return;
     }
@@ -196,7 +196,7 @@
   double lastWarmAt() {
     double lastStart =
         workers.stream().mapToDouble(worker -> worker.model.startedAt()).max().orElseThrow();
-    return lastStart - VirtualRun.START + scenario.kinds.get(0).coldMs;
+    return lastStart - VirtualRun.START_MILLIS + scenario.kinds.get(0).coldMs;
   }
 
   /**
--- a/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
@@ -144,7 +144,11 @@
   private static void verify(Run run) {
     TraceHash trace = new TraceHash();
     new VirtualRun(
-            run.scenario(), run.seed(), Policies.named(run.policy()), Mutation.NONE, List.of(trace))
+            run.scenario(),
+            run.seed(),
+            Policies.byName(run.policy()),
+            Mutation.NONE,
+            List.of(trace))
         .run();
     long events = trace.events();
     GOLDEN.verify(run.name(), events + " " + trace.hex());
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -69,26 +69,26 @@
     InvariantCheckers checkers = new InvariantCheckers(scenario);
     TraceHash trace = new TraceHash();
     Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
-    List<Observer> observers = new ArrayList<>(checkers.judges());
+    List<Observer> observers = new ArrayList<>(checkers.all());
     observers.add(trace);
     observers.add(
         new Observer() {
           @Override
-          public void ended(double now, Request request, Answer answer) {
+          public void requestEnded(double now, Request request, Answer answer) {
             answers.merge(answer, 1, Integer::sum);
           }
         });
     observers.addAll(List.of(extraObservers));
-    VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), mutation, observers);
+    VirtualRun run = new VirtualRun(scenario, seed, Policies.byName(policy), mutation, observers);
     run.run();
-    checkers.finish(VirtualRun.START + run.passed());
+    checkers.finish(VirtualRun.START_MILLIS + run.elapsedMillis());
     return new RunResult(checkers, trace.hex(), answers, run);
   }
 
   private static String violationsOf(RunResult result) {
     StringBuilder lines = new StringBuilder();
-    for (InvariantChecker checker : result.checkers.judges()) {
-      checker.breaches().stream().limit(3).forEach(found -> lines.append(found).append('\n'));
+    for (InvariantChecker checker : result.checkers.all()) {
+      checker.violations().stream().limit(3).forEach(found -> lines.append(found).append('\n'));
     }
     return lines.toString();
   }
@@ -136,7 +136,7 @@
     for (long seed = 1; seed <= 6; seed++) {
       assertEquals("", violationsOf(play(scenario, seed, "module", Mutation.NONE)));
       RunResult broken = play(scenario, seed, "module", mutation);
-      for (InvariantChecker checker : broken.checkers.judges()) {
+      for (InvariantChecker checker : broken.checkers.all()) {
         if (checker.rule().equals(rule)) {
           violations += checker.count();
         } else if (!checker.rule().equals(alsoBroken)) {
@@ -164,7 +164,7 @@
             Mutation.NONE,
             new Observer() {
               @Override
-              public void lost(double now, Request request, String why) {
+              public void requestLost(double now, Request request, String why) {
                 lost[0]++;
               }
             });
@@ -191,12 +191,12 @@
               Mutation.NONE,
               new Observer() {
                 @Override
-                public void stray(double now, Request request, Answer answer) {
+                public void lateAnswer(double now, Request request, Answer answer) {
                   strays[0]++;
                 }
 
                 @Override
-                public void due(double now, Request request) {
+                public void requestDue(double now, Request request) {
                   retries[0] += request.first == request ? 0 : 1;
                 }
               });
@@ -223,14 +223,14 @@
               Mutation.NONE,
               new Observer() {
                 @Override
-                public void attemptOver(
+                public void attemptEnded(
                     double now,
                     int node,
                     EmulatedWorker worker,
                     Request request,
                     AttemptOutcome outcome) {
                   if (outcome == AttemptOutcome.TIMEOUT) {
-                    timeouts.add(now - VirtualRun.START);
+                    timeouts.add(now - VirtualRun.START_MILLIS);
                   }
                 }
               });
@@ -254,7 +254,7 @@
           Mutation.NONE,
           new Observer() {
             @Override
-            public void due(double now, Request request) {
+            public void requestDue(double now, Request request) {
               if (request.first == request) {
                 seen.add(now + " " + request.jobClass + " " + request.tenant + " " + request.work);
               }
--- a/emulator/src/test/java/ferngrade/emulator/VirtualTimeTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualTimeTest.java
@@ -54,7 +54,7 @@
             });
     handle.cancel();
     time.run(5);
-    assertEquals(0, time.ran());
+    assertEquals(0, time.eventCount());
     assertThrows(IllegalArgumentException.class, () -> time.after(Double.NaN, () -> {}));
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/socket/SocketRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/socket/SocketRunTest.java
@@ -52,22 +52,22 @@
     scenario.faults.add(new Fault(Fault.Kind.NODE_PAUSE, 3500, 700, 1, 0, 1));
     InvariantCheckers checkers = new InvariantCheckers(scenario);
     Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
-    List<Observer> observers = new ArrayList<>(checkers.judges());
+    List<Observer> observers = new ArrayList<>(checkers.all());
     observers.add(
         new Observer() {
           @Override
-          public void ended(double now, Request request, Answer answer) {
+          public void requestEnded(double now, Request request, Answer answer) {
             answers.merge(answer, 1, Integer::sum);
           }
         });
     Path folder = Files.createTempDirectory("socket-run");
     SocketRun run = new SocketRun(scenario, 3, nodeCommand(), folder, observers);
     String invalidReason = run.run();
-    checkers.finish(run.startedAt() + run.passed());
+    checkers.finish(run.startedAt() + run.elapsedMillis());
     // A run on a machine that was too busy is invalid and says nothing about the program.
     if (invalidReason == null) {
-      for (InvariantChecker checker : checkers.judges()) {
-        assertEquals(checker.breaches().toString(), "[]");
+      for (InvariantChecker checker : checkers.all()) {
+        assertEquals(checker.violations().toString(), "[]");
       }
     }
     assertTrue(answers.get(Answer.SERVED) > 20, answers + " " + invalidReason);
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
@@ -65,7 +65,7 @@
       throws InterruptedException, IOException {
     Statistics statistics = new Statistics(scenario, Double.NaN);
     InvariantCheckers checkers = new InvariantCheckers(scenario);
-    List<Observer> observers = new ArrayList<>(checkers.judges());
+    List<Observer> observers = new ArrayList<>(checkers.all());
     observers.add(statistics);
     Files.createDirectories(folder);
     long startNanos = System.nanoTime();
@@ -80,36 +80,36 @@
           invalidReason);
       return null;
     }
-    checkers.finish(run.startedAt() + run.passed());
+    checkers.finish(run.startedAt() + run.elapsedMillis());
     return result(
         statistics,
         checkers,
         run.startedAt(),
         "",
         0,
-        run.passed(),
+        run.elapsedMillis(),
         (System.nanoTime() - startNanos) / 1e6);
   }
 
   /** Runs the trial in virtual time. */
   public Result runInVirtualTime(Scenario scenario, Mutation mutation) {
-    Statistics statistics = new Statistics(scenario, VirtualRun.START);
+    Statistics statistics = new Statistics(scenario, VirtualRun.START_MILLIS);
     TraceHash trace = new TraceHash();
     InvariantCheckers checkers = new InvariantCheckers(scenario);
-    List<Observer> observers = new ArrayList<>(checkers.judges());
+    List<Observer> observers = new ArrayList<>(checkers.all());
     observers.add(statistics);
     observers.add(trace);
     long startNanos = System.nanoTime();
-    VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), mutation, observers);
+    VirtualRun run = new VirtualRun(scenario, seed, Policies.byName(policy), mutation, observers);
     run.run();
-    checkers.finish(VirtualRun.START + run.passed());
+    checkers.finish(VirtualRun.START_MILLIS + run.elapsedMillis());
     return result(
         statistics,
         checkers,
-        VirtualRun.START,
+        VirtualRun.START_MILLIS,
         trace.hex(),
         run.events(),
-        run.passed(),
+        run.elapsedMillis(),
         (System.nanoTime() - startNanos) / 1e6);
   }
 
@@ -123,16 +123,16 @@
       double elapsedMillis) {
     Map<String, Long> breaches = new LinkedHashMap<>();
     List<String> texts = new ArrayList<>();
-    for (InvariantChecker checker : checkers.judges()) {
+    for (InvariantChecker checker : checkers.all()) {
       breaches.put(checker.rule(), checker.count());
       checker
-          .breaches()
+          .violations()
           .forEach(
               violation ->
                   texts.add(
                       String.format(
                           "%s at %.1f ms: %s",
-                          violation.rule(), violation.at() - start, violation.what())));
+                          violation.rule(), violation.at() - start, violation.message())));
     }
     return new Result(
         point,
@@ -145,7 +145,7 @@
         statistics.window(),
         breaches,
         texts,
-        checkers.fallen(),
+        checkers.crashedWorkers(),
         trace,
         events,
         durationMillis,
--- a/experiment/src/main/java/ferngrade/experiment/NodeCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/NodeCommand.java
@@ -27,7 +27,7 @@
     NodeConfig config;
     try {
       config = NodeConfig.fromEnvironment(System.getenv());
-      Policies.named(policy);
+      Policies.byName(policy);
     } catch (ConfigException | IllegalArgumentException e) {
       System.err.println("ferngrade: " + e.getMessage());
       return Cli.BAD_CONFIG;
@@ -43,7 +43,7 @@
             clock,
             log,
             (assignment, now, actions) ->
-                Policies.named(policy)
+                Policies.byName(policy)
                     .start(assignment.settings(), assignment.seed(), now, actions, null));
     CountDownLatch stopped = new CountDownLatch(1);
     Runtime.getRuntime()
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -95,7 +95,7 @@
   }
 
   @Override
-  public void due(double now, Request request) {
+  public void requestDue(double now, Request request) {
     if (Double.isNaN(start)) {
       start = now;
     }
@@ -112,7 +112,7 @@
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     answers.merge(answer, 1L, Long::sum);
     if (answer == Answer.REFUSED) {
       window(now).refused++;
@@ -139,13 +139,13 @@
   }
 
   @Override
-  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+  public void attemptSent(double now, int node, EmulatedWorker worker, Request request) {
     attempts++;
     sentWork += request.work;
   }
 
   @Override
-  public void attemptOver(
+  public void attemptEnded(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     if (outcome.neverRan && outcome != AttemptOutcome.NEVER_SENT) {
       sentWork -= outcome == AttemptOutcome.FULL ? request.work : 0;
@@ -153,22 +153,22 @@
   }
 
   @Override
-  public void stray(double now, Request request, Answer answer) {
+  public void lateAnswer(double now, Request request, Answer answer) {
     strays++;
   }
 
   @Override
-  public void lost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String why) {
     lost++;
   }
 
   @Override
-  public void slice(double now, int node, double slots) {
+  public void sliceSampled(double now, int node, double slots) {
     window(now).slices.put(node, slots);
   }
 
   @Override
-  public void depth(double now, EmulatedWorker worker, int running, int waiting) {
+  public void queueSampled(double now, EmulatedWorker worker, int running, int waiting) {
     Window window = window(now);
     window.depthSum += waiting;
     window.depthSamples++;
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -83,7 +83,8 @@
   public static Result play(int size, long seed, Mutant mutant) {
     VirtualFleet fleet = new VirtualFleet(size, seed, mutant);
     fleet.run();
-    return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
+    return new Result(
+        fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.eventCount());
   }
 
   /**
@@ -101,7 +102,8 @@
             .filter(RecurringSchedule::missed)
             .map(RecurringSchedule::shard)
             .toList());
-    return new Result(fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.ran());
+    return new Result(
+        fleet.violations, fleet.effects.size(), fleet.refused, fleet.time.eventCount());
   }
 
   private void run() {
