--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -65,9 +65,9 @@
    */
   private double queueingDelay(WorkerStats worker, double now) {
     if (slowStartGate.warmingUp(worker, now) && waits.followsLoads()) {
-      return waits.byListedLoad(worker, now);
+      return waits.waitByListedLoad(worker, now);
     }
     return registry.effectiveSlotsInFlight(worker) * serviceTimes.mean() / worker.group.slots
-        + waits.expected(worker, now);
+        + waits.expectedWait(worker, now);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
@@ -42,7 +42,7 @@
    */
   boolean prefers(PendingRequest request, WorkerStats worker, double now) {
     return outliers.accepts(worker, request.job.jobClass(), now)
-        && !request.triedAt(worker)
+        && !request.wasSentTo(worker)
         && (budget.congested() || !deadlines.wouldStartLate(request, worker, now));
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/PendingRequest.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PendingRequest.java
@@ -24,12 +24,12 @@
   }
 
   /** Returns the first attempt that may have run the job, or null if there is none. */
-  Attempt firstThatMayHaveRun() {
+  Attempt firstAttemptThatMayHaveRun() {
     return attempts.stream().filter(Attempt::mayHaveRun).findFirst().orElse(null);
   }
 
   /** Returns true if an attempt of this request was sent to the worker. */
-  boolean triedAt(WorkerStats worker) {
+  boolean wasSentTo(WorkerStats worker) {
     return attempts.stream().anyMatch(attempt -> attempt.worker == worker);
   }
 
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -30,7 +30,7 @@
     if (request.inFlight > 0 && !limits.hedging()) {
       return false;
     }
-    Attempt firstAttempt = request.firstThatMayHaveRun();
+    Attempt firstAttempt = request.firstAttemptThatMayHaveRun();
     if (firstAttempt == null) {
       return true;
     }
@@ -50,7 +50,7 @@
             && request.jobClass.idempotencyScope() == IdempotencyScope.ALL;
     return idempotency == Idempotency.SAFE
         || keyedForAllWorkers
-        || request.firstThatMayHaveRun() == null;
+        || request.firstAttemptThatMayHaveRun() == null;
   }
 
   /**
@@ -69,7 +69,7 @@
     boolean keyedWithinGroup =
         request.jobClass.idempotency() == Idempotency.KEYED
             && request.jobClass.idempotencyScope() != IdempotencyScope.ALL;
-    return keyedWithinGroup ? request.firstThatMayHaveRun() : null;
+    return keyedWithinGroup ? request.firstAttemptThatMayHaveRun() : null;
   }
 
   /**
--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -65,7 +65,7 @@
    */
   private static final double COUNT_WEIGHT = 0.2;
 
-  private final boolean loadsListed;
+  private final boolean weightsIncludeLoad;
 
   /** NaN before the first cycle. */
   private double slice = Double.NaN;
@@ -81,11 +81,11 @@
   private boolean congested;
 
   /**
-   * Creates a budget without a slice. {@code loadsListed} is true if the endpoint list includes
-   * each worker's load from all dispatchers.
+   * Creates a budget without a slice. {@code weightsIncludeLoad} is true if the endpoint list
+   * includes each worker's load from all dispatchers.
    */
-  SlotBudget(boolean loadsListed) {
-    this.loadsListed = loadsListed;
+  SlotBudget(boolean weightsIncludeLoad) {
+    this.weightsIncludeLoad = weightsIncludeLoad;
   }
 
   /** Returns the number of slots per second that may be started, or NaN before the first cycle. */
@@ -152,7 +152,7 @@
   /** Ends a budget cycle: sets the slice from the fleet's load or from the counts of this cycle. */
   void endCycle(FleetLoad load, double meanWork, double demand, double seconds, double now) {
     followsLoads =
-        loadsListed && load.startRateKnown() && load.busy() > MIN_BUSY_SHARE * load.size();
+        weightsIncludeLoad && load.startRateKnown() && load.busy() > MIN_BUSY_SHARE * load.size();
     congested = load.queued() > CONGESTED_QUEUE * load.size();
     if (followsLoads) {
       slice = Math.max(MIN_SLICE, slice + SHARE_GAIN * (fleetShare(load, meanWork) - slice));
--- a/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
@@ -29,8 +29,8 @@
         - serviceTimes.timeAt(request, worker);
   }
 
-  /** Returns the time without a start after which a job counts as rejected. */
-  double lateAfter(PendingRequest request, WorkerStats worker) {
+  /** Returns the time in ms without a start after which a job counts as rejected. */
+  double maxStartDelay(PendingRequest request, WorkerStats worker) {
     return LATE_FRACTION
         * Math.max(spareTime(request, worker), request.jobClass.latencyObjectiveMs());
   }
@@ -41,6 +41,6 @@
   boolean wouldStartLate(PendingRequest request, WorkerStats worker, double now) {
     return budget.followsLoads()
         && request.attempts.isEmpty()
-        && waits.byListedLoad(worker, now) > lateAfter(request, worker);
+        && waits.waitByListedLoad(worker, now) > maxStartDelay(request, worker);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -185,7 +185,7 @@
   private void scheduleStartChecks(PendingRequest request, Attempt attempt) {
     WorkerStats worker = attempt.worker;
     checks.schedule(
-        deadlines.lateAfter(request, worker), now -> budget.startDeadlinePassed(attempt));
+        deadlines.maxStartDelay(request, worker), now -> budget.startDeadlinePassed(attempt));
     if (hedging.appliesTo(request)) {
       checks.schedule(hedging.delay(request, worker), now -> hedge(request, now));
     }
--- a/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
@@ -48,11 +48,11 @@
    */
   void attemptStillWaits(Attempt attempt, double now) {
     WorkerStats worker = attempt.worker;
-    updateWait(worker, Math.max(now - attempt.sentAt, expected(worker, now)), now);
+    updateWait(worker, Math.max(now - attempt.sentAt, expectedWait(worker, now)), now);
   }
 
   private void updateWait(WorkerStats worker, double wait, double now) {
-    double oldWait = observed(worker, now);
+    double oldWait = observedWait(worker, now);
     worker.wait = oldWait + WORKER_SAMPLE_WEIGHT * (wait - oldWait);
     worker.waitAt = now;
     worker.group.wait += GROUP_SAMPLE_WEIGHT * (wait - worker.group.wait);
@@ -63,10 +63,11 @@
    * load by this dispatcher's fraction of all dispatchers. If every dispatcher relied on the list
    * alone, all would send to the same few workers until the next update of the list.
    */
-  double expected(WorkerStats worker, double now) {
-    double observedWait = observed(worker, now);
+  double expectedWait(WorkerStats worker, double now) {
+    double observedWait = observedWait(worker, now);
     return budget.followsLoads()
-        ? observedWait + (byListedLoad(worker, now) - observedWait) / Math.max(2, dispatcherCount)
+        ? observedWait
+            + (waitByListedLoad(worker, now) - observedWait) / Math.max(2, dispatcherCount)
         : observedWait;
   }
 
@@ -79,7 +80,7 @@
    * Returns the wait derived from the listed jobs per core and the jobs sent that the list cannot
    * include yet.
    */
-  double byListedLoad(WorkerStats worker, double now) {
+  double waitByListedLoad(WorkerStats worker, double now) {
     double slowness = worker.group.slowness;
     double unlistedSlots = registry.recentSlots(worker, now);
     double load = worker.load + unlistedSlots / Math.max(1, worker.group.size * slowness);
@@ -87,7 +88,7 @@
   }
 
   /** Returns the observed wait of this worker, which decays to the mean of its group. */
-  private static double observed(WorkerStats worker, double now) {
+  private static double observedWait(WorkerStats worker, double now) {
     double groupMean = worker.group.wait;
     return groupMean + (worker.wait - groupMean) * Math.exp((worker.waitAt - now) / DECAY_MS);
   }
--- a/dispatch/src/test/java/ferngrade/dispatch/EstimatorsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/EstimatorsTest.java
@@ -50,10 +50,10 @@
   void estimatesWaitAsDelayMinusRoundTripTimeAndDecaysIt() {
     waits.attemptStarted(new Attempt(worker, 0), 10);
     assertEquals(10, registry.roundTripTime(worker));
-    assertEquals(0, waits.expected(worker, 10), 1e-9);
+    assertEquals(0, waits.expectedWait(worker, 10), 1e-9);
     waits.attemptStarted(new Attempt(worker, 0), 110);
-    assertEquals(30, waits.expected(worker, 110), 1e-9);
-    assertEquals(10, waits.expected(worker, 1e6), 1e-9, "the group's mean");
+    assertEquals(30, waits.expectedWait(worker, 110), 1e-9);
+    assertEquals(10, waits.expectedWait(worker, 1e6), 1e-9, "the group's mean");
   }
 
   @Test
@@ -61,10 +61,10 @@
     StartDeadlines deadlines = new StartDeadlines(serviceTimes, waits, budget);
     assertEquals(
         200, deadlines.spareTime(request, worker), "100 ms plus twice 100 ms, minus 100 ms");
-    assertEquals(150, deadlines.lateAfter(request, worker));
+    assertEquals(150, deadlines.maxStartDelay(request, worker));
     updateList(0.25);
     assertEquals(3, worker.load, "the weight is the size of 1 divided by 1 + the jobs per core");
-    assertEquals(200, waits.byListedLoad(worker, 0));
+    assertEquals(200, waits.waitByListedLoad(worker, 0));
     assertFalse(deadlines.wouldStartLate(request, worker, 0), "loads are not followed yet");
     budget.endCycle(new FleetLoad(10, 9, 0, 1, true), 100, 1, 0.5, 0);
     assertTrue(deadlines.wouldStartLate(request, worker, 0));
