--- a/emulator/src/main/java/ferngrade/emulator/Clients.java
+++ b/emulator/src/main/java/ferngrade/emulator/Clients.java
@@ -33,8 +33,8 @@
   private final double startedAt;
   private final double rate;
   private final double[] classShares;
-  private final List<Draw.Spread> workSpreads;
-  private final List<Draw.Spread> hintSpreads;
+  private final List<Draw.LognormalFactor> workSpreads;
+  private final List<Draw.LognormalFactor> hintSpreads;
   private final double[] usages;
   private final double[] tenantFactors;
   private final double[] zoneShares;
@@ -61,7 +61,11 @@
 
   /** Creates the clients of a scenario, whose requests are sent through {@code transport}. */
   public Clients(
-      Scenario scenario, Scheduler time, Streams streams, Observer observer, Transport transport) {
+      Scenario scenario,
+      Scheduler time,
+      RandomStreams streams,
+      Observer observer,
+      Transport transport) {
     this.scenario = scenario;
     this.spec = scenario.workload;
     this.time = time;
@@ -79,9 +83,11 @@
     this.rate = scenario.rate();
     this.classShares = spec.classes.stream().mapToDouble(jobClass -> jobClass.share).toArray();
     this.workSpreads =
-        spec.classes.stream().map(jobClass -> Draw.Spread.of(jobClass.workSpread)).toList();
+        spec.classes.stream()
+            .map(jobClass -> Draw.LognormalFactor.of(jobClass.workSpread))
+            .toList();
     this.hintSpreads =
-        spec.classes.stream().map(jobClass -> Draw.Spread.of(jobClass.hintNoise)).toList();
+        spec.classes.stream().map(jobClass -> Draw.LognormalFactor.of(jobClass.hintNoise)).toList();
     this.usages = spec.tenants.stream().mapToDouble(tenant -> tenant.usage).toArray();
     this.tenantFactors = new double[usages.length];
     Arrays.fill(tenantFactors, 1);
@@ -102,19 +108,19 @@
     }
   }
 
-  /** Multiplies the rate of all arrivals by {@code times}. */
-  void boost(double times) {
-    rateFactor *= times;
+  /** Multiplies the rate of all arrivals by {@code factor}. */
+  void multiplyRate(double factor) {
+    rateFactor *= factor;
   }
 
-  /** Multiplies the arrival rate of one tenant by {@code times}. */
-  void boost(int tenant, double times) {
-    tenantFactors[tenant] *= times;
+  /** Multiplies the arrival rate of one tenant by {@code factor}. */
+  void multiplyTenantRate(int tenant, double factor) {
+    tenantFactors[tenant] *= factor;
   }
 
-  /** Multiplies the arrival rate of one zone by {@code times}. */
-  void surge(int zone, double times) {
-    zoneFactors[zone] *= times;
+  /** Multiplies the arrival rate of one zone by {@code factor}. */
+  void multiplyZoneRate(int zone, double factor) {
+    zoneFactors[zone] *= factor;
   }
 
   /** Returns the number of requests whose client is waiting for an answer. */
@@ -219,7 +225,7 @@
     }
     boolean withinAllowance =
         allowances.length == 0 || ++spentAllowances[tenant] <= Math.max(1, allowances[tenant]);
-    double worth = classSpec.worth * work * (withinAllowance ? 1 : spec.overShareWorth);
+    double value = classSpec.worth * work * (withinAllowance ? 1 : spec.overShareWorth);
     String key =
         classSpec.effect == Idempotency.KEYED
             ? "k" + Long.toHexString(idBase << 32 | requestCount)
@@ -235,7 +241,7 @@
             key,
             now,
             now + classSpec.deadline,
-            worth,
+            value,
             objects == null ? 0 : objects.sample(),
             null);
     submit(request);
@@ -322,11 +328,11 @@
                   last.tenant,
                   last.zone,
                   last.work,
-                  last.hint,
+                  last.estimatedWork,
                   last.key,
                   time.now(),
                   last.first.deadline,
-                  last.worth,
+                  last.value,
                   last.object,
                   last.first));
         });
--- a/emulator/src/main/java/ferngrade/emulator/Draw.java
+++ b/emulator/src/main/java/ferngrade/emulator/Draw.java
@@ -18,12 +18,13 @@
   }
 
   /**
-   * Lognormal factors with the mean 1; {@code sigma} is the standard deviation of their logarithm.
+   * Draws lognormal factors with the mean 1; {@code sigma} is the standard deviation of their
+   * logarithm.
    */
-  record Spread(double sigma) {
-    /** Creates factors with this coefficient of variation. */
-    static Spread of(double variation) {
-      return new Spread(Math.sqrt(Math.log1p(variation * variation)));
+  record LognormalFactor(double sigma) {
+    /** Returns a distribution with this coefficient of variation. */
+    static LognormalFactor of(double variation) {
+      return new LognormalFactor(Math.sqrt(Math.log1p(variation * variation)));
     }
 
     double draw(UniformRandomProvider random) {
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedDiscovery.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedDiscovery.java
@@ -24,7 +24,7 @@
   private final UniformRandomProvider random;
   private final Publisher publisher;
   private final Map<Long, Endpoint> listed = new LinkedHashMap<>();
-  private final Deque<Runnable> heldBack = new ArrayDeque<>();
+  private final Deque<Runnable> deferredUpdates = new ArrayDeque<>();
   private double lastDetection = Double.NEGATIVE_INFINITY;
   private int openOutages;
   private double unreportedDrainShare;
@@ -50,7 +50,7 @@
     this.publisher = publisher;
     fleet.all().forEach(worker -> listed.put(worker.id, worker.entry()));
     if (spec.weightPeriod > 0) {
-      time.after(spec.weightPeriod, () -> renewWeights(fleet));
+      time.after(spec.weightPeriod, () -> publishWeights(fleet));
     }
   }
 
@@ -70,8 +70,8 @@
   }
 
   /** Schedules the detection of a change of the worker. */
-  void changed(EmulatedWorker worker, boolean added) {
-    if (worker.phase == WorkerState.DRAINING && random.nextDouble() < unreportedDrainShare) {
+  void workerChanged(EmulatedWorker worker, boolean added) {
+    if (worker.state == WorkerState.DRAINING && random.nextDouble() < unreportedDrainShare) {
       return;
     }
     double delay =
@@ -86,7 +86,7 @@
 
   private void publishChange(Endpoint entry) {
     if (openOutages > 0) {
-      heldBack.add(() -> publishChange(entry));
+      deferredUpdates.add(() -> publishChange(entry));
       return;
     }
     List<Endpoint> previous = list();
@@ -119,7 +119,7 @@
    * Publishes the weights of all workers, {@code weightLate} ms after they were read. A live weight
    * decreases with the number of jobs at the worker.
    */
-  private void renewWeights(Fleet fleet) {
+  private void publishWeights(Fleet fleet) {
     List<Endpoint> changes = new ArrayList<>();
     for (EmulatedWorker worker : fleet.all()) {
       Endpoint known = listed.get(worker.id);
@@ -141,7 +141,7 @@
             publisher.publish(EndpointListUpdate.CHANGES, current, ++revision, spec.spread);
           }
         });
-    time.after(spec.weightPeriod, () -> renewWeights(fleet));
+    time.after(spec.weightPeriod, () -> publishWeights(fleet));
   }
 
   /** Returns true if the list contains this instance, not a later entry with equal content. */
@@ -153,8 +153,8 @@
   /** Begins or ends an outage; updates that were held back are published when the last one ends. */
   void setOutage(boolean begins) {
     openOutages += begins ? 1 : -1;
-    while (openOutages == 0 && !heldBack.isEmpty()) {
-      heldBack.poll().run();
+    while (openOutages == 0 && !deferredUpdates.isEmpty()) {
+      deferredUpdates.poll().run();
     }
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
@@ -30,7 +30,7 @@
   /** The listening address on sockets, or a synthetic address in virtual time. */
   public final InetSocketAddress address;
 
-  WorkerState phase = WorkerState.READY;
+  WorkerState state = WorkerState.READY;
 
   /** True once the machine is unreachable. */
   boolean unreachable;
@@ -46,7 +46,7 @@
       int zone,
       int workerType,
       int cell,
-      KindSpec spec,
+      WorkerTypeSpec spec,
       InetSocketAddress address,
       WorkerModel model) {
     this.number = number;
@@ -88,10 +88,10 @@
    * divided by one plus the number of jobs held per core.
    */
   Endpoint entry() {
-    int jobsHeld = model.up() ? model.running() + model.waiting() : 0;
+    int jobsHeld = model.up() ? model.runningCount() + model.waitingCount() : 0;
     Worker worker =
         new Worker(
-            id, phase, zone, workerType, cell, model.startedAt(), size / (1 + jobsHeld / cores));
+            id, state, zone, workerType, cell, model.startedAt(), size / (1 + jobsHeld / cores));
     return new Endpoint(name, address, worker);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
@@ -64,31 +64,31 @@
   private Runnable start(Fault fault) {
     return switch (fault.kind()) {
       case BURST -> {
-        clients.boost(fault.size());
-        yield () -> clients.boost(1 / fault.size());
+        clients.multiplyRate(fault.size());
+        yield () -> clients.multiplyRate(1 / fault.size());
       }
       case TENANT_FLOOD -> {
         int tenant = target(fault, scenario.workload.tenants.size());
-        clients.boost(tenant, fault.size());
-        yield () -> clients.boost(tenant, 1 / fault.size());
+        clients.multiplyTenantRate(tenant, fault.size());
+        yield () -> clients.multiplyTenantRate(tenant, 1 / fault.size());
       }
       case ZONE_SURGE -> {
         int zone = target(fault, scenario.zones.size());
-        clients.surge(zone, fault.size());
-        yield () -> clients.surge(zone, 1 / fault.size());
+        clients.multiplyZoneRate(zone, fault.size());
+        yield () -> clients.multiplyZoneRate(zone, 1 / fault.size());
       }
       case DEPLOY -> deploy(fault);
       case SHRINK -> shrink(fault);
       case ZONE_CUT -> cut(fault);
       case SLOW_WORKER -> {
         EmulatedWorker worker = worker(fault);
-        worker.model.slow(fault.size());
-        yield () -> worker.model.slow(1);
+        worker.model.setSlowdown(fault.size());
+        yield () -> worker.model.setSlowdown(1);
       }
       case HUNG_WORKER -> {
         EmulatedWorker worker = worker(fault);
-        worker.model.hang(true);
-        yield () -> worker.model.hang(false);
+        worker.model.setHung(true);
+        yield () -> worker.model.setHung(false);
       }
       case WORKER_LOST -> {
         EmulatedWorker worker = worker(fault);
@@ -192,7 +192,7 @@
   private Runnable shrink(Fault fault) {
     List<EmulatedWorker> serving = new ArrayList<>(fleet.serving());
     int remaining = (int) Math.max(1, Math.round(serving.size() / fault.size()));
-    clients.boost(1 / fault.size());
+    clients.multiplyRate(1 / fault.size());
     for (int i = remaining; i < serving.size(); i++) {
       EmulatedWorker worker = serving.get(i);
       time.after(
@@ -207,12 +207,12 @@
    * replaces it.
    */
   private void retire(EmulatedWorker worker, boolean replace) {
-    if (worker.phase != WorkerState.READY || !worker.model.up()) {
+    if (worker.state != WorkerState.READY || !worker.model.up()) {
       return;
     }
-    worker.phase = WorkerState.DRAINING;
+    worker.state = WorkerState.DRAINING;
     worker.model.drain();
-    discovery.changed(worker, false);
+    discovery.workerChanged(worker, false);
     time.after(DRAIN_MILLIS, () -> endProcess(worker, replace));
   }
 
@@ -220,7 +220,7 @@
     if (!worker.model.up()) {
       return;
     }
-    if (worker.model.running() + worker.model.waiting() > 0) {
+    if (worker.model.runningCount() + worker.model.waitingCount() > 0) {
       time.after(DRAIN_MILLIS / 10, () -> endProcess(worker, replace));
       return;
     }
@@ -230,13 +230,13 @@
     if (replace) {
       EmulatedWorker replacement = fleet.add(worker.workerType, worker.zone, time.now());
       faultInjector.workerUp(replacement);
-      discovery.changed(replacement, true);
+      discovery.workerChanged(replacement, true);
     }
   }
 
   private void removeFromList(EmulatedWorker worker) {
-    worker.phase = WorkerState.GONE;
-    discovery.changed(worker, false);
+    worker.state = WorkerState.GONE;
+    discovery.workerChanged(worker, false);
   }
 
   /** Crashes a worker's process; discovery detects that the worker is gone. */
@@ -247,9 +247,9 @@
   }
 
   private void restart(EmulatedWorker worker) {
-    worker.phase = WorkerState.READY;
+    worker.state = WorkerState.READY;
     worker.model.restart();
     faultInjector.workerUp(worker);
-    discovery.changed(worker, true);
+    discovery.workerChanged(worker, true);
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/Fleet.java
+++ b/emulator/src/main/java/ferngrade/emulator/Fleet.java
@@ -15,12 +15,12 @@
 public final class Fleet {
   private final Scenario scenario;
   private final Scheduler time;
-  private final Streams streams;
+  private final RandomStreams streams;
   private final Observer observer;
   private final IntFunction<InetSocketAddress> addresses;
   private final UniformRandomProvider random;
-  private final List<Draw.Spread> attemptNoise;
-  private final KeyWindows windows;
+  private final List<Draw.LognormalFactor> attemptNoise;
+  private final KeyWindows keyWindows;
   private final List<EmulatedWorker> all = new ArrayList<>();
   private final Map<InetSocketAddress, EmulatedWorker> byAddress = new HashMap<>();
   private final Map<Long, EmulatedWorker> byId = new HashMap<>();
@@ -32,7 +32,7 @@
   public Fleet(
       Scenario scenario,
       Scheduler time,
-      Streams streams,
+      RandomStreams streams,
       Observer observer,
       IntFunction<InetSocketAddress> addresses) {
     this.scenario = scenario;
@@ -43,18 +43,18 @@
     this.random = streams.stream("attempts");
     this.attemptNoise =
         scenario.workload.classes.stream()
-            .map(jobClass -> Draw.Spread.of(jobClass.attemptNoise))
+            .map(jobClass -> Draw.LognormalFactor.of(jobClass.attemptNoise))
             .toList();
-    this.windows = new KeyWindows(time);
+    this.keyWindows = new KeyWindows(time);
     for (int i = 0; i < scenario.workers; i++) {
-      add(scenario.kindOf(i), i % scenario.zones.size(), 0);
+      add(scenario.workerTypeOf(i), i % scenario.zones.size(), 0);
     }
   }
 
   /** Adds a worker whose process started at {@code startedAt}, 0 if it started long ago. */
-  EmulatedWorker add(int kind, int zone, double startedAt) {
+  EmulatedWorker add(int workerType, int zone, double startedAt) {
     int number = all.size();
-    KindSpec spec = scenario.kinds.get(kind);
+    WorkerTypeSpec spec = scenario.kinds.get(workerType);
     EmulatedWorker[] self = new EmulatedWorker[1];
     WorkerModel model =
         new WorkerModel(
@@ -71,7 +71,7 @@
             number,
             id,
             zone,
-            kind,
+            workerType,
             number / scenario.cellSize,
             spec,
             addresses.apply(number),
@@ -106,20 +106,23 @@
       return worker.model.offer(attempt, informed, listener);
     }
     String key = KeyWindows.qualifiedKey(spec.scope, worker.zone, worker.cell, request.key);
-    if (!windows.registerFirst(key, spec.window, end -> reportEnd(listener, end))) {
+    if (!keyWindows.registerFirst(key, spec.window, outcome -> reportOutcome(listener, outcome))) {
       return true;
     }
     boolean accepted =
         worker.model.offer(
-            attempt, informed, WorkerModel.notifyingEnd(listener, end -> windows.ended(key, end)));
+            attempt,
+            informed,
+            WorkerModel.notifyingOutcome(
+                listener, outcome -> keyWindows.recordOutcome(key, outcome)));
     if (!accepted) {
-      windows.ended(key, KeyWindows.End.RETURNED);
+      keyWindows.recordOutcome(key, KeyWindows.Outcome.RETURNED);
     }
     return accepted;
   }
 
-  private static void reportEnd(WorkerModel.JobListener listener, KeyWindows.End end) {
-    switch (end) {
+  private static void reportOutcome(WorkerModel.JobListener listener, KeyWindows.Outcome outcome) {
+    switch (outcome) {
       case DONE -> listener.done();
       case FAILED -> listener.failed();
       case RETURNED -> listener.returned();
@@ -145,12 +148,12 @@
   /** Returns the workers that are ready and whose process is up. */
   public List<EmulatedWorker> serving() {
     return all.stream()
-        .filter(worker -> worker.phase == WorkerState.READY && worker.model.up())
+        .filter(worker -> worker.state == WorkerState.READY && worker.model.up())
         .toList();
   }
 
   /** Returns the number of repeated jobs that workers have dropped. */
   public long repeatsDropped() {
-    return windows.dropped();
+    return keyWindows.dropped();
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
+++ b/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
@@ -11,13 +11,13 @@
   }
 
   @Override
-  public void send(String id, long worker, double timeout) {
-    delegate.send(id, worker, timeout);
+  public void send(String id, long worker, double timeoutMs) {
+    delegate.send(id, worker, timeoutMs);
   }
 
   @Override
-  public void reject(String id, double retryAfter) {
-    delegate.reject(id, retryAfter);
+  public void reject(String id, double retryAfterMs) {
+    delegate.reject(id, retryAfterMs);
   }
 
   @Override
@@ -41,8 +41,8 @@
   }
 
   @Override
-  public void scheduleTimer(double after, long token) {
-    delegate.scheduleTimer(after, token);
+  public void scheduleTimer(double delayMs, long token) {
+    delegate.scheduleTimer(delayMs, token);
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/KeyWindows.java
+++ b/emulator/src/main/java/ferngrade/emulator/KeyWindows.java
@@ -21,7 +21,7 @@
   private long dropped;
 
   /** The outcome of a job with a key. */
-  enum End {
+  enum Outcome {
     DONE,
     FAILED,
     RETURNED,
@@ -31,8 +31,8 @@
   private static final class Entry {
     final String key;
     final double expiresAt;
-    End end;
-    final List<Consumer<End>> repeats = new ArrayList<>(1);
+    Outcome outcome;
+    final List<Consumer<Outcome>> repeats = new ArrayList<>(1);
 
     Entry(String key, double expiresAt) {
       this.key = key;
@@ -57,7 +57,7 @@
    * Returns true if the job is the first with its key and must run. Otherwise it is a repeat, and
    * {@code repeat} is called with the outcome of the first.
    */
-  boolean registerFirst(String key, double window, Consumer<End> repeat) {
+  boolean registerFirst(String key, double window, Consumer<Outcome> repeat) {
     double now = time.now();
     while (!expiryQueue.isEmpty() && expiryQueue.peek().expiresAt <= now) {
       Entry expired = expiryQueue.poll();
@@ -71,10 +71,10 @@
       return true;
     }
     dropped++;
-    if (known.end == null) {
+    if (known.outcome == null) {
       known.repeats.add(repeat);
     } else {
-      time.after(0, () -> repeat.accept(known.end));
+      time.after(0, () -> repeat.accept(known.outcome));
     }
     return false;
   }
@@ -83,16 +83,16 @@
    * Records the outcome of the first job with the key. A job that was returned or lost counts as
    * not run, and its key is free again.
    */
-  void ended(String key, End end) {
+  void recordOutcome(String key, Outcome outcome) {
     Entry entry = entries.get(key);
-    if (entry == null || entry.end != null) {
+    if (entry == null || entry.outcome != null) {
       return;
     }
-    entry.end = end;
-    if (end == End.RETURNED || end == End.LOST) {
+    entry.outcome = outcome;
+    if (outcome == Outcome.RETURNED || outcome == Outcome.LOST) {
       entries.remove(key);
     }
-    entry.repeats.forEach(repeat -> repeat.accept(end));
+    entry.repeats.forEach(repeat -> repeat.accept(outcome));
     entry.repeats.clear();
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/MutantDispatcher.java
+++ b/emulator/src/main/java/ferngrade/emulator/MutantDispatcher.java
@@ -78,13 +78,13 @@
       String id,
       int attempt,
       AttemptOutcome outcome,
-      double took,
-      boolean over,
+      double durationMs,
+      boolean completed,
       LoadReport report) {
     if (attempt == 0) {
       sendCounts.remove(id);
     }
-    delegate.attemptEnded(now, id, attempt, outcome, took, over, report);
+    delegate.attemptEnded(now, id, attempt, outcome, durationMs, completed, report);
   }
 
   @Override
@@ -124,8 +124,8 @@
 
   @Override
   public void healthCheckCompleted(
-      double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {
-    delegate.healthCheckCompleted(now, worker, outcome, took, report);
+      double now, long worker, AttemptOutcome outcome, double durationMs, LoadReport report) {
+    delegate.healthCheckCompleted(now, worker, outcome, durationMs, report);
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/Network.java
+++ b/emulator/src/main/java/ferngrade/emulator/Network.java
@@ -29,13 +29,13 @@
     cuts[from][to] += begins ? 1 : -1;
   }
 
-  boolean open(int from, int to) {
+  boolean connected(int from, int to) {
     return cuts[from][to] == 0;
   }
 
   /** Draws the delay of a TCP segment between zones, in ms; {@link #NEVER} if they are cut. */
-  public double stream(int from, int to) {
-    if (!open(from, to)) {
+  public double streamDelay(int from, int to) {
+    if (!connected(from, to)) {
       return NEVER;
     }
     double delay = jittered(from == to ? spec.sameZone : spec.crossZone);
@@ -48,7 +48,7 @@
   }
 
   /** Draws the delay between a client and the node that the front picked for it, in ms. */
-  public double client() {
+  public double clientDelay() {
     return jittered(spec.client);
   }
 
@@ -56,13 +56,13 @@
    * Draws the delay of a datagram between nodes, in ms; {@link #NEVER} if it is lost. Datagrams may
    * arrive out of order.
    */
-  public double datagram(int from, int to) {
-    boolean lost = !open(from, to) || (spec.loss > 0 && random.nextDouble() < spec.loss);
+  public double datagramDelay(int from, int to) {
+    boolean lost = !connected(from, to) || (spec.loss > 0 && random.nextDouble() < spec.loss);
     return lost ? NEVER : jittered(spec.peer);
   }
 
   /** Draws whether the connection of an attempt is reset. */
-  public boolean resets() {
+  public boolean drawReset() {
     return spec.reset > 0 && random.nextDouble() < spec.reset;
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/Observer.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observer.java
@@ -17,7 +17,7 @@
   default void requestAccepted(double now, int node, Request request) {}
 
   /** Called when the emulator loses the request or its answer, which is no fault of the node. */
-  default void requestLost(double now, Request request, String why) {}
+  default void requestLost(double now, Request request, String reason) {}
 
   /** Called when the node sends its answer. */
   default void requestAnswered(
--- a/emulator/src/main/java/ferngrade/emulator/Observers.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observers.java
@@ -29,9 +29,9 @@
   }
 
   @Override
-  public void requestLost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String reason) {
     for (Observer observer : observers) {
-      observer.requestLost(now, request, why);
+      observer.requestLost(now, request, reason);
     }
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/Policy.java
+++ b/emulator/src/main/java/ferngrade/emulator/Policy.java
@@ -8,6 +8,6 @@
 @FunctionalInterface
 public interface Policy {
   /** Creates the dispatcher of one node; {@code seed} is its only source of randomness. */
-  Dispatcher start(
+  Dispatcher createDispatcher(
       DispatcherSettings settings, long seed, double now, Actions actions, FleetState fleetState);
 }
--- a/emulator/src/main/java/ferngrade/emulator/Streams.java
+++ b/emulator/src/main/java/ferngrade/emulator/RandomStreams.java
@@ -9,11 +9,11 @@
  * so that a change to one component does not alter the random numbers of the others: two policies
  * are compared with the same arrivals and the same faults.
  */
-public final class Streams {
+public final class RandomStreams {
   private final long seed;
 
   /** Creates the streams of a seed. */
-  public Streams(long seed) {
+  public RandomStreams(long seed) {
     this.seed = seed;
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -23,10 +23,10 @@
   public final int tenant;
   public final int zone;
 
-  /** The work in ms on a standard core; {@link #hint} is the client's estimate of it. */
+  /** The work in ms on a standard core; {@link #estimatedWork} is the client's estimate of it. */
   public final double work;
 
-  public final double hint;
+  public final double estimatedWork;
 
   /** The idempotency key by which workers drop repeats; null if there is none. */
   public final String key;
@@ -47,7 +47,7 @@
   public final long object;
 
   /** The worth of a successful answer, reduced if the tenant exceeds its share. */
-  public final double worth;
+  public final double value;
 
   /** The node to which the request is sent; -1 until the front has picked one. */
   int node = -1;
@@ -63,11 +63,11 @@
       int tenant,
       int zone,
       double work,
-      double hint,
+      double estimatedWork,
       String key,
       double due,
       double deadline,
-      double worth,
+      double value,
       long object,
       Request first) {
     this.id = id;
@@ -75,11 +75,11 @@
     this.tenant = tenant;
     this.zone = zone;
     this.work = work;
-    this.hint = hint;
+    this.estimatedWork = estimatedWork;
     this.key = key;
     this.due = due;
     this.deadline = deadline;
-    this.worth = worth;
+    this.value = value;
     this.object = object;
     this.first = first == null ? this : first;
     this.retryNumber = first == null ? 0 : first.retryCount + 1;
--- a/emulator/src/main/java/ferngrade/emulator/Scenario.java
+++ b/emulator/src/main/java/ferngrade/emulator/Scenario.java
@@ -25,7 +25,7 @@
   public int workers = 15;
 
   public List<String> zones = new ArrayList<>(List.of("a", "b"));
-  public List<KindSpec> kinds = new ArrayList<>();
+  public List<WorkerTypeSpec> kinds = new ArrayList<>();
 
   @Quantity(Quantity.Measure.POSITIVE)
   public int cellSize = 4;
@@ -59,7 +59,7 @@
 
   /**
    * The share of its capacity that dispatchers assume a new worker to have at least. Every worker
-   * kind must satisfy it.
+   * worker type must satisfy it.
    */
   @Quantity(Quantity.Measure.SHARE)
   public double startCapacity = 0.15;
@@ -75,14 +75,14 @@
   public double frontNotice = 2500;
 
   /**
-   * Creates a scenario with two zones, three worker kinds and two job classes; jobs of the class
+   * Creates a scenario with two zones, three worker types and two job classes; jobs of the class
    * {@code order} must not run twice.
    */
   public static Scenario standard() {
     Scenario scenario = new Scenario();
-    scenario.kinds.add(kind("fast", 0.43, 5, 1.6));
-    scenario.kinds.add(kind("std", 0.33, 5, 1.0));
-    scenario.kinds.add(kind("slow", 0.24, 7, 0.6));
+    scenario.kinds.add(workerType("fast", 0.43, 5, 1.6));
+    scenario.kinds.add(workerType("std", 0.33, 5, 1.0));
+    scenario.kinds.add(workerType("slow", 0.24, 7, 0.6));
     ClassSpec plan = new ClassSpec();
     plan.name = "plan";
     plan.share = 0.65;
@@ -105,37 +105,37 @@
     return scenario;
   }
 
-  private static KindSpec kind(String name, double share, double cores, double speed) {
-    KindSpec kind = new KindSpec();
-    kind.name = name;
-    kind.share = share;
-    kind.cores = cores;
-    kind.speed = speed;
-    return kind;
+  private static WorkerTypeSpec workerType(String name, double share, double cores, double speed) {
+    WorkerTypeSpec type = new WorkerTypeSpec();
+    type.name = name;
+    type.share = share;
+    type.cores = cores;
+    type.speed = speed;
+    return type;
   }
 
-  /** Returns the index of the kind of a worker; kinds are assigned evenly by their shares. */
-  public int kindOf(int number) {
+  /** Returns the index of the type of a worker; types are assigned evenly by their shares. */
+  public int workerTypeOf(int number) {
     double shares = 0;
-    for (KindSpec kind : kinds) {
-      shares += kind.share;
+    for (WorkerTypeSpec type : kinds) {
+      shares += type.share;
     }
-    // Multiples of the golden ratio distribute the kinds evenly over any range of numbers.
+    // Multiples of the golden ratio distribute the types evenly over any range of numbers.
     double remaining = (number + 0.5) * 0.6180339887498949 % 1 * shares;
-    int kind = 0;
-    while (kind < kinds.size() - 1 && remaining >= kinds.get(kind).share) {
-      remaining -= kinds.get(kind).share;
-      kind++;
+    int workerType = 0;
+    while (workerType < kinds.size() - 1 && remaining >= kinds.get(workerType).share) {
+      remaining -= kinds.get(workerType).share;
+      workerType++;
     }
-    return kind;
+    return workerType;
   }
 
   /** Returns the capacity of the fleet at the start, in ms of work on a standard core per ms. */
   public double capacity() {
     double capacity = 0;
     for (int i = 0; i < workers; i++) {
-      KindSpec kind = kinds.get(kindOf(i));
-      capacity += kind.cores * kind.speed;
+      WorkerTypeSpec type = kinds.get(workerTypeOf(i));
+      capacity += type.cores * type.speed;
     }
     return capacity;
   }
--- a/emulator/src/main/java/ferngrade/emulator/TraceHash.java
+++ b/emulator/src/main/java/ferngrade/emulator/TraceHash.java
@@ -71,7 +71,7 @@
   }
 
   @Override
-  public void requestLost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String reason) {
     record(3, now, request.id, 0, 0);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -91,7 +91,7 @@
     Dispatcher.Actions dispatcherActions =
         run.mutation == Mutation.NONE ? actions : MutantDispatcher.counting(actions, mutant);
     dispatcher =
-        run.policy.start(
+        run.policy.createDispatcher(
             run.scenario.settings(number, run.allowances),
             seed,
             run.time.now(),
@@ -114,7 +114,8 @@
     run.observer.nodeStateChanged(now, number, false);
     for (Request request : new ArrayList<>(openRequests.values())) {
       run.observer.requestLost(now, request, "its node was killed");
-      run.time.after(run.network.client(), () -> run.clients.answer(request, Answer.BROKEN, 0));
+      run.time.after(
+          run.network.clientDelay(), () -> run.clients.answer(request, Answer.BROKEN, 0));
     }
     openRequests.clear();
     transport.close();
@@ -164,7 +165,7 @@
             request.jobClass,
             request.tenant,
             now + request.deadline - request.due,
-            request.hint,
+            request.estimatedWork,
             spec.slots,
             0,
             run.scenario.workload.tellObjects ? request.object : 0);
@@ -231,7 +232,8 @@
       return;
     }
     run.observer.requestAnswered(now, number, request, answer, retryAfter);
-    run.time.after(run.network.client(), () -> run.clients.answer(request, answer, retryAfter));
+    run.time.after(
+        run.network.clientDelay(), () -> run.clients.answer(request, answer, retryAfter));
   }
 
   /** Delivers the node's answer to one client. */
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -28,7 +28,7 @@
   private static final int MAX_SAMPLED_WORKERS = 64;
 
   final Scenario scenario;
-  final Streams streams;
+  final RandomStreams streams;
   final Policy policy;
   final Mutation mutation;
   final Observer observer;
@@ -44,7 +44,7 @@
   private final List<List<VirtualNode>> nodesByZone = new ArrayList<>();
 
   /** The nodes that the front load balancer considers down. */
-  private final Set<VirtualNode> believedDown = new HashSet<>();
+  private final Set<VirtualNode> markedDown = new HashSet<>();
 
   /** Creates a run that reports its events to {@code observers}. */
   public VirtualRun(
@@ -54,7 +54,7 @@
       Mutation mutation,
       List<? extends Observer> observers) {
     this.scenario = scenario;
-    this.streams = new Streams(seed);
+    this.streams = new RandomStreams(seed);
     this.policy = policy;
     this.mutation = mutation;
     this.observer = new Observers(observers);
@@ -64,7 +64,7 @@
     this.clients = new Clients(scenario, time, streams, observer, this);
     this.discovery =
         new EmulatedDiscovery(
-            scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
+            scenario.discovery, time, streams.stream("discovery"), fleet, this::publishToNodes);
     this.faultPlan =
         new FaultPlan(
             scenario, time, streams.stream("faults"), observer, fleet, discovery, clients, this);
@@ -128,7 +128,8 @@
     if (fleet.all().size() <= MAX_SAMPLED_WORKERS) {
       for (EmulatedWorker worker : fleet.all()) {
         if (worker.model.up()) {
-          observer.queueSampled(now, worker, worker.model.running(), worker.model.waiting());
+          observer.queueSampled(
+              now, worker, worker.model.runningCount(), worker.model.waitingCount());
         }
       }
     }
@@ -141,7 +142,7 @@
   public void submit(Request request) {
     VirtualNode node = pick(request);
     request.node = node == null ? -1 : node.number;
-    double delay = network.client();
+    double delay = network.clientDelay();
     if (node == null) {
       time.after(2 * delay, () -> clients.answer(request, Answer.UNREACHED, 0));
       return;
@@ -170,13 +171,13 @@
   private VirtualNode pick(Request request) {
     List<VirtualNode> candidates =
         request.zone < nodesByZone.size() ? nodesByZone.get(request.zone) : nodes;
-    if (!believedDown.isEmpty()) {
+    if (!markedDown.isEmpty()) {
       List<VirtualNode> sameZone =
-          candidates.stream().filter(node -> !believedDown.contains(node)).toList();
+          candidates.stream().filter(node -> !markedDown.contains(node)).toList();
       candidates =
           !sameZone.isEmpty()
               ? sameZone
-              : nodes.stream().filter(node -> !believedDown.contains(node)).toList();
+              : nodes.stream().filter(node -> !markedDown.contains(node)).toList();
     }
     return candidates.isEmpty() ? null : candidates.get(frontRandom.nextInt(candidates.size()));
   }
@@ -185,13 +186,13 @@
   public void disconnect(Request request) {
     if (request.node >= 0) {
       VirtualNode node = nodes.get(request.node);
-      time.after(network.client(), node.inProcess(() -> node.clientDisconnected(request)));
+      time.after(network.clientDelay(), node.inProcess(() -> node.clientDisconnected(request)));
     }
   }
 
   // ---- Discovery and peers ----
 
-  private void spread(
+  private void publishToNodes(
       EndpointListUpdate update, List<Endpoint> entries, long revision, double spread) {
     for (VirtualNode node : nodes) {
       // The delay of a node is always the same, so that it receives the updates in order.
@@ -216,7 +217,7 @@
   /** Sends a message to one peer, or to all nodes if {@code peer} is negative. */
   void sendToPeers(VirtualNode from, int peer, byte[] message) {
     for (VirtualNode to : peer < 0 ? nodes : List.of(nodes.get(peer))) {
-      double delay = network.datagram(from.zone, to.zone);
+      double delay = network.datagramDelay(from.zone, to.zone);
       if (delay != Network.NEVER) {
         time.after(
             delay, () -> to.inProcess(() -> to.receivePeerMessage(from.number, message)).run());
@@ -234,7 +235,7 @@
         scenario.frontNotice,
         () -> {
           if (!killed.up()) {
-            believedDown.add(killed);
+            markedDown.add(killed);
           }
         });
   }
@@ -247,7 +248,7 @@
       if (!discovery.inOutage()) {
         started.receiveEndpoints(EndpointListUpdate.WHOLE, discovery.list());
       }
-      believedDown.remove(started);
+      markedDown.remove(started);
     }
   }
 
@@ -291,7 +292,7 @@
     @Override
     public double estimateCompletionTime(long workerId, double work) {
       EmulatedWorker worker = fleet.byId(workerId);
-      if (worker.unreachable || worker.phase != WorkerState.READY) {
+      if (worker.unreachable || worker.state != WorkerState.READY) {
         return Double.POSITIVE_INFINITY;
       }
       return worker.model.estimateCompletionTime(work)
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -72,7 +72,7 @@
     affected.forEach(
         transfer ->
             run.time.after(
-                run.network.stream(worker.zone, node.zone), node.inProcess(transfer::reset)));
+                run.network.streamDelay(worker.zone, node.zone), node.inProcess(transfer::reset)));
   }
 
   @Override
@@ -96,8 +96,8 @@
 
   private void connect(EmulatedWorker worker, Transfer transfer) {
     NetworkSpec spec = run.scenario.network;
-    double requestDelay = run.network.stream(node.zone, worker.zone);
-    double responseDelay = run.network.stream(worker.zone, node.zone);
+    double requestDelay = run.network.streamDelay(node.zone, worker.zone);
+    double responseDelay = run.network.streamDelay(worker.zone, node.zone);
     boolean noResponse = worker.unreachable || requestDelay + responseDelay == Network.NEVER;
     if (noResponse) {
       run.time.after(
@@ -128,7 +128,8 @@
   public void check(InetSocketAddress address, BiConsumer<AttemptOutcome, LoadReport> listener) {
     EmulatedWorker worker = run.fleet.byAddress(address);
     double roundTrip =
-        run.network.stream(node.zone, worker.zone) + run.network.stream(worker.zone, node.zone);
+        run.network.streamDelay(node.zone, worker.zone)
+            + run.network.streamDelay(worker.zone, node.zone);
     boolean noResponse =
         worker.unreachable || worker.model.hung() || roundTrip >= CHECK_TIMEOUT_MILLIS;
     run.time.after(
@@ -180,13 +181,13 @@
       unansweredTransfers.add(this);
       run.observer.attemptSent(run.time.now(), node.number, worker, request);
       listener.written();
-      double delay = run.network.stream(node.zone, worker.zone);
+      double delay = run.network.streamDelay(node.zone, worker.zone);
       if (delay == Network.NEVER) {
         return;
       }
       requestInFlight = true;
       worker.inFlight += request.work;
-      boolean resets = run.network.resets();
+      boolean resets = run.network.drawReset();
       run.time.after(
           delay,
           () -> {
@@ -246,7 +247,7 @@
     private void giveUp() {
       givenUp = true;
       if (accepted) {
-        double delay = run.network.stream(node.zone, worker.zone);
+        double delay = run.network.streamDelay(node.zone, worker.zone);
         if (delay != Network.NEVER) {
           run.time.after(delay, () -> worker.model.cancel(request.id));
         }
@@ -292,7 +293,7 @@
     }
 
     private void toNode(Runnable task) {
-      double delay = run.network.stream(worker.zone, node.zone);
+      double delay = run.network.streamDelay(worker.zone, node.zone);
       if (delay != Network.NEVER) {
         run.time.after(delay, node.inProcess(task));
       }
@@ -302,7 +303,7 @@
       if (worker.unreachable) {
         return;
       }
-      double delay = run.network.stream(worker.zone, node.zone);
+      double delay = run.network.streamDelay(worker.zone, node.zone);
       if (delay == Network.NEVER || !node.up()) {
         if (retries < MAX_CALLBACK_RETRIES) {
           run.time.after(
--- a/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
@@ -23,15 +23,15 @@
  */
 public final class WorkerModel {
   private final Scheduler time;
-  private final KindSpec kind;
+  private final WorkerTypeSpec spec;
   private final UniformRandomProvider random;
   private final double speed;
   private final List<Task> running = new ArrayList<>();
   private final List<Task> waiting = new ArrayList<>();
   private final Deque<ColdOffer> coldOffers = new ArrayDeque<>();
   private final Set<Long> cachedObjects = new LinkedHashSet<>();
-  private final double fallMultiple;
-  private final double tipMs;
+  private final double overloadFactor;
+  private final double overloadWindowMs;
   private final DoubleConsumer onOverload;
   private double startedAt;
   private double servedWork;
@@ -99,7 +99,7 @@
               Math.min(
                   1, (servedWork - servedWorkAtStart) / (servedWorkAtEnd - servedWorkAtStart)));
         }
-        time.after(kind.progressMs, this::reportProgress);
+        time.after(spec.progressMs, this::reportProgress);
       }
     }
   }
@@ -111,23 +111,23 @@
    */
   public WorkerModel(
       Scheduler time,
-      KindSpec kind,
+      WorkerTypeSpec spec,
       double startedAt,
-      double fallMultiple,
-      double tipMs,
+      double overloadFactor,
+      double overloadWindowMs,
       UniformRandomProvider random,
       DoubleConsumer onOverload) {
     this.time = time;
-    this.kind = kind;
+    this.spec = spec;
     this.random = random;
     this.startedAt = startedAt;
-    this.fallMultiple = fallMultiple;
-    this.tipMs = tipMs;
+    this.overloadFactor = overloadFactor;
+    this.overloadWindowMs = overloadWindowMs;
     this.onOverload = onOverload;
-    this.speed = kind.speed * Draw.Spread.of(kind.speedSpread).draw(random);
+    this.speed = spec.speed * Draw.LognormalFactor.of(spec.speedSpread).draw(random);
     this.advancedAt = time.now();
-    if (kind.pauseMs > 0) {
-      nextPause = time.after(Draw.exponential(random, kind.pauseEvery), this::beginPause);
+    if (spec.pauseMs > 0) {
+      nextPause = time.after(Draw.exponential(random, spec.pauseEvery), this::beginPause);
     }
   }
 
@@ -142,12 +142,12 @@
       throw new IllegalStateException("a job was offered to a process that is down");
     }
     countColdOffer(work.amount() * work.slots(), informed);
-    if (!up || draining || work.slots() > kind.slots()) {
+    if (!up || draining || work.slots() > spec.slots()) {
       return false;
     }
-    boolean fits = slotsInUse + work.slots() <= kind.slots();
-    boolean maySkipQueue = waiting.isEmpty() || kind.order == KindSpec.Order.BACKFILL;
-    if (!(fits && maySkipQueue) && waiting.size() >= kind.queueCapacity()) {
+    boolean fits = slotsInUse + work.slots() <= spec.slots();
+    boolean maySkipQueue = waiting.isEmpty() || spec.order == WorkerTypeSpec.Order.BACKFILL;
+    if (!(fits && maySkipQueue) && waiting.size() >= spec.queueCapacity()) {
       return false;
     }
     advance();
@@ -156,9 +156,9 @@
     return true;
   }
 
-  /** Drops a waiting job if this kind of worker supports it; a running job continues. */
+  /** Drops a waiting job if this type of worker supports it; a running job continues. */
   public void cancel(String id) {
-    if (up && kind.cancelDropsWaiting && waiting.removeIf(task -> task.work.id().equals(id))) {
+    if (up && spec.cancelDropsWaiting && waiting.removeIf(task -> task.work.id().equals(id))) {
       advance();
       startWaitingJobs();
     }
@@ -168,15 +168,15 @@
   public void addOverhead(double work) {
     if (up && !running.isEmpty()) {
       advance();
-      servedWork -= Math.min(work / Math.max(1, Math.min(kind.cores, slotsInUse)), 50);
+      servedWork -= Math.min(work / Math.max(1, Math.min(spec.cores, slotsInUse)), 50);
       schedule();
     }
   }
 
-  /** Rejects new jobs from now on and, if this kind of worker does so, returns waiting jobs. */
+  /** Rejects new jobs from now on and, if this type of worker does so, returns waiting jobs. */
   public void drain() {
     draining = true;
-    if (kind.drainReturns && up) {
+    if (spec.drainReturns && up) {
       advance();
       List<Task> returned = new ArrayList<>(waiting);
       waiting.clear();
@@ -230,14 +230,14 @@
   }
 
   /** Divides the worker's speed by {@code factor} from now on. */
-  public void slow(double factor) {
+  public void setSlowdown(double factor) {
     advance();
     slowdown = factor;
     schedule();
   }
 
   /** Hangs the worker, which then accepts jobs but does not execute them, or ends the hang. */
-  public void hang(boolean begins) {
+  public void setHung(boolean begins) {
     advance();
     hung = begins;
     schedule();
@@ -261,47 +261,47 @@
 
   /** Returns true if the callback that ends a job carries the worker's load report. */
   public boolean reportsWithAnswers() {
-    return kind.reportsWithAnswers;
+    return spec.reportsWithAnswers;
   }
 
-  public int running() {
+  public int runningCount() {
     return running.size();
   }
 
-  public int waiting() {
+  public int waitingCount() {
     return waiting.size();
   }
 
   public int freeSlots() {
-    return kind.slots() - slotsInUse;
+    return spec.slots() - slotsInUse;
   }
 
   /** Returns the load report, which is up to one report period old and contains noise. */
   public LoadReport report() {
     double now = time.now();
-    if (now - reportedAt >= kind.reportPeriod) {
+    if (now - reportedAt >= spec.reportPeriod) {
       reportedAt = now;
       report =
           new LoadReport(
               noisy(freeSlots()),
               Double.NaN,
               noisy(waiting.size()),
-              kind.reportsWithAnswers ? noisy(running.size() + waiting.size()) : Double.NaN);
+              spec.reportsWithAnswers ? noisy(running.size() + waiting.size()) : Double.NaN);
     }
     return report;
   }
 
   private double noisy(double value) {
-    return value * (1 + kind.reportNoise * (2 * random.nextDouble() - 1));
+    return value * (1 + spec.reportNoise * (2 * random.nextDouble() - 1));
   }
 
   public boolean cold() {
-    return startedAt > 0 && time.now() - startedAt < kind.coldMs;
+    return startedAt > 0 && time.now() - startedAt < spec.coldMs;
   }
 
   /** Returns the current capacity, in ms of work on a standard core per ms. */
   public double capacity() {
-    return kind.cores * speed * warmth(time.now()) / slowdown;
+    return spec.cores * speed * warmth(time.now()) / slowdown;
   }
 
   /**
@@ -321,7 +321,7 @@
       workAhead += task.work.amount() * task.work.slots();
     }
     double ownTime = work / (speed * warmth(time.now()) / slowdown);
-    boolean full = slotsInUse >= kind.slots();
+    boolean full = slotsInUse >= spec.slots();
     return ownTime
         + (full ? workAhead / capacity() / Math.max(1, running.size()) * (1 + waiting.size()) : 0);
   }
@@ -332,10 +332,10 @@
     Iterator<Task> queue = queueInServiceOrder().iterator();
     while (queue.hasNext()) {
       Task task = queue.next();
-      if (slotsInUse + task.work.slots() <= kind.slots()) {
+      if (slotsInUse + task.work.slots() <= spec.slots()) {
         waiting.remove(task);
         start(task);
-      } else if (kind.order != KindSpec.Order.BACKFILL) {
+      } else if (spec.order != WorkerTypeSpec.Order.BACKFILL) {
         break;
       }
     }
@@ -347,7 +347,7 @@
       return List.of();
     }
     List<Task> order = new ArrayList<>(waiting);
-    if (kind.order == KindSpec.Order.PRIORITY) {
+    if (spec.order == WorkerTypeSpec.Order.PRIORITY) {
       order.sort((a, b) -> Integer.compare(b.work.priority(), a.work.priority()));
     }
     return order;
@@ -361,8 +361,8 @@
         servedWork + task.work.amount() + (cacheObject(task.work.object()) ? 0 : task.work.fetch());
     if (!hung) {
       task.listener.started();
-      if (kind.progressMs > 0) {
-        time.after(kind.progressMs, task::reportProgress);
+      if (spec.progressMs > 0) {
+        time.after(spec.progressMs, task::reportProgress);
       }
     }
   }
@@ -377,7 +377,7 @@
     }
     boolean wasCached = cachedObjects.remove(object);
     cachedObjects.add(object);
-    if (cachedObjects.size() > kind.cachedObjects()) {
+    if (cachedObjects.size() > spec.cachedObjects()) {
       cachedObjects.remove(cachedObjects.iterator().next());
     }
     return wasCached;
@@ -398,15 +398,15 @@
       return 0;
     }
     double jobsHeld = slotsInUse + waiting.size();
-    double excess = Math.max(0, jobsHeld / kind.cores - kind.thrashAt);
-    double efficiency = 1 / (1 + kind.thrash * excess);
-    return speed / slowdown * Math.min(1, kind.cores / slotsInUse) * efficiency;
+    double excess = Math.max(0, jobsHeld / spec.cores - spec.thrashAt);
+    double efficiency = 1 / (1 + spec.thrash * excess);
+    return speed / slowdown * Math.min(1, spec.cores / slotsInUse) * efficiency;
   }
 
   private double warmth(double at) {
     double age = at - startedAt;
-    boolean warm = startedAt <= 0 || age >= kind.coldMs;
-    return warm ? 1 : kind.coldStart + (1 - kind.coldStart) * age / kind.coldMs;
+    boolean warm = startedAt <= 0 || age >= spec.coldMs;
+    return warm ? 1 : spec.coldStart + (1 - spec.coldStart) * age / spec.coldMs;
   }
 
   /** Returns the integral of the warmth from the start of the process up to {@code at}. */
@@ -415,10 +415,10 @@
       return at;
     }
     double age = at - startedAt;
-    double cold = Math.min(age, kind.coldMs);
-    return kind.coldStart * cold
-        + (1 - kind.coldStart) * cold * cold / (2 * kind.coldMs)
-        + Math.max(0, age - kind.coldMs);
+    double cold = Math.min(age, spec.coldMs);
+    return spec.coldStart * cold
+        + (1 - spec.coldStart) * cold * cold / (2 * spec.coldMs)
+        + Math.max(0, age - spec.coldMs);
   }
 
   /**
@@ -427,17 +427,17 @@
    */
   private double timeUntilWarmthGain(double gain) {
     double now = time.now();
-    if (startedAt <= 0 || now - startedAt >= kind.coldMs) {
+    if (startedAt <= 0 || now - startedAt >= spec.coldMs) {
       return gain;
     }
     double target = cumulativeWarmth(now) + gain;
-    double cumulativeWhenWarm = cumulativeWarmth(startedAt + kind.coldMs);
+    double cumulativeWhenWarm = cumulativeWarmth(startedAt + spec.coldMs);
     double age;
     if (target >= cumulativeWhenWarm) {
-      age = kind.coldMs + target - cumulativeWhenWarm;
+      age = spec.coldMs + target - cumulativeWhenWarm;
     } else {
-      double a = (1 - kind.coldStart) / (2 * kind.coldMs);
-      double b = kind.coldStart;
+      double a = (1 - spec.coldStart) / (2 * spec.coldMs);
+      double b = spec.coldStart;
       age = a == 0 ? target / b : (Math.sqrt(b * b + 4 * a * target) - b) / (2 * a);
     }
     return startedAt + age - now;
@@ -476,7 +476,7 @@
     running.remove(first);
     slotsInUse -= first.work.slots();
     first.ended = true;
-    if (random.nextDouble() < kind.errorRate) {
+    if (random.nextDouble() < spec.errorRate) {
       first.listener.failed();
     } else {
       first.listener.done();
@@ -490,18 +490,19 @@
     schedule();
     nextPause =
         time.after(
-            kind.pauseMs,
+            spec.pauseMs,
             () -> {
               advance();
               paused = false;
               schedule();
-              nextPause = time.after(Draw.exponential(random, kind.pauseEvery), this::beginPause);
+              nextPause = time.after(Draw.exponential(random, spec.pauseEvery), this::beginPause);
             });
   }
 
   /**
-   * Counts the work offered to a cold process within the last {@code tipMs}, including rejected
-   * work, and crashes the process if it exceeds {@code fallMultiple} times the current capacity.
+   * Counts the work offered to a cold process within the last {@code overloadWindowMs}, including
+   * rejected work, and crashes the process if it exceeds {@code overloadFactor} times the current
+   * capacity.
    */
   private void countColdOffer(double work, boolean informed) {
     if (!cold()) {
@@ -511,20 +512,21 @@
     coldOffers.add(new ColdOffer(now, work, informed));
     offeredWork += work;
     informedOfferedWork += informed ? work : 0;
-    while (coldOffers.peek().at() <= now - tipMs) {
+    while (coldOffers.peek().at() <= now - overloadWindowMs) {
       ColdOffer expired = coldOffers.poll();
       offeredWork -= expired.work();
       informedOfferedWork -= expired.informed() ? expired.work() : 0;
     }
-    if (offeredWork > fallMultiple * capacity() * tipMs) {
+    if (offeredWork > overloadFactor * capacity() * overloadWindowMs) {
       double informedShare = informedOfferedWork / offeredWork;
       kill(true);
       onOverload.accept(informedShare);
     }
   }
 
-  /** Wraps a listener so that the end of a keyed job is also passed to {@code onEnd}. */
-  static JobListener notifyingEnd(JobListener listener, Consumer<KeyWindows.End> onEnd) {
+  /** Wraps a listener so that the end of a keyed job is also passed to {@code onOutcome}. */
+  static JobListener notifyingOutcome(
+      JobListener listener, Consumer<KeyWindows.Outcome> onOutcome) {
     return new JobListener() {
       @Override
       public void started() {
@@ -539,25 +541,25 @@
       @Override
       public void done() {
         listener.done();
-        onEnd.accept(KeyWindows.End.DONE);
+        onOutcome.accept(KeyWindows.Outcome.DONE);
       }
 
       @Override
       public void failed() {
         listener.failed();
-        onEnd.accept(KeyWindows.End.FAILED);
+        onOutcome.accept(KeyWindows.Outcome.FAILED);
       }
 
       @Override
       public void returned() {
         listener.returned();
-        onEnd.accept(KeyWindows.End.RETURNED);
+        onOutcome.accept(KeyWindows.Outcome.RETURNED);
       }
 
       @Override
       public void lost() {
         listener.lost();
-        onEnd.accept(KeyWindows.End.LOST);
+        onOutcome.accept(KeyWindows.Outcome.LOST);
       }
     };
   }
--- a/emulator/src/main/java/ferngrade/emulator/KindSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkerTypeSpec.java
@@ -1,10 +1,10 @@
 package ferngrade.emulator;
 
-/** Specifies a kind of worker. Speeds are relative to a standard core; times are in ms. */
-public final class KindSpec {
+/** Specifies a type of worker. Speeds are relative to a standard core; times are in ms. */
+public final class WorkerTypeSpec {
   public String name = "std";
 
-  /** The weight by which the workers of the fleet are distributed among the kinds. */
+  /** The weight by which the workers of the fleet are distributed among the types. */
   public double share = 1;
 
   @Quantity(Quantity.Measure.POSITIVE)
--- a/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public void requestLost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String reason) {
     // The emulator lost the request or its answer: a missing answer is not the node's fault.
     openRequests.remove(request);
   }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
@@ -15,7 +15,7 @@
 
   private final String rule;
   private final List<Violation> violations = new ArrayList<>();
-  private long count;
+  private long violationCount;
 
   /** A violation of a rule. */
   public record Violation(String rule, double at, String message) {}
@@ -30,7 +30,7 @@
   }
 
   final void reportViolation(double now, String message) {
-    count++;
+    violationCount++;
     if (violations.size() < MAX_STORED_VIOLATIONS) {
       violations.add(new Violation(rule, now, message));
     }
@@ -42,8 +42,8 @@
   }
 
   /** Returns the number of all violations. */
-  public long count() {
-    return count;
+  public long violationCount() {
+    return violationCount;
   }
 
   /** Called once, at the end of the run. */
--- a/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
@@ -31,7 +31,7 @@
 
   /** Returns the number of violations of all rules. */
   public long violationCount() {
-    return checkers.stream().mapToLong(InvariantChecker::count).sum();
+    return checkers.stream().mapToLong(InvariantChecker::violationCount).sum();
   }
 
   /** Returns the number of workers that crashed from overload while cold, whatever the cause. */
--- a/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RejectionChecker.java
@@ -65,7 +65,7 @@
   }
 
   @Override
-  public void requestLost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String reason) {
     lastEvent.remove(request);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/RetryChecker.java
@@ -23,13 +23,13 @@
 
   private static final class Attempt {
     final EmulatedWorker worker;
-    final double at;
+    final double sentAt;
     boolean inFlight = true;
     boolean neverRan;
 
-    Attempt(EmulatedWorker worker, double at) {
+    Attempt(EmulatedWorker worker, double sentAt) {
       this.worker = worker;
-      this.at = at;
+      this.sentAt = sentAt;
     }
   }
 
@@ -78,7 +78,7 @@
         spec.scope == IdempotencyScope.ALL
             || (spec.scope == IdempotencyScope.ZONE && possiblyRan.worker.zone == worker.zone)
             || (spec.scope == IdempotencyScope.CELL && possiblyRan.worker.cell == worker.cell);
-    return spec.effect == Idempotency.KEYED && sameGroup && now <= possiblyRan.at + spec.window;
+    return spec.effect == Idempotency.KEYED && sameGroup && now <= possiblyRan.sentAt + spec.window;
   }
 
   @Override
@@ -110,7 +110,7 @@
   }
 
   @Override
-  public void requestLost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String reason) {
     sent.remove(request);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -34,7 +34,7 @@
 
   private static final class PendingJob {
     final Job job;
-    final List<Long> tried = new ArrayList<>(1);
+    final List<Long> triedWorkerIds = new ArrayList<>(1);
     boolean mayHaveRun;
 
     PendingJob(Job job) {
@@ -67,18 +67,19 @@
 
   private void send(PendingJob pending, double now) {
     List<Worker> candidates = ready;
-    if (!pending.tried.isEmpty()) {
-      Set<Long> tried = new HashSet<>(pending.tried);
+    if (!pending.triedWorkerIds.isEmpty()) {
+      Set<Long> tried = new HashSet<>(pending.triedWorkerIds);
       candidates = ready.stream().filter(worker -> !tried.contains(worker.id())).toList();
     }
     boolean exhausted =
-        pending.tried.size() >= settings.limits().maxAttempts() || now >= pending.job.deadline();
+        pending.triedWorkerIds.size() >= settings.limits().maxAttempts()
+            || now >= pending.job.deadline();
     Worker worker = exhausted || candidates.isEmpty() ? null : pick(candidates, pending.job);
     if (worker == null) {
       answer(pending);
       return;
     }
-    pending.tried.add(worker.id());
+    pending.triedWorkerIds.add(worker.id());
     attemptsInFlight.merge(worker.id(), 1, Integer::sum);
     actions.send(pending.job.id(), worker.id(), 0);
   }
@@ -103,16 +104,16 @@
       String id,
       int attempt,
       AttemptOutcome outcome,
-      double took,
-      boolean over,
+      double durationMs,
+      boolean completed,
       LoadReport report) {
     PendingJob pending = pendingJobs.get(id);
     if (pending == null) {
       return;
     }
-    attemptsInFlight.merge(pending.tried.get(attempt), -1, Integer::sum);
+    attemptsInFlight.merge(pending.triedWorkerIds.get(attempt), -1, Integer::sum);
     pending.mayHaveRun |= !outcome.neverRan;
-    if (over || outcome == AttemptOutcome.OK) {
+    if (completed || outcome == AttemptOutcome.OK) {
       pendingJobs.remove(id);
     } else if (pending.mayHaveRun) {
       answer(pending);
@@ -151,7 +152,7 @@
 
   @Override
   public final void healthCheckCompleted(
-      double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {}
+      double now, long worker, AttemptOutcome outcome, double durationMs, LoadReport report) {}
 
   @Override
   public final void peerMessageReceived(double now, int from, byte[] message) {}
--- a/emulator/src/main/java/ferngrade/emulator/socket/ClientSockets.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/ClientSockets.java
@@ -31,7 +31,7 @@
   private final Network network;
   private final HttpPool http;
   private final Observer observer;
-  private final ToIntFunction<Request> front;
+  private final ToIntFunction<Request> nodePicker;
   private final IntFunction<InetSocketAddress> nodes;
   private final IntPredicate isKilled;
   private final Map<String, Request> requestsById = new HashMap<>();
@@ -39,8 +39,8 @@
   private Clients clients;
 
   /**
-   * Creates a transport. {@code front} picks the node for a request, -1 if there is none; {@code
-   * isKilled} returns true for a node that was killed.
+   * Creates a transport. {@code nodePicker} picks the node for a request, -1 if there is none;
+   * {@code isKilled} returns true for a node that was killed.
    */
   ClientSockets(
       Scenario scenario,
@@ -48,7 +48,7 @@
       Network network,
       HttpPool http,
       Observer observer,
-      ToIntFunction<Request> front,
+      ToIntFunction<Request> nodePicker,
       IntFunction<InetSocketAddress> nodes,
       IntPredicate isKilled) {
     this.scenario = scenario;
@@ -56,7 +56,7 @@
     this.network = network;
     this.http = http;
     this.observer = observer;
-    this.front = front;
+    this.nodePicker = nodePicker;
     this.nodes = nodes;
     this.isKilled = isKilled;
   }
@@ -73,7 +73,7 @@
 
   @Override
   public void submit(Request request) {
-    int node = front.applyAsInt(request);
+    int node = nodePicker.applyAsInt(request);
     request.setNode(node);
     if (node < 0) {
       time.after(1, () -> clients.answer(request, Answer.UNREACHED, 0));
@@ -81,7 +81,7 @@
     }
     requestsById.put(request.id, request);
     time.after(
-        network.client(),
+        network.clientDelay(),
         () -> {
           if (!request.ended()) {
             observer.requestAccepted(time.now(), node, request);
@@ -106,7 +106,7 @@
         .set("Req-Kind", spec.name)
         .set("Req-Owner", scenario.workload.tenants.get(request.tenant).name)
         .set("Req-Deadline", Math.max(1, Math.round((request.deadline - request.due) * 1000)) + "u")
-        .set("Req-Cost", Math.round(request.hint * 1000))
+        .set("Req-Cost", Math.round(request.estimatedWork * 1000))
         .set("Req-Extra", "slots=" + spec.slots);
     if (request.key != null) {
       message.headers().set("Idempotency-Key", request.key);
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void answered(FullHttpResponse response) {
+    public void responseReceived(FullHttpResponse response) {
       int code = response.status().code();
       boolean refused = code == 429 || code == 503;
       Answer answer = code == 200 ? Answer.SERVED : refused ? Answer.REFUSED : Answer.FAILED;
@@ -144,7 +144,7 @@
       }
       double retryAfter = refused ? retryAfter(response) : 0;
       observer.requestAnswered(time.now(), request.node(), request, answer, retryAfter);
-      time.after(network.client(), () -> clients.answer(request, answer, retryAfter));
+      time.after(network.clientDelay(), () -> clients.answer(request, answer, retryAfter));
     }
 
     private double retryAfter(FullHttpResponse response) {
@@ -157,14 +157,14 @@
     }
 
     @Override
-    public void unreached() {
+    public void connectFailed() {
       openExchanges.remove(request);
       observer.requestLost(time.now(), request, "its node could not be reached");
       time.after(UNREACHED_DELAY_MILLIS, () -> clients.answer(request, Answer.UNREACHED, 0));
     }
 
     @Override
-    public void broken() {
+    public void connectionClosed() {
       openExchanges.remove(request);
       if (isKilled.test(request.node())) {
         observer.requestLost(time.now(), request, "its node was killed");
--- a/emulator/src/main/java/ferngrade/emulator/socket/HttpPool.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/HttpPool.java
@@ -36,13 +36,13 @@
    * if the request was given up.
    */
   interface Listener {
-    void answered(FullHttpResponse response);
+    void responseReceived(FullHttpResponse response);
 
     /** Called if the connection could not be opened: the request was not sent. */
-    void unreached();
+    void connectFailed();
 
     /** Called if the connection was closed before the response was complete. */
-    void broken();
+    void connectionClosed();
   }
 
   /** A request in flight. */
@@ -117,7 +117,7 @@
                   begin(connected.channel());
                 } else {
                   ended = true;
-                  listener.unreached();
+                  listener.connectFailed();
                 }
               });
     }
@@ -139,7 +139,7 @@
         used.close();
       }
       if (first) {
-        listener.answered(response);
+        listener.responseReceived(response);
       }
     }
 
@@ -155,7 +155,7 @@
         return;
       }
       ended = true;
-      listener.broken();
+      listener.connectionClosed();
     }
 
     @Override
--- a/emulator/src/main/java/ferngrade/emulator/socket/LoadRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/LoadRun.java
@@ -4,8 +4,8 @@
 import ferngrade.emulator.Network;
 import ferngrade.emulator.Observer;
 import ferngrade.emulator.Observers;
+import ferngrade.emulator.RandomStreams;
 import ferngrade.emulator.Scenario;
-import ferngrade.emulator.Streams;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -31,7 +31,7 @@
       List<InetSocketAddress> targets,
       List<? extends Observer> observers) {
     this.scenario = scenario;
-    Streams streams = new Streams(seed);
+    RandomStreams streams = new RandomStreams(seed);
     Observer observer = new Observers(observers);
     Network network =
         new Network(scenario.network, scenario.zones.size(), streams.stream("network"));
--- a/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/NodeFile.java
@@ -7,9 +7,9 @@
 import ferngrade.dispatch.Worker;
 import ferngrade.dispatch.WorkerState;
 import ferngrade.emulator.ClassSpec;
-import ferngrade.emulator.KindSpec;
 import ferngrade.emulator.Scenario;
 import ferngrade.emulator.TenantSpec;
+import ferngrade.emulator.WorkerTypeSpec;
 import ferngrade.node.Endpoint;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -93,7 +93,9 @@
         .add("Locality", scenario.zoneOfNode(node))
         .add("Round", scenario.roundMs)
         .add("Zones", arrayOf(scenario.zones))
-        .add("Kinds", arrayOf(scenario.kinds.stream().map((KindSpec kind) -> kind.name).toList()))
+        .add(
+            "Kinds",
+            arrayOf(scenario.kinds.stream().map((WorkerTypeSpec type) -> type.name).toList()))
         .add("Discovery", "push")
         .add("Classes", classes)
         .add("Tenants", tenants)
--- a/emulator/src/main/java/ferngrade/emulator/socket/PeerRelay.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/PeerRelay.java
@@ -64,7 +64,8 @@
   }
 
   private void forward(int from, int to, ByteBuf content) {
-    double delay = run.network.datagram(run.scenario.zoneOfNode(from), run.scenario.zoneOfNode(to));
+    double delay =
+        run.network.datagramDelay(run.scenario.zoneOfNode(from), run.scenario.zoneOfNode(to));
     if (delay != Network.NEVER) {
       ByteBuf copy = content.copy();
       run.time.after(
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -11,9 +11,9 @@
 import ferngrade.emulator.Network;
 import ferngrade.emulator.Observer;
 import ferngrade.emulator.Observers;
+import ferngrade.emulator.RandomStreams;
 import ferngrade.emulator.Request;
 import ferngrade.emulator.Scenario;
-import ferngrade.emulator.Streams;
 import ferngrade.node.Endpoint;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -67,20 +67,20 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
-  private final Streams streams;
+  private final RandomStreams streams;
   private final UniformRandomProvider frontRandom;
   private final Clients clients;
   private final FaultPlan faultPlan;
   private final List<HttpListener> listeners = new ArrayList<>();
   private final List<DiscoverySocket> discoveryAgents = new ArrayList<>();
   private final List<NodeProcess> nodes = new ArrayList<>();
-  private final List<InetSocketAddress> peerListens = new ArrayList<>();
-  private final boolean[] believedDown;
+  private final List<InetSocketAddress> peerAddresses = new ArrayList<>();
+  private final boolean[] markedDown;
   private final int[] incarnations;
   private final ClientSockets sockets;
   private final Map<String, Runnable> giveUpCallbacks = new HashMap<>();
   private PeerRelay relay;
-  private double start;
+  private double startedAt;
 
   /**
    * Creates a run of production nodes, each of which is started by {@code command}. Their
@@ -94,10 +94,10 @@
       List<? extends Observer> observers)
       throws InterruptedException, IOException {
     this.scenario = scenario;
-    this.believedDown = new boolean[scenario.nodes];
+    this.markedDown = new boolean[scenario.nodes];
     this.incarnations = new int[scenario.nodes];
     this.observer = new Observers(observers);
-    this.streams = new Streams(seed);
+    this.streams = new RandomStreams(seed);
     this.time = new RealTime(loop);
     this.network = new Network(scenario.network, scenario.zones.size(), streams.stream("network"));
     this.http = new HttpPool(group);
@@ -120,12 +120,12 @@
             observer,
             this::pick,
             this::nodeAddress,
-            node -> !nodes.get(node).alive() || believedDown[node]);
+            node -> !nodes.get(node).alive() || markedDown[node]);
     this.clients = new Clients(scenario, time, streams, observer, sockets);
     sockets.setClients(clients);
     this.discovery =
         new EmulatedDiscovery(
-            scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
+            scenario.discovery, time, streams.stream("discovery"), fleet, this::publishToNodes);
     this.faultPlan =
         new FaultPlan(
             scenario, time, streams.stream("faults"), observer, fleet, discovery, clients, this);
@@ -134,10 +134,10 @@
       agent.listener().listen();
       discoveryAgents.add(agent);
       nodes.add(new NodeProcess(command, folder, "n" + i, freeTcp()));
-      peerListens.add(freeUdp());
+      peerAddresses.add(freeUdp());
     }
     if (scenario.peers) {
-      relay = new PeerRelay(this, scenario.nodes, group, peerListens);
+      relay = new PeerRelay(this, scenario.nodes, group, peerAddresses);
     }
   }
 
@@ -166,7 +166,7 @@
   public String run() throws InterruptedException, IOException {
     try {
       for (int i = 0; i < nodes.size(); i++) {
-        launch(i);
+        launchNode(i);
       }
       for (NodeProcess node : nodes) {
         awaitReady(node);
@@ -174,7 +174,7 @@
       CountDownLatch done = new CountDownLatch(1);
       loop.execute(
           () -> {
-            start = time.now();
+            startedAt = time.now();
             time.watchLateness();
             discoveryAgents.forEach(DiscoverySocket::begin);
             faultPlan.begin();
@@ -209,15 +209,15 @@
 
   /** Returns the time at which arrivals began, in ms of the machine's clock. */
   public double startedAt() {
-    return start;
+    return startedAt;
   }
 
   /** Returns the time since arrivals began, in ms. */
   public double elapsedMillis() {
-    return time.now() - start;
+    return time.now() - startedAt;
   }
 
-  private void launch(int node) {
+  private void launchNode(int node) {
     incarnations[node]++;
     String seed = Long.toHexString(streams.seed("node-" + node + "-" + incarnations[node]));
     JsonObject known = NodeFile.list(scenario, discovery.list(), discovery.revision(), true);
@@ -230,7 +230,7 @@
                 seed,
                 nodes.get(node).listen(),
                 discoveryAgents.get(node).listener().address(),
-                peerListens.get(node),
+                peerAddresses.get(node),
                 relay == null ? List.of() : relay.peersOf(node),
                 known));
   }
@@ -297,7 +297,7 @@
     List<Integer> sameZone = new ArrayList<>();
     List<Integer> otherZones = new ArrayList<>();
     for (int i = 0; i < nodes.size(); i++) {
-      if (!believedDown[i]) {
+      if (!markedDown[i]) {
         (scenario.zoneOfNode(i) == request.zone ? sameZone : otherZones).add(i);
       }
     }
@@ -307,7 +307,7 @@
 
   // ---- Discovery ----
 
-  private void spread(
+  private void publishToNodes(
       EndpointListUpdate update, List<Endpoint> entries, long revision, double spread) {
     for (int i = 0; i < discoveryAgents.size(); i++) {
       DiscoverySocket agent = discoveryAgents.get(i);
@@ -323,15 +323,15 @@
   public void killNode(int node) {
     nodes.get(node).kill();
     observer.nodeStateChanged(time.now(), node, false);
-    time.after(scenario.frontNotice, () -> believedDown[node] = !nodes.get(node).alive());
+    time.after(scenario.frontNotice, () -> markedDown[node] = !nodes.get(node).alive());
   }
 
   @Override
   public void startNode(int node) {
     if (!nodes.get(node).alive()) {
-      launch(node);
+      launchNode(node);
       observer.nodeStateChanged(time.now(), node, true);
-      believedDown[node] = true;
+      markedDown[node] = true;
       awaitFront(node);
     }
   }
@@ -343,22 +343,22 @@
         () -> new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/-/ready"),
         new HttpPool.Listener() {
           @Override
-          public void answered(FullHttpResponse response) {
+          public void responseReceived(FullHttpResponse response) {
             if (response.status().code() == 200) {
-              believedDown[node] = false;
+              markedDown[node] = false;
             } else {
-              unreached();
+              connectFailed();
             }
           }
 
           @Override
-          public void unreached() {
+          public void connectFailed() {
             time.after(FRONT_POLL_MILLIS, () -> awaitFront(node));
           }
 
           @Override
-          public void broken() {
-            unreached();
+          public void connectionClosed() {
+            connectFailed();
           }
         });
   }
--- a/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/WorkerSocket.java
@@ -69,8 +69,8 @@
     run.observer.attemptSent(run.time.now(), request.node(), worker, request);
     Attempt attempt = new Attempt(request);
     unanswered = attempt;
-    double delay = run.network.stream(run.zoneOf(request), worker.zone);
-    boolean resets = run.network.resets();
+    double delay = run.network.streamDelay(run.zoneOf(request), worker.zone);
+    boolean resets = run.network.drawReset();
     run.time.after(delay, () -> arrive(ctx, attempt, resets));
   }
 
@@ -104,7 +104,7 @@
 
   /** Runs a task after the network delay to the node, or never if the network is cut. */
   private void runAtNode(Runnable task, Attempt attempt) {
-    run.time.after(run.network.stream(worker.zone, run.zoneOf(attempt.request)), task);
+    run.time.after(run.network.streamDelay(worker.zone, run.zoneOf(attempt.request)), task);
   }
 
   @Override
@@ -154,7 +154,7 @@
       if (worker.unreachable()) {
         return;
       }
-      double delay = run.network.stream(worker.zone, run.zoneOf(request));
+      double delay = run.network.streamDelay(worker.zone, run.zoneOf(request));
       if (delay == Network.NEVER) {
         retryLater(state, body, outcome, retries);
         return;
@@ -182,19 +182,19 @@
                 },
                 new HttpPool.Listener() {
                   @Override
-                  public void answered(FullHttpResponse response) {
+                  public void responseReceived(FullHttpResponse response) {
                     if (response.status().code() / 100 != 2) {
                       retryLater(state, body, null, retries);
                     }
                   }
 
                   @Override
-                  public void unreached() {
+                  public void connectFailed() {
                     retryLater(state, body, null, retries);
                   }
 
                   @Override
-                  public void broken() {
+                  public void connectionClosed() {
                     retryLater(state, body, null, retries);
                   }
                 });
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -65,9 +65,9 @@
     scenario.workload.load = 0.6;
     scenario.discovery.weightPeriod = 900;
     scenario.discovery.weightLate = 500;
-    for (KindSpec kind : scenario.kinds) {
-      kind.coldStart = 0.2;
-      kind.coldMs = 16_000;
+    for (WorkerTypeSpec type : scenario.kinds) {
+      type.coldStart = 0.2;
+      type.coldMs = 16_000;
     }
     Fault release = new Fault(Fault.Kind.DEPLOY, RELEASE_AT_MS, RELEASE_MS, 0.1, 0.6, -1);
     scenario.faults.add(release);
@@ -131,8 +131,8 @@
     double age = now - worker.model.startedAt();
     double warmth =
         scenario.startCapacity + (1 - scenario.startCapacity) * Math.min(1, age / scenario.coldMs);
-    KindSpec kind = scenario.kinds.get(worker.workerType);
-    double capacity = warmth * kind.cores * kind.speed / scenario.workload.meanWork();
+    WorkerTypeSpec type = scenario.kinds.get(worker.workerType);
+    double capacity = warmth * type.cores * type.speed / scenario.workload.meanWork();
     return scenario.fallMultiple * capacity * scenario.tipMs;
   }
 
@@ -158,7 +158,7 @@
     for (EmulatedWorker worker : workers) {
       if (worker.model.up()) {
         second.coldAllowed += worker.model.cold() ? allowed(worker, now) / scenario.tipMs * 500 : 0;
-        second.inFlight += (worker.model.running() + worker.model.waiting()) / 2.0;
+        second.inFlight += (worker.model.runningCount() + worker.model.waitingCount()) / 2.0;
         second.cores += worker.model.capacity() / 2;
         second.busyCores += busyShare(worker) * worker.model.capacity() / 2;
       }
@@ -166,7 +166,7 @@
   }
 
   private double busyShare(EmulatedWorker worker) {
-    return Math.min(1, worker.model.running() / scenario.kinds.get(worker.workerType).cores);
+    return Math.min(1, worker.model.runningCount() / scenario.kinds.get(worker.workerType).cores);
   }
 
   @Override
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -138,11 +138,11 @@
       RunResult broken = play(scenario, seed, "module", mutation);
       for (InvariantChecker checker : broken.checkers.all()) {
         if (checker.rule().equals(rule)) {
-          violations += checker.count();
+          violations += checker.violationCount();
         } else if (!checker.rule().equals(alsoBroken)) {
           assertEquals(
               0,
-              checker.count(),
+              checker.violationCount(),
               mutation + " also violates " + checker.rule() + ": " + violationsOf(broken));
         }
       }
@@ -180,7 +180,7 @@
     Scenario scenario = smallScenario();
     scenario.workload.impatient = 0.5;
     scenario.network.client = 40;
-    int[] strays = {0};
+    int[] lateAnswers = {0};
     int[] retries = {0};
     for (long seed = 1; seed <= 6; seed++) {
       RunResult result =
@@ -192,7 +192,7 @@
               new Observer() {
                 @Override
                 public void lateAnswer(double now, Request request, Answer answer) {
-                  strays[0]++;
+                  lateAnswers[0]++;
                 }
 
                 @Override
@@ -202,7 +202,7 @@
               });
       assertEquals("", violationsOf(result));
     }
-    assertTrue(strays[0] > 0, "no answer arrived after its client had given up");
+    assertTrue(lateAnswers[0] > 0, "no answer arrived after its client had given up");
     assertTrue(retries[0] > 0);
   }
 
--- a/emulator/src/test/java/ferngrade/emulator/WorkerModelTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/WorkerModelTest.java
@@ -22,25 +22,25 @@
   private final List<String> events = new ArrayList<>();
   private double informedShare = Double.NaN;
 
-  private static KindSpec kind() {
-    KindSpec kind = new KindSpec();
-    kind.cores = 2;
-    kind.speedSpread = 0;
-    kind.errorRate = 0;
-    kind.thrash = 0;
-    kind.progressMs = 0;
-    kind.queuePerCore = 2;
-    return kind;
+  private static WorkerTypeSpec workerType() {
+    WorkerTypeSpec type = new WorkerTypeSpec();
+    type.cores = 2;
+    type.speedSpread = 0;
+    type.errorRate = 0;
+    type.thrash = 0;
+    type.progressMs = 0;
+    type.queuePerCore = 2;
+    return type;
   }
 
-  private WorkerModel worker(KindSpec kind, double startedAt) {
+  private WorkerModel worker(WorkerTypeSpec type, double startedAt) {
     return new WorkerModel(
         time,
-        kind,
+        type,
         startedAt,
         2.5,
         3000,
-        new Streams(1).stream("w"),
+        new RandomStreams(1).stream("w"),
         share -> informedShare = share);
   }
 
@@ -88,7 +88,7 @@
         worker.offer(
             new WorkerModel.Work("o" + start, 100, 1, 0, object, 70),
             true,
-            WorkerModel.notifyingEnd(
+            WorkerModel.notifyingOutcome(
                 ignoringListener(), end -> ends.put("o" + start, time.now()))));
     time.run(start + 1000);
     return ends.get("o" + start) - start;
@@ -96,9 +96,9 @@
 
   @Test
   void jobFetchesItsObjectUnlessItIsCached() {
-    KindSpec kind = kind();
-    kind.keptPerSlot = 1;
-    WorkerModel worker = worker(kind, 0);
+    WorkerTypeSpec type = workerType();
+    type.keptPerSlot = 1;
+    WorkerModel worker = worker(type, 0);
     assertEquals(170, durationOfJobWithObject(worker, 1), 1e-6);
     assertEquals(100, durationOfJobWithObject(worker, 1), 1e-6);
     assertEquals(170, durationOfJobWithObject(worker, 2), 1e-6);
@@ -115,13 +115,13 @@
 
   @Test
   void runsJobsInSlotsQueuesMoreAndRejectsWhenTheQueueIsFull() {
-    WorkerModel worker = worker(kind(), 0);
+    WorkerModel worker = worker(workerType(), 0);
     for (int i = 0; i < 6; i++) {
       assertTrue(offer(worker, "j" + i, 100, 1, 0));
     }
     assertFalse(offer(worker, "j6", 100, 1, 0));
-    assertEquals(2, worker.running());
-    assertEquals(4, worker.waiting());
+    assertEquals(2, worker.runningCount());
+    assertEquals(4, worker.waitingCount());
     time.run(2000);
     assertEquals(
         Map.of("j0", 1100.0, "j1", 1100.0, "j2", 1200.0, "j3", 1200.0, "j4", 1300.0, "j5", 1300.0),
@@ -130,9 +130,9 @@
 
   @Test
   void moreSlotsThanCoresShareTheCores() {
-    KindSpec kind = kind();
-    kind.slotsPerCore = 2;
-    WorkerModel worker = worker(kind, 0);
+    WorkerTypeSpec type = workerType();
+    type.slotsPerCore = 2;
+    WorkerModel worker = worker(type, 0);
     for (int i = 0; i < 4; i++) {
       offer(worker, "j" + i, 100, 1, 0);
     }
@@ -142,18 +142,18 @@
 
   @Test
   void jobThatDoesNotFitBlocksOnlyAFifoQueue() {
-    for (KindSpec.Order order : KindSpec.Order.values()) {
+    for (WorkerTypeSpec.Order order : WorkerTypeSpec.Order.values()) {
       ends.clear();
-      KindSpec kind = kind();
-      kind.order = order;
-      WorkerModel worker = worker(kind, 0);
+      WorkerTypeSpec type = workerType();
+      type.order = order;
+      WorkerModel worker = worker(type, 0);
       double start = time.now();
       offer(worker, "first", 100, 1, 0);
       offer(worker, "wide", 100, 2, 0);
       offer(worker, "small", 100, 1, 1);
       time.run(start + 1000);
       double small = ends.get("small") - start;
-      assertEquals(order == KindSpec.Order.FIFO ? 300 : 100, small, 1e-6, order.name());
+      assertEquals(order == WorkerTypeSpec.Order.FIFO ? 300 : 100, small, 1e-6, order.name());
     }
   }
 
@@ -163,15 +163,16 @@
       @ForAll @DoubleRange(min = 0.05, max = 1) double coldStart,
       @ForAll @IntRange(max = 4000) int age) {
     VirtualTime clock = new VirtualTime(10_000);
-    KindSpec kind = kind();
-    kind.cores = 1;
-    kind.slotsPerCore = 1;
-    kind.queuePerCore = 10;
-    kind.coldStart = coldStart;
-    kind.coldMs = 3000;
+    WorkerTypeSpec type = workerType();
+    type.cores = 1;
+    type.slotsPerCore = 1;
+    type.queuePerCore = 10;
+    type.coldStart = coldStart;
+    type.coldMs = 3000;
     double startedAt = 10_000 - age;
     WorkerModel worker =
-        new WorkerModel(clock, kind, startedAt, 1e9, 3000, new Streams(1).stream("w"), share -> {});
+        new WorkerModel(
+            clock, type, startedAt, 1e9, 3000, new RandomStreams(1).stream("w"), share -> {});
     double[] lastEnd = {0};
     double offered = 0;
     for (int work : works) {
@@ -179,7 +180,7 @@
       worker.offer(
           new WorkerModel.Work("x", work, 1, 0, 0, 0),
           true,
-          WorkerModel.notifyingEnd(ignoringListener(), end -> lastEnd[0] = clock.now()));
+          WorkerModel.notifyingOutcome(ignoringListener(), end -> lastEnd[0] = clock.now()));
     }
     clock.run(1e6);
     // The integral of the warmth from the offer to the last end, computed in small steps, must
@@ -220,7 +221,7 @@
 
   @Test
   void drainReturnsWaitingJobsAndFinishesRunningJobs() {
-    WorkerModel worker = worker(kind(), 0);
+    WorkerModel worker = worker(workerType(), 0);
     offer(worker, "a", 100, 1, 0);
     offer(worker, "b", 100, 1, 0);
     offer(worker, "c", 100, 1, 0);
@@ -234,11 +235,11 @@
 
   @Test
   void coldWorkerCrashesFromOverloadAndWarmWorkerDoesNot() {
-    KindSpec kind = kind();
-    kind.queuePerCore = 0;
-    kind.coldStart = 0.2;
-    kind.coldMs = 20_000;
-    WorkerModel cold = worker(kind, time.now());
+    WorkerTypeSpec type = workerType();
+    type.queuePerCore = 0;
+    type.coldStart = 0.2;
+    type.coldMs = 20_000;
+    WorkerModel cold = worker(type, time.now());
     // The limit is 3000 ms of work: 2.5 times the capacity of 0.4 ms per ms, over 3 s. Rejected
     // work
     // counts as well.
@@ -251,7 +252,7 @@
     assertFalse(cold.up());
     assertEquals(1, informedShare, 1e-9);
     assertTrue(events.contains("j0 lost"));
-    WorkerModel warm = worker(kind, 0);
+    WorkerModel warm = worker(type, 0);
     for (int i = 0; i < 500; i++) {
       offer(warm, "w" + i, 100, 1, 0);
     }
@@ -260,18 +261,18 @@
 
   @Test
   void slowOrHungWorkerReportsNoError() {
-    KindSpec kind = kind();
-    kind.progressMs = 40;
-    WorkerModel worker = worker(kind, 0);
+    WorkerTypeSpec type = workerType();
+    type.progressMs = 40;
+    WorkerModel worker = worker(type, 0);
     offer(worker, "a", 100, 1, 0);
     time.run(1050);
-    worker.slow(10);
+    worker.setSlowdown(10);
     time.run(1100);
-    worker.slow(1);
-    worker.hang(true);
+    worker.setSlowdown(1);
+    worker.setHung(true);
     time.run(3000);
     assertEquals(Map.of(), ends);
-    worker.hang(false);
+    worker.setHung(false);
     time.run(4000);
     assertEquals(3045, ends.get("a"), 1e-6);
     assertEquals(List.of("a started", "a 40", "a 53"), events.subList(0, 3));
@@ -279,7 +280,7 @@
 
   @Test
   void loadReportIsUpdatedOncePerPeriodAndContainsNoise() {
-    WorkerModel worker = worker(kind(), 0);
+    WorkerModel worker = worker(workerType(), 0);
     double before = worker.report().queued();
     for (int i = 0; i < 6; i++) {
       offer(worker, "j" + i, 1000, 1, 0);
@@ -298,13 +299,13 @@
     List<String> ended = new ArrayList<>();
     assertTrue(windows.registerFirst("k", 500, end -> ended.add("first " + end)));
     assertFalse(windows.registerFirst("k", 500, end -> ended.add("second " + end)));
-    windows.ended("k", KeyWindows.End.DONE);
+    windows.recordOutcome("k", KeyWindows.Outcome.DONE);
     assertFalse(windows.registerFirst("k", 500, end -> ended.add("third " + end)));
     time.run(time.now() + 499);
     assertEquals(List.of("second DONE", "third DONE"), ended);
     time.run(time.now() + 1);
     assertTrue(windows.registerFirst("k", 500, end -> ended.add("anew")));
-    windows.ended("k", KeyWindows.End.RETURNED);
+    windows.recordOutcome("k", KeyWindows.Outcome.RETURNED);
     assertTrue(
         windows.registerFirst("k", 500, end -> ended.add("again")),
         "a returned job must free its key");
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentReader.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentReader.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import ferngrade.emulator.ClassSpec;
 import ferngrade.emulator.Fault;
-import ferngrade.emulator.KindSpec;
 import ferngrade.emulator.Mutation;
 import ferngrade.emulator.Scenario;
 import ferngrade.emulator.TenantSpec;
+import ferngrade.emulator.WorkerTypeSpec;
 import ferngrade.emulator.WorkloadSpec;
 import ferngrade.emulator.policy.Policies;
 import ferngrade.toml.FileException;
@@ -208,7 +208,7 @@
     if (!kinds.isEmpty()) {
       scenario.kinds.clear();
       for (Section kind : kinds) {
-        scenario.kinds.add(Fields.fill(kind, new KindSpec()));
+        scenario.kinds.add(Fields.fill(kind, new WorkerTypeSpec()));
         kind.end();
       }
     }
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
@@ -124,7 +124,7 @@
     Map<String, Long> breaches = new LinkedHashMap<>();
     List<String> texts = new ArrayList<>();
     for (InvariantChecker checker : checkers.all()) {
-      breaches.put(checker.rule(), checker.count());
+      breaches.put(checker.rule(), checker.violationCount());
       checker
           .violations()
           .forEach(
--- a/experiment/src/main/java/ferngrade/experiment/NodeCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/NodeCommand.java
@@ -44,7 +44,8 @@
             log,
             (assignment, now, actions) ->
                 Policies.byName(policy)
-                    .start(assignment.settings(), assignment.seed(), now, actions, null));
+                    .createDispatcher(
+                        assignment.settings(), assignment.seed(), now, actions, null));
     CountDownLatch stopped = new CountDownLatch(1);
     Runtime.getRuntime()
         .addShutdownHook(
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -106,9 +106,9 @@
       return;
     }
     firstTries++;
-    window(now).requested += request.worth;
-    requestedByClass[request.jobClass] += request.worth;
-    requestedByTenant[request.tenant] += request.worth;
+    window(now).requested += request.value;
+    requestedByClass[request.jobClass] += request.value;
+    requestedByTenant[request.tenant] += request.value;
   }
 
   @Override
@@ -130,7 +130,7 @@
     boolean onTime =
         latencyMillis
             <= Math.min(jobClass.aim + jobClass.stretch * request.work, jobClass.deadline);
-    double servedWorth = request.worth * (onTime ? 1 : jobClass.lateWorth);
+    double servedWorth = request.value * (onTime ? 1 : jobClass.lateWorth);
     inTime += onTime ? 1 : 0;
     usefulWork += request.work;
     due.served += servedWorth;
