--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -50,7 +50,7 @@
   private long tries;
   private long inTime;
   private long attempts;
-  private long strays;
+  private long lateAnswers;
   private long lost;
   private double usefulWork;
   private double sentWork;
@@ -154,7 +154,7 @@
 
   @Override
   public void lateAnswer(double now, Request request, Answer answer) {
-    strays++;
+    lateAnswers++;
   }
 
   @Override
@@ -204,7 +204,7 @@
     }
     figures.put("attempts a try", tries == 0 ? 0 : (double) attempts / tries);
     figures.put("wasted work", sentWork <= 0 ? 0 : Math.max(0, 1 - usefulWork / sentWork));
-    figures.put("strays", (double) strays);
+    figures.put("strays", (double) lateAnswers);
     figures.put("lost by the emulator", (double) lost);
     return figures;
   }
--- a/node/src/main/java/ferngrade/simulator/SimulatorHost.java
+++ b/node/src/main/java/ferngrade/simulator/SimulatorHost.java
@@ -28,7 +28,7 @@
   private final WireReader in;
   private final WireWriter out;
   private final Map<String, HostedInstance> instances = new HashMap<>();
-  private final List<List<Worker>> lists = new ArrayList<>();
+  private final List<List<Worker>> endpointLists = new ArrayList<>();
   private HostedInstance instance;
   private double now;
 
@@ -46,7 +46,7 @@
     this.in = new WireReader(in);
     this.out = new WireWriter(out);
     for (int i = 0; i < MAX_LISTS; i++) {
-      lists.add(null);
+      endpointLists.add(null);
     }
   }
 
@@ -88,7 +88,7 @@
           instances.computeIfAbsent(
               in.text("Who"), name -> new HostedInstance(out.new InstanceActions(name)));
     } else if (message.equals("CENSUS")) {
-      census();
+      readEndpointList();
     } else {
       if (instance == null) {
         throw in.malformed(message + " before any ON");
@@ -99,7 +99,7 @@
         throw malformed;
       } catch (RuntimeException crash) {
         StackTraceElement[] trace = crash.getStackTrace();
-        instance.actions.bailOut(
+        instance.actions.reportCrash(
             message + ": " + crash + (trace.length > 0 ? " at " + trace[0] : ""));
       }
     }
@@ -109,18 +109,18 @@
     switch (message) {
       case "CONFIGURE" -> configure();
       case "HALT" -> instance.dispatcher = null;
-      case "INGRESS" -> ingress();
-      case "UPDATE_OF" -> update();
-      case "RESOLVED" -> resolved();
+      case "INGRESS" -> requestArrived();
+      case "UPDATE_OF" -> attemptUpdated();
+      case "RESOLVED" -> attemptEnded();
       case "BEGUN" -> {
         String id = in.text("Id");
         dispatcher().attemptStreaming(now, id, in.nonNegativeInt("N"));
       }
       case "GONE" -> dispatcher().requestAbandoned(now, in.text("Id"));
       case "REMINDER" -> dispatcher().timerExpired(now, in.integer("Token"));
-      case "MEMBERS" -> members();
-      case "HEARD" -> peerMessage();
-      case "SAMPLED" -> sampled();
+      case "MEMBERS" -> endpointsUpdated();
+      case "HEARD" -> peerMessageReceived();
+      case "SAMPLED" -> healthCheckCompleted();
       default -> {}
     }
   }
@@ -145,7 +145,7 @@
     }
   }
 
-  private void ingress() {
+  private void requestArrived() {
     String id = in.text("Id");
     int jobClass = in.nonNegativeInt("Class");
     int tenant = (int) in.integer("Customer", 0);
@@ -165,7 +165,7 @@
     }
   }
 
-  private void update() {
+  private void attemptUpdated() {
     String id = in.text("Id");
     int attempt = in.nonNegativeInt("N");
     in.integer("Runner");
@@ -178,7 +178,7 @@
     }
   }
 
-  private void resolved() {
+  private void attemptEnded() {
     String id = in.text("Id");
     in.integer("Runner");
     in.integer("Note", 0);
@@ -189,7 +189,7 @@
     dispatcher().attemptEnded(now, id, attempt, outcome, durationMillis, finalOutcome, report());
   }
 
-  private void sampled() {
+  private void healthCheckCompleted() {
     long worker = in.integer("Runner");
     AttemptOutcome outcome = outcome();
     dispatcher().healthCheckCompleted(now, worker, outcome, in.number("TimeTaken", 0), report());
@@ -241,7 +241,7 @@
     }
   }
 
-  private void census() throws IOException {
+  private void readEndpointList() throws IOException {
     int listNumber = listNumber();
     int count = in.nonNegativeInt("Hosts");
     List<Worker> workers = new ArrayList<>(Math.min(count, 4096));
@@ -257,7 +257,7 @@
       int zone = (int) in.integer("Area", 0);
       workers.add(new Worker(id, state, zone, workerType, cell, startedAt, in.number("Weight", 1)));
     }
-    lists.set(listNumber, workers);
+    endpointLists.set(listNumber, workers);
   }
 
   private WorkerState state(String text) {
@@ -277,7 +277,7 @@
     return listNumber;
   }
 
-  private void members() {
+  private void endpointsUpdated() {
     String mode = in.text("Mode");
     in.integer("Version", 0);
     if (mode.equals("Error")) {
@@ -291,14 +291,14 @@
           case "Persisted" -> EndpointListUpdate.STORED;
           default -> throw in.malformed("Mode", "is unknown: " + mode);
         };
-    List<Worker> workers = lists.get(listNumber());
+    List<Worker> workers = endpointLists.get(listNumber());
     if (workers == null) {
       throw in.malformed("Ref", "names a list that was never sent");
     }
     dispatcher().endpointsUpdated(now, updateType, workers);
   }
 
-  private void peerMessage() {
+  private void peerMessageReceived() {
     int from = in.nonNegativeInt("Author");
     String body = in.text();
     try {
--- a/node/src/main/java/ferngrade/simulator/WireWriter.java
+++ b/node/src/main/java/ferngrade/simulator/WireWriter.java
@@ -84,7 +84,7 @@
       begin("RECORD ").put(text.replace('\n', ' ').replace('\r', ' ')).line();
     }
 
-    void bailOut(String text) {
+    void reportCrash(String text) {
       begin("BAIL_OUT ").put(text.replace('\n', ' ').replace('\r', ' ')).line();
     }
 
