--- a/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
@@ -108,7 +108,7 @@
     void send(String requestId, long workerId, double timeoutMs);
 
     /**
-     * Rejects the request as its final answer and tells the client that a retry is safe. {@code
+     * Rejects the request as its final answer and informs the client that a retry is safe. {@code
      * retryAfterMs} is the delay in ms suggested to the client, or 0 for none.
      */
     void reject(String requestId, double retryAfterMs);
@@ -121,7 +121,7 @@
       reject(requestId, retryAfterMs);
     }
 
-    /** Fails the request as its final answer; the client cannot tell whether the job has run. */
+    /** Fails the request as its final answer; the client cannot know whether the job has run. */
     void fail(String requestId);
 
     /** Cancels an attempt. The worker may run the job to its end nevertheless. */
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -42,7 +42,7 @@
     };
   }
 
-  /** Returns true if the client may be told that a retry is safe. */
+  /** Returns true if the client may be informed that a retry is safe. */
   boolean mayReject(PendingRequest request) {
     Idempotency idempotency = request.jobClass.idempotency();
     boolean keyedForAllWorkers =
--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -46,7 +46,7 @@
   /** The object that the job refers to; 0 if there is none. */
   public final long object;
 
-  /** The worth of a successful answer, reduced if the tenant exceeds its share. */
+  /** The value of a successful answer, reduced if the tenant exceeds its share. */
   public final double value;
 
   /** The node to which the request is sent; -1 until the front has picked one. */
--- a/emulator/src/main/java/ferngrade/emulator/WorkloadSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkloadSpec.java
@@ -41,7 +41,7 @@
   public double impatient = 0.02;
 
   /**
-   * The factor that is applied to the worth of requests beyond the tenant's share. {@link #quota}
+   * The factor that is applied to the value of requests beyond the tenant's share. {@link #quota}
    * is the share of the fleet's capacity that is divided among the tenants.
    */
   @Quantity(Quantity.Measure.SHARE)
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
@@ -51,7 +51,7 @@
       return breaches.values().stream().mapToLong(count -> count).sum();
     }
 
-    /** Returns the share of the requested worth that was served in time, from 0 to 1. */
+    /** Returns the share of the requested value that was served in time, from 0 to 1. */
     public double goodput() {
       return figures.get("goodput");
     }
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -17,11 +17,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Computes the figures of one run from the events of the emulator. Goodput is the worth served
- * within the latency objective of each class, divided by the worth requested in first tries. The
- * answer to a retry counts for its first try, and latency is measured from the time at which the
- * first try was due. A late answer counts for {@link ClassSpec#lateWorth} of its worth. Times are
- * in milliseconds.
+ * Computes the figures of one run from the events of the emulator. Goodput is the value served
+ * within the latency objective of each class, divided by the value of all first requests. The
+ * answer to a retry counts for its first request, and latency is measured from the time at which
+ * the first request was due. A late answer counts for {@link ClassSpec#lateWorth} of its value.
+ * Times are in milliseconds.
  */
 public final class Statistics implements Observer {
   /** The minimum width of a window of the time series; shorter runs have windows of this width. */
@@ -46,9 +46,9 @@
   private final double[] requestedByTenant;
   private final double[] servedByTenant;
   private final Map<Answer, Long> answers = new EnumMap<>(Answer.class);
-  private long firstTries;
-  private long tries;
-  private long inTime;
+  private long firstRequestCount;
+  private long requestCount;
+  private long onTimeCount;
   private long attempts;
   private long lateAnswers;
   private long lost;
@@ -60,7 +60,7 @@
     double served;
     long refused;
     long retries;
-    long tries;
+    long requests;
     double depthSum;
     long depthSamples;
     final Map<Integer, Double> slices = new LinkedHashMap<>();
@@ -99,13 +99,13 @@
     if (Double.isNaN(start)) {
       start = now;
     }
-    tries++;
-    window(now).tries++;
+    requestCount++;
+    window(now).requests++;
     if (request.first != request) {
       window(now).retries++;
       return;
     }
-    firstTries++;
+    firstRequestCount++;
     window(now).requested += request.value;
     requestedByClass[request.jobClass] += request.value;
     requestedByTenant[request.tenant] += request.value;
@@ -124,18 +124,18 @@
     long latencyMicros =
         Math.min(MAX_LATENCY_MICROS, Math.max(1, Math.round(latencyMillis * 1000)));
     latency.recordValue(latencyMicros);
-    Window due = window(request.first.due);
-    due.latency.recordValue(latencyMicros);
+    Window arrivalWindow = window(request.first.due);
+    arrivalWindow.latency.recordValue(latencyMicros);
     ClassSpec jobClass = scenario.workload.classes.get(request.jobClass);
     boolean onTime =
         latencyMillis
             <= Math.min(jobClass.aim + jobClass.stretch * request.work, jobClass.deadline);
-    double servedWorth = request.value * (onTime ? 1 : jobClass.lateWorth);
-    inTime += onTime ? 1 : 0;
+    double servedValue = request.value * (onTime ? 1 : jobClass.lateWorth);
+    onTimeCount += onTime ? 1 : 0;
     usefulWork += request.work;
-    due.served += servedWorth;
-    servedByClass[request.jobClass] += servedWorth;
-    servedByTenant[request.tenant] += servedWorth;
+    arrivalWindow.served += servedValue;
+    servedByClass[request.jobClass] += servedValue;
+    servedByTenant[request.tenant] += servedValue;
   }
 
   @Override
@@ -158,7 +158,7 @@
   }
 
   @Override
-  public void requestLost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String reason) {
     lost++;
   }
 
@@ -181,7 +181,7 @@
     return window;
   }
 
-  /** Returns the share of the requested worth that was served in time, 1 if none was requested. */
+  /** Returns the share of the requested value that was served in time, 1 if none was requested. */
   public double goodput() {
     double requested = Arrays.stream(requestedByClass).sum();
     return requested == 0 ? 1 : Arrays.stream(servedByClass).sum() / requested;
@@ -196,13 +196,13 @@
     figures.put("p50 ms", latency.getValueAtPercentile(50) / 1000.0);
     figures.put("p90 ms", latency.getValueAtPercentile(90) / 1000.0);
     figures.put("p99 ms", latency.getValueAtPercentile(99) / 1000.0);
-    figures.put("first tries", (double) firstTries);
-    figures.put("retries", (double) (tries - firstTries));
-    figures.put("in time", (double) inTime);
+    figures.put("first tries", (double) firstRequestCount);
+    figures.put("retries", (double) (requestCount - firstRequestCount));
+    figures.put("in time", (double) onTimeCount);
     for (Answer answer : Answer.values()) {
       figures.put(Section.kebab(answer.name()), (double) answers.getOrDefault(answer, 0L));
     }
-    figures.put("attempts a try", tries == 0 ? 0 : (double) attempts / tries);
+    figures.put("attempts a try", requestCount == 0 ? 0 : (double) attempts / requestCount);
     figures.put("wasted work", sentWork <= 0 ? 0 : Math.max(0, 1 - usefulWork / sentWork));
     figures.put("strays", (double) lateAnswers);
     figures.put("lost by the emulator", (double) lost);
@@ -243,7 +243,7 @@
     put(series, "p99 ms", window -> percentile(window, 99));
     put(series, "refused", window -> window.refused);
     put(series, "retries", window -> window.retries);
-    put(series, "tries", window -> window.tries);
+    put(series, "tries", window -> window.requests);
     put(
         series,
         "queue depth",
