--- a/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -332,7 +332,7 @@
   }
 
   @Test
-  void avoidsFullWorkerEvenWithoutHeldSlots() {
+  void avoidsFullWorkerEvenWithoutSlotsInFlight() {
     ThrottlingDispatcher dispatcher = dispatcher(Idempotency.UNSAFE, IdempotencyScope.ALL, false);
     dispatcher.requestArrived(10, Fixture.job("a", 0, 5_010));
     long full = actions.lastSend().workerId();
--- a/emulator/src/main/java/ferngrade/emulator/TraceHash.java
+++ b/emulator/src/main/java/ferngrade/emulator/TraceHash.java
@@ -15,7 +15,7 @@
 public final class TraceHash implements Observer {
   private final ByteBuffer buffer = ByteBuffer.allocate(1 << 13);
   private final MessageDigest digest;
-  private long events;
+  private long eventCount;
 
   /** Creates the digest of an empty trace. */
   public TraceHash() {
@@ -27,7 +27,7 @@
   }
 
   private void record(int eventType, double now, String text, long number, double value) {
-    events++;
+    eventCount++;
     int length = text.length();
     if (buffer.remaining() < 29 + length) {
       flush();
@@ -56,8 +56,8 @@
   }
 
   /** Returns the number of events in the trace. */
-  public long events() {
-    return events;
+  public long eventCount() {
+    return eventCount;
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -108,7 +108,7 @@
   }
 
   /** Returns the number of events that the run has executed. */
-  public long events() {
+  public long eventCount() {
     return time.eventCount();
   }
 
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -45,7 +45,7 @@
   private final Set<EmulatedWorker> workers = new HashSet<>();
 
   /** The largest share of the documented bound that a cold worker got in a window. */
-  double worstShareOfBound;
+  double maxShareOfBound;
 
   int crashedWorkers;
 
@@ -74,7 +74,7 @@
     return scenario;
   }
 
-  static ReleaseRun play(Scenario scenario, long seed, String policy) {
+  static ReleaseRun run(Scenario scenario, long seed, String policy) {
     ReleaseRun statistics = new ReleaseRun(scenario);
     VirtualRun run =
         new VirtualRun(scenario, seed, Policies.byName(policy), Mutation.NONE, List.of(statistics));
@@ -86,7 +86,7 @@
     return seconds;
   }
 
-  private Second at(double now) {
+  private Second second(double now) {
     int index = (int) ((now - VirtualRun.START_MILLIS) / SECOND_MS);
     while (seconds.size() <= index) {
       seconds.add(new Second());
@@ -96,13 +96,13 @@
 
   @Override
   public void requestDue(double now, Request request) {
-    at(now).offered++;
+    second(now).offered++;
   }
 
   @Override
   public void requestEnded(double now, Request request, Answer answer) {
     ClassSpec jobClass = scenario.workload.classes.get(request.jobClass);
-    Second second = at(request.due);
+    Second second = second(request.due);
     if (answer == Answer.SERVED) {
       boolean inTime = now - request.due <= jobClass.aim + jobClass.stretch * request.work;
       second.inTime += inTime ? 1 : 0;
@@ -122,8 +122,8 @@
       window.remove();
     }
     double sum = window.stream().mapToDouble(Arrival::work).sum() / scenario.workload.meanWork();
-    worstShareOfBound = Math.max(worstShareOfBound, sum / bound(allowed(worker, now)));
-    at(now).coldSent += work / scenario.workload.meanWork();
+    maxShareOfBound = Math.max(maxShareOfBound, sum / bound(allowed(worker, now)));
+    second(now).coldSent += work / scenario.workload.meanWork();
   }
 
   /** Returns how many requests of mean work the settings allow a cold worker in a window. */
@@ -154,7 +154,7 @@
     if (node != 0) {
       return;
     }
-    Second second = at(now);
+    Second second = second(now);
     for (EmulatedWorker worker : workers) {
       if (worker.model.up()) {
         second.coldAllowed += worker.model.cold() ? allowed(worker, now) / scenario.tipMs * 500 : 0;
@@ -175,7 +175,7 @@
   }
 
   /** Returns the share of the requests due in these seconds that were served in time. */
-  double inTime(int from, int until) {
+  double onTimeShare(int from, int until) {
     return sum(from, until, second -> second.inTime) / sum(from, until, second -> second.offered);
   }
 
@@ -183,7 +183,7 @@
    * Returns the share of the work allowed for all cold workers that was sent to them. Only the
    * seconds in which at least a tenth of the requests was rejected or late are counted.
    */
-  double usedOfAllowed(int from, int until) {
+  double usedShareOfAllowed(int from, int until) {
     ToDoubleFunction<Second> overloaded =
         second -> 10 * (second.rejected + second.late) >= second.offered ? 1 : 0;
     double sent = sum(from, until, second -> overloaded.applyAsDouble(second) * second.coldSent);
@@ -205,7 +205,7 @@
    */
   int recoverySecond(double share) {
     int second = (int) (DURATION_MS / SECOND_MS) - 3;
-    while (second > 0 && inTime(second - 1, second + 2) >= share) {
+    while (second > 0 && onTimeShare(second - 1, second + 2) >= share) {
       second--;
     }
     return second;
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
@@ -22,19 +22,19 @@
   /** The share of the in-time ratio before the release at which a run counts as recovered. */
   private static final double RECOVERED_SHARE = 0.9;
 
-  private static ReleaseRun play(long seed, String policy) {
-    return ReleaseRun.play(ReleaseRun.scenario(), seed, policy);
+  private static ReleaseRun run(long seed, String policy) {
+    return ReleaseRun.run(ReleaseRun.scenario(), seed, policy);
   }
 
   private static int recoverySecond(ReleaseRun run) {
-    return run.recoverySecond(RECOVERED_SHARE * run.inTime(1, SECOND_BEFORE_RELEASE));
+    return run.recoverySecond(RECOVERED_SHARE * run.onTimeShare(1, SECOND_BEFORE_RELEASE));
   }
 
   /** Fails if the fleet recovers only when its new workers are warm. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void afterAReleaseRequestsAreInTimeBeforeTheLastNewWorkerIsWarm(long seed) {
-    ReleaseRun run = play(seed, "module");
+    ReleaseRun run = run(seed, "module");
     int recoverySecond = recoverySecond(run);
     assertTrue(
         recoverySecond * 1000.0 < run.lastWarmAt(),
@@ -46,7 +46,7 @@
   @ValueSource(longs = {1, 2})
   void coldWorkersGetTwoThirdsOfWhatIsAllowedWhileRequestsAreRejected(long seed) {
     double used =
-        play(seed, "module").usedOfAllowed(FIRST_OVERLOADED_SECOND, LAST_OVERLOADED_SECOND);
+        run(seed, "module").usedShareOfAllowed(FIRST_OVERLOADED_SECOND, LAST_OVERLOADED_SECOND);
     assertTrue(used >= 2.0 / 3, used + " of the allowed work was sent");
   }
 
@@ -54,8 +54,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void afterAReleaseRequestsAreInTimeWithinTwoSecondsOfTheAllSeeingPolicy(long seed) {
-    int recoverySecond = recoverySecond(play(seed, "module"));
-    int possible = recoverySecond(play(seed, "all-seeing"));
+    int recoverySecond = recoverySecond(run(seed, "module"));
+    int possible = recoverySecond(run(seed, "all-seeing"));
     assertTrue(
         recoverySecond <= possible + 2,
         recoverySecond + " s until recovery, all-seeing policy " + possible + " s");
@@ -65,8 +65,8 @@
   @Test
   void coldWorkersStayWithinTheBoundOfEveryWindow() {
     for (long seed = 1; seed <= Long.getLong(SEEDS_PROPERTY, DEFAULT_SEEDS); seed++) {
-      ReleaseRun run = play(seed, "module");
-      assertTrue(run.worstShareOfBound <= 1, run.worstShareOfBound + " of the bound, seed " + seed);
+      ReleaseRun run = run(seed, "module");
+      assertTrue(run.maxShareOfBound <= 1, run.maxShareOfBound + " of the bound, seed " + seed);
     }
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/TraceGoldenTest.java
@@ -80,7 +80,7 @@
     return scenario;
   }
 
-  private static Scenario liveWeights() {
+  private static Scenario weightsIncludingLoad() {
     Scenario scenario = smallScenario();
     scenario.discovery.weightPeriod = 100;
     scenario.discovery.repeats = 0.3;
@@ -122,7 +122,7 @@
     runs.add(new Run("objects", objects(), 4, "module"));
     runs.add(new Run("retries-and-hedging", retries(), 5, "module"));
     runs.add(new Run("retries", retriesWithoutHedging(), 6, "module"));
-    runs.add(new Run("live-weights", liveWeights(), 7, "module"));
+    runs.add(new Run("live-weights", weightsIncludingLoad(), 7, "module"));
     runs.add(new Run("many-nodes", manyNodes(), 8, "module"));
     runs.add(new Run("every-fault", everyFault(), 9, "module"));
     runs.add(new Run("every-fault-other-seed", everyFault(), 10, "module"));
@@ -150,7 +150,7 @@
             Mutation.NONE,
             List.of(trace))
         .run();
-    long events = trace.events();
+    long events = trace.eventCount();
     GOLDEN.verify(run.name(), events + " " + trace.hex());
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -64,7 +64,7 @@
   private record RunResult(
       InvariantCheckers checkers, String trace, Map<Answer, Integer> answers, VirtualRun run) {}
 
-  private static RunResult play(
+  private static RunResult run(
       Scenario scenario, long seed, String policy, Mutation mutation, Observer... extraObservers) {
     InvariantCheckers checkers = new InvariantCheckers(scenario);
     TraceHash trace = new TraceHash();
@@ -95,11 +95,11 @@
 
   @Test
   void sameSeedGivesSameTraceAndOtherSeedGivesOther() {
-    RunResult first = play(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
-    RunResult second = play(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
-    RunResult other = play(scenarioWithEveryFault(), 6, "module", Mutation.NONE);
+    RunResult first = run(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
+    RunResult second = run(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
+    RunResult other = run(scenarioWithEveryFault(), 6, "module", Mutation.NONE);
     assertEquals(first.trace, second.trace);
-    assertEquals(first.run.events(), second.run.events());
+    assertEquals(first.run.eventCount(), second.run.eventCount());
     assertNotEquals(first.trace, other.trace);
     assertTrue(first.answers.get(Answer.SERVED) > 100, first.answers.toString());
   }
@@ -111,7 +111,7 @@
       Scenario scenario = smallScenario();
       double size = kind == Kind.DEPLOY ? 0.2 : 2;
       scenario.faults.add(fault(kind, 3000, 6000, size, 0.5));
-      RunResult result = play(scenario, seed, "module", Mutation.NONE);
+      RunResult result = run(scenario, seed, "module", Mutation.NONE);
       assertEquals("", violationsOf(result));
       assertTrue(result.answers.get(Answer.SERVED) > 50, result.answers.toString());
     }
@@ -134,8 +134,8 @@
     }
     long violations = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      assertEquals("", violationsOf(play(scenario, seed, "module", Mutation.NONE)));
-      RunResult broken = play(scenario, seed, "module", mutation);
+      assertEquals("", violationsOf(run(scenario, seed, "module", Mutation.NONE)));
+      RunResult broken = run(scenario, seed, "module", mutation);
       for (InvariantChecker checker : broken.checkers.all()) {
         if (checker.rule().equals(rule)) {
           violations += checker.violationCount();
@@ -157,7 +157,7 @@
     scenario.faults.add(new Fault(Kind.NODE_KILL, 9000, 1000, 1, 0, 1));
     int[] lost = {0};
     RunResult result =
-        play(
+        run(
             scenario,
             2,
             "module",
@@ -176,7 +176,7 @@
   }
 
   @Test
-  void answerAfterRetryIsStrayAndNoViolation() {
+  void answerAfterRetryIsLateAndNoViolation() {
     Scenario scenario = smallScenario();
     scenario.workload.impatient = 0.5;
     scenario.network.client = 40;
@@ -184,7 +184,7 @@
     int[] retries = {0};
     for (long seed = 1; seed <= 6; seed++) {
       RunResult result =
-          play(
+          run(
               scenario,
               seed,
               "module",
@@ -216,7 +216,7 @@
     List<Double> timeouts = new ArrayList<>();
     for (long seed = 1; seed <= 6; seed++) {
       RunResult result =
-          play(
+          run(
               scenario,
               seed,
               "module",
@@ -247,7 +247,7 @@
       List<String> seen = new ArrayList<>();
       Scenario scenario = smallScenario();
       scenario.duration = 5000;
-      play(
+      run(
           scenario,
           11,
           policy,
--- a/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
+++ b/experiment/src/main/java/ferngrade/experiment/ExperimentRun.java
@@ -108,7 +108,7 @@
         checkers,
         VirtualRun.START_MILLIS,
         trace.hex(),
-        run.events(),
+        run.eventCount(),
         run.elapsedMillis(),
         (System.nanoTime() - startNanos) / 1e6);
   }
--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -559,11 +559,11 @@
     }
 
     @Override
-    public void scheduleTimer(double after, long token) {
+    public void scheduleTimer(double delayMs, long token) {
       turns.action(
           () ->
               timers.after(
-                  after, () -> turns.event(() -> dispatcher.timerExpired(clock.now(), token))));
+                  delayMs, () -> turns.event(() -> dispatcher.timerExpired(clock.now(), token))));
     }
 
     @Override
--- a/node/src/main/java/ferngrade/simulator/WireWriter.java
+++ b/node/src/main/java/ferngrade/simulator/WireWriter.java
@@ -70,8 +70,8 @@
     }
 
     @Override
-    public void scheduleTimer(double after, long token) {
-      begin("WAKE_AT ").millis(after).space().put(token).line();
+    public void scheduleTimer(double delayMs, long token) {
+      begin("WAKE_AT ").millis(delayMs).space().put(token).line();
     }
 
     @Override
