--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetCycle.java
@@ -29,12 +29,13 @@
 
   /** Creates a budget without a slice; the first cycle after {@code now} sets it. */
   BudgetCycle(DispatcherSettings settings, SlotBudget budget, double now, Actions actions) {
-    this.exchangesWithPeers = settings.limits().peers();
+    this.exchangesWithPeers = settings.limits().peerMessages();
     this.actions = actions;
     this.budget = budget;
     this.quotas = new TenantQuotas(settings.tenants());
-    this.classPriorities = new ClassPriorities(settings.classes(), settings.goal());
-    this.diffusion = new BudgetDiffusion(settings.me(), settings.dispatchers(), quotas);
+    this.classPriorities = new ClassPriorities(settings.classes(), settings.objective());
+    this.diffusion =
+        new BudgetDiffusion(settings.dispatcherIndex(), settings.dispatcherCount(), quotas);
     this.cycleStartedAt = now;
   }
 
@@ -71,16 +72,16 @@
   }
 
   /**
-   * Returns the budget as of the last cycle, with {@code heldSlots} as the slots of the attempts in
-   * flight.
+   * Returns the budget as of the last cycle, with {@code slotsInFlight} as the slots of the
+   * attempts in flight.
    */
-  BudgetState state(double heldSlots) {
+  BudgetState state(double slotsInFlight) {
     return new BudgetState(
         budget.slice(),
         demand,
         budget.acceptedRate(),
         budget.rejectedShare(),
-        heldSlots,
+        slotsInFlight,
         lastLoad.size(),
         lastLoad.busy(),
         budget.followsLoads());
@@ -90,7 +91,7 @@
     budget.adjust(diffusion.sliceChange());
     byte[] message = diffusion.message(budget.slice());
     for (int peer : diffusion.peers()) {
-      actions.tell(peer, message);
+      actions.sendToPeer(peer, message);
     }
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -48,8 +48,9 @@
             + FETCH_COST * serviceTimes.meanWork() * fetchFraction;
     if (!registry.isLocal(worker)) {
       double latencyObjective =
-          request.jobClass.aim() + request.jobClass.stretch() * serviceTimes.mean();
-      cost += CROSS_ZONE_DELAY_FACTOR * settings.crossCharge() * latencyObjective;
+          request.jobClass.latencyObjectiveMs()
+              + request.jobClass.latencyObjectiveFactor() * serviceTimes.mean();
+      cost += CROSS_ZONE_DELAY_FACTOR * settings.crossZoneCost() * latencyObjective;
     }
     return cost + registry.roundTripTime(worker);
   }
@@ -58,15 +59,15 @@
    * Returns the expected wait for a start. For a worker that is warming up it follows the listed
    * load alone: only a few dispatchers have a grant for the worker, so they cannot overload it, and
    * none of them has observed waits there. For other workers it is the time to complete the slots
-   * held by this dispatcher, each of which takes a mean service time divided by the worker's slots
-   * (if reports include that number), plus the estimated wait. If many dispatchers relied on the
-   * listed sizes, they would overload the large workers.
+   * in flight from this dispatcher, each of which takes a mean service time divided by the worker's
+   * slots (if reports include that number), plus the estimated wait. If many dispatchers relied on
+   * the listed sizes, they would overload the large workers.
    */
   private double queueingDelay(WorkerStats worker, double now) {
     if (slowStartGate.warmingUp(worker, now) && waits.followsLoads()) {
-      return waits.byListedLoad(worker, now);
+      return waits.waitByListedLoad(worker, now);
     }
-    return registry.effectiveHeldSlots(worker) * serviceTimes.mean() / worker.group.slots
-        + waits.expected(worker, now);
+    return registry.effectiveSlotsInFlight(worker) * serviceTimes.mean() / worker.group.slots
+        + waits.expectedWait(worker, now);
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -6,56 +6,58 @@
  */
 final class RetryPolicy {
   private final DeploymentLimits limits;
-  private final double roundMs;
+  private final double eventBatchIntervalMs;
 
   /**
-   * Creates a policy. {@code roundMs} is the time between batches of events, by which decisions are
-   * made ahead of each deadline.
+   * Creates a policy. {@code eventBatchIntervalMs} is the time between batches of events, by which
+   * decisions are made ahead of each deadline.
    */
-  RetryPolicy(DeploymentLimits limits, double roundMs) {
+  RetryPolicy(DeploymentLimits limits, double eventBatchIntervalMs) {
     this.limits = limits;
-    this.roundMs = roundMs;
+    this.eventBatchIntervalMs = eventBatchIntervalMs;
   }
 
   /** Returns true if the request has attempts left. */
   boolean attemptsLeft(PendingRequest request) {
-    return request.attempts.size() < limits.tries();
+    return request.attempts.size() < limits.maxAttempts();
   }
 
   /** Returns true if another attempt is safe and can still be useful to the client. */
   boolean maySend(PendingRequest request, double now) {
-    if (request.completed || !attemptsLeft(request) || now >= request.job.due()) {
+    if (request.completed || !attemptsLeft(request) || now >= request.job.deadline()) {
       return false;
     }
-    if (request.inFlight > 0 && !limits.secondCopies()) {
+    if (request.inFlight > 0 && !limits.hedging()) {
       return false;
     }
-    Attempt firstAttempt = request.firstThatMayHaveRun();
+    Attempt firstAttempt = request.firstAttemptThatMayHaveRun();
     if (firstAttempt == null) {
       return true;
     }
-    return switch (request.jobClass.effect()) {
+    return switch (request.jobClass.idempotency()) {
       case SAFE -> true;
-      case KEYED -> now < firstAttempt.sentAt + request.jobClass.window() - roundMs;
+      case KEYED ->
+          now < firstAttempt.sentAt + request.jobClass.keyWindowMs() - eventBatchIntervalMs;
       case UNSAFE -> false;
     };
   }
 
-  /** Returns true if the client may be told that a retry is safe. */
+  /** Returns true if the client may be informed that a retry is safe. */
   boolean mayReject(PendingRequest request) {
-    Idempotency idempotency = request.jobClass.effect();
+    Idempotency idempotency = request.jobClass.idempotency();
     boolean keyedForAllWorkers =
-        idempotency == Idempotency.KEYED && request.jobClass.scope() == IdempotencyScope.ALL;
+        idempotency == Idempotency.KEYED
+            && request.jobClass.idempotencyScope() == IdempotencyScope.ALL;
     return idempotency == Idempotency.SAFE
         || keyedForAllWorkers
-        || request.firstThatMayHaveRun() == null;
+        || request.firstAttemptThatMayHaveRun() == null;
   }
 
   /**
    * Returns true if the client has stopped waiting or will do so before the next batch of events.
    */
   boolean deadlineReached(PendingRequest request, double now) {
-    return now >= request.job.due() - roundMs;
+    return now >= request.job.deadline() - eventBatchIntervalMs;
   }
 
   /**
@@ -65,9 +67,9 @@
    */
   Attempt groupAttempt(PendingRequest request) {
     boolean keyedWithinGroup =
-        request.jobClass.effect() == Idempotency.KEYED
-            && request.jobClass.scope() != IdempotencyScope.ALL;
-    return keyedWithinGroup ? request.firstThatMayHaveRun() : null;
+        request.jobClass.idempotency() == Idempotency.KEYED
+            && request.jobClass.idempotencyScope() != IdempotencyScope.ALL;
+    return keyedWithinGroup ? request.firstAttemptThatMayHaveRun() : null;
   }
 
   /**
--- a/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/Fixture.java
@@ -13,8 +13,8 @@
 
   private Fixture() {}
 
-  static JobClass jobClass(Idempotency effect, IdempotencyScope scope) {
-    return new JobClass("job", effect, scope, 7_500, 100, 2, 5_000, 1, 0, -1, 0);
+  static JobClass jobClass(Idempotency idempotency, IdempotencyScope scope) {
+    return new JobClass("job", idempotency, scope, 7_500, 100, 2, 5_000, 1, 0, -1, 0);
   }
 
   static DispatcherSettings settings(int dispatcherIndex, int dispatchers, JobClass jobClass) {
@@ -26,8 +26,8 @@
       int dispatchers,
       JobClass jobClass,
       List<Tenant> tenants,
-      boolean secondCopies) {
-    return settings(dispatcherIndex, dispatchers, jobClass, tenants, secondCopies, false);
+      boolean hedging) {
+    return settings(dispatcherIndex, dispatchers, jobClass, tenants, hedging, false);
   }
 
   static DispatcherSettings settings(
@@ -35,9 +35,9 @@
       int dispatchers,
       JobClass jobClass,
       List<Tenant> tenants,
-      boolean secondCopies,
+      boolean hedging,
       boolean loadsListed) {
-    DeploymentLimits limits = new DeploymentLimits(3, secondCopies, true, true, true, 1_000);
+    DeploymentLimits limits = new DeploymentLimits(3, hedging, true, true, true, 1_000);
     return new DispatcherSettings(
         dispatcherIndex,
         dispatchers,
@@ -63,14 +63,14 @@
         worker.id(),
         state,
         worker.zone(),
-        worker.kind(),
+        worker.workerType(),
         worker.cell(),
         startedAt,
         worker.weight());
   }
 
-  static Job job(String id, int tenant, double due) {
-    return new Job(id, 0, tenant, due, 0, 1, 0, 0);
+  static Job job(String id, int tenant, double deadline) {
+    return new Job(id, 0, tenant, deadline, 0, 1, 0, 0);
   }
 
   record Send(String requestId, long workerId) {}
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void refuse(String requestId, double retryAfterMs) {
+    public void reject(String requestId, double retryAfterMs) {
       rejected.add(requestId);
     }
 
@@ -106,21 +106,21 @@
     }
 
     @Override
-    public void check(long workerId) {}
+    public void checkHealth(long workerId) {}
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
       messagedPeers.add(peer);
       messages.add(message);
     }
 
     @Override
-    public void timer(double delayMs, long token) {
+    public void scheduleTimer(double delayMs, long token) {
       timers.add(new long[] {Math.round(delayMs), token});
     }
 
     @Override
-    public void watch() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String line) {}
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -104,14 +104,15 @@
           new ThrottlingDispatcher(settings, index, 0, new Host(this, index));
       dispatchers.add(dispatcher);
       double notifiedAt = RESTART_TIME + (0.9 + 0.1 * random.nextDouble()) * notifiedAfter;
-      dispatcher.members(0, EndpointListUpdate.STORED, list(0));
+      dispatcher.endpointsUpdated(0, EndpointListUpdate.STORED, list(0));
       schedule(random.nextDouble() * 500, () -> notifyDispatcher(dispatcher, notifiedAt));
       schedule(random.nextDouble() * arrivalInterval(), () -> arrive(index));
     }
 
     private void notifyDispatcher(ThrottlingDispatcher dispatcher, double notifiedAt) {
       boolean notified = now >= notifiedAt;
-      dispatcher.members(now, EndpointListUpdate.CHANGES, list(notified ? RESTART_TIME : 0));
+      dispatcher.endpointsUpdated(
+          now, EndpointListUpdate.CHANGES, list(notified ? RESTART_TIME : 0));
       schedule(
           notified || now + 500 < notifiedAt ? 500 : notifiedAt - now,
           () -> notifyDispatcher(dispatcher, notifiedAt));
@@ -144,7 +145,7 @@
       double rateFactor = now < RESTART_TIME ? 1 : BURST_FACTOR;
       double work = deployment.meanWork() * jobWorkFactor * (0.2 + 1.6 * random.nextDouble());
       String id = work + "/" + order;
-      dispatchers.get(index).arrived(now, new Job(id, 0, 0, now + 20_000, work, 1, 0, 0));
+      dispatchers.get(index).requestArrived(now, new Job(id, 0, 0, now + 20_000, work, 1, 0, 0));
       schedule(
           -jobWorkFactor / rateFactor * arrivalInterval() * Math.log(1 - random.nextDouble()),
           () -> arrive(index));
@@ -166,17 +167,19 @@
       ThrottlingDispatcher dispatcher = dispatchers.get(index);
       int variant = attempts++ % 10;
       if (variant == 0) {
-        dispatcher.ended(now, id, attempt, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
+        dispatcher.attemptEnded(now, id, attempt, AttemptOutcome.FULL, 1, false, LoadReport.NONE);
         return;
       }
       jobsHeld[worker]++;
       schedule(
-          variant == 1 ? deployment.meanWork() : 0, () -> dispatcher.started(now, id, attempt));
+          variant == 1 ? deployment.meanWork() : 0,
+          () -> dispatcher.attemptStarted(now, id, attempt));
       schedule(
           (variant == 1 ? deployment.meanWork() : 0) + work,
           () -> {
             jobsHeld[worker]--;
-            dispatcher.ended(now, id, attempt, AttemptOutcome.OK, work, true, LoadReport.NONE);
+            dispatcher.attemptEnded(
+                now, id, attempt, AttemptOutcome.OK, work, true, LoadReport.NONE);
           });
     }
 
@@ -186,7 +189,7 @@
      */
     double maxShareOfLimit() {
       double maxShare = 0;
-      double windowMs = deployment.policy().tipMs();
+      double windowMs = deployment.policy().overloadWindowMs();
       for (int last = 0; last < arrivals.size(); last++) {
         double windowEnd = arrivals.get(last).time();
         double work = 0;
@@ -203,12 +206,12 @@
       SlowStartPolicy policy = deployment.policy();
       double capacityShare =
           policy.startCapacity()
-              + (1 - policy.startCapacity()) * (time - RESTART_TIME) / policy.coldMs();
+              + (1 - policy.startCapacity()) * (time - RESTART_TIME) / policy.warmUpMs();
       double limit =
-          policy.fallMultiple()
+          policy.overloadFactor()
               * capacityShare
               * deployment.size()
-              * policy.tipMs()
+              * policy.overloadWindowMs()
               / deployment.meanWork();
       return limit < 30 ? limit + 3 * Math.sqrt(limit) + 3 : limit + 2 * Math.sqrt(limit) + 2;
     }
@@ -231,12 +234,12 @@
     }
 
     @Override
-    public void timer(double delayMs, long token) {
-      fleet.schedule(delayMs, () -> fleet.dispatchers.get(index).timer(fleet.now, token));
+    public void scheduleTimer(double delayMs, long token) {
+      fleet.schedule(delayMs, () -> fleet.dispatchers.get(index).timerExpired(fleet.now, token));
     }
 
     @Override
-    public void refuse(String id, double retryAfter) {}
+    public void reject(String id, double retryAfter) {}
 
     @Override
     public void fail(String id) {}
@@ -245,13 +248,13 @@
     public void cancel(String id, int attempt) {}
 
     @Override
-    public void check(long worker) {}
+    public void checkHealth(long worker) {}
 
     @Override
-    public void tell(int peer, byte[] message) {}
+    public void sendToPeer(int peer, byte[] message) {}
 
     @Override
-    public void watch() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String line) {}
--- a/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
+++ b/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
@@ -11,13 +11,13 @@
   }
 
   @Override
-  public void send(String id, long worker, double timeout) {
-    delegate.send(id, worker, timeout);
+  public void send(String id, long worker, double timeoutMs) {
+    delegate.send(id, worker, timeoutMs);
   }
 
   @Override
-  public void refuse(String id, double retryAfter) {
-    delegate.refuse(id, retryAfter);
+  public void reject(String id, double retryAfterMs) {
+    delegate.reject(id, retryAfterMs);
   }
 
   @Override
@@ -31,23 +31,23 @@
   }
 
   @Override
-  public void check(long worker) {
-    delegate.check(worker);
+  public void checkHealth(long worker) {
+    delegate.checkHealth(worker);
   }
 
   @Override
-  public void tell(int peer, byte[] message) {
-    delegate.tell(peer, message);
+  public void sendToPeer(int peer, byte[] message) {
+    delegate.sendToPeer(peer, message);
   }
 
   @Override
-  public void timer(double after, long token) {
-    delegate.timer(after, token);
+  public void scheduleTimer(double delayMs, long token) {
+    delegate.scheduleTimer(delayMs, token);
   }
 
   @Override
-  public void watch() {
-    delegate.watch();
+  public void watchEndpoints() {
+    delegate.watchEndpoints();
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualNode.java
@@ -82,7 +82,7 @@
                 new RateLimitedLog(time, line -> {})),
             REQUEST_LIMITS,
             actions -> createDispatcher(actions, seed));
-    run.observer.node(time.now(), number, true);
+    run.observer.nodeStateChanged(time.now(), number, true);
     receiveEndpoints(EndpointListUpdate.STORED, known);
   }
 
@@ -91,7 +91,7 @@
     Dispatcher.Actions dispatcherActions =
         run.mutation == Mutation.NONE ? actions : MutantDispatcher.counting(actions, mutant);
     dispatcher =
-        run.policy.start(
+        run.policy.createDispatcher(
             run.scenario.settings(number, run.allowances),
             seed,
             run.time.now(),
@@ -111,10 +111,11 @@
     up = false;
     incarnation++;
     double now = run.time.now();
-    run.observer.node(now, number, false);
+    run.observer.nodeStateChanged(now, number, false);
     for (Request request : new ArrayList<>(openRequests.values())) {
-      run.observer.lost(now, request, "its node was killed");
-      run.time.after(run.network.client(), () -> run.clients.answer(request, Answer.BROKEN, 0));
+      run.observer.requestLost(now, request, "its node was killed");
+      run.time.after(
+          run.network.clientDelay(), () -> run.clients.answer(request, Answer.BROKEN, 0));
     }
     openRequests.clear();
     transport.close();
@@ -123,10 +124,10 @@
   /** Pauses or resumes the process. Tasks that arrive meanwhile run in order on resumption. */
   void pause(boolean begins) {
     if (begins && openPauses++ == 0) {
-      run.observer.paused(run.time.now(), number, true);
+      run.observer.nodePauseChanged(run.time.now(), number, true);
     }
     if (!begins && --openPauses == 0) {
-      run.observer.paused(run.time.now(), number, false);
+      run.observer.nodePauseChanged(run.time.now(), number, false);
       while (!deferred.isEmpty()) {
         deferred.poll().run();
       }
@@ -156,7 +157,7 @@
   void accept(Request request) {
     double now = run.time.now();
     openRequests.put(request.id, request);
-    run.observer.accepted(now, number, request);
+    run.observer.requestAccepted(now, number, request);
     ClassSpec spec = run.scenario.workload.classes.get(request.jobClass);
     Job job =
         new Job(
@@ -164,7 +165,7 @@
             request.jobClass,
             request.tenant,
             now + request.deadline - request.due,
-            request.hint,
+            request.estimatedWork,
             spec.slots,
             0,
             run.scenario.workload.tellObjects ? request.object : 0);
@@ -230,8 +231,9 @@
       // The client has disconnected: the answer has no receiver.
       return;
     }
-    run.observer.answered(now, number, request, answer, retryAfter);
-    run.time.after(run.network.client(), () -> run.clients.answer(request, answer, retryAfter));
+    run.observer.requestAnswered(now, number, request, answer, retryAfter);
+    run.time.after(
+        run.network.clientDelay(), () -> run.clients.answer(request, answer, retryAfter));
   }
 
   /** Delivers the node's answer to one client. */
--- a/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantChecker.java
@@ -15,10 +15,10 @@
 
   private final String rule;
   private final List<Violation> violations = new ArrayList<>();
-  private long count;
+  private long violationCount;
 
   /** A violation of a rule. */
-  public record Violation(String rule, double at, String what) {}
+  public record Violation(String rule, double at, String message) {}
 
   InvariantChecker(String rule) {
     this.rule = rule;
@@ -30,20 +30,20 @@
   }
 
   final void reportViolation(double now, String message) {
-    count++;
+    violationCount++;
     if (violations.size() < MAX_STORED_VIOLATIONS) {
       violations.add(new Violation(rule, now, message));
     }
   }
 
   /** Returns the first violations, with their messages. */
-  public List<Violation> breaches() {
+  public List<Violation> violations() {
     return Collections.unmodifiableList(violations);
   }
 
   /** Returns the number of all violations. */
-  public long count() {
-    return count;
+  public long violationCount() {
+    return violationCount;
   }
 
   /** Called once, at the end of the run. */
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -34,7 +34,7 @@
 
   private static final class PendingJob {
     final Job job;
-    final List<Long> tried = new ArrayList<>(1);
+    final List<Long> triedWorkerIds = new ArrayList<>(1);
     boolean mayHaveRun;
 
     PendingJob(Job job) {
@@ -59,7 +59,7 @@
   }
 
   @Override
-  public final void arrived(double now, Job job) {
+  public final void requestArrived(double now, Job job) {
     PendingJob pending = new PendingJob(job);
     pendingJobs.put(job.id(), pending);
     send(pending, now);
@@ -67,18 +67,19 @@
 
   private void send(PendingJob pending, double now) {
     List<Worker> candidates = ready;
-    if (!pending.tried.isEmpty()) {
-      Set<Long> tried = new HashSet<>(pending.tried);
+    if (!pending.triedWorkerIds.isEmpty()) {
+      Set<Long> tried = new HashSet<>(pending.triedWorkerIds);
       candidates = ready.stream().filter(worker -> !tried.contains(worker.id())).toList();
     }
     boolean exhausted =
-        pending.tried.size() >= settings.limits().tries() || now >= pending.job.due();
+        pending.triedWorkerIds.size() >= settings.limits().maxAttempts()
+            || now >= pending.job.deadline();
     Worker worker = exhausted || candidates.isEmpty() ? null : pick(candidates, pending.job);
     if (worker == null) {
       answer(pending);
       return;
     }
-    pending.tried.add(worker.id());
+    pending.triedWorkerIds.add(worker.id());
     attemptsInFlight.merge(worker.id(), 1, Integer::sum);
     actions.send(pending.job.id(), worker.id(), 0);
   }
@@ -87,31 +88,32 @@
     pendingJobs.remove(pending.job.id());
     JobClass jobClass = settings.classes().get(pending.job.jobClass());
     boolean mayRunAgain =
-        jobClass.effect() == Idempotency.SAFE
-            || (jobClass.effect() == Idempotency.KEYED && jobClass.scope() == IdempotencyScope.ALL);
+        jobClass.idempotency() == Idempotency.SAFE
+            || (jobClass.idempotency() == Idempotency.KEYED
+                && jobClass.idempotencyScope() == IdempotencyScope.ALL);
     if (mayRunAgain || !pending.mayHaveRun) {
-      actions.refuse(pending.job.id(), 0);
+      actions.reject(pending.job.id(), 0);
     } else {
       actions.fail(pending.job.id());
     }
   }
 
   @Override
-  public final void ended(
+  public final void attemptEnded(
       double now,
       String id,
       int attempt,
       AttemptOutcome outcome,
-      double took,
-      boolean over,
+      double durationMs,
+      boolean completed,
       LoadReport report) {
     PendingJob pending = pendingJobs.get(id);
     if (pending == null) {
       return;
     }
-    attemptsInFlight.merge(pending.tried.get(attempt), -1, Integer::sum);
+    attemptsInFlight.merge(pending.triedWorkerIds.get(attempt), -1, Integer::sum);
     pending.mayHaveRun |= !outcome.neverRan;
-    if (over || outcome == AttemptOutcome.OK) {
+    if (completed || outcome == AttemptOutcome.OK) {
       pendingJobs.remove(id);
     } else if (pending.mayHaveRun) {
       answer(pending);
@@ -121,7 +123,7 @@
   }
 
   @Override
-  public final void members(double now, EndpointListUpdate update, List<Worker> workers) {
+  public final void endpointsUpdated(double now, EndpointListUpdate update, List<Worker> workers) {
     if (update != EndpointListUpdate.CHANGES) {
       workersById.clear();
     }
@@ -134,27 +136,27 @@
   }
 
   @Override
-  public final void abandoned(double now, String id) {}
+  public final void requestAbandoned(double now, String id) {}
 
   @Override
-  public final void started(double now, String id, int attempt) {}
+  public final void attemptStarted(double now, String id, int attempt) {}
 
   @Override
-  public final void progressed(double now, String id, int attempt, double share) {}
+  public final void attemptProgressed(double now, String id, int attempt, double share) {}
 
   @Override
-  public final void streaming(double now, String id, int attempt) {}
+  public final void attemptStreaming(double now, String id, int attempt) {}
 
   @Override
-  public final void listFailed(double now) {}
+  public final void endpointWatchFailed(double now) {}
 
   @Override
-  public final void checked(
-      double now, long worker, AttemptOutcome outcome, double took, LoadReport report) {}
+  public final void healthCheckCompleted(
+      double now, long worker, AttemptOutcome outcome, double durationMs, LoadReport report) {}
 
   @Override
-  public final void heard(double now, int from, byte[] message) {}
+  public final void peerMessageReceived(double now, int from, byte[] message) {}
 
   @Override
-  public final void timer(double now, long token) {}
+  public final void timerExpired(double now, long token) {}
 }
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -45,7 +45,7 @@
   private final Set<EmulatedWorker> workers = new HashSet<>();
 
   /** The largest share of the documented bound that a cold worker got in a window. */
-  double worstShareOfBound;
+  double maxShareOfBound;
 
   int crashedWorkers;
 
@@ -65,19 +65,19 @@
     scenario.workload.load = 0.6;
     scenario.discovery.weightPeriod = 900;
     scenario.discovery.weightLate = 500;
-    for (KindSpec kind : scenario.kinds) {
-      kind.coldStart = 0.2;
-      kind.coldMs = 16_000;
+    for (WorkerTypeSpec type : scenario.kinds) {
+      type.coldStart = 0.2;
+      type.coldMs = 16_000;
     }
     Fault release = new Fault(Fault.Kind.DEPLOY, RELEASE_AT_MS, RELEASE_MS, 0.1, 0.6, -1);
     scenario.faults.add(release);
     return scenario;
   }
 
-  static ReleaseRun play(Scenario scenario, long seed, String policy) {
+  static ReleaseRun run(Scenario scenario, long seed, String policy) {
     ReleaseRun statistics = new ReleaseRun(scenario);
     VirtualRun run =
-        new VirtualRun(scenario, seed, Policies.named(policy), Mutation.NONE, List.of(statistics));
+        new VirtualRun(scenario, seed, Policies.byName(policy), Mutation.NONE, List.of(statistics));
     run.run();
     return statistics;
   }
@@ -86,8 +86,8 @@
     return seconds;
   }
 
-  private Second at(double now) {
-    int index = (int) ((now - VirtualRun.START) / SECOND_MS);
+  private Second second(double now) {
+    int index = (int) ((now - VirtualRun.START_MILLIS) / SECOND_MS);
     while (seconds.size() <= index) {
       seconds.add(new Second());
     }
@@ -95,14 +95,14 @@
   }
 
   @Override
-  public void due(double now, Request request) {
-    at(now).offered++;
+  public void requestDue(double now, Request request) {
+    second(now).offered++;
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     ClassSpec jobClass = scenario.workload.classes.get(request.jobClass);
-    Second second = at(request.due);
+    Second second = second(request.due);
     if (answer == Answer.SERVED) {
       boolean inTime = now - request.due <= jobClass.aim + jobClass.stretch * request.work;
       second.inTime += inTime ? 1 : 0;
@@ -122,8 +122,8 @@
       window.remove();
     }
     double sum = window.stream().mapToDouble(Arrival::work).sum() / scenario.workload.meanWork();
-    worstShareOfBound = Math.max(worstShareOfBound, sum / bound(allowed(worker, now)));
-    at(now).coldSent += work / scenario.workload.meanWork();
+    maxShareOfBound = Math.max(maxShareOfBound, sum / bound(allowed(worker, now)));
+    second(now).coldSent += work / scenario.workload.meanWork();
   }
 
   /** Returns how many requests of mean work the settings allow a cold worker in a window. */
@@ -131,8 +131,8 @@
     double age = now - worker.model.startedAt();
     double warmth =
         scenario.startCapacity + (1 - scenario.startCapacity) * Math.min(1, age / scenario.coldMs);
-    KindSpec kind = scenario.kinds.get(worker.kind);
-    double capacity = warmth * kind.cores * kind.speed / scenario.workload.meanWork();
+    WorkerTypeSpec type = scenario.kinds.get(worker.workerType);
+    double capacity = warmth * type.cores * type.speed / scenario.workload.meanWork();
     return scenario.fallMultiple * capacity * scenario.tipMs;
   }
 
@@ -150,15 +150,15 @@
   }
 
   @Override
-  public void slice(double now, int node, double slots) {
+  public void sliceSampled(double now, int node, double slots) {
     if (node != 0) {
       return;
     }
-    Second second = at(now);
+    Second second = second(now);
     for (EmulatedWorker worker : workers) {
       if (worker.model.up()) {
         second.coldAllowed += worker.model.cold() ? allowed(worker, now) / scenario.tipMs * 500 : 0;
-        second.inFlight += (worker.model.running() + worker.model.waiting()) / 2.0;
+        second.inFlight += (worker.model.runningCount() + worker.model.waitingCount()) / 2.0;
         second.cores += worker.model.capacity() / 2;
         second.busyCores += busyShare(worker) * worker.model.capacity() / 2;
       }
@@ -166,7 +166,7 @@
   }
 
   private double busyShare(EmulatedWorker worker) {
-    return Math.min(1, worker.model.running() / scenario.kinds.get(worker.kind).cores);
+    return Math.min(1, worker.model.runningCount() / scenario.kinds.get(worker.workerType).cores);
   }
 
   @Override
@@ -175,7 +175,7 @@
   }
 
   /** Returns the share of the requests due in these seconds that were served in time. */
-  double inTime(int from, int until) {
+  double onTimeShare(int from, int until) {
     return sum(from, until, second -> second.inTime) / sum(from, until, second -> second.offered);
   }
 
@@ -183,7 +183,7 @@
    * Returns the share of the work allowed for all cold workers that was sent to them. Only the
    * seconds in which at least a tenth of the requests was rejected or late are counted.
    */
-  double usedOfAllowed(int from, int until) {
+  double usedShareOfAllowed(int from, int until) {
     ToDoubleFunction<Second> overloaded =
         second -> 10 * (second.rejected + second.late) >= second.offered ? 1 : 0;
     double sent = sum(from, until, second -> overloaded.applyAsDouble(second) * second.coldSent);
@@ -196,7 +196,7 @@
   double lastWarmAt() {
     double lastStart =
         workers.stream().mapToDouble(worker -> worker.model.startedAt()).max().orElseThrow();
-    return lastStart - VirtualRun.START + scenario.kinds.get(0).coldMs;
+    return lastStart - VirtualRun.START_MILLIS + scenario.kinds.get(0).coldMs;
   }
 
   /**
@@ -205,7 +205,7 @@
    */
   int recoverySecond(double share) {
     int second = (int) (DURATION_MS / SECOND_MS) - 3;
-    while (second > 0 && inTime(second - 1, second + 2) >= share) {
+    while (second > 0 && onTimeShare(second - 1, second + 2) >= share) {
       second--;
     }
     return second;
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -83,7 +83,8 @@
   public static Result run(int size, long seed, Mutant mutant) {
     VirtualFleet fleet = new VirtualFleet(size, seed, mutant);
     fleet.run();
-    return new Result(fleet.violations, fleet.effects.size(), fleet.rejected, fleet.time.ran());
+    return new Result(
+        fleet.violations, fleet.effects.size(), fleet.rejected, fleet.time.eventCount());
   }
 
   /**
@@ -95,13 +96,15 @@
     fleet.meanDelayMillis = millis;
     fleet.names.forEach(fleet::start);
     fleet.time.run(RECOVERY_MILLIS);
-    // Jobs that are skipped when late are always late at this delay.
+    // At this delay, all runs of a job that skips missed due times are late, so this job is never
+    // executed.
     fleet.checkOwned(
         fleet.jobs.stream()
             .filter(RecurringSchedule::runMissed)
             .map(RecurringSchedule::shard)
             .toList());
-    return new Result(fleet.violations, fleet.effects.size(), fleet.rejected, fleet.time.ran());
+    return new Result(
+        fleet.violations, fleet.effects.size(), fleet.rejected, fleet.time.eventCount());
   }
 
   private void run() {
@@ -234,14 +237,15 @@
         }
       }
       case 10 -> {
-        // One member falls behind and loses its disk, and then a randomly chosen member restarts.
+        // One member is cut off, so that its log falls behind, and loses its disk; then a randomly
+        // chosen member restarts.
         cut(List.of(other + name, name + other), length);
         time.after(length / 3, () -> loseDisk(name, 100));
         String third = names.get(random.nextInt(names.size()));
         time.after(length / 2, () -> crash(third, 800 + random.nextDouble() * 1_000));
       }
-      // Only one member's clock jumps, and only while no member has drained: the clocks of the
-      // other members must count.
+      // Only one member's clock jumps, and only while no member has drained, so that the clocks of
+      // the other members still determine the median.
       case 8 ->
           clockJumps.merge(
               drained.isEmpty() ? names.get(0) : "none",
@@ -267,7 +271,7 @@
     }
   }
 
-  /** Makes a disk full, or makes its syncs and renames fail. */
+  /** Makes a disk full, or makes its syncs and renames fail; {@code full} selects the fault. */
   private static void failDisk(FaultInjectingStorage disk, boolean full) {
     if (full) {
       disk.setFull(true);
@@ -283,8 +287,8 @@
   }
 
   /**
-   * Loses a member's disk, at most one in a run: the members cannot recover from the loss of more,
-   * since the disks of a majority must survive.
+   * Loses a member's disk. At most one disk is lost in a run, because the disks of a majority must
+   * survive.
    */
   private void loseDisk(String name, double downtime) {
     if (lostDisks.isEmpty()) {
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -91,10 +91,10 @@
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
-              if (method.getName().equals("arrived")) {
+              if (method.getName().equals("requestArrived")) {
                 Job job = (Job) arguments[1];
                 jobs.add(job);
-                actions.refuse(job.id(), 0);
+                actions.reject(job.id(), 0);
               }
               return method.getReturnType() == int.class ? 0 : null;
             });
@@ -153,7 +153,7 @@
       advance(BUSY_MILLIS);
       blockReleased.countDown();
       connection.read();
-      assertEquals(jobs.take().due(), 1000 + DEADLINE_MILLIS, state);
+      assertEquals(jobs.take().deadline(), 1000 + DEADLINE_MILLIS, state);
     }
   }
 
--- a/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
+++ b/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
@@ -75,7 +75,7 @@
     awaitSettled();
     client.write(request("late"));
     assertEquals(outcome(client), "503");
-    assertTrue(arrivedJobs.take().due() > now, "the deadline is before the arrival");
+    assertTrue(arrivedJobs.take().deadline() > now, "the deadline is before the arrival");
   }
 
   @Override
@@ -86,7 +86,7 @@
             getClass().getClassLoader(),
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
-              if (method.getName().equals("arrived")) {
+              if (method.getName().equals("requestArrived")) {
                 arrivedJobs.add((Job) arguments[1]);
               }
               return method.invoke(rejecting, arguments);
