--- a/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
@@ -24,7 +24,7 @@
         for (int peer : GraphCommand.peersOf(node, nodes)) {
           assertTrue(
               GraphCommand.peersOf(peer, nodes).contains(node),
-              "node " + peer + " does not send to node " + node + " in a tier of " + nodes);
+              node + " sends to " + peer + ", which sends nothing back, in a tier of size " + nodes);
         }
       }
     }
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
@@ -264,7 +264,7 @@
         return List.of();
       }
       lastObserved =
-          "members with an old list " + behind + ", open watches " + endpointListServer.open();
+          "members with an old list: " + behind + "; " + endpointListServer.open() + " open watches";
       history.await(100);
     }
     return List.of(new Violation(history.now(), "asked once", lastObserved));
@@ -500,7 +500,7 @@
       }
       default -> {
         if (!members.containsKey(selector)) {
-          throw new IllegalArgumentException("there is no member \"" + selector + "\"");
+          throw new IllegalArgumentException("unknown member " + selector);
         }
         yield List.of(members.get(selector));
       }
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -276,7 +276,7 @@
           if (unsealed.verdict() == MessageAuthenticator.Verdict.TAKEN) {
             addViolation(
                 forged ? "forged" : "replayed",
-                to.name + " accepted a replayed or forged datagram of " + old.from());
+                to.name + " accepted a datagram of " + old.from() + " that was replayed or forged");
             to.accept("intruder", unsealed.content());
           } else {
             rejected++;
--- a/test-support/src/main/java/ferngrade/golden/GoldenFile.java
+++ b/test-support/src/main/java/ferngrade/golden/GoldenFile.java
@@ -50,7 +50,7 @@
     try (InputStream in =
         GoldenFile.class.getResourceAsStream("/" + RESOURCE_FOLDER + "/" + fileName)) {
       if (in == null) {
-        throw new IllegalStateException("golden file " + fileName + " does not exist");
+        throw new IllegalStateException("missing golden file " + fileName);
       }
       for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n", 0)) {
         int space = line.indexOf(' ');
