--- a/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -9,14 +9,14 @@
 
 /**
  * Simulates a directory in memory for tests. It loses power after a set number of steps; each
- * write, sync and change of names is a step. After a power loss an unsynced write may be complete,
+ * write, sync and name change is a step. After a power loss an unsynced write may be complete,
  * missing or torn, or may be present although an earlier write is missing; unsynced name changes
  * may be undone. A set fraction of the syncs return without any effect.
  *
- * <p>Operations also fail as scheduled with {@link #fail}. After a failed sync, a file is still
- * read as it was written, and later syncs of it succeed but make nothing durable, like a kernel
- * that drops the pages it could not write. The same holds for names changed before a failed sync of
- * the directory.
+ * <p>Operations also fail if {@link #fail} has scheduled a fault for them. After a failed sync, a
+ * file is still read as it was written, and later syncs of it succeed but make nothing durable,
+ * like a kernel that drops the pages it could not write. Likewise, after a failed sync of the
+ * directory, the name changes before it never become durable.
  */
 public final class FaultInjectingStorage implements Storage {
   /** Thrown by the operation during which power is lost. */
@@ -73,8 +73,8 @@
   }
 
   /**
-   * The value of {@link #tornWrite} with which a scheduled write failure writes half of the bytes.
-   * It applies unless {@link #tearWritesAt} was called.
+   * The initial value of {@link #tornWrite}: a write that fails as scheduled writes half of its
+   * bytes. {@link #tearWritesAt} replaces it with a number of bytes.
    */
   private static final int HALF = -1;
 
@@ -83,7 +83,10 @@
   private final Map<String, InMemoryFile> names = new TreeMap<>();
   private Map<String, InMemoryFile> syncedNames = new TreeMap<>();
 
-  /** Changed names that no sync can make durable, because a sync of the directory has failed. */
+  /**
+   * The files whose names were created or changed before a failed sync of the directory. No later
+   * sync makes these names durable.
+   */
   private final Map<String, InMemoryFile> unsyncableNames = new TreeMap<>();
 
   private final FaultSchedule schedule = new FaultSchedule();
@@ -134,7 +137,7 @@
     tornWrite = bytes;
   }
 
-  /** The number of writes, syncs and changes of names so far. */
+  /** The number of writes, syncs and name changes so far. */
   public long steps() {
     return steps;
   }
@@ -163,7 +166,7 @@
     }
   }
 
-  /** Restores power: a random part of the data that was not durable survives. */
+  /** Restores power. A random part of the data that was not durable survives. */
   public synchronized void restorePower() {
     stepsUntilPowerLoss = Long.MAX_VALUE;
     Map<String, InMemoryFile> found = new TreeMap<>(syncedNames);
--- a/jobstore/src/main/java/ferngrade/jobstore/GroupCommitWriter.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/GroupCommitWriter.java
@@ -36,7 +36,9 @@
   private final Thread thread = new Thread(this::run, "store");
   private volatile boolean closing;
 
-  /** The failure of the last attempt after {@link #close}, if changes were not stored. */
+  /**
+   * The failure of the last write attempt after {@link #close}; empty if all changes were stored.
+   */
   private volatile Optional<IOException> unstored = Optional.empty();
 
   GroupCommitWriter(WriteAheadLog log, BackgroundCompactor compactor, Listener listener) {
--- a/jobstore/src/main/java/ferngrade/jobstore/Job.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Job.java
@@ -9,7 +9,8 @@
  */
 public final class Job {
   /**
-   * The earliest lease that may have led to a run and was not returned unstarted.
+   * The earliest lease that may have led to a run. A lease whose job was returned unstarted does
+   * not count.
    *
    * @param sinceMillis the time at which the lease was granted, ms since 1970
    * @param token the fencing token of that lease
@@ -102,7 +103,8 @@
   }
 
   /**
-   * Returns the earliest time of a possible run, assuming that the last lease may have led to one.
+   * Returns the earliest time at which the job may have run, ms since 1970, on the assumption that
+   * its last lease may have led to a run.
    */
   double possiblyRunSinceMillis() {
     return possibleRun.map(PossibleRun::sinceMillis).orElse(leasedAtMillis);
--- a/jobstore/src/main/java/ferngrade/jobstore/JobChange.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobChange.java
@@ -4,7 +4,10 @@
 
 /** The result of a request to change a job. */
 public sealed interface JobChange {
-  /** The log records to store before the change is reported; empty if nothing has changed. */
+  /**
+   * Returns the log records that must be stored before the change is reported; empty if nothing has
+   * changed.
+   */
   List<LogRecord> records();
 
   /** Returns true if the change was allowed, also if it changed nothing. */
--- a/jobstore/src/main/java/ferngrade/jobstore/JobState.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobState.java
@@ -12,8 +12,8 @@
   /** The lease holder has reported the start of the job. */
   STARTED,
   /**
-   * The lease expired, or a node failed while it held the job. The job may have run, may still be
-   * running, and must not start again.
+   * The lease expired, or the node failed while the job was leased. The job may have run, may still
+   * be running, and must not start again.
    */
   IN_DOUBT,
   /** The job has completed; its result is retained for a limited time. */
--- a/jobstore/src/main/java/ferngrade/jobstore/JobStates.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobStates.java
@@ -95,7 +95,8 @@
     job.state = JobState.ACCEPTED;
     job.notBeforeMillis = returned.notBeforeMillis();
     if (returned.unstarted()) {
-      // A possible run under an earlier lease remains: the holder reports on its own lease only.
+      // A possible run under an earlier lease is kept, because a lease holder reports only on its
+      // own lease.
       job.possibleRun = job.possibleRun.filter(run -> run.token() != job.token);
     }
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
@@ -16,7 +16,9 @@
  * tasks.
  */
 public final class JobStore implements AutoCloseable {
-  /** The bounds of the backoff before a failed write is retried. */
+  /**
+   * The first delay of the backoff after a failed write, ms; {@link #MAX_RETRY_MILLIS} bounds it.
+   */
   private static final double FIRST_RETRY_MILLIS = 20;
 
   private static final double MAX_RETRY_MILLIS = 1_000;
--- a/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
@@ -22,7 +22,7 @@
  * time of a monotonic clock, ms. Not thread-safe.
  */
 public class JobTable {
-  /** Bounds the exponent of the backoff to keep the delay finite. */
+  /** The maximum exponent of the backoff, which keeps the delay finite. */
   private static final int MAX_BACKOFF_EXPONENT = 30;
 
   private final JobTableSettings settings;
@@ -33,7 +33,7 @@
     this.settings = settings;
   }
 
-  /** Accepts a client's job. */
+  /** Accepts a job from a client; rejects it if a job with the same id was accepted before. */
   public JobChange accept(JobSubmission submission, double atMillis) {
     if (states.contains(submission.id())) {
       return JobChange.rejected(RejectionReason.DUPLICATE_ID);
@@ -49,7 +49,7 @@
             submission.payload().clone()));
   }
 
-  /** Grants a worker a lease on a job. */
+  /** Grants a worker a lease on a job, with a new fencing token. */
   public JobChange lease(String id, String worker, double atMillis, double monotonic) {
     return ifKnown(
         id,
@@ -104,7 +104,10 @@
         });
   }
 
-  /** Records that the lease holder has completed the job; a job in doubt may complete too. */
+  /**
+   * Records that the lease holder has completed the job. The holder of the newest lease may still
+   * complete a job that is in doubt.
+   */
   public JobChange done(String id, long token, String result, double atMillis) {
     return ifHolder(
         id, token, job -> apply(new LogRecord.Ended(id, job.token, true, result, atMillis)));
@@ -295,7 +298,7 @@
   }
 
   /**
-   * Applies a record of the log.
+   * Applies a record that is replayed from the log.
    *
    * @throws IllegalStateException if the record is invalid after the records before it, which never
    *     happens with a log written by this program
--- a/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
@@ -15,7 +15,10 @@
 
   private static final int MAX_CONTENT_BYTES = 64 << 20;
 
-  /** Bytes that would decode to a batch number further ahead than this are not a batch. */
+  /**
+   * The bound on the difference between two batch numbers. Bytes that decode to a number that is
+   * this far ahead or further are not a batch.
+   */
   private static final long MAX_NUMBER_GAP = 1_000_000_000L;
 
   private LogBatch() {}
--- a/jobstore/src/main/java/ferngrade/jobstore/LogFiles.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogFiles.java
@@ -81,7 +81,7 @@
     try {
       file.close();
     } catch (IOException ignored) {
-      // The content is either synced or not needed.
+      // Ignored: the content is either synced or not needed.
     }
   }
 }
--- a/jobstore/src/main/java/ferngrade/jobstore/LogRecordCodec.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogRecordCodec.java
@@ -26,7 +26,7 @@
   private static final int FORGOTTEN = 7;
   private static final int TOKENS = 8;
 
-  // The codes of the idempotency, which follows the job's id in a record.
+  // The codes for the idempotency of a job; the code follows the job's id in a record.
   private static final int SAFE = 0;
   private static final int KEYED = 1;
   private static final int UNSAFE = 2;
--- a/jobstore/src/main/java/ferngrade/jobstore/PendingChange.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/PendingChange.java
@@ -7,7 +7,7 @@
  *
  * @param records the records to store
  * @param onStored called on the owner's thread once the records are durable
- * @param last true for the marker that ends the writer, which carries no change
+ * @param last true for the end marker, which carries no change and stops the writer
  */
 record PendingChange(List<LogRecord> records, Runnable onStored, boolean last) {
   static PendingChange of(List<LogRecord> records, Runnable onStored) {
--- a/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
@@ -64,7 +64,7 @@
   @Command(
       name = "check",
       description =
-          "Reports whether the whole store is readable; a torn tail is reported but is no damage.")
+          "Reports whether the whole store is readable; a torn tail is reported but is not damage.")
   static final class Check extends ReadCommand {
     @Override
     void print(JobTable table, RecoveryReport report) {
@@ -128,7 +128,7 @@
               + " the damage. If there is damage, every job that has not ended is put in doubt and"
               + " is not started again.")
   static final class Repair implements Callable<Integer> {
-    /** An upper bound of the tokens that the damaged part can have granted. */
+    /** An upper bound of the number of tokens granted in the damaged part of the log. */
     private static final long MAX_UNSEEN_TOKENS = 1L << 40;
 
     @Parameters(index = "0", paramLabel = "DIR")
@@ -175,7 +175,8 @@
 
     /**
      * Returns records that put all jobs that have not ended in doubt. The records after the damage
-     * are unknown: a waiting job may have been leased and started there.
+     * are unknown. They may include the lease and the start of a job that is waiting according to
+     * the readable part.
      */
     private static List<LogRecord> doubtsAfterDamage(JobTable table) {
       List<LogRecord> doubts = new ArrayList<>();
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
@@ -29,7 +29,9 @@
   private final RecoveryReport recovery;
   private final ByteArrayOutputStream buffer = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
 
-  /** The log being written; empty after a failure, in which case the next commit starts a log. */
+  /**
+   * The log that is being written. Empty after a failure; the next commit then starts a new log.
+   */
   private Optional<Storage.Appender> log = Optional.empty();
 
   private volatile long logNumber;
@@ -148,9 +150,10 @@
   }
 
   /**
-   * Starts the next log with this batch. The file gets its name only after the batch is durable.
-   * Therefore a log whose first batch repeats the last number of the previous log shows a recovery
-   * that the end of the previous log was abandoned. A file left by an earlier attempt is replaced.
+   * Starts the next log with this batch. The file gets its name only after the batch is durable. A
+   * recovery that finds a log whose first batch repeats the last number of the previous log
+   * therefore knows that the end of the previous log was abandoned. A file left by an earlier
+   * attempt is replaced.
    */
   private void continueInNextLog(byte[] batch) throws IOException {
     long next = logNumber + 1;
@@ -194,7 +197,7 @@
       LogFiles.closeQuietly(file);
       throw failure;
     }
-    // Commits go to the new log only from here on; the previous one counts as closed.
+    // From here on, commits go to the new log, and the previous log counts as closed.
     switchTo(file, next);
   }
 
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
@@ -11,9 +11,9 @@
 
 /**
  * Reads the snapshot and the logs of a {@link WriteAheadLog} in order. The last batch of a log, or
- * the torn tail in its place, is kept pending until the next log is read. If the next log starts
- * with the same batch number, the write or sync of the batch failed and the log was abandoned: the
- * pending batch is dropped and the batch of the next log is replayed.
+ * its torn tail, is not replayed until the beginning of the next log has been read. If the next log
+ * starts with the same batch number, the write or sync of the batch failed and the log was
+ * abandoned: the pending batch is dropped and the batch of the next log is replayed.
  */
 final class WriteAheadLogReader {
   private static final String UNREADABLE = "a batch cannot be read, and others follow it";
@@ -39,8 +39,8 @@
   private Optional<ReadBatch> pending = Optional.empty();
 
   /**
-   * The unreadable end of a log that is not the last. It is damage unless the next log starts with
-   * the missing batch.
+   * The unreadable end of a log that is not the last one. It counts as damage unless the next log
+   * starts with the missing batch.
    */
   private Optional<CorruptLogException> tornTail = Optional.empty();
 
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Reads the snapshot and the logs after it with numbers below {@code belowLogNumber}. Only the
-   * last log of the store may have a torn tail.
+   * Reads the last snapshot, and then the logs that it does not cover, up to but not including
+   * {@code belowLogNumber}. Only the last log of the store may have a torn tail.
    *
    * @throws CorruptLogException if synced data is damaged; the records before it were replayed
    */
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -30,7 +30,10 @@
   private static final JobTableSettings SETTINGS = new JobTableSettings(100, 400, 1e9, 4, 10, 100);
   private static final int CRASHES = Integer.getInteger("ferngrade.crashes", 20_000);
 
-  /** The facts outside the store: the acknowledged changes and the actual runs on workers. */
+  /**
+   * The state outside the store: the changes acknowledged to clients and the actual runs on
+   * workers.
+   */
   private static final class ExternalState {
     final Set<String> accepted = new HashSet<>();
     final Map<String, Long> leased = new HashMap<>();
@@ -112,7 +115,7 @@
 
     void runSteps(int stepCount) throws IOException {
       for (int i = 0; i < stepCount; i++) {
-        // The clock jumps at random, by up to an hour forward or back.
+        // The clock jumps at random, by up to an hour forward or backward.
         clock +=
             random.nextInt(20) == 0 ? random.nextInt(7_200_000) - 3_600_000 : random.nextInt(30);
         if (random.nextInt(3) == 0) {
@@ -304,9 +307,8 @@
       try {
         JobTable recovered = new JobTable(SETTINGS);
         WriteAheadLog.inspect(disk, recovered::replay);
-        // No error is expected if the last batch was hit, which looks like a torn one, or a file
-        // that
-        // a snapshot has replaced.
+        // No error is expected if the flipped bit is in the last batch, which then looks torn, or
+        // in a file that a snapshot has replaced.
         boolean replaced =
             disk.list().stream()
                 .anyMatch(
@@ -369,8 +371,8 @@
       } catch (CorruptLogException detected) {
         damaged++;
       } catch (AssertionError missing) {
-        // A skipped last sync looks like a sync that never returned; an earlier one must be
-        // detected.
+        // If the last sync was skipped, the store looks as if that sync had never returned. A
+        // skipped earlier sync must be detected.
         assertTrue(disk.skippedSyncs() > 0, "seed " + seed + ": " + missing.getMessage());
       }
     }
--- a/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/JobTableExplorationTest.java
@@ -222,7 +222,8 @@
     assertEquals(JobState.ACCEPTED, reloaded.job("a").orElseThrow().state());
     assertEquals(JobState.IN_DOUBT, reloaded.job("b").orElseThrow().state());
     assertEquals(2, reloaded.highestToken());
-    // The window starts at the lease that may have led to a run, not at its expiry.
+    // The deduplication window starts when the lease that may have led to a run is granted, not
+    // when it expires.
     assertTrue(reloaded.lease("a", "w", START_MILLIS + 400, 0).allowed());
     JobChange invalidState = JobChange.rejected(RejectionReason.INVALID_STATE);
     JobTable afterWindow = new JobTable(SETTINGS);
--- a/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StorageFaultTest.java
@@ -68,7 +68,7 @@
     try {
       LogCompactor.compact(disk, log.logNumber());
     } catch (DiskFault retried) {
-      // The logs are kept.
+      // Ignored: after a failed compaction the logs are kept.
     }
   }
 
