--- a/consensus/src/main/java/ferngrade/consensus/ElectionMonitor.java
+++ b/consensus/src/main/java/ferngrade/consensus/ElectionMonitor.java
@@ -15,8 +15,8 @@
  */
 final class ElectionMonitor {
   /**
-   * The maximum random extension of a timeout as a multiple of the timeout: for the first election,
-   * and after repeated elections.
+   * The maximum random extension of the timeout for the first election, as a multiple of the
+   * timeout. It doubles with each further election, up to {@link #MAX_EXTENSION}.
    */
   private static final double FIRST_EXTENSION = 2;
 
@@ -53,7 +53,8 @@
   double extend(double timeoutMillis) {
     double extended = timeoutMillis * (1 + extension * random.nextDouble());
     extension = Math.min(MAX_EXTENSION, 2 * extension);
-    // The member waits for votes until then, so it is not stuck.
+    // The member waits for votes until the extended timeout, so it does not count as idle before
+    // that time.
     campaignedAt = clock.now() + extended;
     return extended;
   }
--- a/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
@@ -85,8 +85,8 @@
     if (fileNumber > 0) {
       replay(name(fileNumber));
     }
-    // Recovery never appends to an existing file, whose state at the end may be unknown after a
-    // crash.
+    // Recovery never appends to an existing file, because the state of its end may be unknown after
+    // a crash.
     rewrite();
   }
 
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Returns the recovered state, empty for a member that is new or has lost its disk. */
+  /** Returns the recovered state, empty if the member is new or has lost its disk. */
   public Optional<RestoredRaftState> restored() {
     return state.restored();
   }
@@ -270,7 +270,7 @@
     try {
       file.close();
     } catch (IOException ignored) {
-      // The content of the file is either synced or not needed.
+      // Ignored: the content of the file is either synced or not needed.
     }
   }
 
--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -39,7 +39,8 @@
   private static final int MISSED_HEARTBEATS = 5;
 
   /**
-   * The multiple of that period after which an inactive voter without a leader is considered stuck.
+   * The multiple of the election timeout after which a voter without a leader that has requested no
+   * vote is considered stuck.
    */
   private static final int STUCK_FACTOR = 2;
 
@@ -249,11 +250,11 @@
   }
 
   /**
-   * Works around a pre-vote that never ends. If the algorithm has started a pre-vote because the
-   * leader was late, and then receives a message from that leader in the same term, it starts no
-   * other pre-vote when the leader fails (found in virtual time). A voter that has had no contact
-   * with a leader and has requested no vote for a long time therefore receives a simulated vote
-   * request of the next term with an empty log. It moves to that term without voting, and the
+   * Works around a pre-vote that never ends. The algorithm starts a pre-vote when the leader is
+   * late. If a message of that leader then arrives in the same term, the algorithm does not start
+   * another pre-vote when the leader fails later (found in virtual time). A voter that has had no
+   * contact with a leader and has requested no vote for a long time therefore receives a simulated
+   * vote request of the next term with an empty log. It moves to that term without voting, and the
    * algorithm starts over.
    */
   private void watchForStuckElection() {
@@ -269,8 +270,8 @@
   }
 
   /**
-   * Transfers leadership to another voter for which {@code isAlive} holds, if this member leads.
-   * Without a transfer, the stop of a leader makes all members wait for an election.
+   * Transfers leadership to another voter for which {@code isAlive} holds, if this member leads. If
+   * a leader stops without a transfer, all members wait for an election.
    */
   public void transferLeadership(Predicate<String> isAlive) {
     node.getCommittedMembers().getVotingMembers().stream()
@@ -281,7 +282,8 @@
   }
 
   /**
-   * Simulates a vote request with an empty log, which raises the term and is not granted a vote.
+   * Simulates a vote request from a candidate with an empty log: it raises the term, and no vote is
+   * granted.
    */
   private void moveToTerm(int term, RaftEndpoint from) {
     node.handle(
--- a/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
+++ b/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
@@ -11,13 +11,16 @@
 import java.util.concurrent.Executor;
 
 /**
- * Suspends the tasks of the algorithm after a failed write of the log, until a retry, with backoff,
- * has succeeded. A task in which a write failed is dropped, like a message that never arrived. The
- * only exception is the leader's flush, which is run again because the algorithm waits for it
- * before submitting another. Confined to the member's thread.
+ * Suspends the tasks of the algorithm after a failed write of the log. The write is retried with
+ * backoff, and the tasks resume once it has succeeded. A task in which a write failed is dropped,
+ * like a message that never arrived. The only exception is the leader's flush, which is run again
+ * because the algorithm waits for it before submitting another. Confined to the member's thread.
  */
 final class StorageSuspension {
-  /** The delay before a write to a failing disk is retried, ms: initially, and at most. */
+  /**
+   * The delay before the first retry of a write to a failing disk, ms; {@link #MAX_RETRY_MILLIS}
+   * bounds the later delays.
+   */
   private static final double FIRST_RETRY_MILLIS = 20;
 
   private static final double MAX_RETRY_MILLIS = 1_000;
--- a/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
+++ b/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
@@ -50,7 +50,10 @@
     /** Delivers a line to this member's own node: a change, or the whole list. */
     void deliver(String line);
 
-    /** Returns the whole list with all lines delivered so far, or null if there is none yet. */
+    /**
+     * Returns the whole list, which includes all lines delivered so far; null before the first
+     * list.
+     */
     String fullList();
 
     /** Sends a line to all other members. */
--- a/lease/src/main/java/ferngrade/lease/LeaseHolder.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseHolder.java
@@ -94,8 +94,8 @@
       return;
     }
     if (session != 0 && table.index() >= session && table.session(session) == null) {
-      // Other members have expired this session, and its shards may have new owners. Open a new
-      // session.
+      // Other members have expired this session, and its shards may have new owners: a new session
+      // must be opened.
       session = 0;
       reopenCount++;
       leaseExpiresAt = Double.NEGATIVE_INFINITY;
--- a/lease/src/main/java/ferngrade/lease/LeaseTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -16,8 +16,9 @@
  * Assigns the shards of the fleet's duties to members. The state depends on the replicated log
  * alone, so it is the same on every member. A member has a session, which it renews. A shard
  * changes its owner when the owner releases it, or when another member proposes to expire the
- * owner's session. That proposal names the number of renewals that the proposer has seen unchanged
- * for longer than any lease lasts. Each assignment has an epoch higher than all earlier ones.
+ * owner's session. The proposal contains the session's number of renewals as observed by the
+ * proposer. The proposer must have observed that this number did not change for longer than any
+ * lease lasts. Each assignment has an epoch higher than all earlier ones.
  *
  * <p>The table reads no clock. Members report their wall clocks with their renewals; these clocks
  * are used only to reject due times that are ahead of most members' clocks.
@@ -25,7 +26,8 @@
 public final class LeaseTable implements ReplicatedStateMachine {
   /**
    * The maximum time in ms by which a due time may be ahead of the median of the members' clocks.
-   * The median lags, because members report their clocks only with their renewals.
+   * The margin is needed because members report their clocks only with their renewals, so that the
+   * median lags behind.
    */
   private static final long MAX_AHEAD_MILLIS = 5_000;
 
@@ -43,7 +45,7 @@
    * @param shard the shard
    * @param owner the id of the owner's session, 0 if the shard has no owner
    * @param epoch the epoch of the last assignment
-   * @param releasing whether the owner is asked to release the shard
+   * @param releasing whether the owner has to release the shard
    * @param wanted the member that operators have chosen as the owner, empty for none
    * @param due the due time that was begun last, Unix ms
    * @param open whether that due time has no result yet
@@ -197,8 +199,8 @@
     wallClocks.put(open.member(), open.wall());
     for (Session session : sessions.values()) {
       if (session.member().equals(open.member()) && session.nonce().equals(open.nonce())) {
-        // The request was repeated, and the member counts its lease from the repeated request, so
-        // it also counts as a renewal.
+        // The member repeated its request and counts its lease from the repeated request, so the
+        // request also counts as a renewal.
         sessions.put(session.id(), session.withRenewal(open.wall()));
         return new Opened(session.id());
       }
--- a/lease/src/main/java/ferngrade/lease/RecurringJobRunner.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringJobRunner.java
@@ -54,8 +54,8 @@
     }
     Slot slot = table.slot(schedule.shard());
     if (slot.due() < due) {
-      // The log has already answered for a later due time than this member's table shows: the table
-      // lags behind, and its state is outdated.
+      // This member's table is outdated: the log has already answered a proposal for a later due
+      // time than the last one in the table.
       return;
     }
     RecurringSchedule.Decision decision =
--- a/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
@@ -9,8 +9,8 @@
  * <p>Due times follow the wall clock. If most members' clocks step forward, the due times that were
  * skipped are treated like those missed in an outage: at most one run replaces all of them. After a
  * step back, due times that were already handled are not repeated; the next run is at the first
- * later one. No due time is begun twice, and never several at once. Leases do not depend on the
- * wall clock.
+ * later one. No due time is begun twice, and at most one due time is in progress at a time. Leases
+ * do not depend on the wall clock.
  *
  * @param name the name of the job and of its duty
  * @param periodMillis the period, ms
@@ -38,7 +38,7 @@
     REPEAT,
     /**
      * An earlier owner began the due time without recording a result, and the job must not be
-     * submitted twice: whether it was submitted remains unknown.
+     * submitted twice. It remains unknown whether the job was submitted.
      */
     DOUBT,
     /** The due time passes without a run, because it is too late or is the first one of the job. */
--- a/lease/src/main/java/ferngrade/lease/Shard.java
+++ b/lease/src/main/java/ferngrade/lease/Shard.java
@@ -1,7 +1,7 @@
 package ferngrade.lease;
 
 /**
- * A part of a duty, which has at most one owner. A duty that is not partitioned has only the part
+ * A part of a duty. Each shard has at most one owner. A duty that is not partitioned has only shard
  * 0.
  */
 public record Shard(String duty, int number) implements Comparable<Shard> {
--- a/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseHolderTest.java
@@ -102,8 +102,8 @@
         proposed.stream().anyMatch(command -> command instanceof Command.Release),
         proposed.toString());
     assertFalse(a.epoch(SHARD, 21, table).isPresent());
-    // The proposal was lost and operators have reversed their choice: the shard stays released
-    // until the release is applied.
+    // The proposal of the release was lost, and operators have transferred the shard back to this
+    // member. The member still does not act for the shard until the release is applied.
     proposed.clear();
     table.apply(++index, new Command.Transfer(SHARD, "a"));
     assertFalse(a.epoch(SHARD, 30, table).isPresent());
--- a/lease/src/test/java/ferngrade/lease/LeaseTableTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseTableTest.java
@@ -165,7 +165,7 @@
         Verdict.EARLY,
         begin(shard, slot.epoch(), WALL + 3_600_000),
         "an hour ahead of the clocks of the other two members");
-    // The clock of the owner is an hour ahead too, but the median of the clocks is not.
+    // The clock of the owner is now also an hour ahead, but the median of the clocks is not.
     apply(new Command.Renew(a, WALL + 3_600_000));
     assertEquals(Verdict.EARLY, begin(shard, slot.epoch(), WALL + 3_600_000));
     assertEquals(Verdict.ACCEPTED, begin(shard, slot.epoch(), WALL + 100));
--- a/membership/src/main/java/ferngrade/membership/Gossip.java
+++ b/membership/src/main/java/ferngrade/membership/Gossip.java
@@ -8,8 +8,8 @@
 
 /**
  * Holds the updates that are piggybacked on other messages. Each update is sent a number of times
- * that grows with the logarithm of the number of members; updates that were sent least often go
- * first. An update about a member replaces the queued update about the same member.
+ * that grows with the logarithm of the number of members; the updates that were sent least often
+ * are sent first. An update about a member replaces the queued update about the same member.
  */
 final class Gossip {
   private static final double TRANSMISSIONS_FACTOR = 4;
--- a/membership/src/main/java/ferngrade/membership/MemberStatus.java
+++ b/membership/src/main/java/ferngrade/membership/MemberStatus.java
@@ -1,11 +1,11 @@
 package ferngrade.membership;
 
 /**
- * A member's status as seen by another member. Among updates with the same incarnation, the later
- * constant takes precedence.
+ * A member's status as seen by another member. If two updates have the same incarnation, the one
+ * with the later constant takes precedence.
  */
 public enum MemberStatus {
-  /** The member answers. */
+  /** The member is considered reachable. */
   ALIVE,
   /** The member did not answer a probe and has not refuted the suspicion yet. */
   SUSPECT,
--- a/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
+++ b/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
@@ -5,7 +5,7 @@
  *
  * @param name the member's name
  * @param address where the member receives datagrams, as {@code host:port}
- * @param run identifies the member's process: a restarted member has a different value
+ * @param run a number that identifies the member's process and changes with each restart
  * @param incarnation incremented only by the member itself, whenever it refutes a wrong update
  * @param standing the member's status
  * @param by the name of the member that made the statement
--- a/membership/src/main/java/ferngrade/membership/Message.java
+++ b/membership/src/main/java/ferngrade/membership/Message.java
@@ -56,8 +56,8 @@
   record Digest(long hash) implements Message {}
 
   /**
-   * A part of the sender's full state. With {@code asks} set, which is the last part of a first
-   * transfer, the receiver sends its full state in return.
+   * A part of the sender's full state. If {@code asks} is set, the receiver sends its full state in
+   * return; only the last part of a transfer has it set, and never an answer.
    */
   record Sync(List<MembershipUpdate> all, boolean asks) implements Message {}
 }
--- a/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
+++ b/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
@@ -57,13 +57,13 @@
     /** The message is authentic and was not received before. */
     TAKEN,
     /**
-     * The remote process has sent its id, or this process answers with its own id; the answer, if
-     * any, must be sent.
+     * No message is delivered yet, because process ids are exchanged first: the remote process has
+     * sent its id, or this process answers with its own id. The answer, if any, must be sent.
      */
     GREETED,
     /** The message has no tag of this fleet under an accepted key. */
     FORGED,
-    /** The message was received before, or is so old that this cannot be decided. */
+    /** The message was received before, or is too old to decide whether it was. */
     REPLAYED
   }
 
--- a/membership/src/main/java/ferngrade/membership/SwimProtocol.java
+++ b/membership/src/main/java/ferngrade/membership/SwimProtocol.java
@@ -195,8 +195,8 @@
   }
 
   /**
-   * Returns the local health score: 0 if healthy, higher the more evidence there is that this
-   * member itself is slow.
+   * Returns the local health score: 0 if this member is healthy. The score increases with the
+   * evidence that this member itself is slow.
    */
   public int health() {
     return health;
@@ -340,8 +340,8 @@
       adjustHealth(-1);
       return;
     }
-    // If the helpers do not send negative acknowledgements either, this member itself does not
-    // receive messages.
+    // A helper that sends no negative acknowledgement either is evidence that this member itself
+    // does not receive messages.
     adjustHealth(probe.helpers == 0 ? 1 : probe.helpers - probe.nacks);
     Peer peer = peers.get(probe.target.name());
     if (peer != null && peer.present()) {
@@ -502,8 +502,8 @@
   // ---- Anti-entropy ----
 
   /**
-   * Returns a hash that is equal on two members with the same state. Suspected members hash like
-   * alive ones, since suspicions are short.
+   * Returns a hash that is equal on two members with the same state. A suspected member contributes
+   * the same value as an alive one, because suspicions are short.
    */
   private long digest() {
     long hash = hash(self);
@@ -536,8 +536,8 @@
   }
 
   /**
-   * Contacts a member that is marked as failed, or a seed that is not known as a member: a
-   * partition may have healed.
+   * Contacts a member that is marked as failed, or a seed that is not a known member, in case a
+   * partition has healed.
    */
   private void retryUnreachable() {
     schedule(settings.retryPeriod() * (0.5 + random.nextDouble()), this::retryUnreachable);
