--- a/fleet/src/main/java/ferngrade/fleet/EndpointListServer.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListServer.java
@@ -50,7 +50,7 @@
   void publish(String line, String wholeList) {
     synchronized (watches) {
       fullList = wholeList;
-      // The watch of a node that reads too slowly is closed; the node then requests the whole list.
+      // If a node reads too slowly, its watch is closed; the node then requests the whole list.
       watches.removeIf(watch -> !watch.offer(line));
     }
   }
--- a/fleet/src/main/java/ferngrade/fleet/EndpointListWatch.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListWatch.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Closes a watch that has ended or gone silent, and opens the next one; {@code now} is ms of the
-   * member's clock.
+   * Closes a watch that has ended or has sent no line for too long, and opens the next one; {@code
+   * now} is a time of the member's clock, ms.
    */
   void poll(double now) {
     if (openSubscriber != null
--- a/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetCommand.java
@@ -164,8 +164,8 @@
             .build();
 
     /**
-     * Returns the first response of a member; null if none answers. If {@code memberName} is not
-     * null, only the member of this name is asked.
+     * Returns the response of the first member that answers; null if no member answers. If {@code
+     * memberName} is not null, only the member of this name is asked.
      */
     HttpResponse<String> request(FleetFile file, String memberName, String method, String path)
         throws InterruptedException {
@@ -248,7 +248,7 @@
           status.getLong("index", 0),
           status.getBoolean("holds", false)
               ? ""
-              : "; NO MAJORITY confirms this member, it owns nothing and this may be old");
+              : "; NO MAJORITY confirms this member: it owns nothing, and this may be outdated");
       for (JsonValue value : status.get("sessions").asArray()) {
         JsonObject session = value.asObject();
         System.out.printf(
@@ -317,7 +317,7 @@
           duty.getLong("since", 0),
           duty.getString("why", ""));
       if (!duty.getString("wanted", "").isEmpty()) {
-        System.out.println("operators want it at " + duty.getString("wanted", ""));
+        System.out.println("owner chosen by operators: " + duty.getString("wanted", ""));
       }
       long due = duty.getLong("due", 0);
       System.out.println(
@@ -326,7 +326,7 @@
               : "last due "
                   + Instant.ofEpochMilli(due)
                   + (duty.getBoolean("open", false)
-                      ? ", not settled"
+                      ? ", without a result yet"
                       : ": " + duty.getString("result", "")));
       return 0;
     }
--- a/fleet/src/main/java/ferngrade/fleet/FleetFile.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetFile.java
@@ -66,7 +66,7 @@
 
   /** Whether a job may be submitted twice. */
   public enum Effect {
-    /** A repeat is harmless. */
+    /** The job may run more than once. */
     SAFE,
     /** The job carries a key by which workers recognize and drop a repeat. */
     KEYED,
--- a/fleet/src/main/java/ferngrade/fleet/JobSender.java
+++ b/fleet/src/main/java/ferngrade/fleet/JobSender.java
@@ -31,12 +31,12 @@
   private static final int MAX_ROUNDS = 3;
 
   /**
-   * The delay that counts for a failure or for a rejection without {@code Retry-After}. The
-   * shortest delay of a round applies before the next round.
+   * The delay assumed for a failure, or for a rejection without {@code Retry-After}. The next round
+   * begins after the shortest delay of the previous round.
    */
   private static final long DEFAULT_DELAY_MILLIS = 200;
 
-  /** The upper bound of the delay, also if all targets ask for a longer one. */
+  /** The maximum delay before the next round, even if all targets request a longer one. */
   private static final long MAX_DELAY_MILLIS = 3_000;
 
   private final String fleet;
@@ -151,7 +151,10 @@
             loop);
   }
 
-  /** Returns the delay that a rejection asks for, ms, or the default if it names none. */
+  /**
+   * Returns the delay that a rejection requests, ms; {@link #DEFAULT_DELAY_MILLIS} if it requests
+   * none.
+   */
   private static long retryAfterMillis(HttpResponse<?> response) {
     try {
       double seconds = Double.parseDouble(response.headers().firstValue("Retry-After").orElse(""));
--- a/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
@@ -202,9 +202,10 @@
   }
 
   /**
-   * Handles the replies on an outbound connection: the other member announces its process if a
-   * frame was meant for an earlier one. A member that ends resets its connections; the close
-   * listener then reconnects, so the exception itself is not reported.
+   * Handles the replies on an outbound connection: if a frame was meant for an earlier process of
+   * the other member, that member replies with the identity of its present process. Exceptions are
+   * not reported, because a member that ends resets its connections; the close listener then
+   * reconnects.
    */
   private final class ReplyHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private final String name;
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -202,7 +202,7 @@
                     new RecurringJobRunner(job.schedule(), leaseHolder, table, actions(job))));
   }
 
-  /** Returns the message with a first byte that names the receiving component. */
+  /** Returns the message with a prefix byte that identifies the receiving component. */
   private static byte[] tagged(byte component, byte[] message) {
     byte[] result = new byte[message.length + 1];
     result[0] = component;
@@ -279,7 +279,7 @@
 
   /**
    * Runs a task and ends the process if it throws. A member with a programming error must not keep
-   * its leases without doing the work: it ends, and other members take over.
+   * its leases without doing the work. Its process therefore exits, and other members take over.
    */
   private void runGuarded(Runnable task) {
     try {
@@ -520,7 +520,7 @@
     if (!leaseHolder.closed()) {
       timers.after(5, this::pollHandover);
     } else if (name.equals(raftMember.view().leader())) {
-      // If the leader ended before a successor is in place, the fleet would wait for an election.
+      // If the leader exited before it has a successor, the fleet would wait for an election.
       raftMember.transferLeadership(
           candidate ->
               table.sessions().stream().anyMatch(session -> session.member().equals(candidate))
--- a/fleet/src/main/java/ferngrade/fleet/MembersCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/MembersCommand.java
@@ -54,7 +54,7 @@
       }
       if (response.get("members").asArray().isEmpty()) {
         System.err.printf(
-            "ferngrade: %s has no gossip address and takes no part in this%n",
+            "ferngrade: %s has no gossip address and does not gossip%n",
             response.getString("member", ""));
         return 1;
       }
--- a/fleet/src/main/java/ferngrade/fleet/Membership.java
+++ b/fleet/src/main/java/ferngrade/fleet/Membership.java
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Returns whether a member is considered alive. A member without a gossip address always is,
-   * since its failure cannot be detected.
+   * Returns whether a member is considered alive. A member without a gossip address is always
+   * considered alive, because its failure cannot be detected.
    */
   boolean alive(String name) {
     return !gossipAddresses.containsKey(name) || swim.alive(name);
--- a/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetGoldenTest.java
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Sends a message until a frame arrives and returns that frame. Messages are dropped before the
-   * connection is open; they do not count in the frame's number.
+   * Sends a message until a frame arrives and returns that frame. Messages sent before the
+   * connection is open are dropped and do not increase the number of the frame.
    */
   private static byte[] firstFrame(MemberConnections connections, Socket accepted)
       throws Exception {
