--- a/emulator/src/main/java/ferngrade/emulator/ClassSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/ClassSpec.java
@@ -24,8 +24,8 @@
   public double workSpread = 0.4;
 
   /**
-   * The coefficient of variation of the client's estimate relative to the work; {@link
-   * #attemptNoise} is that of the work of a single attempt.
+   * The coefficient of variation of the client's estimate of the work, relative to the actual work.
+   * {@link #attemptNoise} is the coefficient of variation of the work of single attempts of a job.
    */
   public double hintNoise = 0.3;
 
--- a/emulator/src/main/java/ferngrade/emulator/DiscoverySpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/DiscoverySpec.java
@@ -27,7 +27,7 @@
   @Quantity(Quantity.Measure.SHARE)
   public double repeats;
 
-  /** The share of changes after which an outdated list is sent. */
+  /** The share of changes that are followed by an outdated list. */
   @Quantity(Quantity.Measure.SHARE)
   public double stale;
 
@@ -35,7 +35,7 @@
   @Quantity(Quantity.Measure.TIME)
   public double weightPeriod;
 
-  /** The age of a weight when it is sent. */
+  /** The time between reading a worker's weight and publishing it. */
   @Quantity(Quantity.Measure.TIME)
   public double weightLate;
 }
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedDiscovery.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedDiscovery.java
@@ -144,7 +144,10 @@
     time.after(spec.weightPeriod, () -> renewWeights(fleet));
   }
 
-  /** Returns true if the list contains this instance, not a later entry with equal content. */
+  /**
+   * Returns true if the list contains this entry itself. A later entry with equal content does not
+   * count.
+   */
   @SuppressWarnings("ReferenceEquality") // a later, equal entry is published separately
   private boolean stillListed(Endpoint entry) {
     return listed.get(entry.worker().id()) == entry;
--- a/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
+++ b/emulator/src/main/java/ferngrade/emulator/ForwardingActions.java
@@ -2,7 +2,10 @@
 
 import ferngrade.dispatch.Dispatcher.Actions;
 
-/** Forwards all actions of a dispatcher; subclasses override the actions that they change. */
+/**
+ * Forwards all actions of a dispatcher; subclasses override the methods whose behaviour they
+ * change.
+ */
 class ForwardingActions implements Actions {
   private final Actions delegate;
 
--- a/emulator/src/main/java/ferngrade/emulator/MutantDispatcher.java
+++ b/emulator/src/main/java/ferngrade/emulator/MutantDispatcher.java
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Returns actions that count the wrapped dispatcher's own sends, because attempts are identified
-   * by their numbers. {@code self} holds the mutant once it has been created.
+   * Returns actions that count the attempts sent by the wrapped dispatcher, because attempts are
+   * identified by their numbers. {@code self} holds the mutant once it has been created.
    */
   static Actions counting(Actions actions, MutantDispatcher[] self) {
     return new ForwardingActions(actions) {
--- a/emulator/src/main/java/ferngrade/emulator/Observer.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observer.java
@@ -10,16 +10,22 @@
  * {@code now} is the time in ms.
  */
 public interface Observer {
-  /** Called when a client's request is due, which is when it is sent. */
+  /** Called when a client's request is due. The client sends it at the same time. */
   default void due(double now, Request request) {}
 
   /** Called when the node has received the whole request and owes exactly one answer to it. */
   default void accepted(double now, int node, Request request) {}
 
-  /** Called when the emulator loses the request or its answer, which is no fault of the node. */
+  /**
+   * Called when the emulator loses the request or its answer. The node is not responsible for this
+   * loss.
+   */
   default void lost(double now, Request request, String why) {}
 
-  /** Called when the node sends its answer. */
+  /**
+   * Called when the node sends its answer. {@code retryAfter} is the wait before a retry that the
+   * answer asks for, in ms, or 0 if it asks for none.
+   */
   default void answered(double now, int node, Request request, Answer answer, double retryAfter) {}
 
   /** Called when the client learns the outcome of its request. */
@@ -32,7 +38,8 @@
   default void sent(double now, int node, EmulatedWorker worker, Request request) {}
 
   /**
-   * Called when the node learns the outcome of an attempt or gives it up (TIMEOUT or CANCELLED).
+   * Called when the node receives the outcome of an attempt, or gives up the attempt (TIMEOUT or
+   * CANCELLED).
    */
   default void attemptOver(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {}
--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -38,7 +38,8 @@
   public final double deadline;
 
   /**
-   * The first request, of which this is a retry or which this is; {@link #tries} counts retries.
+   * The first request of the job: this request, or the one that this request retries. {@link
+   * #tries} counts the retries.
    */
   public final Request first;
 
@@ -47,7 +48,7 @@
   /** The object that the job refers to; 0 if there is none. */
   public final long object;
 
-  /** The worth of a successful answer, reduced if the tenant exceeds its share. */
+  /** The worth of a successful answer. It is reduced if the tenant exceeds its share. */
   public final double worth;
 
   /** The node to which the request is sent; -1 until the front has picked one. */
--- a/emulator/src/main/java/ferngrade/emulator/Scenario.java
+++ b/emulator/src/main/java/ferngrade/emulator/Scenario.java
@@ -58,8 +58,8 @@
   public double tipMs = 3000;
 
   /**
-   * The share of its capacity that dispatchers assume a new worker to have at least. Every worker
-   * kind must satisfy it.
+   * The minimum share of its capacity that dispatchers assume a new worker to have. Every worker
+   * kind must have at least this share at its start.
    */
   @Quantity(Quantity.Measure.SHARE)
   public double startCapacity = 0.15;
@@ -70,7 +70,7 @@
   @Quantity(Quantity.Measure.SHARE)
   public double crossCharge = 0.017;
 
-  /** The time during which the front keeps sending requests to a crashed node. */
+  /** The time for which the front load balancer keeps sending requests to a crashed node. */
   @Quantity(Quantity.Measure.TIME)
   public double frontNotice = 2500;
 
--- a/emulator/src/main/java/ferngrade/emulator/Streams.java
+++ b/emulator/src/main/java/ferngrade/emulator/Streams.java
@@ -6,8 +6,8 @@
 
 /**
  * Derives independent random streams from one seed. Each component draws from its own named stream,
- * so that a change to one component does not alter the random numbers of the others: two policies
- * are compared with the same arrivals and the same faults.
+ * so that a change to one component does not alter the random numbers of the others: policies can
+ * therefore be compared with the same arrivals and the same faults.
  */
 public final class Streams {
   private final long seed;
--- a/emulator/src/main/java/ferngrade/emulator/TraceHash.java
+++ b/emulator/src/main/java/ferngrade/emulator/TraceHash.java
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Returns the ordinal of a constant, which is the form in which traces record it. */
+  /** Returns the ordinal of a constant. Traces record constants by their ordinals. */
   @SuppressWarnings("EnumOrdinal") // TraceGoldenTest fails if a constant is moved
   private static int ordinalOf(Enum<?> constant) {
     return constant.ordinal();
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -17,8 +17,8 @@
  */
 public final class VirtualRun implements Clients.Transport, FaultInjector {
   /**
-   * The time at the start of a run, in ms. It is above 0 because 0 means 'long ago' in worker
-   * lists.
+   * The time at the start of a run, in ms. It is above 0, because a start time of 0 means 'long
+   * ago' in worker lists.
    */
   public static final double START = 1_000_000;
 
@@ -268,7 +268,7 @@
 
   @Override
   public void workerUnreachable(EmulatedWorker worker) {
-    // No node is notified: connections stay open, but no data arrives on them.
+    // No node is notified. Connections stay open, but no data arrives on them.
   }
 
   @Override
--- a/emulator/src/main/java/ferngrade/emulator/VirtualTime.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualTime.java
@@ -9,8 +9,8 @@
  * which they were scheduled, so that a run is deterministic.
  *
  * <p>Most events are deadlines, which are scheduled far ahead and usually cancelled before they are
- * due. They are kept unsorted in buckets, and a bucket is sorted only when its time comes. This is
- * a simple calendar queue (Brown, 1988).
+ * due. They are kept unsorted in buckets, and a bucket is sorted only when the clock reaches it.
+ * This is a simple calendar queue (Brown, 1988).
  */
 public final class VirtualTime implements Scheduler {
   private static final double BUCKET_MILLIS = 16;
@@ -47,7 +47,8 @@
 
     @Override
     public void cancel() {
-      // The event stays in its queue until it is due: removing it would cost more than the memory.
+      // A cancelled event stays in its queue until it is due, because its removal would cost more
+      // time than the saved memory is worth.
       task = null;
     }
   }
--- a/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualWorkers.java
@@ -21,7 +21,7 @@
  * and unresponsive peers.
  */
 final class VirtualWorkers implements WorkerTransport {
-  /** How many times a worker retries a callback that is not acknowledged. */
+  /** The maximum number of times that a worker retries a callback that is not acknowledged. */
   private static final int MAX_CALLBACK_RETRIES = 10;
 
   private static final double CALLBACK_RETRY_DELAY_MILLIS = 500;
--- a/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
@@ -49,7 +49,7 @@
   private double reportedAt = Double.NEGATIVE_INFINITY;
   private LoadReport report = LoadReport.NONE;
 
-  /** Receives the progress of one job; the last call reports how the job ended. */
+  /** Receives the progress of one job; the last call reports its outcome. */
   public interface JobListener {
     /** Called when the worker starts the job. */
     void started();
@@ -368,8 +368,8 @@
   }
 
   /**
-   * Returns true if the object is cached. Afterwards it is cached in any case, and the least
-   * recently used object is evicted if the cache is full.
+   * Returns true if the object was already cached. If it was not, adds it to the cache, and evicts
+   * the least recently used object if the cache is full.
    */
   private boolean cacheObject(long object) {
     if (object == 0) {
@@ -471,7 +471,8 @@
     if (first == null) {
       return;
     }
-    // The event was scheduled for this job's completion: any remaining work is a rounding error.
+    // The event was scheduled for the completion of this job, so any remaining work is a rounding
+    // error.
     servedWork = Math.max(servedWork, first.servedWorkAtEnd);
     running.remove(first);
     slotsInUse -= first.work.slots();
--- a/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/FinalAnswerChecker.java
@@ -13,8 +13,8 @@
  */
 public final class FinalAnswerChecker extends InvariantChecker {
   /**
-   * The longest time between the due time of a request and its receipt by the node, in ms, for
-   * which the node is expected to meet the client's deadline.
+   * The maximum time between the due time of a request and its receipt by the node, in ms. If
+   * delivery takes longer, the node is not expected to meet the client's deadline.
    */
   private static final double MAX_DELIVERY_MILLIS = Clients.ANSWER_SLACK_MILLIS / 2;
 
@@ -23,9 +23,12 @@
   private final Set<Integer> pausedNodes = new HashSet<>();
 
   private enum State {
-    /** The node must answer. */
+    /** The node has not answered yet and must answer. */
     OWED,
-    /** The request waited too long for a paused process, which cannot know its true deadline. */
+    /**
+     * The request waited too long before the node read it, for example because the process was
+     * paused, so the node does not know the client's actual deadline.
+     */
     HELD_UP,
     /**
      * The client left before the deadline, or gave up on a paused process: an answer is permitted
@@ -84,11 +87,11 @@
     boolean delayed =
         openRequests.get(request) == State.HELD_UP || pausedNodes.contains(request.node());
     if (now < request.deadline || delayed) {
-      // A node that has not noticed the disconnect yet may still answer once.
+      // A node that has not detected the disconnect yet may still answer once.
       openRequests.computeIfPresent(request, (key, before) -> State.LEFT);
     } else if (openRequests.containsKey(request)) {
       openRequests.put(request, State.OVERDUE);
-      reportViolation(now, request + " had no answer when its client gave up");
+      reportViolation(now, request + " was not answered before its client gave up");
     }
   }
 
@@ -97,7 +100,7 @@
     openRequests.forEach(
         (request, state) -> {
           if (state == State.OWED) {
-            reportViolation(now, request + " never had an answer");
+            reportViolation(now, request + " was never answered");
           }
         });
   }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/InvariantCheckers.java
@@ -34,7 +34,10 @@
     return checkers.stream().mapToLong(InvariantChecker::count).sum();
   }
 
-  /** Returns the number of workers that crashed from overload while cold, whatever the cause. */
+  /**
+   * Returns the number of all workers that crashed from overload while cold, including crashes that
+   * are not violations.
+   */
   public long fallen() {
     return slowStart.fallen();
   }
--- a/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
@@ -4,7 +4,10 @@
 
 /** Checks that nodes do not overload a worker that they know to be cold. */
 public final class SlowStartChecker extends InvariantChecker {
-  /** The smallest share of work from informed nodes for which a crash is a violation. */
+  /**
+   * The minimum share of the work that came from informed nodes for which a crash counts as a
+   * violation.
+   */
   private static final double MIN_VIOLATING_SHARE = 2.0 / 3;
 
   private long crashedWorkers;
@@ -27,7 +30,10 @@
     }
   }
 
-  /** Returns the number of workers that crashed from overload while cold, whatever the cause. */
+  /**
+   * Returns the number of all workers that crashed from overload while cold, including crashes that
+   * are not violations.
+   */
   public long fallen() {
     return crashedWorkers;
   }
--- a/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/PlainPolicy.java
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Picks one of the ready workers that have not been tried, of which there is at least one; null
-   * rejects the job.
+   * Picks a worker for the job. {@code ready} contains the ready workers that have not been tried,
+   * at least one. If the result is null, the job is rejected.
    */
   abstract Worker pick(List<Worker> ready, Job job);
 
--- a/emulator/src/main/java/ferngrade/emulator/socket/RealTime.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/RealTime.java
@@ -8,8 +8,8 @@
 
 /**
  * Schedules tasks on one event loop in real time. It also measures the lateness of periodic ticks:
- * if the machine was too busy for the emulator, the run is invalid and says nothing about the
- * program under test.
+ * if the machine was too busy for the emulator, the run is invalid and its results do not describe
+ * the program under test.
  */
 final class RealTime implements Scheduler {
   private static final double TICK_MILLIS = 10;
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -14,8 +14,8 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Runs a release on a fleet with many dispatchers, in which most workers are replaced by cold ones,
- * and collects statistics per second.
+ * Runs a release, in which most workers are replaced by cold ones, on a fleet with many
+ * dispatchers, and collects statistics per second.
  */
 final class ReleaseRun implements Observer {
   static final double RELEASE_AT_MS = 5_000;
@@ -44,7 +44,7 @@
   private final Map<EmulatedWorker, Deque<Arrival>> windows = new HashMap<>();
   private final Set<EmulatedWorker> workers = new HashSet<>();
 
-  /** The largest share of the documented bound that a cold worker got in a window. */
+  /** The largest share of the documented bound that was sent to a cold worker in a window. */
   double worstShareOfBound;
 
   int crashedWorkers;
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
@@ -30,7 +30,7 @@
     return run.recoverySecond(RECOVERED_SHARE * run.inTime(1, SECOND_BEFORE_RELEASE));
   }
 
-  /** Fails if the fleet recovers only when its new workers are warm. */
+  /** Fails if the fleet does not recover before its new workers are warm. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void afterAReleaseRequestsAreInTimeBeforeTheLastNewWorkerIsWarm(long seed) {
--- a/emulator/src/test/java/ferngrade/emulator/socket/SocketRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/socket/SocketRunTest.java
@@ -64,7 +64,7 @@
     SocketRun run = new SocketRun(scenario, 3, nodeCommand(), folder, observers);
     String invalidReason = run.run();
     checkers.finish(run.startedAt() + run.passed());
-    // A run on a machine that was too busy is invalid and says nothing about the program.
+    // If the machine was too busy, the run is invalid and its results do not describe the program.
     if (invalidReason == null) {
       for (InvariantChecker checker : checkers.judges()) {
         assertEquals(checker.breaches().toString(), "[]");
