--- a/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
@@ -141,7 +141,7 @@
       @Override
       public void append(byte[] bytes, int length) throws IOException {
         if (diskFull) {
-          // A full disk writes a part of the data.
+          // A full disk writes only a part of the data before the write fails.
           delegate.append(bytes, length / 2);
           throw new IOException("No space left on device");
         }
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 
 /**
- * A model of a few members and shards with a log that is correct by definition: a proposal is
+ * A model of a few members and shards with a log that is assumed to be correct: a proposal is
  * committed now, later or never, each member applies the log at any time, and answers arrive late
  * or never. {@link #steps} returns all possible next steps; the members' clocks differ by the full
  * drift bound.
@@ -31,7 +31,7 @@
 
   /** The type of a step. */
   private enum StepType {
-    /** Time advances for all members. */
+    /** The time of all members advances. */
     PASS,
     /** A member's lease holder runs its tick, and may propose commands. */
     TICK,
@@ -91,8 +91,8 @@
     int applied;
 
     /**
-     * The time of the last tick and the log index applied then: another tick with the same values
-     * would change nothing.
+     * The time of the last tick and the log index applied at that time. Another tick with the same
+     * values would change nothing.
      */
     String lastTick = "";
 
@@ -299,7 +299,7 @@
     }
   }
 
-  /** Returns the violated rule, null for none. */
+  /** Returns the violated rule; null if no rule is violated. */
   String violatedRule() {
     return violatedRule;
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
@@ -1,8 +1,8 @@
 package ferngrade.faulttest;
 
 /**
- * A variant of the program in which one safety check is removed. A trial that does not detect these
- * variants proves nothing.
+ * A variant of the program in which one safety check is removed. A trial is meaningful only if it
+ * detects these variants.
  */
 public enum Mutant {
   /** The unmodified program. */
--- a/faulttest/src/main/java/ferngrade/faulttest/Relay.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Relay.java
@@ -33,8 +33,8 @@
     /** Connections are reset, and new connections are closed at once. */
     CUT,
     /**
-     * Data in the link's direction is held back without notice to either side, and forwarded once
-     * the link passes again; answers are forwarded.
+     * Data in the link's direction is held back, and neither side is notified. It is forwarded once
+     * the mode is {@link #PASS} again. Answers are forwarded at once.
      */
     HOLD,
     /**
@@ -49,7 +49,10 @@
   private final Channel listener;
   private final Runnable onHold;
 
-  /** Data that is held back until the link passes again; accessed by the group's single thread. */
+  /**
+   * Data that is held back until the mode is {@link Mode#PASS} again; accessed by the group's
+   * single thread.
+   */
   private final List<Runnable> heldBack = new ArrayList<>();
 
   private volatile Mode mode = Mode.PASS;
@@ -163,8 +166,8 @@
     }
 
     /**
-     * Returns whether data must be held back: also after the link passes again, until the data held
-     * back before has been forwarded, so that the order is kept.
+     * Returns whether data must be held back. To keep the order, this is also the case in {@link
+     * Mode#PASS} until all data that was held back has been forwarded.
      */
     private boolean mustHoldBack() {
       return mode == Mode.HOLD || !heldBack.isEmpty();
--- a/faulttest/src/main/java/ferngrade/faulttest/SimulatedProcess.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/SimulatedProcess.java
@@ -13,8 +13,8 @@
   private boolean paused;
 
   /**
-   * Runs a task of the process: after the process is resumed if it is suspended, never after it was
-   * killed.
+   * Runs a task of the process. If the process is suspended, the task runs once the process is
+   * resumed; if it was killed, the task is dropped.
    */
   void execute(Runnable task) {
     if (alive && paused) {
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -23,8 +23,8 @@
  *     these members' addresses
  * @param sharesEndpointList whether one member watches the endpoint list and relays it to the
  *     others
- * @param requiredLogTexts texts of which each must occur in a log line of a member, from the first
- *     step on
+ * @param requiredLogTexts texts that must each occur in a log line of a member, from the first step
+ *     on
  * @param forbiddenLogTexts texts that must not occur in any log line from the first step on
  * @param steps the steps, ordered by time
  */
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
@@ -28,8 +28,8 @@
   private static final double EVENT_TIMEOUT_MILLIS = 60_000;
 
   /**
-   * The time before the first step in which shards may still move to the members that joined last,
-   * in ms.
+   * The time for which the run waits before the first step, in ms, because shards may still move to
+   * the members that joined last.
    */
   private static final double SETTLE_TIME_MILLIS = 500;
 
@@ -264,7 +264,11 @@
         return List.of();
       }
       lastObserved =
-          "members with an old list: " + behind + "; " + endpointListServer.open() + " open watches";
+          "members with an old list: "
+              + behind
+              + "; "
+              + endpointListServer.open()
+              + " open watches";
       history.await(100);
     }
     return List.of(new Violation(history.now(), "asked once", lastObserved));
@@ -299,7 +303,7 @@
   /** An action to run {@code at} ms or later, once {@code when} is true. */
   private record ScheduledAction(double at, BooleanSupplier when, FaultAction action) {}
 
-  /** Executes a step, or undoes it. */
+  /** An action that executes a step or undoes it. */
   @FunctionalInterface
   private interface FaultAction {
     void run() throws IOException, InterruptedException;
@@ -310,8 +314,8 @@
     double start = history.now();
     List<ScheduledAction> scheduled = new ArrayList<>();
     for (Step step : trial.steps()) {
-      // The member whose condition is awaited is resolved at the first check after the step's
-      // time.
+      // The member for whose condition the step waits is selected at the first check after the
+      // step's time.
       String[] awaitedMember = new String[1];
       scheduled.add(
           new ScheduledAction(
@@ -508,7 +512,8 @@
   }
 
   /**
-   * Returns the member that last logged that it gained the shard; the first member before any did.
+   * Returns the member that was the last to log that it gained the shard; the first member if none
+   * has logged this yet.
    */
   private String owner(List<Event> events, String shard) {
     return events.stream()
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -95,7 +95,8 @@
     fleet.meanDelayMillis = millis;
     fleet.names.forEach(fleet::start);
     fleet.time.run(RECOVERY_MILLIS);
-    // Jobs that are skipped when late are always late at this delay.
+    // At this delay, all runs of a job that skips missed due times are late, so this job is never
+    // executed.
     fleet.checkOwned(
         fleet.jobs.stream()
             .filter(RecurringSchedule::runMissed)
@@ -234,14 +235,15 @@
         }
       }
       case 10 -> {
-        // One member falls behind and loses its disk, and then a randomly chosen member restarts.
+        // One member is cut off, so that its log falls behind, and loses its disk; then a randomly
+        // chosen member restarts.
         cut(List.of(other + name, name + other), length);
         time.after(length / 3, () -> loseDisk(name, 100));
         String third = names.get(random.nextInt(names.size()));
         time.after(length / 2, () -> crash(third, 800 + random.nextDouble() * 1_000));
       }
-      // Only one member's clock jumps, and only while no member has drained: the clocks of the
-      // other members must count.
+      // Only one member's clock jumps, and only while no member has drained, so that the clocks of
+      // the other members still determine the median.
       case 8 ->
           clockJumps.merge(
               drained.isEmpty() ? names.get(0) : "none",
@@ -267,7 +269,7 @@
     }
   }
 
-  /** Makes a disk full, or makes its syncs and renames fail. */
+  /** Makes a disk full, or makes its syncs and renames fail; {@code full} selects the fault. */
   private static void failDisk(FaultInjectingStorage disk, boolean full) {
     if (full) {
       disk.setFull(true);
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
@@ -67,9 +67,9 @@
     this.timers =
         new Timers(
             clock,
-            // Fires slightly late: if the delay were rounded down, the clock would not have
-            // reached the deadline when the timer fires, and the timer would be rescheduled
-            // forever.
+            // The timer fires slightly late. If the delay were rounded down, the member's clock
+            // would not have reached the deadline when the timer fires, and the timer would be
+            // rescheduled forever.
             (millis, task) -> fleet.time.after(millis / rate + 1e-6, () -> execute(task)));
     Codec codec = LogFormat.codec(Command.CLASSES);
     RaftLogStore log = RaftLogStore.open(disk, codec, 1 << 16, failure -> diskFailed());
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -60,7 +60,7 @@
    * @param datagrams the number of datagrams sent
    * @param maxDatagramBytes the size of the largest datagram, bytes
    * @param suspicions how often a member suspected another member
-   * @param falseFailures how often a member declared a member failed that was up, running and not
+   * @param falseFailures how often a member declared another member failed that was running and not
    *     partitioned
    * @param rejected the number of replayed or forged datagrams that were rejected
    * @param detectionMillis the time until the last member detected the crash of the killed member,
@@ -193,7 +193,7 @@
                   + " ms without faults");
         }
         if (other.process.alive() && other != member && member.runOf(other.name) != other.run) {
-          addViolation("agreed", member.name + " knows an earlier process of " + other.name);
+          addViolation("agreed", member.name + " still lists an earlier process of " + other.name);
         }
       }
     }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/BackgroundLoop.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/BackgroundLoop.java
@@ -21,7 +21,7 @@
   /** Called on the thread after the last step. */
   void onStopped() {}
 
-  /** Returns whether the loop has not been told to stop. */
+  /** Returns whether no stop of the loop was requested. */
   final boolean running() {
     return running;
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/BusyProcesses.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/BusyProcesses.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Processes that use all processor time available to them, until they are closed or their time is
- * over.
+ * Processes that use all processor time available to them, until they are closed or their duration
+ * has elapsed.
  */
 final class BusyProcesses implements AutoCloseable {
   private static final String LOOP = "my $end = time + shift; 1 while time < $end;";
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
@@ -11,7 +11,7 @@
  * @param clients the number of clients
  * @param behaviour the behaviour of the clients
  * @param idleConnections the number of idle connections
- * @param share the share of the time that processes run
+ * @param share the fraction of the time during which the processes are not stopped
  * @param longestPause the maximum time for which processes are stopped, ms
  * @param steps the upgrades, in order
  */
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ClientLoad.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ClientLoad.java
@@ -12,8 +12,8 @@
 
 /**
  * Clients that each keep one connection for as long as it stays open, and send one request at a
- * time with a pause between two. A request whose connection closes without an answer is retried
- * once on a new connection.
+ * time, with a pause between two requests. A request whose connection closes without an answer is
+ * retried once on a new connection.
  */
 final class ClientLoad {
   /** The time after its deadline at which a request counts as unanswered, ms. */
@@ -134,7 +134,7 @@
       connection.write("POST /api", headers(job, kind), "");
       Thread.sleep(wait);
     } catch (IOException closed) {
-      // The node closed the connection before the client could.
+      // The node closed the connection before the client did.
     }
     observations.add(new Observations.Departure(observations.now(), job));
     return null;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/DepartureChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/DepartureChecker.java
@@ -9,8 +9,8 @@
 /** Checks that no attempt begins for a client that has closed its connection. Stateless. */
 public final class DepartureChecker {
   /**
-   * The time after the client's close within which an attempt may still begin, ms: 100, and 50 for
-   * the sockets.
+   * The time after the client closes its connection within which an attempt may still begin, ms:
+   * 100 for the node, and 50 for delays in the sockets.
    */
   static final double GRACE_MILLIS = 150;
 
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/DiscoveryStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/DiscoveryStub.java
@@ -20,8 +20,8 @@
  */
 final class DiscoveryStub implements AutoCloseable {
   /**
-   * The interval between two lists on a watch, ms: short, so that lists arrive during all other
-   * events.
+   * The interval between two lists on a watch, ms. It is short, so that lists arrive during all
+   * other events of a run.
    */
   private static final long INTERVAL_MILLIS = 300;
 
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCapacityChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCapacityChecker.java
@@ -25,7 +25,9 @@
 
   private IdleCapacityChecker() {}
 
-  /** Returns a violation for each series of rejections beside idle workers that lasted too long. */
+  /**
+   * Returns a violation for each series of rejections that lasted too long while workers were idle.
+   */
   public static List<Violation> check(Observations observations) {
     List<Violation> violations = new ArrayList<>();
     List<Utilisation> utilisations = observations.utilisations();
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleConnections.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleConnections.java
@@ -31,7 +31,7 @@
         open.add(new HttpConnection(address, CONNECT_TIMEOUT_MILLIS));
       }
     } catch (IOException notAccepted) {
-      // Retried in the next step.
+      // The connection is opened again in the next step.
     }
     Thread.sleep(INTERVAL_MILLIS);
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/Observations.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/Observations.java
@@ -35,7 +35,8 @@
     /** Answered with any other status, or with a wrong result. */
     FAILED,
     /**
-     * Its connection was closed without an answer, also on the single retry that a client makes.
+     * The connection was closed without an answer, for the request and for the single retry that a
+     * client makes.
      */
     CLOSED,
     /** Not answered within half a second after its deadline. */
@@ -84,8 +85,8 @@
   }
 
   /**
-   * Marks the time just before or just after the harness harms a process; each fault is a pair of
-   * these. Requests in progress between them may be lost without a fault of the node.
+   * Marks the time just before or just after the harness injects a fault into a process; each fault
+   * has both marks. Requests in progress between the two marks may be lost without a violation.
    */
   record Fault(double at, long pid, Kind kind) {
     enum Kind {
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakPlan.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakPlan.java
@@ -21,7 +21,10 @@
    */
   static final int OPERATOR_WORKERS = 3;
 
-  /** The number of workers that episodes disable, following those. */
+  /**
+   * The number of workers that episodes disable; they follow the first {@link #OPERATOR_WORKERS}
+   * workers.
+   */
   static final int EPISODE_WORKERS = 3;
 
   /** The number of workers; the last ones are never disabled. */
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakRun.java
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Waits until a process is ready; false if it took longer than the platform allows. */
+  /** Waits until a process is ready; returns false if this took longer than the platform allows. */
   private boolean awaitReady(ServingProcess process) throws IOException, InterruptedException {
     double startedAt = observations.now();
     run.awaitReady(process);
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
@@ -16,13 +16,13 @@
 import java.util.Set;
 
 /**
- * Checks the observations of a run from outside, without knowledge of how the processes agree.
- * Stateless.
+ * Checks the observations of a run from outside, without knowledge of the protocol between the
+ * processes. Stateless.
  */
 public final class UpgradeChecker {
   /**
-   * The time for which a worker may still receive jobs after it was disabled, ms: 250 of the drain
-   * rule, and 50 of margin.
+   * The time for which a worker may still receive jobs after it was disabled, ms: 250 that the
+   * drain rule permits, and a margin of 50.
    */
   static final double DRAIN_GRACE_MILLIS = 300;
 
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
@@ -213,7 +213,7 @@
     double end = observations.now() + READY_TIMEOUT_MILLIS;
     while (observations.now() < end && process.alive()) {
       if (getStatus(operators, "/-/ready") == 200) {
-        observations.step(process.pid(), "the platform has seen the process ready");
+        observations.step(process.pid(), "the platform has detected that the process is ready");
         return;
       }
       Thread.sleep(READY_POLL_MILLIS);
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
@@ -78,7 +78,9 @@
     return server.getAddress();
   }
 
-  /** Sets the address of callbacks, by the sender that the attempt named. */
+  /**
+   * Sets the function that returns the address of callbacks for the sender named by the attempt.
+   */
   void setCallbackAddress(Function<String, InetSocketAddress> addressBySender) {
     callbackAddresses = addressBySender;
   }
--- a/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/ModelCheckerTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Exhaustive exploration of a small model; {@code faulttest run --small} runs deeper explorations.
+ * Explores a small model exhaustively, to detect sequences of events that violate a rule; {@code
+ * faulttest run --small} runs deeper explorations.
  */
 class ModelCheckerTest {
   @Test
--- a/faulttest/src/test/java/ferngrade/faulttest/TrialRunTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/TrialRunTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Trials with several processes of the program. */
+/** Runs trials with several processes of the program and checks their safety invariants. */
 class TrialRunTest {
   private static final List<String> PROGRAM =
       List.of(
--- a/faulttest/src/test/java/ferngrade/faulttest/VirtualFleetTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/VirtualFleetTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Members in virtual time under randomly drawn faults; the system property {@code ferngrade.seeds}
- * sets the number of seeds.
+ * Runs members in virtual time under randomly drawn faults and checks the safety invariants. The
+ * system property {@code ferngrade.seeds} sets the number of seeds.
  */
 class VirtualFleetTest {
   private static final int SEEDS = Integer.getInteger("ferngrade.seeds", 150);
@@ -35,8 +35,9 @@
 
   @Test
   void electsLeaderOnAnOverloadedMachine() {
-    // When a vote request took longer than the spread of the election timeouts, the voters started
-    // elections in step and never elected a leader.
+    // Guards against a fault of an earlier version: if a vote request took longer than the spread
+    // of the election timeouts, the voters started their elections at the same time and never
+    // elected a leader.
     List<String> violations =
         LongStream.rangeClosed(1, SEEDS)
             .parallel()
--- a/faulttest/src/test/java/ferngrade/faulttest/VirtualSwarmTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/VirtualSwarmTest.java
@@ -7,7 +7,10 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** The membership protocol in virtual time under randomly drawn faults. */
+/**
+ * Runs the membership protocol in virtual time under randomly drawn faults. Guards against members
+ * that disagree at the end, wrong failure reports, and accepted forged datagrams.
+ */
 class VirtualSwarmTest {
   private static final int SEEDS = Integer.getInteger("ferngrade.seeds", 150);
 
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
@@ -54,7 +54,9 @@
     run.close();
   }
 
-  /** {@code stopped}: the time for which the process is suspended, starting at its SIGTERM, ms. */
+  /**
+   * {@code stopped} is the time for which the process is suspended, starting at its SIGTERM, ms.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {300, 500, 1000})
   void answersRequestsBeforeTheKillThatIsTimedFromTheSignal(double stopped) throws Exception {
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/MaintenanceDuringUpgradeTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/MaintenanceDuringUpgradeTest.java
@@ -24,7 +24,10 @@
   private static final double MEAN_PAUSE_MILLIS = 20;
   private static final double DEADLINE_MILLIS = 2000;
 
-  /** The number of jobs after which each worker has been selected several times by each process. */
+  /**
+   * The number of jobs to wait for. After this number, each process has selected each worker
+   * several times.
+   */
   private static final int JOBS_TO_OBSERVE = 150;
 
   private UpgradeRun run;
