--- a/experiment/src/main/java/ferngrade/experiment/BenchTable.java
+++ b/experiment/src/main/java/ferngrade/experiment/BenchTable.java
@@ -14,9 +14,9 @@
 import java.util.stream.Stream;
 
 /**
- * Summarizes the days on real sockets in a bench's journal as one page: for each site and day the
- * last play, the number of plays, and the largest score difference between plays of the same build
- * and seed, which is the error to expect of a single play.
+ * Summarizes the days on real sockets in a bench's journal as one page: for each site and day, it
+ * shows the last play, the number of plays, and the largest score difference between plays of the
+ * same build and seed. This difference is the error to expect in the score of a single play.
  */
 final class BenchTable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,7 +28,7 @@
   private record DayPlay(
       String at, String build, long seed, double worth, double floor, double top, double score) {}
 
-  /** One run of a panel, which is a set of days with a common score. */
+  /** One run of a panel. A panel is a set of days whose results are combined into one score. */
   private record Panel(String at, String build, double score, String gate, int days) {}
 
   private final Map<String, List<DayPlay>> days = new TreeMap<>();
--- a/experiment/src/main/java/ferngrade/experiment/Charts.java
+++ b/experiment/src/main/java/ferngrade/experiment/Charts.java
@@ -25,8 +25,8 @@
   private static final int MAX_CHARTED_POINTS = 16;
 
   /**
-   * The maximum number of points for which all time series are drawn, and of slices that are drawn
-   * together with the budget.
+   * The maximum number of points for which all time series are drawn. It is also the maximum number
+   * of slices that are drawn together with the budget.
    */
   private static final int MAX_DETAILED_POINTS = 4;
 
@@ -164,7 +164,8 @@
     Map<String, double[]> first = byPolicy.values().iterator().next();
     Map<String, double[]> slices = new LinkedHashMap<>();
     Set<String> names = first.keySet();
-    // In a larger tier the sum is so much larger than the slices that they would be unreadable.
+    // With more nodes, the budget would be so much larger than the slices that the slices would be
+    // unreadable.
     boolean showBudget =
         names.stream().filter(name -> name.startsWith("slice ")).count() <= MAX_DETAILED_POINTS;
     names.stream()
--- a/experiment/src/main/java/ferngrade/experiment/Fields.java
+++ b/experiment/src/main/java/ferngrade/experiment/Fields.java
@@ -21,8 +21,9 @@
   private Fields() {}
 
   /**
-   * Sets each such field of {@code target} from the key with the field's name in kebab case. The
-   * field's {@link Quantity} annotation determines the unit. Fields without a key keep their value.
+   * Sets the fields of {@code target}: each field has the value of the key that is the field's name
+   * in kebab case. The field's {@link Quantity} annotation determines the unit. Fields whose key is
+   * absent keep their value.
    */
   static <T> T fill(Section section, T target) throws FileException {
     for (Field field : target.getClass().getFields()) {
--- a/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
@@ -56,7 +56,10 @@
       return rate <= 0 ? 0 : Math.log(0.5) / Math.log(rate);
     }
 
-    /** Returns the same number of cycles with the optimal step size. */
+    /**
+     * Returns the number of cycles until the slowest-decaying difference has halved with the
+     * optimal step size.
+     */
     double bestHalfLife() {
       return bestRate <= 0 ? 0 : Math.log(0.5) / Math.log(bestRate);
     }
--- a/experiment/src/main/java/ferngrade/experiment/RunCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/RunCommand.java
@@ -117,7 +117,7 @@
 
   /**
    * Returns true if the console is a terminal. Since Java 22 System.console() also returns a
-   * console when there is no terminal, and Console.isTerminal() tells the two cases apart.
+   * console when there is no terminal, and Console.isTerminal() distinguishes the two cases.
    */
   private static boolean isTerminal(Console console) {
     if (console == null) {
--- a/experiment/src/main/java/ferngrade/experiment/Search.java
+++ b/experiment/src/main/java/ferngrade/experiment/Search.java
@@ -197,9 +197,8 @@
               smaller.points().get(0).label(), smaller.policies().get(0), smaller.seeds().get(0))
           .runInVirtualTime(smaller.points().get(0).scenario(), smaller.mutation());
     } catch (FileException invalidExperiment) {
-      // A sweep may set the value that was reduced, so that this candidate cannot be read; the
-      // other
-      // candidates are still tried.
+      // This candidate cannot be read, for example because a sweep sets the value that was reduced.
+      // The other candidates are still tried.
       return null;
     }
   }
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -19,9 +19,9 @@
 /**
  * Computes the metrics of one run from the events of the emulator. Goodput is the worth served
  * within the latency objective of each class, divided by the worth requested in first tries. The
- * answer to a retry counts for its first try, and latency is measured from the time at which the
- * first try was due. A late answer counts for {@link ClassSpec#lateWorth} of its worth. Times are
- * in milliseconds.
+ * answer to a retry counts as the answer to its first try, and latency is measured from the time at
+ * which the first try was due. A late answer counts for {@link ClassSpec#lateWorth} of its worth.
+ * Times are in milliseconds.
  */
 public final class Statistics implements Observer {
   /** The minimum width of a window of the time series; shorter runs have windows of this width. */
--- a/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
@@ -126,7 +126,8 @@
     Search.Result found = new Search(experiment, folder, progressLines::add).run(4);
     assertTrue(found.violatesInvariant());
     assertTrue(found.result().breaches().get("no-repeat") > 0);
-    // The violation does not depend on the faults: two workers and one second reproduce it.
+    // The violation does not depend on the faults, so the search removes them; two workers and one
+    // second reproduce it.
     assertFalse(found.source().has("fault"), found.source().toString());
     assertEquals("1s", found.source().path("duration").asText());
     assertTrue(found.source().path("fleet").path("workers").asInt() <= 2);
@@ -141,7 +142,8 @@
   void estimateHasStudentIntervalExceptForASingleValue() {
     Estimate estimate = Estimate.of(1, 2, 3, 4, Double.NaN);
     assertEquals(2.5, estimate.mean());
-    // t(0.975, 3) = 3.1824, standard deviation 1.2910, 4 values.
+    // The half width is t * s / sqrt(n), with the quantile t(0.975, 3) = 3.1824, the standard
+    // deviation s = 1.2910 and n = 4 values.
     assertEquals(3.1824 * 1.2910 / 2, estimate.halfWidth(), 1e-3);
     assertTrue(estimate.differsFromZero());
     assertFalse(Estimate.of(5).differsFromZero());
--- a/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
@@ -24,7 +24,11 @@
         for (int peer : GraphCommand.peersOf(node, nodes)) {
           assertTrue(
               GraphCommand.peersOf(peer, nodes).contains(node),
-              node + " sends to " + peer + ", which sends nothing back, in a tier of size " + nodes);
+              node
+                  + " sends to "
+                  + peer
+                  + ", which sends nothing back, in a tier of size "
+                  + nodes);
         }
       }
     }
--- a/test-support/src/main/java/ferngrade/golden/GoldenFile.java
+++ b/test-support/src/main/java/ferngrade/golden/GoldenFile.java
@@ -80,7 +80,10 @@
     verify(name, HexFormat.of().formatHex(actual));
   }
 
-  /** Compares a text of several lines, line by line, or records it; line breaks count. */
+  /**
+   * Compares a text of several lines, line by line, or records it. Differences in line breaks
+   * count.
+   */
   public void verifyLines(String name, String actual) {
     verify(name, actual.replace("\\", "\\\\").replace("\r", "\\r").replace("\n", "\\n"));
   }
--- a/toml/src/main/java/ferngrade/toml/Section.java
+++ b/toml/src/main/java/ferngrade/toml/Section.java
@@ -63,7 +63,7 @@
     return get(key) != null;
   }
 
-  /** Returns whether the key is present with a number. */
+  /** Returns whether the key is present and its value is a number. */
   public boolean isNumber(String key) {
     JsonNode value = get(key);
     return value != null && value.isNumber();
@@ -81,13 +81,16 @@
     return value.asText();
   }
 
-  /** Returns the number, 0 or more, under a key, or the default if the key is absent. */
+  /**
+   * Returns the number under a key, or the default if the key is absent. A negative number is an
+   * error.
+   */
   public double number(String key, double defaultValue) throws FileException {
     JsonNode value = get(key);
     return value == null ? defaultValue : number(key, value);
   }
 
-  /** Returns a value as a number, 0 or more. */
+  /** Returns a value as a number. A negative number is an error. */
   public double number(String key, JsonNode value) throws FileException {
     if (!value.isNumber()) {
       throw error(key, "is not a number: " + value);
