--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -364,8 +364,8 @@
 
   /**
    * Proposes a command. The outcome is reported once, within {@code timeoutMillis}. A command with
-   * an unknown outcome may have been applied; a command that must not be applied twice has to
-   * detect duplicates itself.
+   * an unknown outcome may have been applied; if a command must not be applied twice, the state
+   * machine has to detect duplicates.
    */
   public void propose(Object command, double timeoutMillis, ProposalOutcome outcome) {
     Timers timers = environment.timers();
--- a/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
+++ b/emulator/src/main/java/ferngrade/emulator/FaultPlan.java
@@ -7,7 +7,7 @@
 
 /**
  * Executes the faults of a scenario. Each fault begins at its time and ends after its length; its
- * consequences, for example a worker that drains, may outlast it.
+ * consequences, for example the draining of a worker, may last longer.
  */
 public final class FaultPlan {
   /** The minimum time for which a worker drains before its process ends, in ms. */
--- a/experiment/src/test/java/ferngrade/experiment/ExperimentReaderTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ExperimentReaderTest.java
@@ -15,6 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against experiment files that are misread, or whose errors are reported without the line
+ * and key.
+ */
 class ExperimentReaderTest {
   @TempDir private Path folder;
 
--- a/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/ExperimentRunnerTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Guards against incomplete or irreproducible results of experiments, comparisons and searches. */
 class ExperimentRunnerTest {
   private static final String SMALL =
       """
--- a/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against a wrong spectrum of the peer graph, and against links that are not mutual. */
 class GraphCommandTest {
   @Test
   void smallTierHasTheSpectrumOfACompleteGraph() {
--- a/faulttest/src/main/java/ferngrade/faulttest/Relay.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Relay.java
@@ -30,7 +30,7 @@
   enum Mode {
     /** All data is forwarded. */
     PASS,
-    /** Connections are reset, and new connections are closed at once. */
+    /** Open connections are reset, and new connections are closed immediately. */
     CUT,
     /**
      * Data in the link's direction is held back, and neither side is notified. It is forwarded once
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -122,8 +122,8 @@
     /** A job submitted by the member is held back in a link in {@link Relay.Mode#HOLD} mode. */
     HELD,
     /**
-     * A job whose shard the member owned when the step began has been executed under a later epoch
-     * since.
+     * Since the step began, a job has been executed under a later epoch whose shard the member
+     * owned when the step began.
      */
     OVERTAKEN
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -285,8 +285,8 @@
   }
 
   /**
-   * Loses a member's disk, at most one in a run: the members cannot recover from the loss of more,
-   * since the disks of a majority must survive.
+   * Loses a member's disk. At most one disk is lost in a run, because the disks of a majority must
+   * survive.
    */
   private void loseDisk(String name, double downtime) {
     if (lostDisks.isEmpty()) {
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
@@ -25,7 +25,7 @@
    */
   private static final long KILL_DELAY_MILLIS = 3700;
 
-  /** The interval between two signals of a series, ms. */
+  /** The interval between two SIGTERM signals of a step, ms. */
   private static final long SIGNAL_INTERVAL_MILLIS = 30;
 
   private static final long SETTLE_TIME_MILLIS = 1000;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCapacityChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCapacityChecker.java
@@ -10,8 +10,8 @@
 
 /**
  * Checks that idle capacity is used: requests are not rejected for longer than {@link
- * #MAX_REJECTING_MILLIS} without a break while the workers' own count of jobs in progress is below
- * a third of their slots. Stateless.
+ * #MAX_REJECTING_MILLIS} without a break while the number of jobs in progress, as counted by the
+ * workers, is below a third of their slots. Stateless.
  */
 public final class IdleCapacityChecker {
   /** The maximum duration of rejections while workers are idle, ms. */
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/LoadShiftRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/LoadShiftRun.java
@@ -37,8 +37,8 @@
   public record Result(Observations observations, List<Violation> violations) {}
 
   /**
-   * Runs one upgrade with processes that {@code command} starts, beside {@code busy} busy
-   * processes.
+   * Runs one upgrade with processes that {@code command} starts, while {@code busy} other processes
+   * are busy.
    */
   public static Result run(List<String> command, int busy, long seed)
       throws IOException, InterruptedException {
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantChannels.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantChannels.java
@@ -20,7 +20,7 @@
 final class MutantChannels implements ChannelProvider {
   private static final long DELAY_MILLIS = 600;
 
-  /** The interval between truncated responses, in responses with a result. */
+  /** One of this many responses with a result is truncated. */
   private static final int TRUNCATION_INTERVAL = 50;
 
   private static final int STATUS_BYTES = 12;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
@@ -19,7 +19,10 @@
  * mutation. The checkers must detect each mutation.
  */
 public final class MutantNode {
-  /** The number of requests per second that a budget that never grows admits. */
+  /**
+   * The number of requests per second that the budget admits with {@link
+   * Mutation#BUDGET_NEVER_GROWS}.
+   */
   private static final double FIXED_REQUESTS_PER_SECOND = 5;
 
   private static final long SIGNAL_DELAY_MILLIS = 600;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
@@ -26,7 +26,9 @@
    */
   static final double DRAIN_GRACE_MILLIS = 300;
 
-  /** The time after which a call takes effect even if it was rejected or not answered, ms. */
+  /**
+   * The time, ms, after which a call counts as in effect even if it was rejected or not answered.
+   */
   static final double BINDS_AFTER_MILLIS = 1000;
 
   /** The time before and after a fault within which connections may break because of it, ms. */
@@ -139,7 +141,7 @@
         continue;
       }
       boolean disables = call.verb() == Verb.DISABLE;
-      // An enable call ends the exclusion from the moment it is made.
+      // An enable call is in force from the time at which it is made.
       double since = disables ? inForceSince(call) + DRAIN_GRACE_MILLIS : call.calledAt();
       if (since <= send.at() && (inForce == null || call.calledAt() >= inForce.calledAt())) {
         inForce = call;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerBehaviour.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerBehaviour.java
@@ -7,7 +7,7 @@
  */
 public record WorkerBehaviour(
     int minRuntime, int maxRuntime, int slots, int queue, boolean tellsStart) {
-  /** Starts every job at once. */
+  /** Starts every job immediately. */
   public static final WorkerBehaviour UNLIMITED =
       new WorkerBehaviour(30, 300, Integer.MAX_VALUE, 0, false);
 }
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/DrainedUpgradeTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/DrainedUpgradeTest.java
@@ -11,8 +11,9 @@
 
 /**
  * Guards against a failed upgrade of a drained node: the new process reported not ready until a
- * resume, but the platform allows it 6 s to become ready, and only then terminates the old one. The
- * earlier drain must end before the 6 s are over, and hold until then.
+ * resume, but the platform waits only 6 s until it is ready, and only then terminates the old
+ * process. The new process must therefore keep the drain at first, and report ready before the 6 s
+ * have elapsed.
  */
 class DrainedUpgradeTest {
   private static final double READY_TIMEOUT_MILLIS = 6000;
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
@@ -90,7 +90,8 @@
   }
 
   /**
-   * Opens a connection and sends one request on it; a close by the node would be visible at once.
+   * Opens a connection and sends one request on it, whose answer shows that the node has not closed
+   * the connection.
    */
   private HttpConnection connectAndSendOneRequest(int number) throws IOException {
     HttpConnection client = new HttpConnection(run.clients(), 1000);
--- a/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
@@ -160,7 +160,10 @@
         });
   }
 
-  /** Returns whether the token is that of the newest lease, whose holder may change the job. */
+  /**
+   * Returns whether the token belongs to the newest lease; only the holder of the newest lease may
+   * change the job.
+   */
   boolean isCurrentHolder(Job job, long token) {
     return token == job.token && token > 0;
   }
@@ -189,7 +192,7 @@
     return new LogRecord.Ended(job.id(), job.token, false, reason, atMillis);
   }
 
-  /** Returns the delay of the exponential backoff, half of which is random. */
+  /** Returns the delay of the exponential backoff, ms; half of the delay is random. */
   private double backoffMillis(Job job, double jitter) {
     int exponent = Math.min(MAX_BACKOFF_EXPONENT, job.leases - 1);
     double full =
@@ -198,10 +201,11 @@
   }
 
   /**
-   * Expires leases, doubts and results. A job whose lease expires without a heartbeat is in doubt,
-   * or back in the queue if its idempotency allows it. A job that stays in doubt for too long
-   * fails. Results are discarded after their retention time. Leases and doubts use only the
-   * monotonic clock, so that a jump of the wall clock cannot lead to two lease holders.
+   * Expires leases, ends doubts that last too long, and discards old results. A job whose lease
+   * expires without a heartbeat is in doubt, or back in the queue if its idempotency allows it. A
+   * job that stays in doubt for too long fails. A result is discarded after its retention time.
+   * Leases and doubts use only the monotonic clock, so that a jump of the wall clock cannot lead to
+   * two lease holders.
    */
   public JobChange expire(double atMillis, double monotonic, double jitter) {
     List<LogRecord> records = new ArrayList<>();
--- a/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
@@ -4,10 +4,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * Reads and writes the frame of a batch, the unit that a log writes and syncs at once. A frame
- * consists of the length of the content (4 bytes), a CRC-32C over length, number and content (4),
- * the batch number (8), and the content. A batch is started only after the previous one was synced,
- * so an unreadable batch is a torn tail unless a readable batch follows it.
+ * Reads and writes the frame of a batch. A log writes each batch with one write and one sync. A
+ * frame consists of the length of the content (4 bytes), a CRC-32C over length, number and content
+ * (4), the batch number (8), and the content. A batch is started only after the previous one was
+ * synced, so an unreadable batch is a torn tail unless a readable batch follows it.
  */
 public final class LogBatch {
   /** The length of the frame before the content. */
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -156,7 +156,7 @@
             external.leased.put(id, job.token());
             external.returned.remove(id);
             if (random.nextInt(3) > 0) {
-              // The worker starts at once; its report may be lost.
+              // The worker starts immediately; its report may be lost.
               external.runs.merge(id, 1, Integer::sum);
             }
           }
--- a/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
+++ b/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
@@ -20,7 +20,8 @@
   public static final Shard SHARD = new Shard("list", 0);
 
   /**
-   * The time in ms without a message from an owner after which a member watches discovery itself.
+   * The owner timeout: a member that receives no message from an owner for this time, ms, watches
+   * discovery itself.
    */
   private static final double OWNER_TIMEOUT_MILLIS = 1_500;
 
@@ -96,8 +97,8 @@
       lastNumber = 0;
       lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     } else if (heldEpoch.isEmpty() && owner) {
-      // This member received nothing from another owner while it owned the shard itself. It keeps
-      // watching discovery until it receives a message from the next owner.
+      // This member received nothing from another owner while it owned the shard itself. It
+      // therefore keeps watching discovery until it receives a message from the next owner.
       owner = false;
     }
     boolean mustWatch = owner || now - lastRelayedAt > OWNER_TIMEOUT_MILLIS;
--- a/lease/src/main/java/ferngrade/lease/LeaseHolder.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseHolder.java
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Returns the interval between two calls of {@link #tick} in ms, several of which fit into a
-   * lease.
+   * Returns the interval between two calls of {@link #tick}, ms. It is a fraction of the lease
+   * time.
    */
   public double tickIntervalMillis() {
     return timing.leaseMillis() / RENEWALS_PER_LEASE / 4;
@@ -210,8 +210,8 @@
   }
 
   /**
-   * Stops taking new shards and releases those held; {@link #closed} returns true when this is
-   * done.
+   * Stops acquiring shards and releases the shards that are held; {@link #closed} returns true when
+   * this is done.
    */
   public void drain() {
     draining = true;
--- a/lease/src/main/java/ferngrade/lease/LeaseTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -258,7 +258,8 @@
   /**
    * Returns the session that should own a shard, or null if there is none: the session of the
    * member that operators have chosen, else the one with the highest hash of member and shard
-   * (rendezvous hashing). A change of one member thus moves only the shards of that member.
+   * (rendezvous hashing). If one member joins or leaves, only the shards of that member therefore
+   * move.
    */
   private Session preferredSession(Slot slot) {
     Map<String, Session> sessionByMember = latestSessions();
--- a/lease/src/test/java/ferngrade/lease/LeaseTableTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeaseTableTest.java
@@ -42,7 +42,7 @@
     return owners;
   }
 
-  /** Releases all shards whose owners are asked to release them. */
+  /** Releases all shards that their owners have to release. */
   private void release() {
     for (Slot slot : List.copyOf(table.slots())) {
       if (slot.releasing()) {
--- a/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
+++ b/lease/src/test/java/ferngrade/lease/LeasesAcrossClockStepsTest.java
@@ -14,7 +14,7 @@
 
 /**
  * Guards against effects of wall clock steps while members hold leases: each due time is run at
- * most once, a step causes no burst of runs, and no lease depends on the wall clock.
+ * most once, a clock step causes no burst of runs, and no lease depends on the wall clock.
  */
 class LeasesAcrossClockStepsTest {
   private static final long MINUTE = 60_000;
--- a/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
+++ b/membership/src/main/java/ferngrade/membership/MembershipUpdate.java
@@ -1,14 +1,14 @@
 package ferngrade.membership;
 
 /**
- * The status of a member, as stated by that member itself or by another member.
+ * The status of a member, as reported by the member itself or by another member.
  *
  * @param name the member's name
  * @param address where the member receives datagrams, as {@code host:port}
  * @param run a number that identifies the member's process and changes with each restart
  * @param incarnation incremented only by the member itself, whenever it refutes a wrong update
  * @param standing the member's status
- * @param by the name of the member that made the statement
+ * @param by the name of the member that reported the status
  */
 public record MembershipUpdate(
     String name, String address, long run, long incarnation, MemberStatus standing, String by) {
--- a/membership/src/main/java/ferngrade/membership/Message.java
+++ b/membership/src/main/java/ferngrade/membership/Message.java
@@ -50,7 +50,7 @@
   record Nack(long number) implements Message {}
 
   /**
-   * A digest of the sender's full state. A receiver whose state differs answers with its full
+   * A digest of the sender's full state. A receiver with a different state answers with its full
    * state.
    */
   record Digest(long hash) implements Message {}
--- a/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
+++ b/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * The result of {@link #unseal}: the content if the message was accepted, else null, and the
-   * answer to send, null for none.
+   * The result of {@link #unseal}. {@code content} is null unless the message was accepted; {@code
+   * answer} is the answer to send, null if there is none.
    */
   public record UnsealResult(Verdict verdict, byte[] content, byte[] answer) {}
 
--- a/test-support/src/test/java/ferngrade/knownfailures/SkipKnownFailuresTest.java
+++ b/test-support/src/test/java/ferngrade/knownfailures/SkipKnownFailuresTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against an entry of the list that skips tests other than its own. */
 class SkipKnownFailuresTest {
   @Test
   void entryMatchesOnlyItsOwnTest() {
--- a/toml/src/main/java/ferngrade/toml/TomlLines.java
+++ b/toml/src/main/java/ferngrade/toml/TomlLines.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Returns the line number of a path such as {@code fleet.kind[1].speed}, or that of the closest
-   * enclosing table, or 0 if both are unknown.
+   * Returns the line number of a path such as {@code fleet.kind[1].speed}, or the line number of
+   * the closest enclosing table; 0 if both are unknown.
    */
   public int lineOf(String path) {
     String prefix = path;
