--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -37,7 +37,10 @@
   /** The time at which the client gives up, in ms. */
   public final double deadline;
 
-  /** The first request, of which this is a retry, or this request if it is the first. */
+  /**
+   * The first request of the job: this request, or the one that this request retries. {@link
+   * #retryNumber} counts the retries.
+   */
   public final Request first;
 
   /** The number of this retry, from 1; 0 for the first request. */
@@ -46,7 +49,7 @@
   /** The object that the job refers to; 0 if there is none. */
   public final long object;
 
-  /** The value of a successful answer, reduced if the tenant exceeds its share. */
+  /** The value of a successful answer. It is reduced if the tenant exceeds its share. */
   public final double value;
 
   /** The node to which the request is sent; -1 until the front has picked one. */
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCapacityChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCapacityChecker.java
@@ -10,8 +10,8 @@
 
 /**
  * Checks that idle capacity is used: requests are not rejected for longer than {@link
- * #MAX_REJECTING_MILLIS} without a break while the workers' own count of jobs in progress is below
- * a third of their slots. Stateless.
+ * #MAX_REJECTING_MILLIS} without a break while the number of jobs in progress, as counted by the
+ * workers, is below a third of their slots. Stateless.
  */
 public final class IdleCapacityChecker {
   /** The maximum duration of rejections while workers are idle, ms. */
@@ -25,7 +25,9 @@
 
   private IdleCapacityChecker() {}
 
-  /** Returns a violation for each series of rejections beside idle workers that lasted too long. */
+  /**
+   * Returns a violation for each series of rejections that lasted too long while workers were idle.
+   */
   public static List<Violation> check(Observations observations) {
     List<Violation> violations = new ArrayList<>();
     List<Utilisation> utilisations = observations.utilisations();
--- a/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/LogBatch.java
@@ -4,10 +4,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * Reads and writes the frame of a batch, the unit that a log writes and syncs at once. A frame
- * consists of the length of the content (4 bytes), a CRC-32C over length, number and content (4),
- * the batch number (8), and the content. A batch is started only after the previous one was synced,
- * so an unreadable batch is a torn tail unless a readable batch follows it.
+ * Reads and writes the frame of a batch. A log writes each batch with one write and one sync. A
+ * frame consists of the length of the content (4 bytes), a CRC-32C over length, number and content
+ * (4), the batch number (8), and the content. A batch is started only after the previous one was
+ * synced, so an unreadable batch is a torn tail unless a readable batch follows it.
  */
 public final class LogBatch {
   /** The length of the frame before the content. */
@@ -15,7 +15,10 @@
 
   private static final int MAX_CONTENT_BYTES = 64 << 20;
 
-  /** Bytes that would decode to a batch number further ahead than this are not a batch. */
+  /**
+   * The bound on the difference between two batch numbers. Bytes that decode to a number that is
+   * this far ahead or further are not a batch.
+   */
   private static final long MAX_NUMBER_GAP = 1_000_000_000L;
 
   private LogBatch() {}
--- a/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
+++ b/lease/src/main/java/ferngrade/lease/EndpointListRelay.java
@@ -20,7 +20,8 @@
   public static final Shard SHARD = new Shard("list", 0);
 
   /**
-   * The time in ms without a message from an owner after which a member watches discovery itself.
+   * The owner timeout: a member that receives no message from an owner for this time, ms, watches
+   * discovery itself.
    */
   private static final double OWNER_TIMEOUT_MILLIS = 1_500;
 
@@ -50,7 +51,10 @@
     /** Delivers a line to this member's own node: a change, or the whole list. */
     void deliver(String line);
 
-    /** Returns the whole list with all lines delivered so far, or null if there is none yet. */
+    /**
+     * Returns the whole list, which includes all lines delivered so far; null before the first
+     * list.
+     */
     String fullList();
 
     /** Sends a line to all other members. */
@@ -93,8 +97,8 @@
       lastNumber = 0;
       lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     } else if (heldEpoch.isEmpty() && owner) {
-      // This member received nothing from another owner while it owned the shard itself. It keeps
-      // watching discovery until it receives a message from the next owner.
+      // This member received nothing from another owner while it owned the shard itself. It
+      // therefore keeps watching discovery until it receives a message from the next owner.
       owner = false;
     }
     boolean mustWatch = owner || now - lastRelayedAt > OWNER_TIMEOUT_MILLIS;
--- a/test-support/src/main/java/ferngrade/golden/GoldenFile.java
+++ b/test-support/src/main/java/ferngrade/golden/GoldenFile.java
@@ -50,7 +50,7 @@
     try (InputStream in =
         GoldenFile.class.getResourceAsStream("/" + RESOURCE_FOLDER + "/" + fileName)) {
       if (in == null) {
-        throw new IllegalStateException("golden file " + fileName + " does not exist");
+        throw new IllegalStateException("missing golden file " + fileName);
       }
       for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n", 0)) {
         int space = line.indexOf(' ');
@@ -80,7 +80,10 @@
     verify(name, HexFormat.of().formatHex(actual));
   }
 
-  /** Compares a text of several lines, line by line, or records it; line breaks count. */
+  /**
+   * Compares a text of several lines, line by line, or records it. Differences in line breaks
+   * count.
+   */
   public void verifyLines(String name, String actual) {
     verify(name, actual.replace("\\", "\\\\").replace("\r", "\\r").replace("\n", "\\n"));
   }
