--- a/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
@@ -45,10 +45,10 @@
     double totalValue = 0;
     double totalWork = 0;
     for (int i = 0; i < recentWork.length; i++) {
-      totalValue += recentWork[i] * classes.get(i).worth();
+      totalValue += recentWork[i] * classes.get(i).value();
       totalWork += recentWork[i];
     }
-    double gain = classes.get(jobClass).worth() * totalWork - totalValue;
-    return objective.whole() * gain > objective.worstClass() * totalValue;
+    double gain = classes.get(jobClass).value() * totalWork - totalValue;
+    return objective.totalValueWeight() * gain > objective.worstClassWeight() * totalValue;
   }
 }
--- a/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Dispatcher.java
@@ -6,36 +6,36 @@
  * Decides for one dispatcher which jobs to admit, where to send them and when to retry. The host
  * reports events by calling these methods and performs the {@link Actions} that the implementation
  * requests. All times are milliseconds on the host's clock and never decrease; rates are per
- * second; zones, kinds, classes and tenants are indices into the lists of the settings. An instance
- * must be used by one thread only; the implementation calls {@link Actions} from within the event
- * methods.
+ * second; zones, worker types, classes and tenants are indices into the lists of the settings. An
+ * instance must be used by one thread only; the implementation calls {@link Actions} from within
+ * the event methods.
  */
 public interface Dispatcher {
   /**
    * Reports a new client request. The dispatcher must give it exactly one final answer unless an
    * attempt completes it or the client abandons it.
    */
-  void arrived(double now, Job job);
+  void requestArrived(double now, Job job);
 
   /** Reports that the worker has started to run this attempt. */
-  void started(double now, String requestId, int attemptNumber);
+  void attemptStarted(double now, String requestId, int attemptNumber);
 
   /** Reports that the worker has completed this share (0 to 1) of the attempt. */
-  void progressed(double now, String requestId, int attemptNumber, double share);
+  void attemptProgressed(double now, String requestId, int attemptNumber, double share);
 
   /**
    * Reports that the attempt's answer has started to stream to the client; no deadline applies to
    * it from then on.
    */
-  default void streaming(double now, String requestId, int attemptNumber) {
-    started(now, requestId, attemptNumber);
+  default void attemptStreaming(double now, String requestId, int attemptNumber) {
+    attemptStarted(now, requestId, attemptNumber);
   }
 
   /**
    * Reports that the attempt has ended after {@code durationMs} ms. {@code completed} is true if
    * the request no longer needs an answer.
    */
-  void ended(
+  void attemptEnded(
       double now,
       String requestId,
       int attemptNumber,
@@ -48,46 +48,46 @@
    * Reports that the client no longer waits for this request. The host still reports the end of
    * attempts that are in flight.
    */
-  void abandoned(double now, String requestId);
+  void requestAbandoned(double now, String requestId);
 
   /**
    * Reports the complete endpoint list or only its changed entries, depending on {@code update}.
    */
-  void members(double now, EndpointListUpdate update, List<Worker> workers);
+  void endpointsUpdated(double now, EndpointListUpdate update, List<Worker> workers);
 
   /**
    * Reports that the endpoint list could not be fetched or that the subscription to it has failed.
    */
-  void listFailed(double now);
+  void endpointWatchFailed(double now);
 
-  /** Reports the result of a health check requested by {@link Actions#check}. */
-  default void checked(
+  /** Reports the result of a health check requested by {@link Actions#checkHealth}. */
+  default void healthCheckCompleted(
       double now, long workerId, AttemptOutcome outcome, double durationMs, LoadReport report) {}
 
   /** Reports a message from another dispatcher. */
-  void heard(double now, int sender, byte[] message);
+  void peerMessageReceived(double now, int sender, byte[] message);
 
   /**
    * Reports that {@code processCount} processes of this dispatcher are running and that this host
    * is the one with the zero-based number {@code processIndex}. The processes share the capacity
    * granted to the dispatcher.
    */
-  default void sharedBy(double now, int processCount, int processIndex) {}
+  default void processesChanged(double now, int processCount, int processIndex) {}
 
   /**
    * Reports that the host has stopped accepting requests. The capacity granted to the dispatcher is
    * left to its other processes, and pending requests must not use it.
    */
-  default void acceptNoMore(double now) {}
+  default void drainingStarted(double now) {}
 
-  /** Reports that a timer set by {@link Actions#timer} has expired. */
-  void timer(double now, long token);
+  /** Reports that a timer set by {@link Actions#scheduleTimer} has expired. */
+  void timerExpired(double now, long token);
 
   /**
    * Returns the number of listed workers that the dispatcher itself excludes, for example those
    * ejected after failures.
    */
-  default int excluded(double now) {
+  default int ejectedWorkerCount(double now) {
     return 0;
   }
 
@@ -108,38 +108,39 @@
     void send(String requestId, long workerId, double timeoutMs);
 
     /**
-     * Rejects the request as its final answer and tells the client that a retry is safe. {@code
+     * Rejects the request as its final answer and informs the client that a retry is safe. {@code
      * retryAfterMs} is the delay in ms suggested to the client, or 0 for none.
      */
-    void refuse(String requestId, double retryAfterMs);
+    void reject(String requestId, double retryAfterMs);
 
     /**
-     * Rejects the request like {@link #refuse(String, double)}. The host may count rejections by
+     * Rejects the request like {@link #reject(String, double)}. The host may count rejections by
      * {@code cause}.
      */
-    default void refuse(String requestId, double retryAfterMs, RejectionCause cause) {
-      refuse(requestId, retryAfterMs);
+    default void reject(String requestId, double retryAfterMs, RejectionCause cause) {
+      reject(requestId, retryAfterMs);
     }
 
-    /** Fails the request as its final answer; the client cannot tell whether the job has run. */
+    /** Fails the request as its final answer; the client cannot know whether the job has run. */
     void fail(String requestId);
 
     /** Cancels an attempt. The worker may run the job to its end nevertheless. */
     void cancel(String requestId, int attemptNumber);
 
     /** Requests a health check of a worker. */
-    void check(long workerId);
+    void checkHealth(long workerId);
 
     /** Sends a message of at most 256 bytes to another dispatcher. */
-    void tell(int peer, byte[] message);
+    void sendToPeer(int peer, byte[] message);
 
     /**
-     * Sets a timer that calls {@link Dispatcher#timer} with {@code token} after {@code delayMs} ms.
+     * Sets a timer that calls {@link Dispatcher#timerExpired} with {@code token} after {@code
+     * delayMs} ms.
      */
-    void timer(double delayMs, long token);
+    void scheduleTimer(double delayMs, long token);
 
     /** Subscribes to changes of the endpoint list. */
-    void watch();
+    void watchEndpoints();
 
     /** Writes one line to the operators' log. */
     void log(String line);
--- a/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ThrottlingDispatcher.java
@@ -55,20 +55,20 @@
   public ThrottlingDispatcher(DispatcherSettings settings, long seed, double now, Actions actions) {
     this.settings = settings;
     this.actions = actions;
-    int dispatchers = settings.dispatchers();
+    int dispatcherCount = settings.dispatcherCount();
     random = new SplittableRandom(seed);
     checks = new DeferredChecks(actions);
     registry = new WorkerRegistry(settings.zone(), settings.classes().size());
     serviceTimes = new ServiceTimeEstimator(settings.classes().size());
-    budget = new SlotBudget(settings.liveWeights());
+    budget = new SlotBudget(settings.weightsIncludeLoad());
     budgetCycle = new BudgetCycle(settings, budget, now, actions);
-    waits = new WaitEstimator(registry, serviceTimes, budget, dispatchers);
+    waits = new WaitEstimator(registry, serviceTimes, budget, dispatcherCount);
     deadlines = new StartDeadlines(serviceTimes, waits, budget);
     outliers = new OutlierDetector(registry, serviceTimes, random);
-    slowStart = new SlowStart(settings.cold(), settings.me(), dispatchers);
+    slowStart = new SlowStart(settings.slowStart(), settings.dispatcherIndex(), dispatcherCount);
     fleetLoad = new FleetLoadMeter(registry, outliers, slowStart);
     slowStartGate = new SlowStartGate(registry, slowStart, serviceTimes, budget, fleetLoad);
-    retries = new RetryPolicy(settings.limits(), settings.roundMs());
+    retries = new RetryPolicy(settings.limits(), settings.eventBatchIntervalMs());
     hedging = new HedgingPolicy(settings, registry, deadlines, retries);
     CandidateFilter filter =
         new CandidateFilter(retries, slowStartGate, outliers, deadlines, budget);
@@ -81,10 +81,11 @@
   }
 
   private void startTimers() {
-    actions.timer(random.nextDouble() * BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
-    if (settings.asks()) {
-      double delay = 1 + FIRST_WATCH_SPREAD_MS * settings.me() / settings.dispatchers();
-      actions.timer(delay, WATCH_TOKEN);
+    actions.scheduleTimer(random.nextDouble() * BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
+    if (settings.watchesEndpoints()) {
+      double delay =
+          1 + FIRST_WATCH_SPREAD_MS * settings.dispatcherIndex() / settings.dispatcherCount();
+      actions.scheduleTimer(delay, WATCH_TOKEN);
     }
   }
 
@@ -98,26 +99,26 @@
 
   @Override
   public BudgetState budgetState() {
-    return budgetCycle.state(registry.heldSlots());
+    return budgetCycle.state(registry.slotsInFlight());
   }
 
   @Override
-  public int excluded(double now) {
+  public int ejectedWorkerCount(double now) {
     return outliers.ejectedCount(now);
   }
 
   @Override
-  public void sharedBy(double now, int processCount, int processIndex) {
+  public void processesChanged(double now, int processCount, int processIndex) {
     slowStart.setProcesses(processCount, processIndex);
   }
 
   @Override
-  public void acceptNoMore(double now) {
+  public void drainingStarted(double now) {
     slowStart.stop();
   }
 
   @Override
-  public void arrived(double now, Job job) {
+  public void requestArrived(double now, Job job) {
     if (job.jobClass() >= settings.classes().size()) {
       throw new IllegalArgumentException("Job.jobClass is out of range: " + job.jobClass());
     }
@@ -176,7 +177,7 @@
     slowStartGate.attemptSent(request, worker, now);
     outliers.attemptSent(worker, request.job.jobClass(), now);
     actions.send(request.job.id(), worker.id, 0);
-    if (settings.tellsStart()) {
+    if (settings.workersReportStart()) {
       scheduleStartChecks(request, attempt);
     }
   }
@@ -184,7 +185,7 @@
   private void scheduleStartChecks(PendingRequest request, Attempt attempt) {
     WorkerStats worker = attempt.worker;
     checks.schedule(
-        deadlines.lateAfter(request, worker), now -> budget.startDeadlinePassed(attempt));
+        deadlines.maxStartDelay(request, worker), now -> budget.startDeadlinePassed(attempt));
     if (hedging.appliesTo(request)) {
       checks.schedule(hedging.delay(request, worker), now -> hedge(request, now));
     }
@@ -210,7 +211,7 @@
     if (worker == null) {
       return;
     }
-    if (request.inFlight > 1 && newestAttempt.inFlight() && settings.limits().cancel()) {
+    if (request.inFlight > 1 && newestAttempt.inFlight() && settings.limits().cancellation()) {
       actions.cancel(request.job.id(), newestAttemptNumber);
     }
     hedging.hedgeSent();
@@ -218,7 +219,7 @@
   }
 
   @Override
-  public void started(double now, String requestId, int attemptNumber) {
+  public void attemptStarted(double now, String requestId, int attemptNumber) {
     Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt == null || !attempt.inFlight()) {
       return;
@@ -237,7 +238,7 @@
    * is running.
    */
   private void cancelWaitingAttempts(PendingRequest request, int attemptNumber) {
-    if (!settings.limits().cancel()) {
+    if (!settings.limits().cancellation()) {
       return;
     }
     for (int i = 0; i < request.attempts.size() && request.inFlight > 1; i++) {
@@ -249,7 +250,7 @@
   }
 
   @Override
-  public void progressed(double now, String requestId, int attemptNumber, double share) {
+  public void attemptProgressed(double now, String requestId, int attemptNumber, double share) {
     Attempt attempt = requests.findAttempt(requestId, attemptNumber);
     if (attempt != null) {
       outliers.responseReceived(attempt.worker, now);
@@ -257,7 +258,7 @@
   }
 
   @Override
-  public void ended(
+  public void attemptEnded(
       double now,
       String requestId,
       int attemptNumber,
@@ -285,7 +286,7 @@
   }
 
   private void reportReceived(WorkerStats worker, LoadReport report, double now) {
-    if (!settings.liveWeights()) {
+    if (!settings.weightsIncludeLoad()) {
       registry.learnSlots(worker, report);
     }
     outliers.reportReceived(worker, report, now);
@@ -309,8 +310,8 @@
       return;
     }
     request.completed = true;
-    double cappedRetryAfterMs = Math.min(retryAfterMs, settings.limits().retryAfterMax());
-    actions.refuse(request.job.id(), cappedRetryAfterMs, cause);
+    double cappedRetryAfterMs = Math.min(retryAfterMs, settings.limits().maxRetryAfterMs());
+    actions.reject(request.job.id(), cappedRetryAfterMs, cause);
     requests.removeIfDone(request);
   }
 
@@ -321,7 +322,7 @@
   }
 
   @Override
-  public void abandoned(double now, String requestId) {
+  public void requestAbandoned(double now, String requestId) {
     PendingRequest request = requests.find(requestId);
     if (request != null) {
       request.completed = true;
@@ -330,34 +331,34 @@
   }
 
   @Override
-  public void members(double now, EndpointListUpdate update, List<Worker> workers) {
+  public void endpointsUpdated(double now, EndpointListUpdate update, List<Worker> workers) {
     registry.update(update, workers);
   }
 
   @Override
-  public void listFailed(double now) {
-    if (settings.asks()) {
+  public void endpointWatchFailed(double now) {
+    if (settings.watchesEndpoints()) {
       double backoff = MIN_WATCH_BACKOFF_MS + WATCH_BACKOFF_JITTER_MS * random.nextDouble();
-      actions.timer(backoff, WATCH_TOKEN);
+      actions.scheduleTimer(backoff, WATCH_TOKEN);
     }
   }
 
   @Override
-  public void timer(double now, long token) {
+  public void timerExpired(double now, long token) {
     if (token == BUDGET_CYCLE_TOKEN) {
       budgetCycle.run(fleetLoad, serviceTimes.meanWork(), now);
       idleCapacity.startCycle(now);
       slowStartGate.startCycle(now);
-      actions.timer(BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
+      actions.scheduleTimer(BudgetCycle.PERIOD_MS, BUDGET_CYCLE_TOKEN);
     } else if (token == WATCH_TOKEN) {
-      actions.watch();
+      actions.watchEndpoints();
     } else {
       checks.timerExpired(now, token);
     }
   }
 
   @Override
-  public void heard(double now, int sender, byte[] message) {
+  public void peerMessageReceived(double now, int sender, byte[] message) {
     budgetCycle.receive(sender, message);
   }
 }
--- a/emulator/src/main/java/ferngrade/emulator/Clients.java
+++ b/emulator/src/main/java/ferngrade/emulator/Clients.java
@@ -33,8 +33,8 @@
   private final double startedAt;
   private final double rate;
   private final double[] classShares;
-  private final List<Draw.Spread> workSpreads;
-  private final List<Draw.Spread> hintSpreads;
+  private final List<Draw.LognormalFactor> workSpreads;
+  private final List<Draw.LognormalFactor> hintSpreads;
   private final double[] usages;
   private final double[] tenantFactors;
   private final double[] zoneShares;
@@ -61,7 +61,11 @@
 
   /** Creates the clients of a scenario, whose requests are sent through {@code transport}. */
   public Clients(
-      Scenario scenario, Scheduler time, Streams streams, Observer observer, Transport transport) {
+      Scenario scenario,
+      Scheduler time,
+      RandomStreams streams,
+      Observer observer,
+      Transport transport) {
     this.scenario = scenario;
     this.spec = scenario.workload;
     this.time = time;
@@ -79,9 +83,11 @@
     this.rate = scenario.rate();
     this.classShares = spec.classes.stream().mapToDouble(jobClass -> jobClass.share).toArray();
     this.workSpreads =
-        spec.classes.stream().map(jobClass -> Draw.Spread.of(jobClass.workSpread)).toList();
+        spec.classes.stream()
+            .map(jobClass -> Draw.LognormalFactor.of(jobClass.workSpread))
+            .toList();
     this.hintSpreads =
-        spec.classes.stream().map(jobClass -> Draw.Spread.of(jobClass.hintNoise)).toList();
+        spec.classes.stream().map(jobClass -> Draw.LognormalFactor.of(jobClass.hintNoise)).toList();
     this.usages = spec.tenants.stream().mapToDouble(tenant -> tenant.usage).toArray();
     this.tenantFactors = new double[usages.length];
     Arrays.fill(tenantFactors, 1);
@@ -102,19 +108,19 @@
     }
   }
 
-  /** Multiplies the rate of all arrivals by {@code times}. */
-  void boost(double times) {
-    rateFactor *= times;
+  /** Multiplies the rate of all arrivals by {@code factor}. */
+  void multiplyRate(double factor) {
+    rateFactor *= factor;
   }
 
-  /** Multiplies the arrival rate of one tenant by {@code times}. */
-  void boost(int tenant, double times) {
-    tenantFactors[tenant] *= times;
+  /** Multiplies the arrival rate of one tenant by {@code factor}. */
+  void multiplyTenantRate(int tenant, double factor) {
+    tenantFactors[tenant] *= factor;
   }
 
-  /** Multiplies the arrival rate of one zone by {@code times}. */
-  void surge(int zone, double times) {
-    zoneFactors[zone] *= times;
+  /** Multiplies the arrival rate of one zone by {@code factor}. */
+  void multiplyZoneRate(int zone, double factor) {
+    zoneFactors[zone] *= factor;
   }
 
   /** Returns the number of requests whose client is waiting for an answer. */
@@ -219,7 +225,7 @@
     }
     boolean withinAllowance =
         allowances.length == 0 || ++spentAllowances[tenant] <= Math.max(1, allowances[tenant]);
-    double worth = classSpec.worth * work * (withinAllowance ? 1 : spec.overShareWorth);
+    double value = classSpec.worth * work * (withinAllowance ? 1 : spec.overShareWorth);
     String key =
         classSpec.effect == Idempotency.KEYED
             ? "k" + Long.toHexString(idBase << 32 | requestCount)
@@ -235,7 +241,7 @@
             key,
             now,
             now + classSpec.deadline,
-            worth,
+            value,
             objects == null ? 0 : objects.sample(),
             null);
     submit(request);
@@ -247,7 +253,7 @@
 
   private void submit(Request request) {
     double now = time.now();
-    observer.due(now, request);
+    observer.requestDue(now, request);
     boolean leavesEarly = behavior.nextDouble() < spec.impatient;
     double wait =
         leavesEarly
@@ -261,7 +267,7 @@
   private void giveUp(Request request, boolean early) {
     openRequests--;
     request.ended = true;
-    observer.ended(time.now(), request, Answer.LEFT);
+    observer.requestEnded(time.now(), request, Answer.LEFT);
     transport.disconnect(request);
     if (early && mayRetry(request)) {
       retry(request, 0);
@@ -277,13 +283,13 @@
   public void answer(Request request, Answer answer, double retryAfter) {
     double now = time.now();
     if (request.ended) {
-      observer.stray(now, request, answer);
+      observer.lateAnswer(now, request, answer);
       return;
     }
     openRequests--;
     request.giveUpTimer.cancel();
     request.ended = true;
-    observer.ended(now, request, answer);
+    observer.requestEnded(now, request, answer);
     boolean retryable = answer == Answer.REFUSED || answer == Answer.UNREACHED;
     boolean failed = answer == Answer.FAILED || answer == Answer.BROKEN;
     if (retryable || (failed && mayRetry(request))) {
@@ -301,12 +307,12 @@
   }
 
   private void retry(Request last, double retryAfter) {
-    if (last.tries >= spec.retries) {
+    if (last.retryNumber >= spec.retries) {
       return;
     }
     double backoff =
         spec.backoff
-            * (spec.exponential ? Math.scalb(1, last.tries) : 1)
+            * (spec.exponential ? Math.scalb(1, last.retryNumber) : 1)
             * (0.5 + behavior.nextDouble());
     double wait = retryAfter > 0 && behavior.nextDouble() < spec.honour ? retryAfter : backoff;
     if (time.now() + wait >= last.first.deadline) {
@@ -322,11 +328,11 @@
                   last.tenant,
                   last.zone,
                   last.work,
-                  last.hint,
+                  last.estimatedWork,
                   last.key,
                   time.now(),
                   last.first.deadline,
-                  last.worth,
+                  last.value,
                   last.object,
                   last.first));
         });
--- a/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
+++ b/emulator/src/main/java/ferngrade/emulator/EmulatedWorker.java
@@ -19,7 +19,7 @@
   public final long id;
 
   public final int zone;
-  public final int kind;
+  public final int workerType;
   public final int cell;
   public final WorkerModel model;
   final int maxConnections;
@@ -30,7 +30,7 @@
   /** The listening address on sockets, or a synthetic address in virtual time. */
   public final InetSocketAddress address;
 
-  WorkerState phase = WorkerState.READY;
+  WorkerState state = WorkerState.READY;
 
   /** True once the machine is unreachable. */
   boolean unreachable;
@@ -44,16 +44,16 @@
       int number,
       long id,
       int zone,
-      int kind,
+      int workerType,
       int cell,
-      KindSpec spec,
+      WorkerTypeSpec spec,
       InetSocketAddress address,
       WorkerModel model) {
     this.number = number;
     this.name = "w" + number;
     this.id = id;
     this.zone = zone;
-    this.kind = kind;
+    this.workerType = workerType;
     this.cell = cell;
     this.model = model;
     this.address = address;
@@ -88,9 +88,10 @@
    * divided by one plus the number of jobs held per core.
    */
   Endpoint entry() {
-    int jobsHeld = model.up() ? model.running() + model.waiting() : 0;
+    int jobsHeld = model.up() ? model.runningCount() + model.waitingCount() : 0;
     Worker worker =
-        new Worker(id, phase, zone, kind, cell, model.startedAt(), size / (1 + jobsHeld / cores));
+        new Worker(
+            id, state, zone, workerType, cell, model.startedAt(), size / (1 + jobsHeld / cores));
     return new Endpoint(name, address, worker);
   }
 
--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -23,10 +23,10 @@
   public final int tenant;
   public final int zone;
 
-  /** The work in ms on a standard core; {@link #hint} is the client's estimate of it. */
+  /** The work in ms on a standard core; {@link #estimatedWork} is the client's estimate of it. */
   public final double work;
 
-  public final double hint;
+  public final double estimatedWork;
 
   /** The idempotency key by which workers drop repeats; null if there is none. */
   public final String key;
@@ -37,18 +37,17 @@
   /** The time at which the client gives up, in ms. */
   public final double deadline;
 
-  /**
-   * The first request, of which this is a retry or which this is; {@link #tries} counts retries.
-   */
+  /** The first request, of which this is a retry, or this request if it is the first. */
   public final Request first;
 
-  public final int tries;
+  /** The number of this retry, from 1; 0 for the first request. */
+  public final int retryNumber;
 
   /** The object that the job refers to; 0 if there is none. */
   public final long object;
 
-  /** The worth of a successful answer, reduced if the tenant exceeds its share. */
-  public final double worth;
+  /** The value of a successful answer, reduced if the tenant exceeds its share. */
+  public final double value;
 
   /** The node to which the request is sent; -1 until the front has picked one. */
   int node = -1;
@@ -64,11 +63,11 @@
       int tenant,
       int zone,
       double work,
-      double hint,
+      double estimatedWork,
       String key,
       double due,
       double deadline,
-      double worth,
+      double value,
       long object,
       Request first) {
     this.id = id;
@@ -76,20 +75,21 @@
     this.tenant = tenant;
     this.zone = zone;
     this.work = work;
-    this.hint = hint;
+    this.estimatedWork = estimatedWork;
     this.key = key;
     this.due = due;
     this.deadline = deadline;
-    this.worth = worth;
+    this.value = value;
     this.object = object;
     this.first = first == null ? this : first;
-    this.tries = first == null ? 0 : first.retries + 1;
+    this.retryNumber = first == null ? 0 : first.retryCount + 1;
     if (first != null) {
-      first.retries = tries;
+      first.retryCount = retryNumber;
     }
   }
 
-  private int retries;
+  /** The number of retries of the first request; unused in its retries. */
+  private int retryCount;
 
   /** Sets the node that the front has picked; -1 if there is none. */
   public void setNode(int picked) {
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -20,7 +20,7 @@
    * The time at the start of a run, in ms. It is above 0 because 0 means 'long ago' in worker
    * lists.
    */
-  public static final double START = 1_000_000;
+  public static final double START_MILLIS = 1_000_000;
 
   private static final double SAMPLE_PERIOD_MILLIS = 500;
 
@@ -28,11 +28,11 @@
   private static final int MAX_SAMPLED_WORKERS = 64;
 
   final Scenario scenario;
-  final Streams streams;
+  final RandomStreams streams;
   final Policy policy;
   final Mutation mutation;
   final Observer observer;
-  final VirtualTime time = new VirtualTime(START);
+  final VirtualTime time = new VirtualTime(START_MILLIS);
   final Network network;
   final double[] allowances;
   final Fleet fleet;
@@ -44,7 +44,7 @@
   private final List<List<VirtualNode>> nodesByZone = new ArrayList<>();
 
   /** The nodes that the front load balancer considers down. */
-  private final Set<VirtualNode> believedDown = new HashSet<>();
+  private final Set<VirtualNode> markedDown = new HashSet<>();
 
   /** Creates a run that reports its events to {@code observers}. */
   public VirtualRun(
@@ -54,7 +54,7 @@
       Mutation mutation,
       List<? extends Observer> observers) {
     this.scenario = scenario;
-    this.streams = new Streams(seed);
+    this.streams = new RandomStreams(seed);
     this.policy = policy;
     this.mutation = mutation;
     this.observer = new Observers(observers);
@@ -64,7 +64,7 @@
     this.clients = new Clients(scenario, time, streams, observer, this);
     this.discovery =
         new EmulatedDiscovery(
-            scenario.discovery, time, streams.stream("discovery"), fleet, this::spread);
+            scenario.discovery, time, streams.stream("discovery"), fleet, this::publishToNodes);
     this.faultPlan =
         new FaultPlan(
             scenario, time, streams.stream("faults"), observer, fleet, discovery, clients, this);
@@ -89,7 +89,7 @@
     time.after(SAMPLE_PERIOD_MILLIS, this::sample);
     faultPlan.begin();
     clients.begin();
-    time.run(START + scenario.duration);
+    time.run(START_MILLIS + scenario.duration);
     double longestDeadline = 0;
     for (ClassSpec jobClass : scenario.workload.classes) {
       longestDeadline = Math.max(longestDeadline, jobClass.deadline);
@@ -103,13 +103,13 @@
   }
 
   /** Returns the virtual time that has elapsed since the start of the run, in ms. */
-  public double passed() {
-    return time.now() - START;
+  public double elapsedMillis() {
+    return time.now() - START_MILLIS;
   }
 
   /** Returns the number of events that the run has executed. */
-  public long events() {
-    return time.ran();
+  public long eventCount() {
+    return time.eventCount();
   }
 
   /** Returns the number of jobs that workers dropped because their key was a repeat. */
@@ -122,13 +122,14 @@
     for (VirtualNode node : nodes) {
       double slice = node.slice();
       if (!Double.isNaN(slice)) {
-        observer.slice(now, node.number, slice);
+        observer.sliceSampled(now, node.number, slice);
       }
     }
     if (fleet.all().size() <= MAX_SAMPLED_WORKERS) {
       for (EmulatedWorker worker : fleet.all()) {
         if (worker.model.up()) {
-          observer.depth(now, worker, worker.model.running(), worker.model.waiting());
+          observer.queueSampled(
+              now, worker, worker.model.runningCount(), worker.model.waitingCount());
         }
       }
     }
@@ -141,7 +142,7 @@
   public void submit(Request request) {
     VirtualNode node = pick(request);
     request.node = node == null ? -1 : node.number;
-    double delay = network.client();
+    double delay = network.clientDelay();
     if (node == null) {
       time.after(2 * delay, () -> clients.answer(request, Answer.UNREACHED, 0));
       return;
@@ -170,13 +171,13 @@
   private VirtualNode pick(Request request) {
     List<VirtualNode> candidates =
         request.zone < nodesByZone.size() ? nodesByZone.get(request.zone) : nodes;
-    if (!believedDown.isEmpty()) {
+    if (!markedDown.isEmpty()) {
       List<VirtualNode> sameZone =
-          candidates.stream().filter(node -> !believedDown.contains(node)).toList();
+          candidates.stream().filter(node -> !markedDown.contains(node)).toList();
       candidates =
           !sameZone.isEmpty()
               ? sameZone
-              : nodes.stream().filter(node -> !believedDown.contains(node)).toList();
+              : nodes.stream().filter(node -> !markedDown.contains(node)).toList();
     }
     return candidates.isEmpty() ? null : candidates.get(frontRandom.nextInt(candidates.size()));
   }
@@ -185,13 +186,13 @@
   public void disconnect(Request request) {
     if (request.node >= 0) {
       VirtualNode node = nodes.get(request.node);
-      time.after(network.client(), node.inProcess(() -> node.clientDisconnected(request)));
+      time.after(network.clientDelay(), node.inProcess(() -> node.clientDisconnected(request)));
     }
   }
 
   // ---- Discovery and peers ----
 
-  private void spread(
+  private void publishToNodes(
       EndpointListUpdate update, List<Endpoint> entries, long revision, double spread) {
     for (VirtualNode node : nodes) {
       // The delay of a node is always the same, so that it receives the updates in order.
@@ -216,7 +217,7 @@
   /** Sends a message to one peer, or to all nodes if {@code peer} is negative. */
   void sendToPeers(VirtualNode from, int peer, byte[] message) {
     for (VirtualNode to : peer < 0 ? nodes : List.of(nodes.get(peer))) {
-      double delay = network.datagram(from.zone, to.zone);
+      double delay = network.datagramDelay(from.zone, to.zone);
       if (delay != Network.NEVER) {
         time.after(
             delay, () -> to.inProcess(() -> to.receivePeerMessage(from.number, message)).run());
@@ -234,7 +235,7 @@
         scenario.frontNotice,
         () -> {
           if (!killed.up()) {
-            believedDown.add(killed);
+            markedDown.add(killed);
           }
         });
   }
@@ -247,7 +248,7 @@
       if (!discovery.inOutage()) {
         started.receiveEndpoints(EndpointListUpdate.WHOLE, discovery.list());
       }
-      believedDown.remove(started);
+      markedDown.remove(started);
     }
   }
 
@@ -291,7 +292,7 @@
     @Override
     public double estimateCompletionTime(long workerId, double work) {
       EmulatedWorker worker = fleet.byId(workerId);
-      if (worker.unreachable || worker.phase != WorkerState.READY) {
+      if (worker.unreachable || worker.state != WorkerState.READY) {
         return Double.POSITIVE_INFINITY;
       }
       return worker.model.estimateCompletionTime(work)
--- a/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
+++ b/emulator/src/main/java/ferngrade/emulator/policy/Policies.java
@@ -53,7 +53,7 @@
    *
    * @throws IllegalArgumentException if there is none; the message lists the known names
    */
-  public static Policy named(String name) {
+  public static Policy byName(String name) {
     Policy policy = ALL.get(name);
     if (policy == null) {
       throw new IllegalArgumentException(
@@ -160,7 +160,9 @@
         }
       }
       JobClass jobClass = settings.classes().get(job.jobClass());
-      return minTime > jobClass.aim() + jobClass.stretch() * work ? null : best;
+      return minTime > jobClass.latencyObjectiveMs() + jobClass.latencyObjectiveFactor() * work
+          ? null
+          : best;
     }
   }
 }
--- a/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/VirtualRunTest.java
@@ -64,42 +64,42 @@
   private record RunResult(
       InvariantCheckers checkers, String trace, Map<Answer, Integer> answers, VirtualRun run) {}
 
-  private static RunResult play(
+  private static RunResult run(
       Scenario scenario, long seed, String policy, Mutation mutation, Observer... extraObservers) {
     InvariantCheckers checkers = new InvariantCheckers(scenario);
     TraceHash trace = new TraceHash();
     Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
-    List<Observer> observers = new ArrayList<>(checkers.judges());
+    List<Observer> observers = new ArrayList<>(checkers.all());
     observers.add(trace);
     observers.add(
         new Observer() {
           @Override
-          public void ended(double now, Request request, Answer answer) {
+          public void requestEnded(double now, Request request, Answer answer) {
             answers.merge(answer, 1, Integer::sum);
           }
         });
     observers.addAll(List.of(extraObservers));
-    VirtualRun run = new VirtualRun(scenario, seed, Policies.named(policy), mutation, observers);
+    VirtualRun run = new VirtualRun(scenario, seed, Policies.byName(policy), mutation, observers);
     run.run();
-    checkers.finish(VirtualRun.START + run.passed());
+    checkers.finish(VirtualRun.START_MILLIS + run.elapsedMillis());
     return new RunResult(checkers, trace.hex(), answers, run);
   }
 
   private static String violationsOf(RunResult result) {
     StringBuilder lines = new StringBuilder();
-    for (InvariantChecker checker : result.checkers.judges()) {
-      checker.breaches().stream().limit(3).forEach(found -> lines.append(found).append('\n'));
+    for (InvariantChecker checker : result.checkers.all()) {
+      checker.violations().stream().limit(3).forEach(found -> lines.append(found).append('\n'));
     }
     return lines.toString();
   }
 
   @Test
   void sameSeedGivesSameTraceAndOtherSeedGivesOther() {
-    RunResult first = play(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
-    RunResult second = play(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
-    RunResult other = play(scenarioWithEveryFault(), 6, "module", Mutation.NONE);
+    RunResult first = run(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
+    RunResult second = run(scenarioWithEveryFault(), 5, "module", Mutation.NONE);
+    RunResult other = run(scenarioWithEveryFault(), 6, "module", Mutation.NONE);
     assertEquals(first.trace, second.trace);
-    assertEquals(first.run.events(), second.run.events());
+    assertEquals(first.run.eventCount(), second.run.eventCount());
     assertNotEquals(first.trace, other.trace);
     assertTrue(first.answers.get(Answer.SERVED) > 100, first.answers.toString());
   }
@@ -111,7 +111,7 @@
       Scenario scenario = smallScenario();
       double size = kind == Kind.DEPLOY ? 0.2 : 2;
       scenario.faults.add(fault(kind, 3000, 6000, size, 0.5));
-      RunResult result = play(scenario, seed, "module", Mutation.NONE);
+      RunResult result = run(scenario, seed, "module", Mutation.NONE);
       assertEquals("", violationsOf(result));
       assertTrue(result.answers.get(Answer.SERVED) > 50, result.answers.toString());
     }
@@ -134,15 +134,15 @@
     }
     long violations = 0;
     for (long seed = 1; seed <= 6; seed++) {
-      assertEquals("", violationsOf(play(scenario, seed, "module", Mutation.NONE)));
-      RunResult broken = play(scenario, seed, "module", mutation);
-      for (InvariantChecker checker : broken.checkers.judges()) {
+      assertEquals("", violationsOf(run(scenario, seed, "module", Mutation.NONE)));
+      RunResult broken = run(scenario, seed, "module", mutation);
+      for (InvariantChecker checker : broken.checkers.all()) {
         if (checker.rule().equals(rule)) {
-          violations += checker.count();
+          violations += checker.violationCount();
         } else if (!checker.rule().equals(alsoBroken)) {
           assertEquals(
               0,
-              checker.count(),
+              checker.violationCount(),
               mutation + " also violates " + checker.rule() + ": " + violationsOf(broken));
         }
       }
@@ -157,14 +157,14 @@
     scenario.faults.add(new Fault(Kind.NODE_KILL, 9000, 1000, 1, 0, 1));
     int[] lost = {0};
     RunResult result =
-        play(
+        run(
             scenario,
             2,
             "module",
             Mutation.NONE,
             new Observer() {
               @Override
-              public void lost(double now, Request request, String why) {
+              public void requestLost(double now, Request request, String why) {
                 lost[0]++;
               }
             });
@@ -176,33 +176,33 @@
   }
 
   @Test
-  void answerAfterRetryIsStrayAndNoViolation() {
+  void answerAfterRetryIsLateAndNoViolation() {
     Scenario scenario = smallScenario();
     scenario.workload.impatient = 0.5;
     scenario.network.client = 40;
-    int[] strays = {0};
+    int[] lateAnswers = {0};
     int[] retries = {0};
     for (long seed = 1; seed <= 6; seed++) {
       RunResult result =
-          play(
+          run(
               scenario,
               seed,
               "module",
               Mutation.NONE,
               new Observer() {
                 @Override
-                public void stray(double now, Request request, Answer answer) {
-                  strays[0]++;
+                public void lateAnswer(double now, Request request, Answer answer) {
+                  lateAnswers[0]++;
                 }
 
                 @Override
-                public void due(double now, Request request) {
+                public void requestDue(double now, Request request) {
                   retries[0] += request.first == request ? 0 : 1;
                 }
               });
       assertEquals("", violationsOf(result));
     }
-    assertTrue(strays[0] > 0, "no answer arrived after its client had given up");
+    assertTrue(lateAnswers[0] > 0, "no answer arrived after its client had given up");
     assertTrue(retries[0] > 0);
   }
 
@@ -216,21 +216,21 @@
     List<Double> timeouts = new ArrayList<>();
     for (long seed = 1; seed <= 6; seed++) {
       RunResult result =
-          play(
+          run(
               scenario,
               seed,
               "module",
               Mutation.NONE,
               new Observer() {
                 @Override
-                public void attemptOver(
+                public void attemptEnded(
                     double now,
                     int node,
                     EmulatedWorker worker,
                     Request request,
                     AttemptOutcome outcome) {
                   if (outcome == AttemptOutcome.TIMEOUT) {
-                    timeouts.add(now - VirtualRun.START);
+                    timeouts.add(now - VirtualRun.START_MILLIS);
                   }
                 }
               });
@@ -247,14 +247,14 @@
       List<String> seen = new ArrayList<>();
       Scenario scenario = smallScenario();
       scenario.duration = 5000;
-      play(
+      run(
           scenario,
           11,
           policy,
           Mutation.NONE,
           new Observer() {
             @Override
-            public void due(double now, Request request) {
+            public void requestDue(double now, Request request) {
               if (request.first == request) {
                 seen.add(now + " " + request.jobClass + " " + request.tenant + " " + request.work);
               }
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -17,11 +17,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Computes the metrics of one run from the events of the emulator. Goodput is the worth served
- * within the latency objective of each class, divided by the worth requested in first tries. The
- * answer to a retry counts for its first try, and latency is measured from the time at which the
- * first try was due. A late answer counts for {@link ClassSpec#lateWorth} of its worth. Times are
- * in milliseconds.
+ * Computes the metrics of one run from the events of the emulator. Goodput is the value served
+ * within the latency objective of each class, divided by the value of all first requests. The
+ * answer to a retry counts for its first request, and latency is measured from the time at which
+ * the first request was due. A late answer counts for {@link ClassSpec#lateWorth} of its value.
+ * Times are in milliseconds.
  */
 public final class Statistics implements Observer {
   /** The minimum width of a window of the time series; shorter runs have windows of this width. */
@@ -46,11 +46,11 @@
   private final double[] requestedByTenant;
   private final double[] servedByTenant;
   private final Map<Answer, Long> answers = new EnumMap<>(Answer.class);
-  private long firstTries;
-  private long tries;
-  private long inTime;
+  private long firstRequestCount;
+  private long requestCount;
+  private long onTimeCount;
   private long attempts;
-  private long strays;
+  private long lateAnswers;
   private long lost;
   private double usefulWork;
   private double sentWork;
@@ -60,7 +60,7 @@
     double served;
     long refused;
     long retries;
-    long tries;
+    long requests;
     double depthSum;
     long depthSamples;
     final Map<Integer, Double> slices = new LinkedHashMap<>();
@@ -95,24 +95,24 @@
   }
 
   @Override
-  public void due(double now, Request request) {
+  public void requestDue(double now, Request request) {
     if (Double.isNaN(start)) {
       start = now;
     }
-    tries++;
-    window(now).tries++;
+    requestCount++;
+    window(now).requests++;
     if (request.first != request) {
       window(now).retries++;
       return;
     }
-    firstTries++;
-    window(now).requested += request.worth;
-    requestedByClass[request.jobClass] += request.worth;
-    requestedByTenant[request.tenant] += request.worth;
+    firstRequestCount++;
+    window(now).requested += request.value;
+    requestedByClass[request.jobClass] += request.value;
+    requestedByTenant[request.tenant] += request.value;
   }
 
   @Override
-  public void ended(double now, Request request, Answer answer) {
+  public void requestEnded(double now, Request request, Answer answer) {
     answers.merge(answer, 1L, Long::sum);
     if (answer == Answer.REFUSED) {
       window(now).refused++;
@@ -124,28 +124,28 @@
     long latencyMicros =
         Math.min(MAX_LATENCY_MICROS, Math.max(1, Math.round(latencyMillis * 1000)));
     latency.recordValue(latencyMicros);
-    Window due = window(request.first.due);
-    due.latency.recordValue(latencyMicros);
+    Window arrivalWindow = window(request.first.due);
+    arrivalWindow.latency.recordValue(latencyMicros);
     ClassSpec jobClass = scenario.workload.classes.get(request.jobClass);
     boolean onTime =
         latencyMillis
             <= Math.min(jobClass.aim + jobClass.stretch * request.work, jobClass.deadline);
-    double servedWorth = request.worth * (onTime ? 1 : jobClass.lateWorth);
-    inTime += onTime ? 1 : 0;
+    double servedValue = request.value * (onTime ? 1 : jobClass.lateWorth);
+    onTimeCount += onTime ? 1 : 0;
     usefulWork += request.work;
-    due.served += servedWorth;
-    servedByClass[request.jobClass] += servedWorth;
-    servedByTenant[request.tenant] += servedWorth;
+    arrivalWindow.served += servedValue;
+    servedByClass[request.jobClass] += servedValue;
+    servedByTenant[request.tenant] += servedValue;
   }
 
   @Override
-  public void sent(double now, int node, EmulatedWorker worker, Request request) {
+  public void attemptSent(double now, int node, EmulatedWorker worker, Request request) {
     attempts++;
     sentWork += request.work;
   }
 
   @Override
-  public void attemptOver(
+  public void attemptEnded(
       double now, int node, EmulatedWorker worker, Request request, AttemptOutcome outcome) {
     if (outcome.neverRan && outcome != AttemptOutcome.NEVER_SENT) {
       sentWork -= outcome == AttemptOutcome.FULL ? request.work : 0;
@@ -153,22 +153,22 @@
   }
 
   @Override
-  public void stray(double now, Request request, Answer answer) {
-    strays++;
+  public void lateAnswer(double now, Request request, Answer answer) {
+    lateAnswers++;
   }
 
   @Override
-  public void lost(double now, Request request, String why) {
+  public void requestLost(double now, Request request, String reason) {
     lost++;
   }
 
   @Override
-  public void slice(double now, int node, double slots) {
+  public void sliceSampled(double now, int node, double slots) {
     window(now).slices.put(node, slots);
   }
 
   @Override
-  public void depth(double now, EmulatedWorker worker, int running, int waiting) {
+  public void queueSampled(double now, EmulatedWorker worker, int running, int waiting) {
     Window window = window(now);
     window.depthSum += waiting;
     window.depthSamples++;
@@ -181,7 +181,7 @@
     return window;
   }
 
-  /** Returns the share of the requested worth that was served in time, 1 if none was requested. */
+  /** Returns the share of the requested value that was served in time, 1 if none was requested. */
   public double goodput() {
     double requested = Arrays.stream(requestedByClass).sum();
     return requested == 0 ? 1 : Arrays.stream(servedByClass).sum() / requested;
@@ -196,15 +196,15 @@
     metrics.put("p50 ms", latency.getValueAtPercentile(50) / 1000.0);
     metrics.put("p90 ms", latency.getValueAtPercentile(90) / 1000.0);
     metrics.put("p99 ms", latency.getValueAtPercentile(99) / 1000.0);
-    metrics.put("first tries", (double) firstTries);
-    metrics.put("retries", (double) (tries - firstTries));
-    metrics.put("in time", (double) inTime);
+    metrics.put("first tries", (double) firstRequestCount);
+    metrics.put("retries", (double) (requestCount - firstRequestCount));
+    metrics.put("in time", (double) onTimeCount);
     for (Answer answer : Answer.values()) {
       metrics.put(Section.toKebabCase(answer.name()), (double) answers.getOrDefault(answer, 0L));
     }
-    metrics.put("attempts a try", tries == 0 ? 0 : (double) attempts / tries);
+    metrics.put("attempts a try", requestCount == 0 ? 0 : (double) attempts / requestCount);
     metrics.put("wasted work", sentWork <= 0 ? 0 : Math.max(0, 1 - usefulWork / sentWork));
-    metrics.put("strays", (double) strays);
+    metrics.put("strays", (double) lateAnswers);
     metrics.put("lost by the emulator", (double) lost);
     return metrics;
   }
@@ -243,7 +243,7 @@
     put(series, "p99 ms", window -> percentile(window, 99));
     put(series, "refused", window -> window.refused);
     put(series, "retries", window -> window.retries);
-    put(series, "tries", window -> window.tries);
+    put(series, "tries", window -> window.requests);
     put(
         series,
         "queue depth",
--- a/node/src/main/java/ferngrade/simulator/SimulatorHost.java
+++ b/node/src/main/java/ferngrade/simulator/SimulatorHost.java
@@ -28,7 +28,7 @@
   private final WireReader in;
   private final WireWriter out;
   private final Map<String, HostedInstance> instances = new HashMap<>();
-  private final List<List<Worker>> lists = new ArrayList<>();
+  private final List<List<Worker>> endpointLists = new ArrayList<>();
   private HostedInstance instance;
   private double now;
 
@@ -46,7 +46,7 @@
     this.in = new WireReader(in);
     this.out = new WireWriter(out);
     for (int i = 0; i < MAX_LISTS; i++) {
-      lists.add(null);
+      endpointLists.add(null);
     }
   }
 
@@ -88,7 +88,7 @@
           instances.computeIfAbsent(
               in.text("Who"), name -> new HostedInstance(out.new InstanceActions(name)));
     } else if (message.equals("CENSUS")) {
-      census();
+      readEndpointList();
     } else {
       if (instance == null) {
         throw in.malformed(message + " before any ON");
@@ -99,7 +99,7 @@
         throw malformed;
       } catch (RuntimeException crash) {
         StackTraceElement[] trace = crash.getStackTrace();
-        instance.actions.bailOut(
+        instance.actions.reportCrash(
             message + ": " + crash + (trace.length > 0 ? " at " + trace[0] : ""));
       }
     }
@@ -109,18 +109,18 @@
     switch (message) {
       case "CONFIGURE" -> configure();
       case "HALT" -> instance.dispatcher = null;
-      case "INGRESS" -> ingress();
-      case "UPDATE_OF" -> update();
-      case "RESOLVED" -> resolved();
+      case "INGRESS" -> requestArrived();
+      case "UPDATE_OF" -> attemptUpdated();
+      case "RESOLVED" -> attemptEnded();
       case "BEGUN" -> {
         String id = in.text("Id");
-        dispatcher().streaming(now, id, in.nonNegativeInt("N"));
+        dispatcher().attemptStreaming(now, id, in.nonNegativeInt("N"));
       }
-      case "GONE" -> dispatcher().abandoned(now, in.text("Id"));
-      case "REMINDER" -> dispatcher().timer(now, in.integer("Token"));
-      case "MEMBERS" -> members();
-      case "HEARD" -> peerMessage();
-      case "SAMPLED" -> sampled();
+      case "GONE" -> dispatcher().requestAbandoned(now, in.text("Id"));
+      case "REMINDER" -> dispatcher().timerExpired(now, in.integer("Token"));
+      case "MEMBERS" -> endpointsUpdated();
+      case "HEARD" -> peerMessageReceived();
+      case "SAMPLED" -> healthCheckCompleted();
       default -> {}
     }
   }
@@ -145,39 +145,40 @@
     }
   }
 
-  private void ingress() {
+  private void requestArrived() {
     String id = in.text("Id");
     int jobClass = in.nonNegativeInt("Class");
     int tenant = (int) in.integer("Customer", 0);
     long object = in.integer("TargetKey", 0);
-    double due = in.number("Due");
+    double deadline = in.number("Due");
     double work = in.number("Predicted", 0);
     double slots = in.number("CoresNeeded", 1);
     double memory = in.number("Memory", 0);
     long flags = in.integer("Attrs", 0);
     try {
       Job job =
-          new Job(id, jobClass, tenant, due, (flags & 1) == 0 ? 0 : work, slots, memory, object);
-      dispatcher().arrived(now, job);
+          new Job(
+              id, jobClass, tenant, deadline, (flags & 1) == 0 ? 0 : work, slots, memory, object);
+      dispatcher().requestArrived(now, job);
     } catch (IllegalArgumentException invalid) {
       throw in.malformed("fields", invalid.getMessage());
     }
   }
 
-  private void update() {
+  private void attemptUpdated() {
     String id = in.text("Id");
     int attempt = in.nonNegativeInt("N");
     in.integer("Runner");
     long sort = in.integer("Sort", 0);
     double level = in.number("Level", 0);
     if (sort == 1) {
-      dispatcher().started(now, id, attempt);
+      dispatcher().attemptStarted(now, id, attempt);
     } else if (sort == 2) {
-      dispatcher().progressed(now, id, attempt, level);
+      dispatcher().attemptProgressed(now, id, attempt, level);
     }
   }
 
-  private void resolved() {
+  private void attemptEnded() {
     String id = in.text("Id");
     in.integer("Runner");
     in.integer("Note", 0);
@@ -185,13 +186,13 @@
     AttemptOutcome outcome = outcome();
     double durationMillis = in.number("TimeTaken", 0);
     boolean finalOutcome = in.flag("Over");
-    dispatcher().ended(now, id, attempt, outcome, durationMillis, finalOutcome, report());
+    dispatcher().attemptEnded(now, id, attempt, outcome, durationMillis, finalOutcome, report());
   }
 
-  private void sampled() {
+  private void healthCheckCompleted() {
     long worker = in.integer("Runner");
     AttemptOutcome outcome = outcome();
-    dispatcher().checked(now, worker, outcome, in.number("TimeTaken", 0), report());
+    dispatcher().healthCheckCompleted(now, worker, outcome, in.number("TimeTaken", 0), report());
   }
 
   private AttemptOutcome outcome() {
@@ -217,7 +218,7 @@
     double slots = Double.NaN;
     double memory = Double.NaN;
     double queued = Double.NaN;
-    double held = Double.NaN;
+    double jobs = Double.NaN;
     for (String pair : gauge.split(",", 0)) {
       int colon = pair.indexOf(':');
       String name = pair.substring(0, Math.max(colon, 0));
@@ -225,11 +226,11 @@
         case "x0" -> slots = gaugeValue(pair, colon);
         case "x1" -> memory = gaugeValue(pair, colon);
         case "pending" -> queued = gaugeValue(pair, colon);
-        case "busy_reqs" -> held = gaugeValue(pair, colon);
+        case "busy_reqs" -> jobs = gaugeValue(pair, colon);
         default -> {}
       }
     }
-    return new LoadReport(slots, memory, queued, held);
+    return new LoadReport(slots, memory, queued, jobs);
   }
 
   private double gaugeValue(String pair, int colon) {
@@ -240,7 +241,7 @@
     }
   }
 
-  private void census() throws IOException {
+  private void readEndpointList() throws IOException {
     int listNumber = listNumber();
     int count = in.nonNegativeInt("Hosts");
     List<Worker> workers = new ArrayList<>(Math.min(count, 4096));
@@ -251,12 +252,12 @@
       double startedAt = in.number("ReadyAt", 0);
       WorkerState state = state(in.text("Status"));
       int cell = (int) in.integer("Cohort", 0);
-      int kind = (int) in.integer("Kind", 0);
+      int workerType = (int) in.integer("Kind", 0);
       long id = in.integer("Runner");
       int zone = (int) in.integer("Area", 0);
-      workers.add(new Worker(id, state, zone, kind, cell, startedAt, in.number("Weight", 1)));
+      workers.add(new Worker(id, state, zone, workerType, cell, startedAt, in.number("Weight", 1)));
     }
-    lists.set(listNumber, workers);
+    endpointLists.set(listNumber, workers);
   }
 
   private WorkerState state(String text) {
@@ -276,11 +277,11 @@
     return listNumber;
   }
 
-  private void members() {
+  private void endpointsUpdated() {
     String mode = in.text("Mode");
     in.integer("Version", 0);
     if (mode.equals("Error")) {
-      dispatcher().listFailed(now);
+      dispatcher().endpointWatchFailed(now);
       return;
     }
     EndpointListUpdate updateType =
@@ -290,18 +291,20 @@
           case "Persisted" -> EndpointListUpdate.STORED;
           default -> throw in.malformed("Mode", "is unknown: " + mode);
         };
-    List<Worker> workers = lists.get(listNumber());
+    List<Worker> workers = endpointLists.get(listNumber());
     if (workers == null) {
       throw in.malformed("Ref", "names a list that was never sent");
     }
-    dispatcher().members(now, updateType, workers);
+    dispatcher().endpointsUpdated(now, updateType, workers);
   }
 
-  private void peerMessage() {
+  private void peerMessageReceived() {
     int from = in.nonNegativeInt("Author");
     String body = in.text();
     try {
-      dispatcher().heard(now, from, body == null ? new byte[0] : Base64.getDecoder().decode(body));
+      dispatcher()
+          .peerMessageReceived(
+              now, from, body == null ? new byte[0] : Base64.getDecoder().decode(body));
     } catch (IllegalArgumentException notBase64) {
       throw in.malformed("Body", "is not base64");
     }
--- a/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
@@ -70,21 +70,21 @@
             new Class<?>[] {Dispatcher.class},
             (proxy, method, arguments) -> {
               switch (method.getName()) {
-                case "members" -> {
+                case "endpointsUpdated" -> {
                   workers.clear();
                   ((List<?>) arguments[2]).forEach(entry -> workers.add(((Worker) entry).id()));
                 }
-                case "arrived" -> sendRequest(((Job) arguments[1]).id(), actions);
-                case "ended" -> {
+                case "requestArrived" -> sendRequest(((Job) arguments[1]).id(), actions);
+                case "attemptEnded" -> {
                   if (arguments[3] == AttemptOutcome.NEVER_SENT) {
-                    actions.refuse((String) arguments[1], 0);
+                    actions.reject((String) arguments[1], 0);
                   }
                   if (cause == Cause.DECLINED_ATTEMPT && arguments[3] == AttemptOutcome.FULL) {
                     blockLoop();
                     actions.send("a", workers.get(0), 0);
                   }
                 }
-                case "timer" -> {
+                case "timerExpired" -> {
                   blockLoop();
                   actions.send("a", workers.get(1), 0);
                 }
@@ -101,7 +101,7 @@
     }
     actions.send(id, workers.get(hedged && id.equals("b") ? 1 : 0), 0);
     if (id.equals("a") && hedged) {
-      actions.timer(100, 1);
+      actions.scheduleTimer(100, 1);
     }
   }
 
