--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -19,9 +19,9 @@
 /**
  * Computes the metrics of one run from the events of the emulator. Goodput is the value served
  * within the latency objective of each class, divided by the value of all first requests. The
- * answer to a retry counts for its first request, and latency is measured from the time at which
- * the first request was due. A late answer counts for {@link ClassSpec#lateWorth} of its value.
- * Times are in milliseconds.
+ * answer to a retry counts as the answer to its first request, and latency is measured from the
+ * time at which the first request was due. A late answer counts for {@link ClassSpec#lateWorth} of
+ * its value. Times are in milliseconds.
  */
 public final class Statistics implements Observer {
   /** The minimum width of a window of the time series; shorter runs have windows of this width. */
--- a/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
+++ b/experiment/src/test/java/ferngrade/experiment/GraphCommandTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against a wrong spectrum of the peer graph, and against links that are not mutual. */
 class GraphCommandTest {
   @Test
   void smallTierHasTheSpectrumOfACompleteGraph() {
@@ -24,7 +25,11 @@
         for (int peer : GraphCommand.peersOf(node, nodes)) {
           assertTrue(
               GraphCommand.peersOf(peer, nodes).contains(node),
-              "node " + peer + " does not send to node " + node + " in a tier of " + nodes);
+              node
+                  + " sends to "
+                  + peer
+                  + ", which sends nothing back, in a tier of size "
+                  + nodes);
         }
       }
     }
