--- a/dispatch/src/main/java/ferngrade/dispatch/BudgetDiffusion.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/BudgetDiffusion.java
@@ -67,8 +67,9 @@
 
   /**
    * Returns the part of the local demand that fits if this dispatcher and its peers pool their
-   * slots. Counting the whole demand would starve small dispatchers: in a deep overload every slice
-   * shrinks by the same amount, which may exceed the whole demand of a small dispatcher.
+   * slots. The demand beyond that part must not count: in a deep overload every slice would then
+   * shrink by the same amount. That amount may exceed the whole demand of a small dispatcher, which
+   * would starve.
    */
   private double pooledDemand(double slice) {
     double pooledSlots = slice;
--- a/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
@@ -23,7 +23,7 @@
 
   /**
    * Number of requests admitted beyond the budget per cycle and core, independent of completed
-   * requests, so that the first ones are admitted.
+   * requests, so that requests are admitted even before any has completed.
    */
   private static final double ADMITTED_PER_CORE = 2.5;
 
--- a/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
@@ -8,12 +8,18 @@
  * responding. Times are milliseconds. Event thread only.
  */
 final class OutlierDetector {
-  /** Duration of the first and of the longest ejection of a failing worker. */
+  /**
+   * Duration of the first ejection of a failing worker. Each further ejection is twice as long, up
+   * to {@link #MAX_EJECTION_MS}.
+   */
   private static final double MIN_EJECTION_MS = 1000;
 
   private static final double MAX_EJECTION_MS = 16_000;
 
-  /** Duration of the first and of the longest ejection of a worker for one class. */
+  /**
+   * Duration of the first ejection of a worker for one class. Each further ejection is twice as
+   * long, up to {@link #MAX_CLASS_EJECTION_MS}.
+   */
   private static final double MIN_CLASS_EJECTION_MS = 8000;
 
   private static final double MAX_CLASS_EJECTION_MS = 32_000;
@@ -80,7 +86,10 @@
         worker.classEjectedUntil[jobClass], Math.max(worker.backoffUntil, worker.ejectedUntil));
   }
 
-  /** Records an attempt sent to the worker, to which its zone is expected to respond. */
+  /**
+   * Records an attempt sent to the worker. From then on the detector expects a response from the
+   * worker's zone.
+   */
   void attemptSent(WorkerStats worker, int jobClass, double now) {
     // After a class ejection a single job at a time tests whether the worker runs the class again.
     worker.classEjectedUntil[jobClass] =
@@ -137,8 +146,8 @@
   }
 
   /**
-   * Holds back jobs from a worker without free memory, and from one without free slots if it does
-   * not report the number of jobs that it holds.
+   * Holds back jobs from a worker that reports no free memory. A worker that reports no free slots
+   * is treated alike, unless it also reports the number of its jobs.
    */
   void reportReceived(WorkerStats worker, LoadReport report, double now) {
     if (report.freeMemory() <= 0 || (Double.isNaN(report.jobs()) && report.freeSlots() < 1)) {
--- a/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RetryPolicy.java
@@ -9,8 +9,8 @@
   private final double eventBatchIntervalMs;
 
   /**
-   * Creates a policy. {@code eventBatchIntervalMs} is the time between batches of events, by which
-   * decisions are made ahead of each deadline.
+   * Creates a policy. {@code eventBatchIntervalMs} is the time between batches of events. Decisions
+   * are made earlier by this time, because the next batch may arrive after the deadline.
    */
   RetryPolicy(DeploymentLimits limits, double eventBatchIntervalMs) {
     this.limits = limits;
@@ -61,9 +61,9 @@
   }
 
   /**
-   * Returns the attempt whose idempotency group all further attempts must stay in, which is the
-   * first attempt that may have run a request with an idempotency key. Null if the request may go
-   * to any group.
+   * Returns the first attempt that may have run the job, if the request has an idempotency key that
+   * only one group of workers shares. All further attempts must stay in the group of that attempt.
+   * Returns null if the request may go to any group.
    */
   Attempt groupAttempt(PendingRequest request) {
     boolean keyedWithinGroup =
--- a/dispatch/src/main/java/ferngrade/dispatch/ServiceTimeEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ServiceTimeEstimator.java
@@ -64,7 +64,7 @@
     return request.job.work() > 0 ? request.job.work() : classMean > 0 ? classMean : mean;
   }
 
-  /** Returns the job's expected time on this worker. */
+  /** Returns the time in ms that the job is expected to run on this worker. */
   double timeAt(PendingRequest request, WorkerStats worker) {
     return standardTime(request)
         * (worker.completedJobs > 0 ? worker.slowness : worker.group.slowness);
--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -141,7 +141,7 @@
   /**
    * Counts an attempt as rejected if it has not started by its start deadline, because a worker
    * with a long queue rejects attempts too late. The attempt is counted at the deadline and not at
-   * its start: until the start, the queue would keep growing for as long again.
+   * its start, because the queue would keep growing until the start.
    */
   void startDeadlinePassed(Attempt attempt) {
     if (attempt.inFlight() && !attempt.hasStarted() && sentSinceLastCut(attempt)) {
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -76,8 +76,8 @@
 
   /**
    * Sets the number of concurrent processes of the dispatcher and the zero-based number of this
-   * one. Each process gets the grants of a separate dispatcher in a fleet that is larger by this
-   * factor. All accounts are reopened.
+   * one. Each process gets the grants that a dispatcher would get in a fleet with {@code count}
+   * times as many dispatchers. All accounts are reopened.
    */
   void setProcesses(int count, int index) {
     processCount = count;
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
@@ -52,8 +52,8 @@
   // IdleCapacity: the time at which the worker last rejected an attempt.
   double rejectedAt = Double.NEGATIVE_INFINITY;
 
-  // OutlierDetector: the times before which the worker receives no jobs, and the duration of the
-  // last ejection in ms.
+  // OutlierDetector: the end of the last backoff and the end of the last ejection, before which the
+  // worker receives no jobs, and the duration of the last ejection in ms.
   double backoffUntil = Double.NEGATIVE_INFINITY;
   double ejectedUntil = Double.NEGATIVE_INFINITY;
   double ejectionMs;
--- a/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
@@ -63,7 +63,7 @@
 
   /**
    * Runs a budget cycle with the requests spread over it, and returns the number of rejected
-   * requests.
+   * requests. If {@code late} is true, every job passes its start deadline.
    */
   private int runCycle(int requests, boolean late) {
     int rejectedBefore = actions.rejected.size();
--- a/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/LoadTest.java
@@ -49,8 +49,9 @@
   }
 
   /**
-   * Runs {@code count} budget cycles of half a second. Each begins with an update of the endpoint
-   * list, and {@code jobs} jobs arrive and end in it. Returns the number of rejected jobs.
+   * Runs {@code count} budget cycles of half a second. Each cycle begins with an update of the
+   * endpoint list; {@code jobs} jobs arrive and end within the cycle. Returns the number of
+   * rejected jobs.
    */
   private int runCycles(int count, int jobs) {
     int rejectedBefore = actions.rejected.size();
--- a/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ObjectAffinityTest.java
@@ -198,8 +198,8 @@
   }
 
   /**
-   * Returns the share of each class that is admitted of 40 jobs each, which are offered at several
-   * times the slice.
+   * Offers 40 jobs of each class, at several times the rate of the slice, and returns the admitted
+   * share of each class.
    */
   private double[] admittedShares(ServiceObjective objective) {
     List<JobClass> classes =
--- a/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -56,7 +56,7 @@
       dispatcher.requestArrived(10 + i, Fixture.job("r" + i, 0, 5_000));
     }
     assertEquals(100, actions.sends.size());
-    // No job has started at the hedging delay of the first attempt, nor at that of the second.
+    // The hedging delays of the first and second attempts expire before any job has started.
     for (int i = 0; i < actions.timers.size(); i++) {
       if (actions.timers.get(i)[1] >= 16) {
         dispatcher.timerExpired(200, actions.timers.get(i)[1]);
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -22,8 +22,8 @@
   private static final long RESTARTED_ID = 0;
 
   /**
-   * Ratio of the traffic after the restart to that before it. The traffic queues up, so the
-   * restarted worker is the only idle one.
+   * Ratio of the traffic after the restart to that before it. Traffic at this rate queues up at the
+   * other workers, so the restarted worker is the only idle one.
    */
   private static final double BURST_FACTOR = 2.5;
 
@@ -264,8 +264,8 @@
   private static final SlowStartPolicy STRICT_POLICY = new SlowStartPolicy(0.2, 20_000, 1.5, 3_000);
 
   /**
-   * A policy whose limit is less than one request of mean work per window, for the duration of
-   * these tests.
+   * A policy under which the limit of a worker that is warming up stays below one request of mean
+   * work per window until a test ends.
    */
   private static final SlowStartPolicy TINY_POLICY = new SlowStartPolicy(0.01, 600_000, 1.5, 3_000);
 
--- a/node/src/main/java/ferngrade/cli/Rehearsal.java
+++ b/node/src/main/java/ferngrade/cli/Rehearsal.java
@@ -18,8 +18,8 @@
  */
 final class Rehearsal implements AutoCloseable {
   /**
-   * The deadline of the first job, ms. A job without an outcome reaches it within the read timeout
-   * of the connection.
+   * The deadline of the first job, ms. If the worker reports no outcome, the node answers at this
+   * deadline, which is shorter than the read timeout of the connection.
    */
   private static final int SHORT_DEADLINE_MILLIS = 300;
 
--- a/node/src/main/java/ferngrade/discovery/Discovery.java
+++ b/node/src/main/java/ferngrade/discovery/Discovery.java
@@ -6,8 +6,9 @@
 /**
  * Watches the worker list at an address that may change while the node runs. After a change, the
  * last list and the watch that it came from stay in use until the new address has sent a whole
- * list, because the old address may still send changes. From then on only the new address counts,
- * whatever its revisions are: they may start from a different number.
+ * list, because the old address may still send changes. From then on only lists from the new
+ * address are used, even with lower revision numbers, since the new address may number its
+ * revisions independently.
  */
 public final class Discovery {
   private final BiFunction<InetSocketAddress, Runnable, DiscoveryWatch> opener;
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -253,8 +253,8 @@
   }
 
   /**
-   * Handles an expired timer. An event loop that was blocked may have data left to read, which
-   * restarts the timer.
+   * Handles an expired timer. If the event loop was blocked, data may have arrived that is not read
+   * yet. Reading that data restarts the timer and prevents the timeout.
    */
   private void timerExpired(Runnable onTimeout) {
     Timers.Timer expired = inactivityTimer;
@@ -330,7 +330,7 @@
         .forEach(fault -> log.line("list entry", "discovery listed an unusable worker: " + fault));
     if (wholeListReceived && !wholeListNeeded && list.revision() < revision) {
       // Either a replica lags or discovery has restarted its numbering. The whole list, requested
-      // without a revision, settles which.
+      // without a revision, shows which of the two is the case.
       wholeListNeeded = true;
       log.line("list", "discovery sent revision " + list.revision() + " after " + revision);
       closeConnection();
--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -14,8 +14,8 @@
   private final ArrivalClock arrivals;
 
   /**
-   * The maximum number of connections that one read of the listener accepts; after that many, more
-   * may be waiting.
+   * The maximum number of connections that one read of the listener accepts. After a read that
+   * accepts this number, further connections may still be waiting.
    */
   private final IntSupplier acceptsAtOnce;
 
--- a/node/src/main/java/ferngrade/http/ArrivalClock.java
+++ b/node/src/main/java/ferngrade/http/ArrivalClock.java
@@ -23,8 +23,8 @@
   private double previousSelectedAt;
 
   /**
-   * True if this turn blocked in select because nothing was ready; the bytes it reads then arrived
-   * when it began to work.
+   * True if this turn blocked in select because nothing was ready. The bytes that the turn reads
+   * then arrived no earlier than the start of its work.
    */
   private boolean blocked;
 
--- a/node/src/main/java/ferngrade/http/ClientRequestHandler.java
+++ b/node/src/main/java/ferngrade/http/ClientRequestHandler.java
@@ -68,10 +68,11 @@
 
   /**
    * Handles a worker's callback. While several processes share the client socket, a callback for a
-   * job that this process never had is relayed to the other processes. If no process answers for
-   * it, the response is 503 and closes the connection, so that the worker's retry arrives on a new
-   * connection, which another process may accept. If no other process runs, no process waits for
-   * the callback, and the worker does not have to send it again.
+   * job that this process never had is relayed to the other processes. If a process does not
+   * answer, or a process with an unknown address may be running, the response is 503 and closes the
+   * connection. The worker's retry then arrives on a new connection, which another process may
+   * accept. In all other cases the response is 204, so that the worker does not send the callback
+   * again: a process has taken the callback, or no process waits for it.
    */
   private void callback(ClientConnection connection, WorkerCallback callback, String body) {
     if (frontend.upgradePeers() != null && !coordinator.isKnownRequest(callback.id())) {
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -11,10 +11,11 @@
 
 /**
  * Pools the connections to workers and limits their number. A connection that has been idle for a
- * part of the workers' idle limit is closed: a worker closes it at the limit, and a job written at
- * that moment would be reset, leaving it unknown whether the job ran. Some workers' machines close
- * idle connections much earlier than configured. When a worker closes a connection, the pool keeps
- * the next connections to that worker idle for at most half the time that the closed one lasted.
+ * part of the workers' idle limit is closed: a worker closes the connection at the limit, and if a
+ * job is written at that moment, the connection is reset and it is unknown whether the job ran.
+ * Some workers' machines close idle connections much earlier than configured. When a worker closes
+ * a connection, the pool keeps the next connections to that worker idle for at most half the time
+ * that the closed one lasted.
  */
 public final class ConnectionPool {
   /** The share of the workers' idle limit after which an idle connection is closed. */
@@ -65,7 +66,7 @@
   /**
    * Returns the most recently used idle connection that is usable, or null if there is none. The
    * connection is read first: the event loop may not have noticed yet that the worker has closed
-   * it, and a job written to it would be reset.
+   * it, and writing a job to a closed connection fails with a reset.
    */
   WorkerConnection take(InetSocketAddress worker) {
     Deque<WorkerConnection> pooled = idle.get(worker);
--- a/node/src/main/java/ferngrade/http/ConnectionTable.java
+++ b/node/src/main/java/ferngrade/http/ConnectionTable.java
@@ -29,9 +29,9 @@
   private static final double SWEEP_INTERVAL_MILLIS = 250;
 
   /**
-   * The share of the connection limit that is kept free for new connections, but no more than one
-   * read of the listener accepts. While less is free, idle untrusted connections have no grace
-   * period.
+   * The share of the connection limit that is kept free for new connections. The reserve is at most
+   * the number of connections that one read of the listener accepts. While less capacity is free,
+   * idle untrusted connections have no grace period.
    */
   private static final double RESERVED_SHARE = 0.25;
 
--- a/node/src/main/java/ferngrade/http/HttpFrontend.java
+++ b/node/src/main/java/ferngrade/http/HttpFrontend.java
@@ -35,8 +35,8 @@
   private static final int LISTEN_BACKLOG = 1024;
 
   /**
-   * The sizes of the buffer for one read, in bytes. A connection may hold one such buffer
-   * undecoded.
+   * The minimum size of the buffer for one read, in bytes; the initial and the maximum size follow.
+   * A connection may hold one such buffer undecoded.
    */
   private static final int MIN_READ_BUFFER_BYTES = 64;
 
--- a/node/src/main/java/ferngrade/http/PipelinedRequests.java
+++ b/node/src/main/java/ferngrade/http/PipelinedRequests.java
@@ -26,9 +26,9 @@
   }
 
   /**
-   * One queued request, which is null unless it is to be handled, and the earliest time at which it
-   * may have arrived on this machine, in ms on the node's clock. The request's deadline counts from
-   * that time.
+   * One entry of the queue: the action, the request, which is null unless the action handles it,
+   * and the earliest time at which it may have arrived on this machine, in ms on the node's clock.
+   * The request's deadline counts from that time.
    */
   record Entry(Action action, FullHttpRequest request, double arrivedAt) {
     private int bytes() {
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Queues a request and takes over its reference. Returns false, and does neither, if there is no
-   * capacity.
+   * Queues a request and takes over its reference. If there is no capacity, returns false and
+   * leaves the reference to the caller.
    */
   boolean add(FullHttpRequest request, double arrivedAt) {
     boolean accepted =
--- a/node/src/main/java/ferngrade/http/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -49,8 +49,8 @@
   private static final double READ_MILLIS = 100;
 
   /**
-   * The last part of the time for reading, left to clients whose partially received request was
-   * rejected, in ms.
+   * The time before the end of the budget at which partially received requests are rejected, in ms,
+   * so that their clients can read the rejection.
    */
   static final double READ_REJECTION_MILLIS = 50;
 
--- a/node/src/main/java/ferngrade/node/JobRequest.java
+++ b/node/src/main/java/ferngrade/node/JobRequest.java
@@ -2,7 +2,7 @@
 
 /**
  * A client's request as it is forwarded to a worker; every part is forwarded unchanged. {@code
- * idempotencyKey} is the idempotency key, null if the client sent none.
+ * idempotencyKey} is null if the client sent none.
  */
 public record JobRequest(
     String id, String method, String target, String idempotencyKey, byte[] body) {}
--- a/node/src/main/java/ferngrade/node/LoopMonitor.java
+++ b/node/src/main/java/ferngrade/node/LoopMonitor.java
@@ -24,7 +24,7 @@
 
   /**
    * The longest turn or timer delay since the last sample, in ms. {@link #longestBeforeSample} is
-   * the one between the two samples before.
+   * the longest between the last two samples.
    */
   private double longestSinceSample;
 
--- a/node/src/main/java/ferngrade/node/RequestCoordinator.java
+++ b/node/src/main/java/ferngrade/node/RequestCoordinator.java
@@ -289,8 +289,8 @@
   }
 
   /**
-   * Puts the stored endpoint list into effect, because discovery has not answered within the time
-   * that it takes when it is reachable.
+   * Puts the stored endpoint list into effect, because discovery has not answered within its usual
+   * response time.
    */
   public void discoveryUnresponsive() {
     endpoints.useStored();
@@ -382,8 +382,8 @@
   }
 
   /**
-   * Informs the dispatcher that this process accepts no more requests, so that it leaves the
-   * capacity grants for workers that warm up to other processes.
+   * Informs the dispatcher that this process accepts no more requests, so that the other processes
+   * of the node can use its capacity grants for workers that are warming up.
    */
   public void stopAccepting() {
     turns.event(() -> dispatcher.drainingStarted(clock.now()));
--- a/node/src/main/java/ferngrade/node/ResponseHandler.java
+++ b/node/src/main/java/ferngrade/node/ResponseHandler.java
@@ -14,7 +14,7 @@
    */
   void rejected(double retryAfter);
 
-  /** Reports a failure, which leaves open whether the request had an effect. */
+  /** Reports a failure. The client cannot conclude whether the request had an effect. */
   void failed();
 
   /**
--- a/node/src/main/java/ferngrade/node/SharedLog.java
+++ b/node/src/main/java/ferngrade/node/SharedLog.java
@@ -34,8 +34,8 @@
   static final long VERIFY_INTERVAL_MILLIS = 100;
 
   /**
-   * The maximum time, ms, that another process whose appends failed until now may take to append
-   * its record after the first successful append of this process: the longest delay between its
+   * The maximum time, ms, from the first successful append of this process until another process,
+   * whose appends have failed so far, has appended its record: the longest delay between two
    * retries, plus a margin of the same length.
    */
   public static final double MAX_APPEND_DELAY_MILLIS = 2 * BackgroundWriter.MAX_RETRY_DELAY_MILLIS;
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -34,8 +34,9 @@
  */
 final class StartTimes {
   /**
-   * The minimum change of the offset between the two clocks that counts as a step, ms. The offset
-   * changes only by steps; the time between the readings of the two clocks is shorter than this.
+   * The minimum change of the offset between the two clocks that counts as a step, ms. The real
+   * offset changes only when a clock is stepped. The measured offset also varies by the time
+   * between the readings of the two clocks, which is shorter than this.
    */
   private static final double MIN_STEP_MILLIS = 200;
 
--- a/node/src/main/java/ferngrade/server/GracefulShutdown.java
+++ b/node/src/main/java/ferngrade/server/GracefulShutdown.java
@@ -24,7 +24,8 @@
   /**
    * Creates the shutdown of one node.
    *
-   * @param handOver releases resources that only one process of the node can hold to the others
+   * @param handOver hands over to the other processes the resources that only one process of the
+   *     node can hold
    * @param stopAccepting notifies the other processes that this one has stopped accepting jobs
    */
   GracefulShutdown(
--- a/node/src/main/java/ferngrade/server/NodeServer.java
+++ b/node/src/main/java/ferngrade/server/NodeServer.java
@@ -500,7 +500,7 @@
     try {
       loop.execute(task);
     } catch (RejectedExecutionException ended) {
-      // The node has stopped, so there is nothing to apply the task to.
+      // The event loop has terminated, so the task is dropped.
     }
   }
 
@@ -542,8 +542,8 @@
 
   /**
    * Shuts down gracefully and then runs {@code exit}, which ends the process, on the event loop. If
-   * another thread ended the process, the runtime would wait up to 0.3 s for threads blocked in a
-   * system call, as the event loop is.
+   * another thread ended the process, the runtime would wait up to 0.3 s for the thread of the
+   * event loop, which is blocked in a system call.
    */
   public void stopAndExit(Runnable exit) throws InterruptedException {
     finish(Double.POSITIVE_INFINITY, exit);
@@ -572,7 +572,9 @@
             () -> finishOperatorsCalls(end));
   }
 
-  /** Stops accepting jobs and releases this process's share to the other accepting processes. */
+  /**
+   * Stops accepting jobs and leaves this process's share to the other processes that accept jobs.
+   */
   private void stopAccepting() {
     coordinator.stopAccepting();
     if (sharedState != null) {
@@ -580,7 +582,7 @@
     }
   }
 
-  /** Releases resources that only one process of the node can hold to the other processes. */
+  /** Hands over to the other processes the resources that only one process of the node can hold. */
   private void handOver() {
     if (platform.inheritedListener() != null) {
       peers.handOver();
--- a/node/src/main/java/ferngrade/server/PauseDetector.java
+++ b/node/src/main/java/ferngrade/server/PauseDetector.java
@@ -57,8 +57,8 @@
   private void checkForGap() {
     double now = clock.now();
     if (now - lastRunAt > INTERVAL_MILLIS + TOLERANCE_MILLIS) {
-      // A signal that arrived in the first of two gaps may be detected only after the second one
-      // if the process ran for hardly any time in between, so the gaps count as one.
+      // If the process hardly ran between two gaps, a signal that arrived in the first gap may be
+      // detected only after the second gap, so the two gaps count as one.
       pauseStart = lastRunAt - pauseEnd <= TOLERANCE_MILLIS ? pauseStart : lastRunAt;
       pauseEnd = now;
     }
--- a/node/src/main/java/ferngrade/server/SharedState.java
+++ b/node/src/main/java/ferngrade/server/SharedState.java
@@ -206,8 +206,8 @@
   }
 
   /**
-   * Appends the record of this process. The record is not pushed, since the other processes,
-   * including those of an earlier release, receive the same information as an announcement.
+   * Appends the record of this process. The record is not pushed, because this process also
+   * announces its address to the other processes, including those of an earlier release.
    */
   private void appendProcess() {
     boolean first = !processes.othersRun();
--- a/node/src/main/java/ferngrade/transport/PendingReads.java
+++ b/node/src/main/java/ferngrade/transport/PendingReads.java
@@ -5,9 +5,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reads a connection immediately, ahead of the event loop's next select. The loop detects only in a
- * select that a connection was closed. Its own work or the machine may delay the next select for
- * longer than the node may take to notice a close.
+ * Reads a connection immediately, ahead of the event loop's next select. The loop detects a closed
+ * connection only in a select. The loop's other work or a pause of the machine may delay the next
+ * select beyond the time within which the node has to notice a close.
  */
 public final class PendingReads {
   /**
--- a/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryWatchTest.java
@@ -174,7 +174,7 @@
 
   /**
    * Guards against a late update when a keep-alive timeout, a hanging connect and a missing
-   * response follow each other. The time counts from the last keep-alive.
+   * response follow each other. The time limit starts at the last keep-alive.
    */
   @Test(timeOut = 30_000)
   public void receivesMissedChangeWithinSixSecondsOfLastKeepAlive() throws Exception {
--- a/node/src/test/java/ferngrade/http/WorkerClientTest.java
+++ b/node/src/test/java/ferngrade/http/WorkerClientTest.java
@@ -324,8 +324,8 @@
   }
 
   /**
-   * Guards against writing a job to a connection that has ended while the event loop has not read
-   * its end yet.
+   * Guards against writing a job to a connection whose end has arrived but has not been read by the
+   * event loop yet.
    */
   @Test(dataProvider = "idleConnectionFaults", timeOut = 30_000)
   public void writesNoJobToAnIdleConnectionWithAFault(String description, IdleConnectionFault fault)
--- a/node/src/test/java/ferngrade/server/NodeIntegrationFixture.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationFixture.java
@@ -107,8 +107,8 @@
 
   /**
    * Returns once the node has processed all bytes and closes that were sent before this call. The
-   * event loop reads them no later than the first of these requests, and completes the resulting
-   * work before it reads the second one.
+   * event loop reads them no later than the first of the three readiness requests sent here, and
+   * completes the resulting work before it reads the second request.
    */
   void awaitSettled() throws IOException {
     try (RawHttp client = RawHttp.connect(node.address())) {
--- a/node/src/test/java/ferngrade/server/RaceConditionTest.java
+++ b/node/src/test/java/ferngrade/server/RaceConditionTest.java
@@ -241,8 +241,8 @@
   }
 
   /**
-   * Guards against idle clients that use up the descriptors: discovery, which reconnects, workers
-   * and callbacks must still get theirs.
+   * Guards against idle clients that use up the descriptors: descriptors must remain for the
+   * reconnect to discovery, for connections to workers and for callbacks.
    */
   @Test
   public void idleClientsLeaveDescriptorsToDiscoveryWorkersAndCallbacks() throws Exception {
--- a/node/src/test/java/ferngrade/server/ReadRequestTest.java
+++ b/node/src/test/java/ferngrade/server/ReadRequestTest.java
@@ -92,7 +92,7 @@
       new RawHttp(worker.accept()).read();
       awaitSettled();
       CompletableFuture<Void> stopped = CompletableFuture.runAsync(this::stopAtOnce);
-      // The second client is accepted and read in later turns of the loop than the start of the
+      // The event loop accepts and reads the second client only in turns after the start of the
       // stop.
       for (int i = 0; i < 2; i++) {
         try (RawHttp other = RawHttp.connect(node.address())) {
--- a/node/src/test/java/ferngrade/server/RelayedCallbackProcessTest.java
+++ b/node/src/test/java/ferngrade/server/RelayedCallbackProcessTest.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Sends one job from each client, which connects in round 0, and then sends the worker's
-   * callbacks at the same time, each to the process that happens to accept it.
+   * Sends one job from each client, and then all callbacks of the worker at the same time; either
+   * process may accept each of them. The clients connect in round 0.
    */
   private void serveAll(List<RawHttp> senders, int round) throws IOException {
     List<RawHttp> callers = new ArrayList<>();
--- a/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
+++ b/node/src/test/java/ferngrade/server/SystemCallFaultsTest.java
@@ -305,7 +305,10 @@
     }
   }
 
-  /** Returns the connection that carries this job; on connections before it a write has failed. */
+  /**
+   * Returns the connection that carries this job. Skips earlier connections on which the write has
+   * failed.
+   */
   private RawHttp acceptConnectionWithJob(String id) throws Exception {
     while (true) {
       RawHttp accepted = new RawHttp(worker.accept());
--- a/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
@@ -171,7 +171,10 @@
     }
   }
 
-  /** Guards against a call that arrives after the last accept and is answered as done, or hangs. */
+  /**
+   * Guards against an operators' call that arrives after the last accept and is answered with
+   * success, or never gets a response: its connection must be reset.
+   */
   @Test
   public void resetsOperatorsCallAfterTheLastAccept() throws Exception {
     CompletableFuture<RawHttp> late = new CompletableFuture<>();
