--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateFilter.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Returns true if the worker is healthy, has no attempt of this request yet, and starts it in
-   * time. While the fleet is congested, the start time is not considered.
+   * Returns true if the worker is healthy, has no attempt of this request yet, and is expected to
+   * start the request in time. While the fleet is congested, the start time is not considered.
    */
   boolean prefers(PendingRequest request, WorkerStats worker, double now) {
     return outliers.accepts(worker, request.job.jobClass(), now)
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -33,8 +33,8 @@
   private static final double LARGE_LIMIT = 30;
 
   /**
-   * Lifetime of an unused grant in windows. Bounded because one of many dispatchers has few
-   * requests that could use the grant.
+   * Lifetime of an unused grant in windows. A single dispatcher of a large fleet has few requests
+   * that could use a grant.
    */
   private static final double GRANT_LIFETIME_WINDOWS = 1;
 
--- a/dispatch/src/main/java/ferngrade/dispatch/TenantShare.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/TenantShare.java
@@ -13,7 +13,7 @@
   /** Smoothed rate of requested slots per second. */
   double demand;
 
-  /** Rate of slots that is admitted, per second; infinite while the slice covers all demand. */
+  /** Admitted slots per second; infinite while the slice covers all demand. */
   double quota = Double.POSITIVE_INFINITY;
 
   /** Slots in the token bucket as of {@code tokensAt} (ms); negative while overdrawn. */
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
@@ -13,7 +13,7 @@
  * that this dispatcher has in flight. Event thread only.
  */
 final class WorkerRegistry {
-  /** Time constant with which the endpoint list comes to include a job that was sent. */
+  /** Time constant of the delay after which the endpoint list includes a job that was sent. */
   private static final double LIST_DELAY_MS = 1000;
 
   /** Weight of one load report in the estimated number of slots of a group. */
--- a/node/src/main/java/ferngrade/http/AdminServer.java
+++ b/node/src/main/java/ferngrade/http/AdminServer.java
@@ -69,7 +69,8 @@
   public AdminServer(OperatorCalls calls, Clock clock, Timers timers, Executor loop) {
     this.calls = calls;
     this.clock = clock;
-    // A call that has waited longer gets the minimum time for the disk in any case.
+    // A call that has waited longer than this maximum gets the minimum time for the disk in any
+    // case.
     this.acceptTimes =
         new AcceptTimeEstimator(
             calls.arrivals(), this::acceptsAtOnce, OperatorCalls.STORE_TIMEOUT_MILLIS);
--- a/node/src/main/java/ferngrade/http/ConnectionLimits.java
+++ b/node/src/main/java/ferngrade/http/ConnectionLimits.java
@@ -30,9 +30,9 @@
   private static final double WORKER_SHARE = 0.3;
 
   /**
-   * The share of the client connections for jobs in flight. It exceeds the third of all descriptors
-   * that clients hold for requests, and leaves the rest to callbacks, without which no job in
-   * flight would ever end.
+   * The share of the client connections for jobs in flight. The resulting limit exceeds a third of
+   * all descriptors, which is the number that clients use for requests. The rest remains for
+   * callbacks, without which no job in flight would ever end.
    */
   private static final double JOB_SHARE = 0.6;
 
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -15,7 +15,7 @@
  * job is written at that moment, the connection is reset and it is unknown whether the job ran.
  * Some workers' machines close idle connections much earlier than configured. When a worker closes
  * a connection, the pool keeps the next connections to that worker idle for at most half the time
- * that the closed one lasted.
+ * that the closed connection was idle.
  */
 public final class ConnectionPool {
   /** The share of the workers' idle limit after which an idle connection is closed. */
--- a/node/src/main/java/ferngrade/http/RequestBytesReader.java
+++ b/node/src/main/java/ferngrade/http/RequestBytesReader.java
@@ -13,9 +13,9 @@
  */
 final class RequestBytesReader extends ChannelInboundHandlerAdapter {
   /**
-   * The maximum number of bytes read, while a request is in progress, from a connection that will
-   * close after it. The remaining bytes are left unread. Up to this limit everything is read,
-   * because only reading shows that a client has closed its connection.
+   * The maximum number of bytes read, while a request is in progress, from a connection that closes
+   * after the response to that request. The remaining bytes are left unread. Up to this limit
+   * everything is read, because only reading shows that a client has closed its connection.
    */
   private static final int MAX_READ_WHILE_CLOSING_BYTES = 256 << 10;
 
--- a/node/src/main/java/ferngrade/http/UpgradePeer.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeer.java
@@ -170,8 +170,8 @@
   }
 
   /**
-   * Queues the unanswered calls of a persistent connection that has ended in front of the calls
-   * already queued.
+   * Puts the unanswered calls of an ended persistent connection in front of the calls already
+   * queued.
    *
    * @return the calls that must not be retried
    */
--- a/node/src/main/java/ferngrade/node/PendingRequest.java
+++ b/node/src/main/java/ferngrade/node/PendingRequest.java
@@ -7,8 +7,8 @@
 /** Tracks one client's request: its attempts and its final answer. */
 final class PendingRequest {
   /**
-   * The lateness of an answer, ms, above which the request is traced: a fifth of the lateness up to
-   * which a late answer still counts as an answer.
+   * The lateness of an answer, ms, above which the request is traced. Up to five times this
+   * lateness, a late answer still counts as an answer.
    */
   private static final double MIN_TRACED_LATENESS_MILLIS = 100;
 
--- a/node/src/main/java/ferngrade/server/PauseDetector.java
+++ b/node/src/main/java/ferngrade/server/PauseDetector.java
@@ -13,7 +13,7 @@
   /** The interval of the timer, in ms, which bounds the error of a signal's estimated time. */
   static final double INTERVAL_MILLIS = 100;
 
-  /** The timer delay that does not count as a pause yet, in ms. */
+  /** The maximum timer delay that does not count as a pause, in ms. */
   private static final double TOLERANCE_MILLIS = 20;
 
   /**
--- a/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
@@ -33,7 +33,10 @@
       "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
 
-  /** More requests than the node queues for a connection and drops before it stops reading. */
+  /**
+   * A number of requests that exceeds the queue of a connection, and also the bytes that the node
+   * reads and drops beyond the queue before it stops reading.
+   */
   private static final int FLOOD_REQUESTS = 14_000;
 
   /** The event that triggers the attempt and during which the event loop is blocked. */
--- a/node/src/test/java/ferngrade/server/ShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/ShutdownTest.java
@@ -227,7 +227,7 @@
     assertTrue(
         lateStatus == worker.status || lateStatus == REJECTED, "late in the grace: " + lateStatus);
     assertNull(late.read(), "closed");
-    // Clients that keep their connections open, or still send, do not delay the shutdown.
+    // Clients that keep their connections open, or continue to send, do not delay the shutdown.
     assertNull(idle.write(request("crossing", "order", deadline)).read(), "closed");
     awaitStopped(stopped);
     for (Socket queued : queuedConnections) {
