--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -140,8 +140,8 @@
 
   /**
    * Counts an attempt as rejected if it has not started by its start deadline, because a worker
-   * with a long queue rejects attempts too late. The attempt is counted at the deadline and not at
-   * its start, because the queue would keep growing until the start.
+   * with a long queue rejects attempts too late. The attempt is counted at the deadline. If it were
+   * counted at its start, the queue would grow for twice as long before the cut.
    */
   void startDeadlinePassed(Attempt attempt) {
     if (attempt.inFlight() && !attempt.hasStarted() && sentSinceLastCut(attempt)) {
