--- a/consensus/src/main/java/ferngrade/consensus/ElectionMonitor.java
+++ b/consensus/src/main/java/ferngrade/consensus/ElectionMonitor.java
@@ -39,7 +39,10 @@
     extension = FIRST_EXTENSION;
   }
 
-  /** Restarts the time without a leader, after a period in which no message could be received. */
+  /**
+   * Restarts the measurement of the time without a leader, after a period in which no message could
+   * be received.
+   */
   void resetLeaderContact() {
     leaderContactAt = clock.now();
   }
@@ -60,8 +63,8 @@
   }
 
   /**
-   * Returns whether there was neither contact with a leader nor an election for longer than this,
-   * ms.
+   * Returns whether there was neither contact with a leader nor an election for longer than {@code
+   * millis}.
    */
   boolean idleLongerThan(double millis) {
     return clock.now() - Math.max(leaderContactAt, campaignedAt) > millis;
--- a/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
@@ -23,7 +23,7 @@
  * Stores the {@link RaftLogState} of a member on a {@link Storage}. Each flush writes one batch and
  * syncs once. Recovery cuts a torn tail; synced data that cannot be read is an error that names the
  * file and the offset. A file whose write or sync has failed is neither written nor synced again,
- * because it is unknown what the disk holds at its end. Until {@link #continueInNewFile} has
+ * because it is unknown which of its last bytes are on disk. Until {@link #continueInNewFile} has
  * written the whole state to the next file, all operations are rejected.
  *
  * <p>The store rewrites its state to a file with the next number once the file has grown beyond its
@@ -85,8 +85,8 @@
     if (fileNumber > 0) {
       replay(name(fileNumber));
     }
-    // Recovery never appends to an existing file, because the state of its end may be unknown after
-    // a crash.
+    // Recovery never appends to an existing file, because after a crash it may be unknown which of
+    // its last bytes are on disk.
     rewrite();
   }
 
--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -90,7 +90,7 @@
    * @param store the store that the member writes to
    * @param restored the state that was stored before the start
    * @param rejoinNonce present if the member has lost its disk: a text that no earlier process has
-   *     used, which makes the member a new endpoint of the log
+   *     used; the member then rejoins as the new endpoint {@code name#nonce}
    */
   public record Persistence(
       RaftStore store, Optional<RestoredRaftState> restored, Optional<String> rejoinNonce) {}
@@ -105,7 +105,7 @@
    */
   public record Environment(Clock clock, Timers timers, Executor executor, long seed) {}
 
-  /** Sends bytes to other members, with any delay or loss. */
+  /** Sends messages to other members over a network that may delay or lose them. */
   @FunctionalInterface
   public interface MessageSender {
     /** Sends a message; drops it if it cannot be sent immediately. */
@@ -229,8 +229,8 @@
   }
 
   /**
-   * Returns whether this member's endpoint belongs to the group, as a voter if it is configured as
-   * one.
+   * Returns whether this member's endpoint belongs to the group. If the member is configured as a
+   * voter, the endpoint must also be a voter.
    */
   public boolean admitted() {
     return membership.admitted(self);
--- a/consensus/src/main/java/ferngrade/consensus/ReplicatedStateMachine.java
+++ b/consensus/src/main/java/ferngrade/consensus/ReplicatedStateMachine.java
@@ -1,9 +1,9 @@
 package ferngrade.consensus;
 
 /**
- * The state that the log defines. It is the same on all members that have applied the same prefix
- * of the log. Implementations are deterministic: they read no clock and use no random numbers.
- * Called on the member's thread.
+ * The state that results from applying the entries of the log. The state is the same on all members
+ * that have applied the same prefix of the log. Implementations are deterministic: they read no
+ * clock and use no random numbers. Called on the member's thread.
  */
 public interface ReplicatedStateMachine {
   /**
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Sets the number of bytes that a write writes before its scheduled failure; half of the bytes by
-   * default.
+   * Sets the number of bytes that a write with a scheduled failure stores before it fails; by
+   * default, half of its bytes.
    */
   public synchronized void tearWritesAt(int bytes) {
     tornWrite = bytes;
@@ -238,7 +238,7 @@
       step();
       throw fault.get();
     }
-    // The step comes last, since power may also be lost after the write.
+    // The step is counted after the write, since power may also be lost at that point.
     file.append(bytes, length);
     step();
   }
--- a/jobstore/src/main/java/ferngrade/jobstore/InMemoryFile.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/InMemoryFile.java
@@ -60,7 +60,8 @@
       case 1:
         return Arrays.copyOf(content, synced.length + random.nextInt(lengthUnsynced + 1));
       case 2:
-        // The length is durable but a page is not: zeros, followed by later writes.
+        // The length is durable but a page is not: the page contains zeros, and later writes
+        // follow.
         int from = synced.length + random.nextInt(lengthUnsynced);
         int until = from + random.nextInt(content.length - from) + 1;
         Arrays.fill(content, from, until, (byte) 0);
--- a/jobstore/src/main/java/ferngrade/jobstore/Job.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/Job.java
@@ -24,8 +24,8 @@
   int leases;
 
   /**
-   * The time of the monotonic clock at which the lease or the doubt expires. It is not stored, as
-   * the clock is valid in this process only.
+   * The time of the monotonic clock at which the lease expires, or at which a job in doubt fails.
+   * This time is not stored, because the clock is valid in this process only.
    */
   double expiresAtMonotonic = Double.POSITIVE_INFINITY;
 
--- a/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobStore.java
@@ -94,7 +94,7 @@
 
   /**
    * Returns true if new jobs are rejected because too many changes are pending or the disk fails.
-   * Jobs accepted before may still change.
+   * Jobs that were accepted earlier may still change.
    */
   public boolean overloaded() {
     return fault.isPresent() || pendingChanges >= maxPendingChanges;
@@ -135,9 +135,9 @@
   }
 
   /**
-   * Stores the records of a change. {@code onStored} is called once, as soon as they are durable,
-   * even if the disk fails for a long time before. A change without records is durable as soon as
-   * all changes before it are.
+   * Stores the records of a change. {@code onStored} is called once, as soon as the records are
+   * durable, even if the disk fails for a long time first. A change without records is durable as
+   * soon as all changes before it are.
    */
   public void commit(JobChange change, Runnable onStored) {
     if (change.records().isEmpty() && pendingChanges == 0) {
--- a/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobTable.java
@@ -201,11 +201,11 @@
   }
 
   /**
-   * Expires leases, ends doubts that last too long, and discards old results. A job whose lease
-   * expires without a heartbeat is in doubt, or back in the queue if its idempotency allows it. A
-   * job that stays in doubt for too long fails. A result is discarded after its retention time.
-   * Leases and doubts use only the monotonic clock, so that a jump of the wall clock cannot lead to
-   * two lease holders.
+   * Expires leases, fails jobs that have been in doubt for too long, and discards old results. A
+   * job whose lease expires without a heartbeat enters the state {@link JobState#IN_DOUBT}, or
+   * returns to the queue if its idempotency allows it. A result is discarded after its retention
+   * time. Leases and the time limit for jobs in doubt use only the monotonic clock, so that a jump
+   * of the wall clock cannot lead to two lease holders.
    */
   public JobChange expire(double atMillis, double monotonic, double jitter) {
     List<LogRecord> records = new ArrayList<>();
--- a/jobstore/src/main/java/ferngrade/jobstore/JobTableSettings.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/JobTableSettings.java
@@ -4,7 +4,7 @@
  * Durations and limits of leases and retries.
  *
  * @param leaseMillis the duration of a lease without a heartbeat
- * @param inDoubtMillis the time in doubt after which a job fails
+ * @param inDoubtMillis the time in the state {@link JobState#IN_DOUBT} after which a job fails
  * @param retainResultMillis the time for which the result of a job is retained after its end
  * @param maxLeases the maximum number of leases of a job
  * @param backoffMillis the delay before the first retry
--- a/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/StoreCommand.java
@@ -174,9 +174,9 @@
     }
 
     /**
-     * Returns records that put all jobs that have not ended in doubt. The records after the damage
-     * are unknown. They may include the lease and the start of a job that is waiting according to
-     * the readable part.
+     * Returns records that set every job that has not ended to {@link JobState#IN_DOUBT}. The
+     * records after the damage are unknown. They may include the lease and the start of a job that
+     * is waiting according to the readable part.
      */
     private static List<LogRecord> doubtsAfterDamage(JobTable table) {
       List<LogRecord> doubts = new ArrayList<>();
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLog.java
@@ -48,7 +48,7 @@
 
   /**
    * Opens a store: replays all records, cuts a torn tail, and starts a new log. Another log is
-   * started whenever the present one has reached {@code maxLogBytes}.
+   * started whenever the current log has reached {@code maxLogBytes}.
    *
    * @throws CorruptLogException if synced data is damaged
    * @throws IOException if the storage cannot be read or written
--- a/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/WriteAheadLogReader.java
@@ -123,7 +123,8 @@
           LogFiles.logName(firstNumber), 0, "is missing after its snapshot");
     }
     if (following.isPresent()) {
-      // The following log is not replayed, but its first batch may supersede the pending one.
+      // The following log is not replayed. Its first batch is read because it decides whether the
+      // pending end of the previous log is replayed or dropped.
       resolvePending(ByteBuffer.wrap(storage.read(following.get())));
     }
   }
@@ -223,7 +224,7 @@
     ByteBuffer in = ByteBuffer.wrap(content);
     int offset = LogFiles.HEADER_BYTES;
     while (offset < content.length) {
-      // A batch follows the pending one, so the pending one was synced.
+      // Another batch follows the pending batch, so the pending batch was synced.
       replayPending();
       int length = LogBatch.lengthAt(in, offset);
       if (length < 0) {
--- a/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/CrashPointTest.java
@@ -156,7 +156,7 @@
             external.leased.put(id, job.token());
             external.returned.remove(id);
             if (random.nextInt(3) > 0) {
-              // The worker starts immediately; its report may be lost.
+              // The worker starts the job immediately; its report to the store may be lost.
               external.runs.merge(id, 1, Integer::sum);
             }
           }
@@ -251,8 +251,8 @@
   }
 
   /**
-   * Plays the history of a seed up to a step and then through further crashes, some of them during
-   * a recovery. Returns the number of recoveries.
+   * Runs the history of a seed up to a crash at a step, and then through further crashes, some of
+   * them during a recovery. Returns the number of recoveries.
    */
   private static int crash(long seed, long step, boolean faults) throws IOException {
     FaultInjectingStorage disk = new FaultInjectingStorage(seed, 0);
--- a/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
+++ b/jobstore/src/test/java/ferngrade/jobstore/StoreCommandTest.java
@@ -21,7 +21,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against operators' commands that change a store, miss damage or revive unsafe jobs. */
+/**
+ * Guards against operators' commands that change a store, miss damage or make unsafe jobs run
+ * again.
+ */
 class StoreCommandTest {
   private static final JobTableSettings SETTINGS = new JobTableSettings(100, 100, 1e9, 3, 10, 100);
 
