--- a/fleet/src/main/java/ferngrade/fleet/EndpointListRelayTransport.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListRelayTransport.java
@@ -29,7 +29,7 @@
   private final EndpointListRelay relay;
   private String relayingMember;
 
-  /** The reply to a {@link FullListRequest} request. */
+  /** The reply to a {@link FullListRequest}. */
   record FullListResponse(RelayedLine fed) {}
 
   /**
@@ -60,8 +60,9 @@
   }
 
   /**
-   * Drives the relay, the watch and the age of the served list. {@code ownedEpoch} is the epoch
-   * under which this member owns the shard of the endpoint list, empty if it does not own it.
+   * Runs the due tasks of the relay and of the watch, and updates the age of the served list.
+   * {@code ownedEpoch} is the epoch under which this member owns the shard of the endpoint list,
+   * empty if it does not own it.
    */
   void poll(OptionalLong ownedEpoch) {
     double now = clock.now();
--- a/fleet/src/main/java/ferngrade/fleet/EndpointListServer.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListServer.java
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Sets the present age of the list, ms. */
+  /** Sets the current age of the list, ms. */
   void setAge(double millis) {
     ageMillis = millis;
   }
--- a/fleet/src/main/java/ferngrade/fleet/FleetStatus.java
+++ b/fleet/src/main/java/ferngrade/fleet/FleetStatus.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /**
- * The fleet as one member knows it at one moment.
+ * The state of the fleet as known to one member at one time.
  *
  * @param leader the name of the Raft leader; null if none is known
  * @param term the Raft term
--- a/fleet/src/main/java/ferngrade/fleet/JobSender.java
+++ b/fleet/src/main/java/ferngrade/fleet/JobSender.java
@@ -31,8 +31,8 @@
   private static final int MAX_ROUNDS = 3;
 
   /**
-   * The delay assumed for a failure, or for a rejection without {@code Retry-After}. The next round
-   * begins after the shortest delay of the previous round.
+   * The delay assumed for a failure, or for a rejection without {@code Retry-After}. Between two
+   * rounds over the targets, the sender waits for the shortest delay of the earlier round.
    */
   private static final long DEFAULT_DELAY_MILLIS = 200;
 
--- a/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberConnections.java
@@ -32,8 +32,8 @@
  * sends frames on it. A frame carries the name of its sender and an authentication tag. A frame
  * without a valid tag of the fleet or a replayed frame is dropped and its connection closed. A
  * frame meant for an earlier process of this member is dropped and answered with the identity of
- * the present one. A message that cannot be sent at once is dropped; the caller decides whether it
- * is worth sending again.
+ * the current process. A message that cannot be sent at once is dropped; the caller decides whether
+ * it is worth sending again.
  */
 final class MemberConnections implements AutoCloseable {
   private static final int MAX_FRAME_BYTES = 16 << 20;
@@ -203,7 +203,7 @@
 
   /**
    * Handles the replies on an outbound connection: if a frame was meant for an earlier process of
-   * the other member, that member replies with the identity of its present process. Exceptions are
+   * the other member, that member replies with the identity of its current process. Exceptions are
    * not reported, because a member that ends resets its connections; the close listener then
    * reconnects.
    */
--- a/fleet/src/main/java/ferngrade/fleet/MembersCommand.java
+++ b/fleet/src/main/java/ferngrade/fleet/MembersCommand.java
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Prints changes of the status until it is stopped. */
+  /** Prints changes of the status until the command is stopped. */
   @Command(name = "watch", description = "Prints a line whenever the status of a member changes.")
   static final class Watch extends MembersRequestCommand {
     private static final long POLL_INTERVAL_MILLIS = 500;
--- a/fleet/src/main/java/ferngrade/fleet/MembersStatus.java
+++ b/fleet/src/main/java/ferngrade/fleet/MembersStatus.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The gossip status of all members as one member sees it, and its count of rejected datagrams. */
+/**
+ * The gossip status of all members as known to one member, and the number of datagrams that this
+ * member has rejected.
+ */
 record MembersStatus(String member, List<Line> members, long rejected) {
   /** The latest update about a member and the time for which its status has been unchanged, ms. */
   record Line(MembershipUpdate update, double sinceMillis) {}
--- a/fleet/src/main/java/ferngrade/fleet/Membership.java
+++ b/fleet/src/main/java/ferngrade/fleet/Membership.java
@@ -140,7 +140,7 @@
     return !gossipAddresses.containsKey(name) || swim.alive(name);
   }
 
-  /** The other members that this member knows by gossip. */
+  /** The other members that are known to this member through gossip. */
   Collection<Peer> peers() {
     return swim.peers();
   }
--- a/fleet/src/test/java/ferngrade/fleet/FleetFileTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/FleetFileTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Guards against invalid fleet files that are accepted or reported without their place. */
+/**
+ * Guards against invalid fleet files that are accepted, or reported without the location of the
+ * error.
+ */
 class FleetFileTest {
   private static final String VALID =
       """
--- a/fleet/src/test/java/ferngrade/fleet/MemberConnectionsTest.java
+++ b/fleet/src/test/java/ferngrade/fleet/MemberConnectionsTest.java
@@ -97,7 +97,7 @@
     for (int i = 0; i < 20; i++) {
       forger.send("b", "forged".getBytes(StandardCharsets.UTF_8));
       nonMember.send("b", "unknown".getBytes(StandardCharsets.UTF_8));
-      // Frames that the two other senders sent before this one have been processed by now.
+      // The frames that the two other senders sent before this frame have been processed by now.
       assertEquals("a true", sendUntilReceived(a, "b", "true"));
     }
     assertNull(
--- a/lease/src/main/java/ferngrade/lease/LeaseHolder.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseHolder.java
@@ -9,11 +9,11 @@
 
 /**
  * Maintains the session of one member and tracks the shards that the member holds under a lease.
- * The lease is counted by the member's own clock from before its renewal was proposed, and is
- * shortened by the maximum drift of that clock. The member proposes to expire another session only
- * after it has seen no renewal of that session for the lease time, extended by the same drift. So
- * no lease outlasts its session, whatever the message delays, as long as no clock drifts by more
- * than the bound.
+ * The lease is measured by the member's own clock. It begins at a time before its renewal was
+ * proposed, and is shortened by the maximum drift of that clock. The member proposes to expire
+ * another session only after it has seen no renewal of that session for the lease time, extended by
+ * the same drift. So no lease outlasts its session, whatever the message delays, as long as no
+ * clock drifts by more than the bound.
  *
  * <p>All times are ms of the member's monotonic clock. This class reads no clock and starts no
  * thread or timer.
--- a/lease/src/main/java/ferngrade/lease/LeaseTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -199,7 +199,7 @@
     wallClocks.put(open.member(), open.wall());
     for (Session session : sessions.values()) {
       if (session.member().equals(open.member()) && session.nonce().equals(open.nonce())) {
-        // The member repeated its request and counts its lease from the repeated request, so the
+        // The member repeated its request and measures its lease from the repeated request, so the
         // request also counts as a renewal.
         sessions.put(session.id(), session.withRenewal(open.wall()));
         return new Opened(session.id());
@@ -339,9 +339,8 @@
 
   /**
    * Returns the lower median of the wall clocks of all members that have not left; with two
-   * members, the clock that is behind counts. A member that no longer renews its session counts
-   * with the clock that it reported last. Otherwise its absence could make a wrong clock the
-   * median.
+   * members, this is the earlier clock. For a member that no longer renews its session, the clock
+   * that it reported last is used. Without that clock, a wrong clock could become the median.
    */
   private long medianWallClock() {
     List<Long> sorted = wallClocks.values().stream().sorted().toList();
--- a/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
+++ b/lease/src/main/java/ferngrade/lease/RecurringSchedule.java
@@ -4,13 +4,13 @@
 
 /**
  * The schedule of a recurring job, which decides the next step of its owner. Due times are whole
- * multiples of the period since 1970, so that all members compute the same ones.
+ * multiples of the period since 1970, so that all members compute the same due times.
  *
  * <p>Due times follow the wall clock. If most members' clocks step forward, the due times that were
  * skipped are treated like those missed in an outage: at most one run replaces all of them. After a
- * step back, due times that were already handled are not repeated; the next run is at the first
- * later one. No due time is begun twice, and at most one due time is in progress at a time. Leases
- * do not depend on the wall clock.
+ * step back, due times that were already handled are not repeated; the next run is at the first due
+ * time after them. No due time is begun twice, and at most one due time is in progress at a time.
+ * Leases do not depend on the wall clock.
  *
  * @param name the name of the job and of its duty
  * @param periodMillis the period, ms
--- a/membership/src/main/java/ferngrade/membership/Message.java
+++ b/membership/src/main/java/ferngrade/membership/Message.java
@@ -56,8 +56,9 @@
   record Digest(long hash) implements Message {}
 
   /**
-   * A part of the sender's full state. If {@code asks} is set, the receiver sends its full state in
-   * return; only the last part of a transfer has it set, and never an answer.
+   * A part of the sender's full state. If {@code asks} is true, the receiver sends its full state
+   * in return. {@code asks} is true only in the last part of a transfer, and always false in an
+   * answer.
    */
   record Sync(List<MembershipUpdate> all, boolean asks) implements Message {}
 }
--- a/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
+++ b/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
@@ -160,8 +160,8 @@
   }
 
   /**
-   * Handles the process id sent by a remote process. Only an answer to the last message counts: an
-   * older answer may be a replay.
+   * Handles the process id sent by a remote process. Only an answer to the last message is
+   * accepted, because an older answer may be a replay.
    */
   private UnsealResult handleProcessId(String from, long sender, long to, long answeredSequence) {
     Endpoint endpoint = from == null ? null : endpoints.get(from);
--- a/membership/src/main/java/ferngrade/membership/Peer.java
+++ b/membership/src/main/java/ferngrade/membership/Peer.java
@@ -1,10 +1,10 @@
 package ferngrade.membership;
 
 /**
- * Another member as one member knows it.
+ * The state of another member as known to this member.
  *
  * @param update the update that is in effect
- * @param since when the update took effect here, ms of this member's own clock
+ * @param since when the update took effect at this member, ms of this member's own clock
  */
 public record Peer(MembershipUpdate update, double since) {
   /** Returns the member's name. */
--- a/membership/src/main/java/ferngrade/membership/SwimProtocol.java
+++ b/membership/src/main/java/ferngrade/membership/SwimProtocol.java
@@ -260,7 +260,8 @@
     if (message instanceof Sync sync) {
       remainingBytes -= sync.all().stream().mapToInt(MembershipUpdate::maxEncodedBytes).sum();
     }
-    // A suspicion or failure of the receiver is sent first, so that the receiver can refute it.
+    // An update that marks the receiver as suspected or failed is sent first, so that the receiver
+    // can refute it.
     Peer receiver = name == null ? null : peers.get(name);
     if (receiver != null
         && receiver.status() != MemberStatus.ALIVE
