--- a/emulator/src/main/java/ferngrade/emulator/Network.java
+++ b/emulator/src/main/java/ferngrade/emulator/Network.java
@@ -47,7 +47,10 @@
     return delay;
   }
 
-  /** Draws the delay between a client and the node that the front picked for it, in ms. */
+  /**
+   * Draws the delay between a client and the node that the front load balancer picked for the
+   * client, in ms.
+   */
   public double clientDelay() {
     return jittered(spec.client);
   }
--- a/emulator/src/main/java/ferngrade/emulator/Observer.java
+++ b/emulator/src/main/java/ferngrade/emulator/Observer.java
@@ -13,7 +13,9 @@
   /** Called when a client's request is due. The client sends it at the same time. */
   default void requestDue(double now, Request request) {}
 
-  /** Called when the node has received the whole request and owes exactly one answer to it. */
+  /**
+   * Called when the node has received the whole request and must therefore send exactly one answer.
+   */
   default void requestAccepted(double now, int node, Request request) {}
 
   /**
--- a/emulator/src/main/java/ferngrade/emulator/Request.java
+++ b/emulator/src/main/java/ferngrade/emulator/Request.java
@@ -52,7 +52,7 @@
   /** The value of a successful answer. It is reduced if the tenant exceeds its share. */
   public final double value;
 
-  /** The node to which the request is sent; -1 until the front has picked one. */
+  /** The node to which the request is sent; -1 until the front load balancer has picked a node. */
   int node = -1;
 
   boolean ended;
@@ -94,7 +94,7 @@
   /** The number of retries of the first request; unused in its retries. */
   private int retryCount;
 
-  /** Sets the node that the front has picked; -1 if there is none. */
+  /** Sets the node that the front load balancer has picked; -1 if there is none. */
   public void setNode(int picked) {
     node = picked;
   }
--- a/emulator/src/main/java/ferngrade/emulator/TenantSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/TenantSpec.java
@@ -1,8 +1,8 @@
 package ferngrade.emulator;
 
 /**
- * Specifies a tenant: its share of the service, and its usage, the weight by which arrivals are
- * distributed among the tenants.
+ * Specifies a tenant. {@code share} is the tenant's share of the service; {@code usage} is the
+ * weight by which arrivals are distributed among the tenants.
  */
 public final class TenantSpec {
   public String name = "tenant";
--- a/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/VirtualRun.java
@@ -165,8 +165,9 @@
   }
 
   /**
-   * Picks a random node of the request's zone that the front considers up, or of any zone if there
-   * is none. Returns null if the front considers all nodes down.
+   * Picks a random node that the front load balancer considers up: a node of the request's zone, or
+   * of any zone if there is none in the request's zone. Returns null if the load balancer considers
+   * all nodes down.
    */
   private VirtualNode pick(Request request) {
     List<VirtualNode> candidates =
--- a/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkerModel.java
@@ -71,8 +71,9 @@
   }
 
   /**
-   * A job as the worker sees it. {@code amount} is the work in ms on a standard core; {@code fetch}
-   * is added to it if the worker has not cached {@code object}, which is 0 for a job without one.
+   * A job as the worker receives it. {@code amount} is the work in ms on a standard core; {@code
+   * fetch} is added to the amount if the worker has not cached {@code object}. {@code object} is 0
+   * for a job without an object.
    */
   public record Work(
       String id, double amount, int slots, int priority, long object, double fetch) {}
--- a/emulator/src/main/java/ferngrade/emulator/WorkloadSpec.java
+++ b/emulator/src/main/java/ferngrade/emulator/WorkloadSpec.java
@@ -24,7 +24,9 @@
   @Quantity(Quantity.Measure.TIME)
   public double period = 20_000;
 
-  /** The maximum number of retries by a client; {@link #backoff} is the wait before the first. */
+  /**
+   * The maximum number of retries by a client; {@link #backoff} is the wait before the first retry.
+   */
   public int retries = 1;
 
   @Quantity(Quantity.Measure.TIME)
--- a/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
+++ b/emulator/src/main/java/ferngrade/emulator/invariant/SlowStartChecker.java
@@ -5,8 +5,7 @@
 /** Checks that nodes do not overload a worker that they know to be cold. */
 public final class SlowStartChecker extends InvariantChecker {
   /**
-   * The minimum share of the work that came from informed nodes for which a crash counts as a
-   * violation.
+   * A crash counts as a violation only if at least this share of the work came from informed nodes.
    */
   private static final double MIN_VIOLATING_SHARE = 2.0 / 3;
 
--- a/emulator/src/main/java/ferngrade/emulator/socket/HttpPool.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/HttpPool.java
@@ -32,8 +32,8 @@
   private final Map<InetSocketAddress, Deque<Channel>> idleByAddress = new HashMap<>();
 
   /**
-   * Receives the outcome of a request. Exactly one of the methods is called, once; none is called
-   * if the request was given up.
+   * Receives the outcome of a request. Exactly one of the methods is called, once, unless the
+   * request is given up; then none is called.
    */
   interface Listener {
     void responseReceived(FullHttpResponse response);
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Sends a request. It is created and sent again on a new connection if a reused connection was
-   * closed before a response arrived.
+   * Sends a request. If a reused connection is closed before a response arrives, the request is
+   * created again and sent on a new connection.
    */
   PendingRequest send(InetSocketAddress to, Supplier<FullHttpRequest> request, Listener listener) {
     Exchange exchange = new Exchange(to, request, listener);
@@ -148,8 +148,8 @@
         return;
       }
       if (reused) {
-        // The server closed the idle connection before it read the request: sends it again on a new
-        // connection.
+        // The server closed the idle connection before it read the request. The request is sent
+        // again on a new connection.
         reused = false;
         connect();
         return;
--- a/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
+++ b/emulator/src/main/java/ferngrade/emulator/socket/SocketRun.java
@@ -290,8 +290,9 @@
   // ---- The front load balancer ----
 
   /**
-   * Picks a random node of the request's zone that the front considers up, or of any zone if there
-   * is none. Returns -1 if the front considers all nodes down.
+   * Picks a random node that the front load balancer considers up: a node of the request's zone, or
+   * of any zone if there is none in the request's zone. Returns -1 if the load balancer considers
+   * all nodes down.
    */
   private int pick(Request request) {
     List<Integer> sameZone = new ArrayList<>();
@@ -336,7 +337,10 @@
     }
   }
 
-  /** Polls a restarted node until it reports ready, and then marks it as up for the front. */
+  /**
+   * Polls a restarted node until it reports ready, and then marks it as up for the front load
+   * balancer.
+   */
   private void awaitFront(int node) {
     http.send(
         nodeAddress(node),
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseTest.java
@@ -19,7 +19,10 @@
   private static final int FIRST_OVERLOADED_SECOND = 12;
   private static final int LAST_OVERLOADED_SECOND = 30;
 
-  /** The share of the in-time ratio before the release at which a run counts as recovered. */
+  /**
+   * A run counts as recovered when its in-time ratio reaches this share of the in-time ratio before
+   * the release.
+   */
   private static final double RECOVERED_SHARE = 0.9;
 
   private static ReleaseRun run(long seed, String policy) {
--- a/experiment/src/main/java/ferngrade/experiment/Charts.java
+++ b/experiment/src/main/java/ferngrade/experiment/Charts.java
@@ -21,7 +21,10 @@
 
 /** Draws the charts of a result as PNG images. */
 final class Charts {
-  /** The maximum number of points of a sweep for which any time series are drawn. */
+  /**
+   * The number of points of a sweep, counted from the first, for which time series are drawn; later
+   * points have none.
+   */
   private static final int MAX_CHARTED_POINTS = 16;
 
   /**
--- a/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
+++ b/experiment/src/main/java/ferngrade/experiment/GraphCommand.java
@@ -122,8 +122,8 @@
   }
 
   /**
-   * Returns the peers to which the module of a node sends its slice, observed from the messages of
-   * its first cycle.
+   * Returns the peers to which the module of a node sends its slice, determined by recording the
+   * messages of the module's first cycle.
    */
   static List<Integer> peersOf(int node, int nodes) {
     Scenario scenario = Scenario.standard();
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
@@ -26,8 +26,9 @@
   public record Result(long states, int depth, String violatedRule, int[] steps) {}
 
   /**
-   * Explores a model of this many members and shards; stops at the first state that violates a
-   * rule. If {@code faultFree}, no member crashes and no message is lost, but messages may be late.
+   * Explores a model with these numbers of members and shards; stops at the first state that
+   * violates a rule. If {@code faultFree}, no member crashes and no message is lost, but messages
+   * may be late.
    */
   public static Result explore(
       int members, int shards, int depth, boolean faultFree, Mutant mutant) {
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
@@ -162,7 +162,9 @@
     members.forEach(Member::catchUp);
   }
 
-  /** Encodes a step as a number, which {@code StepType.values()} resolves again in the same run. */
+  /**
+   * Encodes a step as a number, which is decoded with {@code StepType.values()} in the same run.
+   */
   @SuppressWarnings("EnumOrdinal") // never stored, and computed too often for a map
   private static int code(StepType type, int argument) {
     return type.ordinal() * MAX_ARGUMENTS + argument;
--- a/faulttest/src/main/java/ferngrade/faulttest/Network.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Network.java
@@ -68,7 +68,7 @@
     return effects.get(name);
   }
 
-  /** Returns the names of the links from a member, to it, or both. */
+  /** Returns the names of the links from a member, to the member, or both. */
   private List<String> linksOf(String name, boolean from, boolean to) {
     List<String> selected = new ArrayList<>();
     for (String other : names) {
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Cuts links from a member, to it, or both, with resets or silently; the returned task restores
-   * them.
+   * Cuts the links from a member, to the member, or both, with resets or silently; the returned
+   * task restores the links.
    */
   Runnable cut(String name, boolean from, boolean to, Relay.Mode mode) {
     List<String> affected = linksOf(name, from, to);
@@ -101,7 +101,7 @@
             });
   }
 
-  /** Drops, duplicates and reorders a member's datagrams; the returned task ends it. */
+  /** Drops, duplicates and reorders a member's datagrams; the returned task ends this fault. */
   Runnable scramble(String name) {
     List<String> affected = linksOf(name, true, true);
     affected.forEach(link -> gossip.get(link).setScrambled(true));
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -131,7 +131,7 @@
   /**
    * One step. {@code who} selects the members: a member's name, {@code owner} (of the first job's
    * shard), {@code owner2} (of the second job's shard), {@code list-owner}, {@code another} (not
-   * the owner of the first job's shard), {@code same} (the member of the step before) or {@code
+   * the owner of the first job's shard), {@code same} (the member of the previous step) or {@code
    * all}. The step begins at its time and once {@code when} has occurred, and ends {@code length}
    * ms after {@code until} has occurred; it never ends if {@code length} is 0 and {@code until} is
    * {@code NONE}. {@code by} is the amount, for actions that have one.
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -21,8 +21,8 @@
 /**
  * Members in virtual time with faults drawn from a seed: crashes that lose unsynced data, pauses,
  * cuts in one direction or both, loss, late and duplicated messages, clocks that drift and jump,
- * full and lost disks, leaves. Invariants are checked while a run proceeds; at the end all faults
- * are over, and every shard must have an owner.
+ * full and lost disks, and members that leave. Invariants are checked while a run proceeds; at the
+ * end all faults are over, and every shard must have an owner.
  */
 public final class VirtualFleet {
   private static final double RECOVERY_MILLIS = 12_000;
@@ -380,7 +380,7 @@
     addViolation("no fault", name + ": " + failure);
   }
 
-  /** Checks that no two processes believe at the same time that they own the shard. */
+  /** Checks that no two processes consider themselves the owner of the shard at the same time. */
   void checkSingleOwner(VirtualMember acting, Shard shard) {
     for (VirtualMember other : members.values()) {
       if (other != acting && acting.epoch(shard).isPresent() && other.epoch(shard).isPresent()) {
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
@@ -136,7 +136,7 @@
             });
   }
 
-  /** Returns the lease table, reporting each applied command to the checks. */
+  /** Returns the lease table, which reports each applied command to the checks. */
   private ReplicatedStateMachine observedStateMachine() {
     return new ReplicatedStateMachine() {
       @Override
@@ -206,7 +206,8 @@
   }
 
   /**
-   * Returns the epoch under which this process would act for a shard now, empty if it would not.
+   * Returns the epoch under which this process may act for a shard now; empty if the process has
+   * ended or does not hold the shard.
    */
   OptionalLong epoch(Shard shard) {
     return alive() ? holder.epoch(shard, now(), table) : OptionalLong.empty();
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -20,8 +20,8 @@
 import java.util.TreeMap;
 
 /**
- * Members in virtual time that run the program's own membership protocol, sealing of datagrams
- * included. Injected faults: loss, one-way cuts, partitions, pauses, crashes, restarts under the
+ * Members in virtual time that run the program's own membership protocol, including the sealing of
+ * datagrams. Injected faults: loss, one-way cuts, partitions, pauses, crashes, restarts under the
  * same name, leaves, late joins, and an intruder that replays or forges datagrams. Invariants are
  * checked while a run proceeds and at its end.
  */
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
@@ -26,7 +26,7 @@
   /** The number of workers; the first {@link #FAULTY_WORKERS} of them misbehave. */
   static final int WORKERS = 8;
 
-  /** The number of workers that misbehave in each step, a quarter. */
+  /** The number of workers that misbehave in each step: a quarter of all workers. */
   static final int FAULTY_WORKERS = 2;
 
   /** The longest pause that the platform's documentation requires a node to tolerate, ms. */
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantChannels.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantChannels.java
@@ -20,7 +20,7 @@
 final class MutantChannels implements ChannelProvider {
   private static final long DELAY_MILLIS = 600;
 
-  /** One of this many responses with a result is truncated. */
+  /** The interval, in responses with a result, between two truncated responses. */
   private static final int TRUNCATION_INTERVAL = 50;
 
   private static final int STATUS_BYTES = 12;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
@@ -75,7 +75,8 @@
 
   /**
    * Returns the command that starts {@code serve} with the classes of this program, within the
-   * limits of the deploy file and, like there, with a class archive if the build has created one.
+   * limits of the deploy file and, as in a deployment, with a class archive if the build has
+   * created one.
    */
   public static List<String> currentProgramCommand() {
     String classPath = System.getProperty("java.class.path");
@@ -236,7 +237,10 @@
     process.signal(name);
   }
 
-  /** Moves discovery to the other agent in the configuration; SIGHUP makes a process read it. */
+  /**
+   * Moves discovery to the other agent in the configuration; SIGHUP makes a process read the
+   * changed configuration.
+   */
   public void moveDiscovery() throws IOException {
     discoveryIndex = 1 - discoveryIndex;
     writeConfiguration();
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
@@ -30,7 +30,10 @@
   /** The minimum delay of a late acceptance, ms; the maximum is 1.5 times this. */
   private static final int MIN_LATE_ACCEPTANCE_MILLIS = 1000;
 
-  /** With {@link WorkerFault#RESETS}, one of this many jobs is reset. */
+  /**
+   * The interval, in jobs, between two jobs whose connection is closed under {@link
+   * WorkerFault#RESETS}.
+   */
   private static final int RESET_INTERVAL = 3;
 
   private final String name;
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/ClassArchiveOptionsTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/ClassArchiveOptionsTest.java
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A node under test starts with a class archive, as a deployed node does, if there is an archive.
+ * Checks that a node under test starts with the class archive if there is one, as a deployed node
+ * does.
  */
 class ClassArchiveOptionsTest {
   @TempDir private Path folder;
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
@@ -20,17 +20,20 @@
   private static final int WORKERS = 2;
   private static final int CLIENTS = 6;
 
-  /** Longer than any deadline, so that all requests are still open at the end, ms. */
+  /**
+   * The run time of each job, ms. It exceeds all deadlines, so that all requests are still open at
+   * the end.
+   */
   private static final int RUNTIME_MILLIS = 20_000;
 
   private static final String DEADLINE = "3000m";
 
-  /** The earliest time of the last requests, ms after SIGTERM. */
+  /** The earliest time at which the last requests are sent, ms after SIGTERM. */
   private static final double LAST_REQUEST_MILLIS = 800;
 
   /**
-   * The time of the last requests after the process resumes, ms: the process still accepts requests
-   * then.
+   * The time at which the last requests are sent, ms after the process resumes. The process still
+   * accepts requests then.
    */
   private static final double LAST_REQUEST_AFTER_RESUME_MILLIS = 300;
 
