--- a/emulator/src/main/java/ferngrade/emulator/Fleet.java
+++ b/emulator/src/main/java/ferngrade/emulator/Fleet.java
@@ -11,7 +11,7 @@
 import java.util.function.IntFunction;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Holds all workers of a run, past and present, and their shared idempotency windows. */
+/** Holds all workers of a run, including removed ones, and their shared idempotency windows. */
 public final class Fleet {
   private final Scenario scenario;
   private final Scheduler time;
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -180,8 +180,9 @@
   }
 
   /**
-   * Returns the share of the work allowed for all cold workers that was sent to them. Only the
-   * seconds in which at least a tenth of the requests was rejected or late are counted.
+   * Returns the work that was sent to cold workers as a share of the work that is allowed for all
+   * of them. Only the seconds in which at least a tenth of the requests was rejected or late are
+   * counted.
    */
   double usedShareOfAllowed(int from, int until) {
     ToDoubleFunction<Second> overloaded =
--- a/experiment/src/main/java/ferngrade/experiment/BenchTable.java
+++ b/experiment/src/main/java/ferngrade/experiment/BenchTable.java
@@ -22,8 +22,8 @@
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /**
-   * One play of a day. {@code worth}, {@code floor} and {@code top} are the journal's G, G_floor
-   * and G_top.
+   * One play, that is, a single run of a day. {@code worth}, {@code floor} and {@code top} are the
+   * journal's G, G_floor and G_top.
    */
   private record DayPlay(
       String at, String build, long seed, double worth, double floor, double top, double score) {}
--- a/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
@@ -10,7 +10,8 @@
   /** The job receiver ignores epochs. */
   NO_EPOCH_CHECK,
   /**
-   * A lease is counted from the arrival of the answer instead of from before the request was sent.
+   * The lease time is measured from the arrival of the answer, instead of from a time before the
+   * request was sent.
    */
   HOLD_FROM_ANSWER,
   /** A vote is sent before it is synced to disk. */
--- a/faulttest/src/main/java/ferngrade/faulttest/UdpRelay.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/UdpRelay.java
@@ -16,7 +16,7 @@
 /**
  * A directed link for datagrams: forwards datagrams from the sender to the target, and the target's
  * answers back. Can drop, duplicate and delay, and so reorder, datagrams. All state except the
- * volatile fields belongs to the group's single thread.
+ * volatile fields belongs to the event loop group's single thread.
  */
 final class UdpRelay {
   private static final double LOSS_PROBABILITY = 0.2;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
@@ -27,7 +27,8 @@
   static final double DRAIN_GRACE_MILLIS = 300;
 
   /**
-   * The time, ms, after which a call counts as in effect even if it was rejected or not answered.
+   * The time, ms, after which a call is considered to be in effect even if it was rejected or not
+   * answered.
    */
   static final double BINDS_AFTER_MILLIS = 1000;
 
--- a/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
+++ b/fleet/src/main/java/ferngrade/fleet/MemberProcess.java
@@ -84,9 +84,9 @@
   public enum EmptyFolderPolicy {
     /** Refuses to start: an earlier process may have cast votes that are no longer recorded. */
     STOP,
-    /** Founds a new fleet together with the other voters. */
+    /** Creates a new fleet together with the other voters. */
     FOUND,
-    /** Asks the fleet to admit it again as a new member without earlier votes. */
+    /** Requests admission to the fleet as a new member without earlier votes. */
     REJOIN
   }
 
@@ -520,7 +520,7 @@
     if (!leaseHolder.closed()) {
       timers.after(5, this::pollHandover);
     } else if (name.equals(raftMember.view().leader())) {
-      // If the leader exited before it has a successor, the fleet would wait for an election.
+      // If the leader exited without a successor, the fleet would have to wait for an election.
       raftMember.transferLeadership(
           candidate ->
               table.sessions().stream().anyMatch(session -> session.member().equals(candidate))
--- a/membership/src/main/java/ferngrade/membership/SwimProtocol.java
+++ b/membership/src/main/java/ferngrade/membership/SwimProtocol.java
@@ -341,8 +341,8 @@
       adjustHealth(-1);
       return;
     }
-    // A helper that sends no negative acknowledgement either is evidence that this member itself
-    // does not receive messages.
+    // If a helper does not even send a negative acknowledgement, this is evidence that this member
+    // itself does not receive messages.
     adjustHealth(probe.helpers == 0 ? 1 : probe.helpers - probe.nacks);
     Peer peer = peers.get(probe.target.name());
     if (peer != null && peer.present()) {
