--- a/membership/src/main/java/ferngrade/membership/SwimProtocol.java
+++ b/membership/src/main/java/ferngrade/membership/SwimProtocol.java
@@ -260,7 +260,8 @@
     if (message instanceof Sync sync) {
       remainingBytes -= sync.all().stream().mapToInt(MembershipUpdate::maxEncodedBytes).sum();
     }
-    // A suspicion or failure of the receiver is sent first, so that the receiver can refute it.
+    // An update that marks the receiver as suspected or failed is sent first, so that the receiver
+    // can refute it.
     Peer receiver = name == null ? null : peers.get(name);
     if (receiver != null
         && receiver.status() != MemberStatus.ALIVE
@@ -340,8 +341,8 @@
       adjustHealth(-1);
       return;
     }
-    // A helper that sends no negative acknowledgement either is evidence that this member itself
-    // does not receive messages.
+    // If a helper does not even send a negative acknowledgement, this is evidence that this member
+    // itself does not receive messages.
     adjustHealth(probe.helpers == 0 ? 1 : probe.helpers - probe.nacks);
     Peer peer = peers.get(probe.target.name());
     if (peer != null && peer.present()) {
