--- a/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/CandidateCost.java
@@ -15,8 +15,9 @@
   private static final double FETCH_COST = 1.2;
 
   /**
-   * Factor of the cross-zone delay, which is charge x objective x factor. It assumes that half of
-   * the jobs that are in time become late when half an objective is added.
+   * Factor of the delay in ms that is added for a worker in another zone: cross-zone cost x latency
+   * objective x this factor. The value assumes that a delay of half a latency objective makes half
+   * of the jobs late that would otherwise be in time.
    */
   private static final double CROSS_ZONE_DELAY_FACTOR = 2;
 
@@ -39,7 +40,10 @@
     this.slowStartGate = slowStartGate;
   }
 
-  /** Returns the sum of the costs of queueing, service time, object fetch and zone crossing. */
+  /**
+   * Returns the sum of the costs of queueing, service time, object fetch, zone crossing and round
+   * trip.
+   */
   double of(PendingRequest request, WorkerStats worker, double now) {
     double fetchFraction = worker.cachedObjects.fetchFraction(request.job.object(), worker.id);
     double cost =
@@ -56,12 +60,13 @@
   }
 
   /**
-   * Returns the expected wait for a start. For a worker that is warming up it follows the listed
-   * load alone: only a few dispatchers have a grant for the worker, so they cannot overload it, and
-   * none of them has observed waits there. For other workers it is the time to complete the slots
-   * in flight from this dispatcher, each of which takes a mean service time divided by the worker's
-   * slots (if reports include that number), plus the estimated wait. If many dispatchers relied on
-   * the listed sizes, they would overload the large workers.
+   * Returns the expected wait for a start. If loads are listed, the wait at a worker that is
+   * warming up follows the listed load alone: only a few dispatchers have a grant for the worker,
+   * so they cannot overload it, and none of them has observed waits there. For other workers the
+   * wait is the time to complete the slots in flight from this dispatcher, each of which takes a
+   * mean service time divided by the worker's slots (if reports include that number), plus the
+   * estimated wait. If many dispatchers relied on the listed sizes, they would overload the large
+   * workers.
    */
   private double queueingDelay(WorkerStats worker, double now) {
     if (slowStartGate.warmingUp(worker, now) && waits.followsLoads()) {
--- a/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ClassPriorities.java
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Adds a request's work to the recent work of its class. The work is in ms on a standard core
-   * times slots.
+   * Adds a request's work to the recent work of its class. Work is the expected time in ms on a
+   * standard core, multiplied by the number of slots.
    */
   void requestArrived(int jobClass, double work) {
     recentWork[jobClass] += work;
@@ -39,7 +39,7 @@
 
   /**
    * Returns true if giving slots to this class increases the total value by more than the worst
-   * class loses.
+   * class loses. Both are weighted by the service objective.
    */
   boolean hasPriority(int jobClass) {
     double totalValue = 0;
--- a/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/DispatcherSettings.java
@@ -16,8 +16,8 @@
  * @param watchesEndpoints true if the dispatcher receives the endpoint list only after it calls
  *     {@link Dispatcher.Actions#watchEndpoints}
  * @param workersReportStart true if workers report the start of each job
- * @param weightsIncludeLoad true if the endpoint list's weight of a worker is its size divided by 1
- *     + its jobs per core
+ * @param weightsIncludeLoad true if the endpoint list's weight of a worker is its size divided by
+ *     (1 + its jobs per core)
  * @param crossZoneCost share of a request's value that is lost by crossing zones
  * @param objective the service objective
  */
--- a/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/HedgingPolicy.java
@@ -9,10 +9,13 @@
   /** Number of hedges that the first attempt of each request adds to the budget. */
   private static final double HEDGES_PER_REQUEST = 0.05;
 
-  /** Maximum number of hedges in the budget. */
+  /** Maximum number of unused hedges that the budget accumulates; also its initial value. */
   private static final double MAX_HEDGE_BUDGET = 3;
 
-  /** Fraction of a job's spare time after which the job is hedged if it has not started. */
+  /**
+   * Fraction of a job's spare time ({@link StartDeadlines#spareTime}) after which the job is hedged
+   * if it has not started.
+   */
   private static final double DELAY_FRACTION = 0.2;
 
   private final DispatcherSettings settings;
@@ -49,7 +52,7 @@
 
   /**
    * Returns the time in ms after which a request sent to this worker is hedged if it has not
-   * started.
+   * started. The time is at least two intervals between event batches plus two round trips.
    */
   double delay(PendingRequest request, WorkerStats worker) {
     double minDelay = 2 * settings.eventBatchIntervalMs() + 2 * registry.roundTripTime(worker);
@@ -68,7 +71,7 @@
     return hedgeBudget >= 1 && retries.maySend(request, now);
   }
 
-  /** Takes a hedge that is being sent from the budget. */
+  /** Deducts one hedge from the budget when it is sent. */
   void hedgeSent() {
     hedgeBudget--;
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/IdleCapacity.java
@@ -27,7 +27,10 @@
    */
   private static final double ADMITTED_PER_CORE = 2.5;
 
-  /** This dispatcher's part of the eligible cores, as of the last budget cycle. */
+  /**
+   * Eligible cores divided by the number of dispatcher processes, as of the last budget cycle.
+   * Reduced when a worker rejects an attempt.
+   */
   private double cores;
 
   private int completedRequests;
@@ -69,7 +72,8 @@
   }
 
   /**
-   * Records that a worker has rejected an attempt. The worker does not count as idle from then on.
+   * Records that a worker has rejected an attempt. Its cores are deducted immediately, and the
+   * worker is not eligible for {@link #REJECTION_BACKOFF_MS}.
    */
   void workerRejected(WorkerStats worker, double now) {
     if (isEligible(worker, now)) {
@@ -79,8 +83,8 @@
   }
 
   /**
-   * Returns true, and uses up part of the allowance, if this dispatcher's part of the cores has a
-   * free core for the job beside the jobs in flight.
+   * Returns true, and takes one request from the allowance, if the allowance is not used up and the
+   * job fits into this dispatcher's part of the cores together with the jobs in flight.
    */
   boolean admit(Job job) {
     boolean coreFree = registry.slotsInFlight() + job.slots() <= cores;
--- a/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ObjectAffinity.java
@@ -16,16 +16,16 @@
   private static final double CACHED_OBJECTS_PER_SLOT = 0.85;
 
   /**
-   * Maximum discount on a fetch at the worker that all dispatchers prefer; a larger discount would
-   * overload that worker.
+   * Maximum discount, as a fraction of the cost of a fetch, at the worker that all dispatchers
+   * prefer; a larger discount would overload that worker.
    */
   private static final double MAX_PREFERENCE_DISCOUNT = 0.1;
 
   private final LinkedHashMap<Long, Boolean> cached = new LinkedHashMap<>(8, 0.75f, true);
 
   /**
-   * Records that a job that needs {@code object} is sent to the worker, which has {@code slots}
-   * slots. The object is 0 if the job needs none.
+   * Records that a job is sent to the worker, which has {@code slots} slots. {@code object} is the
+   * object that the job needs, or 0 if it needs none.
    */
   void recordUse(long object, double slots) {
     if (object != 0) {
@@ -36,7 +36,10 @@
     }
   }
 
-  /** Returns the fraction of a fetch that a job has to wait for at this worker. */
+  /**
+   * Returns the fraction of the cost of a fetch that applies at this worker: 0 if the object is
+   * cached or none is needed, otherwise 1 minus a discount that all dispatchers compute alike.
+   */
   double fetchFraction(long object, long workerId) {
     if (object == 0 || cached.containsKey(object)) {
       return 0;
--- a/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/OutlierDetector.java
@@ -24,18 +24,22 @@
 
   private static final double MAX_CLASS_EJECTION_MS = 32_000;
 
-  /** Maximum share of the fleet that may be ejected at a time. */
+  /**
+   * Maximum share of the ready workers that are ejected at a time. No further worker is ejected
+   * while the share is reached.
+   */
   private static final double MAX_EJECTED_SHARE = 0.4;
 
   /**
-   * Number of attempts or failed connections to a zone, without any response in between, after
-   * which the zone counts as unreachable.
+   * Number of attempts to a zone without any response after which the zone counts as unreachable,
+   * once {@link #ZONE_TIMEOUT_MS} has passed as well. The same number of failed connections without
+   * any response in between is sufficient by itself.
    */
   private static final int MAX_UNANSWERED_ATTEMPTS = 4;
 
   /**
-   * Time without a response, in addition to a mean service time, after which a zone counts as
-   * unreachable.
+   * Time without a response, in addition to a mean service time, after which a zone with unanswered
+   * attempts counts as unreachable.
    */
   private static final double ZONE_TIMEOUT_MS = 100;
 
@@ -138,8 +142,8 @@
   }
 
   /**
-   * Records that the worker rejected an attempt because it is full. It receives no jobs for a
-   * random time around the mean service time.
+   * Records that the worker rejected an attempt because it is full. The worker receives no jobs for
+   * a random time between 0.5 and 1.5 mean service times.
    */
   void workerFull(WorkerStats worker, double now) {
     worker.backoffUntil = now + serviceTimes.mean() * (0.5 + random.nextDouble());
@@ -147,7 +151,7 @@
 
   /**
    * Holds back jobs from a worker that reports no free memory. A worker that reports no free slots
-   * is treated alike, unless it also reports the number of its jobs.
+   * is treated in the same way, unless it also reports the number of its jobs.
    */
   void reportReceived(WorkerStats worker, LoadReport report, double now) {
     if (report.freeMemory() <= 0 || (Double.isNaN(report.jobs()) && report.freeSlots() < 1)) {
--- a/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/PeerGraph.java
@@ -9,8 +9,8 @@
  */
 final class PeerGraph {
   /**
-   * Maximum number of peers of a dispatcher. It bounds the number of messages and, through 1/(bound
-   * + 1), the change of a slice per link.
+   * Maximum number of peers of a dispatcher. It bounds the number of messages and the change of a
+   * slice per link: a link moves 1/(number of peers + 1) of the difference in excess demand.
    */
   private static final int MAX_PEERS = 6;
 
--- a/dispatch/src/main/java/ferngrade/dispatch/RejectionCause.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/RejectionCause.java
@@ -6,7 +6,7 @@
   QUOTA,
   /** No ready worker may run the request. */
   NO_WORKER,
-  /** The request would start too late at the best worker. */
+  /** The request would start too late even at the worker with the lowest cost. */
   START_TOO_LATE,
   /** The retry policy allows no further attempt. */
   NO_RETRY,
--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -8,13 +8,14 @@
  */
 final class SlotBudget {
   /**
-   * Share of the fleet's idle cores that one dispatcher may use at once, regardless of its previous
-   * slice.
+   * Share of the fleet's idle cores. The target of one dispatcher's slice is at least the rate that
+   * this share can serve, regardless of the previous slice.
    */
   private static final double MAX_IDLE_SHARE = 0.5;
 
   /**
-   * Maximum ratio of a slice to its share of the fleet. Without headroom a slice could never grow.
+   * Maximum ratio of a slice to the dispatcher's share of the fleet, used while no jobs are queued.
+   * Without headroom a slice could never grow.
    */
   private static final double HEADROOM = 1.75;
 
@@ -22,8 +23,8 @@
   private static final double QUEUED_HEADROOM_REDUCTION = 0.55;
 
   /**
-   * Fraction of its difference to the fleet share by which a slice changes in a cycle. With a
-   * fraction of 1 the slice would oscillate with each update of the endpoint list.
+   * Fraction of the difference between the target and the slice that is applied in each cycle. With
+   * a fraction of 1 the slice would oscillate with each update of the endpoint list.
    */
   private static final double SHARE_GAIN = 0.6;
 
@@ -36,12 +37,15 @@
    */
   private static final double CONGESTED_QUEUE = 0.35;
 
-  /** Growth of a slice per cycle while there is demand for it; a halved slice recovers in 2 s. */
+  /**
+   * Relative growth of a slice per cycle while there is demand for it. A halved slice recovers in 2
+   * s.
+   */
   private static final double GROWTH_PER_CYCLE = 0.2;
 
   /**
-   * Ratio of the relative cut of a slice to the share of rejected attempts. The slice is stable
-   * when a twentieth of the attempts is rejected.
+   * Relative cut of a slice per cycle, as a multiple of the share of rejected attempts. Growth and
+   * cut balance when a twentieth of the attempts is rejected.
    */
   private static final double CUT_FACTOR = 4;
 
@@ -60,9 +64,9 @@
   private static final double MIN_SLICE = 1;
 
   /**
-   * Weight of the newest cycle in the smoothed numbers of sent and rejected attempts, which decide
-   * about cuts. The numbers are smoothed because among few jobs the share of late ones varies by
-   * chance.
+   * Weight of the newest cycle in the smoothed numbers of sent and rejected attempts, which
+   * determine cuts. The numbers are smoothed because among few jobs the share of late ones varies
+   * by chance.
    */
   private static final double COUNT_WEIGHT = 0.2;
 
@@ -131,7 +135,10 @@
     return attempt.sentAt >= lastCutAt;
   }
 
-  /** Counts an attempt that has started, or has succeeded without a report of its start. */
+  /**
+   * Counts the slots of an attempt that has started, or has succeeded without a report of its
+   * start. Ignores an attempt that was counted as late or was sent before the last cut.
+   */
   void attemptStarted(Attempt attempt, double slots) {
     if (!attempt.countedLate && sentSinceLastCut(attempt)) {
       acceptedSlots += slots;
@@ -171,9 +178,11 @@
   }
 
   /**
-   * Returns this dispatcher's share of the fleet: its own start rate divided by the busy fraction
-   * of the reachable workers. All dispatchers read the same loads, so the sum of the slices adapts
-   * to the loss of a zone without any message between them.
+   * Returns the target of the slice: this dispatcher's share of the fleet times the headroom, but
+   * at least the rate that {@link #MAX_IDLE_SHARE} of the idle cores can serve. The share is the
+   * dispatcher's own start rate divided by the busy fraction of the reachable workers. All
+   * dispatchers read the same loads, so the sum of the slices adapts to the loss of a zone without
+   * any message between them.
    */
   private static double fleetShare(FleetLoad load, double meanWork) {
     double ownShare = load.startRate() * load.size() / load.busy();
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStart.java
@@ -7,16 +7,17 @@
 
 /**
  * Limits the requests that one dispatcher sends to a worker that is warming up. Such a worker fails
- * if all dispatchers together send it too much within one window. Its budget is therefore divided
- * into grants, each worth one request of mean work, which are assigned to the dispatchers in turn.
- * An unused grant expires. The dispatchers exchange no messages: each one derives its grants from
- * the worker's age and its own number. In any window all dispatchers together use at most the
- * grants of two windows plus one, regardless of their number. Event thread only.
+ * if all dispatchers together send too much work to it within one window. Its budget is therefore
+ * divided into grants, which are assigned to the dispatchers in turn. One grant covers a request of
+ * mean work, and a request with twice the mean work costs two grants. An unused grant expires. The
+ * dispatchers exchange no messages: each one derives its grants from the worker's age and its own
+ * number. In any window all dispatchers together use at most the grants of two windows plus one,
+ * regardless of their number. Event thread only.
  */
 final class SlowStart {
   /**
    * Share of the limit that is granted per window. The grants of two windows can be used within one
-   * window; the rest covers requests that arrive late and errors of the estimate.
+   * window; the rest of the limit covers requests that arrive late and estimation errors.
    */
   private static final double LIMIT_SHARE = 0.35;
 
@@ -27,20 +28,20 @@
   private static final double TOLERANCE_SHARE = 0.25;
 
   /**
-   * Number of requests per window from which the tolerance is two standard deviations plus 2. Below
-   * it, the tolerance is three standard deviations plus 3.
+   * Limit, in requests per window, from which the tolerance is two standard deviations plus 2.
+   * Below it, the tolerance is three standard deviations plus 3.
    */
   private static final double LARGE_LIMIT = 30;
 
   /**
-   * Lifetime of an unused grant in windows. A single dispatcher of a large fleet has few requests
-   * that could use a grant.
+   * Lifetime of an unused grant in windows. Grants do not expire sooner because a single dispatcher
+   * of a large fleet has few requests that could use a grant.
    */
   private static final double GRANT_LIFETIME_WINDOWS = 1;
 
   /**
-   * Minimum number of grants per window. The tolerance of the limit covers them while the worker's
-   * capacity is unknown.
+   * Minimum number of grants per window for all dispatchers together. The tolerance of the limit
+   * covers them while the worker's capacity is unknown.
    */
   private static final double MIN_GRANTS = 1;
 
@@ -98,7 +99,10 @@
     return dispatcherCount * processCount;
   }
 
-  /** A request sent to a worker at time {@code at} (ms). The cost is in requests of mean work. */
+  /**
+   * A request sent to a worker at time {@code at} (ms). The cost is in grants; a request of mean
+   * work costs 1.
+   */
   private record SentRequest(double at, double cost) {}
 
   /** The grants of this process for one worker, counted from the start of the worker's process. */
@@ -186,8 +190,9 @@
 
   /**
    * Opens the account of a worker process. Earlier grants are void because a previous process of
-   * this dispatcher may have used them. Requests in flight to the process when its start became
-   * known are charged, up to the grants of one window.
+   * this dispatcher may have used them. Requests sent to the process during the last window, before
+   * its start was known, are charged. The charge is at most the grants of one window, or one grant
+   * if that is more.
    */
   private void openAccount(Account account, Worker worker, double capacity, double now) {
     double age = age(worker, now);
@@ -222,8 +227,8 @@
   }
 
   /**
-   * Returns the tolerance: the excess over the limit by random variation that does not make the
-   * worker fail.
+   * Returns the tolerance: the number of requests per window by which random variation may exceed
+   * the limit without making the worker fail.
    */
   private static double tolerance(double limit) {
     double deviation = Math.sqrt(limit);
--- a/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlowStartGate.java
@@ -59,12 +59,14 @@
         || slowStart.allows(worker.entry, cost(request), warmCapacity(worker), now);
   }
 
-  /** Counts a request that is being sent to the worker. */
+  /**
+   * Deducts the cost of a request that is being sent to the worker from this dispatcher's grants.
+   */
   void attemptSent(PendingRequest request, WorkerStats worker, double now) {
     slowStart.requestSent(worker.entry, cost(request), now);
   }
 
-  /** Returns the load that a request adds to a worker, in requests of mean work. */
+  /** Returns the request's work divided by the mean work, but at least {@link #MIN_COST}. */
   private double cost(PendingRequest request) {
     double work = serviceTimes.work(request);
     double meanWork = serviceTimes.meanWork();
--- a/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/StartDeadlines.java
@@ -29,7 +29,10 @@
         - serviceTimes.timeAt(request, worker);
   }
 
-  /** Returns the time in ms without a start after which a job counts as rejected. */
+  /**
+   * Returns the time in ms without a start after which a job counts as rejected. The time is a
+   * fraction of the spare time, or of the fixed part of the latency objective if that is longer.
+   */
   double maxStartDelay(PendingRequest request, WorkerStats worker) {
     return LATE_FRACTION
         * Math.max(spareTime(request, worker), request.jobClass.latencyObjectiveMs());
@@ -37,6 +40,7 @@
 
   /**
    * Returns true for a first attempt that would start so late that it would only delay later jobs.
+   * Returns false while the slice does not follow the listed loads.
    */
   boolean wouldStartLate(PendingRequest request, WorkerStats worker, double now) {
     return budget.followsLoads()
--- a/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/TenantQuotas.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Updates the demands from the requests of the budget cycle that ends and that lasted {@code
-   * seconds}.
+   * Ends a budget cycle that lasted {@code seconds}: updates the smoothed demands from its
+   * requests.
    */
   void endCycle(double seconds) {
     double weight = demandKnown ? DEMAND_WEIGHT : 1;
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Sets the tenants' quotas so that they add up to the given slots; they are infinite if all
-   * demands fit.
+   * Sets the tenants' quotas so that the demands, each limited to its quota, use exactly the given
+   * slots. The quotas are infinite if all demands fit.
    */
   void divide(double slots) {
     double level = waterLevel(slots, demands(), weights);
@@ -125,8 +125,9 @@
   }
 
   /**
-   * Computes the weighted water level: the rate per unit of weight at which the demands use exactly
-   * the available slots. The level is infinite if all demands fit.
+   * Computes the weighted water level: the quota per unit of weight at which the demands, each
+   * limited to its quota, use exactly the available slots. The level is infinite if all demands
+   * fit.
    */
   static double waterLevel(double slots, double[] demands, double[] weights) {
     double slotsLeft = slots;
--- a/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WaitEstimator.java
@@ -78,8 +78,9 @@
   }
 
   /**
-   * Returns the wait derived from the listed jobs per core and the jobs sent that the list cannot
-   * include yet.
+   * Returns the wait derived from the listed jobs per core and from recently sent jobs that the
+   * listed load does not include yet. Each job per core beyond the first adds a mean service time,
+   * adjusted to the slowness of the worker's group.
    */
   double waitByListedLoad(WorkerStats worker, double now) {
     double slowness = worker.group.slowness;
--- a/dispatch/src/main/java/ferngrade/dispatch/Worker.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/Worker.java
@@ -6,8 +6,8 @@
  * @param startedAt start of the worker's process in ms, 0 if it started long ago
  * @param workerType index of the worker's type
  * @param cell group of workers that share idempotency keys
- * @param weight size of the worker in cores, divided by 1 + its jobs per core if the list includes
- *     loads
+ * @param weight size of the worker in cores, divided by (1 + its jobs per core) if the list
+ *     includes loads
  */
 public record Worker(
     long id,
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerGroup.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerGroup.java
@@ -2,7 +2,7 @@
 
 /** The estimates for the workers of one type in one zone. */
 final class WorkerGroup {
-  /** Smoothed wait for a start, ms. */
+  /** Smoothed time in ms that a job waits for its start at a worker of this group. */
   double wait;
 
   /** Ratio of job times in this group to those on a worker of mean speed. */
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
@@ -170,7 +170,7 @@
 
   /**
    * Returns the slots in flight at a worker. A worker without any outcome so far counts as having
-   * at least the mean.
+   * at least the mean of the ready workers.
    */
   double effectiveSlotsInFlight(WorkerStats worker) {
     double meanSlotsInFlight = slotsInFlight / readyCount();
@@ -179,7 +179,10 @@
         : Math.max(worker.slotsInFlight, meanSlotsInFlight);
   }
 
-  /** Returns the slots recently sent to the worker that the endpoint list cannot include yet. */
+  /**
+   * Returns the slots of jobs recently sent to the worker that the listed load does not include
+   * yet. The value decays with the time constant {@link #LIST_DELAY_MS}.
+   */
   double recentSlots(WorkerStats worker, double now) {
     return worker.recentSlots * Math.exp((worker.recentAt - now) / LIST_DELAY_MS);
   }
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
@@ -21,8 +21,8 @@
   double load;
 
   /**
-   * Slots sent recently that the endpoint list cannot include yet, exponentially decayed as of
-   * {@code recentAt}.
+   * Slots of recently sent jobs that the listed load does not include yet. The value decays
+   * exponentially and applies at the time {@code recentAt}.
    */
   double recentSlots;
 
--- a/dispatch/src/main/java/ferngrade/dispatch/ZoneStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/ZoneStats.java
@@ -9,14 +9,14 @@
  */
 final class ZoneStats {
   /**
-   * Minimum delay in ms between sending an attempt and the report of its start; MAX_VALUE until the
-   * first report.
+   * Smallest observed delay in ms between sending an attempt and the report of its start; MAX_VALUE
+   * until the first report.
    */
   double roundTripTime = Double.MAX_VALUE;
 
   double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-  /** Time at which the first of the attempts without a response was sent. */
+  /** Time at which the first attempt since the last response from the zone was sent. */
   double firstUnansweredAt;
 
   /** Number of attempts sent since the last response from the zone. */
--- a/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/BudgetTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Checks the slice, the exchange with peers and the water level. */
+/** Checks the slice, the exchange of slots with peers and the water level. */
 class BudgetTest {
   private static final long BUDGET_CYCLE_TOKEN = 1;
   private int nextId;
@@ -89,8 +89,8 @@
     }
     exchange(pair, recorders);
     double before = pair.get(0).slice() + pair.get(1).slice();
-    // Both slices are at their maximum relative to the demand and do not grow. The second
-    // dispatcher then receives more requests, the first receives as many as before.
+    // In this cycle both dispatchers receive 20 requests each; both slices are at their maximum
+    // relative to the demand and do not grow. In the next cycle the second dispatcher receives 30.
     sendRequests(pair.get(0), recorders.get(0), 20, 0, 600, AttemptOutcome.OK);
     sendRequests(pair.get(1), recorders.get(1), 20, 0, 600, AttemptOutcome.OK);
     pair.forEach(dispatcher -> dispatcher.timerExpired(1_000, BUDGET_CYCLE_TOKEN));
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Guards against jobs sent before a cut that keep cutting an already small slice (incident
-   * iea15a6).
+   * Guards against further cuts of an already small slice by jobs that were sent before the last
+   * cut (incident iea15a6).
    */
   @Test
   void doesNotCutAgainForLateStartOfJobSentBeforeLastCut() {
--- a/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/ReportsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Checks workers whose load reports contradict their behaviour, and jobs far from the mean work.
- * The workers are simulated.
+ * Checks workers whose load reports contradict their behaviour, and jobs whose work is far from the
+ * mean. The workers are simulated.
  */
 class ReportsTest {
   private static final int WORKERS = 4;
@@ -182,8 +182,8 @@
   }
 
   /**
-   * Guards against priorities that do not follow the load: the class with the most work may change
-   * within a minute, and with it the class that has priority.
+   * Guards against priorities that do not follow the load. The class with the most work may change
+   * within a minute, and the priorities must then change as well.
    */
   @Test
   void prioritisesClassesByTheWorkOfTheLastHalfMinute() {
--- a/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/RulesTest.java
@@ -264,8 +264,9 @@
   }
 
   /**
-   * All dispatchers together must send less than multiple x capacity x window to a worker that is
-   * warming up. Rejected attempts count as well.
+   * Guards against overloading a worker that is warming up: all dispatchers together may send at
+   * most overload factor x start capacity x rate of a warm worker x window (3 s) to it. Rejected
+   * attempts count as well.
    */
   @Test
   void allDispatchersTogetherStayWithinSlowStartBudget() {
@@ -392,8 +393,8 @@
   }
 
   /**
-   * Guards against a dispatcher that detects the loss of a zone worker by worker, with one refused
-   * connection each (incident i1da63f).
+   * Guards against detecting the loss of a zone separately for each of its workers, with one
+   * refused connection per worker (incident i1da63f).
    */
   @Test
   void avoidsWholeZoneAfterRefusedConnections() {
--- a/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/SlowStartFleetTest.java
@@ -51,7 +51,7 @@
     final double[] jobsHeld;
     final List<Arrival> arrivals = new ArrayList<>();
 
-    /** Factor of the work of the jobs that arrive after the restart. */
+    /** Factor applied to the work of each job that arrives after the restart. */
     final double workFactor;
 
     /** Time in ms from the restart until the last dispatcher is notified. */
@@ -201,7 +201,10 @@
       return maxShare;
     }
 
-    /** Returns the limit: the number of requests of mean work per window, plus the tolerance. */
+    /**
+     * Returns the number of requests of mean work per window that the worker withstands at this
+     * time, including the tolerance for random variation.
+     */
     private double limit(double time) {
       SlowStartPolicy policy = deployment.policy();
       double capacityShare =
--- a/dispatch/src/test/java/ferngrade/dispatch/WorkerSelectorTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/WorkerSelectorTest.java
@@ -119,7 +119,7 @@
     return fleet;
   }
 
-  /** Returns the worker with a queue of about a hundred jobs per core. */
+  /** Returns a copy of the worker with a queue of about a hundred jobs per core. */
   private static Worker loaded(Worker worker) {
     return new Worker(worker.id(), WorkerState.READY, 0, 0, 0, 0, 0.01);
   }
