--- a/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/SlotBudget.java
@@ -37,10 +37,7 @@
    */
   private static final double CONGESTED_QUEUE = 0.35;
 
-  /**
-   * Relative growth of a slice per cycle while there is demand for it. A halved slice recovers in 2
-   * s.
-   */
+  /** Relative growth of a slice per cycle while there is demand; a halved slice recovers in 2 s. */
   private static final double GROWTH_PER_CYCLE = 0.2;
 
   /**
--- a/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
+++ b/dispatch/src/test/java/ferngrade/dispatch/IdleCapacityTest.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Sends one request. Its worker runs it for 20 ms; if {@code late} is true, it passes its start
-   * deadline first.
+   * Sends one request, which its worker runs for 20 ms. If {@code late} is true, the start deadline
+   * of the request passes before its worker starts it.
    */
   private void sendRequest(boolean late) {
     String id = "r" + nextId++;
