--- a/node/src/main/java/ferngrade/discovery/Discovery.java
+++ b/node/src/main/java/ferngrade/discovery/Discovery.java
@@ -17,8 +17,8 @@
   private DiscoveryWatch current;
 
   /**
-   * The watch that the current list came from, until the current address has sent a whole list;
-   * otherwise null.
+   * The watch of an earlier address, which supplied the list in use. Stays open until the current
+   * address has sent a whole list; null if no earlier address is watched.
    */
   private DiscoveryWatch previous;
 
--- a/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
+++ b/node/src/main/java/ferngrade/discovery/DiscoveryWatch.java
@@ -48,7 +48,7 @@
 public final class DiscoveryWatch {
   /**
    * The longest time without data on an open watch, ms. Discovery sends an empty line every 2 s, so
-   * one missing line means that the connection is dead. A change that discovery makes meanwhile
+   * one missing line means that the connection is dead. A change that discovery makes in that time
    * counts as delivered after a few seconds, even on a dead connection, so with a longer timeout
    * the node would send jobs to draining workers.
    */
@@ -71,9 +71,9 @@
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
   /**
-   * How long connects that fail for lack of local resources are retried, ms, one retry every {@link
-   * Dialer#BACKOFF_MILLIS}. Such a failure is no sign that discovery is unreachable, so the list
-   * counts as unavailable only after this time.
+   * The time for which connects that fail for lack of local resources are retried, ms, once every
+   * {@link Dialer#BACKOFF_MILLIS}. Such a failure is no sign that discovery is unreachable, so the
+   * list counts as unavailable only after this time.
    */
   private static final double LOCAL_FAILURE_RETRY_MILLIS = 2500;
 
@@ -88,9 +88,9 @@
   public enum Mode {
     /**
      * An agent on the node's own machine. It responds immediately, so a watch without a response is
-     * dead, and requests to it cost nothing. After an outage, an update counts as delivered as soon
-     * as the agent has received it. With a backoff close to the 250 ms of the drain rule, the node
-     * would send jobs to draining workers.
+     * dead. Requests to the agent cost nothing. After an outage, an update counts as delivered as
+     * soon as the agent has received it. With a backoff close to the 250 ms of the drain rule, the
+     * node would send jobs to draining workers.
      */
     PUSHED(100, INITIAL_RESPONSE_TIMEOUT_MILLIS),
     /**
--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -28,8 +28,8 @@
   private boolean paused;
 
   /**
-   * The last turn of the event loop in which accepted connections may have waited since {@link
-   * #waitingSince}.
+   * The last turn of the event loop in which the listener may accept connections that have been in
+   * the backlog since {@link #waitingSince}; -1 once all waiting connections are accepted.
    */
   private long waitedUntilTurn = -1;
 
--- a/node/src/main/java/ferngrade/http/AdminServer.java
+++ b/node/src/main/java/ferngrade/http/AdminServer.java
@@ -159,7 +159,9 @@
     return finishing;
   }
 
-  /** Runs a task when no call is open, including calls that wait to be accepted. */
+  /**
+   * Runs a task once no call is open. Calls whose connections wait to be accepted count as open.
+   */
   private void whenAnswered(Runnable task) {
     acceptWaiting();
     connections.idle().forEach(AdminHandler::closeAfterReading);
--- a/node/src/main/java/ferngrade/http/ArrivalClock.java
+++ b/node/src/main/java/ferngrade/http/ArrivalClock.java
@@ -17,9 +17,10 @@
   private final Clock clock;
   private long turn;
 
-  /** The time of this turn's first select, and of the previous turn's last select, in ms. */
+  /** The time at which this turn began its first select, in ms. */
   private double selectedAt;
 
+  /** The time of the previous turn's last select, in ms. */
   private double previousSelectedAt;
 
   /**
--- a/node/src/main/java/ferngrade/http/BodyAggregator.java
+++ b/node/src/main/java/ferngrade/http/BodyAggregator.java
@@ -16,8 +16,8 @@
   static final Object TOO_LARGE = new Object();
 
   /**
-   * The maximum number of parts, each of which may hold a buffer; the parts of a body that arrives
-   * in small pieces are merged beyond that.
+   * The maximum number of parts of a body, each of which may hold a buffer. If a body arrives in
+   * more parts, they are merged.
    */
   private static final int MAX_PARTS = 16;
 
--- a/node/src/main/java/ferngrade/http/ConnectionPool.java
+++ b/node/src/main/java/ferngrade/http/ConnectionPool.java
@@ -23,12 +23,10 @@
 
   private static final double SWEEP_INTERVAL_MILLIS = 1000;
 
-  /**
-   * The minimum of a learned idle limit, in ms, and the time after which a learned limit doubles,
-   * in ms.
-   */
+  /** The minimum of a learned idle limit, in ms. */
   private static final double MIN_LEARNED_LIMIT_MILLIS = 20;
 
+  /** The time after which a learned idle limit doubles, in ms. */
   private static final double LEARNED_LIMIT_DOUBLING_MILLIS = 10_000;
 
   /**
@@ -109,7 +107,7 @@
   }
 
   /**
-   * Changes the maximum number of connections; idle connections are closed if there are too many.
+   * Changes the maximum number of connections. If more connections are open, idle ones are closed.
    */
   public void setMaxConnections(int connections) {
     maxOpen = connections;
--- a/node/src/main/java/ferngrade/http/ForcedCloses.java
+++ b/node/src/main/java/ferngrade/http/ForcedCloses.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /**
- * Counts and logs the connections that the node closes without a request by their peers. A close
+ * Counts and logs the connections that the node closes because of a limit or a timeout. A close
  * that may discard bytes sent by the peer is logged as a loss. Confined to the event loop.
  */
 public final class ForcedCloses {
--- a/node/src/main/java/ferngrade/http/HttpFrontend.java
+++ b/node/src/main/java/ferngrade/http/HttpFrontend.java
@@ -35,8 +35,8 @@
   private static final int LISTEN_BACKLOG = 1024;
 
   /**
-   * The minimum size of the buffer for one read, in bytes; the initial and the maximum size follow.
-   * A connection may hold one such buffer undecoded.
+   * The minimum size of the buffer for one read, in bytes. The next two constants are the initial
+   * and the maximum size. A connection may hold one read buffer of undecoded bytes.
    */
   private static final int MIN_READ_BUFFER_BYTES = 64;
 
@@ -250,7 +250,10 @@
     connections.idle().forEach(ClientConnection::closeAfterReading);
   }
 
-  /** Ends the draining by operators. */
+  /**
+   * Ends the drain that operators requested: clients' connections stay open after their responses
+   * again, unless the node is shutting down.
+   */
   public void resume() {
     drainedByOperators = false;
   }
@@ -284,8 +287,8 @@
   }
 
   /**
-   * Returns the statistics of the connections that the frontend closed without a request by the
-   * peer.
+   * Returns the statistics of the connections that the frontend closed because of a limit or a
+   * timeout.
    */
   ForcedCloses forcedCloses() {
     return forcedCloses;
--- a/node/src/main/java/ferngrade/http/OperatorCalls.java
+++ b/node/src/main/java/ferngrade/http/OperatorCalls.java
@@ -19,9 +19,9 @@
  */
 public final class OperatorCalls {
   /**
-   * The maximum time, counted from its call, that a maintenance change waits to be stored before
-   * the caller is notified that it is not stored yet, in ms. A caller waits 1 s, and the node may
-   * be held up for 150 ms meanwhile.
+   * The maximum time between the arrival of a maintenance call and its answer, in ms. If the change
+   * is not stored by then, the answer reports that it is not stored yet. A caller waits 1 s for the
+   * answer, and the node may be held up for 150 ms of that time.
    */
   public static final double STORE_TIMEOUT_MILLIS = 700;
 
@@ -59,8 +59,8 @@
       IntSupplier reloadsFailed) {}
 
   /**
-   * Returns the statistics of the operators' connections that the node closed without a request by
-   * the peer.
+   * Returns the statistics of the operators' connections that the node closed because of a limit or
+   * a timeout.
    */
   ForcedCloses forcedCloses() {
     return forcedCloses;
@@ -168,8 +168,8 @@
   }
 
   /**
-   * Returns true if another process's decision on this worker may be later than a call that may
-   * have arrived as early as {@code arrivedAt}, in ms on the node's clock.
+   * Returns true if another process may have decided on this worker after a call arrived. {@code
+   * arrivedAt} is the earliest time at which the call may have arrived, in ms on the node's clock.
    */
   boolean mayBeSuperseded(String worker, double arrivedAt) {
     refresh();
--- a/node/src/main/java/ferngrade/http/PipelinedRequests.java
+++ b/node/src/main/java/ferngrade/http/PipelinedRequests.java
@@ -6,9 +6,9 @@
 import java.util.Deque;
 
 /**
- * The requests that one connection has sent behind the one in progress; each gets a response in
- * order. The first requests are kept. Of those beyond the limit only the number is kept, and they
- * are rejected.
+ * Queues the requests that one connection has sent while an earlier request is in progress. Each
+ * request gets a response, in order. Requests up to the limit are kept. Requests beyond the limit
+ * are only counted, and are rejected.
  */
 final class PipelinedRequests {
   /** The maximum number of requests kept for one connection. */
@@ -26,9 +26,9 @@
   }
 
   /**
-   * One entry of the queue: the action, the request, which is null unless the action handles it,
-   * and the earliest time at which it may have arrived on this machine, in ms on the node's clock.
-   * The request's deadline counts from that time.
+   * One entry of the queue. {@code request} is null unless the action is {@link Action#HANDLE}.
+   * {@code arrivedAt} is the earliest time at which the request may have arrived on this machine,
+   * in ms on the node's clock; the request's deadline counts from that time.
    */
   record Entry(Action action, FullHttpRequest request, double arrivedAt) {
     private int bytes() {
--- a/node/src/main/java/ferngrade/http/ShutdownBudget.java
+++ b/node/src/main/java/ferngrade/http/ShutdownBudget.java
@@ -20,13 +20,14 @@
 public record ShutdownBudget(
     double acceptUntil, double answersBy, double partialRequestsUntil, double end) {
   /**
-   * The minimum time by which the platform's wait between the signal and the kill exceeds the
-   * longest deadline, in ms.
+   * The minimum time, in ms, that the platform waits in addition to the longest deadline between
+   * the signal and the kill.
    */
   private static final double MIN_KILL_DELAY_MILLIS = 700;
 
   /**
-   * The maximum part of the longest deadline of a deployment that the platform waits for, in ms.
+   * The upper limit, in ms, of the longest deadline that the platform takes into account. Longer
+   * deadlines do not extend the wait between the signal and the kill.
    */
   private static final double MAX_DEADLINE_MILLIS = 3000;
 
@@ -59,8 +60,8 @@
 
   /**
    * Computes the budget of a shutdown requested by a signal, in a deployment with these settings.
-   * Load balancers send new connections until some time after the signal, and the platform does not
-   * kill before some time after it. A process that was held up knows the time of the signal only
+   * For some time after the signal, load balancers still send new connections, and the platform
+   * does not kill the process yet. A process that was held up knows the time of the signal only
    * within bounds.
    *
    * @param earliestSignal the earliest time at which the signal may have arrived, in ms
--- a/node/src/main/java/ferngrade/http/UpgradePeers.java
+++ b/node/src/main/java/ferngrade/http/UpgradePeers.java
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Sets the address at which this process receives calls; an earlier process with that address has
-   * ended.
+   * Sets the address at which this process receives calls. A peer with the same address is removed,
+   * because it is an earlier process that has ended.
    */
   public void setOwnAddress(InetSocketAddress address) {
     ownAddress = address;
--- a/node/src/main/java/ferngrade/http/WorkerDeadline.java
+++ b/node/src/main/java/ferngrade/http/WorkerDeadline.java
@@ -7,12 +7,10 @@
  * second delay; the first one is subtracted here.
  */
 final class WorkerDeadline {
-  /**
-   * The assumed time that a request spent on its way from the client, in ms, and the maximum share
-   * of a short remaining time that is subtracted for it.
-   */
+  /** The assumed time that a request spent on its way from the client, in ms. */
   private static final double CLIENT_TRANSIT_MILLIS = 10;
 
+  /** The maximum share of the remaining time that is subtracted for the transit. */
   private static final double MAX_SHARE = 0.25;
 
   private WorkerDeadline() {}
--- a/node/src/main/java/ferngrade/node/EndpointRegistry.java
+++ b/node/src/main/java/ferngrade/node/EndpointRegistry.java
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Returns true if operators may name this worker. Before the first list any name may be that of a
-   * worker, and a decision on it must take effect.
+   * Returns true if operators may name this worker. Before the first list, any name may be the name
+   * of a worker, and a decision on that worker must take effect.
    */
   private boolean mayBeWorker(String name) {
     return endpoints.isEmpty() || maintenance.isKnown(name);
--- a/node/src/main/java/ferngrade/node/OperatorState.java
+++ b/node/src/main/java/ferngrade/node/OperatorState.java
@@ -15,8 +15,8 @@
   void storeMaintenance(String worker, Runnable whenStored);
 
   /**
-   * Returns true if a decision of another process on this worker was applied here at {@code
-   * instant}, ms on the monotonic clock, or later.
+   * Returns true if this process has applied another process's decision on this worker at or after
+   * {@code instant}, ms on the monotonic clock.
    */
   boolean changedByOtherProcessSince(String worker, double instant);
 
--- a/node/src/main/java/ferngrade/node/StartTimes.java
+++ b/node/src/main/java/ferngrade/node/StartTimes.java
@@ -53,8 +53,9 @@
   private static final double MAX_CLOCK_SKEW_MILLIS = 1000;
 
   /**
-   * The maximum time for which a worker may have been running when a list without it was received,
-   * ms: the maximum delay of a change on its way to this process.
+   * The maximum delay of a list change on its way to this process, ms. A worker that is missing
+   * from a list and appears later has therefore started at most this long before that list was
+   * received.
    */
   private static final double MAX_LIST_LAG_MILLIS = 6000;
 
--- a/node/src/main/java/ferngrade/peer/UdpPeers.java
+++ b/node/src/main/java/ferngrade/peer/UdpPeers.java
@@ -96,9 +96,9 @@
   }
 
   /**
-   * Stops sending and receiving, so that the address belongs to another process of this node alone:
-   * the peers then receive messages from one process only, and that process receives all messages
-   * of the peers.
+   * Stops sending and receiving, so that only the other process of this node uses the address. The
+   * peers then receive messages from one process only, and that process receives all messages of
+   * the peers.
    */
   public void handOver() {
     handedOver = true;
--- a/node/src/main/java/ferngrade/server/SharedState.java
+++ b/node/src/main/java/ferngrade/server/SharedState.java
@@ -41,9 +41,9 @@
   private static final double MAX_LOG_WAIT_MILLIS = 2000;
 
   /**
-   * How long after its start a process keeps a drain that was decided before the start, in ms. The
-   * platform allows 6 s to become ready, of which the start itself takes a few hundred ms, or
-   * seconds on a busy machine.
+   * The time after its start for which a process keeps a drain that was decided before the start,
+   * in ms. The platform allows 6 s to become ready, of which the start itself takes a few hundred
+   * ms, or seconds on a busy machine.
    */
   private static final double MAX_EARLIER_DRAIN_MILLIS = 2500;
 
@@ -67,7 +67,7 @@
   private double openedAt;
   private final LiveProcesses processes;
 
-  /** Moves discovery to the new address of a record if this process watches the former one. */
+  /** Moves discovery to the new address of a record if this process watches the former address. */
   private final Consumer<DiscoveryRecord> discoveryMoved;
 
   /**
@@ -87,14 +87,15 @@
 
   /**
    * The time at which the record of this process was first read back from the log, in ms on the
-   * clock; infinite while the log does not contain it. From then on the other processes could
-   * append their records as well.
+   * clock; infinite while the log does not contain it. From then on, the other processes can append
+   * to the log too. A process that runs at that time has its record in the log at most {@link
+   * SharedLog#MAX_APPEND_DELAY_MILLIS} later.
    */
   private double ownRecordedAt = Double.POSITIVE_INFINITY;
 
   /**
-   * The time at which the log was last read, in ms on the clock. A record that was not in the log
-   * by then was decided later.
+   * The time at which the log was last read, in ms on the clock. A decision whose record was not in
+   * the log at that time was made later.
    */
   private double lastRefreshAt = Double.NEGATIVE_INFINITY;
 
--- a/node/src/main/java/ferngrade/transport/Dialer.java
+++ b/node/src/main/java/ferngrade/transport/Dialer.java
@@ -14,8 +14,9 @@
 /**
  * Opens outgoing connections for one purpose. A connection attempt that fails for a shortage of
  * this machine's own resources reveals nothing about the peer; it is retried after a short backoff,
- * as long as the connection is still needed and its retry time lasts. Listeners are called on the
- * event loop only, although Netty reports a socket that could not be opened on another thread.
+ * as long as the connection is still needed and its retry time has not expired. Listeners are
+ * called on the event loop only, although Netty reports a socket that could not be opened on
+ * another thread.
  */
 public final class Dialer {
   /**
--- a/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
+++ b/node/src/test/java/ferngrade/discovery/DiscoveryLargeListTest.java
@@ -62,7 +62,7 @@
   }
 
   /**
-   * Returns {@code count} entries in this phase. A whole list starts at the first worker of the
+   * Returns {@code count} entries in {@code phase}. A whole list starts at the first worker of the
    * fleet, a list of changes at the second, so that the first worker keeps its phase.
    */
   private static JsonObject list(long revision, boolean whole, String id, int count, String phase) {
--- a/node/src/test/java/ferngrade/http/AcceptTimeEstimatorTest.java
+++ b/node/src/test/java/ferngrade/http/AcceptTimeEstimatorTest.java
@@ -9,7 +9,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Guards against estimating the arrival of a connection much later, or much earlier, than it was.
+ * Guards against an estimated arrival time of a connection that is much later or much earlier than
+ * the actual one.
  */
 public class AcceptTimeEstimatorTest {
   private static final double TURN_MILLIS = 10;
@@ -52,8 +53,8 @@
   }
 
   /**
-   * Guards against a failed accept resetting the estimate, so that connections still in the backlog
-   * seem to have just arrived.
+   * Guards against a failed accept that resets the estimate, so that connections still in the
+   * backlog seem to have just arrived.
    */
   @Test
   public void keepsTheEstimateAcrossSeveralFailedAccepts() throws Exception {
--- a/node/src/test/java/ferngrade/http/ConnectionTableTest.java
+++ b/node/src/test/java/ferngrade/http/ConnectionTableTest.java
@@ -175,7 +175,9 @@
     assertEquals(idleUntrusted.size() - closed(idleUntrusted), MAX_AWAITED);
   }
 
-  /** Guards against idle untrusted connections taking the capacity that other connections need. */
+  /**
+   * Guards against idle untrusted connections that take the capacity that other connections need.
+   */
   @Test
   public void evictsIdleUntrustedConnectionsAtOnceWhenCapacityIsScarce() {
     Connection idle = openIdle();
@@ -217,7 +219,10 @@
     assertTrue(idleUntrusted.closed);
   }
 
-  /** Guards against peers that never read their responses holding all connections indefinitely. */
+  /**
+   * Guards against peers that never read their responses and thereby hold all connections
+   * indefinitely.
+   */
   @Test
   public void evictsConnectionsWithUnreadResponsesAfterTheGracePeriod() {
     Connection idle = openIdle();
@@ -271,8 +276,8 @@
   }
 
   /**
-   * Guards against keeping a connection, and counting it, when it ended before its response was
-   * written.
+   * Guards against a connection that is still kept and counted although it ended before its
+   * response was written.
    */
   @Test
   public void doesNotKeepAnEndedConnectionAsIdleAfterItsResponse() {
--- a/node/src/test/java/ferngrade/node/SlowStartAcrossClockStepsTest.java
+++ b/node/src/test/java/ferngrade/node/SlowStartAcrossClockStepsTest.java
@@ -40,7 +40,9 @@
     DURING_WARM_UP
   }
 
-  /** The machines whose wall clocks are stepped: all of them, or only the one of this process. */
+  /**
+   * The machines whose wall clocks are stepped: all machines, or only the machine of this process.
+   */
   private enum SteppedClocks {
     ALL_MACHINES,
     THIS_MACHINE
--- a/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
+++ b/node/src/test/java/ferngrade/server/DisconnectedClientTest.java
@@ -34,8 +34,8 @@
   private static final String READY = "GET /-/ready HTTP/1.1\r\n\r\n";
 
   /**
-   * A number of requests that exceeds the queue of a connection, and also the bytes that the node
-   * reads and drops beyond the queue before it stops reading.
+   * The number of requests in a flood. The flood exceeds both the queue of a connection and the
+   * number of further bytes that the node reads and drops before it stops reading.
    */
   private static final int FLOOD_REQUESTS = 14_000;
 
@@ -168,8 +168,8 @@
   }
 
   /**
-   * Guards against an attempt to a worker whose drain was received while the event loop was
-   * blocked.
+   * Guards against an attempt to a worker that discovery reported as draining while the event loop
+   * was blocked.
    */
   @Test
   public void startsNoAttemptAtWorkerThatDrainsWhileTheLoopIsBlocked() throws Exception {
--- a/node/src/test/java/ferngrade/server/LateReadTest.java
+++ b/node/src/test/java/ferngrade/server/LateReadTest.java
@@ -40,7 +40,10 @@
   private static final double STORE_TIMEOUT_MILLIS = 700;
   private static final double CALLER_TIMEOUT_MILLIS = 1000;
 
-  /** The time left to the callers that wait longest when their calls are accepted, in ms. */
+  /**
+   * The time, in ms, between the accept of the last batch of calls and the timeout of their
+   * callers.
+   */
   private static final double LAST_BATCH_MILLIS = 100;
 
   private final BlockingQueue<Job> jobs = new LinkedBlockingQueue<>();
@@ -158,8 +161,8 @@
   }
 
   /**
-   * Guards against a store timeout that starts when a late call is read: the caller times out
-   * before the answer.
+   * Guards against a store timeout that starts only when a delayed call is read. The caller would
+   * time out before the answer.
    */
   @Test
   public void answersOperatorsCallThatIsReadLateWithinCallerTimeout() throws Exception {
--- a/node/src/test/java/ferngrade/server/LiveProcessesTest.java
+++ b/node/src/test/java/ferngrade/server/LiveProcessesTest.java
@@ -10,8 +10,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Guards against counting a process that has stopped accepting jobs until it exits. During upgrades
- * this lasted 3.5 s, in which the new process had only half of the quota for cold workers.
+ * Guards against a process that has stopped accepting jobs but is counted until it exits. During
+ * upgrades the exit took 3.5 s, in which the new process had only half of the quota for warming-up
+ * workers.
  */
 public class LiveProcessesTest {
   private static final long OWN_PID = 1;
--- a/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
+++ b/node/src/test/java/ferngrade/server/NodeIntegrationTest.java
@@ -293,8 +293,8 @@
   }
 
   /**
-   * Guards against lost jobs while discovery accepts connections but sends nothing from the start
-   * on: the node serves with the list from its configuration.
+   * Guards against lost jobs when discovery accepts connections but has not sent a list since the
+   * node started. The node must serve with the list from its configuration.
    */
   @Test
   public void losesNothingInTwoReloadsWithSilentDiscoveryAndStop() throws Exception {
--- a/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
+++ b/node/src/test/java/ferngrade/server/PipelinedFloodTest.java
@@ -62,7 +62,7 @@
         answers + " answers in too few turns");
   }
 
-  /** Guards against deferred reads that assign a later request too early an arrival time. */
+  /** Guards against deferred reads that give a later request an arrival time that is too early. */
   @Test
   public void requestAfterFloodHasDeadlineFromItsArrival() throws Exception {
     start(64);
--- a/node/src/test/java/ferngrade/server/ShortDeadlineTest.java
+++ b/node/src/test/java/ferngrade/server/ShortDeadlineTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Guards against a late final answer to a request with little time left whose worker silently drops
- * it.
+ * Guards against a late final answer to a request with little time left, when the worker drops the
+ * request without a response.
  */
 @Test(timeOut = 30_000)
 public class ShortDeadlineTest extends NodeIntegrationFixture {
--- a/node/src/test/java/ferngrade/server/UnreadCallbacksTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadCallbacksTest.java
@@ -21,8 +21,8 @@
   private static final double DEADLINE_MILLIS = 9000;
 
   /**
-   * A time in ms after a deadline by which the node itself has answered the request: the delay of
-   * that answer plus 1.
+   * The time after a deadline, in ms, when the node itself has already answered the request: the
+   * delay of that answer plus 1 ms.
    */
   private static final double ANSWER_GUARD_MILLIS = 11;
 
--- a/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
+++ b/node/src/test/java/ferngrade/server/UnreadConnectionsTest.java
@@ -243,7 +243,7 @@
     assertAllReceive(REJECTED, callers);
   }
 
-  /** Guards against partial requests that are limited only by the next periodic sweep. */
+  /** Guards against partial requests whose number is limited only at the next periodic sweep. */
   @Test
   public void limitsPartialRequestsThatArriveAtOnce() throws Exception {
     start(64);
@@ -266,7 +266,10 @@
     assertEquals(outcome(ready), OK);
   }
 
-  /** Guards against closing a live connection to free capacity for one that its peer closed. */
+  /**
+   * Guards against closing an idle connection to free capacity when peers have already closed their
+   * own connections.
+   */
   @Test
   public void closesConnectionsClosedByTheirPeersBeforeIdleOnes() throws Exception {
     start(64);
--- a/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
+++ b/node/src/test/java/ferngrade/server/WaitingAtShutdownTest.java
@@ -172,8 +172,8 @@
   }
 
   /**
-   * Guards against an operators' call that arrives after the last accept and is answered with
-   * success, or never gets a response: its connection must be reset.
+   * Guards against an operators' call that arrives after the last accept and gets a success
+   * response or none at all. The connection of the call must be reset.
    */
   @Test
   public void resetsOperatorsCallAfterTheLastAccept() throws Exception {
