--- a/consensus/src/main/java/ferngrade/consensus/GroupMembership.java
+++ b/consensus/src/main/java/ferngrade/consensus/GroupMembership.java
@@ -54,7 +54,8 @@
     } else {
       mode = MembershipChangeMode.ADD_LEARNER;
     }
-    // The result is visible in the group members; the endpoint repeats its request if necessary.
+    // The future that the call returns is not needed. A successful change appears in the group
+    // members. Otherwise the endpoint repeats its request.
     node.changeMembership(previous.orElse(endpoint), mode, committed.getLogIndex());
   }
 
--- a/consensus/src/main/java/ferngrade/consensus/MicroRaftExecutor.java
+++ b/consensus/src/main/java/ferngrade/consensus/MicroRaftExecutor.java
@@ -14,7 +14,7 @@
   private final ElectionMonitor elections;
 
   /**
-   * Creates an executor; {@code scale} is the number of the member's ms per ms of the algorithm.
+   * Creates an executor that multiplies each delay of the algorithm by {@code scale} to get a delay of the member's timers.
    */
   MicroRaftExecutor(
       RaftMember.Environment environment,
--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -39,8 +39,7 @@
   private static final int MISSED_HEARTBEATS = 5;
 
   /**
-   * The multiple of the election timeout after which a voter without a leader that has requested no
-   * vote is considered stuck.
+   * The number of election timeouts after which a voter is considered stuck, if it has neither had contact with a leader nor requested votes during that time.
    */
   private static final int STUCK_FACTOR = 2;
 
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
@@ -21,8 +21,7 @@
   double load;
 
   /**
-   * Slots of recently sent jobs that the listed load does not include yet. The value decays
-   * exponentially and applies at the time {@code recentAt}.
+   * The number of slots of recently sent jobs, as of the time {@code recentAt}. The listed load does not include these slots yet. The number decays exponentially.
    */
   double recentSlots;
 
@@ -61,7 +60,7 @@
   /** By class: the time until which the worker receives no jobs of the class. */
   final double[] classEjectedUntil;
 
-  /** By class: the duration of the last ejection for the class in ms. */
+  /** By class: the duration, in ms, of the last time the worker was ejected for the class; 0 if the worker has started a job of the class since. */
   final double[] classEjectionMs;
 
   /** Time of the last response from the worker. */
--- a/emulator/src/test/java/ferngrade/emulator/WorkerModelTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/WorkerModelTest.java
@@ -183,9 +183,8 @@
           WorkerModel.notifyingOutcome(ignoringListener(), end -> lastEnd[0] = clock.now()));
     }
     clock.run(1e6);
-    // The integral of the warmth from the offer to the last end, computed in small steps, must
-    // equal
-    // the work.
+    // Adds up the warmth, in small steps, from the time the jobs are offered to the end of the last
+    // job. The sum must equal the work offered.
     double served = 0;
     double step = 0.05;
     for (double at = 10_000; at < lastEnd[0]; at += step) {
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -19,8 +19,7 @@
  * @param leaseDuration the duration of a lease, ms
  * @param recurrencePeriod the period of the recurring jobs, ms
  * @param keepsShards whether it is a violation if a member loses a shard
- * @param foreignMember whether a member of another fleet runs at the same time, whose file has
- *     these members' addresses
+ * @param foreignMember whether a member of another fleet runs at the same time; its fleet file contains the addresses of this trial's members
  * @param sharesEndpointList whether one member watches the endpoint list and relays it to the
  *     others
  * @param requiredLogTexts texts that must each occur in a log line of a member, from the first step
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnPlan.java
@@ -38,7 +38,7 @@
    * One upgrade.
    *
    * @param pause the time before the upgrade without any fault, ms
-   * @param movesDiscovery whether discovery moves while both processes run
+   * @param movesDiscovery whether the discovery address changes while both processes run
    * @param signals the number of SIGTERM signals sent in short succession
    * @param faults the faults of the faulty workers from the beginning of the step
    */
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
@@ -7,9 +7,7 @@
 import java.util.List;
 
 /**
- * Upgrades of a node whose processes are stopped repeatedly, as on an overloaded machine, while
- * workers misbehave, clients abandon requests, discovery moves and signals are sent several times.
- * All checks are made from outside the processes.
+ * Upgrades of a node whose processes are stopped repeatedly, as on an overloaded machine. Meanwhile workers misbehave, clients abandon requests, the discovery address changes, and each SIGTERM may be sent several times. All checks are made from outside the processes.
  */
 public final class ChurnRun {
   private static final RunSettings SETTINGS =
@@ -65,8 +63,9 @@
         loop.stop();
       }
       Observations observations = run.observations();
-      // Lost callbacks are not checked: after an abandoned request, or a job cut short, no process
-      // may know the job.
+      // Lost callbacks are not checked. After a client abandons a request or a job is cut short, it
+      // is possible that no process has a record of the job, and a worker then gets no answer to
+      // its callback.
       churn.violations.addAll(UpgradeChecker.sendsToDisabledWorkers(observations));
       churn.violations.addAll(UpgradeChecker.repeatedJobs(observations));
       churn.violations.addAll(
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/EpisodeKind.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/EpisodeKind.java
@@ -14,7 +14,7 @@
   NEW_TERMINATED,
   /** Upgrades while one of the two processes is stopped for a while. */
   ONE_STOPPED,
-  /** Moves discovery and sends SIGHUP to one of two processes. */
+  /** Changes the discovery address in the configuration while two processes run, and sends SIGHUP to one of them. */
   RELOAD,
   /** Drains and resumes the node through calls at different processes. */
   DRAIN,
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
@@ -238,8 +238,7 @@
   }
 
   /**
-   * Moves discovery to the other agent in the configuration; SIGHUP makes a process read the
-   * changed configuration.
+   * Changes the discovery address in the configuration to that of the other agent. A process reads the changed configuration after a SIGHUP.
    */
   public void moveDiscovery() throws IOException {
     discoveryIndex = 1 - discoveryIndex;
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
@@ -16,8 +16,7 @@
 import java.util.function.Function;
 
 /**
- * A worker that accepts each job for which it has a slot or a place in its queue with a 202, runs
- * it for a random time, and sends a callback until it is answered. Thread-safe.
+ * A worker that responds with 202 to each job for which a slot or a place in its queue is free. It runs the job for a random time, and then sends the callback repeatedly until the node answers. Thread-safe.
  */
 final class WorkerStub implements AutoCloseable {
   private static final TimeUnit MILLIS = TimeUnit.MILLISECONDS;
@@ -48,7 +47,7 @@
   private volatile WorkerFault fault = WorkerFault.NONE;
   private volatile Function<String, InetSocketAddress> callbackAddresses;
 
-  /** A job, and the sender as named by the attempt's header. */
+  /** A job and the process that sent it, as named by the header of the attempt. */
   private record ReceivedJob(String id, String sender) {}
 
   /**
@@ -82,7 +81,7 @@
   }
 
   /**
-   * Sets the function that returns the address of callbacks for the sender named by the attempt.
+   * Sets the function that maps the sender of an attempt to the address to which the worker sends its callbacks. The attempt's header names the sender.
    */
   void setCallbackAddress(Function<String, InetSocketAddress> addressBySender) {
     callbackAddresses = addressBySender;
--- a/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
+++ b/jobstore/src/main/java/ferngrade/jobstore/FaultInjectingStorage.java
@@ -66,7 +66,7 @@
       return operation;
     }
 
-    /** The error that it reports. */
+    /** The error code with which the operation failed. */
     public Errno errno() {
       return errno;
     }
@@ -238,7 +238,8 @@
       step();
       throw fault.get();
     }
-    // The step is counted after the write, since power may also be lost at that point.
+    // The step is counted only after the bytes are written, so that a power loss can also occur
+    // directly after a write.
     file.append(bytes, length);
     step();
   }
--- a/lease/src/main/java/ferngrade/lease/LeaseTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -348,8 +348,7 @@
   }
 
   /**
-   * Returns the time, Unix ms, that a member with the wall clock {@code own} uses: its own clock,
-   * or the median of the members' clocks if the two are far apart. The median is as old as the
+   * Returns the time that a member uses, in Unix ms. {@code own} is the time of the member's own wall clock. The method returns {@code own} unless it differs from the median of the members' wall clocks by more than {@link #MAX_AHEAD_MILLIS}. In that case it returns the median. The median is as old as the
    * members' last renewals.
    */
   public long correctedWallClock(long own) {
--- a/membership/src/main/java/ferngrade/membership/Suspicion.java
+++ b/membership/src/main/java/ferngrade/membership/Suspicion.java
@@ -4,9 +4,7 @@
 import java.util.Set;
 
 /**
- * Computes how long a suspicion lasts before the member is marked as failed: the timeout is long at
- * first, and each further member that suspects the target independently shortens it (Lifeguard).
- * This gives a member that is itself slow more time to receive a refutation.
+ * Computes how long a suspicion lasts before the suspected member is marked as failed (Lifeguard). The timeout is long at first. It becomes shorter each time another member independently suspects the same member. If the member that reports the suspicion is itself slow, it therefore has more time to receive a refutation.
  */
 final class Suspicion {
   /** The number of confirmations after which the timeout is at its minimum. */
--- a/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
+++ b/node/src/main/java/ferngrade/http/AcceptTimeEstimator.java
@@ -94,8 +94,9 @@
     if (acceptedThisTurn >= acceptLimit) {
       extendWaitToNextTurn();
     } else if (acceptedThisTurn > 0) {
-      // All waiting connections are accepted. If an accept failed and none succeeded, the estimate
-      // stays, because connections are still waiting.
+      // The read accepted fewer connections than its limit, so no connection is waiting any more.
+      // If every accept failed, acceptedThisTurn is 0 and the estimate is kept, because connections
+      // are still waiting.
       waitedUntilTurn = -1;
     }
     acceptedThisTurn = 0;
--- a/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
+++ b/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
@@ -245,8 +245,7 @@
   }
 
   /**
-   * Fails if the timeout of an attempt ignores an unread rejection, after which a retry would be
-   * safe.
+   * Fails if an attempt times out although a rejection by the worker has arrived and is not read yet. After a rejection, a retry is safe.
    */
   @Test
   public void attemptDoesNotTimeOutWhileWorkersResponseIsUnread() {
