--- a/consensus/src/main/java/ferngrade/consensus/MicroRaftExecutor.java
+++ b/consensus/src/main/java/ferngrade/consensus/MicroRaftExecutor.java
@@ -14,7 +14,8 @@
   private final ElectionMonitor elections;
 
   /**
-   * Creates an executor that multiplies each delay of the algorithm by {@code scale} to get a delay of the member's timers.
+   * Creates an executor for the algorithm's tasks. A delay that the algorithm requests is
+   * multiplied by {@code scale} to obtain the delay of the member's timer.
    */
   MicroRaftExecutor(
       RaftMember.Environment environment,
--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -39,7 +39,8 @@
   private static final int MISSED_HEARTBEATS = 5;
 
   /**
-   * The number of election timeouts after which a voter is considered stuck, if it has neither had contact with a leader nor requested votes during that time.
+   * The number of election timeouts after which a voter is considered stuck. During this time the
+   * voter has had no contact with a leader and has not requested votes.
    */
   private static final int STUCK_FACTOR = 2;
 
--- a/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
@@ -330,7 +330,9 @@
       RaftLogStore log = open(disk);
       begin(log);
       for (int i = 1; i <= 5; i++) {
-        // The last entry is long, so that the flipped bit is before it, in a batch that was synced.
+        // All flipped offsets are below 200, before the batch of the last entry. The damaged batch
+        // was therefore synced, and a later batch follows it. This shows that the damage is not a
+        // torn write. The long last entry puts the end of the file far behind the flipped offsets.
         log.persistLogEntries(List.of(entry(i, "entry " + "x".repeat(i == 5 ? 500 : 10))));
         log.flush();
       }
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerRegistry.java
@@ -180,7 +180,9 @@
   }
 
   /**
-   * Returns the number of slots of the jobs recently sent to the worker. The worker's listed load does not include these slots yet. The number decays with the time constant {@link #LIST_DELAY_MS}.
+   * Returns the number of slots of the jobs recently sent to the worker. The worker's listed load
+   * does not include these slots yet. The number decays with the time constant {@link
+   * #LIST_DELAY_MS}.
    */
   double recentSlots(WorkerStats worker, double now) {
     return worker.recentSlots * Math.exp((worker.recentAt - now) / LIST_DELAY_MS);
--- a/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
+++ b/dispatch/src/main/java/ferngrade/dispatch/WorkerStats.java
@@ -21,7 +21,8 @@
   double load;
 
   /**
-   * The number of slots of recently sent jobs, as of the time {@code recentAt}. The listed load does not include these slots yet. The number decays exponentially.
+   * The number of slots of recently sent jobs, as of the time {@code recentAt}. The listed load
+   * does not include these slots yet. The number decays exponentially.
    */
   double recentSlots;
 
@@ -60,7 +61,10 @@
   /** By class: the time until which the worker receives no jobs of the class. */
   final double[] classEjectedUntil;
 
-  /** By class: the duration, in ms, of the last time the worker was ejected for the class; 0 if the worker has started a job of the class since. */
+  /**
+   * By class: the duration of the worker's last ejection for this class, in ms. The value is 0 if
+   * there was no ejection or the worker has started a job of the class since.
+   */
   final double[] classEjectionMs;
 
   /** Time of the last response from the worker. */
--- a/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
+++ b/emulator/src/test/java/ferngrade/emulator/ReleaseRun.java
@@ -126,7 +126,10 @@
     second(now).coldSent += work / scenario.workload.meanWork();
   }
 
-  /** Returns the number of requests that the settings allow a cold worker to receive in one window, if each request has the mean work. */
+  /**
+   * Returns the number of requests that the settings allow a cold worker to receive in one window,
+   * if each request has the mean work.
+   */
   private double allowed(EmulatedWorker worker, double now) {
     double age = now - worker.model.startedAt();
     double warmth =
--- a/experiment/src/main/java/ferngrade/experiment/Search.java
+++ b/experiment/src/main/java/ferngrade/experiment/Search.java
@@ -32,7 +32,10 @@
    * result, and the number of trials that the search ran.
    */
   public record Result(JsonNode source, ExperimentRun.Result result, int runs) {
-    /** Returns true if the trial violates an invariant. If no trial of the search violates one, returns false, and the trial is the one with the lowest goodput. */
+    /**
+     * Returns true if the trial violates an invariant. Returns false if no trial of the search
+     * violates one; the trial is then the one with the lowest goodput.
+     */
     public boolean violatesInvariant() {
       return result.totalViolations() > 0;
     }
--- a/experiment/src/main/java/ferngrade/experiment/Statistics.java
+++ b/experiment/src/main/java/ferngrade/experiment/Statistics.java
@@ -24,7 +24,10 @@
  * its value. Times are in milliseconds.
  */
 public final class Statistics implements Observer {
-  /** The minimum width of a window of the time series. Runs of up to {@link #MAX_WINDOWS} such windows use this width. */
+  /**
+   * The minimum width of a window of the time series. Runs of up to {@link #MAX_WINDOWS} such
+   * windows use this width.
+   */
   private static final double MIN_WINDOW_MILLIS = 1000;
 
   /** The maximum number of windows. A longer run has wider windows instead of more windows. */
--- a/faulttest/src/main/java/ferngrade/faulttest/DiscoveryServiceStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/DiscoveryServiceStub.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A discovery service: a watch receives the complete endpoint list first, and then an update every
- * {@link #UPDATE_INTERVAL_MILLIS}.
+ * A discovery service. Each watch first receives the complete endpoint list, and then an update
+ * every {@link #UPDATE_INTERVAL_MILLIS}.
  */
 final class DiscoveryServiceStub {
   private static final long UPDATE_INTERVAL_MILLIS = 200;
--- a/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/FaultInjectingMember.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.ExecutionException;
 
 /**
- * Starts a member as {@code ferngrade fleet member} does, with faults that can be injected into its
- * clocks and its disk while it runs. Each line of standard input is a command: {@code jump MS} (of
- * the wall clock), {@code rate R} (of both clocks, relative to real time), {@code fill}, {@code
+ * Starts a member as {@code ferngrade fleet member} does. While the member runs, faults can be
+ * injected into its clocks and its disk. Each line of standard input is a command: {@code jump MS}
+ * (of the wall clock), {@code rate R} (of both clocks, relative to real time), {@code fill}, {@code
  * mend} or {@code slow MS} (the duration of each sync).
  */
 public final class FaultInjectingMember {
@@ -27,7 +27,7 @@
 
   private FaultInjectingMember() {}
 
-  /** Takes the arguments of {@code fleet member}. */
+  /** Starts the member; the arguments are those of {@code fleet member}. */
   @SuppressWarnings("try")
   public static void main(String[] arguments)
       throws InterruptedException, IOException, FileException, ExecutionException {
--- a/faulttest/src/main/java/ferngrade/faulttest/HistoryChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/HistoryChecker.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Checks that after {@code from} each text in {@code required} occurs in a log line of a member,
-   * and no text in {@code forbidden} does.
+   * Checks the log lines that members wrote after {@code from}. Each text in {@code required} must
+   * occur in one of them. No text in {@code forbidden} may occur in any of them.
    */
   static List<Violation> checkLogLines(
       List<Event> events, double from, List<String> required, List<String> forbidden) {
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelChecker.java
@@ -10,8 +10,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Explores all event sequences of a {@link ModelState} up to a number of steps, breadth first,
- * visiting each state once. A state is identified by a 128-bit hash of its text.
+ * Explores all event sequences of a {@link ModelState}, up to a number of steps. The search is
+ * breadth first and visits each state once. A state is identified by a 128-bit hash of its text.
  */
 public final class ModelChecker {
   private ModelChecker() {}
@@ -20,8 +20,8 @@
   private record StateHash(long high, long low) {}
 
   /**
-   * The number of states visited, the depth in steps, the violated rule, null for none, and the
-   * steps that lead to the violation.
+   * The number of states visited, the depth in steps, the violated rule (null if none is violated),
+   * and the steps that lead to the violation.
    */
   public record Result(long states, int depth, String violatedRule, int[] steps) {}
 
--- a/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ModelState.java
@@ -14,10 +14,10 @@
 import java.util.TreeMap;
 
 /**
- * A model of a few members and shards with a log that is assumed to be correct: a proposal is
- * committed now, later or never, each member applies the log at any time, and answers arrive late
- * or never. {@link #steps} returns all possible next steps; the members' clocks differ by the full
- * drift bound.
+ * A model of a few members and shards. The log is assumed to be correct. A proposal is committed at
+ * once, later or never. Each member applies the log at any time, and answers arrive late or never.
+ * The members' clocks differ by the full drift bound. {@link #steps} returns all possible next
+ * steps.
  */
 final class ModelState {
   private static final double LEASE_MILLIS = 1000;
@@ -36,8 +36,8 @@
     /** A member's lease holder runs its tick, and may propose commands. */
     TICK,
     /**
-     * The common case in one step: a member applies the whole log and runs its tick, and its
-     * proposals are committed and answered.
+     * The common case in one step. A member applies the whole log and runs its tick. Its proposals
+     * are then committed and answered.
      */
     ROUND,
     /** A proposal is committed, and its proposer applies the log up to it. */
@@ -56,7 +56,7 @@
     CRASH
   }
 
-  /** A proposal in flight, or committed and not answered yet. */
+  /** A proposal that is in flight, or that is committed but not answered yet. */
   private record Proposal(
       int member,
       int incarnation,
@@ -163,7 +163,8 @@
   }
 
   /**
-   * Encodes a step as a number, which is decoded with {@code StepType.values()} in the same run.
+   * Encodes a step as a number. The number is decoded with {@code StepType.values()} in the same
+   * run.
    */
   @SuppressWarnings("EnumOrdinal") // never stored, and computed too often for a map
   private static int code(StepType type, int argument) {
@@ -330,8 +331,8 @@
   }
 
   /**
-   * Appends the mutable fields, read by reflection so that the class under test needs no accessors
-   * for this test.
+   * Appends the mutable fields of the lease holder. The fields are read by reflection, so that the
+   * class under test needs no accessors for this test.
    */
   private static void describe(LeaseHolder holder, StringBuilder text) {
     for (Field field : LeaseHolder.class.getDeclaredFields()) {
--- a/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Mutant.java
@@ -10,8 +10,8 @@
   /** The job receiver ignores epochs. */
   NO_EPOCH_CHECK,
   /**
-   * The lease time is measured from the arrival of the answer, instead of from a time before the
-   * request was sent.
+   * The lease duration is counted from the arrival of the answer. The correct start is a time
+   * before the request was sent.
    */
   HOLD_FROM_ANSWER,
   /** A vote is sent before it is synced to disk. */
@@ -20,6 +20,6 @@
   FORGOTTEN_VOTES,
   /** All clocks are assumed to run at the same rate. */
   NO_DRIFT_BOUND,
-  /** Members ignore updates about themselves, and so never refute a suspicion. */
+  /** Members ignore updates about themselves. They therefore never refute a suspicion. */
   NO_DENIAL
 }
--- a/faulttest/src/main/java/ferngrade/faulttest/Network.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Network.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The simulated network: a relay in each directed link between members, for connections and for
- * datagrams, and from each member to the job receiver.
+ * The simulated network. Each directed link between two members has a relay for connections and a
+ * relay for datagrams. Each link from a member to the job receiver has a relay for connections.
  */
 final class Network {
   private final EventLoopGroup group =
@@ -24,8 +24,8 @@
   private final Map<String, Relay> effects = new HashMap<>();
 
   /**
-   * Creates links between these members; the history records when an effect begins to be held back
-   * in a link.
+   * Creates links between these members. When a link begins to hold back a job on its way to the
+   * receiver, the history records it.
    */
   Network(
       List<String> names, InetSocketAddress jobReceiver, History history, SplittableRandom random)
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Cuts the links from a member, to the member, or both, with resets or silently; the returned
-   * task restores the links.
+   * Cuts the links from a member, the links to the member, or both. The mode selects whether
+   * connections are reset or data is silently dropped. The returned task restores the links.
    */
   Runnable cut(String name, boolean from, boolean to, Relay.Mode mode) {
     List<String> affected = linksOf(name, from, to);
--- a/faulttest/src/main/java/ferngrade/faulttest/ProcessMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/ProcessMember.java
@@ -20,7 +20,8 @@
 import java.util.stream.Stream;
 
 /**
- * A member that runs the program in a separate process; its log lines are recorded in the history.
+ * A member that runs the program in a separate process. The history records the process's log
+ * lines.
  */
 final class ProcessMember {
   private static final Pattern PAIR = Pattern.compile("([a-z]+)=(\\S+)");
--- a/faulttest/src/main/java/ferngrade/faulttest/Relay.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/Relay.java
@@ -38,8 +38,8 @@
      */
     HOLD,
     /**
-     * Nothing is forwarded, without notice to either side; data sent meanwhile is lost with its
-     * connection.
+     * Nothing is forwarded, and neither side is notified. When this mode ends, all open connections
+     * are closed, and the data sent meanwhile is lost.
      */
     SILENT
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/SimulatedProcess.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/SimulatedProcess.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A process in virtual time that can be suspended, in which case its tasks wait, and killed, after
- * which its tasks are dropped.
+ * A process in virtual time that can be suspended and killed. The tasks of a suspended process
+ * wait. The tasks of a killed process are dropped.
  */
 final class SimulatedProcess {
   private final List<Runnable> delayed = new ArrayList<>();
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -19,7 +19,8 @@
  * @param leaseDuration the duration of a lease, ms
  * @param recurrencePeriod the period of the recurring jobs, ms
  * @param keepsShards whether it is a violation if a member loses a shard
- * @param foreignMember whether a member of another fleet runs at the same time; its fleet file contains the addresses of this trial's members
+ * @param foreignMember whether a member of another fleet runs at the same time; its fleet file
+ *     contains the addresses of this trial's members
  * @param sharesEndpointList whether one member watches the endpoint list and relays it to the
  *     others
  * @param requiredLogTexts texts that must each occur in a log line of a member, from the first step
@@ -75,20 +76,23 @@
     /** Cuts the connections to and from the other members for {@code for}. */
     CUT,
     /**
-     * Silently drops everything the member sends to other members for {@code for}; it still
-     * receives.
+     * Silently drops all data that the member sends to other members for {@code for}. The member
+     * still receives data.
      */
     MUTE,
     /**
-     * Silently drops everything other members send to the member for {@code for}; it can still
-     * send.
+     * Silently drops all data that other members send to the member for {@code for}. The member can
+     * still send data.
      */
     DEAFEN,
-    /** Holds back the jobs that the member submits for {@code for}, and then delivers them. */
+    /**
+     * For the duration {@code for}, holds back the jobs that the member submits, and then delivers
+     * them.
+     */
     HOLD_EFFECTS,
     /**
-     * Kills the process, and restarts it after {@code for} with an empty data folder, to be
-     * admitted again.
+     * Kills the process, and restarts it after {@code for} with an empty data folder and the option
+     * to be admitted to the fleet again.
      */
     REJOIN,
     /** Kills the process, and restarts it after {@code for} with one bit of its log flipped. */
@@ -109,7 +113,8 @@
      */
     FORGE,
     /**
-     * Sends SIGTERM: the member releases its leases and exits; it is restarted after {@code for}.
+     * Sends SIGTERM, upon which the member releases its leases and exits. Restarts the member after
+     * {@code for}.
      */
     LEAVE
   }
@@ -121,8 +126,8 @@
     /** A job submitted by the member is held back in a link in {@link Relay.Mode#HOLD} mode. */
     HELD,
     /**
-     * Since the step began, a job has been executed under a later epoch whose shard the member
-     * owned when the step began.
+     * The member owned a shard when the step began. Since then, a job of this shard has been
+     * executed under a later epoch.
      */
     OVERTAKEN
   }
@@ -131,9 +136,9 @@
    * One step. {@code who} selects the members: a member's name, {@code owner} (of the first job's
    * shard), {@code owner2} (of the second job's shard), {@code list-owner}, {@code another} (not
    * the owner of the first job's shard), {@code same} (the member of the previous step) or {@code
-   * all}. The step begins at its time and once {@code when} has occurred, and ends {@code length}
-   * ms after {@code until} has occurred; it never ends if {@code length} is 0 and {@code until} is
-   * {@code NONE}. {@code by} is the amount, for actions that have one.
+   * all}. The step begins at its time or once {@code when} has occurred, whichever is later. It
+   * ends {@code length} ms after {@code until} has occurred. It never ends if {@code length} is 0
+   * and {@code until} is {@code NONE}. {@code by} is the amount, for actions that have one.
    */
   public record Step(
       double at,
@@ -200,7 +205,10 @@
     return trial;
   }
 
-  /** Returns a trial that is part of the program, null if there is none of this name. */
+  /**
+   * Returns the trial of this name that is part of the program, or null if the program has no such
+   * trial.
+   */
   public static TrialFile shipped(String name) throws FileException {
     try (InputStream in = TrialFile.class.getResourceAsStream("/trials/" + name + ".toml")) {
       return in == null ? null : read(name, new String(in.readAllBytes(), StandardCharsets.UTF_8));
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialRun.java
@@ -28,8 +28,8 @@
   private static final double EVENT_TIMEOUT_MILLIS = 60_000;
 
   /**
-   * The time for which the run waits before the first step, in ms, because shards may still move to
-   * the members that joined last.
+   * The time in ms for which the run waits before the first step. During this time, shards may
+   * still be transferred to the members that joined last.
    */
   private static final double SETTLE_TIME_MILLIS = 500;
 
@@ -106,7 +106,8 @@
   }
 
   /**
-   * Returns the fleet file of one member, which reaches the other members through its own relays.
+   * Returns the fleet file of one member. The file lists the addresses of the relays through which
+   * this member connects to the other members.
    */
   private String memberFleetFile(String name) {
     StringBuilder toml = new StringBuilder();
@@ -151,8 +152,8 @@
   }
 
   /**
-   * Returns the fleet file of a member of another fleet, which lists the members of the tested
-   * fleet as its own.
+   * Returns the fleet file of a member of another fleet. The file lists members of the tested fleet
+   * as if they belonged to the other fleet.
    */
   private String foreignFleetFile() {
     StringBuilder toml = new StringBuilder("name = \"other\"\nkey-file = \"key\"\n");
@@ -314,8 +315,8 @@
     double start = history.now();
     List<ScheduledAction> scheduled = new ArrayList<>();
     for (Step step : trial.steps()) {
-      // The member for whose condition the step waits is selected at the first check after the
-      // step's time.
+      // The step waits for a condition of one member. This member is selected at the first check
+      // after the step's time.
       String[] awaitedMember = new String[1];
       scheduled.add(
           new ScheduledAction(
@@ -512,8 +513,8 @@
   }
 
   /**
-   * Returns the member that was the last to log that it gained the shard; the first member if none
-   * has logged this yet.
+   * Returns the member that most recently logged that it gained the shard, or the first member if
+   * no member has logged this yet.
    */
   private String owner(List<Event> events, String shard) {
     return events.stream()
--- a/faulttest/src/main/java/ferngrade/faulttest/UdpRelay.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/UdpRelay.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A directed link for datagrams: forwards datagrams from the sender to the target, and the target's
- * answers back. Can drop, duplicate and delay, and so reorder, datagrams. All state except the
- * volatile fields belongs to the event loop group's single thread.
+ * A directed link for datagrams. Forwards datagrams from the sender to the target, and returns the
+ * target's answers to the sender. Can drop, duplicate and delay datagrams; a delay can change their
+ * order. All state except the volatile fields belongs to the event loop group's single thread.
  */
 final class UdpRelay {
   private static final double LOSS_PROBABILITY = 0.2;
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualFleet.java
@@ -89,7 +89,7 @@
 
   /**
    * Runs without faults, with message delays between 0.5 and 1.5 times {@code millis}, as on an
-   * overloaded machine; checks that the job of each shard is executed.
+   * overloaded machine. Checks that the job of each shard is executed.
    */
   public static Result runWithDelays(int size, long seed, double millis) {
     VirtualFleet fleet = new VirtualFleet(size, seed, Mutant.NONE);
@@ -217,8 +217,8 @@
         time.after(length, () -> loss = 0);
       }
       case 9 -> {
-        // The leader crashes and restarts, cut off from all voters except one, which crashes
-        // repeatedly: both sides may request its vote for the same term.
+        // The leader crashes and restarts. It is then cut off from all voters except one, and this
+        // voter crashes repeatedly. Both sides may request this voter's vote for the same term.
         String leader =
             members.values().stream()
                 .map(member -> member.view().leader())
@@ -237,8 +237,8 @@
         }
       }
       case 10 -> {
-        // One member is cut off, so that its log falls behind, and loses its disk; then a randomly
-        // chosen member restarts.
+        // One member is cut off, so that its log falls behind, and then loses its disk. After that,
+        // a randomly chosen member restarts.
         cut(List.of(other + name, name + other), length);
         time.after(length / 3, () -> loseDisk(name, 100));
         String third = names.get(random.nextInt(names.size()));
@@ -330,8 +330,8 @@
   }
 
   /**
-   * Delivers an effect to the job receiver after a delay. The receiver checks the epoch, and drops
-   * a repeat of a job that may be submitted again.
+   * Delivers an effect to the job receiver after a delay. The receiver checks the epoch. If a job
+   * that may be submitted more than once arrives again, the receiver drops the repeat.
    */
   void effect(String from, RecurringSchedule job, long epoch, long due, Consumer<String> result) {
     double delay =
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualMember.java
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Returns a store that writes the term and the vote only together with later log entries, and so
-   * syncs them late.
+   * Returns a store that writes the term and the vote only together with later log entries. The
+   * term and the vote are therefore synced late.
    */
   private static RaftStore unsyncedVotes(RaftLogStore log) {
     RaftTermPersistentState[] unsynced = new RaftTermPersistentState[1];
--- a/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/VirtualSwarm.java
@@ -60,8 +60,8 @@
    * @param datagrams the number of datagrams sent
    * @param maxDatagramBytes the size of the largest datagram, bytes
    * @param suspicions how often a member suspected another member
-   * @param falseFailures how often a member declared another member failed that was running and not
-   *     partitioned
+   * @param falseFailures how often a member declared another member failed although the other
+   *     member was running and not partitioned
    * @param rejected the number of replayed or forged datagrams that were rejected
    * @param detectionMillis the time until the last member detected the crash of the killed member,
    *     ms; NaN if no member was killed
@@ -85,7 +85,8 @@
   }
 
   /**
-   * Runs faults drawn from the seed; at the end all running members must agree on the membership.
+   * Runs a fleet with faults drawn from the seed. At the end all running members must agree on the
+   * membership.
    */
   public static Result run(int size, long seed, Mutant mutant) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, mutant);
@@ -117,7 +118,7 @@
     return swarm.result(Double.NaN);
   }
 
-  /** Crashes one member, and measures the time until the last of the others detects it. */
+  /** Crashes one member, and measures the time until all other members have detected the crash. */
   public static Result runWithCrash(int size, long seed) {
     VirtualSwarm swarm = new VirtualSwarm(size, seed, Mutant.NONE);
     swarm.names.forEach(swarm::start);
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/BackgroundLoop.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/BackgroundLoop.java
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Stops the loop, and waits for the last step. */
+  /** Stops the loop, and waits until the last step has ended. */
   final void stop() throws InterruptedException {
     running = false;
     thread.join();
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ChurnRun.java
@@ -7,7 +7,9 @@
 import java.util.List;
 
 /**
- * Upgrades of a node whose processes are stopped repeatedly, as on an overloaded machine. Meanwhile workers misbehave, clients abandon requests, the discovery address changes, and each SIGTERM may be sent several times. All checks are made from outside the processes.
+ * Upgrades of a node whose processes are stopped repeatedly, as on an overloaded machine. Meanwhile
+ * workers misbehave, clients abandon requests, the discovery address changes, and each SIGTERM may
+ * be sent several times. All checks are made from outside the processes.
  */
 public final class ChurnRun {
   private static final RunSettings SETTINGS =
@@ -18,8 +20,8 @@
           1000);
 
   /**
-   * The longest deadline of the settings plus 0.7 s: no process is killed earlier than this after
-   * SIGTERM, ms.
+   * The minimum time between SIGTERM and SIGKILL, ms: the longest deadline of the settings plus 0.7
+   * s.
    */
   private static final long KILL_DELAY_MILLIS = 3700;
 
@@ -64,8 +66,7 @@
       }
       Observations observations = run.observations();
       // Lost callbacks are not checked. After a client abandons a request or a job is cut short, it
-      // is possible that no process has a record of the job, and a worker then gets no answer to
-      // its callback.
+      // is possible that no process has a record of the job.
       churn.violations.addAll(UpgradeChecker.sendsToDisabledWorkers(observations));
       churn.violations.addAll(UpgradeChecker.repeatedJobs(observations));
       churn.violations.addAll(
@@ -99,8 +100,8 @@
   }
 
   /**
-   * Waits for the end of a process, and kills it at {@code killAt} as the platform does; clients
-   * use its connections until then.
+   * Waits for the end of a process, and kills it at {@code killAt}, as the platform does. Clients
+   * use the connections of the process until it ends.
    */
   private void awaitEnd(ServingProcess process, double killAt)
       throws IOException, InterruptedException {
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ClientLoad.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ClientLoad.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients that each keep one connection for as long as it stays open, and send one request at a
- * time, with a pause between two requests. A request whose connection closes without an answer is
- * retried once on a new connection.
+ * A set of clients. Each client keeps one connection for as long as the connection stays open. It
+ * sends one request at a time, with a pause between two requests. A request whose connection closes
+ * without an answer is retried once on a new connection.
  */
 final class ClientLoad {
   /** The time after its deadline at which a request counts as unanswered, ms. */
@@ -153,7 +153,7 @@
         new JobResult(job, kind, sentAt, observations.now(), behaviour.deadline(), outcome));
   }
 
-  /** Stops the load: no client sends another request; waits for the requests in progress. */
+  /** Stops the clients from sending further requests, and waits for the requests in progress. */
   void stop() throws InterruptedException {
     running = false;
     for (Thread thread : threads) {
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/DiscoveryStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/DiscoveryStub.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A discovery agent on the node's machine: each watch receives the complete endpoint list, and
- * again every {@link #INTERVAL_MILLIS}.
+ * A discovery agent on the node's machine. Each watch receives the complete endpoint list when it
+ * opens, and again every {@link #INTERVAL_MILLIS}.
  */
 final class DiscoveryStub implements AutoCloseable {
   /**
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/Episode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/Episode.java
@@ -7,8 +7,8 @@
  * @param pause the time before the episode without any fault, ms
  * @param offset the time from the start of the episode to the fault or the signal, ms
  * @param length the duration of a temporary fault, ms
- * @param affectsOldProcess whether the earlier of two processes is affected, where only one of them
- *     is
+ * @param affectsOldProcess whether the fault or signal affects the earlier of two processes, in
+ *     episodes that affect only one process
  * @param worker the worker that operators disable in the episode
  */
 public record Episode(
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/EpisodeKind.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/EpisodeKind.java
@@ -14,7 +14,10 @@
   NEW_TERMINATED,
   /** Upgrades while one of the two processes is stopped for a while. */
   ONE_STOPPED,
-  /** Changes the discovery address in the configuration while two processes run, and sends SIGHUP to one of them. */
+  /**
+   * Changes the discovery address in the configuration while two processes run, and sends SIGHUP to
+   * one of them.
+   */
   RELOAD,
   /** Drains and resumes the node through calls at different processes. */
   DRAIN,
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/HttpConnection.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/HttpConnection.java
@@ -77,7 +77,7 @@
     }
   }
 
-  /** Returns whether the peer has closed the connection, which must be idle. */
+  /** Returns whether the peer has closed the connection. The connection must be idle. */
   boolean endedByPeer() {
     try {
       socket.setSoTimeout(1);
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/LoadShiftRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/LoadShiftRun.java
@@ -7,8 +7,9 @@
 import java.util.List;
 
 /**
- * An upgrade on a machine that is short of processor time: the load shifts from a warm process to a
- * cold one while other busy processes run, which end some seconds later.
+ * An upgrade on a machine that is short of processor time. The load shifts from a warmed-up process
+ * to a newly started one while other processes keep the processors busy. The busy processes end
+ * some seconds later.
  */
 public final class LoadShiftRun {
   private static final RunSettings SETTINGS =
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/Observations.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/Observations.java
@@ -30,7 +30,7 @@
   /** How a client's request ended. */
   public enum Outcome {
     SERVED,
-    /** Rejected with 503 or 429. */
+    /** The node rejected the request with 503 or 429. */
     REFUSED,
     /** Answered with any other status, or with a wrong result. */
     FAILED,
@@ -85,8 +85,9 @@
   }
 
   /**
-   * Marks the time just before or just after the harness injects a fault into a process; each fault
-   * has both marks. Requests in progress between the two marks may be lost without a violation.
+   * Marks the time just before or just after the harness injects a fault into a process. Each fault
+   * has one mark of each kind. Requests in progress between the two marks may be lost without a
+   * violation.
    */
   record Fault(double at, long pid, Kind kind) {
     enum Kind {
@@ -147,7 +148,7 @@
     return List.copyOf(utilisations);
   }
 
-  /** Records that a worker has given up its callback for this job. */
+  /** Records that a worker has stopped retrying its callback for this job. */
   synchronized void callbackLost(String job) {
     lostCallbacks.add(job);
   }
@@ -182,7 +183,7 @@
     return List.copyOf(faults);
   }
 
-  /** Returns the jobs for which a worker has given up its callback. */
+  /** Returns the jobs for which a worker has stopped retrying its callback. */
   public synchronized List<String> lostCallbacks() {
     return List.copyOf(lostCallbacks);
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/OperatorLoop.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/OperatorLoop.java
@@ -19,7 +19,10 @@
   private final Random random;
   private final Set<String> disabled = new HashSet<>();
 
-  /** The process that must not be called because it cannot answer; null if there is none. */
+  /**
+   * The process that the operator must not call, because the process cannot answer; null if all
+   * processes can answer.
+   */
   private volatile ServingProcess avoided;
 
   OperatorLoop(UpgradeRun run, long seed) {
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/ProcessLauncher.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/ProcessLauncher.java
@@ -19,8 +19,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Replaces the platform that owns the clients' listening socket: starts processes that inherit it
- * as descriptor 0. A Perl script does this, because Java cannot pass a socket to a child process.
+ * Stands in for the platform that owns the clients' listening socket. Starts processes that inherit
+ * the socket as descriptor 0. A Perl script starts the processes, because Java cannot pass a socket
+ * to a child process.
  */
 final class ProcessLauncher implements AutoCloseable {
   private static final String SCRIPT = "launch.pl";
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/RunSettings.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/RunSettings.java
@@ -9,8 +9,8 @@
   private static final int ORDINARY_OBJECTIVE_MILLIS = 1000;
 
   /**
-   * Returns settings with workers that start every job immediately, and a latency objective that
-   * they meet easily.
+   * Returns settings with workers that start every job immediately. The workers easily meet the
+   * latency objective of these settings.
    */
   public static RunSettings ordinary(NodeLimits limits, int workers) {
     return new RunSettings(limits, workers, WorkerBehaviour.UNLIMITED, ORDINARY_OBJECTIVE_MILLIS);
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/SoakRun.java
@@ -16,8 +16,8 @@
   private static final NodeLimits LIMITS = new NodeLimits(256, 384);
 
   /**
-   * The longest deadline of the settings plus 0.7 s: no process is killed earlier than this after
-   * SIGTERM, ms.
+   * The minimum time between SIGTERM and SIGKILL, ms: the longest deadline of the settings plus 0.7
+   * s.
    */
   private static final long KILL_DELAY_MILLIS = 3700;
 
@@ -105,7 +105,10 @@
     }
   }
 
-  /** Waits until a process is ready; returns false if this took longer than the platform allows. */
+  /**
+   * Waits until a process is ready. Returns false if the process was not ready within the time that
+   * the platform allows.
+   */
   private boolean awaitReady(ServingProcess process) throws IOException, InterruptedException {
     double startedAt = observations.now();
     run.awaitReady(process);
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeChecker.java
@@ -21,8 +21,8 @@
  */
 public final class UpgradeChecker {
   /**
-   * The time for which a worker may still receive jobs after it was disabled, ms: 250 that the
-   * drain rule permits, and a margin of 50.
+   * The time, ms, for which a worker may still receive jobs after it was disabled: the 250 ms that
+   * the drain rule permits, plus a margin of 50 ms.
    */
   static final double DRAIN_GRACE_MILLIS = 300;
 
@@ -38,8 +38,9 @@
   private UpgradeChecker() {}
 
   /**
-   * Returns the violations of all rules. With {@code idleConnections}, which may exhaust the node's
-   * descriptors, the node may close new connections without reading the request.
+   * Returns the violations of all rules. If {@code idleConnections} is true, idle connections may
+   * exhaust the node's descriptors. The node may then close new connections without reading the
+   * request.
    */
   public static List<Violation> check(Observations observations, boolean idleConnections) {
     List<Violation> violations = new ArrayList<>();
@@ -76,8 +77,8 @@
   }
 
   /**
-   * Returns the jobs that were in progress while the harness killed or stopped a process: each may
-   * have been handled by that process.
+   * Returns the jobs that were in progress while the harness killed or stopped a process. That
+   * process may have handled any of these jobs.
    */
   private static Set<String> excusedJobs(Observations observations) {
     Set<String> excused = new HashSet<>();
@@ -104,9 +105,9 @@
   }
 
   /**
-   * Returns a violation for each job sent to a disabled worker: a worker receives no new job from
-   * the positive answer to a disable call, or from {@link #BINDS_AFTER_MILLIS} after a call without
-   * one, until the enable call.
+   * Returns a violation for each job sent to a disabled worker. A worker counts as disabled from
+   * the positive answer to a disable call until the enable call. If the disable call has no
+   * positive answer, the worker counts as disabled from {@link #BINDS_AFTER_MILLIS} after the call.
    */
   static List<Violation> sendsToDisabledWorkers(Observations observations) {
     List<Violation> violations = new ArrayList<>();
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/UpgradeRun.java
@@ -75,8 +75,8 @@
 
   /**
    * Returns the command that starts {@code serve} with the classes of this program, within the
-   * limits of the deploy file and, as in a deployment, with a class archive if the build has
-   * created one.
+   * limits of the deploy file. If the build has created a class archive, the command uses it, as a
+   * deployment does.
    */
   public static List<String> currentProgramCommand() {
     String classPath = System.getProperty("java.class.path");
@@ -238,14 +238,18 @@
   }
 
   /**
-   * Changes the discovery address in the configuration to that of the other agent. A process reads the changed configuration after a SIGHUP.
+   * Changes the discovery address in the configuration to that of the other agent. A process reads
+   * the changed configuration after a SIGHUP.
    */
   public void moveDiscovery() throws IOException {
     discoveryIndex = 1 - discoveryIndex;
     writeConfiguration();
   }
 
-  /** Stops the agent that the configuration no longer names, and creates a new one in its place. */
+  /**
+   * Stops the discovery agent that the configuration no longer names, and creates a new agent to
+   * replace it.
+   */
   void stopFormerDiscovery() throws IOException {
     int former = 1 - discoveryIndex;
     discoveries.get(former).close();
@@ -287,8 +291,8 @@
   }
 
   /**
-   * Makes an operator's call at one process, about a worker or, if {@code worker} is null, about
-   * the node.
+   * Sends an operator's call to one process. The call is about {@code worker}, or about the node if
+   * {@code worker} is null.
    */
   public OperatorCall operate(ServingProcess process, Verb verb, String worker) {
     String name = verb.name().toLowerCase(java.util.Locale.ROOT);
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
@@ -16,7 +16,9 @@
 import java.util.function.Function;
 
 /**
- * A worker that responds with 202 to each job for which a slot or a place in its queue is free. It runs the job for a random time, and then sends the callback repeatedly until the node answers. Thread-safe.
+ * A worker that responds with 202 to each job for which a slot or a place in its queue is free. It
+ * runs the job for a random time, and then sends the callback repeatedly until the node answers.
+ * Thread-safe.
  */
 final class WorkerStub implements AutoCloseable {
   private static final TimeUnit MILLIS = TimeUnit.MILLISECONDS;
@@ -81,7 +83,8 @@
   }
 
   /**
-   * Sets the function that maps the sender of an attempt to the address to which the worker sends its callbacks. The attempt's header names the sender.
+   * Sets the function that maps the sender of an attempt to the address to which the worker sends
+   * its callbacks. The attempt's header names the sender.
    */
   void setCallbackAddress(Function<String, InetSocketAddress> addressBySender) {
     callbackAddresses = addressBySender;
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/HeldUpShutdownTest.java
@@ -58,7 +58,8 @@
   }
 
   /**
-   * {@code stopped} is the time for which the process is suspended, starting at its SIGTERM, ms.
+   * {@code stopped} is the time in ms for which the process is suspended. The time is counted from
+   * SIGTERM.
    */
   @ParameterizedTest
   @ValueSource(doubles = {300, 500, 1000})
@@ -93,7 +94,7 @@
   }
 
   /**
-   * Opens a connection and sends one request on it, whose answer shows that the node has not closed
+   * Opens a connection and sends one request on it. The answer shows that the node has not closed
    * the connection.
    */
   private HttpConnection connectAndSendOneRequest(int number) throws IOException {
@@ -104,8 +105,8 @@
   }
 
   /**
-   * Writes a request; false if the node has closed the connection, which it may do between
-   * requests.
+   * Writes a request. Returns false if the node has closed the connection; the node may do this
+   * between requests.
    */
   private static boolean write(HttpConnection client, int number) {
     if (client.endedByPeer()) {
--- a/fleet/src/main/java/ferngrade/fleet/EndpointListWatch.java
+++ b/fleet/src/main/java/ferngrade/fleet/EndpointListWatch.java
@@ -48,7 +48,10 @@
     this.lineListener = lineListener;
   }
 
-  /** Enables or disables the watch. If enabled, the next {@link #poll} opens the watch. If disabled, an open watch is closed at once. */
+  /**
+   * Enables or disables the watch. If enabled, the next {@link #poll} opens the watch. If disabled,
+   * an open watch is closed at once.
+   */
   void setEnabled(boolean enabled) {
     this.enabled = enabled;
     if (!enabled && openSubscriber != null) {
--- a/lease/src/test/java/ferngrade/lease/EndpointListRelayTest.java
+++ b/lease/src/test/java/ferngrade/lease/EndpointListRelayTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a member whose worker list is out of date. The causes tested are lost lines, the loss of the owner, and lines of an outdated owner.
+ * Guards against a member whose worker list is out of date. The causes tested are lost lines, the
+ * loss of the owner, and lines of an outdated owner.
  */
 class EndpointListRelayTest {
   private static final OptionalLong NOT_HELD = OptionalLong.empty();
--- a/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
+++ b/membership/src/main/java/ferngrade/membership/MessageAuthenticator.java
@@ -57,7 +57,9 @@
     /** The message is authentic and was not received before. */
     TAKEN,
     /**
-     * No message is delivered, because the two processes are still exchanging their process ids. Either the remote process has sent its id, or this process answers with its own id. If the result contains an answer, the caller must send it.
+     * No message is delivered, because the two processes are still exchanging their process ids.
+     * Either the remote process has sent its id, or this process answers with its own id. If the
+     * result contains an answer, the caller must send it.
      */
     GREETED,
     /** The message has no tag of this fleet under an accepted key. */
--- a/membership/src/main/java/ferngrade/membership/Suspicion.java
+++ b/membership/src/main/java/ferngrade/membership/Suspicion.java
@@ -4,7 +4,10 @@
 import java.util.Set;
 
 /**
- * Computes how long a suspicion lasts before the suspected member is marked as failed (Lifeguard). The timeout is long at first. It becomes shorter each time another member independently suspects the same member. If the member that reports the suspicion is itself slow, it therefore has more time to receive a refutation.
+ * Computes how long a suspicion lasts before the suspected member is marked as failed (Lifeguard).
+ * The timeout is long at first. It becomes shorter each time another member independently suspects
+ * the same member. If the member that reports the suspicion is itself slow, it therefore has more
+ * time to receive a refutation.
  */
 final class Suspicion {
   /** The number of confirmations after which the timeout is at its minimum. */
--- a/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
+++ b/node/src/test/java/ferngrade/node/RequestCoordinatorTest.java
@@ -245,7 +245,8 @@
   }
 
   /**
-   * Fails if an attempt times out although a rejection by the worker has arrived and is not read yet. After a rejection, a retry is safe.
+   * Fails if an attempt times out although a rejection by the worker has arrived and is not read
+   * yet. After a rejection, a retry is safe.
    */
   @Test
   public void attemptDoesNotTimeOutWhileWorkersResponseIsUnread() {
