--- a/emulator/src/test/java/ferngrade/emulator/WorkerModelTest.java
+++ b/emulator/src/test/java/ferngrade/emulator/WorkerModelTest.java
@@ -183,8 +183,8 @@
           WorkerModel.notifyingOutcome(ignoringListener(), end -> lastEnd[0] = clock.now()));
     }
     clock.run(1e6);
-    // Adds up the warmth, in small steps, from the time the jobs are offered to the end of the last
-    // job. The sum must equal the work offered.
+    // Integrates the warmth, in small steps, over the time from the offer of the jobs to the end of
+    // the last job. The integral must equal the work offered.
     double served = 0;
     double step = 0.05;
     for (double at = 10_000; at < lastEnd[0]; at += step) {
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -113,8 +113,8 @@
      */
     FORGE,
     /**
-     * Sends SIGTERM, upon which the member releases its leases and exits. Restarts the member after
-     * {@code for}.
+     * Sends SIGTERM. The member then releases its leases and exits, and is restarted after {@code
+     * for}.
      */
     LEAVE
   }
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/Observations.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/Observations.java
@@ -86,8 +86,8 @@
 
   /**
    * Marks the time just before or just after the harness injects a fault into a process. Each fault
-   * has one mark of each kind. Requests in progress between the two marks may be lost without a
-   * violation.
+   * has one mark before it and one after it. Requests in progress between the two marks may be lost
+   * without a violation.
    */
   record Fault(double at, long pid, Kind kind) {
     enum Kind {
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/WorkerStub.java
@@ -17,8 +17,8 @@
 
 /**
  * A worker that responds with 202 to each job for which a slot or a place in its queue is free. It
- * runs the job for a random time, and then sends the callback repeatedly until the node answers.
- * Thread-safe.
+ * runs the job for a random time, and then sends the callback, with a limited number of retries,
+ * until the node answers. Thread-safe.
  */
 final class WorkerStub implements AutoCloseable {
   private static final TimeUnit MILLIS = TimeUnit.MILLISECONDS;
--- a/lease/src/main/java/ferngrade/lease/LeaseTable.java
+++ b/lease/src/main/java/ferngrade/lease/LeaseTable.java
@@ -349,9 +349,9 @@
 
   /**
    * Returns the time that a member uses, in Unix ms. {@code own} is the time of the member's own
-   * wall clock. The method returns {@code own} unless it differs from the median of the members'
-   * wall clocks by more than {@code MAX_AHEAD_MILLIS}. In that case the method returns the median.
-   * The median is as old as the members' last renewals.
+   * wall clock. The method returns {@code own} unless this time differs from the median of the
+   * members' wall clocks by more than {@code MAX_AHEAD_MILLIS}. In that case the method returns the
+   * median. The median is as old as the members' last renewals.
    */
   public long correctedWallClock(long own) {
     return Math.abs(own - medianWallClock()) > MAX_AHEAD_MILLIS ? medianWallClock() : own;
--- a/membership/src/main/java/ferngrade/membership/Suspicion.java
+++ b/membership/src/main/java/ferngrade/membership/Suspicion.java
@@ -6,8 +6,8 @@
 /**
  * Computes how long a suspicion lasts before the suspected member is marked as failed (Lifeguard).
  * The timeout is long at first. It becomes shorter each time another member independently suspects
- * the same member. If the member that reports the suspicion is itself slow, it therefore has more
- * time to receive a refutation.
+ * the same member. A member that is itself slow therefore has more time to receive a refutation of
+ * its suspicion.
  */
 final class Suspicion {
   /** The number of confirmations after which the timeout is at its minimum. */
