--- a/consensus/src/main/java/ferngrade/consensus/MicroRaftExecutor.java
+++ b/consensus/src/main/java/ferngrade/consensus/MicroRaftExecutor.java
@@ -14,7 +14,8 @@
   private final ElectionMonitor elections;
 
   /**
-   * Creates an executor; {@code scale} is the number of the member's ms per ms of the algorithm.
+   * Creates an executor for the algorithm's tasks. A delay that the algorithm requests is
+   * multiplied by {@code scale} to obtain the delay of the member's timer.
    */
   MicroRaftExecutor(
       RaftMember.Environment environment,
--- a/membership/src/main/java/ferngrade/membership/Suspicion.java
+++ b/membership/src/main/java/ferngrade/membership/Suspicion.java
@@ -4,9 +4,10 @@
 import java.util.Set;
 
 /**
- * Computes how long a suspicion lasts before the member is marked as failed: the timeout is long at
- * first, and each further member that suspects the target independently shortens it (Lifeguard).
- * This gives a member that is itself slow more time to receive a refutation.
+ * Computes how long a suspicion lasts before the suspected member is marked as failed (Lifeguard).
+ * The timeout is long at first. It becomes shorter each time another member independently suspects
+ * the same member. A member that is itself slow therefore has more time to receive a refutation of
+ * its suspicion.
  */
 final class Suspicion {
   /** The number of confirmations after which the timeout is at its minimum. */
