--- a/consensus/src/main/java/ferngrade/consensus/ElectionMonitor.java
+++ b/consensus/src/main/java/ferngrade/consensus/ElectionMonitor.java
@@ -16,7 +16,7 @@
 final class ElectionMonitor {
   /**
    * The maximum random extension of the timeout for the first election, as a multiple of the
-   * timeout. It doubles with each further election, up to {@link #MAX_EXTENSION}.
+   * timeout. This maximum doubles with each further election, up to {@link #MAX_EXTENSION}.
    */
   private static final double FIRST_EXTENSION = 2;
 
@@ -56,8 +56,8 @@
   double extend(double timeoutMillis) {
     double extended = timeoutMillis * (1 + extension * random.nextDouble());
     extension = Math.min(MAX_EXTENSION, 2 * extension);
-    // The member waits for votes until the extended timeout, so it does not count as idle before
-    // that time.
+    // The member waits for votes until the extended timeout. Until then, the member does not count
+    // as idle.
     campaignedAt = clock.now() + extended;
     return extended;
   }
--- a/consensus/src/main/java/ferngrade/consensus/GroupMembership.java
+++ b/consensus/src/main/java/ferngrade/consensus/GroupMembership.java
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Returns whether this endpoint belongs to the group. If its member is configured as a voter, the
-   * endpoint must also be a voter.
+   * Returns whether this endpoint belongs to the group. If the endpoint's member is configured as a
+   * voter, the endpoint must also be a voter.
    */
   boolean admitted(RaftMemberId endpoint) {
     RaftGroupMembers members = node.getCommittedMembers();
--- a/consensus/src/main/java/ferngrade/consensus/LogFormat.java
+++ b/consensus/src/main/java/ferngrade/consensus/LogFormat.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Creates a codec for the classes of the log itself, followed by the classes of the commands, in
-   * this order.
+   * Creates a codec. The codec's list of classes begins with the classes of the log itself. The
+   * classes of the commands follow.
    */
   public static Codec codec(List<Class<?>> commands) {
     return new Codec(LOG_CLASSES, commands);
--- a/consensus/src/main/java/ferngrade/consensus/MicroRaftStateMachine.java
+++ b/consensus/src/main/java/ferngrade/consensus/MicroRaftStateMachine.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Applies committed entries to a {@link ReplicatedStateMachine}, whose snapshot is one chunk. */
+/** Applies committed entries to a {@link ReplicatedStateMachine}. A snapshot is one chunk. */
 record MicroRaftStateMachine(ReplicatedStateMachine machine) implements StateMachine {
   @Override
   public Object runOperation(long index, Object operation) {
--- a/consensus/src/main/java/ferngrade/consensus/ProposalOutcome.java
+++ b/consensus/src/main/java/ferngrade/consensus/ProposalOutcome.java
@@ -7,7 +7,7 @@
   /** The command is committed and was applied with this result. */
   void done(Object result);
 
-  /** It is unknown whether the command is committed; it may still be committed later. */
+  /** It is unknown whether the command is committed. The command may be committed later. */
   void unknown(String reason);
 
   /** Creates an outcome that calls one of these consumers. */
--- a/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftLogStore.java
@@ -200,8 +200,8 @@
   }
 
   /**
-   * Writes the whole state to the next file after a failure, including the items of the failed
-   * flush, none of which was acknowledged.
+   * Writes the whole state to the next file after a failure. The state includes the items of the
+   * failed flush; none of these items was acknowledged.
    *
    * @throws IOException if the disk still fails
    */
@@ -251,9 +251,7 @@
     deleteObsoleteFiles();
   }
 
-  /**
-   * Deletes the files before the current one; a failed deletion is repeated by the next rewrite.
-   */
+  /** Deletes the files before the current file. The next rewrite repeats a failed deletion. */
   private void deleteObsoleteFiles() {
     try {
       for (String name : storage.list()) {
--- a/consensus/src/main/java/ferngrade/consensus/RaftMember.java
+++ b/consensus/src/main/java/ferngrade/consensus/RaftMember.java
@@ -27,10 +27,10 @@
  * is forwarded to the leader. Once a majority of the voters has stored it, every member applies it
  * to its {@link ReplicatedStateMachine}.
  *
- * <p>The algorithm is provided by MicroRaft. Its clock, random numbers, storage and transport are
- * provided by this package, so that it can run in virtual time. MicroRaft counts heartbeats in
- * whole seconds; one second of its clock is one heartbeat interval of {@link Settings}. All methods
- * must be called on the thread of the {@link Environment}.
+ * <p>MicroRaft provides the algorithm. This package provides the clock, random numbers, storage and
+ * transport, so that the algorithm can run in virtual time. MicroRaft counts heartbeats in whole
+ * seconds. One second of its clock is one heartbeat interval of {@link Settings}. All methods must
+ * be called on the thread of the {@link Environment}.
  */
 public final class RaftMember {
   /**
@@ -210,9 +210,10 @@
   }
 
   /**
-   * Suspends participation until the log can be written again, as if the process were paused: the
-   * member neither receives nor sends messages, and the outcomes of proposals are unknown. Called
-   * when a write of {@code log} has failed; {@code onResumed} is called when the disk works again.
+   * Suspends participation until the log can be written again. Until then the member behaves like a
+   * paused process: it neither receives nor sends messages, and the outcomes of proposals are
+   * unknown. This method is called when a write of {@code log} has failed. {@code onResumed} is
+   * called when the disk works again.
    */
   public void suspend(RaftLogStore log, Runnable onResumed) {
     suspension.begin(
@@ -250,11 +251,13 @@
   }
 
   /**
-   * Works around a pre-vote that never ends. The algorithm starts a pre-vote when the leader is
-   * late. If a message of that leader then arrives in the same term, the algorithm does not start
-   * another pre-vote when the leader fails later (found in virtual time). A voter that has had no
-   * contact with a leader and has requested no vote for a long time therefore receives a simulated
-   * vote request of the next term with an empty log. It moves to that term without voting, and the
+   * Works around a pre-vote that never ends (found in virtual time). The algorithm starts a
+   * pre-vote when the leader is late. A message of the leader may then arrive in the same term. In
+   * that case, the algorithm does not start another pre-vote when the leader fails later.
+   *
+   * <p>A voter counts as stuck if it has had no contact with a leader and has requested no votes
+   * for a long time. This method then simulates a vote request of the next term from a candidate
+   * with an empty log. The voter moves to the next term without granting its vote, and the
    * algorithm starts over.
    */
   private void watchForStuckElection() {
@@ -270,8 +273,8 @@
   }
 
   /**
-   * Transfers leadership to another voter for which {@code isAlive} holds, if this member leads. If
-   * a leader stops without a transfer, all members wait for an election.
+   * Transfers leadership to another voter for which {@code isAlive} holds. Does nothing if this
+   * member does not lead. If a leader stops without a transfer, all members wait for an election.
    */
   public void transferLeadership(Predicate<String> isAlive) {
     node.getCommittedMembers().getVotingMembers().stream()
@@ -282,8 +285,8 @@
   }
 
   /**
-   * Simulates a vote request from a candidate with an empty log: it raises the term, and no vote is
-   * granted.
+   * Simulates a vote request from a candidate with an empty log. The request raises this member's
+   * term. This member does not grant its vote.
    */
   private void moveToTerm(int term, RaftEndpoint from) {
     node.handle(
@@ -364,8 +367,8 @@
 
   /**
    * Proposes a command. The outcome is reported once, within {@code timeoutMillis}. A command with
-   * an unknown outcome may have been applied; if a command must not be applied twice, the state
-   * machine has to detect duplicates.
+   * an unknown outcome may have been applied. If a command must not be applied twice, the state
+   * machine must therefore detect duplicates.
    */
   public void propose(Object command, double timeoutMillis, ProposalOutcome outcome) {
     Timers timers = environment.timers();
--- a/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
+++ b/consensus/src/main/java/ferngrade/consensus/StorageSuspension.java
@@ -14,7 +14,8 @@
  * Suspends the tasks of the algorithm after a failed write of the log. The write is retried with
  * backoff, and the tasks resume once it has succeeded. A task in which a write failed is dropped,
  * like a message that never arrived. The only exception is the leader's flush, which is run again
- * because the algorithm waits for it before submitting another. Confined to the member's thread.
+ * because the algorithm waits for this flush before it submits another. Confined to the member's
+ * thread.
  */
 final class StorageSuspension {
   /**
--- a/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/LogFormatGoldenTest.java
@@ -66,8 +66,8 @@
           .build();
 
   /**
-   * The permitted growth of a file. It exceeds all logs in these tests, so that no file is
-   * rewritten because of its size.
+   * The permitted growth of a file. This bound exceeds the length of all logs in these tests, so
+   * that no file is rewritten because of its size.
    */
   private static final long MAX_GROWTH_BYTES = 1 << 20;
 
--- a/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftLogStoreTest.java
@@ -260,8 +260,8 @@
         assertHolds(disk, 12, context + ", later");
       }
     }
-    // A failed deletion of old files is not reported; the other operations fail whenever a file is
-    // written or created.
+    // The log does not report a failed deletion of old files. The other operations fail whenever
+    // the log writes or creates a file, so the log reports many failures.
     assertTrue(
         operation == Operation.DELETE || failures.size() > 20, operation + ": " + failures.size());
   }
@@ -330,9 +330,10 @@
       RaftLogStore log = open(disk);
       begin(log);
       for (int i = 1; i <= 5; i++) {
-        // All flipped offsets are below 200, before the batch of the last entry. The damaged batch
-        // was therefore synced, and a later batch follows it. This shows that the damage is not a
-        // torn write. The long last entry puts the end of the file far behind the flipped offsets.
+        // The last entry is long, so the file ends far behind the flipped offsets. All flipped
+        // offsets are below 200 and lie before the batch of the last entry. A later batch therefore
+        // follows the damaged batch. The later batch proves that the damaged batch was synced and
+        // is not a torn write.
         log.persistLogEntries(List.of(entry(i, "entry " + "x".repeat(i == 5 ? 500 : 10))));
         log.flush();
       }
@@ -347,7 +348,8 @@
   }
 
   /**
-   * The file of a voter as it was written before a log could continue in a new file after a fault.
+   * The bytes of a voter's file, in hexadecimal. An earlier version wrote the file. That version
+   * could not yet continue the log in a new file after a fault.
    */
   private static final String RECORDED_FILE =
       "00000002a3bdd4de00000000000000010b01000000096b3c48c400000000000000020b827d00006682610100000016ee32da"
--- a/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
+++ b/consensus/src/test/java/ferngrade/consensus/RaftMemberStorageFaultTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Guards against lost or repeated proposals when the disks of voters fail temporarily; runs in
- * virtual time.
+ * Guards against lost or repeated proposals when the disks of voters fail temporarily. The test
+ * runs in virtual time.
  */
 class RaftMemberStorageFaultTest {
   private static final double HEARTBEAT_MILLIS = 100;
--- a/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/TrialFile.java
@@ -95,7 +95,10 @@
      * to be admitted to the fleet again.
      */
     REJOIN,
-    /** Kills the process, and restarts it after {@code for} with one bit of its log flipped. */
+    /**
+     * Kills the process. After the duration that the key {@code for} gives, flips one bit of the
+     * process's log and restarts the process.
+     */
     FLIP,
     /** Makes the member's disk full for {@code for}; the member recovers without a restart. */
     FILL,
@@ -105,7 +108,10 @@
     JUMP,
     /** Makes the clocks run at {@code by} times the real rate. */
     RATE,
-    /** Drops, duplicates and reorders the member's datagrams for {@code for}. */
+    /**
+     * Drops, duplicates and reorders the member's datagrams for the duration that the key {@code
+     * for} gives.
+     */
     SCRAMBLE,
     /**
      * Sends the last datagram of each link to the member again, both unchanged and with one bit
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCapacityChecker.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/IdleCapacityChecker.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * Checks that idle capacity is used: requests are not rejected for longer than {@link
- * #MAX_REJECTING_MILLIS} without a break while the number of jobs in progress, as counted by the
- * workers, is below a third of their slots. Stateless.
+ * Checks that idle capacity is used. Workers count as idle while fewer than a third of their slots
+ * hold a job in progress, as counted by the workers. A series of rejections while workers are idle
+ * is a violation if it lasts longer than {@link #MAX_REJECTING_MILLIS} without a break. Stateless.
  */
 public final class IdleCapacityChecker {
   /** The maximum duration of rejections while workers are idle, ms. */
--- a/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
+++ b/faulttest/src/main/java/ferngrade/faulttest/upgrade/MutantNode.java
@@ -30,7 +30,8 @@
   private MutantNode() {}
 
   /**
-   * Returns the command that starts a node with this mutation, with the classes of this program.
+   * Returns the command that starts a node with this mutation. The node runs the classes of this
+   * program.
    */
   public static List<String> command(Mutation mutation) {
     List<String> command = new ArrayList<>(UpgradeRun.currentProgramCommand());
--- a/faulttest/src/test/java/ferngrade/faulttest/upgrade/DrainedUpgradeTest.java
+++ b/faulttest/src/test/java/ferngrade/faulttest/upgrade/DrainedUpgradeTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a failed upgrade of a drained node. The new process reported not ready until a
- * resume. The platform, however, waits only 6 s for the new process to be ready, and terminates the
- * old process only once the new process is ready. The new process must therefore keep the drain at
- * first, and report ready before the 6 s have elapsed.
+ * Guards against this failure: a drained node is upgraded, and the new process reports not ready
+ * until a resume, so the upgrade fails. The platform waits only 6 s for the new process to be
+ * ready, and terminates the old process only once the new process is ready. The new process must
+ * therefore keep the drain at first, and report ready before the 6 s have elapsed.
  */
 class DrainedUpgradeTest {
   private static final double READY_TIMEOUT_MILLIS = 6000;
